--- a/cmd/mothcleat/main.go
+++ b/cmd/gateway/main.go
@@ -1,4 +1,4 @@
-// Command mothcleat is a gateway that keeps each customer of a shared back end
+// Command gateway is a gateway that keeps each customer of a shared back end
 // to its plan. It reads its configuration from the file that RELAY_CONFIG names.
 package main
 
@@ -11,12 +11,12 @@
 	"runtime/debug"
 	"syscall"
 
-	"mothcleat/internal/gateway"
+	"sparspread/internal/gateway"
 )
 
 func main() {
 	if err := run(); err != nil {
-		fmt.Fprintln(os.Stderr, "mothcleat:", err)
+		fmt.Fprintln(os.Stderr, "gateway:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/simhost/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command simhost hosts decision instances on the simulator's wire: it reads
+// Command simadapter hosts decision instances on the simulator's wire: it reads
 // batches of events from standard input and writes their actions to standard
 // output. It decides nothing.
 package main
@@ -10,29 +10,29 @@
 	"io"
 	"os"
 
-	"mothcleat/decide"
-	"mothcleat/internal/wire"
+	"sparspread/internal/simproto"
+	"sparspread/policy"
 )
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "simhost:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
 
 // host keeps the instances of one process.
 type host struct {
-	gateways map[uint16]*decide.Gateway
-	reply    wire.Reply
+	gateways map[uint16]*policy.Controller
+	reply    simproto.Reply
 }
 
 func run(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<16), bufio.NewWriterSize(out, 1<<16)
-	h := &host{gateways: map[uint16]*decide.Gateway{}}
+	h := &host{gateways: map[uint16]*policy.Controller{}}
 	var body []byte
 	for {
-		batch, err := wire.ReadBatch(r, body)
+		batch, err := simproto.ReadBatch(r, body)
 		if errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
 			return nil
 		}
@@ -41,7 +41,7 @@
 		}
 		body = batch.Body
 		h.reply.Start(batch.Index)
-		if err := batch.Decode(func(e *wire.Event) { h.take(batch.Now, e) }); err != nil {
+		if err := batch.Decode(func(e *simproto.Event) { h.take(batch.Now, e) }); err != nil {
 			return err
 		}
 		if _, err := w.Write(h.reply.Bytes()); err != nil {
@@ -55,7 +55,7 @@
 
 // take carries one event to its instance. A panic there is told as broken, and
 // the instance is gone.
-func (h *host) take(now decide.Time, e *wire.Event) {
+func (h *host) take(now policy.Time, e *simproto.Event) {
 	h.reply.For(e.Instance)
 	defer func() {
 		if p := recover(); p != nil {
@@ -64,10 +64,10 @@
 		}
 	}()
 	switch e.Kind {
-	case wire.Provision:
+	case simproto.Provision:
 		h.provision(e)
 		return
-	case wire.CrashNow:
+	case simproto.CrashNow:
 		delete(h.gateways, e.Instance)
 		return
 	}
@@ -76,32 +76,32 @@
 		return
 	}
 	switch e.Kind {
-	case wire.Backends:
-		g.Members(now, e.News, e.Members)
-	case wire.Ingress:
-		g.Request(now, e.Request)
-	case wire.First:
-		g.Started(now, e.Outcome.ID)
-	case wire.Done:
-		g.Outcome(now, e.Outcome)
-	case wire.Dropped:
-		g.Gone(now, e.Outcome.ID)
-	case wire.Wake:
-		g.Timer(now, e.Token)
-	case wire.Sampled:
-		g.Probed(now, e.Backend, e.Result, e.Load)
-	case wire.Heard:
-		g.Peer(now, e.From, e.Note)
-	case wire.Ledger:
-		g.Counted(now, e.Name, e.Result, e.Total)
+	case simproto.Backends:
+		g.UpdateEndpoints(now, e.News, e.Members)
+	case simproto.Ingress:
+		g.RequestReceived(now, e.Request)
+	case simproto.First:
+		g.ResponseStarted(now, e.Outcome.RequestID)
+	case simproto.Done:
+		g.AttemptEnded(now, e.Outcome)
+	case simproto.Dropped:
+		g.RequestCancelled(now, e.Outcome.RequestID)
+	case simproto.Wake:
+		g.TimerFired(now, e.Token)
+	case simproto.Sampled:
+		g.HealthCheckEnded(now, e.Backend, e.Result, e.Load)
+	case simproto.Heard:
+		g.GossipReceived(now, e.From, e.Note)
+	case simproto.Ledger:
+		g.CounterAnswered(now, e.Name, e.Result, e.Total)
 	}
 }
 
-func (h *host) provision(e *wire.Event) {
-	set, err := wire.ParseSettings(e.Profile)
+func (h *host) provision(e *simproto.Event) {
+	set, err := simproto.ParseSettings(e.Profile)
 	if err == nil {
-		var g *decide.Gateway
-		if g, err = decide.New(set, e.Seed, &h.reply); err == nil {
+		var g *policy.Controller
+		if g, err = policy.New(set, e.Seed, &h.reply); err == nil {
 			h.gateways[e.Instance] = g
 			return
 		}
--- a/cmd/simhost/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -6,8 +6,8 @@
 	"strings"
 	"testing"
 
-	"mothcleat/decide"
-	"mothcleat/internal/wire"
+	"sparspread/internal/simproto"
+	"sparspread/policy"
 )
 
 func batch(index, count uint32, body string) string {
@@ -48,9 +48,9 @@
 }
 
 func TestPanicIsToldAsBroken(t *testing.T) {
-	h := &host{gateways: map[uint16]*decide.Gateway{4: {}}} // one that New did not make
+	h := &host{gateways: map[uint16]*policy.Controller{4: {}}} // one that New did not make
 	h.reply.Start(1)
-	h.take(1, &wire.Event{Kind: wire.Wake, Instance: 4})
+	h.take(1, &simproto.Event{Kind: simproto.Wake, Instance: 4})
 	if got := string(h.reply.Bytes()); !strings.Contains(got, "panic") {
 		t.Errorf("%q", got)
 	}
--- a/internal/discovery/endpoint.go
+++ b/internal/discovery/endpoint.go
@@ -9,7 +9,7 @@
 	"net/netip"
 	"strings"
 
-	"mothcleat/decide"
+	"sparspread/policy"
 )
 
 // Update is the list of endpoints, or what changed of it, in the service's JSON form.
@@ -38,17 +38,17 @@
 
 // State is what the phase means for the decisions. An endpoint with a phase that is not known, or without a
 // usable address, counts as draining: nothing is sent to it.
-func (e *Endpoint) State() decide.State {
+func (e *Endpoint) State() policy.EndpointState {
 	switch e.Phase {
 	case phaseReady:
 		if _, err := netip.ParseAddrPort(e.Address); err != nil {
-			return decide.Draining
+			return policy.EndpointDraining
 		}
-		return decide.Ready
+		return policy.EndpointReady
 	case phaseGone:
-		return decide.Left
+		return policy.EndpointRemoved
 	}
-	return decide.Draining
+	return policy.EndpointDraining
 }
 
 // ignored is a JSON value that is read and not kept.
--- a/internal/gateway/backends.go
+++ b/internal/gateway/backends.go
@@ -14,9 +14,9 @@
 	"syscall"
 	"time"
 
-	"mothcleat/decide"
-	"mothcleat/internal/discovery"
-	"mothcleat/internal/resp"
+	"sparspread/internal/discovery"
+	"sparspread/internal/resp"
+	"sparspread/policy"
 )
 
 // attempt is one send of a request or, with no request, a probe.
@@ -24,8 +24,8 @@
 	r        *request
 	number   int
 	backend  uint32
-	sent     decide.Time
-	until    decide.Time
+	sent     policy.Time
+	until    policy.Time
 	conn     *backendConn // nil: it waits for one
 	giveUp   *timer
 	redialed bool
@@ -45,7 +45,7 @@
 	number  uint32
 	address string
 	upSince int64 // as discovery tells it
-	state   decide.State
+	state   policy.EndpointState
 	told    discovery.Endpoint // by discovery, last
 	idle    []*backendConn     // the one used last at the end
 	waiting []*attempt         // for a connection, oldest first
@@ -62,7 +62,7 @@
 	out    *sender
 	a      *attempt
 	closed bool
-	since  decide.Time   // idle since
+	since  policy.Time   // idle since
 	read   atomic.Int64  // bytes that have come
 	used   int64         // those of them that belong to the answers taken in
 	gone   chan struct{} // closed when it is
@@ -86,7 +86,7 @@
 const restFor = 10_000
 
 // rests tells whether something may still come behind the last answer.
-func (c *backendConn) rests(now decide.Time) bool { return c.used > 0 && now-c.since < restFor }
+func (c *backendConn) rests(now policy.Time) bool { return c.used > 0 && now-c.since < restFor }
 
 // clean tells whether nothing has come that no request asked for. What lies
 // there when a request is written would be taken for its answer: a second copy
@@ -130,7 +130,7 @@
 	for bs.byNumber[number] != nil {
 		number++ // two ids share a number: they are still two backends
 	}
-	b := &backend{number: number, state: decide.Left}
+	b := &backend{number: number, state: policy.EndpointRemoved}
 	bs.byID[id], bs.byNumber[number] = b, b
 	return b
 }
@@ -140,10 +140,10 @@
 	a.backend = number
 	b := bs.byNumber[number]
 	a.giveUp = l.at(a.until, giveUp{a})
-	if b == nil || b.state != decide.Ready || a.r != nil && (!a.r.body.free() || a.r.client.closed.Load()) {
+	if b == nil || b.state != policy.EndpointReady || a.r != nil && (!a.r.body.free() || a.r.client.closed.Load()) {
 		// It must not, or can't be sent: nobody waits for it, or a body that has gone to
 		// an earlier attempt is kept nowhere.
-		l.finish(a, decide.Moot, nil)
+		l.finish(a, policy.ResultNotSent, nil)
 		return
 	}
 	bs.place(l, b, a)
@@ -219,7 +219,7 @@
 	}
 	b := bs.byNumber[a.backend]
 	b.waiting = slices.DeleteFunc(b.waiting, func(w *attempt) bool { return w == a })
-	l.finish(a, decide.Moot, nil)
+	l.finish(a, policy.ResultNotSent, nil)
 }
 
 // connect dials as long as more attempts wait than dials are under way.
@@ -230,7 +230,7 @@
 			// sent, and nothing is to be learnt of it.
 			a := b.waiting[len(b.waiting)-1]
 			b.waiting = b.waiting[:len(b.waiting)-1]
-			l.finish(a, decide.Moot, nil)
+			l.finish(a, policy.ResultNotSent, nil)
 			continue
 		}
 		b.dialing++
@@ -293,7 +293,7 @@
 				return
 			}
 			b.waiting = b.waiting[1:]
-			l.finish(a, decide.ConnectFailed, nil)
+			l.finish(a, policy.ResultConnectFailed, nil)
 		}
 		return
 	}
@@ -311,7 +311,7 @@
 // rests first.
 func (bs *backends) free(l *Loop, c *backendConn) {
 	b := c.b
-	if b.state != decide.Ready && len(b.waiting) == 0 || !c.out.idle() {
+	if b.state != policy.EndpointReady && len(b.waiting) == 0 || !c.out.idle() {
 		// It is not to be used again; or the answer came before all of the
 		// request was written, and the next would be written into its rest.
 		bs.close(c)
@@ -338,8 +338,8 @@
 	for len(b.waiting) > 0 {
 		a := b.waiting[0]
 		b.waiting = b.waiting[1:]
-		if a.r != nil && (a.r.client.closed.Load() || !l.module.Holds(l.now(), a.r.id, a.number)) {
-			l.finish(a, decide.Moot, nil) // it waited for too long, or nobody does any more
+		if a.r != nil && (a.r.client.closed.Load() || !l.module.MaySend(l.now(), a.r.id, a.number)) {
+			l.finish(a, policy.ResultNotSent, nil) // it waited for too long, or nobody does any more
 			continue
 		}
 		if bs.write(l, c, a) {
@@ -358,10 +358,10 @@
 // is done with: on its way, or ended. If the connection turned out broken the
 // attempt was not sent, and may go by another.
 func (bs *backends) write(l *Loop, c *backendConn, a *attempt) bool {
-	if c.b.state != decide.Ready {
+	if c.b.state != policy.EndpointReady {
 		// The drain was told while the attempt waited for its connection:
 		// nothing new goes there, however slow the dial was.
-		l.finish(a, decide.Moot, nil)
+		l.finish(a, policy.ResultNotSent, nil)
 		bs.close(c)
 		return true
 	}
@@ -485,7 +485,7 @@
 			if kept && l.now()-a.sent < atOnce {
 				l.backends.keep.broke(l.now(), idle)
 			}
-			l.finish(a, decide.Reset, nil)
+			l.finish(a, policy.ResultReset, nil)
 		}
 		return
 	}
@@ -494,7 +494,7 @@
 	}
 	result, value, use, load, fine := classify(e.reply, a.r == nil)
 	if e.spoilt && value == nil {
-		result = decide.Failed
+		result = policy.ResultFailed
 	}
 	c.a = nil
 	if kept {
@@ -515,16 +515,16 @@
 // classify tells what an answer means, and whether it is in the form agreed on:
 // an array with the value first, or an error. What follows the value, such as a
 // load report that can't be read, does not spoil it.
-func classify(re resp.Reply, probe bool) (result decide.Result, value []byte, use, load string, fine bool) {
+func classify(re resp.Reply, probe bool) (result policy.Result, value []byte, use, load string, fine bool) {
 	switch {
 	case re.Kind == '-':
 		word, rest, _ := strings.Cut(string(re.Text), " ")
 		if word == "BUSY" {
-			return decide.Full, nil, "", rest, true
+			return policy.ResultOverloaded, nil, "", rest, true
 		}
-		return decide.Failed, nil, "", rest[strings.LastIndexByte(rest, ' ')+1:], true
+		return policy.ResultFailed, nil, "", rest[strings.LastIndexByte(rest, ' ')+1:], true
 	case probe:
-		return decide.OK, nil, "", string(re.Text), re.Kind == '+' || re.Kind == '$'
+		return policy.ResultOK, nil, "", string(re.Text), re.Kind == '+' || re.Kind == '$'
 	case re.Kind == '*' && len(re.Items) > 0 && re.Items[0].Kind == '$' && !re.Items[0].Null:
 		if len(re.Items) > 1 {
 			use = string(re.Items[1].Text)
@@ -532,15 +532,15 @@
 		if len(re.Items) > 2 {
 			load = string(re.Items[2].Text)
 		}
-		return decide.OK, re.Items[0].Text, use, load, true
+		return policy.ResultOK, re.Items[0].Text, use, load, true
 	}
-	return decide.Failed, nil, "", "", false // no value: it may have run
+	return policy.ResultFailed, nil, "", "", false // no value: it may have run
 }
 
 // units reads the true units from the figures on use, such as "used=37,cost=4"; 0 if they
 // are not told. What no request can take must not reach a customer's bank.
 func (l *Loop) units(use string) float64 {
-	if !l.cfg.Settings.Settles {
+	if !l.cfg.Settings.SettlesCost {
 		return 0
 	}
 	for pair := range strings.SplitSeq(use, ",") {
@@ -559,7 +559,7 @@
 // decisions: it would draw all requests to its backend, or none.
 func (l *Loop) report(text string) []float32 {
 	names := l.cfg.Host.Report
-	if len(l.cfg.Settings.Report) == 0 || !strings.Contains(text, "=") {
+	if len(l.cfg.Settings.LoadReport) == 0 || !strings.Contains(text, "=") {
 		return nil
 	}
 	load, told := make([]float32, len(names)), 0
@@ -598,15 +598,15 @@
 	}
 	a.conn.a = nil
 	l.backends.close(a.conn)
-	l.finish(a, decide.TimedOut, nil)
+	l.finish(a, policy.ResultTimedOut, nil)
 }
 
 // finish ends an attempt: the first call counts, and brings its one outcome.
-func (l *Loop) finish(a *attempt, result decide.Result, value []byte) {
+func (l *Loop) finish(a *attempt, result policy.Result, value []byte) {
 	l.finishWith(a, result, answerParts{value: value})
 }
 
-func (l *Loop) finishWith(a *attempt, result decide.Result, answer answerParts) {
+func (l *Loop) finishWith(a *attempt, result policy.Result, answer answerParts) {
 	if a.ended {
 		return
 	}
@@ -615,8 +615,8 @@
 		a.r.waits = nil
 	}
 	if a.halfway() {
-		if result != decide.Full {
-			result = decide.Moot // its last byte was never written
+		if result != policy.ResultOverloaded {
+			result = policy.ResultNotSent // its last byte was never written
 		}
 	} else if a.r != nil && a.conn != nil && !a.whole && a.conn.out.idle() {
 		a.relayed() // what the socket did not take at once was written since
@@ -627,11 +627,11 @@
 }
 
 // members takes in discovery's list or its changes.
-func (bs *backends) members(l *Loop, news decide.News, list []discovery.Endpoint) {
-	told := make([]decide.Member, 0, len(list))
-	if news != decide.Changed {
+func (bs *backends) members(l *Loop, news policy.UpdateKind, list []discovery.Endpoint) {
+	told := make([]policy.Endpoint, 0, len(list))
+	if news != policy.UpdateIncremental {
 		for _, b := range bs.byNumber {
-			b.state = decide.Left // but for those that the list names
+			b.state = policy.EndpointRemoved // but for those that the list names
 		}
 	}
 	for _, m := range list {
@@ -642,28 +642,28 @@
 			b.address, b.upSince = m.Address, m.UpSinceMS
 			bs.drop(b)
 		}
-		told = append(told, decide.Member{
-			Backend: b.number, Zone: l.discovery.zone(m.Zone), Cell: m.Cell, State: b.state,
-			Hint: m.CapacityHint, Started: m.UpSinceMS * 1000,
+		told = append(told, policy.Endpoint{
+			ID: b.number, Zone: l.discovery.zone(m.Zone), Cell: m.Cell, State: b.state,
+			CapacityHint: m.CapacityHint, StartedAt: m.UpSinceMS * 1000,
 		})
 	}
-	l.module.Members(l.now(), news, told)
+	l.module.UpdateEndpoints(l.now(), news, told)
 	listed := int64(0)
 	for id, b := range bs.byID {
-		if b.state != decide.Left {
+		if b.state != policy.EndpointRemoved {
 			listed++
 		}
-		if b.state != decide.Ready {
+		if b.state != policy.EndpointReady {
 			bs.drop(b)
 			for len(b.waiting) > 0 {
 				bs.forgo(l, b.waiting[0]) // it can go elsewhere at once
 			}
 		}
-		if b.state == decide.Left && len(b.waiting) == 0 && b.dialing == 0 {
+		if b.state == policy.EndpointRemoved && len(b.waiting) == 0 && b.dialing == 0 {
 			delete(bs.byID, id)
 			delete(bs.byNumber, b.number)
 		}
 	}
 	l.figures.listed.Store(listed)
-	l.figures.avoided.Store(int64(l.module.Avoided()))
+	l.figures.avoided.Store(int64(l.module.UnavailableBackends()))
 }
--- a/internal/gateway/bodies.go
+++ b/internal/gateway/bodies.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 	"time"
 
-	"mothcleat/decide"
-	"mothcleat/internal/resp"
+	"sparspread/internal/resp"
+	"sparspread/policy"
 )
 
 // body is a large body of a request, which its client's reader passes on as it reads it. It goes
@@ -127,7 +127,7 @@
 		c.barred.Store(true)
 		if !r.answered {
 			l.answer(r, refusal(errors.New("command not whole in time")))
-			l.module.Gone(l.now(), r.id)
+			l.module.RequestCancelled(l.now(), r.id)
 		}
 		c.end(l)
 	}
@@ -141,7 +141,7 @@
 	}
 	c := r.body.conn
 	if a := c.a; a != nil && a.r == r && a.halfway() {
-		l.finish(a, decide.Moot, nil)
+		l.finish(a, policy.ResultNotSent, nil)
 		c.a = nil
 		l.backends.close(c)
 		l.backends.connect(l, c.b)
--- a/internal/gateway/bodies_test.go
+++ b/internal/gateway/bodies_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"mothcleat/decide"
-	"mothcleat/internal/discovery"
+	"sparspread/internal/discovery"
+	"sparspread/policy"
 )
 
 // bodyHead is a command up to its large body.
@@ -117,7 +117,7 @@
 		t.Run(name, func(t *testing.T) {
 			b := newBackend(t)
 			l := unstarted(t, newFakeDiscovery(t))
-			l.backends.members(l, decide.Whole, []discovery.Endpoint{
+			l.backends.members(l, policy.UpdateComplete, []discovery.Endpoint{
 				{ID: "s-00000001", Address: b.listener.Addr().String(), Phase: "Ready"}})
 			l.clients.resume(l)
 			t.Cleanup(l.clients.pause)
--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -11,8 +11,8 @@
 	"sync/atomic"
 	"time"
 
-	"mothcleat/decide"
-	"mothcleat/internal/resp"
+	"sparspread/internal/resp"
+	"sparspread/policy"
 )
 
 const (
@@ -59,10 +59,10 @@
 // clientCounts is what became of connections and of requests for which the gateway itself had no
 // room.
 type clientCounts struct {
-	since                     decide.Time
+	since                     policy.Time
 	accepted, silent, halfway int // connections; closed before a command began, or amid one
 	idle, surplus, noMem      int // closed idle; requests refused for places, and for memory
-	wait                      decide.Time
+	wait                      policy.Time
 }
 
 const clientsEvery = 5_000_000
@@ -96,7 +96,7 @@
 	surplus bool          // over the share: refused at once, then ended
 	asked   int           // commands that were well-formed
 	errors  int           // bad ones, in a row
-	used    decide.Time   // when it last sent a command, or was opened
+	used    policy.Time   // when it last sent a command, or was opened
 	opened  time.Time     // when it was accepted, by whichever process
 	clock   clock         // the loop's
 
@@ -278,7 +278,7 @@
 )
 
 // rank tells where a connection without an open request stands.
-func (c *client) rank(now decide.Time, asking, crowded bool) int {
+func (c *client) rank(now policy.Time, asking, crowded bool) int {
 	idle, begun := now-c.used, c.active.Load()
 	quiet := min(idle, now-begun) // idle, and amid no command
 	switch {
@@ -315,7 +315,7 @@
 	now := l.now()
 	for c := range cs.conns {
 		c.pass(l)
-		if now-c.used > [...]decide.Time{idleMost, onceMost, idleMost}[c.worth()] && len(c.line) == 0 && !c.ending {
+		if now-c.used > [...]policy.Time{idleMost, onceMost, idleMost}[c.worth()] && len(c.line) == 0 && !c.ending {
 			c.drop(l)
 		}
 	}
@@ -491,7 +491,7 @@
 // taken is a command that a client has sent.
 type taken struct {
 	client *client
-	at     decide.Time
+	at     policy.Time
 	cmd    command
 	size   int      // bytes that it holds
 	reply  []byte   // at once, without the module
@@ -618,18 +618,18 @@
 }
 
 // take has the module decide on a request.
-func (l *Loop) take(r *request, what decide.Request, at decide.Time) {
+func (l *Loop) take(r *request, what policy.Request, at policy.Time) {
 	now := l.now()
 	l.nextID++
 	r.id = l.nextID
 	l.requests[r.id], l.names[r.name] = r, r
 	l.held += size(r.args)
-	r.customer, r.units = what.Customer, what.Units
-	spare := min(margin, what.Grace/4)
-	r.read, r.deadline = at, at+what.Grace-spare
+	r.customer, r.units = what.Customer, what.Cost
+	spare := min(margin, what.Timeout/4)
+	r.read, r.deadline = at, at+what.Timeout-spare
 	r.backstop = l.at(r.deadline+spare/2, backstop{r})
-	what.ID, what.Grace = r.id, max(0, r.deadline-now)
-	l.module.Request(now, what)
+	what.ID, what.Timeout = r.id, max(0, r.deadline-now)
+	l.module.RequestReceived(now, what)
 }
 
 // refusal is the prompt answer where the gateway itself has no room.
@@ -652,8 +652,8 @@
 	} else {
 		l.clients.counts.noMem++
 	}
-	after := decide.Time(0)
-	if l.cfg.Settings.RetryAfter {
+	after := policy.Time(0)
+	if l.cfg.Settings.RetryAfterAdvice {
 		after = min(refuseAfter, l.cfg.Settings.MaxRetryAfter)
 	}
 	return busy(after)
@@ -711,7 +711,7 @@
 	}
 	c.ended = true
 	c.out.end()
-	wait := decide.Time(lingerFor)
+	wait := policy.Time(lingerFor)
 	if c.barred.Load() {
 		wait = lingerLost
 	}
@@ -757,7 +757,7 @@
 		l.held -= len(r.reply)
 		if !r.answered {
 			l.close(r)
-			l.module.Gone(now, r.id)
+			l.module.RequestCancelled(now, r.id)
 			l.forget(r)
 		}
 	}
--- a/internal/gateway/clients_test.go
+++ b/internal/gateway/clients_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"mothcleat/decide"
+	"sparspread/policy"
 )
 
 // A connection that says nothing, or only half a command, is ended; one whose
@@ -91,7 +91,7 @@
 	d := newFakeDiscovery(t)
 	l := unstarted(t, d)
 	now := l.now()
-	add := func(asked int, idle decide.Time) *client {
+	add := func(asked int, idle policy.Time) *client {
 		near, err := net.DialTCP("tcp", nil, l.clients.listener.Addr().(*net.TCPAddr))
 		if err != nil {
 			t.Fatal(err)
@@ -167,7 +167,7 @@
 	l := unstarted(t, newFakeDiscovery(t))
 	l.clients.most = 8 // six of them for those without a whole command
 	now := l.now()
-	add := func(asked int, age, silent decide.Time) *client {
+	add := func(asked int, age, silent policy.Time) *client {
 		near, err := net.DialTCP("tcp", nil, l.clients.listener.Addr().(*net.TCPAddr))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/gateway/command.go
+++ b/internal/gateway/command.go
@@ -7,8 +7,8 @@
 	"slices"
 	"strconv"
 
-	"mothcleat/decide"
-	"mothcleat/internal/resp"
+	"sparspread/internal/resp"
+	"sparspread/policy"
 )
 
 // command is a client's request as it was read.
@@ -16,7 +16,7 @@
 	args [][]byte
 	name uint64 // the id that the client gave
 	wait [2]int // where the value of d stands in args[3]
-	what decide.Request
+	what policy.Request
 }
 
 const (
@@ -52,15 +52,15 @@
 			return c, fmt.Errorf("field %s: missing", name)
 		}
 	}
-	if limit := cfg.Host.Limits[c.what.Class]; limit > 0 && c.what.Grace > limit+waitSlack {
+	if limit := cfg.Host.Limits[c.what.Class]; limit > 0 && c.what.Timeout > limit+waitSlack {
 		// Longer than any client waits: it would keep its timers and its request.
 		return c, errors.New("field d: longer than the class allows")
 	}
-	effect := cfg.Settings.Classes[c.what.Class].Effect
-	if effect == decide.Keyed && seen&(1<<keyField) == 0 {
+	effect := cfg.Settings.Classes[c.what.Class].Idempotency
+	if effect == policy.IdempotentWithKey && seen&(1<<keyField) == 0 {
 		return c, errors.New("field k: missing")
 	}
-	if reads := bytes.EqualFold(args[0], apiRead); reads != (effect == decide.Safe) {
+	if reads := bytes.EqualFold(args[0], apiRead); reads != (effect == policy.Idempotent) {
 		return c, fmt.Errorf("class %s does not go by this command", cfg.Host.Classes[c.what.Class])
 	}
 	return c, nil
@@ -123,7 +123,7 @@
 		ok = c.what.Plan >= 0
 	case waitField:
 		ms, err := strconv.ParseInt(value, 10, 64)
-		c.what.Grace = ms * 1000
+		c.what.Timeout = ms * 1000
 		ok = err == nil && ms > 0 && ms <= mostWait
 	case keyField:
 		ok = value != ""
@@ -131,15 +131,15 @@
 		ok = value == "0" || value == "1"
 	case unitsField:
 		units, err := strconv.ParseFloat(value, 64)
-		c.what.Units = units
+		c.what.Cost = units
 		ok = err == nil && units > 0 && units <= cfg.mostUnits() // which NaN is not
 	case spreadField:
 		n, err := strconv.Atoi(value)
-		c.what.Spread = n
+		c.what.Replicas = n
 		ok = err == nil && n >= 1 && n <= cfg.Settings.Gateways
 	case firstField:
 		n, err := strconv.Atoi(value)
-		c.what.First = n
+		c.what.FirstReplica = n
 		ok = err == nil && n >= 0 && n < cfg.Settings.Gateways
 	}
 	if !ok {
@@ -150,8 +150,8 @@
 
 // mostUnits is the most that a request may take.
 func (cfg *Config) mostUnits() float64 {
-	if cfg.Settings.MaxUnits > 0 {
-		return cfg.Settings.MaxUnits
+	if cfg.Settings.MaxCost > 0 {
+		return cfg.Settings.MaxCost
 	}
 	return mostUnits
 }
@@ -162,7 +162,7 @@
 }
 
 // forward is the request as a backend gets it: as it came, but for d.
-func (r *request) forward(wait decide.Time) []byte {
+func (r *request) forward(wait policy.Time) []byte {
 	fields := r.args[3]
 	list := make([]byte, 0, len(fields)+8)
 	list = append(list, fields[:r.wait[0]]...)
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -12,9 +12,9 @@
 	"net/netip"
 	"strconv"
 
-	"mothcleat/decide"
-	"mothcleat/internal/discovery"
-	"mothcleat/internal/wire"
+	"sparspread/internal/discovery"
+	"sparspread/internal/simproto"
+	"sparspread/policy"
 )
 
 // Config is what a gateway is told at its start.
@@ -33,8 +33,8 @@
 	Counter    string
 	Known      discovery.Update
 
-	Settings decide.Settings
-	Host     wire.Host
+	Settings policy.Settings
+	Host     simproto.Host
 
 	keys    map[string]present // those of the file
 	classes []*classFigures    // in the order of the settings' classes
@@ -106,7 +106,7 @@
 	if len(f.Settings) == 0 {
 		return c, errors.New("configuration: settings: missing")
 	}
-	if c.Settings, c.Host, err = wire.ParseJSON(f.Settings); err != nil {
+	if c.Settings, c.Host, err = simproto.ParseJSON(f.Settings); err != nil {
 		return c, fmt.Errorf("configuration: %w", err)
 	}
 	return c, c.check()
@@ -137,10 +137,10 @@
 		return errors.New("configuration: discovery: missing")
 	case c.Sockets < leastSockets:
 		return fmt.Errorf("configuration: limits.sockets: %d, at least %d wanted", c.Sockets, leastSockets)
-	case c.Settings.Peers && (c.PeerListen == "" || len(c.Peers) != c.Settings.Gateways):
+	case c.Settings.Gossip && (c.PeerListen == "" || len(c.Peers) != c.Settings.Gateways):
 		return fmt.Errorf("configuration: peers: %d addresses for %d gateways, peer_listen %q",
 			len(c.Peers), c.Settings.Gateways, c.PeerListen)
-	case c.Settings.Counter && !c.Settings.Peers && c.Counter == "":
+	case c.Settings.SharedCounter && !c.Settings.Gossip && c.Counter == "":
 		return errors.New("configuration: counter: missing")
 	}
 	addresses := map[string]string{"discovery": c.Discovery, "counter": c.Counter}
--- a/internal/gateway/counter.go
+++ b/internal/gateway/counter.go
@@ -12,7 +12,7 @@
 	"sync/atomic"
 	"time"
 
-	"mothcleat/decide"
+	"sparspread/policy"
 )
 
 const (
@@ -34,7 +34,7 @@
 	url      string // of the counter, when the call was made
 	name     uint64
 	add      float64
-	life     decide.Time
+	life     policy.Time
 	deadline time.Time
 }
 
@@ -42,7 +42,7 @@
 	c := &counter{
 		url:  counterURL(cfg.Counter),
 		wait: time.Duration(cfg.Host.CounterTimeout) * time.Microsecond,
-		on:   cfg.Settings.Counter && cfg.Counter != "",
+		on:   cfg.Settings.SharedCounter && cfg.Counter != "",
 		client: &http.Client{CheckRedirect: stay, Transport: &http.Transport{
 			MaxConnsPerHost: countLines, MaxIdleConnsPerHost: countLines,
 			IdleConnTimeout: 4 * time.Second, DisableCompression: true, MaxResponseHeaderBytes: mostHeader,
@@ -64,7 +64,7 @@
 }
 
 // count has a call made. Its one answer comes as an event.
-func (c *counter) count(l *Loop, name uint64, add float64, life decide.Time) {
+func (c *counter) count(l *Loop, name uint64, add float64, life policy.Time) {
 	call := countCall{c.url, name, add, life, time.Now().Add(c.wait)}
 	if c.on {
 		select {
@@ -73,7 +73,7 @@
 		default:
 		}
 	}
-	l.later(counted{name: name, result: decide.Full})
+	l.later(counted{name: name, result: policy.ResultOverloaded})
 }
 
 // run makes the calls of one line, one after another.
@@ -92,15 +92,15 @@
 // counted is how a call ended.
 type counted struct {
 	name   uint64
-	result decide.Result
+	result policy.Result
 	total  float64
 }
 
-func (e counted) handle(l *Loop) { l.module.Counted(l.now(), e.name, e.result, e.total) }
+func (e counted) handle(l *Loop) { l.module.CounterAnswered(l.now(), e.name, e.result, e.total) }
 
 // call makes one call. Full and ConnectFailed tell that nothing was added; with
 // TimedOut and Reset it may have been, or may yet be.
-func (c *counter) call(ctx context.Context, call countCall) (float64, decide.Result) {
+func (c *counter) call(ctx context.Context, call countCall) (float64, policy.Result) {
 	ctx, cancel := context.WithDeadline(ctx, call.deadline)
 	defer cancel()
 	var written atomic.Bool
@@ -111,7 +111,7 @@
 		fmt.Sprintf("?add=%s&ttl_ms=%d", strconv.FormatFloat(call.add, 'f', -1, 64), max(1, call.life/1000))
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, nil)
 	if err != nil {
-		return 0, decide.ConnectFailed
+		return 0, policy.ResultConnectFailed
 	}
 	var body []byte
 	res, err := c.client.Do(req)
@@ -121,21 +121,21 @@
 	}
 	switch {
 	case err != nil && !written.Load():
-		return 0, decide.ConnectFailed
+		return 0, policy.ResultConnectFailed
 	case err != nil && ctx.Err() != nil:
-		return 0, decide.TimedOut
+		return 0, policy.ResultTimedOut
 	case err != nil:
-		return 0, decide.Reset
+		return 0, policy.ResultReset
 	case res.StatusCode == http.StatusServiceUnavailable:
-		return 0, decide.Full
+		return 0, policy.ResultOverloaded
 	case res.StatusCode != http.StatusOK:
-		return 0, decide.Failed
+		return 0, policy.ResultFailed
 	}
 	total, err := strconv.ParseFloat(strings.TrimSpace(string(body)), 64)
 	if err != nil || math.IsNaN(total) || math.IsInf(total, 0) {
 		// The amount was added, but nothing more on this connection can be believed.
 		c.client.CloseIdleConnections()
-		return 0, decide.Failed
+		return 0, policy.ResultFailed
 	}
-	return total, decide.OK
+	return total, policy.ResultOK
 }
--- a/internal/gateway/counter_test.go
+++ b/internal/gateway/counter_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"mothcleat/decide"
+	"sparspread/policy"
 )
 
 // hijack ends a call's connection without an answer.
@@ -43,18 +43,18 @@
 	for _, c := range []struct {
 		name   string
 		serve  func(w http.ResponseWriter, r *http.Request)
-		result decide.Result
+		result policy.Result
 		total  float64
 	}{
-		{"added", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, "41.5") }, decide.OK, 41.5},
-		{"turned away", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) }, decide.Full, 0},
-		{"no such call", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(404) }, decide.Failed, 0},
-		{"no number", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "much") }, decide.Failed, 0},
-		{"not a number", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "NaN") }, decide.Failed, 0},
-		{"no end", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "+Inf") }, decide.Failed, 0},
-		{"redirect", func(w http.ResponseWriter, r *http.Request) { http.Redirect(w, r, "/v1/count/ff", 307) }, decide.Failed, 0},
-		{"broken after the call", func(w http.ResponseWriter, _ *http.Request) { hijack(w) }, decide.Reset, 0},
-		{"no answer", func(_ http.ResponseWriter, r *http.Request) { close(late); <-released }, decide.TimedOut, 0},
+		{"added", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, "41.5") }, policy.ResultOK, 41.5},
+		{"turned away", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) }, policy.ResultOverloaded, 0},
+		{"no such call", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(404) }, policy.ResultFailed, 0},
+		{"no number", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "much") }, policy.ResultFailed, 0},
+		{"not a number", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "NaN") }, policy.ResultFailed, 0},
+		{"no end", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "+Inf") }, policy.ResultFailed, 0},
+		{"redirect", func(w http.ResponseWriter, r *http.Request) { http.Redirect(w, r, "/v1/count/ff", 307) }, policy.ResultFailed, 0},
+		{"broken after the call", func(w http.ResponseWriter, _ *http.Request) { hijack(w) }, policy.ResultReset, 0},
+		{"no answer", func(_ http.ResponseWriter, r *http.Request) { close(late); <-released }, policy.ResultTimedOut, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got := make(chan string, 8)
@@ -80,12 +80,12 @@
 	gone := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { t.Error("called past its deadline") }))
 	counter := newCounter(&Config{Counter: strings.TrimPrefix(gone.URL, "http://")})
 	_, result := counter.call(context.Background(), countCall{url: counter.url, deadline: time.Now()})
-	if result != decide.ConnectFailed {
+	if result != policy.ResultConnectFailed {
 		t.Errorf("past its deadline: result %d", result)
 	}
 	gone.Close()
 	_, result = counter.call(context.Background(), countCall{url: counter.url, deadline: time.Now().Add(patience)})
-	if result != decide.ConnectFailed {
+	if result != policy.ResultConnectFailed {
 		t.Errorf("no listener: result %d", result)
 	}
 }
--- a/internal/gateway/crossings_test.go
+++ b/internal/gateway/crossings_test.go
@@ -5,8 +5,8 @@
 	"syscall"
 	"testing"
 
-	"mothcleat/decide"
-	"mothcleat/internal/discovery"
+	"sparspread/internal/discovery"
+	"sparspread/policy"
 )
 
 // heldDials is a gateway's backends whose dials wait until a test lets them go on.
@@ -58,7 +58,7 @@
 		t.Run(name, func(t *testing.T) {
 			b := newBackend(t)
 			l := unstarted(t, newFakeDiscovery(t))
-			l.backends.members(l, decide.Whole, []discovery.Endpoint{
+			l.backends.members(l, policy.UpdateComplete, []discovery.Endpoint{
 				{ID: "s-00000001", Address: b.listener.Addr().String(), Phase: "Ready"}})
 			begun, letGo := heldDials(l)
 			c := byHand(t, l, "c=once")
@@ -85,7 +85,7 @@
 func TestLateConnectionCarriesNoRepeatBehindItsWindow(t *testing.T) {
 	b := newBackend(t)
 	l := unstarted(t, newFakeDiscovery(t))
-	l.backends.members(l, decide.Whole, []discovery.Endpoint{
+	l.backends.members(l, policy.UpdateComplete, []discovery.Endpoint{
 		{ID: "s-00000001", Address: b.listener.Addr().String(), Phase: "Ready"}})
 	c := byHand(t, l, "c=order,k=5c0f6e1a2b3d4c59")
 	handle(t, l, "the dial's end")
@@ -107,19 +107,19 @@
 func TestDrainFreesAllThatWait(t *testing.T) {
 	l := unstarted(t, newFakeDiscovery(t))
 	m := discovery.Endpoint{ID: "s-00000001", Address: newBackend(t).listener.Addr().String(), Phase: "Ready"}
-	l.backends.members(l, decide.Whole, []discovery.Endpoint{m})
+	l.backends.members(l, policy.UpdateComplete, []discovery.Endpoint{m})
 	_, letGo := heldDials(l)
 	defer close(letGo)
 	for i := range 3 {
 		l.backends.start(l, &attempt{number: i, sent: l.now(), until: l.now() + 1e9}, 1)
 	}
 	m.Phase = "Terminating"
-	l.backends.members(l, decide.Changed, []discovery.Endpoint{m})
+	l.backends.members(l, policy.UpdateIncremental, []discovery.Endpoint{m})
 	ended := ""
 	for _, e := range l.queue {
 		ended += fmt.Sprint(e.(outcome).result, " ")
 	}
-	if want := fmt.Sprint(decide.Moot, decide.Moot, decide.Moot) + " "; ended != want {
+	if want := fmt.Sprint(policy.ResultNotSent, policy.ResultNotSent, policy.ResultNotSent) + " "; ended != want {
 		t.Errorf("outcomes %q, want %q", ended, want)
 	}
 }
@@ -130,13 +130,13 @@
 	b := newBackend(t)
 	l := unstarted(t, newFakeDiscovery(t))
 	m := discovery.Endpoint{ID: "s-00000001", Address: b.listener.Addr().String(), Phase: "Ready"}
-	l.backends.members(l, decide.Whole, []discovery.Endpoint{m})
+	l.backends.members(l, policy.UpdateComplete, []discovery.Endpoint{m})
 	begun, letGo := heldDials(l)
 	a := &attempt{sent: l.now(), until: l.now() + 1e9}
 	l.backends.start(l, a, 1)
 	wait(t, begun, "the dial")
 	m.UpSinceMS = 1_000_000_000_000
-	l.backends.members(l, decide.Changed, []discovery.Endpoint{m})
+	l.backends.members(l, policy.UpdateIncremental, []discovery.Endpoint{m})
 	close(letGo)
 	handle(t, l, "the dial's end")
 	wait(t, b.ended, "the end of the first connection")
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -12,8 +12,8 @@
 	"slices"
 	"time"
 
-	"mothcleat/decide"
-	"mothcleat/internal/discovery"
+	"sparspread/internal/discovery"
+	"sparspread/policy"
 )
 
 const (
@@ -54,7 +54,7 @@
 	d := &discoveryClient{
 		address: cfg.Discovery, moved: make(chan string, 1),
 		rand: rand.New(rand.NewPCG(cfg.Seed, cfg.Seed>>32)),
-		asks: cfg.Settings.AskMembers, pause: retryAfter, start: make(chan struct{}), zones: cfg.Host.Zones,
+		asks: cfg.Settings.PollEndpoints, pause: retryAfter, start: make(chan struct{}), zones: cfg.Host.Zones,
 		slack: watchSlack, most: int64(cfg.MemoryMB) << 20 / listShare,
 	}
 	if d.asks {
@@ -99,13 +99,13 @@
 
 // news is what discovery has told.
 type news struct {
-	kind decide.News
+	kind policy.UpdateKind
 	list discovery.Update
 }
 
 func (n news) handle(l *Loop) {
-	if n.kind == decide.Unheard {
-		l.module.Members(l.now(), n.kind, nil)
+	if n.kind == policy.UpdateUnavailable {
+		l.module.UpdateEndpoints(l.now(), n.kind, nil)
 		return
 	}
 	l.discovery.heard = true
@@ -124,7 +124,7 @@
 	}
 	for i := range n.list.Endpoints {
 		m := &n.list.Endpoints[i]
-		if b := l.backends.byID[m.ID]; b != nil && b.state == decide.Draining && b.told.UpSinceMS == m.UpSinceMS {
+		if b := l.backends.byID[m.ID]; b != nil && b.state == policy.EndpointDraining && b.told.UpSinceMS == m.UpSinceMS {
 			m.Phase = b.told.Phase
 		}
 	}
@@ -198,7 +198,7 @@
 				l.log.Warn("discovery", "error", err, "failed_before", failed, "took", time.Since(called))
 			}
 			if d.asks {
-				tell(news{kind: decide.Unheard})
+				tell(news{kind: policy.UpdateUnavailable})
 			} else {
 				wait = 0
 			}
@@ -211,9 +211,9 @@
 			failed++
 			continue
 		}
-		kind := decide.Changed
+		kind := policy.UpdateIncremental
 		if list.Complete {
-			kind = decide.Whole
+			kind = policy.UpdateComplete
 		}
 		tell(news{kind, list})
 		end()
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -11,8 +11,8 @@
 	"testing/synctest"
 	"time"
 
-	"mothcleat/decide"
-	"mothcleat/internal/discovery"
+	"sparspread/internal/discovery"
+	"sparspread/policy"
 )
 
 // withGrace gives the settings a grace for drains, as a deployment with a pushed list has.
@@ -121,26 +121,26 @@
 // as draining stays so until a list as new says otherwise, or it has started anew.
 func TestOlderListMakesNothingReadyThatDrains(t *testing.T) {
 	l := unstarted(t, newFakeDiscovery(t))
-	tell := func(revision uint64, kind decide.News, phase string, upSince int64) decide.State {
-		l.handle(news{kind, discovery.Update{Revision: revision, Complete: kind == decide.Whole, Endpoints: []discovery.Endpoint{
+	tell := func(revision uint64, kind policy.UpdateKind, phase string, upSince int64) policy.EndpointState {
+		l.handle(news{kind, discovery.Update{Revision: revision, Complete: kind == policy.UpdateComplete, Endpoints: []discovery.Endpoint{
 			{ID: "s-00000001", Address: "127.0.0.1:9", Phase: phase, UpSinceMS: upSince}}}})
 		return l.backends.byID["s-00000001"].state
 	}
 	for i, step := range []struct {
 		revision uint64
-		kind     decide.News
+		kind     policy.UpdateKind
 		phase    string
 		upSince  int64
-		want     decide.State
+		want     policy.EndpointState
 	}{
-		{5, decide.Whole, "Ready", 0, decide.Ready},
-		{7, decide.Changed, "Terminating", 0, decide.Draining},
-		{6, decide.Whole, "Ready", 0, decide.Draining},
-		{6, decide.Whole, "Ready", 1000, decide.Ready},
-		{7, decide.Changed, "Terminating", 1000, decide.Draining},
-		{7, decide.Changed, "Ready", 1000, decide.Ready},
-		{8, decide.Changed, "Terminating", 1000, decide.Draining},
-		{9, decide.Whole, "Ready", 1000, decide.Ready},
+		{5, policy.UpdateComplete, "Ready", 0, policy.EndpointReady},
+		{7, policy.UpdateIncremental, "Terminating", 0, policy.EndpointDraining},
+		{6, policy.UpdateComplete, "Ready", 0, policy.EndpointDraining},
+		{6, policy.UpdateComplete, "Ready", 1000, policy.EndpointReady},
+		{7, policy.UpdateIncremental, "Terminating", 1000, policy.EndpointDraining},
+		{7, policy.UpdateIncremental, "Ready", 1000, policy.EndpointReady},
+		{8, policy.UpdateIncremental, "Terminating", 1000, policy.EndpointDraining},
+		{9, policy.UpdateComplete, "Ready", 1000, policy.EndpointReady},
 	} {
 		if got := tell(step.revision, step.kind, step.phase, step.upSince); got != step.want {
 			t.Errorf("step %d: state %d, want %d", i, got, step.want)
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -1,6 +1,6 @@
 package gateway
 
-import "mothcleat/decide"
+import "sparspread/policy"
 
 // The steps of a planned restart, after SIGTERM. New connections go on coming
 // for a while.
@@ -14,8 +14,8 @@
 )
 
 // longest is the longest deadline of the settings in force, as far as the platform waits for it.
-func (c *Config) longest() decide.Time {
-	longest := decide.Time(0)
+func (c *Config) longest() policy.Time {
+	longest := policy.Time(0)
 	for _, limit := range c.Host.Limits {
 		if limit == 0 {
 			limit = longestMost
@@ -27,10 +27,10 @@
 
 // answerFor is how long after SIGTERM all that is open is answered: every client that came while
 // connections were accepted has stopped waiting then or nearly, and SIGKILL is still to come.
-func (c *Config) answerFor() decide.Time { return max(c.longest()+answerLeast, acceptFor+lastFor) }
+func (c *Config) answerFor() policy.Time { return max(c.longest()+answerLeast, acceptFor+lastFor) }
 
 // exitFor is how long after SIGTERM the process ends, whatever is open.
-func (c *Config) exitFor() decide.Time {
+func (c *Config) exitFor() policy.Time {
 	return min(c.answerFor()+closeFor, c.longest()+killedAfter)
 }
 
@@ -103,7 +103,7 @@
 	for _, r := range l.requests {
 		if !r.answered {
 			l.answer(r, failed)
-			l.module.Gone(now, r.id)
+			l.module.RequestCancelled(now, r.id)
 		}
 	}
 }
@@ -121,4 +121,4 @@
 
 // untilReady is how long a start waits for discovery before it serves with the
 // list it was given.
-const untilReady decide.Time = 500_000
+const untilReady policy.Time = 500_000
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -4,8 +4,8 @@
 	"runtime"
 	"testing"
 
-	"mothcleat/decide"
-	"mothcleat/internal/discovery"
+	"sparspread/internal/discovery"
+	"sparspread/policy"
 )
 
 // stopping is a gateway whose loop is run by hand, amid a planned shutdown, with one backend.
@@ -13,7 +13,7 @@
 	t.Helper()
 	b := newBackend(t)
 	l := unstarted(t, newFakeDiscovery(t))
-	l.backends.members(l, decide.Whole, []discovery.Endpoint{
+	l.backends.members(l, policy.UpdateComplete, []discovery.Endpoint{
 		{ID: "s-00000001", Address: b.listener.Addr().String(), Phase: "Ready"}})
 	stop{}.handle(l)
 	return l, b
@@ -28,7 +28,7 @@
 }
 
 // later lets time pass for a loop that is run by hand.
-func later(l *Loop, time decide.Time) {
+func later(l *Loop, time policy.Time) {
 	l.clock.wall += time
 	l.fire()
 }
@@ -88,9 +88,9 @@
 // However short the deadlines: connections are accepted as long as they may come, what they bring is
 // answered after that, and the process has ended before SIGKILL.
 func TestStepsOfAShutdownKeepTheirOrder(t *testing.T) {
-	for _, limit := range []decide.Time{20_000, 50_000, 100_000, 290_000, 400_000, 2_500_000, 9_000_000, 0} {
+	for _, limit := range []policy.Time{20_000, 50_000, 100_000, 290_000, 400_000, 2_500_000, 9_000_000, 0} {
 		cfg := Config{}
-		cfg.Host.Limits = []decide.Time{limit}
+		cfg.Host.Limits = []policy.Time{limit}
 		longest := limit
 		if limit == 0 || limit > longestMost {
 			longest = longestMost
@@ -98,7 +98,7 @@
 		answer, exit, kill := cfg.answerFor(), cfg.exitFor(), longest+700_000
 		if answer < acceptFor+min(limit, lastFor) || exit < answer+lastFor || exit >= kill {
 			t.Errorf("longest deadline %d: accepted for %d, answered after %d, ended after %d, SIGKILL after %d",
-				limit, decide.Time(acceptFor), answer, exit, kill)
+				limit, policy.Time(acceptFor), answer, exit, kill)
 		}
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -7,7 +7,7 @@
 	"net"
 	"time"
 
-	"mothcleat/decide"
+	"sparspread/policy"
 )
 
 const queued = 1024 // events that wait for the loop
@@ -59,7 +59,7 @@
 		shutting: make(chan struct{}),
 	}
 	var err error
-	if l.module, err = decide.New(cfg.Settings, cfg.Seed, l); err != nil {
+	if l.module, err = policy.New(cfg.Settings, cfg.Seed, l); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
 	if l.ops, err = newOps(cfg.Ops, l.figures, files.callers); err != nil {
@@ -88,7 +88,7 @@
 
 // start begins with the list as last known and has all sockets read.
 func (l *Loop) start(ctx context.Context) {
-	l.backends.members(l, decide.Cached, l.cfg.Known.Endpoints)
+	l.backends.members(l, policy.UpdateStale, l.cfg.Known.Endpoints)
 	l.follow()
 	go l.ops.serve()
 	l.at(l.now()+untilReady, readyAnyway{})
@@ -110,7 +110,7 @@
 func (sweep) due(l *Loop) {
 	l.clients.sweep(l)
 	l.backends.sweep(l)
-	l.figures.avoided.Store(int64(l.module.Avoided()))
+	l.figures.avoided.Store(int64(l.module.UnavailableBackends()))
 	l.at(l.now()+sweepEvery, sweep{})
 }
 
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -15,9 +15,9 @@
 	"testing"
 	"time"
 
-	"mothcleat/decide"
-	"mothcleat/internal/discovery"
-	"mothcleat/internal/resp"
+	"sparspread/internal/discovery"
+	"sparspread/internal/resp"
+	"sparspread/policy"
 )
 
 // oneBackend is a gateway with one backend that is ready.
@@ -408,17 +408,17 @@
 	d := newFakeDiscovery(t)
 	l := unstarted(t, d)
 	m := discovery.Endpoint{ID: "s-00000001", Address: b.listener.Addr().String(), Phase: "Ready"}
-	l.backends.members(l, decide.Whole, []discovery.Endpoint{m})
+	l.backends.members(l, policy.UpdateComplete, []discovery.Endpoint{m})
 	a := &attempt{sent: l.now(), until: l.now() + 1e9}
 	l.backends.start(l, a, 1)
 	m.Phase = "Terminating"
-	l.backends.members(l, decide.Changed, []discovery.Endpoint{m})
+	l.backends.members(l, policy.UpdateIncremental, []discovery.Endpoint{m})
 	up := wait(t, l.events, "the dial").(dialed)
 	if up.err != nil {
 		t.Fatal(up.err)
 	}
 	up.handle(l)
-	if len(l.queue) != 1 || l.queue[0].(outcome).result != decide.Moot {
+	if len(l.queue) != 1 || l.queue[0].(outcome).result != policy.ResultNotSent {
 		t.Errorf("outcomes %+v, want one that tells that nothing ran", l.queue)
 	}
 	if err := wait(t, b.ended, "the connection's end"); !errors.Is(err, io.EOF) || len(b.got) > 0 {
@@ -445,11 +445,11 @@
 // A member without a usable address gets nothing; one that is gone is gone.
 func TestUselessAddress(t *testing.T) {
 	for _, address := range []string{"", "nowhere", "127.0.0.1", "127.0.0.1:x", "127.0.0.1:99999"} {
-		if m := (discovery.Endpoint{Address: address, Phase: "Ready"}); m.State() != decide.Draining {
+		if m := (discovery.Endpoint{Address: address, Phase: "Ready"}); m.State() != policy.EndpointDraining {
 			t.Errorf("%q: state %d", address, m.State())
 		}
 	}
-	if m := (discovery.Endpoint{Phase: "Gone"}); m.State() != decide.Left {
+	if m := (discovery.Endpoint{Phase: "Gone"}); m.State() != policy.EndpointRemoved {
 		t.Error("a member that is gone is kept for its address")
 	}
 }
@@ -669,7 +669,7 @@
 		r := &request{id: uint64(id + 1), client: &client{}, args: [][]byte{nil, []byte("7"), fmt.Appendf(nil, "id-%d", id), nil}}
 		l.requests[r.id] = r
 		r.out = 2
-		outcome{a: &attempt{r: r, backend: 5}, result: decide.Reset}.handle(l)
+		outcome{a: &attempt{r: r, backend: 5}, result: policy.ResultReset}.handle(l)
 		l.Fail(r.id)
 		l.traceAt[1] += 3600e6 // however long the test takes
 	}
--- a/internal/gateway/handover.go
+++ b/internal/gateway/handover.go
@@ -14,10 +14,10 @@
 	"syscall"
 	"time"
 
-	"mothcleat/decide"
-	"mothcleat/internal/discovery"
-	"mothcleat/internal/handover"
-	"mothcleat/internal/resp"
+	"sparspread/internal/discovery"
+	"sparspread/internal/handover"
+	"sparspread/internal/resp"
+	"sparspread/policy"
 )
 
 // A second process of the same gateway takes over while the first one serves. Each step can be
@@ -46,13 +46,17 @@
 	heapPart   = 2.0 / 3   // of the memory limit, where the collector begins to hurry
 )
 
+// socketPrefix begins the name of the handover's socket. It is the program's former name: a new version has to
+// meet an old one there, so it stays.
+const socketPrefix = "mothcleat-"
+
 // doorPath is where the process that serves these clients can be asked to hand over; empty where
 // the address is not known beforehand.
 func doorPath(listen string) string {
 	if _, port, err := net.SplitHostPort(listen); err != nil || port == "0" {
 		return ""
 	}
-	return filepath.Join(os.TempDir(), "mothcleat-"+strings.NewReplacer("/", "_").Replace(listen)+".sock")
+	return filepath.Join(os.TempDir(), socketPrefix+strings.NewReplacer("/", "_").Replace(listen)+".sock")
 }
 
 // limitMemory sets where the collector hurries, for one process of so many.
@@ -180,7 +184,7 @@
 	}
 	endpoints := make([]discovery.Endpoint, 0, len(l.backends.byID))
 	for _, b := range l.backends.byID {
-		if b.state != decide.Left {
+		if b.state != policy.EndpointRemoved {
 			endpoints = append(endpoints, b.told)
 		}
 	}
@@ -253,7 +257,7 @@
 	l.door.close(false)
 	_ = l.clients.listener.Close()
 	l.peers.close()
-	l.module.Retire(l.now())
+	l.module.GiveUpOwnership(l.now())
 	for _, b := range l.backends.byNumber {
 		l.backends.drop(b)
 	}
@@ -299,11 +303,11 @@
 			l.clients.resume(l)
 		}
 		l.peers.resume(l)
-		l.module.Retell()
+		l.module.AdvertiseAll()
 	} else {
 		l.log.Warn("handover: the new process has ended, this one serves again")
 		limitMemory(l.cfg, 1)
-		l.module.Resume(l.now())
+		l.module.ResumeOwnership(l.now())
 		if !l.drain.begun {
 			l.bindAgain()
 		}
@@ -321,7 +325,7 @@
 // bindAgain binds what the new process had, as often as it takes.
 func (l *Loop) bindAgain() {
 	err := l.listen()
-	if err == nil && l.cfg.Settings.Peers {
+	if err == nil && l.cfg.Settings.Gossip {
 		if err = l.peers.listen(l.cfg); err != nil {
 			_ = l.clients.listener.Close()
 		}
@@ -624,7 +628,7 @@
 	}
 	if e.state != nil {
 		if !l.discovery.heard {
-			l.backends.members(l, decide.Cached, e.state.Endpoints)
+			l.backends.members(l, policy.UpdateStale, e.state.Endpoints)
 		}
 		if err := l.module.Import(l.now(), e.state.Policy); err != nil {
 			l.log.Error("handover: beginning as after a restart", "error", err)
@@ -635,13 +639,13 @@
 		limitMemory(l.cfg, 2)
 	}
 	l.inherit, l.former = nil, e.i
-	if p := e.i.peers; p != nil && l.cfg.Settings.Peers && p.LocalAddr().String() == l.cfg.PeerListen {
+	if p := e.i.peers; p != nil && l.cfg.Settings.Gossip && p.LocalAddr().String() == l.cfg.PeerListen {
 		l.peers.conn = p
 	} else {
 		if p != nil {
 			_ = p.Close()
 		}
-		if l.cfg.Settings.Peers {
+		if l.cfg.Settings.Gossip {
 			if err := l.peers.listen(l.cfg); err != nil {
 				l.log.Error("handover: no notes from peers", "error", err)
 			}
@@ -666,17 +670,17 @@
 // settledElsewhere is what a request of the former process took beyond its guess.
 type settledElsewhere struct{ handover.CostSettled }
 
-func (e settledElsewhere) handle(l *Loop) { l.module.Settle(l.now(), e.Customer, e.Extra) }
+func (e settledElsewhere) handle(l *Loop) { l.module.CostSettled(l.now(), e.Customer, e.Extra) }
 
 // sentElsewhere is a further attempt that the former process has made.
 type sentElsewhere struct{ handover.AttemptSent }
 
-func (e sentElsewhere) handle(l *Loop) { l.module.SentElsewhere(l.now(), e.RequestID, e.Backend) }
+func (e sentElsewhere) handle(l *Loop) { l.module.PredecessorSent(l.now(), e.RequestID, e.Backend) }
 
 // endedElsewhere is how an attempt ended that the other process has made.
-type endedElsewhere struct{ o decide.Outcome }
+type endedElsewhere struct{ o policy.Outcome }
 
-func (e endedElsewhere) handle(l *Loop) { l.module.EndedElsewhere(l.now(), e.o) }
+func (e endedElsewhere) handle(l *Loop) { l.module.PredecessorAttemptEnded(l.now(), e.o) }
 
 // nothingElsewhere tells that the other process has ended.
 type nothingElsewhere struct{}
@@ -686,7 +690,7 @@
 		l.beside = false
 		l.backends.most *= 2
 		limitMemory(l.cfg, 1)
-		l.module.NothingElsewhere(l.now())
+		l.module.PredecessorExited(l.now())
 		l.log.Info("the former process has ended")
 	}
 }
--- a/internal/gateway/keep.go
+++ b/internal/gateway/keep.go
@@ -1,17 +1,17 @@
 package gateway
 
-import "mothcleat/decide"
+import "sparspread/policy"
 
 // keep learns for how long an idle connection can still be trusted. Something on
 // the way may forget connections that stand idle, and tell nobody: the next
 // request then ends as a reset, and may have run.
 type keep struct {
-	longest  decide.Time // where nothing speaks against it
-	learnt   decide.Time // 0: nothing
-	learntAt decide.Time
-	brokeAt  decide.Time // when a kept connection last proved dead
-	sound    decide.Time // how long the longest idle of those lately used had been, and was sound
-	soundAt  decide.Time // 0: none
+	longest  policy.Time // where nothing speaks against it
+	learnt   policy.Time // 0: nothing
+	learntAt policy.Time
+	brokeAt  policy.Time // when a kept connection last proved dead
+	sound    policy.Time // how long the longest idle of those lately used had been, and was sound
+	soundAt  policy.Time // 0: none
 }
 
 const (
@@ -21,7 +21,7 @@
 )
 
 // most is how long a connection may have been idle.
-func (k *keep) most(now decide.Time) decide.Time {
+func (k *keep) most(now policy.Time) policy.Time {
 	if k.learnt == 0 {
 		return k.longest
 	}
@@ -33,7 +33,7 @@
 }
 
 // lived takes in that a connection that was idle for so long was sound when used.
-func (k *keep) lived(now, idle decide.Time) {
+func (k *keep) lived(now, idle policy.Time) {
 	if idle >= k.sound || now-k.soundAt > keepHeals {
 		k.sound, k.soundAt = idle, now
 	}
@@ -42,13 +42,13 @@
 // blames tells whether idling for so long can be why a connection is dead: not if
 // one idle for longer was sound of late. Something else breaks them then, and new
 // ones as well.
-func (k *keep) blames(now, idle decide.Time) bool {
+func (k *keep) blames(now, idle policy.Time) bool {
 	return k.soundAt == 0 || now-k.soundAt > keepHeals || idle > k.sound
 }
 
 // broke takes in that a connection that was idle for so long was dead when used.
 // Once is chance.
-func (k *keep) broke(now, idle decide.Time) {
+func (k *keep) broke(now, idle policy.Time) {
 	if !k.blames(now, idle) {
 		return
 	}
--- a/internal/gateway/keep_test.go
+++ b/internal/gateway/keep_test.go
@@ -5,15 +5,15 @@
 	"syscall"
 	"testing"
 
-	"mothcleat/decide"
-	"mothcleat/internal/discovery"
+	"sparspread/internal/discovery"
+	"sparspread/policy"
 )
 
 // Kept connections that break when used are trusted for less, until that heals.
 func TestKeepLearnsAndHeals(t *testing.T) {
 	k := keep{longest: 15_000_000}
-	now := decide.Time(1e9)
-	want := func(most decide.Time) {
+	now := policy.Time(1e9)
+	want := func(most policy.Time) {
 		t.Helper()
 		if got := k.most(now); got != most {
 			t.Errorf("trusted for %d, want %d", got, most)
@@ -37,7 +37,7 @@
 // ones stay trusted, or each request would pay for a handshake.
 func TestKeepBlamesIdlingOnlyIfNoneIdleForLongerWasSound(t *testing.T) {
 	k := keep{longest: 15_000_000}
-	now := decide.Time(1e9)
+	now := policy.Time(1e9)
 	k.lived(now, 500_000)
 	k.lived(now, 1000)
 	for range 3 {
@@ -65,7 +65,7 @@
 func TestResetDialIsMadeOnceMore(t *testing.T) {
 	b := newBackend(t)
 	l := unstarted(t, newFakeDiscovery(t))
-	l.backends.members(l, decide.Whole, []discovery.Endpoint{{ID: "s-00000001", Address: b.listener.Addr().String(), Phase: "Ready"}})
+	l.backends.members(l, policy.UpdateComplete, []discovery.Endpoint{{ID: "s-00000001", Address: b.listener.Addr().String(), Phase: "Ready"}})
 	a := &attempt{sent: l.now(), until: l.now() + 1e9}
 	l.backends.start(l, a, 1)
 	for i, want := range []bool{false, true} {
@@ -80,7 +80,7 @@
 			t.Fatalf("after %d resets the attempt has ended: %t", i+1, a.ended)
 		}
 	}
-	if got := l.queue[len(l.queue)-1].(outcome).result; got != decide.ConnectFailed {
+	if got := l.queue[len(l.queue)-1].(outcome).result; got != policy.ResultConnectFailed {
 		t.Errorf("result %d", got)
 	}
 }
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/leaving_test.go
@@ -11,8 +11,8 @@
 	"syscall"
 	"testing"
 
-	"mothcleat/decide"
-	"mothcleat/internal/discovery"
+	"sparspread/internal/discovery"
+	"sparspread/policy"
 )
 
 // The ways in which a client goes away: by the page one that closes has gone, and no answer
@@ -45,7 +45,7 @@
 	t.Helper()
 	b = newBackend(t)
 	l = unstarted(t, newFakeDiscovery(t))
-	l.backends.members(l, decide.Whole, []discovery.Endpoint{
+	l.backends.members(l, policy.UpdateComplete, []discovery.Endpoint{
 		{ID: "s-00000001", Address: b.listener.Addr().String(), Phase: "Ready"}})
 	begun, letGo = heldDials(l)
 	return l, b, begun, letGo
@@ -322,7 +322,7 @@
 		defer b.Close()
 		l := unstarted(t, newFakeDiscovery(t))
 		l.backends.dial.Control = little(syscall.SO_SNDBUF)
-		l.backends.members(l, decide.Whole, []discovery.Endpoint{{ID: "s-00000001", Address: b.Addr().String(), Phase: "Ready"}})
+		l.backends.members(l, policy.UpdateComplete, []discovery.Endpoint{{ID: "s-00000001", Address: b.Addr().String(), Phase: "Ready"}})
 		c := byHand(t, l, "c=once")
 		handle(t, l, "the dial's end")
 		_, body := largeHead()
--- a/internal/gateway/list_test.go
+++ b/internal/gateway/list_test.go
@@ -13,7 +13,7 @@
 	"testing/synctest"
 	"time"
 
-	"mothcleat/internal/discovery"
+	"sparspread/internal/discovery"
 )
 
 // A list is read member by member as encoding/json would read it whole; one that is cut, or is none, is an error.
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -7,8 +7,8 @@
 	"sync/atomic"
 	"time"
 
-	"mothcleat/decide"
-	"mothcleat/internal/handover"
+	"sparspread/internal/handover"
+	"sparspread/policy"
 )
 
 // margin is how long before the client stops waiting a request is ended: its
@@ -18,7 +18,7 @@
 // clock gives the time in microseconds since 1970 as of the start, monotonic
 // from then on.
 type clock struct {
-	wall  decide.Time
+	wall  policy.Time
 	start time.Time
 	since func(time.Time) time.Duration // time.Since, but in tests
 }
@@ -28,7 +28,7 @@
 	return clock{now.UnixMicro(), now, time.Since}
 }
 
-func (c clock) now() decide.Time { return c.wall + c.since(c.start).Microseconds() }
+func (c clock) now() policy.Time { return c.wall + c.since(c.start).Microseconds() }
 
 // event is something that happened, posted by a socket's goroutine.
 type event interface {
@@ -46,15 +46,15 @@
 	cfg    *Config // in force; readers go by shown
 	log    *slog.Logger
 	clock  clock
-	last   decide.Time
-	module *decide.Gateway
+	last   policy.Time
+	module *policy.Controller
 
 	events chan event
 	urgent chan event // discovery's news: ahead of all queued work
 	queue  []event    // what follows from the module's own actions
 	timers timerHeap
 	timer  *time.Timer
-	armed  decide.Time
+	armed  policy.Time
 
 	requests map[uint64]*request
 	names    map[uint64]*request // those without a final answer, by the id that the client gave
@@ -77,7 +77,7 @@
 	figures   *figures
 	shown     atomic.Pointer[Config]
 	drain     drain
-	traceAt   [3]decide.Time // when a refused request, a failed one and one not taken may be traced again
+	traceAt   [3]policy.Time // when a refused request, a failed one and one not taken may be traced again
 	accepting bool
 	done      bool
 }
@@ -90,7 +90,7 @@
 func (l *Loop) later(e event) { l.queue = append(l.queue, e) }
 
 // now is the time, never going back.
-func (l *Loop) now() decide.Time {
+func (l *Loop) now() policy.Time {
 	l.last = max(l.last, l.clock.now())
 	return l.last
 }
@@ -133,7 +133,7 @@
 }
 
 // at has something done at a time.
-func (l *Loop) at(when decide.Time, d due) *timer {
+func (l *Loop) at(when policy.Time, d due) *timer {
 	t := &timer{at: when, what: d}
 	heap.Push(&l.timers, t)
 	return t
@@ -165,7 +165,7 @@
 }
 
 type timer struct {
-	at    decide.Time
+	at    policy.Time
 	what  due
 	index int // in the heap; -1: in it no more
 }
@@ -197,12 +197,12 @@
 // alarm is a timer that the module has set.
 type alarm uint32
 
-func (a alarm) due(l *Loop) { l.module.Timer(l.now(), uint32(a)) }
+func (a alarm) due(l *Loop) { l.module.TimerFired(l.now(), uint32(a)) }
 
 // The module's actions.
 
 // Send starts the next attempt of a request.
-func (l *Loop) Send(id uint64, backend uint32, until decide.Time) {
+func (l *Loop) Send(id uint64, backend uint32, until policy.Time) {
 	r := l.requests[id]
 	if r == nil {
 		panic(fmt.Sprintf("send for request %d, which is not open", id))
@@ -220,7 +220,7 @@
 }
 
 // Refuse gives the final answer that trying again is harmless.
-func (l *Loop) Refuse(id uint64, after decide.Time) {
+func (l *Loop) Reject(id uint64, after policy.Time) {
 	if r := l.requests[id]; r != nil {
 		l.answer(r, busy(after))
 	}
@@ -234,29 +234,29 @@
 }
 
 // SetTimer has the module called at the time.
-func (l *Loop) SetTimer(at decide.Time, token uint32) { l.at(at, alarm(token)) }
+func (l *Loop) SetTimer(at policy.Time, token uint32) { l.at(at, alarm(token)) }
 
 // Probe asks a backend whether it lives.
-func (l *Loop) Probe(backend uint32) {
+func (l *Loop) HealthCheck(backend uint32) {
 	now := l.now()
 	a := &attempt{sent: now, until: now + l.cfg.Host.DialTimeout}
 	l.backends.start(l, a, backend)
 }
 
 // Tell sends a note to a peer; while another process takes over, none.
-func (l *Loop) Tell(peer int, note []byte) {
+func (l *Loop) SendGossip(peer int, note []byte) {
 	if l.move == nil {
 		l.peers.tell(peer, note)
 	}
 }
 
 // Count adds to a number that all gateways share.
-func (l *Loop) Count(name uint64, add float64, life decide.Time) {
+func (l *Loop) IncrementCounter(name uint64, add float64, life policy.Time) {
 	l.counter.count(l, name, add, life)
 }
 
 // Follow asks discovery for the list and its changes from now on.
-func (l *Loop) Follow() { l.discovery.follow() }
+func (l *Loop) WatchEndpoints() { l.discovery.follow() }
 
 // Log writes a line for the people on call.
 func (l *Loop) Log(line string) { l.log.Info(line) }
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -24,7 +24,7 @@
 // newPeers listens for notes, unless that waits for another process to hand over.
 func newPeers(cfg *Config, log *slog.Logger, later bool) (*peers, error) {
 	p := &peers{addrs: cfg.Peers, self: cfg.Settings.Self, log: log}
-	if !cfg.Settings.Peers || later {
+	if !cfg.Settings.Gossip || later {
 		return p, nil
 	}
 	return p, p.listen(cfg)
@@ -78,7 +78,7 @@
 	note []byte
 }
 
-func (h heard) handle(l *Loop) { l.module.Peer(l.now(), h.from, h.note) }
+func (h heard) handle(l *Loop) { l.module.GossipReceived(l.now(), h.from, h.note) }
 
 // read posts notes until the socket is closed. What comes from no peer, or is
 // longer than any note, is dropped.
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -87,8 +87,8 @@
 	c.Name, c.Listen, c.Ops, c.PeerListen, c.Peers = old.Name, old.Listen, old.Ops, old.PeerListen, old.Peers
 	c.MemoryMB, c.Sockets, c.Seed = old.MemoryMB, old.Sockets, old.Seed
 	set, was := &c.Settings, &old.Settings
-	set.Self, set.Gateways, set.Zone, set.Peers, set.Counter = was.Self, was.Gateways, was.Zone, was.Peers, was.Counter
-	set.Report, c.Host.Report, c.Host.Zones = was.Report, old.Host.Report, old.Host.Zones
+	set.Self, set.Gateways, set.Zone, set.Gossip, set.SharedCounter = was.Self, was.Gateways, was.Zone, was.Gossip, was.SharedCounter
+	set.LoadReport, c.Host.Report, c.Host.Zones = was.LoadReport, old.Host.Report, old.Host.Zones
 }
 
 // fixed names what another configuration would change that only a restart can.
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -10,7 +10,7 @@
 	"strings"
 	"testing"
 
-	"mothcleat/decide"
+	"sparspread/policy"
 )
 
 // A new configuration moves discovery at once, though a watch is under way at
@@ -72,7 +72,7 @@
 		})
 	}
 	cfg := with(first)
-	cfg.Host.CounterTimeout = decide.Time(patience.Microseconds())
+	cfg.Host.CounterTimeout = policy.Time(patience.Microseconds())
 	l, err := newLoop(cfg, quiet())
 	if err != nil {
 		t.Fatal(err)
@@ -83,13 +83,13 @@
 	for _, line := range l.counter.lines {
 		go l.counter.run(ctx, l, line)
 	}
-	l.Count(1, 1, 1e6)
+	l.IncrementCounter(1, 1, 1e6)
 	wait(t, atFirst, "a call at the first counter")
 	reloaded{with(second)}.handle(l)
-	l.Count(1, 1, 1e6)
+	l.IncrementCounter(1, 1, 1e6)
 	wait(t, atSecond, "a call at the second counter")
 	for _, total := range []float64{1, 2} {
-		if e := wait(t, l.events, "an answer").(counted); e.result != decide.OK || e.total != total {
+		if e := wait(t, l.events, "an answer").(counted); e.result != policy.ResultOK || e.total != total {
 			t.Errorf("answer %+v, want the total %g", e, total)
 		}
 	}
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -5,9 +5,9 @@
 	"fmt"
 	"strings"
 
-	"mothcleat/decide"
-	"mothcleat/internal/handover"
-	"mothcleat/internal/resp"
+	"sparspread/internal/handover"
+	"sparspread/internal/resp"
+	"sparspread/policy"
 )
 
 // request is a client's request that this gateway has taken. It stays in the
@@ -17,7 +17,7 @@
 	client   *client
 	args     [][]byte
 	wait     [2]int // where the value of d stands in the list of fields
-	deadline decide.Time
+	deadline policy.Time
 	attempts int      // made so far
 	out      int      // of those, without an outcome
 	waits    *attempt // the one that waits for a connection; nil: none
@@ -25,7 +25,7 @@
 	reply    []byte // waits in the client's line for its turn
 	name     uint64 // the id that the client gave
 	backstop *timer
-	read     decide.Time   // when its last byte was read
+	read     policy.Time   // when its last byte was read
 	ends     []outcome     // of its attempts
 	figures  *classFigures // of its class; nil: no request
 	customer uint64
@@ -44,7 +44,7 @@
 func isBusy(reply []byte) bool { return bytes.HasPrefix(reply, []byte("-BUSY")) }
 
 // busy is a refusal with the time after which to come again.
-func busy(after decide.Time) []byte {
+func busy(after policy.Time) []byte {
 	if after <= 0 {
 		return []byte("-BUSY\r\n")
 	}
@@ -144,7 +144,7 @@
 	}
 	l.log.Warn("request was open at its deadline", "id", string(b.r.args[2]))
 	l.answer(b.r, failed)
-	l.module.Gone(l.now(), b.r.id)
+	l.module.RequestCancelled(l.now(), b.r.id)
 }
 
 // answerParts is what a backend's answer holds.
@@ -157,27 +157,27 @@
 // outcome ends an attempt: exactly one for each Send.
 type outcome struct {
 	a      *attempt
-	result decide.Result
+	result policy.Result
 	answerParts
-	took decide.Time
+	took policy.Time
 }
 
 func (o outcome) handle(l *Loop) {
 	r := o.a.r
 	if r == nil {
-		l.module.Probed(l.now(), o.a.backend, o.result, o.load)
+		l.module.HealthCheckEnded(l.now(), o.a.backend, o.result, o.load)
 		return
 	}
 	r.out--
 	r.ends = append(r.ends, o)
-	if o.result == decide.OK && !r.answered && !r.begun {
+	if o.result == policy.ResultOK && !r.answered && !r.begun {
 		l.answer(r, resp.AppendBulk(make([]byte, 0, len(o.value)+16), o.value))
 	}
-	ended := decide.Outcome{
-		ID: r.id, Attempt: o.a.number, Backend: o.a.backend, Result: o.result,
-		Took: o.took, Over: r.answered || r.begun || r.client.closed.Load(), TrueUnits: o.units, Load: o.load,
+	ended := policy.Outcome{
+		RequestID: r.id, Attempt: o.a.number, Backend: o.a.backend, Result: o.result,
+		Latency: o.took, Answered: r.answered || r.begun || r.client.closed.Load(), ActualCost: o.units, LoadReport: o.load,
 	}
 	l.mirror(msgOutcome, func() ([]byte, error) { return handover.EncodeAttemptEnded(ended) })
-	l.module.Outcome(l.now(), ended)
+	l.module.AttemptEnded(l.now(), ended)
 	l.forget(r)
 }
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -15,8 +15,8 @@
 	"testing"
 	"time"
 
-	"mothcleat/decide"
-	"mothcleat/internal/resp"
+	"sparspread/internal/resp"
+	"sparspread/policy"
 )
 
 // patience bounds every wait for an event; nothing is asserted of its speed.
@@ -233,9 +233,9 @@
 }
 
 // pass lets time pass in steps: a clock that jumps tells the module that the gateway stood still.
-func (r *rig) pass(t testing.TB, time decide.Time) {
+func (r *rig) pass(t testing.TB, time policy.Time) {
 	t.Helper()
-	for step := decide.Time(0); time > 0; time -= step {
+	for step := policy.Time(0); time > 0; time -= step {
 		step = min(time, 4000) // as the settings' granularity
 		r.clock.moved.Add(step * 1000)
 		r.turn(t)
@@ -282,7 +282,7 @@
 }
 
 // stopFor begins a planned shutdown and lets so much of it pass.
-func (r *rig) stopFor(t testing.TB, time decide.Time) {
+func (r *rig) stopFor(t testing.TB, time policy.Time) {
 	t.Helper()
 	r.once.Do(func() { close(r.stopped) })
 	for begun := false; !begun; {
--- a/internal/gateway/scale_test.go
+++ b/internal/gateway/scale_test.go
@@ -6,8 +6,8 @@
 	"fmt"
 	"testing"
 
-	"mothcleat/decide"
-	"mothcleat/internal/discovery"
+	"sparspread/internal/discovery"
+	"sparspread/policy"
 )
 
 // What the network code does alone as the list grows: docs/CAPACITY.md works with these figures.
@@ -56,12 +56,12 @@
 			if err := json.Unmarshal(longList(n), &list); err != nil {
 				b.Fatal(err)
 			}
-			l.backends.members(l, decide.Whole, list.Endpoints)
+			l.backends.members(l, policy.UpdateComplete, list.Endpoints)
 			one := list.Endpoints[:1]
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				one[0].Phase = [...]string{"Ready", "Terminating"}[i%2]
-				l.backends.members(l, decide.Changed, one)
+				l.backends.members(l, policy.UpdateIncremental, one)
 			}
 		})
 	}
--- a/internal/gateway/spoilt_test.go
+++ b/internal/gateway/spoilt_test.go
@@ -7,8 +7,8 @@
 	"strings"
 	"testing"
 
-	"mothcleat/decide"
-	"mothcleat/internal/discovery"
+	"sparspread/internal/discovery"
+	"sparspread/policy"
 )
 
 // Bytes behind a good answer lie there when the next request is written, and
@@ -23,7 +23,7 @@
 			b := newBackend(t)
 			l := unstarted(t, newFakeDiscovery(t))
 			m := discovery.Endpoint{ID: "s-00000001", Address: b.listener.Addr().String(), Phase: "Ready"}
-			l.backends.members(l, decide.Whole, []discovery.Endpoint{m})
+			l.backends.members(l, policy.UpdateComplete, []discovery.Endpoint{m})
 			first := &attempt{sent: l.now(), until: l.now() + 1e9}
 			l.backends.start(l, first, 1)
 			wait(t, l.events, "the dial").handle(l)
@@ -61,7 +61,7 @@
 		t.Run(name, func(t *testing.T) {
 			b := newBackend(t)
 			l := unstarted(t, newFakeDiscovery(t))
-			l.backends.members(l, decide.Whole, []discovery.Endpoint{
+			l.backends.members(l, policy.UpdateComplete, []discovery.Endpoint{
 				{ID: "s-00000001", Address: b.listener.Addr().String(), Phase: "Ready"}})
 			first := &attempt{sent: l.now(), until: l.now() + 1e9}
 			l.backends.start(l, first, 1)
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"testing"
 
-	"mothcleat/decide"
+	"sparspread/policy"
 )
 
 // Whatever discovery does or does not do, a start is over when its wait is: the gateway serves with the
@@ -110,7 +110,7 @@
 			defer l.clients.pause()
 			ready := 0
 			for _, b := range l.backends.byNumber {
-				if b.state == decide.Ready {
+				if b.state == policy.EndpointReady {
 					ready++
 				}
 			}
--- a/internal/gateway/term_test.go
+++ b/internal/gateway/term_test.go
@@ -16,7 +16,7 @@
 
 // oneService has discovery be one service that every gateway of a fleet asks.
 func oneService(cfg *Config) {
-	cfg.Settings.AskMembers, cfg.Settings.AskWithin = true, 10_000_000
+	cfg.Settings.PollEndpoints, cfg.Settings.PollWithin = true, 10_000_000
 }
 
 // httpAnswer is an answer of discovery without a network.
@@ -251,7 +251,7 @@
 		fleet, next := make([]*discoveryClient, 80), make([]time.Duration, 80)
 		for i := range fleet {
 			cfg := configure(t, bare, nil)
-			cfg.Seed, cfg.Settings.AskMembers, cfg.Settings.AskWithin = uint64(i)<<32+7, true, within.Microseconds()
+			cfg.Seed, cfg.Settings.PollEndpoints, cfg.Settings.PollWithin = uint64(i)<<32+7, true, within.Microseconds()
 			fleet[i] = newDiscovery(&cfg)
 		}
 		const longest = toldWithin - watchWait - watchSlack
--- a/internal/gateway/values.go
+++ b/internal/gateway/values.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"mothcleat/decide"
-	"mothcleat/internal/handover"
-	"mothcleat/internal/resp"
+	"sparspread/internal/handover"
+	"sparspread/internal/resp"
+	"sparspread/policy"
 )
 
 const (
@@ -78,7 +78,7 @@
 		// Nobody waits for it any more.
 		l.backends.close(c)
 		if c.a = nil; a != nil {
-			l.finish(a, decide.Cancelled, nil)
+			l.finish(a, policy.ResultCancelled, nil)
 		}
 		return
 	}
@@ -107,13 +107,13 @@
 // client takes for the rest tells nothing of the backend.
 type valueBegun struct {
 	a    *attempt
-	took decide.Time
+	took policy.Time
 }
 
 func (e valueBegun) handle(l *Loop) {
-	o := decide.Outcome{ID: e.a.r.id, Attempt: e.a.number, Backend: e.a.backend, Result: decide.OK, Took: e.took, Over: true}
+	o := policy.Outcome{RequestID: e.a.r.id, Attempt: e.a.number, Backend: e.a.backend, Result: policy.ResultOK, Latency: e.took, Answered: true}
 	l.mirror(msgOutcome, func() ([]byte, error) { return handover.EncodeAttemptEnded(o) })
-	l.module.Outcome(l.now(), o)
+	l.module.AttemptEnded(l.now(), o)
 }
 
 // withdraw gives up a large value that has not begun: its request has another answer, or nobody
@@ -126,7 +126,7 @@
 	r.value = nil
 	if a := c.a; a != nil {
 		c.a = nil
-		l.finish(a, decide.Cancelled, nil)
+		l.finish(a, policy.ResultCancelled, nil)
 	}
 	l.backends.close(c)
 }
@@ -146,7 +146,7 @@
 		l.mirror(msgSettled, func() ([]byte, error) {
 			return handover.EncodeCostSettled(handover.CostSettled{Customer: r.customer, Extra: units - r.units})
 		})
-		l.module.Settle(l.now(), r.customer, units-r.units)
+		l.module.CostSettled(l.now(), r.customer, units-r.units)
 	}
 	l.forget(r)
 	if e.err != nil || e.spoilt || e.more {
--- a/internal/gateway/values_test.go
+++ b/internal/gateway/values_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"mothcleat/internal/resp"
+	"sparspread/internal/resp"
 )
 
 const largeSize = resp.MaxValue + 1000
--- a/internal/handover/codec.go
+++ b/internal/handover/codec.go
@@ -10,8 +10,8 @@
 	"fmt"
 	"time"
 
-	"mothcleat/decide"
-	"mothcleat/internal/discovery"
+	"sparspread/internal/discovery"
+	"sparspread/policy"
 )
 
 // This file holds the forms in which two processes talk to each other. They may run different versions, and
@@ -28,7 +28,7 @@
 type State struct {
 	NextRequestID uint64
 	Endpoints     []discovery.Endpoint // as discovery listed them last
-	Policy        *decide.Snapshot
+	Policy        *policy.Snapshot
 }
 
 // ClientConnection goes along with a client's socket.
@@ -54,7 +54,7 @@
 	Version int
 	NextID  uint64
 	Members []member
-	Module  *decide.Snapshot
+	Module  *policy.Snapshot
 }
 
 // member is the written form of an endpoint; frozen.
@@ -167,22 +167,22 @@
 }
 
 // EncodeAttemptEnded writes the message of an attempt's end.
-func EncodeAttemptEnded(o decide.Outcome) ([]byte, error) {
+func EncodeAttemptEnded(o policy.Outcome) ([]byte, error) {
 	return encodeMessage(endedElsewhere{
-		ID: o.ID, Attempt: o.Attempt, Backend: o.Backend, Result: uint8(o.Result), Took: o.Took,
-		Over: o.Over, Metered: o.Metered, TrueUnits: o.TrueUnits, Load: o.Load,
+		ID: o.RequestID, Attempt: o.Attempt, Backend: o.Backend, Result: uint8(o.Result), Took: o.Latency,
+		Over: o.Answered, Metered: o.MeterReading, TrueUnits: o.ActualCost, Load: o.LoadReport,
 	})
 }
 
 // DecodeAttemptEnded reads such a message.
-func DecodeAttemptEnded(b []byte) (decide.Outcome, error) {
+func DecodeAttemptEnded(b []byte) (policy.Outcome, error) {
 	var form endedElsewhere
 	if err := decodeMessage(b, &form); err != nil {
-		return decide.Outcome{}, err
+		return policy.Outcome{}, err
 	}
-	return decide.Outcome{
-		ID: form.ID, Attempt: form.Attempt, Backend: form.Backend, Result: decide.Result(form.Result),
-		Took: form.Took, Over: form.Over, Metered: form.Metered, TrueUnits: form.TrueUnits, Load: form.Load,
+	return policy.Outcome{
+		RequestID: form.ID, Attempt: form.Attempt, Backend: form.Backend, Result: policy.Result(form.Result),
+		Latency: form.Took, Answered: form.Over, MeterReading: form.Metered, ActualCost: form.TrueUnits, LoadReport: form.Load,
 	}, nil
 }
 
--- a/internal/handover/codec_test.go
+++ b/internal/handover/codec_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"mothcleat/decide"
-	"mothcleat/internal/discovery"
+	"sparspread/internal/discovery"
+	"sparspread/policy"
 )
 
 // readRecorded reads a message that the program of commit d086cf6 has written.
@@ -184,10 +184,10 @@
 			func(m any) ([]byte, error) { return EncodeAttemptSent(m.(AttemptSent)) },
 		},
 		{
-			"attempt-ended.json", decide.Outcome{ID: 1, Attempt: 2, Backend: 3, Result: decide.Full, Took: 5,
-				Over: true, Metered: 7, TrueUnits: 8.5, Load: []float32{9.5, 10.5}},
+			"attempt-ended.json", policy.Outcome{RequestID: 1, Attempt: 2, Backend: 3, Result: policy.ResultOverloaded, Latency: 5,
+				Answered: true, MeterReading: 7, ActualCost: 8.5, LoadReport: []float32{9.5, 10.5}},
 			func(b []byte) (any, error) { return DecodeAttemptEnded(b) },
-			func(m any) ([]byte, error) { return EncodeAttemptEnded(m.(decide.Outcome)) },
+			func(m any) ([]byte, error) { return EncodeAttemptEnded(m.(policy.Outcome)) },
 		},
 		{
 			"cost-settled.json", CostSettled{Customer: 1, Extra: 2.5},
--- a/internal/wire/flatten_test.go
+++ b/internal/simproto/flatten_test.go
@@ -1,4 +1,4 @@
-package wire
+package simproto
 
 import (
 	"reflect"
--- a/internal/wire/frames.go
+++ b/internal/simproto/frames.go
@@ -1,4 +1,4 @@
-package wire
+package simproto
 
 import (
 	"encoding/binary"
@@ -7,7 +7,7 @@
 	"io"
 	"math"
 
-	"mothcleat/decide"
+	"sparspread/policy"
 )
 
 const (
@@ -18,7 +18,7 @@
 // Batch is one frame of events.
 type Batch struct {
 	Index, Count uint32
-	Now          decide.Time
+	Now          policy.Time
 	Body         []byte
 }
 
@@ -34,7 +34,7 @@
 	b := Batch{
 		Index: binary.LittleEndian.Uint32(head[0:]),
 		Count: binary.LittleEndian.Uint32(head[4:]),
-		Now:   decide.Time(binary.LittleEndian.Uint64(head[12:])),
+		Now:   policy.Time(binary.LittleEndian.Uint64(head[12:])),
 		Body:  into[:0],
 	}
 	for left := int(binary.LittleEndian.Uint32(head[8:])); left > 0; {
@@ -59,16 +59,16 @@
 	Seed    uint64 // Provision
 	Profile []byte
 
-	News    decide.News // Backends
-	Members []decide.Member
+	News    policy.UpdateKind // Backends
+	Members []policy.Endpoint
 
-	Request decide.Request // Ingress
-	Outcome decide.Outcome // Done; First and Dropped set its ID
+	Request policy.Request // Ingress
+	Outcome policy.Outcome // Done; First and Dropped set its ID
 
 	Token uint32 // Wake
 
 	Backend uint32 // Sampled
-	Result  decide.Result
+	Result  policy.Result
 	Load    []float32
 
 	From int // Heard
@@ -139,7 +139,7 @@
 	return load
 }
 
-func (r *reader) result() decide.Result { return lookup(r, results, "outcome code") }
+func (r *reader) result() policy.Result { return lookup(r, results, "outcome code") }
 
 // lookup reads a code and what it stands for.
 func lookup[V any](r *reader, table map[uint8]V, what string) V {
@@ -183,31 +183,31 @@
 		q := &e.Request
 		q.ID = r.u64()
 		r.u8() // a client's repeat, a write: no decision rests on them
-		q.Units = r.f32()
-		q.Grace = decide.Time(r.u32())
+		q.Cost = r.f32()
+		q.Timeout = policy.Time(r.u32())
 		q.Plan = int(r.u16())
-		q.Spread = int(r.f32())
+		q.Replicas = int(r.f32())
 		q.Class = int(r.u16())
-		q.First = int(r.f32())
+		q.FirstReplica = int(r.f32())
 		q.Customer = r.u64()
 	case First:
-		e.Outcome.ID = r.u64()
+		e.Outcome.RequestID = r.u64()
 		e.Outcome.Backend = r.u32()
 		e.Outcome.Attempt = int(r.u16())
-		e.Outcome.Took = decide.Time(r.u32())
+		e.Outcome.Latency = policy.Time(r.u32())
 	case Done:
 		o := &e.Outcome
-		o.ID = r.u64()
+		o.RequestID = r.u64()
 		o.Attempt = int(r.u16())
 		o.Backend = r.u32()
 		o.Result = r.result()
-		o.Took = decide.Time(r.u32())
-		o.Over = r.u8() != 0
-		o.Metered = int(r.u16())
-		o.TrueUnits = float64(r.u16())
-		o.Load = r.load()
+		o.Latency = policy.Time(r.u32())
+		o.Answered = r.u8() != 0
+		o.MeterReading = int(r.u16())
+		o.ActualCost = float64(r.u16())
+		o.LoadReport = r.load()
 	case Dropped:
-		e.Outcome.ID = r.u64()
+		e.Outcome.RequestID = r.u64()
 	case Wake:
 		e.Token = r.u32()
 	case Sampled:
@@ -236,12 +236,12 @@
 		r.err = fmt.Errorf("list of %d entries is longer than its batch", n)
 	}
 	for i := 0; i < n && r.err == nil; i++ {
-		m := decide.Member{Backend: r.u32(), Zone: int(r.u16())}
+		m := policy.Endpoint{ID: r.u32(), Zone: int(r.u16())}
 		r.u8() // kind of machine: no decision rests on it
 		m.Cell = int(r.u16())
 		m.State = lookup(r, states, "readiness")
-		m.Hint = r.f32()
-		m.Started = decide.Time(r.u64())
+		m.CapacityHint = r.f32()
+		m.StartedAt = policy.Time(r.u64())
 		e.Members = append(e.Members, m)
 	}
 }
@@ -282,8 +282,8 @@
 	r.buf = append(r.buf, s...)
 }
 
-// Send implements decide.Actions, as do the methods below.
-func (r *Reply) Send(id uint64, backend uint32, until decide.Time) {
+// Send implements policy.Actions, as do the methods below.
+func (r *Reply) Send(id uint64, backend uint32, until policy.Time) {
 	r.head(actAssign)
 	r.u64(id)
 	r.u64(uint64(until))
@@ -291,7 +291,7 @@
 }
 
 // Refuse writes a refusal.
-func (r *Reply) Refuse(id uint64, after decide.Time) {
+func (r *Reply) Reject(id uint64, after policy.Time) {
 	r.head(actPushBack)
 	r.u64(id)
 	r.u32(uint32(max(0, min(after, math.MaxUint32))))
@@ -304,27 +304,27 @@
 }
 
 // SetTimer writes a timer.
-func (r *Reply) SetTimer(at decide.Time, token uint32) {
+func (r *Reply) SetTimer(at policy.Time, token uint32) {
 	r.head(actSetAlarm)
 	r.u64(uint64(at))
 	r.u32(token)
 }
 
 // Probe writes a probe.
-func (r *Reply) Probe(backend uint32) {
+func (r *Reply) HealthCheck(backend uint32) {
 	r.head(actSoundOut)
 	r.u32(backend)
 }
 
 // Tell writes a message to a peer.
-func (r *Reply) Tell(peer int, note []byte) {
+func (r *Reply) SendGossip(peer int, note []byte) {
 	r.head(actWrite)
 	r.u16(uint16(peer))
 	r.text(string(note[:min(len(note), noteLimit)]))
 }
 
 // Count writes a counter call.
-func (r *Reply) Count(name uint64, add float64, life decide.Time) {
+func (r *Reply) IncrementCounter(name uint64, add float64, life policy.Time) {
 	r.head(actCount)
 	r.u64(name)
 	r.u32(math.Float32bits(float32(add)))
@@ -332,7 +332,7 @@
 }
 
 // Follow writes a subscription to discovery.
-func (r *Reply) Follow() {
+func (r *Reply) WatchEndpoints() {
 	r.head(actFollow)
 	r.buf = append(r.buf, 1)
 }
--- a/internal/wire/settings.go
+++ b/internal/simproto/settings.go
@@ -1,32 +1,32 @@
-package wire
+package simproto
 
 import (
 	"fmt"
 	"strconv"
 	"strings"
 
-	"mothcleat/decide"
+	"sparspread/policy"
 )
 
 // Host is what the settings tell the host of a gateway on real sockets; the
 // simulator does these things itself.
 type Host struct {
 	Classes, Plans []string      // their names, in the order of the settings
-	Limits         []decide.Time // of each class: how long a client waits at the most; 0: not told
+	Limits         []policy.Time // of each class: how long a client waits at the most; 0: not told
 	Zones          []string      // names, by number
 	Report         []string      // the names of the values in a load report
 	ReportVia      string        // "piggyback", "pull" or "silent"
 	MaxOpen        int           // requests open at once
-	DialTimeout    decide.Time
-	IdleClose      decide.Time // backends close an idle connection by then
-	CounterTimeout decide.Time
-	DrainGrace     decide.Time     // for sends to a backend once its drain was told
+	DialTimeout    policy.Time
+	IdleClose      policy.Time // backends close an idle connection by then
+	CounterTimeout policy.Time
+	DrainGrace     policy.Time     // for sends to a backend once its drain was told
 	Keys           map[string]bool // that were told; with .*. those that all items of a list have
 }
 
 // draft is a settings text being read.
 type draft struct {
-	decide.Settings
+	policy.Settings
 	host Host
 }
 
@@ -94,43 +94,43 @@
 	"self-index":                     whole(func(d *draft) *int { return &d.Self }),
 	"balancers":                      whole(func(d *draft) *int { return &d.Gateways }),
 	"az":                             whole(func(d *draft) *int { return &d.Zone }),
-	"granularity-us":                 whole(func(d *draft) *decide.Time { return &d.Tick }),
-	"ceilings.peers":                 flag(func(d *draft) *bool { return &d.Peers }),
-	"ceilings.probes":                flag(func(d *draft) *bool { return &d.Probes }),
-	"ceilings.second-copies":         flag(func(d *draft) *bool { return &d.SecondCopies }),
-	"ceilings.retry-after":           flag(func(d *draft) *bool { return &d.RetryAfter }),
+	"granularity-us":                 whole(func(d *draft) *policy.Time { return &d.MinEventInterval }),
+	"ceilings.peers":                 flag(func(d *draft) *bool { return &d.Gossip }),
+	"ceilings.probes":                flag(func(d *draft) *bool { return &d.HealthChecks }),
+	"ceilings.second-copies":         flag(func(d *draft) *bool { return &d.Hedging }),
+	"ceilings.retry-after":           flag(func(d *draft) *bool { return &d.RetryAfterAdvice }),
 	"ceilings.max-attempts":          whole(func(d *draft) *int { return &d.MaxAttempts }),
-	"ceilings.max-retry-after-us":    whole(func(d *draft) *decide.Time { return &d.MaxRetryAfter }),
+	"ceilings.max-retry-after-us":    whole(func(d *draft) *policy.Time { return &d.MaxRetryAfter }),
 	"ceilings.max-open":              whole(func(d *draft) *int { return &d.host.MaxOpen }),
-	"ceilings.dial-timeout-us":       whole(func(d *draft) *decide.Time { return &d.host.DialTimeout }),
-	"ceilings.idle-close-us":         whole(func(d *draft) *decide.Time { return &d.host.IdleClose }),
-	"family-info.counter-timeout-us": whole(func(d *draft) *decide.Time { return &d.host.CounterTimeout }),
-	"guarantees.drain-grace-us":      whole(func(d *draft) *decide.Time { return &d.host.DrainGrace }),
+	"ceilings.dial-timeout-us":       whole(func(d *draft) *policy.Time { return &d.host.DialTimeout }),
+	"ceilings.idle-close-us":         whole(func(d *draft) *policy.Time { return &d.host.IdleClose }),
+	"family-info.counter-timeout-us": whole(func(d *draft) *policy.Time { return &d.host.CounterTimeout }),
+	"guarantees.drain-grace-us":      whole(func(d *draft) *policy.Time { return &d.host.DrainGrace }),
 	"localities": func(d *draft, v string) error {
 		d.host.Zones = strings.Split(v, ",")
 		return nil
 	},
 	"report.via":                  text(func(d *draft) *string { return &d.host.ReportVia }),
-	"family-info.counter":         flag(func(d *draft) *bool { return &d.Counter }),
-	"family-info.settles":         flag(func(d *draft) *bool { return &d.Settles }),
-	"family-info.meter-period-us": whole(func(d *draft) *decide.Time { return &d.MeterPeriod }),
-	"family-info.max-units":       number(func(d *draft) *float64 { return &d.MaxUnits }),
-	"family-info.mail-per-s":      number(func(d *draft) *float64 { return &d.MailPerSecond }),
-	"guarantees.ask-within-us":    whole(func(d *draft) *decide.Time { return &d.AskWithin }),
-	"guarantees.cold-from":        number(func(d *draft) *float64 { return &d.ColdFrom }),
-	"guarantees.cold-us":          whole(func(d *draft) *decide.Time { return &d.ColdTime }),
-	"guarantees.overload-factor":  number(func(d *draft) *float64 { return &d.Overload }),
-	"guarantees.tip-after-us":     whole(func(d *draft) *decide.Time { return &d.TipAfter }),
+	"family-info.counter":         flag(func(d *draft) *bool { return &d.SharedCounter }),
+	"family-info.settles":         flag(func(d *draft) *bool { return &d.SettlesCost }),
+	"family-info.meter-period-us": whole(func(d *draft) *policy.Time { return &d.MeterPeriod }),
+	"family-info.max-units":       number(func(d *draft) *float64 { return &d.MaxCost }),
+	"family-info.mail-per-s":      number(func(d *draft) *float64 { return &d.GossipPerSecond }),
+	"guarantees.ask-within-us":    whole(func(d *draft) *policy.Time { return &d.PollWithin }),
+	"guarantees.cold-from":        number(func(d *draft) *float64 { return &d.SlowStartFloor }),
+	"guarantees.cold-us":          whole(func(d *draft) *policy.Time { return &d.SlowStartTime }),
+	"guarantees.overload-factor":  number(func(d *draft) *float64 { return &d.OverloadFactor }),
+	"guarantees.tip-after-us":     whole(func(d *draft) *policy.Time { return &d.OverloadWindow }),
 	"prices.handshake":            number(func(d *draft) *float64 { return &d.HandshakePrice }),
 	"prices.cross-zone":           number(func(d *draft) *float64 { return &d.CrossZonePrice }),
 	"membership-mode": word(map[string]bool{"pushed": false, "on_request": true},
-		func(d *draft) *bool { return &d.AskMembers }),
+		func(d *draft) *bool { return &d.PollEndpoints }),
 	"weights": word(map[string]bool{"silent": false, "nominal": true, "rough": true, "live": true},
-		func(d *draft) *bool { return &d.HintsTell }),
+		func(d *draft) *bool { return &d.UseCapacityHints }),
 	"report.names": func(d *draft, v string) error {
-		d.Report, d.host.Report = nil, strings.Split(v, ",")
+		d.LoadReport, d.host.Report = nil, strings.Split(v, ",")
 		for _, name := range d.host.Report {
-			d.Report = append(d.Report, metrics[name])
+			d.LoadReport = append(d.LoadReport, metrics[name])
 		}
 		return nil
 	},
@@ -138,18 +138,18 @@
 
 func last[T any](items []T) *T { return &items[len(items)-1] }
 
-func lastClass(d *draft) *decide.Class { return last(d.Classes) }
-func lastPlan(d *draft) *decide.Plan   { return last(d.Plans) }
+func lastClass(d *draft) *policy.Class { return last(d.Classes) }
+func lastPlan(d *draft) *policy.Plan   { return last(d.Plans) }
 
 // classKeys and planKeys are the settings of an item of a list.
 var classKeys = map[string]setter{
 	"name":          name(func(d *draft) (*string, *string) { return last(d.host.Classes), &lastClass(d).Name }),
-	"promise-us":    whole(func(d *draft) *decide.Time { return &lastClass(d).Aim }),
-	"hard-limit-us": whole(func(d *draft) *decide.Time { return last(d.host.Limits) }),
-	"window-us":     whole(func(d *draft) *decide.Time { return &lastClass(d).Window }),
-	"worth":         number(func(d *draft) *float64 { return &lastClass(d).Worth }),
-	"repeat":        word(effects, func(d *draft) *decide.Effect { return &lastClass(d).Effect }),
-	"group":         word(groups, func(d *draft) *decide.Group { return &lastClass(d).Group }),
+	"promise-us":    whole(func(d *draft) *policy.Time { return &lastClass(d).LatencyObjective }),
+	"hard-limit-us": whole(func(d *draft) *policy.Time { return last(d.host.Limits) }),
+	"window-us":     whole(func(d *draft) *policy.Time { return &lastClass(d).DedupWindow }),
+	"worth":         number(func(d *draft) *float64 { return &lastClass(d).PriorityWeight }),
+	"repeat":        word(effects, func(d *draft) *policy.Idempotency { return &lastClass(d).Idempotency }),
+	"group":         word(groups, func(d *draft) *policy.DedupScope { return &lastClass(d).DedupScope }),
 }
 
 var planKeys = map[string]setter{
@@ -159,10 +159,10 @@
 	"never-over-rate": number(func(d *draft) *float64 { return &lastPlan(d).CeilingRate }),
 	"ceiling-burst":   number(func(d *draft) *float64 { return &lastPlan(d).CeilingBurst }),
 	"hard-slack":      number(func(d *draft) *float64 { return &lastPlan(d).CeilingSlack }),
-	"max-out":         whole(func(d *draft) *int { return &lastPlan(d).OpenLimit }),
-	"value-factor":    number(func(d *draft) *float64 { return &lastPlan(d).Price }),
-	"beyond-earns":    number(func(d *draft) *float64 { return &lastPlan(d).BeyondEarns }),
-	"beyond-costs":    number(func(d *draft) *float64 { return &lastPlan(d).BeyondCosts }),
+	"max-out":         whole(func(d *draft) *int { return &lastPlan(d).ConcurrencyLimit }),
+	"value-factor":    number(func(d *draft) *float64 { return &lastPlan(d).ValueFactor }),
+	"beyond-earns":    number(func(d *draft) *float64 { return &lastPlan(d).OverageRevenue }),
+	"beyond-costs":    number(func(d *draft) *float64 { return &lastPlan(d).OverageCost }),
 }
 
 const (
@@ -172,7 +172,7 @@
 
 // ParseSettings reads a settings text. Unknown keys are skipped; a value that
 // can't be read is an error that names its key.
-func ParseSettings(text []byte) (decide.Settings, error) {
+func ParseSettings(text []byte) (policy.Settings, error) {
 	values := map[string]string{}
 	for line := range strings.SplitSeq(string(text), "\n") {
 		key, value, ok := strings.Cut(strings.TrimSuffix(line, "\r"), "=")
@@ -186,13 +186,13 @@
 
 // ParseJSON reads the settings in the form of a gateway's configuration: the
 // same names and units, as nested JSON.
-func ParseJSON(raw []byte) (decide.Settings, Host, error) {
+func ParseJSON(raw []byte) (policy.Settings, Host, error) {
 	values, err := flatten(raw)
 	if err != nil {
-		return decide.Settings{}, Host{}, err
+		return policy.Settings{}, Host{}, err
 	}
 	if err := positive(values); err != nil {
-		return decide.Settings{}, Host{}, err
+		return policy.Settings{}, Host{}, err
 	}
 	d, err := parse(values)
 	d.host.Keys = keysOf(values)
@@ -249,14 +249,14 @@
 		return d, err
 	}
 	err := d.list(values, classList, classKeys, func() {
-		d.Classes, d.host.Classes = append(d.Classes, decide.Class{}), append(d.host.Classes, "")
+		d.Classes, d.host.Classes = append(d.Classes, policy.Class{}), append(d.host.Classes, "")
 		d.host.Limits = append(d.host.Limits, 0)
 	})
 	if err != nil {
 		return d, err
 	}
 	err = d.list(values, planList, planKeys, func() {
-		d.Plans, d.host.Plans = append(d.Plans, decide.Plan{Price: 1}), append(d.host.Plans, "")
+		d.Plans, d.host.Plans = append(d.Plans, policy.Plan{ValueFactor: 1}), append(d.host.Plans, "")
 	})
 	return d, err
 }
--- a/decide/decide.go
+++ b/policy/admission.go
@@ -4,7 +4,7 @@
 // soft plans may then draw on bank 0, fed by what full banks spill; else it is refused at once
 // (Berger and Whitt's multi-class throttle, docs/design.md). Top to bottom: banks and bank 0; slices
 // and notes; ceiling; backend choice and health; cold and drain guards; attempts and answers.
-package decide
+package policy
 
 import (
 	"cmp"
@@ -73,20 +73,20 @@
 )
 
 // New makes a gateway that knows nothing but its settings.
-func New(set Settings, seed uint64, do Actions) (*Gateway, error) {
+func New(set Settings, seed uint64, do Actions) (*Controller, error) {
 	if err := set.check(); err != nil {
 		return nil, err
 	}
-	g := newGateway(set, seed, do)
+	g := newController(set, seed, do)
 	g.again = againMost
 	return g, nil
 }
 
 // begin brings the gateway to an event's time.
-func (g *Gateway) begin(now Time) {
+func (g *Controller) begin(now Time) {
 	g.now = max(g.now, now)
 	if g.born != 0 {
-		if late := now - g.timerAt; late > stillTicks*g.set.Tick {
+		if late := now - g.timerAt; late > stillTicks*g.set.MinEventInterval {
 			// This gateway stood still: how long what was out took tells nothing.
 			g.still += late
 			g.timerAt, g.woke = now, now
@@ -102,7 +102,7 @@
 	}
 	g.born, g.swept, g.lend.at, g.awake, g.counts.since = max(1, now), now, now, now, now
 	g.rouse()
-	if g.set.AskMembers {
+	if g.set.PollEndpoints {
 		g.follow()
 	}
 	g.greet()
@@ -112,7 +112,7 @@
 // one is full: peers tell of those that are not; until they can have been heard its level is
 // an even slice, so that a restart hands out no second burst. Its part of the ceiling
 // counts from this gateway's start, with half the slack: a former life may have the rest.
-func (g *Gateway) customer(id uint64, plan, first, spread int) *customer {
+func (g *Controller) customer(id uint64, plan, first, spread int) *customer {
 	c := g.customers[id]
 	if c == nil {
 		p := &g.set.Plans[plan]
@@ -139,7 +139,7 @@
 
 // refill fills a customer's banks; what its full bank spills here feeds bank 0. While its set is
 // heard half its part of the ceiling follows demand: an even slice refuses within the quota.
-func (g *Gateway) refill(c *customer) {
+func (g *Controller) refill(c *customer) {
 	part, ceil, p := g.part(c), 1/float64(c.spread), &g.set.Plans[c.plan]
 	if p.CeilingRate > 0 && g.hearsAll(c) {
 		ceil = ceilEven*ceil + (1-ceilEven)*part
@@ -161,7 +161,7 @@
 
 // sweep lets full banks spill and drops the idle ones, whose spill goes on
 // feeding bank 0 at its rate.
-func (g *Gateway) sweep() {
+func (g *Controller) sweep() {
 	g.swept = g.now
 	g.report()
 	g.showView(viewPeers) // it is heard though this gateway sends nothing
@@ -184,7 +184,7 @@
 
 // part is this gateway's slice of a customer's quota: its part of recent use.
 // Gateways not heard count as idle.
-func (g *Gateway) part(c *customer) float64 {
+func (g *Controller) part(c *customer) float64 {
 	own := c.use.get(g.now, c.window)
 	switch {
 	case c.spread == 1:
@@ -200,7 +200,7 @@
 // level is what this gateway's bank holds: its slice of the customer's whole store as
 // of the last note, less what it has taken since, or, if more, what the others will not
 // ask before they are heard again: a slice of a small burst may be less than a request.
-func (g *Gateway) level(c *customer) float64 {
+func (g *Controller) level(c *customer) float64 {
 	switch {
 	case g.member(c) && c.grant < 1:
 		return c.slice
@@ -217,15 +217,15 @@
 }
 
 // inside tells whether the customer's own bank and its part of the open limit have room.
-func (g *Gateway) inside(c *customer, units float64) bool {
+func (g *Controller) inside(c *customer, units float64) bool {
 	p := &g.set.Plans[c.plan]
-	if p.OpenLimit > 0 && float64(c.open) >= math.Max(1, math.Round(g.part(c)*float64(p.OpenLimit))) {
+	if p.ConcurrencyLimit > 0 && float64(c.open) >= math.Max(1, math.Round(g.part(c)*float64(p.ConcurrencyLimit))) {
 		return false
 	}
 	return p.Rate == 0 || g.level(c) >= units
 }
 
-func (g *Gateway) take(c *customer, home int, units float64) {
+func (g *Controller) take(c *customer, home int, units float64) {
 	c.with(home).taken += units
 	if !g.consults(c) || g.home(c, home) == g.set.Self {
 		c.store.level -= units
@@ -237,7 +237,7 @@
 
 // ask counts what a customer asks for. Under a grant each ask brings its part of the units
 // to the slice: a demand-following rate for a gateway that sees a customer now and then.
-func (g *Gateway) ask(c *customer, units float64) {
+func (g *Controller) ask(c *customer, units float64) {
 	c.use.add(g.now, c.window, units)
 	c.metered.add(g.now, max(1, g.set.MeterPeriod), units)
 	c.asked, c.lastAsk = c.asked+units, units
@@ -250,7 +250,7 @@
 // settleGrant has a home set the part of what is asked that it grants: the rate and what
 // the store holds beyond the reserve, spent over the demand window, against all that was
 // asked in it. When that has moved the whole set is told, where it does not ask anyway.
-func (g *Gateway) settleGrant(c *customer) {
+func (g *Controller) settleGrant(c *customer) {
 	rate := g.set.Plans[c.plan].Rate
 	if !g.wide(c) || g.member(c) || rate == 0 {
 		return
@@ -271,7 +271,7 @@
 }
 
 // meter sets the slice by the use through all gateways in the last period told.
-func (g *Gateway) meter(c *customer, percent int) {
+func (g *Controller) meter(c *customer, percent int) {
 	rate := g.set.Plans[c.plan].Rate
 	if g.set.MeterPeriod == 0 || percent == 0 || rate == 0 {
 		return
@@ -283,7 +283,7 @@
 
 // talk tells peers, or else the counter, of every customer whose use changed,
 // those that took most of their burst first.
-func (g *Gateway) talk() {
+func (g *Controller) talk() {
 	slices.SortStableFunc(g.telling, func(a, b *customer) int {
 		return cmp.Compare((b.taken-b.told)*a.store.cap, (a.taken-a.told)*b.store.cap)
 	})
@@ -293,9 +293,9 @@
 		g.settleGrant(c)
 		switch {
 		case g.member(c) && c.grant < 1 && g.now < c.tellAt:
-		case !g.set.Peers:
+		case !g.set.Gossip:
 			if c.taken > c.told {
-				g.do.Count(c.id, c.taken-c.told, countLife)
+				g.do.IncrementCounter(c.id, c.taken-c.told, countLife)
 				c.calls = append(c.calls, c.taken-c.told)
 			}
 			c.told, c.tell = c.taken, 0
@@ -314,7 +314,7 @@
 }
 
 // Peer takes in another gateway's note. One that is malformed is passed over.
-func (g *Gateway) Peer(now Time, from int, note []byte) {
+func (g *Controller) GossipReceived(now Time, from int, note []byte) {
 	g.begin(now)
 	n, ok := readNote(note)
 	if !ok || from < 0 || from >= g.set.Gateways || from == g.set.Self {
@@ -358,7 +358,7 @@
 	}
 }
 
-func (g *Gateway) told(from int, boot uint32, newer bool, e entry) {
+func (g *Controller) told(from int, boot uint32, newer bool, e entry) {
 	c := g.customer(e.id, e.plan, e.first, e.spread)
 	if !g.in(c, from) || g.member(c) {
 		return
@@ -395,7 +395,7 @@
 			}
 			h.taken += counted(want)
 		}
-		g.do.Tell(from, a.put(g.noteHead()))
+		g.do.SendGossip(from, a.put(g.noteHead()))
 	} else if g.wide(c) && math.Abs(e.left-c.grant) > grantError*c.grant {
 		g.tellGrant(from, c)
 	}
@@ -403,14 +403,14 @@
 
 // Counted takes in the total of a customer's use through all gateways, where there are no
 // notes. What a failed call added all the same counts as another's: towards refusing.
-func (g *Gateway) Counted(now Time, name uint64, r Result, total float64) {
+func (g *Controller) CounterAnswered(now Time, name uint64, r Result, total float64) {
 	g.begin(now)
 	c := g.customers[name]
 	if c == nil || len(c.calls) == 0 {
 		return
 	}
 	own := c.calls[0]
-	if c.calls = c.calls[1:]; r != OK {
+	if c.calls = c.calls[1:]; r != ResultOK {
 		return
 	}
 	g.refill(c)
@@ -422,41 +422,41 @@
 
 // sick tells whether a backend is left out. Probes, if allowed, are the trial of one that is
 // down; else, and after errors, one request at a time is.
-func (g *Gateway) sick(b *backend) bool {
-	if b.down && g.set.Probes {
+func (g *Controller) sick(b *backend) bool {
+	if b.down && g.set.HealthChecks {
 		return true
 	}
 	return (b.down || b.errs >= sickShare) && (g.now < b.trialAt || b.out > 0)
 }
 
 // leaveOut leaves a backend out, each time in a row for longer.
-func (g *Gateway) leaveOut(b *backend, why string) {
+func (g *Controller) leaveOut(b *backend, why string) {
 	if g.now-b.left > 2*healTime {
 		b.wait = 0
 	}
 	b.wait = min(max(trialTime, 2*b.wait), healTime)
 	b.left, b.trialAt = g.now, g.now+b.wait
-	g.do.Log(fmt.Sprintf("backend %d out: %s", b.Backend, why))
+	g.do.Log(fmt.Sprintf("backend %d out: %s", b.ID, why))
 }
 
 // up takes a backend in again. Where none could be made its process may have started
 // anew: it is held for cold, told or not. One that was silent or only reset runs warm.
-func (g *Gateway) up(b *backend) {
+func (g *Controller) up(b *backend) {
 	if !b.down {
 		return
 	}
 	b.down, b.slow, b.quiet = false, 0, g.awake
 	if !b.silent {
-		b.Started = max(b.Started, g.now)
+		b.StartedAt = max(b.StartedAt, g.now)
 		b.cold = g.coldBank()
 	}
-	g.do.Log(fmt.Sprintf("backend %d back", b.Backend))
+	g.do.Log(fmt.Sprintf("backend %d back", b.ID))
 }
 
 // listen leaves a backend out that answers nothing: hung, or cut off with no connection
 // broken. Only attempts past their own aim speak against it, one alone, perhaps lost on
 // the way, with half the weight. A very slow one comes back by its own late answers.
-func (g *Gateway) listen(b *backend) {
+func (g *Controller) listen(b *backend) {
 	owed := float64(g.awake-b.quiet) * g.share(b) * math.Min(1, float64(b.overdue)/2)
 	if !b.down && owed > silentAims*float64(g.shortAim) {
 		b.down, b.silent = true, true
@@ -465,29 +465,29 @@
 }
 
 // judge learns from how an attempt ended.
-func (g *Gateway) judge(a *attempt, class int, r Result, took float64) {
+func (g *Controller) judge(a *attempt, class int, r Result, took float64) {
 	b, bad := a.b, 0.0
-	if r == OK {
+	if r == ResultOK {
 		g.up(b)
 	}
 	switch r {
-	case OK, TimedOut:
+	case ResultOK, ResultTimedOut:
 		share := g.share(b)
 		if a.blind {
 			return
 		}
-		if r == OK && share == 1 {
+		if r == ResultOK && share == 1 {
 			g.mean.add(took, learn)
 			g.base[class].add(took, learn)
-		} else if r == OK {
+		} else if r == ResultOK {
 			g.coldMean.add(took*share, learn)
 		}
 		if g.base[class].v > 0 {
 			b.slowBy(g.now, took*share/g.base[class].v)
 		}
-	case Failed:
+	case ResultFailed:
 		bad = 1
-	case ConnectFailed, Reset:
+	case ResultConnectFailed, ResultReset:
 		if g.broke(b, r) {
 			return
 		}
@@ -502,15 +502,15 @@
 }
 
 // Probed takes in how a probe ended.
-func (g *Gateway) Probed(now Time, id uint32, r Result, _ []float32) {
+func (g *Controller) HealthCheckEnded(now Time, id uint32, r Result, _ []float32) {
 	g.begin(now)
 	b := g.byID[id]
 	switch {
 	case b == nil:
-	case r == OK:
+	case r == ResultOK:
 		g.up(b)
 	case b.down:
-		b.silent = b.silent && r != ConnectFailed
+		b.silent = b.silent && r != ResultConnectFailed
 		b.wait = min(2*b.wait, healTime)
 		b.trialAt = now + b.wait
 	}
@@ -518,12 +518,12 @@
 
 // choose picks the least loaded usable backend, sound ones not tried yet first.
 // A keyed request that may have run stays within its attempt's group.
-func (g *Gateway) choose(r *request, within *attempt) *backend {
+func (g *Controller) choose(r *request, within *attempt) *backend {
 	for _, anyway := range []bool{false, true} {
 		var best *backend
 		bestCost, ties := math.Inf(1), 0
 		for _, b := range g.backends {
-			if b.State != Ready || !b.listed || !g.warmEnough(b) ||
+			if b.State != EndpointReady || !b.listed || !g.warmEnough(b) ||
 				within != nil && !g.set.Classes[r.Class].sameGroup(within.b, b) ||
 				!anyway && (g.sick(b) || r.tried(b)) {
 				continue
@@ -548,7 +548,7 @@
 
 // cost is how long a request may have to wait at a backend, compared with others. Load reports
 // don't count: they are older than a request takes, and all gateways run after the same one.
-func (g *Gateway) cost(b *backend) float64 {
+func (g *Controller) cost(b *backend) float64 {
 	cost := float64(b.out+1) * b.slowness(g.now) * g.share(b) // a cold one's turn has been saved up for it
 	if b.Zone != g.set.Zone {
 		cost *= 1 + g.set.CrossZonePrice*zoneWeight
@@ -556,31 +556,31 @@
 	if !b.near {
 		cost *= 1 + g.set.HandshakePrice*zoneWeight
 	}
-	if g.set.HintsTell && b.Hint > 0 {
-		cost /= b.Hint
+	if g.set.UseCapacityHints && b.CapacityHint > 0 {
+		cost /= b.CapacityHint
 	}
 	return cost
 }
 
 // Members takes in discovery's news of the backends. What it says is draining or
 // gone gets nothing more from now on.
-func (g *Gateway) Members(now Time, news News, list []Member) {
+func (g *Controller) UpdateEndpoints(now Time, news UpdateKind, list []Endpoint) {
 	g.begin(now)
-	if news == Unheard {
+	if news == UpdateUnavailable {
 		g.follows = false
 		return
 	}
-	g.follows = g.follows || news != Cached
+	g.follows = g.follows || news != UpdateStale
 	for _, b := range g.backends {
-		b.listed = b.listed && news == Changed
+		b.listed = b.listed && news == UpdateIncremental
 	}
 	for _, m := range list {
 		b := g.backend(m)
-		if m.Started > b.Started {
+		if m.StartedAt > b.StartedAt {
 			b.slow, b.errs, b.cold = 0, 0, g.coldBank()
 		}
-		m.Started = max(m.Started, b.Started)
-		b.Member, b.listed = m, m.State != Left
+		m.StartedAt = max(m.StartedAt, b.StartedAt)
+		b.Endpoint, b.listed = m, m.State != EndpointRemoved
 	}
 	g.prune()
 	g.drawNear()
@@ -589,15 +589,15 @@
 // warmEnough tells whether a backend may be sent one more. A cold one is sent its share of
 // what this gateway sends a warm one, saved up for half the span over which the rule counts:
 // through all gateways no more of its capacity than the warm ones get of theirs.
-func (g *Gateway) warmEnough(b *backend) bool {
+func (g *Controller) warmEnough(b *backend) bool {
 	share := g.share(b)
 	if share == 1 || g.retired { // a process that takes over has what was saved up
 		return share == 1
 	}
-	span := float64(g.set.TipAfter) / float64(second)
+	span := float64(g.set.OverloadWindow) / float64(second)
 	bears := 1.0
-	if g.set.Overload > 0 { // of a small one no more either: half a span's worth may come on top
-		bears = coldPart * g.set.Overload
+	if g.set.OverloadFactor > 0 { // of a small one no more either: half a span's worth may come on top
+		bears = coldPart * g.set.OverloadFactor
 	}
 	b.cold.rate = bears * math.Max(g.coldPace(b, share), share/math.Max(span, 1)/float64(g.set.Gateways))
 	// What a gateway can't save up in that time lapses, and the next comes at its turn: else many
@@ -620,30 +620,30 @@
 		if a.pending && !copies {
 			again = false
 		}
-		if !a.mayRun || c.Effect == Safe {
+		if !a.mayRun || c.Idempotency == Idempotent {
 			continue
 		}
-		if c.Effect == Unsafe {
+		if c.Idempotency == NotIdempotent {
 			return false, nil, false
 		}
 		if in == nil {
 			in = a
-			again = again && now < a.at+c.Window-early
-			refuse = c.Group == GroupAll
+			again = again && now < a.at+c.DedupWindow-early
+			refuse = c.DedupScope == DedupAll
 		}
 	}
 	return again, in, refuse
 }
 
 // sweepOverdue takes note of attempts that are past their aim, and silent backends.
-func (g *Gateway) sweepOverdue() {
+func (g *Controller) sweepOverdue() {
 	for class := range g.due {
-		g.lateAfter(class, g.set.Classes[class].Aim)
+		g.lateAfter(class, g.set.Classes[class].LatencyObjective)
 	}
 	g.alive, g.warm = 0, 0
 	for _, b := range g.backends {
 		g.listen(b)
-		if b.State == Ready && b.listed && !g.sick(b) {
+		if b.State == EndpointReady && b.listed && !g.sick(b) {
 			g.alive++
 			if g.share(b) == 1 && b.near {
 				g.warm++
@@ -658,7 +658,7 @@
 // held is how many attempts the back end holds for this gateway. Those past their aim count as
 // far as answers come late everywhere: lost or stuck at a few backends they would shut the gate
 // on what can be served. Those at one that is down don't count, at a slow one they count less.
-func (g *Gateway) held() float64 {
+func (g *Controller) held() float64 {
 	held := 0.0
 	for _, b := range g.backends {
 		if !b.down && b.out > 0 {
@@ -670,25 +670,25 @@
 
 // view is what this gateway holds and what comes back in time a second, with that of n-1 others:
 // alone it may be a few a second. The more it sees itself, the less their older figures count.
-func (g *Gateway) view() (held, inTime, n float64) {
+func (g *Controller) view() (held, inTime, n float64) {
 	return g.held() + g.thin()*g.peersHeld.get(g.awake, second),
 		g.inTime.get(g.awake, second) + g.thin()*g.peersInTime.get(g.awake, second),
 		1 + g.thin()*g.peers.get(g.awake, second)
 }
 
 // thin is how much others' word counts: the less, the more this gateway sees itself.
-func (g *Gateway) thin() float64 { return enough / (enough + g.inTime.get(g.awake, second)) }
+func (g *Controller) thin() float64 { return enough / (enough + g.inTime.get(g.awake, second)) }
 
 // full tells whether so large a part of the room at the back end is filled: as many attempts
 // as come back within their aim in the time an answer may take. What backends may always hold
 // is open whole to each: a part of it would refuse cheap requests while backends idle.
-func (g *Gateway) full(part float64) bool {
+func (g *Controller) full(part float64) bool {
 	g.sweepOverdue()
 	// A loaded back end stretches all classes alike: the tightest sets the time.
 	allowed := math.Inf(1)
 	for class, base := range g.base {
 		if base.v > 0 {
-			allowed = math.Min(allowed, g.mean.v/base.v*float64(g.set.Classes[class].Aim))
+			allowed = math.Min(allowed, g.mean.v/base.v*float64(g.set.Classes[class].LatencyObjective))
 		}
 	}
 	if math.IsInf(allowed, 1) {
@@ -701,7 +701,7 @@
 }
 
 // Request decides on a client's try.
-func (g *Gateway) Request(now Time, q Request) {
+func (g *Controller) RequestReceived(now Time, q Request) {
 	g.begin(now)
 	if q.Class < 0 || q.Class >= len(g.set.Classes) || q.Plan < 0 || q.Plan >= len(g.set.Plans) {
 		g.do.Fail(q.ID)
@@ -709,8 +709,8 @@
 	}
 	grace := &g.grace[q.Plan][q.Class]
 	if g.now > g.woke {
-		grace.add(float64(q.Grace), learnOne)
-	} else if grace.v-float64(q.Grace)+g.base[q.Class].v > float64(g.set.Classes[q.Class].Aim) {
+		grace.add(float64(q.Timeout), learnOne)
+	} else if grace.v-float64(q.Timeout)+g.base[q.Class].v > float64(g.set.Classes[q.Class].LatencyObjective) {
 		g.refuse(q.ID, tooLate, 0) // it came while this gateway stood still: no answer is in time any more
 		return
 	}
@@ -719,33 +719,33 @@
 		return
 	}
 	plan := &g.set.Plans[q.Plan]
-	c := g.customer(q.Customer, q.Plan, q.First, q.Spread)
-	g.ask(c, q.Units)
-	r := &request{Request: q, until: now + q.Grace, c: c}
+	c := g.customer(q.Customer, q.Plan, q.FirstReplica, q.Replicas)
+	g.ask(c, q.Cost)
+	r := &request{Request: q, until: now + q.Timeout, c: c}
 	if g.full(g.open(&q, plan)) {
 		g.refuse(q.ID, noRoom, g.shortAim/2)
 	} else if r.home = g.homeToAsk(r); g.consults(c) && g.home(c, r.home) != g.set.Self {
 		g.consult(r)
 	} else {
-		g.admit(r, g.inside(c, q.Units), false)
+		g.admit(r, g.inside(c, q.Cost), false)
 	}
 }
 
 // admit sends a request on if its own bank holds its units, else if bank 0 lends them. What a home
 // has granted is inside the ceiling too.
-func (g *Gateway) admit(r *request, inside, granted bool) {
+func (g *Controller) admit(r *request, inside, granted bool) {
 	q, c, plan := &r.Request, r.c, &g.set.Plans[r.Plan]
 	if !inside {
 		g.lend.refill(g.now)
-		if !plan.soft() || g.lend.level < q.Units || g.full(lendShare) {
-			g.counts.short(c, q.Units)
-			g.refuse(q.ID, overQuota, until(g.level(c), g.part(c)*plan.Rate, q.Units))
+		if !plan.soft() || g.lend.level < q.Cost || g.full(lendShare) {
+			g.counts.short(c, q.Cost)
+			g.refuse(q.ID, overQuota, until(g.level(c), g.part(c)*plan.Rate, q.Cost))
 			return
 		}
 	}
 	ceiling := plan.CeilingRate > 0 && !granted
-	if ceiling && c.ceiling.level < q.Units {
-		g.refuse(q.ID, overCeiling, until(c.ceiling.level, c.ceiling.rate, q.Units))
+	if ceiling && c.ceiling.level < q.Cost {
+		g.refuse(q.ID, overCeiling, until(c.ceiling.level, c.ceiling.rate, q.Cost))
 		return
 	}
 	b := g.choose(r, nil)
@@ -754,12 +754,12 @@
 		return
 	}
 	if inside {
-		g.take(c, r.home, q.Units)
+		g.take(c, r.home, q.Cost)
 	} else {
-		g.lend.level -= q.Units
+		g.lend.level -= q.Cost
 	}
 	if ceiling {
-		c.ceiling.level -= q.Units
+		c.ceiling.level -= q.Cost
 	}
 	r.lent, r.capped = !inside, ceiling
 	g.again = math.Min(againMost, g.again+againShare)
@@ -768,48 +768,48 @@
 }
 
 // open is the part of the room open to a request: more for more worth for work.
-func (g *Gateway) open(q *Request, plan *Plan) float64 {
+func (g *Controller) open(q *Request, plan *Plan) float64 {
 	base := g.base[q.Class].v
 	if base == 0 {
 		return 1
 	}
-	worth := g.set.Classes[q.Class].Worth * plan.Price * q.Units / base
+	worth := g.set.Classes[q.Class].PriorityWeight * plan.ValueFactor * q.Cost / base
 	g.worth.add(worth, learn)
 	return cheapShare + (1-cheapShare)*math.Min(worthMost, worth/math.Max(g.worth.v, 1e-12))
 }
 
-func (g *Gateway) send(r *request, b *backend) {
+func (g *Controller) send(r *request, b *backend) {
 	g.book(r, b)
 	class, base := &g.set.Classes[r.Class], Time(g.base[r.Class].v)
 	until := g.now + Time(patience)*base
-	if class.Effect == Unsafe || g.again < 1 || len(r.attempts) == g.set.MaxAttempts || g.full(lendShare) ||
-		base == 0 || until+base > r.attempts[0].at+class.Aim {
+	if class.Idempotency == NotIdempotent || g.again < 1 || len(r.attempts) == g.set.MaxAttempts || g.full(lendShare) ||
+		base == 0 || until+base > r.attempts[0].at+class.LatencyObjective {
 		until = 0
 	}
 	g.counts.sentTo(b)
-	g.do.Send(r.ID, b.Backend, until)
+	g.do.Send(r.ID, b.ID, until)
 }
 
 // Outcome takes in how an attempt ended, and gives the final answer or starts a
 // further attempt where one is owed.
-func (g *Gateway) Outcome(now Time, o Outcome) {
+func (g *Controller) AttemptEnded(now Time, o Outcome) {
 	g.begin(now)
-	r := g.requests[o.ID]
+	r := g.requests[o.RequestID]
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || !r.attempts[o.Attempt].pending {
 		return
 	}
 	a, class := r.attempts[o.Attempt], &g.set.Classes[r.Class]
 	a.pending = false
 	g.counts.outcomes[o.Result]++
-	a.mayRun = o.Result != Full && o.Result != ConnectFailed && o.Result != Moot
-	r.sent = r.sent || o.Result != Moot
+	a.mayRun = o.Result != ResultOverloaded && o.Result != ResultConnectFailed && o.Result != ResultNotSent
+	r.sent = r.sent || o.Result != ResultNotSent
 	g.settle(r, a, &o)
-	r.over = r.over || o.Over
+	r.over = r.over || o.Answered
 	if r.pending() {
 		return
 	}
 	if r.over {
-		delete(g.requests, o.ID)
+		delete(g.requests, o.RequestID)
 		g.giveBack(r)
 		return
 	}
@@ -817,56 +817,56 @@
 	if a.mayRun {
 		price = 1
 	}
-	again, within, refuse := class.may(r.attempts, g.set.SecondCopies, now, 4*g.set.Tick)
-	if again && len(r.attempts) < g.set.MaxAttempts && g.again >= price && r.until-now > class.Aim/10 {
+	again, within, refuse := class.may(r.attempts, g.set.Hedging, now, 4*g.set.MinEventInterval)
+	if again && len(r.attempts) < g.set.MaxAttempts && g.again >= price && r.until-now > class.LatencyObjective/10 {
 		if next := g.choose(r, within); next != nil {
 			g.again -= price
 			g.send(r, next)
 			return
 		}
 	}
-	delete(g.requests, o.ID)
+	delete(g.requests, o.RequestID)
 	g.giveBack(r)
 	if refuse {
-		g.refuse(o.ID, turnedAway, g.shortAim/2)
+		g.refuse(o.RequestID, turnedAway, g.shortAim/2)
 	} else {
-		g.do.Fail(o.ID)
+		g.do.Fail(o.RequestID)
 	}
 }
 
 // settle books an attempt's end on its backend and its customer.
-func (g *Gateway) settle(r *request, a *attempt, o *Outcome) {
+func (g *Controller) settle(r *request, a *attempt, o *Outcome) {
 	b := a.b
 	b.out--
 	if a.late {
 		b.overdue--
 	}
 	r.c.open--
-	late := o.Took > g.set.Classes[r.Class].Aim
-	if !a.blind && (o.Result == OK || o.Result == Full || o.Result == TimedOut && late) {
+	late := o.Latency > g.set.Classes[r.Class].LatencyObjective
+	if !a.blind && (o.Result == ResultOK || o.Result == ResultOverloaded || o.Result == ResultTimedOut && late) {
 		g.late.add(step(late), learnOne)
 		g.inTime.add(g.awake, second, step(!late))
 	}
-	if o.Result == OK || o.Result == Failed || o.Result == Full {
+	if o.Result == ResultOK || o.Result == ResultFailed || o.Result == ResultOverloaded {
 		b.quiet = g.awake
 	}
-	g.judge(a, r.Class, o.Result, float64(o.Took))
+	g.judge(a, r.Class, o.Result, float64(o.Latency))
 	// Trouble for one plan or class, met once in many seconds at any one backend: all are told, and
 	// prefer others till the word fades. It may hurt where one is avoided by all for too long.
-	if o.Result == Full {
+	if o.Result == ResultOverloaded {
 		g.word(b, len(g.set.Classes)+r.Plan)
-	} else if o.Result == Failed || o.Result == TimedOut && !a.blind {
+	} else if o.Result == ResultFailed || o.Result == ResultTimedOut && !a.blind {
 		g.word(b, r.Class)
 	}
-	g.meter(r.c, o.Metered)
-	if g.set.Settles && o.Result == OK && o.TrueUnits > 0 {
+	g.meter(r.c, o.MeterReading)
+	if g.set.SettlesCost && o.Result == ResultOK && o.ActualCost > 0 {
 		g.refill(r.c)
-		g.take(r.c, r.home, o.TrueUnits-r.Units)
+		g.take(r.c, r.home, o.ActualCost-r.Cost)
 	}
 }
 
 // Timer takes in a timer that was set.
-func (g *Gateway) Timer(now Time, token uint32) {
+func (g *Controller) TimerFired(now Time, token uint32) {
 	g.begin(now)
 	if token != noteToken {
 		g.answered(nil, grant{})
@@ -880,12 +880,12 @@
 		g.talk()
 	}
 	for _, b := range g.backends {
-		if g.set.Probes && b.down && b.listed && b.State == Ready && now >= b.trialAt {
+		if g.set.HealthChecks && b.down && b.listed && b.State == EndpointReady && now >= b.trialAt {
 			b.trialAt = now + healTime
-			g.do.Probe(b.Backend)
+			g.do.HealthCheck(b.ID)
 		}
 	}
-	if g.set.AskMembers && !g.follows && now-g.asked >= g.set.AskWithin/4 {
+	if g.set.PollEndpoints && !g.follows && now-g.asked >= g.set.PollWithin/4 {
 		g.follow()
 	}
 }
--- a/decide/cold_test.go
+++ b/policy/cold_test.go
@@ -1,4 +1,4 @@
-package decide
+package policy
 
 import (
 	"container/heap"
@@ -78,7 +78,7 @@
 
 // coldNode is a gateway and the world that it acts on.
 type coldNode struct {
-	*Gateway
+	*Controller
 	p      *coldPlay
 	self   int
 	life   int
@@ -131,49 +131,51 @@
 	}
 	r, ends := b.serve(at, &p.set, p.rand)
 	if ends > until {
-		r, ends = TimedOut, until
+		r, ends = ResultTimedOut, until
 	}
 	n.later(ends+coldDelay, func() {
-		if r == OK {
+		if r == ResultOK {
 			p.served++
 		}
-		n.Outcome(p.now, Outcome{ID: id, Attempt: number, Backend: backend, Result: r, Took: p.now - at,
-			Over: r == OK || p.now >= n.until[id]})
+		n.AttemptEnded(p.now, Outcome{RequestID: id, Attempt: number, Backend: backend, Result: r, Latency: p.now - at,
+			Answered: r == ResultOK || p.now >= n.until[id]})
 	})
 }
-func (n *coldNode) Refuse(id uint64, after Time)   { n.answer = n.answer || after > 0 }
-func (n *coldNode) Fail(uint64)                    {}
-func (n *coldNode) Count(uint64, float64, Time)    {}
-func (n *coldNode) Follow()                        {}
-func (n *coldNode) Log(string)                     {}
-func (n *coldNode) SetTimer(at Time, token uint32) { n.later(at, func() { n.Timer(n.p.now, token) }) }
-func (n *coldNode) Probe(backend uint32) {
+func (n *coldNode) Reject(id uint64, after Time)           { n.answer = n.answer || after > 0 }
+func (n *coldNode) Fail(uint64)                            {}
+func (n *coldNode) IncrementCounter(uint64, float64, Time) {}
+func (n *coldNode) WatchEndpoints()                        {}
+func (n *coldNode) Log(string)                             {}
+func (n *coldNode) SetTimer(at Time, token uint32) {
+	n.later(at, func() { n.TimerFired(n.p.now, token) })
+}
+func (n *coldNode) HealthCheck(backend uint32) {
 	n.later(n.p.now+coldDelay, func() {
-		r := OK
+		r := ResultOK
 		if n.p.backends[backend-1].gone {
-			r = ConnectFailed
+			r = ResultConnectFailed
 		} else if n.p.backends[backend-1].cut {
-			r = TimedOut
+			r = ResultTimedOut
 		}
-		n.Probed(n.p.now, backend, r, nil)
+		n.HealthCheckEnded(n.p.now, backend, r, nil)
 	})
 }
-func (n *coldNode) Tell(peer int, note []byte) {
+func (n *coldNode) SendGossip(peer int, note []byte) {
 	note = slices.Clone(note)
-	n.p.at(n.p.now+coldDelay, func() { n.p.nodes[peer].Peer(n.p.now, n.self, note) })
+	n.p.at(n.p.now+coldDelay, func() { n.p.nodes[peer].GossipReceived(n.p.now, n.self, note) })
 }
 
 // serve is how and when the backend ends what comes now.
 func (b *hollow) serve(now Time, set *Settings, r *rand.Rand) (Result, Time) {
 	if b.gone {
-		return ConnectFailed, now
+		return ResultConnectFailed, now
 	}
 	if b.cut {
-		return TimedOut, math.MaxInt64
+		return ResultTimedOut, math.MaxInt64
 	}
 	b.ends = slices.DeleteFunc(b.ends, func(at Time) bool { return at <= now })
 	if len(b.ends) >= hollowCores+hollowRoom {
-		return Full, now
+		return ResultOverloaded, now
 	}
 	core := 0
 	for i := range b.free {
@@ -184,7 +186,7 @@
 	took := float64(hollowTime) * (0.5 + r.Float64()) / b.warmth(now, set)
 	b.free[core] = max(now, b.free[core]) + Time(took)
 	b.ends = append(b.ends, b.free[core])
-	return OK, b.free[core]
+	return ResultOK, b.free[core]
 }
 
 // warmth is the part of its capacity that it has.
@@ -192,19 +194,19 @@
 	if b.starts == 0 {
 		return 1
 	}
-	age := float64(max(0, now-b.starts)) / float64(set.ColdTime)
-	return math.Min(1, set.ColdFrom+(1-set.ColdFrom)*age)
+	age := float64(max(0, now-b.starts)) / float64(set.SlowStartTime)
+	return math.Min(1, set.SlowStartFloor+(1-set.SlowStartFloor)*age)
 }
 
 // list is what discovery tells, or told before the start.
-func (p *coldPlay) list(old bool) []Member {
-	var list []Member
+func (p *coldPlay) list(old bool) []Endpoint {
+	var list []Endpoint
 	for i, b := range p.backends {
-		m := Member{Backend: uint32(i + 1), Zone: i % 2, Started: b.starts}
+		m := Endpoint{ID: uint32(i + 1), Zone: i % 2, StartedAt: b.starts}
 		if old {
-			m.Started = 0
+			m.StartedAt = 0
 		} else if b.gone {
-			m.State = Left
+			m.State = EndpointRemoved
 		}
 		list = append(list, m)
 	}
@@ -221,8 +223,8 @@
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	n.Gateway, p.nodes[self] = g, n
-	g.Members(p.now, Whole, p.list(false))
+	n.Controller, p.nodes[self] = g, n
+	g.UpdateEndpoints(p.now, UpdateComplete, p.list(false))
 }
 
 // tell has all gateways hear of the back end as it is, some later.
@@ -234,21 +236,21 @@
 		}
 		p.at(at, func() {
 			p.nodes[i].told = true
-			p.nodes[i].Members(p.now, Whole, p.list(false))
+			p.nodes[i].UpdateEndpoints(p.now, UpdateComplete, p.list(false))
 		})
 	}
 }
 
 // tellAll has all gateways hear a list at once that has the cold backends in a state.
-func (p *coldPlay) tellAll(state State) {
+func (p *coldPlay) tellAll(state EndpointState) {
 	list := p.list(false)
 	for i := range list {
-		if list[i].Started > 0 {
+		if list[i].StartedAt > 0 {
 			list[i].State = state
 		}
 	}
 	for _, n := range p.nodes {
-		n.Members(p.now, Whole, list)
+		n.UpdateEndpoints(p.now, UpdateComplete, list)
 	}
 }
 
@@ -278,7 +280,7 @@
 		n, id := p.nodes[to], uint64(p.seq)
 		p.asked++
 		n.answer, n.until[id] = false, p.now+2*second
-		n.Request(p.now, Request{ID: id, Customer: uint64(p.rand.IntN(20)), Units: 1, Grace: 2 * second, First: to, Spread: 1})
+		n.RequestReceived(p.now, Request{ID: id, Customer: uint64(p.rand.IntN(20)), Cost: 1, Timeout: 2 * second, FirstReplica: to, Replicas: 1})
 		if !n.answer {
 			p.t.Errorf("request %d was neither sent nor refused with advice at once", id)
 		}
@@ -326,7 +328,7 @@
 			p.at(at, func() {
 				for i, n := range p.nodes {
 					if n.told {
-						n.Members(p.now, Whole, p.list((int(at/(second/4))+i)%2 == 0))
+						n.UpdateEndpoints(p.now, UpdateComplete, p.list((int(at/(second/4))+i)%2 == 0))
 					}
 				}
 			})
@@ -350,20 +352,20 @@
 		}
 		ahead, mine := 0, 0.0
 		for i, s := range b.sent {
-			for ahead < len(b.sent) && b.sent[ahead].at <= s.at+p.set.TipAfter {
+			for ahead < len(b.sent) && b.sent[ahead].at <= s.at+p.set.OverloadWindow {
 				mine += step(b.sent[ahead].told)
 				ahead++
 			}
 			sum, sumTold := float64(ahead-i), mine
 			mine -= step(s.told)
-			if s.at < b.starts || s.at >= b.starts+p.set.ColdTime {
+			if s.at < b.starts || s.at >= b.starts+p.set.SlowStartTime {
 				continue
 			}
 			warmth := b.warmth(s.at, &p.set)
 			if strict {
-				warmth = p.set.ColdFrom
+				warmth = p.set.SlowStartFloor
 			}
-			n := p.set.Overload * warmth * hollowFull * float64(p.set.TipAfter) / float64(second)
+			n := p.set.OverloadFactor * warmth * hollowFull * float64(p.set.OverloadWindow) / float64(second)
 			n += 2*math.Sqrt(n) + 2
 			if x := sum / n; x > worst && sumTold > sum*2/3 {
 				worst, told, all, budget = x, sumTold, sum, n
@@ -392,9 +394,9 @@
 
 func coldSettings() Settings {
 	set := settings()
-	set.ColdFrom, set.ColdTime, set.Overload, set.TipAfter = 0.27, 16*second, 2.5, 3*second
-	set.Classes = []Class{{Aim: second / 2, Effect: Safe, Worth: 1}}
-	set.Plans = []Plan{{Price: 1, BeyondCosts: 1}}
+	set.SlowStartFloor, set.SlowStartTime, set.OverloadFactor, set.OverloadWindow = 0.27, 16*second, 2.5, 3*second
+	set.Classes = []Class{{LatencyObjective: second / 2, Idempotency: Idempotent, PriorityWeight: 1}}
+	set.Plans = []Plan{{ValueFactor: 1, OverageCost: 1}}
 	return set
 }
 
@@ -429,7 +431,7 @@
 			p.tell()
 		}
 	}
-	early := func(set *Settings) { set.Overload, set.ColdFrom = 1.5, 0.15 }
+	early := func(set *Settings) { set.OverloadFactor, set.SlowStartFloor = 1.5, 0.15 }
 	rise := func(age Time) float64 { return 0.2 + 0.8*step(age > 6*second) }
 	cases := []coldCase{
 		{name: "even", cold: 0.2},
@@ -459,17 +461,17 @@
 			})
 		}},
 		{name: "few backends, arcs", cold: 0.5, backends: 12, price: 0.08, uneven: true, load: over},
-		{name: "tips early", cold: 0.5, load: full, set: func(set *Settings) { set.Overload, set.TipAfter = 1.1, 6*second }},
+		{name: "tips early", cold: 0.5, load: full, set: func(set *Settings) { set.OverloadFactor, set.OverloadWindow = 1.1, 6*second }},
 		{name: "an older list has them drain", cold: 0.3, load: full, avoided: true, then: func(p *coldPlay) {
-			p.at(p.now+second/4, func() { p.tellAll(Draining) })
-			p.at(p.now+7*second, func() { p.tellAll(Ready) })
+			p.at(p.now+second/4, func() { p.tellAll(EndpointDraining) })
+			p.at(p.now+7*second, func() { p.tellAll(EndpointReady) })
 		}},
-		{name: "short span", cold: 0.3, load: burst, set: func(set *Settings) { set.TipAfter = second }},
+		{name: "short span", cold: 0.3, load: burst, set: func(set *Settings) { set.OverloadWindow = second }},
 		{name: "an older list without them, then one from before", cold: 0.3, load: full, set: early, then: func(p *coldPlay) {
-			p.at(p.now+second/10, func() { p.tellAll(Left) })
+			p.at(p.now+second/10, func() { p.tellAll(EndpointRemoved) })
 			p.at(p.now+second/5, func() {
 				for _, n := range p.nodes {
-					n.Members(p.now, Whole, p.list(true))
+					n.UpdateEndpoints(p.now, UpdateComplete, p.list(true))
 				}
 			})
 		}},
@@ -500,18 +502,18 @@
 	set.Gateways, set.HandshakePrice = 80, 0.08
 	r := newRig(t, set)
 	list := members(20)
-	r.Members(r.at, Whole, list)
+	r.UpdateEndpoints(r.at, UpdateComplete, list)
 	for range 200 {
 		r.at += second / 20
 		r.serve(0, 1, 9, 1)
 	}
 	for i := range list {
-		if r.byID[list[i].Backend].near {
-			list[i].Started = r.at
+		if r.byID[list[i].ID].near {
+			list[i].StartedAt = r.at
 		}
 	}
 	before := r.pace.get(r.at, paceTime)
-	r.Members(r.at, Whole, list)
+	r.UpdateEndpoints(r.at, UpdateComplete, list)
 	sent := 0
 	for i := range 100 {
 		r.at += second / 20
--- a/decide/decide_test.go
+++ b/policy/controller_test.go
@@ -1,4 +1,4 @@
-package decide
+package policy
 
 import (
 	"fmt"
@@ -23,14 +23,16 @@
 	f.note("send %d to %d", id, backend)
 	f.waits = append(f.waits, until)
 }
-func (f *fake) Refuse(id uint64, after Time)              { f.note("refuse %d after %d", id, after) }
-func (f *fake) Fail(id uint64)                            { f.note("fail %d", id) }
-func (f *fake) SetTimer(at Time, token uint32)            { f.note("timer %d", at) }
-func (f *fake) Probe(backend uint32)                      { f.note("probe %d", backend) }
-func (f *fake) Tell(peer int, note []byte)                { f.note("tell %d %x", peer, note) }
-func (f *fake) Count(name uint64, add float64, life Time) { f.note("count %d %g", name, add) }
-func (f *fake) Follow()                                   { f.note("follow") }
-func (f *fake) Log(line string)                           { f.note("log %s", line) }
+func (f *fake) Reject(id uint64, after Time)     { f.note("refuse %d after %d", id, after) }
+func (f *fake) Fail(id uint64)                   { f.note("fail %d", id) }
+func (f *fake) SetTimer(at Time, token uint32)   { f.note("timer %d", at) }
+func (f *fake) HealthCheck(backend uint32)       { f.note("probe %d", backend) }
+func (f *fake) SendGossip(peer int, note []byte) { f.note("tell %d %x", peer, note) }
+func (f *fake) IncrementCounter(name uint64, add float64, life Time) {
+	f.note("count %d %g", name, add)
+}
+func (f *fake) WatchEndpoints() { f.note("follow") }
+func (f *fake) Log(line string) { f.note("log %s", line) }
 
 func (f *fake) count(prefix string) int {
 	n := 0
@@ -55,25 +57,25 @@
 
 func settings() Settings {
 	return Settings{
-		Gateways: 2, Peers: true, Probes: true, RetryAfter: true, MailPerSecond: 60,
-		MaxAttempts: 3, MaxRetryAfter: second, Tick: 4000,
-		ColdFrom: 0.2, ColdTime: 10 * second, TipAfter: second,
+		Gateways: 2, Gossip: true, HealthChecks: true, RetryAfterAdvice: true, GossipPerSecond: 60,
+		MaxAttempts: 3, MaxRetryAfter: second, MinEventInterval: 4000,
+		SlowStartFloor: 0.2, SlowStartTime: 10 * second, OverloadWindow: second,
 		Classes: []Class{
-			{Aim: second / 2, Effect: Safe, Worth: 1},
-			{Aim: second, Effect: Unsafe, Worth: 5},
-			{Aim: second, Effect: Keyed, Group: GroupCell, Window: second, Worth: 3},
+			{LatencyObjective: second / 2, Idempotency: Idempotent, PriorityWeight: 1},
+			{LatencyObjective: second, Idempotency: NotIdempotent, PriorityWeight: 5},
+			{LatencyObjective: second, Idempotency: IdempotentWithKey, DedupScope: DedupCell, DedupWindow: second, PriorityWeight: 3},
 		},
 		Plans: []Plan{
-			{Rate: 2, Burst: 8, Price: 1, BeyondCosts: 1},
-			{Rate: 10, Burst: 20, Price: 1, BeyondEarns: 0.3},
-			{Rate: 4, Burst: 8, Price: 1, BeyondEarns: 0.3, CeilingRate: 8, CeilingBurst: 16, CeilingSlack: 2},
+			{Rate: 2, Burst: 8, ValueFactor: 1, OverageCost: 1},
+			{Rate: 10, Burst: 20, ValueFactor: 1, OverageRevenue: 0.3},
+			{Rate: 4, Burst: 8, ValueFactor: 1, OverageRevenue: 0.3, CeilingRate: 8, CeilingBurst: 16, CeilingSlack: 2},
 		},
 	}
 }
 
 // rig is a gateway with four backends, of two cells, that has run for a while.
 type rig struct {
-	*Gateway
+	*Controller
 	*fake
 	t    *testing.T
 	at   Time
@@ -89,16 +91,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{Gateway: g, fake: f, t: t, at: start}
-	g.Members(start, Cached, members(4))
+	r := &rig{Controller: g, fake: f, t: t, at: start}
+	g.UpdateEndpoints(start, UpdateStale, members(4))
 	r.at += second
 	return r
 }
 
-func members(n int) []Member {
-	var list []Member
+func members(n int) []Endpoint {
+	var list []Endpoint
 	for i := range n {
-		list = append(list, Member{Backend: uint32(i + 1), Cell: i % 2})
+		list = append(list, Endpoint{ID: uint32(i + 1), Cell: i % 2})
 	}
 	return list
 }
@@ -108,8 +110,8 @@
 func (r *rig) ask(class, plan int, customer uint64, units float64) (uint64, bool) {
 	r.next++
 	before := r.fake.count("send")
-	r.Request(r.at, Request{ID: r.next, Class: class, Plan: plan, Customer: customer, Units: units,
-		Grace: 2 * second, Spread: 2})
+	r.RequestReceived(r.at, Request{ID: r.next, Class: class, Plan: plan, Customer: customer, Cost: units,
+		Timeout: 2 * second, Replicas: 2})
 	return r.next, r.fake.count("send") > before
 }
 
@@ -120,15 +122,15 @@
 		r.t.Fatalf("request %d is not held", id)
 	}
 	n := len(q.attempts) - 1
-	r.Outcome(r.at, Outcome{ID: id, Attempt: n, Backend: q.attempts[n].b.Backend, Result: result,
-		Took: second / 10, Over: over})
+	r.AttemptEnded(r.at, Outcome{RequestID: id, Attempt: n, Backend: q.attempts[n].b.ID, Result: result,
+		Latency: second / 10, Answered: over})
 }
 
 // serve asks and has it answered at once.
 func (r *rig) serve(class, plan int, customer uint64, units float64) bool {
 	id, sent := r.ask(class, plan, customer, units)
 	if sent {
-		r.end(id, OK, true)
+		r.end(id, ResultOK, true)
 	}
 	return sent
 }
@@ -212,15 +214,15 @@
 	for id := range uint64(3000) {
 		r.serve(0, 0, id, 1)
 		r.at += second / 50
-		r.Timer(r.at, 0)
+		r.TimerFired(r.at, 0)
 	}
 	if n := len(r.customers); n > 2500 {
 		t.Errorf("%d customers are kept of 3000 that came once in a minute", n)
 	}
 	r.at += 60 * second
-	r.Timer(r.at, 0)
+	r.TimerFired(r.at, 0)
 	r.at += 60 * second
-	r.Timer(r.at, 0)
+	r.TimerFired(r.at, 0)
 	if n := len(r.customers) + len(r.order); n != 0 {
 		t.Errorf("%d records are kept of idle customers", n)
 	}
@@ -234,7 +236,7 @@
 func tellAll(from, to *rig) {
 	from.done = nil
 	from.at += second / 10
-	from.Timer(from.at, 0)
+	from.TimerFired(from.at, 0)
 	carry(from, to)
 }
 
@@ -247,7 +249,7 @@
 		var peer int
 		var note []byte
 		if n, _ := fmt.Sscanf(line, "tell %d %x", &peer, &note); n == 2 && peer == to.set.Self {
-			to.Peer(to.at, from.set.Self, note)
+			to.GossipReceived(to.at, from.set.Self, note)
 		}
 	}
 }
@@ -281,12 +283,12 @@
 		c := a.customers[9]
 		notes = append(notes, (&entry{id: 9, plan: 1, spread: 2, taken: counted(c.taken), left: 0.5}).put(a.noteHead()))
 	}
-	b.Peer(b.at, 0, notes[0])
+	b.GossipReceived(b.at, 0, notes[0])
 	level := b.customers[9].store.level
-	b.Peer(b.at, 0, notes[2]) // the second is lost
+	b.GossipReceived(b.at, 0, notes[2]) // the second is lost
 	near(t, "level after 8 more units", b.customers[9].store.level, level-8)
-	b.Peer(b.at, 0, notes[2])
-	b.Peer(b.at, 0, notes[1])
+	b.GossipReceived(b.at, 0, notes[2])
+	b.GossipReceived(b.at, 0, notes[1])
 	near(t, "level after a repeat and a late note", b.customers[9].store.level, level-8)
 }
 
@@ -297,10 +299,10 @@
 	bad[0]++
 	plan := (&entry{id: 9, plan: 200, spread: 2}).put(noteHead(1, 0, 0))
 	for _, note := range [][]byte{nil, {1}, good[:len(good)-1], append(slices.Clone(good), 0), bad, plan} {
-		b.Peer(b.at, 0, note)
+		b.GossipReceived(b.at, 0, note)
 	}
 	for _, from := range []int{-1, 1, 2} {
-		b.Peer(b.at, from, good)
+		b.GossipReceived(b.at, from, good)
 	}
 	if len(b.customers) != 0 {
 		t.Error("a malformed note made a record")
@@ -337,9 +339,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{Gateway: again, fake: again.do.(*fake), t: t, at: b.at}
-	r.Members(r.at, Cached, members(4))
-	b.Peer(b.at, 0, again.noteHead()) // its greeting
+	r := &rig{Controller: again, fake: again.do.(*fake), t: t, at: b.at}
+	r.UpdateEndpoints(r.at, UpdateStale, members(4))
+	b.GossipReceived(b.at, 0, again.noteHead()) // its greeting
 	tellAll(b, r)
 	if r.serve(0, 0, 9, 2) {
 		t.Error("the restarted gateway gave the spent burst out again")
@@ -348,41 +350,41 @@
 
 func TestCounterStandsInForNotes(t *testing.T) {
 	set := settings()
-	set.Peers, set.Counter = false, true
+	set.Gossip, set.SharedCounter = false, true
 	r := newRig(t, set)
 	r.serve(0, 0, 9, 2)
-	r.Timer(r.at, 0)
+	r.TimerFired(r.at, 0)
 	if r.fake.count("count 9 2") != 1 {
 		t.Fatal("use was not counted")
 	}
-	r.Counted(r.at, 9, OK, 2)
+	r.CounterAnswered(r.at, 9, ResultOK, 2)
 	near(t, "level", r.customers[9].store.level, 6)
 	r.serve(0, 0, 9, 2)
-	r.Timer(r.at, 0)
-	r.Counted(r.at, 9, OK, 7)
+	r.TimerFired(r.at, 0)
+	r.CounterAnswered(r.at, 9, ResultOK, 7)
 	near(t, "level after 3 units by others", r.customers[9].store.level, 1)
-	r.Counted(r.at, 9, OK, 100) // no call is out
+	r.CounterAnswered(r.at, 9, ResultOK, 100) // no call is out
 	near(t, "level after a stray answer", r.customers[9].store.level, 1)
 }
 
 func TestMeterSetsTheSlice(t *testing.T) {
 	set := settings()
-	set.Peers, set.MeterPeriod = false, second
+	set.Gossip, set.MeterPeriod = false, second
 	r := newRig(t, set)
 	id, _ := r.ask(0, 1, 9, 5)
 	near(t, "slice before a reading", r.part(r.customers[9]), 0.5)
-	b := r.requests[id].attempts[0].b.Backend
-	r.Outcome(r.at, Outcome{ID: id, Backend: b, Result: OK, Took: 1, Over: true, Metered: 201})
+	b := r.requests[id].attempts[0].b.ID
+	r.AttemptEnded(r.at, Outcome{RequestID: id, Backend: b, Result: ResultOK, Latency: 1, Answered: true, MeterReading: 201})
 	near(t, "slice with a quarter of the use", r.part(r.customers[9]), 0.25)
 }
 
 func TestSettledUnitsAndOpenLimit(t *testing.T) {
 	set := settings()
-	set.Gateways, set.Settles = 1, true
-	set.Plans[0].OpenLimit = 2
+	set.Gateways, set.SettlesCost = 1, true
+	set.Plans[0].ConcurrencyLimit = 2
 	r := newRig(t, set)
 	id, _ := r.ask(0, 0, 9, 2)
-	r.Outcome(r.at, Outcome{ID: id, Backend: r.requests[id].attempts[0].b.Backend, Result: OK, Took: 1, Over: true, TrueUnits: 5})
+	r.AttemptEnded(r.at, Outcome{RequestID: id, Backend: r.requests[id].attempts[0].b.ID, Result: ResultOK, Latency: 1, Answered: true, ActualCost: 5})
 	near(t, "store after 5 true units", r.customers[9].store.level, 8.0/1-5)
 	r.ask(0, 0, 8, 1)
 	r.ask(0, 0, 8, 1)
@@ -401,8 +403,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		g.Members(at, Cached, members(4))
-		return &rig{Gateway: g, fake: g.do.(*fake), t: t}
+		g.UpdateEndpoints(at, UpdateStale, members(4))
+		return &rig{Controller: g, fake: g.do.(*fake), t: t}
 	}
 	gateways := []*rig{born(0, start), born(1, start)}
 	sent, lowest := 0.0, 0.0
@@ -430,11 +432,11 @@
 }
 
 func TestMay(t *testing.T) {
-	x, y := &backend{Member: Member{Cell: 1}}, &backend{Member: Member{Cell: 2}}
+	x, y := &backend{Endpoint: Endpoint{Cell: 1}}, &backend{Endpoint: Endpoint{Cell: 2}}
 	ran, unran := &attempt{b: x, at: start, mayRun: true}, &attempt{b: y, at: start}
 	out := &attempt{b: x, at: start, mayRun: true, pending: true}
-	safe, unsafe := &Class{Effect: Safe}, &Class{Effect: Unsafe}
-	cell, all := &Class{Effect: Keyed, Group: GroupCell, Window: second}, &Class{Effect: Keyed, Window: second}
+	safe, unsafe := &Class{Idempotency: Idempotent}, &Class{Idempotency: NotIdempotent}
+	cell, all := &Class{Idempotency: IdempotentWithKey, DedupScope: DedupCell, DedupWindow: second}, &Class{Idempotency: IdempotentWithKey, DedupWindow: second}
 	for _, c := range []struct {
 		name          string
 		class         *Class
@@ -469,11 +471,11 @@
 		result Result
 		want   string
 	}{
-		{"safe after an error goes on", 0, Failed, "send"},
-		{"unsafe after an error fails", 1, Failed, "fail"},
-		{"unsafe turned away goes on", 1, Full, "send"},
-		{"unsafe without connection goes on", 1, ConnectFailed, "send"},
-		{"keyed by cell after a reset goes on", 2, Reset, "send"},
+		{"safe after an error goes on", 0, ResultFailed, "send"},
+		{"unsafe after an error fails", 1, ResultFailed, "fail"},
+		{"unsafe turned away goes on", 1, ResultOverloaded, "send"},
+		{"unsafe without connection goes on", 1, ResultConnectFailed, "send"},
+		{"keyed by cell after a reset goes on", 2, ResultReset, "send"},
 	} {
 		r := newRig(t, settings())
 		id, _ := r.ask(c.class, 1, 9, 1)
@@ -487,11 +489,11 @@
 			continue
 		}
 		if second := r.requests[id].attempts[1].b; second == first || c.class == 2 && second.Cell != first.Cell {
-			t.Errorf("%s: to backend %d of cell %d", c.name, second.Backend, second.Cell)
+			t.Errorf("%s: to backend %d of cell %d", c.name, second.ID, second.Cell)
 		}
 		for r.requests[id] != nil {
 			r.at += second
-			r.end(id, TimedOut, false)
+			r.end(id, ResultTimedOut, false)
 		}
 		finals := r.fake.count("fail") + r.fake.count("refuse")
 		if finals != 1 {
@@ -504,18 +506,18 @@
 	r := newRig(t, settings())
 	id, _ := r.ask(0, 1, 9, 1)
 	before := len(r.done)
-	r.Outcome(r.at, Outcome{ID: 999})
-	r.Outcome(r.at, Outcome{ID: id, Attempt: 4})
-	r.Outcome(r.at, Outcome{ID: id, Attempt: -1})
-	r.Gone(r.at, 999)
-	r.Timer(r.at, 77)
-	r.Probed(r.at, 99, OK, nil)
-	r.Counted(r.at, 5, OK, 1)
+	r.AttemptEnded(r.at, Outcome{RequestID: 999})
+	r.AttemptEnded(r.at, Outcome{RequestID: id, Attempt: 4})
+	r.AttemptEnded(r.at, Outcome{RequestID: id, Attempt: -1})
+	r.RequestCancelled(r.at, 999)
+	r.TimerFired(r.at, 77)
+	r.HealthCheckEnded(r.at, 99, ResultOK, nil)
+	r.CounterAnswered(r.at, 5, ResultOK, 1)
 	if len(r.done) != before {
 		t.Errorf("stale events acted: %v", r.done[before:])
 	}
-	r.Gone(r.at, id)
-	r.end(id, Reset, true)
+	r.RequestCancelled(r.at, id)
+	r.end(id, ResultReset, true)
 	if r.requests[id] != nil || r.fake.count("fail")+r.fake.count("refuse") != 0 {
 		t.Error("a request whose client left was answered or kept")
 	}
@@ -523,16 +525,16 @@
 
 func TestNothingGoesToADrainingOrGoneBackend(t *testing.T) {
 	for _, news := range []struct {
-		news News
-		list []Member
+		news UpdateKind
+		list []Endpoint
 	}{
-		{Changed, []Member{{Backend: 1, State: Draining}, {Backend: 2, State: Left}}},
-		{Whole, []Member{{Backend: 3}, {Backend: 4, Cell: 1}}},
+		{UpdateIncremental, []Endpoint{{ID: 1, State: EndpointDraining}, {ID: 2, State: EndpointRemoved}}},
+		{UpdateComplete, []Endpoint{{ID: 3}, {ID: 4, Cell: 1}}},
 	} {
 		r := newRig(t, settings())
-		r.Members(r.at, news.news, news.list)
+		r.UpdateEndpoints(r.at, news.news, news.list)
 		for i := range uint64(30) {
-			if id, sent := r.ask(0, 1, i, 1); sent && r.requests[id].attempts[0].b.Backend < 3 {
+			if id, sent := r.ask(0, 1, i, 1); sent && r.requests[id].attempts[0].b.ID < 3 {
 				t.Fatal("sent to a backend that drains or is gone")
 			}
 		}
@@ -550,18 +552,18 @@
 		for i := range seconds * 100 {
 			r.at += second / 100
 			if id, sent := r.ask(0, 1, uint64(i), 1); sent {
-				got[r.requests[id].attempts[0].b.Backend]++
+				got[r.requests[id].attempts[0].b.ID]++
 				out = append(out, id)
 			}
 			for len(out) > 0 && r.at-r.requests[out[0]].attempts[0].at >= second/10 {
-				r.end(out[0], OK, true)
+				r.end(out[0], ResultOK, true)
 				out = out[1:]
 			}
 		}
 		return got
 	}
 	load(8)
-	r.Members(r.at, Changed, []Member{{Backend: 4, Cell: 1, Started: r.at}})
+	r.UpdateEndpoints(r.at, UpdateIncremental, []Endpoint{{ID: 4, Cell: 1, StartedAt: r.at}})
 	got := load(1)
 	warm := float64(got[1]+got[2]+got[3]) / 3
 	if cold := float64(got[4]); cold > 0.6*warm || cold == 0 {
@@ -570,9 +572,9 @@
 	// All cold at once: the budget holds all the same.
 	list := members(4)
 	for i := range list {
-		list[i].Started = r.at
+		list[i].StartedAt = r.at
 	}
-	r.Members(r.at, Whole, list)
+	r.UpdateEndpoints(r.at, UpdateComplete, list)
 	got = load(1)
 	if n := got[1] + got[2] + got[3] + got[4]; n > 60 {
 		t.Errorf("%d of 100 sent on to backends that are all cold", n)
@@ -583,13 +585,13 @@
 	r := newRig(t, settings())
 	id, _ := r.ask(0, 1, 9, 1)
 	b := r.requests[id].attempts[0].b
-	r.end(id, ConnectFailed, false)
+	r.end(id, ResultConnectFailed, false)
 	r.at += second
-	r.Timer(r.at, 0)
-	if r.fake.count(fmt.Sprintf("probe %d", b.Backend)) != 1 {
+	r.TimerFired(r.at, 0)
+	if r.fake.count(fmt.Sprintf("probe %d", b.ID)) != 1 {
 		t.Fatal("the broken backend was not probed")
 	}
-	r.Probed(r.at, b.Backend, OK, nil)
+	r.HealthCheckEnded(r.at, b.ID, ResultOK, nil)
 	if r.sick(b) || r.share(b) == 1 {
 		t.Error("a backend whose connections broke must come back, and for cold")
 	}
@@ -601,22 +603,22 @@
 	r := newRig(t, settings())
 	id, _ := r.ask(0, 1, 9, 1)
 	b := r.requests[id].attempts[0].b
-	r.end(id, Reset, true)
+	r.end(id, ResultReset, true)
 	if b.down || r.sick(b) {
 		t.Error("left out after a single reset")
 	}
 	r.at += 10 * second
-	r.Timer(r.at, 0)
-	if r.broke(b, Reset) || b.down {
+	r.TimerFired(r.at, 0)
+	if r.broke(b, ResultReset) || b.down {
 		t.Error("left out for two resets long apart")
 	}
 	for range 3 {
-		r.broke(b, Reset)
+		r.broke(b, ResultReset)
 	}
 	if !b.down {
 		t.Fatal("kept after many resets at once")
 	}
-	r.Probed(r.at, b.Backend, OK, nil)
+	r.HealthCheckEnded(r.at, b.ID, ResultOK, nil)
 	if b.down || r.share(b) < 1 {
 		t.Error("one whose connections were only reset came back for cold")
 	}
@@ -629,16 +631,16 @@
 	b := r.requests[stuck].attempts[0].b
 	for i := range 150 {
 		r.at += second / 100
-		r.Timer(r.at, 0)
+		r.TimerFired(r.at, 0)
 		if id, sent := r.ask(0, 1, uint64(i), 1); sent && r.requests[id].attempts[0].b != b {
-			r.end(id, OK, true)
+			r.end(id, ResultOK, true)
 		}
 	}
 	if !b.down || !r.sick(b) {
 		t.Error("a backend that answers nothing for several aims is still used")
 	}
 	r.at += second
-	r.Probed(r.at, b.Backend, OK, nil)
+	r.HealthCheckEnded(r.at, b.ID, ResultOK, nil)
 	if r.sick(b) || r.share(b) != 1 {
 		t.Error("a backend that was only silent must come back warm")
 	}
@@ -672,10 +674,10 @@
 		r.at += second / 100
 		id, sent := r.ask(0, 1, uint64(i), 1)
 		for sent && r.requests[id] != nil {
-			if q := r.requests[id]; q.attempts[len(q.attempts)-1].b.Backend == 2 {
-				r.end(id, Failed, false)
+			if q := r.requests[id]; q.attempts[len(q.attempts)-1].b.ID == 2 {
+				r.end(id, ResultFailed, false)
 			} else {
-				r.end(id, OK, true)
+				r.end(id, ResultOK, true)
 			}
 		}
 	}
@@ -684,7 +686,7 @@
 	}
 	b := r.byID[2]
 	for range 5 {
-		r.judge(&attempt{b: b}, 0, Failed, 1)
+		r.judge(&attempt{b: b}, 0, ResultFailed, 1)
 	}
 	if b.errs < sickShare || r.fake.count("log backend 2 out: errors") == 0 {
 		t.Errorf("errors %g", b.errs)
@@ -693,14 +695,14 @@
 
 func TestAskedDiscoveryIsAskedAgain(t *testing.T) {
 	set := settings()
-	set.AskMembers, set.AskWithin = true, 10*second
+	set.PollEndpoints, set.PollWithin = true, 10*second
 	r := newRig(t, set)
-	r.Members(r.at, Unheard, nil)
+	r.UpdateEndpoints(r.at, UpdateUnavailable, nil)
 	if r.fake.count("follow") != 1 {
 		t.Fatal("discovery was not asked at the start")
 	}
 	r.at += 4 * second
-	r.Timer(r.at, 0)
+	r.TimerFired(r.at, 0)
 	if r.fake.count("follow") != 2 {
 		t.Error("discovery was not asked again after a failure")
 	}
@@ -716,7 +718,7 @@
 				r.end(id, Result(i*i%5), i*i%5 == 0)
 			}
 			if i%10 == 0 {
-				r.Timer(r.at, 0)
+				r.TimerFired(r.at, 0)
 			}
 		}
 		return r.done
@@ -732,7 +734,7 @@
 		"self":           func(s *Settings) { s.Self = 2 },
 		"classes":        func(s *Settings) { s.Classes = nil },
 		"plans":          func(s *Settings) { s.Plans = nil },
-		"classes[1].aim": func(s *Settings) { s.Classes[1].Aim = 0 },
+		"classes[1].aim": func(s *Settings) { s.Classes[1].LatencyObjective = 0 },
 		"plans[0]":       func(s *Settings) { s.Plans[0].Burst = 0 },
 	} {
 		set := settings()
@@ -749,7 +751,7 @@
 func wideRigs(t *testing.T) (home, member *rig) {
 	set := settings()
 	set.Gateways = 12
-	set.Plans[1].Rate, set.Plans[1].Burst, set.Plans[1].BeyondEarns = 20, 40, 0
+	set.Plans[1].Rate, set.Plans[1].Burst, set.Plans[1].OverageRevenue = 20, 40, 0
 	probe := newRig(t, set)
 	first := func(id uint64) int { return 12 - probe.home(&customer{id: id, spread: 12}, 0) }
 	home = newRig(t, set)
@@ -766,8 +768,8 @@
 func askWide(home, member *rig, plan int, customer uint64) bool {
 	member.next++
 	member.done = nil
-	member.Request(member.at, Request{ID: member.next, Plan: plan, Customer: customer, Units: 1,
-		Grace: 2 * second, First: member.firsts[customer], Spread: 12})
+	member.RequestReceived(member.at, Request{ID: member.next, Plan: plan, Customer: customer, Cost: 1,
+		Timeout: 2 * second, FirstReplica: member.firsts[customer], Replicas: 12})
 	sent := slices.Clone(member.done)
 	carry(member, home)
 	home.done = slices.DeleteFunc(home.done, func(l string) bool { return !strings.HasPrefix(l, "tell 5 ") })
@@ -775,7 +777,7 @@
 	if !slices.ContainsFunc(append(sent, member.done...), func(l string) bool { return strings.HasPrefix(l, "send") }) {
 		return false
 	}
-	member.end(member.next, OK, true)
+	member.end(member.next, ResultOK, true)
 	return true
 }
 
@@ -802,7 +804,7 @@
 			}
 			tellAll(member, home)
 			home.at = member.at
-			home.Timer(home.at, 0)
+			home.TimerFired(home.at, 0)
 			carry(home, member)
 		}
 		if got := float64(sent) / 30; math.Abs(got-c.rate) > c.slack*c.rate {
@@ -830,7 +832,7 @@
 						r.done = append(r.done, l)
 						continue
 					}
-					rigs[to].Peer(max(r.at, rigs[to].at), from, note)
+					rigs[to].GossipReceived(max(r.at, rigs[to].at), from, note)
 					carried = true
 				}
 			}
@@ -843,8 +845,8 @@
 func TestHomesHoldOneQuotaAndCeilingTogether(t *testing.T) {
 	for _, gateways := range []int{7, 12, 80} {
 		set := settings()
-		set.Gateways, set.MailPerSecond, set.MaxUnits = gateways, 40, 8
-		set.Plans[0] = Plan{Name: "large", Rate: 40, Burst: 64, CeilingRate: 80, CeilingBurst: 128, CeilingSlack: 12, Price: 1}
+		set.Gateways, set.GossipPerSecond, set.MaxCost = gateways, 40, 8
+		set.Plans[0] = Plan{Name: "large", Rate: 40, Burst: 64, CeilingRate: 80, CeilingBurst: 128, CeilingSlack: 12, ValueFactor: 1}
 		rigs, settle := fleet(t, set)
 		settle()
 		homes := rigs[0].homes(&customer{id: 9, plan: 0, spread: gateways})
@@ -862,11 +864,11 @@
 			r.at = start + second + Time(i)*second/50
 			r.next++
 			r.done = nil
-			r.Request(r.at, Request{ID: r.next, Customer: 9, Units: 2, Grace: 4 * second, Spread: gateways})
+			r.RequestReceived(r.at, Request{ID: r.next, Customer: 9, Cost: 2, Timeout: 4 * second, Replicas: gateways})
 			settle()
 			if slices.ContainsFunc(r.done, func(l string) bool { return strings.HasPrefix(l, "send") }) {
 				sent += 2
-				r.Outcome(r.at, Outcome{ID: r.next, Backend: r.requests[r.next].attempts[0].b.Backend, Result: OK, Over: true})
+				r.AttemptEnded(r.at, Outcome{RequestID: r.next, Backend: r.requests[r.next].attempts[0].b.ID, Result: ResultOK, Answered: true})
 			}
 		}
 		var quota, ceiling bank
@@ -891,8 +893,8 @@
 // Guards against a request that waits twice for a home that has ended: it asks another one.
 func TestAnotherHomeIsAskedWhereOneIsSilent(t *testing.T) {
 	set := settings()
-	set.Gateways, set.MailPerSecond, set.MaxUnits = 12, 40, 8
-	set.Plans[0] = Plan{Name: "large", Rate: 40, Burst: 64, Price: 1}
+	set.Gateways, set.GossipPerSecond, set.MaxCost = 12, 40, 8
+	set.Plans[0] = Plan{Name: "large", Rate: 40, Burst: 64, ValueFactor: 1}
 	c := &customer{id: 9, plan: 0, spread: 12}
 	for set.Self = 0; newRig(t, set).keeps(c); set.Self++ {
 	}
@@ -906,22 +908,22 @@
 		return to
 	}
 	r.done = nil
-	r.Request(r.at, Request{ID: 1, Customer: 9, Units: 2, Grace: 4 * second, Spread: 12})
+	r.RequestReceived(r.at, Request{ID: 1, Customer: 9, Cost: 2, Timeout: 4 * second, Replicas: 12})
 	r.at += Time(askWait * float64(r.shortAim))
-	r.Timer(r.at, askToken)
+	r.TimerFired(r.at, askToken)
 	if to := asks(); len(to) != 2 || to[0] == to[1] {
 		t.Fatalf("asked %v, want two homes", to)
 	}
 	silent := asks()[0]
 	r.done = nil
 	for id := range uint64(20) {
-		r.Request(r.at, Request{ID: 2 + id, Customer: 9, Units: 2, Grace: 4 * second, Spread: 12})
+		r.RequestReceived(r.at, Request{ID: 2 + id, Customer: 9, Cost: 2, Timeout: 4 * second, Replicas: 12})
 	}
 	if to := asks(); len(to) != 20 || slices.Contains(to, silent) {
 		t.Errorf("asked %v, want none of the silent home %s", to, silent)
 	}
 	r.at += Time(askWait * float64(r.shortAim))
-	r.Timer(r.at, askToken)
+	r.TimerFired(r.at, askToken)
 	if r.fake.count("send 1 ") != 1 {
 		t.Errorf("%v, want the first request decided by the slice", r.done)
 	}
@@ -931,16 +933,16 @@
 func TestASilentHomeKeepsNoRequestWaiting(t *testing.T) {
 	_, member := wideRigs(t)
 	member.done = nil
-	member.Request(member.at, Request{ID: 1, Customer: 9, Units: 1, Grace: 2 * second, First: member.firsts[9], Spread: 12})
+	member.RequestReceived(member.at, Request{ID: 1, Customer: 9, Cost: 1, Timeout: 2 * second, FirstReplica: member.firsts[9], Replicas: 12})
 	if member.fake.count("send") != 0 || member.fake.count("tell 0 ") != 1 || member.fake.count("timer") != 1 {
 		t.Fatalf("%v, want an ask to the home and a timer", member.done)
 	}
-	member.Timer(member.at+second/10, askToken)
+	member.TimerFired(member.at+second/10, askToken)
 	if member.fake.count("send 1 ") != 1 {
 		t.Errorf("%v, want it sent", member.done)
 	}
 	before := len(member.done)
-	member.Peer(member.at+second/5, 0, grant{id: 9, part: 1, ask: 1, yes: true}.put(noteHead(1, 0, 0)))
+	member.GossipReceived(member.at+second/5, 0, grant{id: 9, part: 1, ask: 1, yes: true}.put(noteHead(1, 0, 0)))
 	if len(member.done) != before {
 		t.Errorf("a late answer acted: %v", member.done[before:])
 	}
@@ -951,19 +953,19 @@
 func TestAClientThatLeftIsNotAnswered(t *testing.T) {
 	says := func(yes bool) func(*rig) {
 		return func(member *rig) {
-			member.Peer(member.at, 0, grant{id: 9, part: 1, ask: 1, yes: yes}.put(noteHead(1, 0, 0)))
+			member.GossipReceived(member.at, 0, grant{id: 9, part: 1, ask: 1, yes: yes}.put(noteHead(1, 0, 0)))
 		}
 	}
 	for name, then := range map[string]func(*rig){
 		"yes": says(true), "no": says(false),
-		"nothing": func(member *rig) { member.Timer(member.at+second/10, askToken) },
+		"nothing": func(member *rig) { member.TimerFired(member.at+second/10, askToken) },
 	} {
 		_, member := wideRigs(t)
-		member.Request(member.at, Request{ID: 1, Customer: 9, Units: 1, Grace: 2 * second, First: member.firsts[9], Spread: 12})
+		member.RequestReceived(member.at, Request{ID: 1, Customer: 9, Cost: 1, Timeout: 2 * second, FirstReplica: member.firsts[9], Replicas: 12})
 		if len(member.waiting) != 1 {
 			t.Fatalf("%s: %d wait for the home", name, len(member.waiting))
 		}
-		member.Gone(member.at, 1)
+		member.RequestCancelled(member.at, 1)
 		member.done = nil
 		then(member)
 		if len(member.done) != 0 || len(member.waiting) != 0 {
@@ -977,12 +979,12 @@
 	r := newRig(t, settings())
 	id, _ := r.ask(0, 1, 9, 1)
 	b := r.requests[id].attempts[0].b
-	r.Timer(r.at, 0)
+	r.TimerFired(r.at, 0)
 	r.at += 3 * second
 	if _, sent := r.ask(0, 1, 8, 1); !sent || b.down {
 		t.Error("what was out while the gateway stood still counts as unanswered")
 	}
-	r.Outcome(r.at, Outcome{ID: id, Backend: b.Backend, Result: OK, Took: 3 * second, Over: true})
+	r.AttemptEnded(r.at, Outcome{RequestID: id, Backend: b.ID, Result: ResultOK, Latency: 3 * second, Answered: true})
 	if b.slow != 0 || r.mean.v != 0 {
 		t.Error("the time that an answer waited for this gateway counts as the backend's")
 	}
@@ -994,7 +996,7 @@
 	r := newRig(t, settings())
 	for range 60 {
 		r.at += second / 50
-		r.Timer(r.at, 0)
+		r.TimerFired(r.at, 0)
 		r.serve(0, 1, 9, 1)
 	}
 	r.at += second // it stands still
@@ -1004,7 +1006,7 @@
 	}{{2*second - second*9/10, false}, {2*second - second/10, true}} {
 		r.next++
 		before := r.fake.count("send")
-		r.Request(r.at, Request{ID: r.next, Plan: 1, Customer: 9, Units: 1, Grace: c.grace, Spread: 2})
+		r.RequestReceived(r.at, Request{ID: r.next, Plan: 1, Customer: 9, Cost: 1, Timeout: c.grace, Replicas: 2})
 		if sent := r.fake.count("send") > before; sent != c.sent {
 			t.Errorf("with %d left of 2000000: sent %t, want %t", c.grace, sent, c.sent)
 		}
@@ -1035,7 +1037,7 @@
 // late everywhere and never gets less: i62622c, i191102.
 func TestAttemptsPastTheirAimCountAsFarAsAnswersAreLate(t *testing.T) {
 	r := newRig(t, settings())
-	r.Timer(r.at, 0)
+	r.TimerFired(r.at, 0)
 	for i := range 4 {
 		r.ask(0, 1, uint64(i), 1)
 	}
@@ -1057,22 +1059,22 @@
 		class, plan        int // of the request in trouble
 		same, other, plans int // classes and plans that avoid the backend, and that do not
 	}{
-		{TimedOut, 0, 1, 0, 1, 1},
-		{Full, 0, 1, 0, 0, 0},
+		{ResultTimedOut, 0, 1, 0, 1, 1},
+		{ResultOverloaded, 0, 1, 0, 0, 0},
 	} {
 		a, b := pair(t)
 		id, _ := a.ask(c.class, c.plan, 9, 1)
-		bad := a.requests[id].attempts[0].b.Backend
+		bad := a.requests[id].attempts[0].b.ID
 		a.end(id, c.how, true)
 		tellAll(a, b)
 		used := func(class, plan int) bool {
 			for i := range 40 {
 				id, sent := b.ask(class, plan, uint64(100+i), 1)
-				if sent && b.requests[id].attempts[0].b.Backend == bad {
+				if sent && b.requests[id].attempts[0].b.ID == bad {
 					return true
 				}
 				if sent {
-					b.end(id, OK, true)
+					b.end(id, ResultOK, true)
 				}
 			}
 			return false
@@ -1095,19 +1097,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := &rig{Gateway: g, fake: g.do.(*fake), t: t, at: start}
+		r := &rig{Controller: g, fake: g.do.(*fake), t: t, at: start}
 		list := members(4)
-		list[3].Started = start
-		g.Members(start, Whole, list)
+		list[3].StartedAt = start
+		g.UpdateEndpoints(start, UpdateComplete, list)
 		for i := range 12 { // one request in half a second, to one cold backend of four
 			r.at += second / 2
-			r.Timer(r.at, 0)
+			r.TimerFired(r.at, 0)
 			id, ok := r.ask(0, 1, uint64(i), 1)
-			if ok && r.requests[id].attempts[0].b.Backend == 4 {
+			if ok && r.requests[id].attempts[0].b.ID == 4 {
 				sent++
 			}
 			if ok {
-				r.end(id, OK, true)
+				r.end(id, ResultOK, true)
 			}
 		}
 	}
@@ -1122,7 +1124,7 @@
 func TestColdBackendsTakeTheirTurnsWithinTheFleetsBudget(t *testing.T) {
 	const gateways, backends, warm, perSecond, span = 60, 20, 8, 8, 3
 	set := settings()
-	set.Overload, set.TipAfter, set.ColdFrom = 2.5, span*second, 0.25
+	set.OverloadFactor, set.OverloadWindow, set.SlowStartFloor = 2.5, span*second, 0.25
 	list := members(backends)
 	var fleet []*rig
 	for seed := range uint64(gateways) {
@@ -1130,8 +1132,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		g.Members(start, Whole, list)
-		fleet = append(fleet, &rig{Gateway: g, fake: g.do.(*fake), t: t, at: start})
+		g.UpdateEndpoints(start, UpdateComplete, list)
+		fleet = append(fleet, &rig{Controller: g, fake: g.do.(*fake), t: t, at: start})
 	}
 	customer := uint64(0)
 	sent := func(seconds int) map[uint32]float64 {
@@ -1139,11 +1141,11 @@
 		for range seconds * perSecond {
 			for i, r := range fleet {
 				r.at += second / perSecond
-				r.Timer(r.at, 0)
+				r.TimerFired(r.at, 0)
 				customer++
 				if id, ok := r.ask(0, 1, customer*gateways+uint64(i), 1); ok {
-					got[r.requests[id].attempts[0].b.Backend]++
-					r.end(id, OK, true)
+					got[r.requests[id].attempts[0].b.ID]++
+					r.end(id, ResultOK, true)
 				}
 				r.done = nil
 			}
@@ -1152,20 +1154,20 @@
 	}
 	each := sent(4)[1] / 4
 	for i := range list[warm:] {
-		list[warm+i].Started = fleet[0].at
+		list[warm+i].StartedAt = fleet[0].at
 	}
 	for _, r := range fleet {
-		r.Members(r.at, Whole, list)
+		r.UpdateEndpoints(r.at, UpdateComplete, list)
 	}
 	got := sent(span)
 	cold := 0.0
 	for _, m := range list[warm:] {
-		if budget := set.Overload * set.ColdFrom * each * backends / warm * span; got[m.Backend] > budget {
-			t.Errorf("cold backend %d was sent %.0f in %d s, %.0f at most", m.Backend, got[m.Backend], span, budget)
+		if budget := set.OverloadFactor * set.SlowStartFloor * each * backends / warm * span; got[m.ID] > budget {
+			t.Errorf("cold backend %d was sent %.0f in %d s, %.0f at most", m.ID, got[m.ID], span, budget)
 		}
-		cold += got[m.Backend] / (backends - warm) / span
+		cold += got[m.ID] / (backends - warm) / span
 	}
-	if cold < set.ColdFrom*each {
+	if cold < set.SlowStartFloor*each {
 		t.Errorf("a cold backend was sent %.1f a second, a warm one before %.1f: want its part at least", cold, each)
 	}
 }
@@ -1187,18 +1189,18 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				var list []Member
+				var list []Endpoint
 				for i := range uint32(c.backends) {
 					id := i * 0x9E37
 					if i*10 >= uint32(c.backends)*4 {
 						id = (first + i) * 0x51ED
 					}
-					list = append(list, Member{Backend: id, Zone: int(i % zones)})
+					list = append(list, Endpoint{ID: id, Zone: int(i % zones)})
 				}
-				g.Members(start, Whole, list)
+				g.UpdateEndpoints(start, UpdateComplete, list)
 				own := map[int]int{}
 				for _, b := range g.backends {
-					near[b.Backend] += int(step(b.near))
+					near[b.ID] += int(step(b.near))
 					own[b.Zone] += int(step(b.near))
 				}
 				if len(own) != zones || own[0]*own[1]*own[2] == 0 {
@@ -1222,9 +1224,9 @@
 // Guards against a gateway that is left with none when the backends that it prefers are busy or gone.
 func TestOtherBackendsServeWhereTheNearOnesDoNot(t *testing.T) {
 	set := settings()
-	set.Gateways, set.HandshakePrice, set.Probes = 80, 0.08, false
+	set.Gateways, set.HandshakePrice, set.HealthChecks = 80, 0.08, false
 	r := newRig(t, set)
-	r.Members(r.at, Whole, members(20))
+	r.UpdateEndpoints(r.at, UpdateComplete, members(20))
 	chosen := func() *backend { return r.choose(&request{Request: Request{}}, nil) }
 	for range 6 {
 		b := chosen()
@@ -1250,7 +1252,7 @@
 func TestTheLeastRoomFallsAsAnswersComeLate(t *testing.T) {
 	room := func(late float64) int {
 		r := newRig(t, settings())
-		r.Timer(r.at, 0)
+		r.TimerFired(r.at, 0)
 		for range 200 {
 			r.late.add(late, learnOne)
 		}
@@ -1275,9 +1277,9 @@
 	for _, first := range []int{-9, -1, 8, 1 << 40} {
 		for _, spread := range []int{-1, 0, 3, 9, 12, 100} {
 			r := newRig(t, set)
-			r.Request(r.at, Request{ID: 1, Customer: 9, Units: 1, Grace: second, First: first, Spread: spread})
-			r.Timer(r.at+second, askToken)
-			r.Timer(r.at+second, noteToken)
+			r.RequestReceived(r.at, Request{ID: 1, Customer: 9, Cost: 1, Timeout: second, FirstReplica: first, Replicas: spread})
+			r.TimerFired(r.at+second, askToken)
+			r.TimerFired(r.at+second, noteToken)
 			if r.fake.count("send 1 ") != 1 {
 				t.Errorf("first %d, spread %d: %v", first, spread, r.done)
 			}
@@ -1290,10 +1292,10 @@
 func TestPeersFiguresCountAsFarAsOwnAreFew(t *testing.T) {
 	r := newRig(t, settings())
 	for range 100 {
-		r.Timer(r.at, 0)
+		r.TimerFired(r.at, 0)
 		r.at += second / 50
 	}
-	r.Peer(r.at, 1, noteHead(1, 6, 40))
+	r.GossipReceived(r.at, 1, noteHead(1, 6, 40))
 	held, inTime, n := r.view()
 	near(t, "held", held, 6)
 	near(t, "in time", inTime, 40)
@@ -1316,14 +1318,14 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			g.Members(start, Cached, members(c.backends))
+			g.UpdateEndpoints(start, UpdateStale, members(c.backends))
 			b.ReportAllocs()
 			now := start
 			for id := uint64(1); b.Loop(); id++ { // the customer of id 0 would have its home here
 				now += 5000
-				g.Request(now, Request{ID: id, Plan: 1, Customer: id % 200, Units: 1, Grace: second, Spread: c.spread})
+				g.RequestReceived(now, Request{ID: id, Plan: 1, Customer: id % 200, Cost: 1, Timeout: second, Replicas: c.spread})
 				if r := g.requests[id]; r != nil {
-					g.Outcome(now, Outcome{ID: id, Backend: r.attempts[0].b.Backend, Took: 1000, Over: true})
+					g.AttemptEnded(now, Outcome{RequestID: id, Backend: r.attempts[0].b.ID, Latency: 1000, Answered: true})
 				}
 			}
 		})
@@ -1338,7 +1340,7 @@
 	list := members(32)
 	b.ReportAllocs()
 	for b.Loop() {
-		g.Members(start, Whole, list)
+		g.UpdateEndpoints(start, UpdateComplete, list)
 	}
 }
 
@@ -1346,9 +1348,9 @@
 type quiet struct{ Actions }
 
 func (quiet) Send(uint64, uint32, Time) {}
-func (quiet) Refuse(uint64, Time)       {}
+func (quiet) Reject(uint64, Time)       {}
 func (quiet) SetTimer(Time, uint32)     {}
-func (quiet) Tell(int, []byte)          {}
+func (quiet) SendGossip(int, []byte)    {}
 func (quiet) Log(string)                {}
 
 func TestCountersTellWhyTriesWereRefused(t *testing.T) {
@@ -1357,7 +1359,7 @@
 		r.serve(0, 0, 9, 2) // a burst of 8 holds four
 	}
 	r.at += reportEvery
-	r.Timer(r.at, noteToken)
+	r.TimerFired(r.at, noteToken)
 	if r.count("log sent 4,") != 1 || !strings.Contains(strings.Join(r.done, "\n"), "quota 2,") {
 		t.Errorf("%q, want one line of counters with 4 sent and 2 refused for their quota", r.done)
 	}
@@ -1365,23 +1367,23 @@
 
 func TestAStaleReportDrawsNoWave(t *testing.T) {
 	set := settings()
-	set.Report = []Metric{Busy}
+	set.LoadReport = []LoadMetric{BusyMetric}
 	r := newRig(t, set)
 	for range 4 {
 		id, _ := r.ask(0, 1, 1, 1)
-		b := r.requests[id].attempts[0].b.Backend
+		b := r.requests[id].attempts[0].b.ID
 		load := float32(9)
 		if b == 1 {
 			load = 0
 		}
-		r.Outcome(r.at, Outcome{ID: id, Backend: b, Result: OK, Took: second / 10, Over: true, Load: []float32{load}})
+		r.AttemptEnded(r.at, Outcome{RequestID: id, Backend: b, Result: ResultOK, Latency: second / 10, Answered: true, LoadReport: []float32{load}})
 	}
 	for range 4 {
 		r.ask(0, 1, 1, 1)
 	}
 	for _, b := range r.backends {
 		if b.out != 1 {
-			t.Errorf("backend %d holds %d of 4 requests for 4 backends", b.Backend, b.out)
+			t.Errorf("backend %d holds %d of 4 requests for 4 backends", b.ID, b.out)
 		}
 	}
 }
@@ -1422,7 +1424,7 @@
 	}
 	for range 30 {
 		a.at += second / 30
-		a.Timer(a.at, noteToken)
+		a.TimerFired(a.at, noteToken)
 	}
 	if a.refill(ca); ca.ceiling.rate != 4 {
 		t.Errorf("ceiling rate %g of 8 with the peer silent, want the even half", ca.ceiling.rate)
@@ -1434,10 +1436,10 @@
 func TestFirstMomentTakesNothingOffTheStore(t *testing.T) {
 	r := &rig{fake: &fake{}, t: t, at: start}
 	var err error
-	if r.Gateway, err = New(settings(), 7, r.fake); err != nil {
+	if r.Controller, err = New(settings(), 7, r.fake); err != nil {
 		t.Fatal(err)
 	}
-	r.Members(start, Cached, members(4))
+	r.UpdateEndpoints(start, UpdateStale, members(4))
 	for i := range 3 {
 		if sent := r.serve(0, 0, 9, 2); sent != (i < 2) {
 			t.Fatalf("try %d of 2 units: sent %t, want the even slice of 4 in the first moment", i, sent)
@@ -1455,11 +1457,11 @@
 // back at once, though nothing more was asked; only an older one is late.
 func TestUnitsGivenBackAreTold(t *testing.T) {
 	a, b := pair(t)
-	a.set.Settles = true
+	a.set.SettlesCost = true
 	id, _ := a.ask(0, 1, 9, 8)
 	tellAll(a, b)
 	level := b.customers[9].store.level
-	a.Outcome(a.at, Outcome{ID: id, Backend: a.requests[id].attempts[0].b.Backend, Result: OK, Took: 1, Over: true, TrueUnits: 4})
+	a.AttemptEnded(a.at, Outcome{RequestID: id, Backend: a.requests[id].attempts[0].b.ID, Result: ResultOK, Latency: 1, Answered: true, ActualCost: 4})
 	tellAll(a, b)
 	near(t, "level after 4 of 8 units were given back and 1 came", b.customers[9].store.level, level+4+1)
 }
@@ -1473,11 +1475,11 @@
 		ends []Result
 		kept float64
 	}{
-		{"never sent", 2, []Result{Moot}, 0},
-		{"never sent, three times", 2, []Result{Moot, Moot, Moot}, 0},
-		{"turned away after that", 2, []Result{Moot, Full, Moot}, 2},
-		{"served after that", 2, []Result{Moot, OK}, 2},
-		{"no ceiling", 0, []Result{Moot, Moot, Moot}, 0},
+		{"never sent", 2, []Result{ResultNotSent}, 0},
+		{"never sent, three times", 2, []Result{ResultNotSent, ResultNotSent, ResultNotSent}, 0},
+		{"turned away after that", 2, []Result{ResultNotSent, ResultOverloaded, ResultNotSent}, 2},
+		{"served after that", 2, []Result{ResultNotSent, ResultOK}, 2},
+		{"no ceiling", 0, []Result{ResultNotSent, ResultNotSent, ResultNotSent}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRig(t, settings())
@@ -1486,7 +1488,7 @@
 			store, ceiling, taken := of.store.level, of.ceiling.level, of.taken
 			id, _ := r.ask(0, c.plan, 9, 2)
 			for i, result := range c.ends {
-				r.end(id, result, result == OK || len(c.ends) == 1 && i == 0)
+				r.end(id, result, result == ResultOK || len(c.ends) == 1 && i == 0)
 			}
 			if r.requests[id] != nil {
 				t.Fatal("the request is still held")
@@ -1511,7 +1513,7 @@
 	if !sent || r.lend.level >= before {
 		t.Fatalf("sent %t, bank 0 from %g to %g: nothing was lent", sent, before, r.lend.level)
 	}
-	r.end(id, Moot, true)
+	r.end(id, ResultNotSent, true)
 	near(t, "bank 0", r.lend.level, before)
 }
 
@@ -1520,8 +1522,8 @@
 func TestTheFleetKeepsAQuotaThroughShiftsLossesAndRestarts(t *testing.T) {
 	for _, gateways := range []int{3, 40, 300} {
 		set := settings()
-		set.Gateways, set.MailPerSecond, set.MaxUnits = gateways, 40, 8
-		set.Plans[0] = Plan{Name: "large", Rate: 40, Burst: 64, Price: 1, BeyondCosts: 1}
+		set.Gateways, set.GossipPerSecond, set.MaxCost = gateways, 40, 8
+		set.Plans[0] = Plan{Name: "large", Rate: 40, Burst: 64, ValueFactor: 1, OverageCost: 1}
 		spread := min(gateways, 40)
 		rigs := make([]*rig, gateways)
 		begin := func(i int, at Time) {
@@ -1532,8 +1534,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			g.Members(at, Cached, members(4))
-			rigs[i] = &rig{Gateway: g, fake: f, t: t}
+			g.UpdateEndpoints(at, UpdateStale, members(4))
+			rigs[i] = &rig{Controller: g, fake: f, t: t}
 		}
 		for i := range rigs {
 			begin(i, start)
@@ -1552,7 +1554,7 @@
 							continue
 						}
 						if notes++; notes%10 != 0 && to < spread {
-							rigs[to].Peer(at, from, note)
+							rigs[to].GossipReceived(at, from, note)
 							carried = true
 						}
 					}
@@ -1570,7 +1572,7 @@
 			}
 			if i%2 == 0 {
 				for _, r := range rigs[:spread] {
-					r.Timer(at, noteToken)
+					r.TimerFired(at, noteToken)
 				}
 				carryAll(at)
 			}
@@ -1579,10 +1581,10 @@
 			id++
 			r.done = nil
 			asked += 2
-			r.Request(at, Request{ID: id, Customer: 9, Units: 2, Grace: 4 * second, Spread: spread})
+			r.RequestReceived(at, Request{ID: id, Customer: 9, Cost: 2, Timeout: 4 * second, Replicas: spread})
 			carryAll(at)
 			if r.requests[id] != nil && len(r.requests[id].attempts) == 0 { // its ask or the grant was lost
-				r.Timer(at+second/10, askToken)
+				r.TimerFired(at+second/10, askToken)
 				carryAll(at)
 			}
 			if q := r.requests[id]; q != nil && len(q.attempts) > 0 {
@@ -1592,7 +1594,7 @@
 				} else {
 					beyond += 2
 				}
-				r.Outcome(at, Outcome{ID: id, Backend: q.attempts[0].b.Backend, Result: OK, Over: true})
+				r.AttemptEnded(at, Outcome{RequestID: id, Backend: q.attempts[0].b.ID, Result: ResultOK, Answered: true})
 			}
 		}
 		most := 64 + 40.0*seconds
--- a/decide/handover.go
+++ b/policy/handover.go
@@ -1,4 +1,4 @@
-package decide
+package policy
 
 import (
 	"errors"
@@ -91,7 +91,7 @@
 
 // Export gives all that the process that takes over has to know. The further attempts saved
 // up are cut in two: both processes may make some for a while.
-func (g *Gateway) Export(now Time) *Snapshot {
+func (g *Controller) Export(now Time) *Snapshot {
 	g.begin(now)
 	g.again /= 2
 	s := &Snapshot{
@@ -134,7 +134,7 @@
 	}
 	for _, b := range g.backends {
 		bs := BackendState{
-			Backend: b.Backend, Started: b.Started, Quiet: b.quiet, SlowAt: b.slowAt, Left: b.left, Wait: b.wait,
+			Backend: b.ID, Started: b.StartedAt, Quiet: b.quiet, SlowAt: b.slowAt, Left: b.left, Wait: b.wait,
 			TrialAt: b.trialAt, Slow: b.slow, Errs: b.errs, Down: b.down, Silent: b.silent,
 			Breaks: b.breaks.state(), Cold: b.cold.state(),
 		}
@@ -147,9 +147,9 @@
 		if !r.pending() {
 			continue
 		}
-		open := OpenState{ID: id, Customer: r.Customer, Class: r.Class, Plan: r.Plan, Units: r.Units}
+		open := OpenState{ID: id, Customer: r.Customer, Class: r.Class, Plan: r.Plan, Units: r.Cost}
 		for _, a := range r.attempts {
-			open.Attempts = append(open.Attempts, AttemptState{a.b.Backend, a.at, a.pending, a.late, a.blind, a.mayRun})
+			open.Attempts = append(open.Attempts, AttemptState{a.b.ID, a.at, a.pending, a.late, a.blind, a.mayRun})
 		}
 		s.Open = append(s.Open, open)
 	}
@@ -159,7 +159,7 @@
 
 // Retire has this gateway end what is open and take nothing new: another process grants from
 // its banks now. What waits for a home's answer will not hear of it.
-func (g *Gateway) Retire(now Time) {
+func (g *Controller) GiveUpOwnership(now Time) {
 	g.begin(now)
 	g.retired = true
 	for _, r := range g.waiting {
@@ -173,7 +173,7 @@
 
 // Resume has a retired gateway decide again, as the other process has ended. What that one
 // granted is not known: no bank holds more than that of a gateway that has just started.
-func (g *Gateway) Resume(now Time) {
+func (g *Controller) ResumeOwnership(now Time) {
 	g.begin(now)
 	g.born = g.now
 	g.retired = false
@@ -188,7 +188,7 @@
 }
 
 // Retell has peers told again of all that may not have reached them.
-func (g *Gateway) Retell() {
+func (g *Controller) AdvertiseAll() {
 	for _, c := range g.order {
 		g.mark(c)
 	}
@@ -196,7 +196,7 @@
 
 // Import takes in what another process knew, by the names of its classes and plans. It is for
 // a gateway that has decided on nothing yet.
-func (g *Gateway) Import(now Time, s *Snapshot) error {
+func (g *Controller) Import(now Time, s *Snapshot) error {
 	if err := s.check(); err != nil {
 		return err
 	}
@@ -268,7 +268,7 @@
 	return nil
 }
 
-func (g *Gateway) importCustomer(s *CustomerState, plan []int) {
+func (g *Controller) importCustomer(s *CustomerState, plan []int) {
 	if plan[s.Plan] < 0 || s.Spread < 1 || s.Spread > g.set.Gateways {
 		return
 	}
@@ -305,9 +305,9 @@
 	}
 }
 
-func (g *Gateway) importBackend(s *BackendState, class, plan []int) {
-	b := g.backend(Member{Backend: s.Backend, State: Left})
-	b.Started = max(b.Started, s.Started)
+func (g *Controller) importBackend(s *BackendState, class, plan []int) {
+	b := g.backend(Endpoint{ID: s.Backend, State: EndpointRemoved})
+	b.StartedAt = max(b.StartedAt, s.Started)
 	b.quiet, b.slow, b.slowAt, b.errs, b.left, b.wait = s.Quiet, s.Slow, s.SlowAt, s.Errs, s.Left, s.Wait
 	b.trialAt, b.down, b.silent, b.breaks, b.cold = s.TrialAt, s.Down, s.Silent, fadingOf(s.Breaks), bankOf(s.Cold)
 	for i, w := range s.Words {
@@ -319,14 +319,14 @@
 	}
 }
 
-func (g *Gateway) importOpen(s *OpenState, class, plan []int) {
+func (g *Controller) importOpen(s *OpenState, class, plan []int) {
 	c := g.customers[s.Customer]
 	if c == nil || class[s.Class] < 0 || plan[s.Plan] < 0 {
 		return
 	}
-	r := &request{Request: Request{ID: s.ID, Class: class[s.Class], Plan: plan[s.Plan], Customer: s.Customer, Units: s.Units}, c: c}
+	r := &request{Request: Request{ID: s.ID, Class: class[s.Class], Plan: plan[s.Plan], Customer: s.Customer, Cost: s.Units}, c: c}
 	for _, a := range s.Attempts {
-		b := g.backend(Member{Backend: a.Backend, State: Left})
+		b := g.backend(Endpoint{ID: a.Backend, State: EndpointRemoved})
 		at := &attempt{b: b, at: a.At, pending: a.Pending, late: a.Late && a.Pending, blind: a.Blind, mayRun: a.MayRun}
 		r.attempts = append(r.attempts, at)
 		if !at.pending {
@@ -345,30 +345,30 @@
 }
 
 // SentElsewhere books a further attempt that the former process has made.
-func (g *Gateway) SentElsewhere(now Time, id uint64, backend uint32) {
+func (g *Controller) PredecessorSent(now Time, id uint64, backend uint32) {
 	g.begin(now)
 	if r := g.elsewhere[id]; r != nil {
-		g.book(r, g.backend(Member{Backend: backend, State: Left}))
+		g.book(r, g.backend(Endpoint{ID: backend, State: EndpointRemoved}))
 	}
 }
 
 // EndedElsewhere books how an attempt of the former process has ended.
-func (g *Gateway) EndedElsewhere(now Time, o Outcome) {
+func (g *Controller) PredecessorAttemptEnded(now Time, o Outcome) {
 	g.begin(now)
-	r := g.elsewhere[o.ID]
-	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || !r.attempts[o.Attempt].pending || o.Result > Moot {
+	r := g.elsewhere[o.RequestID]
+	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || !r.attempts[o.Attempt].pending || o.Result > ResultNotSent {
 		return
 	}
 	a := r.attempts[o.Attempt]
 	a.pending = false
 	g.settle(r, a, &o)
-	if o.Over && !r.pending() {
-		delete(g.elsewhere, o.ID)
+	if o.Answered && !r.pending() {
+		delete(g.elsewhere, o.RequestID)
 	}
 }
 
 // NothingElsewhere tells that the former process has ended, with whatever it had out.
-func (g *Gateway) NothingElsewhere(now Time) {
+func (g *Controller) PredecessorExited(now Time) {
 	g.begin(now)
 	for _, r := range g.elsewhere {
 		for _, a := range r.attempts {
--- a/decide/handover_test.go
+++ b/policy/handover_test.go
@@ -1,4 +1,4 @@
-package decide
+package policy
 
 import (
 	"bytes"
@@ -47,9 +47,9 @@
 	if !sent {
 		t.Fatal("not sent")
 	}
-	backend := r.requests[open].attempts[0].b.Backend
+	backend := r.requests[open].attempts[0].b.ID
 	next := r.second(t, namedSettings())
-	r.Retire(r.at)
+	r.GiveUpOwnership(r.at)
 	if next.serve(0, 2, 7, 1) {
 		t.Error("the second process granted a burst again")
 	}
@@ -63,8 +63,8 @@
 		t.Errorf("boot %d of %d, open %d, out %d", next.boot, r.boot, now.open, next.byID[backend].out)
 	}
 	before := now.taken
-	next.set.Settles = true
-	next.EndedElsewhere(next.at, Outcome{ID: open, Backend: backend, Result: OK, Took: second / 10, Over: true, TrueUnits: 3})
+	next.set.SettlesCost = true
+	next.PredecessorAttemptEnded(next.at, Outcome{RequestID: open, Backend: backend, Result: ResultOK, Latency: second / 10, Answered: true, ActualCost: 3})
 	near(t, "settled late", now.taken, before+1)
 	if now.open != 0 || next.byID[backend].out != 0 || len(next.elsewhere) != 0 {
 		t.Errorf("open %d, out %d, elsewhere %d", now.open, next.byID[backend].out, len(next.elsewhere))
@@ -76,8 +76,8 @@
 	r := newRig(t, namedSettings())
 	open, _ := r.ask(0, 1, 8, 2)
 	next := r.second(t, namedSettings())
-	next.SentElsewhere(next.at, open, 2)
-	next.SentElsewhere(next.at, 999, 2) // of nothing that is known
+	next.PredecessorSent(next.at, open, 2)
+	next.PredecessorSent(next.at, 999, 2) // of nothing that is known
 	out := func() (n int) {
 		for _, b := range next.backends {
 			n += b.out
@@ -89,10 +89,10 @@
 	}
 	next.at += 3 * second
 	next.sweepOverdue()
-	next.NothingElsewhere(next.at)
+	next.PredecessorExited(next.at)
 	for _, b := range next.backends {
 		if b.out != 0 || b.overdue != 0 {
-			t.Errorf("backend %d: out %d, overdue %d", b.Backend, b.out, b.overdue)
+			t.Errorf("backend %d: out %d, overdue %d", b.ID, b.out, b.overdue)
 		}
 	}
 	if next.customers[8].open != 0 {
@@ -119,8 +119,8 @@
 func TestResumeGrantsNoFreshBurst(t *testing.T) {
 	r := newRig(t, namedSettings())
 	r.serve(0, 2, 7, 1)
-	r.Retire(r.at)
-	r.Resume(r.at)
+	r.GiveUpOwnership(r.at)
+	r.ResumeOwnership(r.at)
 	c := r.customers[7]
 	if p := r.set.Plans[2]; c.store.level > p.Burst/2 || c.ceiling.level > p.CeilingSlack/4 {
 		t.Errorf("store %g, ceiling %g", c.store.level, c.ceiling.level)
@@ -149,8 +149,8 @@
 	level := r.customers[7].store.level
 	open, _ := r.ask(0, 1, 8, 1) // of class a, which is safe to repeat
 	set := namedSettings()
-	set.Classes = []Class{{Name: "new", Aim: second, Effect: Unsafe, Worth: 1}, set.Classes[1],
-		{Name: "a", Aim: second, Effect: Unsafe, Worth: 1}}
+	set.Classes = []Class{{Name: "new", LatencyObjective: second, Idempotency: NotIdempotent, PriorityWeight: 1}, set.Classes[1],
+		{Name: "a", LatencyObjective: second, Idempotency: NotIdempotent, PriorityWeight: 1}}
 	set.Plans[0], set.Plans[1] = set.Plans[1], set.Plans[0]
 	set.Plans[1].Burst *= 4
 	set.MaxAttempts = 2
@@ -158,7 +158,7 @@
 		t.Fatal(err)
 	}
 	q := r.requests[open]
-	if c := r.set.Classes[q.Class]; c.Name != "a" || c.Effect != Safe || len(r.set.Classes) != 4 || q.Plan != 0 {
+	if c := r.set.Classes[q.Class]; c.Name != "a" || c.Idempotency != Idempotent || len(r.set.Classes) != 4 || q.Plan != 0 {
 		t.Errorf("the open request: class %+v, plan %d, of %d classes", c, q.Plan, len(r.set.Classes))
 	}
 	c := r.customers[7]
@@ -166,16 +166,16 @@
 	if c.plan != 1 || c.store.cap != 32 {
 		t.Errorf("plan %d, cap %g", c.plan, c.store.cap)
 	}
-	r.end(open, Failed, false)
+	r.end(open, ResultFailed, false)
 	if q := r.requests[open]; q == nil || len(q.attempts) != 2 {
 		t.Fatal("it was not sent again, as its class allows")
 	}
-	r.end(open, Failed, false)
+	r.end(open, ResultFailed, false)
 	if r.requests[open] != nil {
 		t.Error("a third attempt where two are allowed")
 	}
 	strict, _ := r.ask(2, 0, 9, 1)
-	r.end(strict, Failed, false)
+	r.end(strict, ResultFailed, false)
 	if r.requests[strict] != nil {
 		t.Error("a new request of the stricter class was sent again")
 	}
@@ -206,7 +206,7 @@
 // each of several homes goes along, and an older process, which knew one, told it all.
 func TestHandoverKeepsWhatEachHomeWasTold(t *testing.T) {
 	set := namedSettings()
-	set.Gateways, set.MaxUnits = 12, 1
+	set.Gateways, set.MaxCost = 12, 1
 	set.Plans[0].Rate, set.Plans[0].Burst = 60, 60
 	r := newRig(t, set)
 	first := 0
--- a/decide/homes.go
+++ b/policy/homes.go
@@ -1,4 +1,4 @@
-package decide
+package policy
 
 import "math"
 
@@ -7,16 +7,16 @@
 // home, which has the whole quota or an even part of it, before each request.
 
 // wide tells whether a customer's set is too large for each to tell all others.
-func (g *Gateway) wide(c *customer) bool { return g.set.Peers && c.spread > fewPeers }
+func (g *Controller) wide(c *customer) bool { return g.set.Gossip && c.spread > fewPeers }
 
 // home is a gateway that a wide set asks, or tells its use: the first, or another of several.
-func (g *Gateway) home(c *customer, i int) int {
+func (g *Controller) home(c *customer, i int) int {
 	const mix = 0x9E3779B97F4A7C15 // spreads ids evenly over the set
 	return (c.first + (int((c.id*mix)>>33)+i*c.spread/g.homes(c))%c.spread) % g.set.Gateways
 }
 
 // member tells whether this gateway knows of a customer's use only by its home.
-func (g *Gateway) member(c *customer) bool {
+func (g *Controller) member(c *customer) bool {
 	if !g.wide(c) {
 		return false
 	}
@@ -30,42 +30,42 @@
 
 // consults tells whether a wide set asks a home before it decides: its quota is so small that no
 // slice holds a request, and the homes can take in the asks.
-func (g *Gateway) consults(c *customer) bool {
+func (g *Controller) consults(c *customer) bool {
 	p := &g.set.Plans[c.plan]
 	return g.wide(c) && p.Rate/float64(g.homes(c))*float64(g.mailTime(1)) < askRate*float64(second)
 }
 
 // homes is over how many gateways the quota of a wide set is cut, which it asks in turn: so many
 // that each can take in its asks, as long as each still holds two of the largest requests.
-func (g *Gateway) homes(c *customer) int {
+func (g *Controller) homes(c *customer) int {
 	p := &g.set.Plans[c.plan]
 	most := 1.0
-	if g.set.MaxUnits > 0 {
-		most = math.Max(1, math.Floor(p.Burst/(2*g.set.MaxUnits)))
+	if g.set.MaxCost > 0 {
+		most = math.Max(1, math.Floor(p.Burst/(2*g.set.MaxCost)))
 	}
 	asks := math.Ceil(p.Rate * float64(g.mailTime(1)) / (homeRate * float64(second)))
 	return int(math.Max(1, math.Min(math.Min(asks, most), float64(c.spread))))
 }
 
 // keeps tells whether this gateway is a home that its set asks.
-func (g *Gateway) keeps(c *customer) bool { return g.consults(c) && !g.member(c) }
+func (g *Controller) keeps(c *customer) bool { return g.consults(c) && !g.member(c) }
 
 // consult asks a home for a request's units and keeps the request till it answers.
-func (g *Gateway) consult(r *request) {
+func (g *Controller) consult(r *request) {
 	c := r.c
 	c.asks++
-	r.ask, r.by = max(1, c.asks), g.now+min(Time(askWait*float64(g.shortAim)), r.Grace/2)
+	r.ask, r.by = max(1, c.asks), g.now+min(Time(askWait*float64(g.shortAim)), r.Timeout/2)
 	r.asked++
 	g.counts.asks++
 	peer, told := g.home(c, r.home), c.with(r.home)
 	if r.asked == 1 {
-		told.asked += r.Units
+		told.asked += r.Cost
 	}
 	e := g.entry(c)
 	e.taken, e.asked, e.fresh = counted(told.taken), counted(told.asked), counted(told.asked-told.askedTold)
-	e.want, e.ask = byte(min(math.MaxUint8, math.Ceil(2*r.Units))), r.ask
+	e.want, e.ask = byte(min(math.MaxUint8, math.Ceil(2*r.Cost))), r.ask
 	told.askedTold = told.asked
-	g.do.Tell(peer, e.put(g.noteHead()))
+	g.do.SendGossip(peer, e.put(g.noteHead()))
 	g.do.SetTimer(r.by, askToken)
 	g.requests[r.ID] = r
 	g.waiting = append(g.waiting, r)
@@ -73,7 +73,7 @@
 
 // homeToAsk draws the home that a request asks: another one than before, and none that was
 // silent of late if there is another. A home draws too: its own part is everyone's.
-func (g *Gateway) homeToAsk(r *request) int {
+func (g *Controller) homeToAsk(r *request) int {
 	if !g.consults(r.c) {
 		return 0
 	}
@@ -92,7 +92,7 @@
 
 // answered decides on what waits for a home's answer: this one, or all overdue ones. Those ask
 // another home once, if there is one; the slice under the last grant decides on the others.
-func (g *Gateway) answered(c *customer, a grant) {
+func (g *Controller) answered(c *customer, a grant) {
 	waiting := g.waiting
 	g.waiting = nil
 	var again []*request
@@ -110,11 +110,11 @@
 			}
 			delete(g.requests, r.ID)
 			if !due {
-				r.c.slice = math.Min(r.c.slice+r.c.grant*r.Units, sliceMost*r.Units)
+				r.c.slice = math.Min(r.c.slice+r.c.grant*r.Cost, sliceMost*r.Cost)
 			} else if a.yes {
-				r.c.slice += r.Units // to be taken at once
+				r.c.slice += r.Cost // to be taken at once
 			}
-			g.admit(r, due && a.yes || !due && g.inside(r.c, r.Units), due && a.yes)
+			g.admit(r, due && a.yes || !due && g.inside(r.c, r.Cost), due && a.yes)
 		default:
 			g.waiting = append(g.waiting, r)
 		}
@@ -125,6 +125,6 @@
 			continue
 		}
 		delete(g.requests, r.ID)
-		g.admit(r, g.inside(r.c, r.Units), false)
+		g.admit(r, g.inside(r.c, r.Cost), false)
 	}
 }
--- a/decide/note.go
+++ b/policy/note.go
@@ -1,4 +1,4 @@
-package decide
+package policy
 
 import (
 	"encoding/binary"
--- a/decide/recorded_test.go
+++ b/policy/recorded_test.go
@@ -1,4 +1,4 @@
-package decide
+package policy
 
 import (
 	"bytes"
@@ -112,14 +112,14 @@
 func recordedState(t *testing.T) *rig {
 	t.Helper()
 	set := namedSettings()
-	set.Settles = true
+	set.SettlesCost = true
 	r := newRig(t, set)
 	peer := namedSettings()
 	peer.Self = 1
 	other := newRig(t, peer)
 	list := members(4)
-	list[2].Started = r.at
-	r.Members(r.at, Whole, list)
+	list[2].StartedAt = r.at
+	r.UpdateEndpoints(r.at, UpdateComplete, list)
 	for range 3 {
 		other.serve(0, 1, 9, 2)
 	}
@@ -128,7 +128,7 @@
 	for r.serve(0, 0, 7, 1) { // until nothing is left
 	}
 	for !r.byID[2].down {
-		r.broke(r.byID[2], ConnectFailed)
+		r.broke(r.byID[2], ResultConnectFailed)
 	}
 	r.next = 39
 	id, sent := r.ask(1, 1, 8, 3)
@@ -190,7 +190,7 @@
 	was := recordedState(t)
 	s := recordedSnapshot(t, "snapshot.gob", was.Export(was.at))
 	set := namedSettings()
-	set.Settles = true
+	set.SettlesCost = true
 	r := newRig(t, set)
 	r.at, r.next = was.at, 100
 	if err := r.Import(r.at, s); err != nil {
@@ -210,12 +210,12 @@
 	if r.byID[3].cold != was.byID[3].cold {
 		t.Errorf("cold backend may be sent %+v, want %+v", r.byID[3].cold, was.byID[3].cold)
 	}
-	open := was.requests[40].attempts[0].b.Backend
+	open := was.requests[40].attempts[0].b.ID
 	if r.byID[open].out != 1 || r.customers[8].open != 1 {
 		t.Errorf("out %d, open %d; want 1 of each", r.byID[open].out, r.customers[8].open)
 	}
 	before := r.customers[8].store.level
-	r.EndedElsewhere(r.at, Outcome{ID: 40, Backend: open, Result: OK, Took: second / 10, Over: true, TrueUnits: 5})
+	r.PredecessorAttemptEnded(r.at, Outcome{RequestID: 40, Backend: open, Result: ResultOK, Latency: second / 10, Answered: true, ActualCost: 5})
 	near(t, "bank after the true units", r.customers[8].store.level, before-2)
 	if r.byID[open].out != 0 || r.customers[8].open != 0 {
 		t.Errorf("out %d, open %d after the end", r.byID[open].out, r.customers[8].open)
@@ -282,8 +282,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		g.Members(start, Cached, members(4))
-		rigs = append(rigs, &rig{Gateway: g, fake: f, t: t, at: start})
+		g.UpdateEndpoints(start, UpdateStale, members(4))
+		rigs = append(rigs, &rig{Controller: g, fake: f, t: t, at: start})
 	}
 	var all []string
 	type timer struct {
@@ -305,13 +305,13 @@
 					}
 					all = append(all, fmt.Sprintf("%d %s", from, line))
 					if n, _ := fmt.Sscanf(line, "tell %d %x", &to, &raw); n == 2 && draw.IntN(20) > 0 {
-						rigs[to].Peer(max(r.at, rigs[to].at), from, raw)
+						rigs[to].GossipReceived(max(r.at, rigs[to].at), from, raw)
 						busy = true
 					}
 					var name uint64
 					var add float64
 					if n, _ := fmt.Sscanf(line, "count %d %g", &name, &add); n == 2 {
-						r.Counted(r.at, name, Result(draw.IntN(5)/4), add*float64(1+draw.IntN(3)))
+						r.CounterAnswered(r.at, name, Result(draw.IntN(5)/4), add*float64(1+draw.IntN(3)))
 						busy = true
 					}
 					var set timer
@@ -320,7 +320,7 @@
 					}
 					var backend uint32
 					if n, _ := fmt.Sscanf(line, "probe %d", &backend); n == 1 {
-						r.Probed(r.at, backend, Result(draw.IntN(5)), nil)
+						r.HealthCheckEnded(r.at, backend, Result(draw.IntN(5)), nil)
 						busy = true
 					}
 				}
@@ -337,9 +337,9 @@
 		}
 		r.next++
 		customer := uint64(draw.IntN(6))
-		r.Request(r.at, Request{ID: r.next, Class: draw.IntN(len(set.Classes)), Plan: int(customer) % len(set.Plans),
-			Customer: customer, Units: float64(1+draw.IntN(4)) / 2, Grace: second * Time(1+draw.IntN(3)),
-			First: int(customer), Spread: 1 + int(customer)*5%set.Gateways})
+		r.RequestReceived(r.at, Request{ID: r.next, Class: draw.IntN(len(set.Classes)), Plan: int(customer) % len(set.Plans),
+			Customer: customer, Cost: float64(1+draw.IntN(4)) / 2, Timeout: second * Time(1+draw.IntN(3)),
+			FirstReplica: int(customer), Replicas: 1 + int(customer)*5%set.Gateways})
 		var open []uint64
 		for id := range r.requests {
 			open = append(open, id)
@@ -351,29 +351,29 @@
 				continue
 			}
 			if draw.IntN(15) == 0 {
-				r.Gone(r.at, id)
+				r.RequestCancelled(r.at, id)
 				continue
 			}
 			n := len(q.attempts) - 1
-			all = append(all, fmt.Sprintf("%d holds %d %t", i, id, r.Holds(r.at, id, n)))
+			all = append(all, fmt.Sprintf("%d holds %d %t", i, id, r.MaySend(r.at, id, n)))
 			result := Result(max(0, draw.IntN(20)-12))
-			r.Outcome(r.at, Outcome{ID: id, Attempt: n, Backend: q.attempts[n].b.Backend, Result: result,
-				Took: Time(1+draw.IntN(60)) * second / 100, Over: result == OK, Metered: draw.IntN(150),
-				TrueUnits: float64(draw.IntN(5)) / 2})
+			r.AttemptEnded(r.at, Outcome{RequestID: id, Attempt: n, Backend: q.attempts[n].b.ID, Result: result,
+				Latency: Time(1+draw.IntN(60)) * second / 100, Answered: result == ResultOK, MeterReading: draw.IntN(150),
+				ActualCost: float64(draw.IntN(5)) / 2})
 		}
 		if step%90 == 50 {
 			list := members(6)
 			for n := range list {
 				list[n].Zone = n % 3
 				if draw.IntN(4) == 0 {
-					list[n].State = State(draw.IntN(3))
+					list[n].State = EndpointState(draw.IntN(3))
 				}
 				if draw.IntN(3) == 0 {
-					list[n].Started = at - Time(draw.IntN(3))*second
+					list[n].StartedAt = at - Time(draw.IntN(3))*second
 				}
 			}
 			for _, r := range rigs {
-				r.Members(max(r.at, at), News(draw.IntN(4)), list)
+				r.UpdateEndpoints(max(r.at, at), UpdateKind(draw.IntN(4)), list)
 			}
 		}
 		for i, r := range rigs {
@@ -385,7 +385,7 @@
 					continue
 				}
 				r.at = max(r.at, when.at, at)
-				r.Timer(r.at, when.token)
+				r.TimerFired(r.at, when.token)
 			}
 		}
 		collect()
@@ -400,16 +400,16 @@
 		name string
 		set  func(*Settings)
 	}{
-		{"gossip-small", func(s *Settings) { s.Gateways, s.Settles = 3, true }},
+		{"gossip-small", func(s *Settings) { s.Gateways, s.SettlesCost = 3, true }},
 		{"gossip-wide", func(s *Settings) {
-			s.Gateways, s.Settles, s.MailPerSecond, s.HandshakePrice, s.CrossZonePrice = 9, true, 200, 0.1, 0.2
-			s.Overload, s.MaxUnits = 2, 2
+			s.Gateways, s.SettlesCost, s.GossipPerSecond, s.HandshakePrice, s.CrossZonePrice = 9, true, 200, 0.1, 0.2
+			s.OverloadFactor, s.MaxCost = 2, 2
 		}},
 		{"counter", func(s *Settings) {
-			s.Gateways, s.Peers, s.Counter, s.AskMembers, s.AskWithin = 2, false, true, true, second
+			s.Gateways, s.Gossip, s.SharedCounter, s.PollEndpoints, s.PollWithin = 2, false, true, true, second
 		}},
 		{"meter", func(s *Settings) {
-			s.Gateways, s.Peers, s.MeterPeriod, s.Probes, s.SecondCopies, s.HintsTell = 2, false, second, false, true, true
+			s.Gateways, s.Gossip, s.MeterPeriod, s.HealthChecks, s.Hedging, s.UseCapacityHints = 2, false, second, false, true, true
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/decide/reload.go
+++ b/policy/reload.go
@@ -1,4 +1,4 @@
-package decide
+package policy
 
 import (
 	"cmp"
@@ -10,14 +10,14 @@
 // may shift. A class that vanished, or means something else from now on, stays behind the new
 // ones as it was while requests of it are open; a plan while customers are on it. What the tier
 // is built on (who is in it, and how gateways hear of each other) only a restart can change.
-func (g *Gateway) Reload(now Time, set Settings) error {
+func (g *Controller) Reload(now Time, set Settings) error {
 	if err := set.check(); err != nil {
 		return err
 	}
 	g.begin(now)
 	old := &g.set
-	set.Self, set.Gateways, set.Zone, set.AskMembers = old.Self, old.Gateways, old.Zone, old.AskMembers
-	set.Peers, set.Counter, set.MeterPeriod, set.Report = old.Peers, old.Counter, old.MeterPeriod, old.Report
+	set.Self, set.Gateways, set.Zone, set.PollEndpoints = old.Self, old.Gateways, old.Zone, old.PollEndpoints
+	set.Gossip, set.SharedCounter, set.MeterPeriod, set.LoadReport = old.Gossip, old.SharedCounter, old.MeterPeriod, old.LoadReport
 	set.Classes, set.Plans = slices.Clone(set.Classes), slices.Clone(set.Plans)
 	classes, plans := g.keptClasses(&set), g.keptPlans(&set)
 	if err := set.check(); err != nil {
@@ -62,7 +62,7 @@
 
 // keptClasses gives the new number of each class, -1 where nothing needs it any more, and
 // adds those that open requests keep.
-func (g *Gateway) keptClasses(set *Settings) []int {
+func (g *Controller) keptClasses(set *Settings) []int {
 	listed := len(set.Classes)
 	to := make([]int, len(g.set.Classes))
 	for i, c := range g.set.Classes {
@@ -80,7 +80,7 @@
 }
 
 // anyOpen tells whether it is so of any open request, here or with the former process.
-func (g *Gateway) anyOpen(so func(*request) bool) bool {
+func (g *Controller) anyOpen(so func(*request) bool) bool {
 	for _, open := range []map[uint64]*request{g.requests, g.elsewhere} {
 		for _, r := range open {
 			if so(r) {
@@ -92,7 +92,7 @@
 }
 
 // keptPlans is the same of plans, which stay while customers are on them.
-func (g *Gateway) keptPlans(set *Settings) []int {
+func (g *Controller) keptPlans(set *Settings) []int {
 	to := make([]int, len(g.set.Plans))
 	for i, p := range g.set.Plans {
 		to[i] = named(set.Plans, planName, p.Name)
@@ -106,7 +106,7 @@
 
 // renumber moves all that is kept by class or plan to the new numbers. What was learnt of a
 // class holds for that of its name, whatever else has changed of it.
-func (g *Gateway) renumber(set *Settings, classes, plans []int) {
+func (g *Controller) renumber(set *Settings, classes, plans []int) {
 	from := make([]int, len(set.Classes))
 	for i := range from {
 		if from[i] = slices.Index(classes, i); from[i] < 0 {
@@ -158,14 +158,14 @@
 }
 
 // derive works out what follows from the settings.
-func (g *Gateway) derive() {
+func (g *Controller) derive() {
 	g.period = notePeriod
-	if g.set.MailPerSecond > 0 {
+	if g.set.GossipPerSecond > 0 {
 		g.period = max(g.period, g.mailTime(min(g.set.Gateways-1, fewPeers)))
 	}
-	g.shortAim = g.set.Classes[0].Aim
+	g.shortAim = g.set.Classes[0].LatencyObjective
 	for _, c := range g.set.Classes {
-		g.shortAim = min(g.shortAim, c.Aim)
+		g.shortAim = min(g.shortAim, c.LatencyObjective)
 	}
 	g.lend.cap = 0
 	for _, p := range g.set.Plans {
@@ -176,7 +176,7 @@
 }
 
 // windowOf is the demand window of a plan's customers.
-func (g *Gateway) windowOf(p *Plan, spread int) Time {
+func (g *Controller) windowOf(p *Plan, spread int) Time {
 	if p.Rate <= 0 {
 		return second
 	}
@@ -184,10 +184,10 @@
 }
 
 // Avoided is how many listed backends get nothing now: they drain, or are left out.
-func (g *Gateway) Avoided() int {
+func (g *Controller) UnavailableBackends() int {
 	n := 0
 	for _, b := range g.backends {
-		if b.listed && (b.State != Ready || b.down || b.errs >= sickShare) {
+		if b.listed && (b.State != EndpointReady || b.down || b.errs >= sickShare) {
 			n++
 		}
 	}
--- a/decide/report.go
+++ b/policy/report.go
@@ -1,4 +1,4 @@
-package decide
+package policy
 
 import "fmt"
 
@@ -29,7 +29,7 @@
 	half     int // and those of them with half of the store or more
 	asks     int // of homes, by wide sets
 	silent   int // those of them without an answer in time
-	outcomes [Moot + 1]int
+	outcomes [ResultNotSent + 1]int
 }
 
 // sentTo counts an attempt. Many in a row to one backend tell that choice herds.
@@ -51,7 +51,7 @@
 
 // report writes the counters and the view of the back end for the people on call: a line
 // now and then, as a line a request would cost more than the request.
-func (g *Gateway) report() {
+func (g *Controller) report() {
 	n := &g.counts
 	if g.now-n.since < reportEvery {
 		return
@@ -64,8 +64,8 @@
 		n.sent, n.inRow, n.refused[tooLate], n.refused[noRoom], n.refused[overQuota], n.refused[overCeiling],
 		n.refused[noBackend], n.refused[turnedAway],
 		n.slice, n.half, n.asks, n.silent,
-		n.outcomes[OK], n.outcomes[Failed], n.outcomes[Full], n.outcomes[TimedOut], n.outcomes[ConnectFailed],
-		n.outcomes[Reset], n.outcomes[Moot],
+		n.outcomes[ResultOK], n.outcomes[ResultFailed], n.outcomes[ResultOverloaded], n.outcomes[ResultTimedOut], n.outcomes[ResultConnectFailed],
+		n.outcomes[ResultReset], n.outcomes[ResultNotSent],
 		held, inTime, gateways, g.late.v, g.mean.v/1000, g.alive, len(g.backends)))
 	*n = counts{since: g.now}
 }
