--- a/decide/scale_test.go
+++ b/policy/scale_test.go
@@ -1,4 +1,4 @@
-package decide
+package policy
 
 import (
 	"fmt"
@@ -9,28 +9,28 @@
 // works with these figures.
 
 // sized is a gateway among so many, before so many backends.
-func sized(b *testing.B, gateways, backends int) *Gateway {
+func sized(b *testing.B, gateways, backends int) *Controller {
 	b.Helper()
 	set := settings()
-	set.Gateways, set.Peers, set.MailPerSecond, set.HandshakePrice = gateways, true, 40, 0.1
+	set.Gateways, set.Gossip, set.GossipPerSecond, set.HandshakePrice = gateways, true, 40, 0.1
 	set.Plans[1].Rate, set.Plans[1].Burst = 1e6, 1e6 // no quota binds
 	g, err := New(set, 7, quiet{&fake{}})
 	if err != nil {
 		b.Fatal(err)
 	}
-	g.Members(start, Whole, members(backends))
+	g.UpdateEndpoints(start, UpdateComplete, members(backends))
 	b.ReportAllocs()
 	return g
 }
 
 // serveOne has a request sent and answered.
-func serveOne(b *testing.B, g *Gateway, now Time, id, customer uint64, spread int) {
-	g.Request(now, Request{ID: id, Plan: 1, Customer: customer, Units: 1, Grace: second, Spread: spread})
+func serveOne(b *testing.B, g *Controller, now Time, id, customer uint64, spread int) {
+	g.RequestReceived(now, Request{ID: id, Plan: 1, Customer: customer, Cost: 1, Timeout: second, Replicas: spread})
 	r := g.requests[id]
 	if r == nil {
 		b.Fatal("a request was not sent on")
 	}
-	g.Outcome(now, Outcome{ID: id, Backend: r.attempts[0].b.Backend, Took: 1000, Over: true})
+	g.AttemptEnded(now, Outcome{RequestID: id, Backend: r.attempts[0].b.ID, Latency: 1000, Answered: true})
 }
 
 func BenchmarkRequestByBackends(b *testing.B) {
@@ -51,8 +51,8 @@
 			g := sized(b, 3, n)
 			m := members(1)
 			for b.Loop() {
-				m[0].State = Draining - m[0].State
-				g.Members(start, Changed, m)
+				m[0].State = EndpointDraining - m[0].State
+				g.UpdateEndpoints(start, UpdateIncremental, m)
 			}
 		})
 	}
@@ -64,7 +64,7 @@
 			g, now := sized(b, n, 46), start
 			for b.Loop() {
 				now += g.period
-				g.Timer(now, noteToken)
+				g.TimerFired(now, noteToken)
 			}
 		})
 	}
@@ -95,7 +95,7 @@
 				}
 				for range second / g.period {
 					now += g.period
-					g.Timer(now, noteToken)
+					g.TimerFired(now, noteToken)
 				}
 			}
 			b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N)/float64(n), "us/customer")
--- a/decide/settings.go
+++ b/policy/settings.go
@@ -1,4 +1,4 @@
-package decide
+package policy
 
 import "fmt"
 
@@ -18,8 +18,8 @@
 		return fmt.Errorf("settings: attempts: %d, above 0 wanted", set.MaxAttempts)
 	}
 	for i, c := range set.Classes {
-		if c.Aim <= 0 {
-			return fmt.Errorf("settings: classes[%d].aim: %d, above 0 wanted", i, c.Aim)
+		if c.LatencyObjective <= 0 {
+			return fmt.Errorf("settings: classes[%d].aim: %d, above 0 wanted", i, c.LatencyObjective)
 		}
 	}
 	for i, p := range set.Plans {
--- a/decide/state.go
+++ b/policy/state.go
@@ -1,4 +1,4 @@
-package decide
+package policy
 
 import (
 	"cmp"
@@ -56,7 +56,7 @@
 }
 
 // Gateway decides for one gateway. It is not safe for concurrent use.
-type Gateway struct {
+type Controller struct {
 	set           Settings
 	do            Actions
 	rand          *rand.Rand
@@ -110,7 +110,7 @@
 
 // backend is one server as this gateway sees it.
 type backend struct {
-	Member
+	Endpoint
 	listed  bool
 	near    bool    // one of those that this gateway prefers
 	out     int     // attempts out
@@ -170,31 +170,31 @@
 }
 
 // soft tells whether use beyond the quota earns more than it costs.
-func (p *Plan) soft() bool { return p.BeyondEarns > p.BeyondCosts }
+func (p *Plan) soft() bool { return p.OverageRevenue > p.OverageCost }
 
 // in tells whether a gateway is of the customer's set.
-func (g *Gateway) in(c *customer, gateway int) bool {
+func (g *Controller) in(c *customer, gateway int) bool {
 	n := g.set.Gateways
 	return (gateway-c.first+n)%n < c.spread
 }
 
 // sameGroup tells whether two backends drop each other's repeats.
 func (c *Class) sameGroup(a, b *backend) bool {
-	switch c.Group {
-	case GroupZone:
+	switch c.DedupScope {
+	case DedupZone:
 		return a.Zone == b.Zone
-	case GroupCell:
+	case DedupCell:
 		return a.Cell == b.Cell
 	}
 	return true
 }
 
 // backend finds or makes the record of a member.
-func (g *Gateway) backend(m Member) *backend {
-	b := g.byID[m.Backend]
+func (g *Controller) backend(m Endpoint) *backend {
+	b := g.byID[m.ID]
 	if b == nil {
-		b = &backend{Member: m, cold: g.coldBank(), words: make([]fading, len(g.set.Classes)+len(g.set.Plans))}
-		g.byID[m.Backend] = b
+		b = &backend{Endpoint: m, cold: g.coldBank(), words: make([]fading, len(g.set.Classes)+len(g.set.Plans))}
+		g.byID[m.ID] = b
 		g.backends = append(g.backends, b)
 	}
 	return b
@@ -202,11 +202,11 @@
 
 // prune forgets backends that are no longer listed and hold nothing. One that is cold is kept till
 // it is warm: an older list may bring it back as one that has run for long.
-func (g *Gateway) prune() {
+func (g *Controller) prune() {
 	g.backends = slices.DeleteFunc(g.backends, func(b *backend) bool {
 		gone := !b.listed && b.out == 0 && g.share(b) == 1
 		if gone {
-			delete(g.byID, b.Backend)
+			delete(g.byID, b.ID)
 		}
 		return gone
 	})
@@ -215,7 +215,7 @@
 // drawNear draws the backends that this gateway prefers. Where a handshake has a price, and many
 // gateways would each pay it to every backend, each has some of every zone: an arc of the zone's
 // backends, in an order that all gateways share, so that each is near to as many gateways as any other.
-func (g *Gateway) drawNear() {
+func (g *Controller) drawNear() {
 	n := g.set.Gateways
 	step := n*5/8 | 1 // neighbours serve the same customers: their arcs are far apart
 	for gcd(step, n) > 1 {
@@ -224,14 +224,14 @@
 	zones := map[int][]*backend{}
 	for _, b := range g.backends {
 		b.near = g.set.HandshakePrice <= 0
-		if b.listed && b.State == Ready {
+		if b.listed && b.State == EndpointReady {
 			zones[b.Zone] = append(zones[b.Zone], b)
 		}
 	}
 	const mix = 0x9E3779B1
 	for _, zone := range zones {
 		slices.SortFunc(zone, func(a, b *backend) int {
-			return cmp.Or(cmp.Compare(a.Backend*mix, b.Backend*mix), cmp.Compare(a.Backend, b.Backend))
+			return cmp.Or(cmp.Compare(a.ID*mix, b.ID*mix), cmp.Compare(a.ID, b.ID))
 		})
 		first, arc := g.set.Self*step%n*len(zone)/n, (nearShared*len(zone)+n-1)/n
 		for i := range min(arc, len(zone)) {
@@ -248,13 +248,13 @@
 }
 
 // newGateway makes a gateway's empty state.
-func newGateway(set Settings, seed uint64, do Actions) *Gateway {
-	g := &Gateway{
+func newController(set Settings, seed uint64, do Actions) *Controller {
+	g := &Controller{
 		set: set, do: do, rand: rand.New(rand.NewPCG(seed, seed>>32)), boot: uint32(seed>>32) ^ uint32(seed),
 		idleSpill: make([]float64, len(set.Plans)), customers: map[uint64]*customer{},
 		boots: make([]uint32, set.Gateways), heardAt: make([]Time, set.Gateways),
 		deafAt: make([]Time, set.Gateways),
-		notes:  make([][]byte, set.Gateways), turns: make([]byte, set.Gateways), pooled: set.Gateways > 1 && (set.Peers || set.Counter),
+		notes:  make([][]byte, set.Gateways), turns: make([]byte, set.Gateways), pooled: set.Gateways > 1 && (set.Gossip || set.SharedCounter),
 		byID: map[uint32]*backend{}, requests: map[uint64]*request{}, elsewhere: map[uint64]*request{},
 		base: make([]mean, len(set.Classes)), due: make([][]*attempt, len(set.Classes)),
 	}
@@ -266,27 +266,27 @@
 }
 
 // mailTime is the time in which a gateway can take in notes from so many others.
-func (g *Gateway) mailTime(senders int) Time {
-	return Time(float64(senders) / (mailShare * math.Max(g.set.MailPerSecond, 1)) * float64(second))
+func (g *Controller) mailTime(senders int) Time {
+	return Time(float64(senders) / (mailShare * math.Max(g.set.GossipPerSecond, 1)) * float64(second))
 }
 
 // rouse sets the next timer.
-func (g *Gateway) rouse() {
+func (g *Controller) rouse() {
 	g.timerAt = g.now + g.period
 	g.do.SetTimer(g.timerAt, noteToken)
 }
 
 // near tells whether a gateway greets another when it starts.
-func (g *Gateway) near(from, to int) bool {
+func (g *Controller) near(from, to int) bool {
 	n := g.set.Gateways
-	return g.set.Peers && from != to && (to-from+n)%n <= fewPeers
+	return g.set.Gossip && from != to && (to-from+n)%n <= fewPeers
 }
 
 // unsettled tells whether this gateway began so lately that its peers can't have told it of all banks.
-func (g *Gateway) unsettled() bool { return g.now-g.born < min(second/2, settleIn*g.period) }
+func (g *Controller) unsettled() bool { return g.now-g.born < min(second/2, settleIn*g.period) }
 
 // begun is the note to a peer, begun if need be.
-func (g *Gateway) begun(peer int) []byte {
+func (g *Controller) begun(peer int) []byte {
 	if len(g.notes[peer]) == 0 {
 		return g.noteHead()
 	}
@@ -294,7 +294,7 @@
 }
 
 // noteHead begins a note: which life of this gateway, and its view of the back end.
-func (g *Gateway) noteHead() []byte {
+func (g *Controller) noteHead() []byte {
 	held, inTime, n := g.view()
 	g.turn = max(1, g.turn+1)
 	note := append(noteHead(g.boot, held/n, inTime/n), turnItem, g.turn)
@@ -310,7 +310,7 @@
 }
 
 // lateAfter has the attempts of a class that are out for longer fill no room.
-func (g *Gateway) lateAfter(class int, age Time) {
+func (g *Controller) lateAfter(class int, age Time) {
 	due := g.due[class]
 	for ; len(due) > 0 && g.now-due[0].at > age; due = due[1:] {
 		if a := due[0]; a.pending {
@@ -322,33 +322,33 @@
 }
 
 // tellGrant adds a customer's grant to the next note to a peer, sent at once if full.
-func (g *Gateway) tellGrant(peer int, c *customer) {
+func (g *Controller) tellGrant(peer int, c *customer) {
 	if len(g.notes[peer])+grantSize > noteMost {
-		g.do.Tell(peer, g.notes[peer])
+		g.do.SendGossip(peer, g.notes[peer])
 		g.notes[peer] = nil
 	}
 	g.notes[peer] = grant{id: c.id, part: c.grant}.put(g.begun(peer))
 }
 
 // giveBack returns what a request took that was never sent: units are taken by what reaches a backend.
-func (g *Gateway) giveBack(r *request) {
+func (g *Controller) giveBack(r *request) {
 	if r.sent {
 		return
 	}
 	g.refill(r.c)
 	if r.lent {
-		g.lend.level = math.Min(g.lend.cap, g.lend.level+r.Units)
+		g.lend.level = math.Min(g.lend.cap, g.lend.level+r.Cost)
 	} else {
-		g.take(r.c, r.home, -r.Units)
+		g.take(r.c, r.home, -r.Cost)
 	}
 	if r.capped {
-		r.c.ceiling.level = math.Min(r.c.ceiling.cap, r.c.ceiling.level+r.Units)
+		r.c.ceiling.level = math.Min(r.c.ceiling.cap, r.c.ceiling.level+r.Cost)
 	}
 }
 
 // Holds tells whether an attempt that was kept from being written may still be: its request is
 // open, its backend ready, and no copy of what may have run is made that must not be.
-func (g *Gateway) Holds(now Time, id uint64, number int) bool {
+func (g *Controller) MaySend(now Time, id uint64, number int) bool {
 	r := g.requests[id]
 	if r == nil || r.over || number < 0 || number >= len(r.attempts) || !r.attempts[number].pending {
 		return false
@@ -356,12 +356,12 @@
 	a := r.attempts[number]
 	others := slices.DeleteFunc(slices.Clone(r.attempts), func(o *attempt) bool { return o == a })
 	class := &g.set.Classes[r.Class]
-	again, within, _ := class.may(others, g.set.SecondCopies, now, 4*g.set.Tick)
-	return again && a.b.listed && a.b.State == Ready && (within == nil || class.sameGroup(within.b, a.b))
+	again, within, _ := class.may(others, g.set.Hedging, now, 4*g.set.MinEventInterval)
+	return again && a.b.listed && a.b.State == EndpointReady && (within == nil || class.sameGroup(within.b, a.b))
 }
 
 // Started takes in that a streamed answer has begun: it is the client's now.
-func (g *Gateway) Started(now Time, id uint64) {
+func (g *Controller) ResponseStarted(now Time, id uint64) {
 	g.begin(now)
 	if r := g.requests[id]; r != nil {
 		r.over = true
@@ -369,21 +369,21 @@
 }
 
 // Gone takes in that a client left or its time ran out.
-func (g *Gateway) Gone(now Time, id uint64) {
-	g.Started(now, id)
+func (g *Controller) RequestCancelled(now Time, id uint64) {
+	g.ResponseStarted(now, id)
 	if r := g.requests[id]; r != nil && !r.pending() {
 		delete(g.requests, id)
 	}
 }
 
 // follow asks discovery to tell of changes.
-func (g *Gateway) follow() {
+func (g *Controller) follow() {
 	g.asked = g.now
-	g.do.Follow()
+	g.do.WatchEndpoints()
 }
 
 // entry is what this gateway has to tell of a customer.
-func (g *Gateway) entry(c *customer) entry {
+func (g *Controller) entry(c *customer) entry {
 	left := c.store.level / math.Max(c.store.cap, 1e-9)
 	if g.wide(c) {
 		left = c.grant
@@ -393,7 +393,7 @@
 }
 
 // note adds a customer to the notes for those it is told to, if all have room.
-func (g *Gateway) note(c *customer) bool {
+func (g *Controller) note(c *customer) bool {
 	first, n := g.audience(c)
 	for i := range n {
 		if len(g.notes[(first+i)%g.set.Gateways])+entrySize > noteMost {
@@ -410,7 +410,7 @@
 }
 
 // newer tells whether a note is the newest of its sender yet, and keeps its turn if so.
-func (g *Gateway) newer(from int, n note) bool {
+func (g *Controller) newer(from int, n note) bool {
 	if n.turn == 0 || g.turns[from] != 0 && g.boots[from] == n.boot && n.turn-g.turns[from]-1 >= math.MaxInt8 {
 		return false
 	}
@@ -419,17 +419,17 @@
 }
 
 // greet has the neighbours know that this gateway knows nothing.
-func (g *Gateway) greet() {
+func (g *Controller) greet() {
 	for peer := range g.notes {
 		g.heardAt[peer] = g.now
 		if g.near(g.set.Self, peer) {
-			g.do.Tell(peer, g.noteHead())
+			g.do.SendGossip(peer, g.noteHead())
 		}
 	}
 }
 
 // audience is to how many gateways, from which on, a customer's use is told.
-func (g *Gateway) audience(c *customer) (first, n int) {
+func (g *Controller) audience(c *customer) (first, n int) {
 	if g.wide(c) {
 		return g.home(c, 0), 1
 	}
@@ -437,7 +437,7 @@
 }
 
 // mark has a customer's use told with the next notes.
-func (g *Gateway) mark(c *customer) {
+func (g *Controller) mark(c *customer) {
 	if c.spread == 1 || !g.pooled || g.consults(c) {
 		c.told = c.taken
 		return
@@ -449,19 +449,19 @@
 }
 
 // refuse refuses with advice within what is allowed.
-func (g *Gateway) refuse(id uint64, why reason, after Time) {
+func (g *Controller) refuse(id uint64, why reason, after Time) {
 	g.counts.refused[why]++
-	if !g.set.RetryAfter {
+	if !g.set.RetryAfterAdvice {
 		after = 0
 	}
-	g.do.Refuse(id, max(0, min(after, g.set.MaxRetryAfter)))
+	g.do.Reject(id, max(0, min(after, g.set.MaxRetryAfter)))
 }
 
 // flush sends the notes begun.
-func (g *Gateway) flush() {
+func (g *Controller) flush() {
 	for peer, note := range g.notes {
 		if len(note) > 0 {
-			g.do.Tell(peer, note)
+			g.do.SendGossip(peer, note)
 		}
 		g.notes[peer] = note[:0]
 	}
@@ -469,7 +469,7 @@
 
 // pool adds a peer's view of the back end to what is known of all. However often a
 // peer tells of it, it counts as one.
-func (g *Gateway) pool(from int, n note) {
+func (g *Controller) pool(from int, n note) {
 	weight := math.Min(1, float64(g.awake-g.heardAt[from])/float64(second))
 	g.peers.add(g.awake, second, weight)
 	g.peersHeld.add(g.awake, second, weight*n.held)
@@ -478,9 +478,9 @@
 }
 
 // showView has notes with this gateway's view go to some others, drawn each time.
-func (g *Gateway) showView(n int) {
+func (g *Controller) showView(n int) {
 	for range n {
-		if peer := g.rand.IntN(g.set.Gateways); g.set.Peers && peer != g.set.Self {
+		if peer := g.rand.IntN(g.set.Gateways); g.set.Gossip && peer != g.set.Self {
 			g.notes[peer] = g.begun(peer)
 		}
 	}
@@ -495,18 +495,18 @@
 }
 
 // hearsAll tells whether all others of the customer's set were heard within the last moment.
-func (g *Gateway) hearsAll(c *customer) bool {
+func (g *Controller) hearsAll(c *customer) bool {
 	for i := range c.spread {
 		peer := (c.first + i) % g.set.Gateways
 		if peer != g.set.Self && (g.boots[peer] == 0 || g.awake-g.heardAt[peer] > second/2) {
 			return false
 		}
 	}
-	return g.pooled && g.set.Peers && !g.wide(c)
+	return g.pooled && g.set.Gossip && !g.wide(c)
 }
 
 // heardOf is what a gateway of the set told of a customer.
-func (g *Gateway) heardOf(c *customer, from int) *heard {
+func (g *Controller) heardOf(c *customer, from int) *heard {
 	if c.heard == nil {
 		c.heard = make([]heard, c.spread)
 	}
@@ -516,12 +516,12 @@
 // broke takes in that a connection to a backend could not be made or broke, and tells
 // whether the backend is down. One reset tells of one connection; even of many the process
 // may go on, and warm: that it has ended, and will be cold, is told by what can't connect.
-func (g *Gateway) broke(b *backend, r Result) bool {
+func (g *Controller) broke(b *backend, r Result) bool {
 	b.breaks.add(g.now, breakTime, 1)
-	if r == Reset && b.breaks.sum < breaksMost {
+	if r == ResultReset && b.breaks.sum < breaksMost {
 		return false
 	}
-	b.silent = r == Reset && (b.silent || !b.down)
+	b.silent = r == ResultReset && (b.silent || !b.down)
 	if !b.down || g.now >= b.trialAt {
 		b.down = true
 		g.leaveOut(b, "connections break")
@@ -530,12 +530,12 @@
 }
 
 // share is the part of its capacity that a backend has at least.
-func (g *Gateway) share(b *backend) float64 {
-	if b.Started == 0 || g.set.ColdTime == 0 {
+func (g *Controller) share(b *backend) float64 {
+	if b.StartedAt == 0 || g.set.SlowStartTime == 0 {
 		return 1
 	}
-	age := math.Max(0, float64(g.now-b.Started)/float64(g.set.ColdTime))
-	return math.Min(1, g.set.ColdFrom+(1-g.set.ColdFrom)*age)
+	age := math.Max(0, float64(g.now-b.StartedAt)/float64(g.set.SlowStartTime))
+	return math.Min(1, g.set.SlowStartFloor+(1-g.set.SlowStartFloor)*age)
 }
 
 // slowness is how slow the backend is, faded towards the usual.
@@ -553,14 +553,14 @@
 }
 
 // word adds a word of trouble, to be told with the next notes.
-func (g *Gateway) word(b *backend, about int) {
+func (g *Controller) word(b *backend, about int) {
 	b.words[about].add(g.now, wordTime, 1)
-	g.news = append(g.news[max(0, len(g.news)-wordsMost+1):], told{word{b.Backend, g.toldAs(about)}, wordNotes})
+	g.news = append(g.news[max(0, len(g.news)-wordsMost+1):], told{word{b.ID, g.toldAs(about)}, wordNotes})
 }
 
 // toldAs is how a note names a class, or a plan: counted down, as gateways that have not yet
 // taken in the same settings may know another number of classes.
-func (g *Gateway) toldAs(about int) byte {
+func (g *Controller) toldAs(about int) byte {
 	if plan := about - len(g.set.Classes); plan >= 0 {
 		return byte(math.MaxUint8 - plan)
 	}
@@ -568,7 +568,7 @@
 }
 
 // aboutOf is its number here; -1: unknown.
-func (g *Gateway) aboutOf(told byte) int {
+func (g *Controller) aboutOf(told byte) int {
 	if plan := math.MaxUint8 - int(told); plan < len(g.set.Plans) {
 		return len(g.set.Classes) + plan
 	} else if int(told) < len(g.set.Classes) {
@@ -580,7 +580,7 @@
 // coldPace is how much of its capacity this gateway may use of a cold backend a second: that of a
 // warm one's pace. With no warm one near it is one core's at least, cut over the gateways near to it:
 // no backend has less. How long a core takes is told by the cold ones' answers, till then by the aim.
-func (g *Gateway) coldPace(b *backend, share float64) float64 {
+func (g *Controller) coldPace(b *backend, share float64) float64 {
 	if !b.near {
 		return 0 // those that it is near to see to it
 	}
@@ -601,10 +601,10 @@
 
 // coldBank is what a cold backend may be sent at first: less than one, drawn, so that
 // of many gateways neither all nor none send at once.
-func (g *Gateway) coldBank() bank { return bank{level: g.rand.Float64(), at: g.now} }
+func (g *Controller) coldBank() bank { return bank{level: g.rand.Float64(), at: g.now} }
 
 // book takes note of an attempt that goes out.
-func (g *Gateway) book(r *request, b *backend) {
+func (g *Controller) book(r *request, b *backend) {
 	a := &attempt{b: b, at: g.now, pending: true, mayRun: true}
 	r.attempts = append(r.attempts, a)
 	g.due[r.Class] = append(g.due[r.Class], a)
@@ -621,9 +621,9 @@
 }
 
 // Settle takes what a request took beyond its guess, where that is told only after its outcome.
-func (g *Gateway) Settle(now Time, customer uint64, more float64) {
+func (g *Controller) CostSettled(now Time, customer uint64, more float64) {
 	g.begin(now)
-	if c := g.customers[customer]; c != nil && g.set.Settles {
+	if c := g.customers[customer]; c != nil && g.set.SettlesCost {
 		g.refill(c)
 		g.take(c, 0, more)
 	}
--- a/scale/backends.go
+++ b/scale/backends.go
@@ -9,7 +9,7 @@
 	"syscall"
 	"time"
 
-	"mothcleat/internal/resp"
+	"sparspread/internal/resp"
 )
 
 // backends stand in for all members: one listener serves every loopback address, and the address that was
--- a/scale/catalog.go
+++ b/scale/catalog.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"mothcleat/decide"
+	"sparspread/policy"
 )
 
 // The phases of a member, as discovery writes them.
@@ -139,10 +139,10 @@
 }
 
 // told gives the members as the decision module takes them.
-func (c *catalog) told() []decide.Member {
-	list := make([]decide.Member, len(c.phases))
+func (c *catalog) told() []policy.Endpoint {
+	list := make([]policy.Endpoint, len(c.phases))
 	for i := range list {
-		list[i] = decide.Member{Backend: uint32(i), Zone: i % zones, Cell: i%zones + zones*(i/(8*zones)), Hint: 1}
+		list[i] = policy.Endpoint{ID: uint32(i), Zone: i % zones, Cell: i%zones + zones*(i/(8*zones)), CapacityHint: 1}
 	}
 	return list
 }
--- a/scale/clients.go
+++ b/scale/clients.go
@@ -16,7 +16,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"mothcleat/internal/resp"
+	"sparspread/internal/resp"
 )
 
 const (
--- a/scale/hollow.go
+++ b/scale/hollow.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"mothcleat/decide"
+	"sparspread/policy"
 )
 
 // hollowTier runs gateways that are only the decision module and a socket for notes. Some goroutines share
@@ -23,7 +23,7 @@
 	byPeer  map[netip.AddrPort]int // numbers of hollow and real gateways, by where their notes come from
 	relays  map[int]*relay
 	start   time.Time
-	wall    decide.Time
+	wall    policy.Time
 
 	requests  atomic.Int64 // at all hollow gateways
 	answered  atomic.Int64 // served, refused or failed
@@ -41,7 +41,7 @@
 	w       *worker
 	number  int
 	conn    *net.UDPConn
-	module  *decide.Gateway
+	module  *policy.Controller
 	demand  demand
 	open    map[uint64]*hollowRequest
 	counter uint64
@@ -60,14 +60,14 @@
 	hollows []*hollow
 	line    chan func()
 	dues    dueHeap
-	service decide.Time
+	service policy.Time
 	rand    *rand.Rand
 	rate    atomic.Int64 // requests a second at all of its gateways, in thousandths
 }
 
 // due is something to be done at a time.
 type due struct {
-	at decide.Time
+	at policy.Time
 	do func()
 }
 
@@ -86,7 +86,7 @@
 }
 
 // newHollowTier makes hollow gateways of the given numbers. Their notes' addresses replace the sink's.
-func newHollowTier(e *experiment, p *post, ledger *ledger, numbers []int, members []decide.Member, set func(self int) (decide.Settings, error)) (*hollowTier, error) {
+func newHollowTier(e *experiment, p *post, ledger *ledger, numbers []int, members []policy.Endpoint, set func(self int) (policy.Settings, error)) (*hollowTier, error) {
 	t := &hollowTier{post: p, ledger: ledger, byPeer: map[netip.AddrPort]int{}, relays: map[int]*relay{}, start: time.Now()}
 	t.wall = t.start.UnixMicro()
 	for _, r := range p.relays {
@@ -115,7 +115,7 @@
 		t.byPeer[p.peers[n]] = n
 		settings, err := set(n)
 		if err == nil {
-			h.module, err = decide.New(settings, uint64(n)<<32|w.rand.Uint64()>>32, h)
+			h.module, err = policy.New(settings, uint64(n)<<32|w.rand.Uint64()>>32, h)
 		}
 		if err != nil {
 			t.close()
@@ -128,7 +128,7 @@
 	return t, nil
 }
 
-func (t *hollowTier) now() decide.Time { return t.wall + time.Since(t.start).Microseconds() }
+func (t *hollowTier) now() policy.Time { return t.wall + time.Since(t.start).Microseconds() }
 
 // run has all gateways work until the context ends.
 func (t *hollowTier) run(ctx context.Context) (wait func()) {
@@ -158,11 +158,11 @@
 }
 
 // tell tells all hollow gateways what changed in the list.
-func (t *hollowTier) tell(changed []decide.Member) {
+func (t *hollowTier) tell(changed []policy.Endpoint) {
 	for _, w := range t.workers {
 		w.line <- func() {
 			for _, h := range w.hollows {
-				h.module.Members(t.now(), decide.Changed, changed)
+				h.module.UpdateEndpoints(t.now(), policy.UpdateIncremental, changed)
 			}
 		}
 	}
@@ -174,7 +174,7 @@
 }
 
 // wasLate takes in by how much something was done late.
-func (t *hollowTier) wasLate(late decide.Time) {
+func (t *hollowTier) wasLate(late policy.Time) {
 	for {
 		worst := t.lateWorst.Load()
 		if late <= worst || t.lateWorst.CompareAndSwap(worst, late) {
@@ -188,17 +188,17 @@
 const hollowStart = time.Second
 
 // begin gives each gateway the list, and a life that begins with it.
-func (w *worker) begin(members []decide.Member) {
+func (w *worker) begin(members []policy.Endpoint) {
 	now := w.tier.now()
 	for i, h := range w.hollows {
-		w.at(now+hollowStart.Microseconds()*decide.Time(i)/decide.Time(len(w.hollows)), func() {
-			h.module.Members(w.tier.now(), decide.Whole, members)
+		w.at(now+hollowStart.Microseconds()*policy.Time(i)/policy.Time(len(w.hollows)), func() {
+			h.module.UpdateEndpoints(w.tier.now(), policy.UpdateComplete, members)
 		})
 	}
 	w.at(now+hollowStart.Microseconds(), w.arrive)
 }
 
-func (w *worker) at(when decide.Time, do func()) { heap.Push(&w.dues, due{when, do}) }
+func (w *worker) at(when policy.Time, do func()) { heap.Push(&w.dues, due{when, do}) }
 
 const arrivalsPause = 10_000 // between two looks for demand where there is none, in microseconds
 
@@ -210,7 +210,7 @@
 		return
 	}
 	w.hollows[w.rand.IntN(len(w.hollows))].request(now)
-	w.at(now+decide.Time(w.rand.ExpFloat64()/rate*1e6), w.arrive)
+	w.at(now+policy.Time(w.rand.ExpFloat64()/rate*1e6), w.arrive)
 }
 
 // run does what is due and what comes, until the context ends.
@@ -255,7 +255,7 @@
 }
 
 // request has a client's request come.
-func (h *hollow) request(now decide.Time) {
+func (h *hollow) request(now policy.Time) {
 	from := h.demand.draw()
 	h.counter++
 	h.open[h.counter] = &hollowRequest{caller: from}
@@ -264,9 +264,9 @@
 		number = 1
 	}
 	h.w.tier.requests.Add(1)
-	h.module.Request(now, decide.Request{
-		ID: h.counter, Customer: from.customer, Plan: number, Units: 1,
-		Grace: clientWaits.Microseconds(), First: from.first, Spread: from.spread,
+	h.module.RequestReceived(now, policy.Request{
+		ID: h.counter, Customer: from.customer, Plan: number, Cost: 1,
+		Timeout: clientWaits.Microseconds(), FirstReplica: from.first, Replicas: from.spread,
 	})
 }
 
@@ -287,7 +287,7 @@
 		select {
 		case h.w.line <- func() {
 			h.w.tier.wasLate(h.w.tier.now() - come)
-			h.module.Peer(h.w.tier.now(), from, note)
+			h.module.GossipReceived(h.w.tier.now(), from, note)
 		}:
 		case <-ctx.Done():
 			return
@@ -300,7 +300,7 @@
 // The module's actions.
 
 // Send has an attempt answered after the service time.
-func (h *hollow) Send(id uint64, backend uint32, _ decide.Time) {
+func (h *hollow) Send(id uint64, backend uint32, _ policy.Time) {
 	r := h.open[id]
 	number := r.attempts
 	if number == 0 && r.capped {
@@ -311,8 +311,8 @@
 	h.w.at(h.w.tier.now()+h.w.service, func() {
 		r.out--
 		h.end(id, r)
-		h.module.Outcome(h.w.tier.now(), decide.Outcome{
-			ID: id, Attempt: number, Backend: backend, Result: decide.OK, Took: h.w.service, Over: true,
+		h.module.AttemptEnded(h.w.tier.now(), policy.Outcome{
+			RequestID: id, Attempt: number, Backend: backend, Result: policy.ResultOK, Latency: h.w.service, Answered: true,
 		})
 	})
 }
@@ -329,7 +329,7 @@
 }
 
 // Refuse ends a request.
-func (h *hollow) Refuse(id uint64, _ decide.Time) { h.Fail(id) }
+func (h *hollow) Reject(id uint64, _ policy.Time) { h.Fail(id) }
 
 // Fail ends a request.
 func (h *hollow) Fail(id uint64) {
@@ -339,12 +339,12 @@
 }
 
 // SetTimer has the module called at a time.
-func (h *hollow) SetTimer(at decide.Time, token uint32) {
-	h.w.at(at, func() { h.module.Timer(h.w.tier.now(), token) })
+func (h *hollow) SetTimer(at policy.Time, token uint32) {
+	h.w.at(at, func() { h.module.TimerFired(h.w.tier.now(), token) })
 }
 
 // Tell sends a note.
-func (h *hollow) Tell(peer int, note []byte) {
+func (h *hollow) SendGossip(peer int, note []byte) {
 	if r := h.w.tier.relays[peer]; r != nil {
 		r.deliver(h.conn, note)
 		return
@@ -353,13 +353,13 @@
 }
 
 // Probe is not allowed by the settings.
-func (h *hollow) Probe(uint32) {}
+func (h *hollow) HealthCheck(uint32) {}
 
 // Count is not allowed by the settings.
-func (h *hollow) Count(uint64, float64, decide.Time) {}
+func (h *hollow) IncrementCounter(uint64, float64, policy.Time) {}
 
 // Follow is not needed: changes are told without asking.
-func (h *hollow) Follow() {}
+func (h *hollow) WatchEndpoints() {}
 
 // Log drops lines: nobody is on call for a hollow gateway.
 func (h *hollow) Log(string) {}
--- a/scale/main.go
+++ b/scale/main.go
@@ -24,7 +24,7 @@
 	Experiment string `arg:"" type:"existingfile" help:"Experiment file (TOML)."`
 	Out        string `required:"" help:"File that the results are appended to, a JSON object a line."`
 	Repeat     int    `help:"Play this repeat alone, so that others get the machine in between; 0: all."`
-	Gateway    string `default:"bin/mothcleat" help:"The gateway's program."`
+	Gateway    string `default:"bin/gateway" help:"The gateway's program."`
 }
 
 // Run plays every size of an experiment, each repeat of all sizes in turn, so that what changes on the
--- a/scale/play.go
+++ b/scale/play.go
@@ -20,8 +20,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"mothcleat/decide"
-	"mothcleat/internal/wire"
+	"sparspread/internal/simproto"
+	"sparspread/policy"
 )
 
 // stage is everything that plays one point.
@@ -168,8 +168,8 @@
 	if len(hollow) == 0 {
 		return nil
 	}
-	s.hollow, err = newHollowTier(s.e, s.post, s.ledger, hollow, s.catalog.told(), func(self int) (decide.Settings, error) {
-		settings, _, err := wire.ParseJSON(settingsOf(s.e.tier(s.p), self))
+	s.hollow, err = newHollowTier(s.e, s.post, s.ledger, hollow, s.catalog.told(), func(self int) (policy.Settings, error) {
+		settings, _, err := simproto.ParseJSON(settingsOf(s.e.tier(s.p), self))
 		if err != nil {
 			return settings, fmt.Errorf("settings: %w", err)
 		}
@@ -400,10 +400,10 @@
 		return
 	}
 	list := s.catalog.told()
-	told := make([]decide.Member, 0, len(members))
+	told := make([]policy.Endpoint, 0, len(members))
 	for _, i := range members {
 		m := list[i]
-		m.State = map[string]decide.State{phaseReady: decide.Ready, phaseTerminating: decide.Draining, phaseGone: decide.Left}[phase]
+		m.State = map[string]policy.EndpointState{phaseReady: policy.EndpointReady, phaseTerminating: policy.EndpointDraining, phaseGone: policy.EndpointRemoved}[phase]
 		told = append(told, m)
 	}
 	s.hollow.tell(told)
--- a/scale/scale_test.go
+++ b/scale/scale_test.go
@@ -13,17 +13,17 @@
 	"testing"
 	"time"
 
-	"mothcleat/internal/resp"
+	"sparspread/internal/resp"
 )
 
 func gatewayProgram(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
-	build := exec.Command("go", "build", "-o", dir, "../cmd/mothcleat")
+	build := exec.Command("go", "build", "-o", dir, "../cmd/gateway")
 	if out, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("building the gateway: %v\n%s", err, out)
 	}
-	return filepath.Join(dir, "mothcleat")
+	return filepath.Join(dir, "gateway")
 }
 
 // TestSmall plays a small experiment through every part, and reads its results back. It checks counts and
