--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -25,7 +25,7 @@
 	// Before all else: a signal that comes early must not end the program.
 	control := signals()
 	// And before any file is opened: with too few descriptors the runtime itself ends, and says less.
-	files, err := gateway.Files()
+	files, err := gateway.DescriptorLimit()
 	if err != nil {
 		return err
 	}
@@ -33,7 +33,7 @@
 	if err != nil {
 		return err
 	}
-	cfg.Files = files
+	cfg.DescriptorLimit = files
 	// One core, and memory well below the limit at which the platform kills.
 	// The heap is small: collecting it less often costs little and saves CPU.
 	runtime.GOMAXPROCS(1)
--- a/internal/gateway/backends.go
+++ b/internal/gateway/backends.go
@@ -21,101 +21,103 @@
 
 // attempt is one send of a request or, with no request, a probe.
 type attempt struct {
-	r        *request
-	number   int
-	backend  uint32
-	sent     policy.Time
-	until    policy.Time
-	conn     *backendConn // nil: it waits for one
-	giveUp   *timer
-	redialed bool
-	ended    bool
-	whole    bool // written to its last byte
-	begun    bool // its value is on its way to the client
+	request      *request
+	number       int
+	backend      uint32
+	sentAt       policy.Time
+	expiresAt    policy.Time
+	conn         *backendConn // nil: it waits for one
+	timeout      *timer
+	redialed     bool
+	ended        bool
+	fullyWritten bool // written to its last byte
+	begun        bool // its value is on its way to the client
 }
 
 // relayed counts an attempt that was written whole.
-func (a *attempt) relayed() {
-	a.whole = true
-	a.r.figures.relayed.Add(1)
+func (a *attempt) markFullyWritten() {
+	a.fullyWritten = true
+	a.request.metrics.relayed.Add(1)
 }
 
 // backend is a member that discovery has named, by its id.
 type backend struct {
-	number  uint32
-	address string
-	upSince int64 // as discovery tells it
-	state   policy.EndpointState
-	told    discovery.Endpoint // by discovery, last
-	idle    []*backendConn     // the one used last at the end
-	waiting []*attempt         // for a connection, oldest first
-	dialing int
-	awaited bool // a timer is set for when an idle connection has rested
+	number          uint32
+	address         string
+	upSince         int64 // as discovery tells it
+	state           policy.EndpointState
+	endpoint        discovery.Endpoint // by discovery, last
+	idle            []*backendConn     // the one used last at the end
+	waiting         []*attempt         // for a connection, oldest first
+	dialing         int
+	quiesceTimerSet bool // a timer is set for when an idle connection has rested
 }
 
 // backendConn is a connection to a backend. It carries one attempt at a time:
 // answers come in order, so a slow one would hold up all behind it, and giving
 // one up closes the connection under the others.
 type backendConn struct {
-	b      *backend
-	conn   *net.TCPConn
-	out    *sender
-	a      *attempt
-	closed bool
-	since  policy.Time   // idle since
-	read   atomic.Int64  // bytes that have come
-	used   int64         // those of them that belong to the answers taken in
-	gone   chan struct{} // closed when it is
-	passTo chan *client  // to whom a large value goes
-	within time.Duration // the reader's: how soon more must come; 0: whenever
+	backend     *backend
+	conn        *net.TCPConn
+	sender      *sender
+	attempt     *attempt
+	closed      bool
+	idleSince   policy.Time   // idle since
+	bytesRead   atomic.Int64  // bytes that have come
+	bytesUsed   int64         // those of them that belong to the answers taken in
+	done        chan struct{} // closed when it is
+	valueClient chan *client  // to whom a large value goes
+	readTimeout time.Duration // the reader's: how soon more must come; 0: whenever
 }
 
 // Read counts what comes, for the connection's reader. Amid an answer it waits
 // only so long for more.
 func (c *backendConn) Read(b []byte) (int, error) {
-	if c.within > 0 {
-		_ = c.conn.SetReadDeadline(time.Now().Add(c.within))
+	if c.readTimeout > 0 {
+		_ = c.conn.SetReadDeadline(time.Now().Add(c.readTimeout))
 	}
 	n, err := c.conn.Read(b)
-	c.read.Add(int64(n))
+	c.bytesRead.Add(int64(n))
 	return n, err
 }
 
 // restFor is how long a connection rests after an answer: a second copy of that may follow some
 // milliseconds later (0.9 to 3.9 were seen), and would pass for the answer to what was written meanwhile.
-const restFor = 10_000
+const quiescencePeriod = 10_000
 
 // rests tells whether something may still come behind the last answer.
-func (c *backendConn) rests(now policy.Time) bool { return c.used > 0 && now-c.since < restFor }
+func (c *backendConn) isQuiescing(now policy.Time) bool {
+	return c.bytesUsed > 0 && now-c.idleSince < quiescencePeriod
+}
 
 // clean tells whether nothing has come that no request asked for. What lies
 // there when a request is written would be taken for its answer: a second copy
 // of the last one, or noise.
-func (c *backendConn) clean() bool { return c.read.Load() == c.used && c.out.quiet() }
+func (c *backendConn) clean() bool { return c.bytesRead.Load() == c.bytesUsed && c.sender.isQuiet() }
 
 // backends is the table of members and their connections.
 type backends struct {
-	byNumber map[uint32]*backend
-	byID     map[string]*backend
-	keep     keep
-	most     int // connections and dials
-	open     int
-	dialed   int // since the last report
-	dial     net.Dialer
+	byNumber         map[uint32]*backend
+	byID             map[string]*backend
+	idleTimeout      idleTimeoutEstimate
+	limit            int // connections and dials
+	open             int
+	dialsSinceReport int // since the last report
+	dial             net.Dialer
 }
 
 func newBackends(cfg *Config, most int) *backends {
 	return &backends{
-		byNumber: map[uint32]*backend{}, byID: map[string]*backend{}, most: most,
-		keep: keep{longest: cfg.Host.IdleClose / 2},
-		dial: net.Dialer{Timeout: time.Duration(cfg.Host.DialTimeout) * time.Microsecond, KeepAlive: -1},
+		byNumber: map[uint32]*backend{}, byID: map[string]*backend{}, limit: most,
+		idleTimeout: idleTimeoutEstimate{longest: cfg.Host.IdleClose / 2},
+		dial:        net.Dialer{Timeout: time.Duration(cfg.Host.DialTimeout) * time.Microsecond, KeepAlive: -1},
 	}
 }
 
 // find finds or makes the record of a member. Its number is the hexadecimal
 // end of its id, else a hash of it: the same at every gateway, as notes name
 // backends by it.
-func (bs *backends) find(id string) *backend {
+func (bs *backends) findOrCreate(id string) *backend {
 	if b := bs.byID[id]; b != nil {
 		return b
 	}
@@ -136,27 +138,27 @@
 }
 
 // start carries out a Send or a Probe.
-func (bs *backends) start(l *Loop, a *attempt, number uint32) {
+func (bs *backends) startAttempt(l *Loop, a *attempt, number uint32) {
 	a.backend = number
 	b := bs.byNumber[number]
-	a.giveUp = l.at(a.until, giveUp{a})
-	if b == nil || b.state != policy.EndpointReady || a.r != nil && (!a.r.body.free() || a.r.client.closed.Load()) {
+	a.timeout = l.schedule(a.expiresAt, attemptTimeout{a})
+	if b == nil || b.state != policy.EndpointReady || a.request != nil && (!a.request.body.unassigned() || a.request.client.disconnected.Load()) {
 		// It must not, or can't be sent: nobody waits for it, or a body that has gone to
 		// an earlier attempt is kept nowhere.
-		l.finish(a, policy.ResultNotSent, nil)
+		l.endAttempt(a, policy.ResultNotSent, nil)
 		return
 	}
-	bs.place(l, b, a)
+	bs.assign(l, b, a)
 }
 
 // take takes the idle connection used last that has rested; nil: there is none.
-func (bs *backends) take(l *Loop, b *backend) *backendConn {
+func (bs *backends) takeIdle(l *Loop, b *backend) *backendConn {
 	now := l.now()
-	trusted := now - bs.keep.most(now)
+	trusted := now - bs.idleTimeout.current(now)
 	for n := len(b.idle) - 1; n >= 0; n-- {
 		switch c := b.idle[n]; {
-		case c.rests(now):
-		case c.since < trusted:
+		case c.isQuiescing(now):
+		case c.idleSince < trusted:
 			bs.close(c)
 		default:
 			b.idle = slices.Delete(b.idle, n, n+1)
@@ -167,78 +169,78 @@
 }
 
 // place gives an attempt an idle connection, or has one dialed.
-func (bs *backends) place(l *Loop, b *backend, a *attempt) {
-	for c := bs.take(l, b); c != nil; c = bs.take(l, b) {
+func (bs *backends) assign(l *Loop, b *backend, a *attempt) {
+	for c := bs.takeIdle(l, b); c != nil; c = bs.takeIdle(l, b) {
 		if bs.write(l, c, a) {
 			return
 		}
 	}
 	b.waiting = append(b.waiting, a)
-	if a.r != nil {
-		a.r.waits = a
+	if a.request != nil {
+		a.request.waitingAttempt = a
 	}
-	bs.await(l, b)
-	bs.connect(l, b)
+	bs.awaitQuiescence(l, b)
+	bs.dialForWaiting(l, b)
 }
 
 // await has attempts that wait look again for an idle connection as soon as one has rested: a dial
 // may take longer.
-func (bs *backends) await(l *Loop, b *backend) {
-	if len(b.waiting) == 0 || b.awaited {
+func (bs *backends) awaitQuiescence(l *Loop, b *backend) {
+	if len(b.waiting) == 0 || b.quiesceTimerSet {
 		return
 	}
 	for _, c := range b.idle {
-		if c.rests(l.now()) {
-			b.awaited = true
-			l.at(c.since+restFor, rested{b})
+		if c.isQuiescing(l.now()) {
+			b.quiesceTimerSet = true
+			l.schedule(c.idleSince+quiescencePeriod, connectionQuiesced{b})
 			return
 		}
 	}
 }
 
 // rested tells that a connection has rested for which attempts may wait.
-type rested struct{ b *backend }
+type connectionQuiesced struct{ b *backend }
 
-func (e rested) due(l *Loop) {
+func (e connectionQuiesced) fire(l *Loop) {
 	bs, b := l.backends, e.b
-	b.awaited = false
+	b.quiesceTimerSet = false
 	for len(b.waiting) > 0 {
-		c := bs.take(l, b)
+		c := bs.takeIdle(l, b)
 		if c == nil {
 			break
 		}
-		bs.give(l, c)
+		bs.assignToWaiting(l, c)
 	}
-	bs.await(l, b)
+	bs.awaitQuiescence(l, b)
 }
 
 // forgo ends an attempt that waits for a connection: it never was sent.
-func (bs *backends) forgo(l *Loop, a *attempt) {
+func (bs *backends) cancelWaiting(l *Loop, a *attempt) {
 	if a == nil {
 		return
 	}
 	b := bs.byNumber[a.backend]
 	b.waiting = slices.DeleteFunc(b.waiting, func(w *attempt) bool { return w == a })
-	l.finish(a, policy.ResultNotSent, nil)
+	l.endAttempt(a, policy.ResultNotSent, nil)
 }
 
 // connect dials as long as more attempts wait than dials are under way.
-func (bs *backends) connect(l *Loop, b *backend) {
+func (bs *backends) dialForWaiting(l *Loop, b *backend) {
 	for b.dialing < len(b.waiting) {
-		if bs.open >= bs.most && !bs.evict() {
+		if bs.open >= bs.limit && !bs.evict() {
 			// No descriptor to spare is no fault of the backend's: nothing was
 			// sent, and nothing is to be learnt of it.
 			a := b.waiting[len(b.waiting)-1]
 			b.waiting = b.waiting[:len(b.waiting)-1]
-			l.finish(a, policy.ResultNotSent, nil)
+			l.endAttempt(a, policy.ResultNotSent, nil)
 			continue
 		}
 		b.dialing++
 		bs.open++
-		bs.dialed++
+		bs.dialsSinceReport++
 		go func(address string, upSince int64) {
 			conn, err := bs.dial.DialContext(context.Background(), "tcp", address)
-			e := dialed{b: b, address: address, upSince: upSince, err: err}
+			e := dialEnded{b: b, address: address, upSince: upSince, err: err}
 			if err == nil {
 				e.conn = conn.(*net.TCPConn)
 			}
@@ -251,7 +253,7 @@
 func (bs *backends) evict() bool {
 	var oldest *backendConn
 	for _, b := range bs.byNumber {
-		if len(b.idle) > 0 && (oldest == nil || b.idle[0].since < oldest.since) {
+		if len(b.idle) > 0 && (oldest == nil || b.idle[0].idleSince < oldest.idleSince) {
 			oldest = b.idle[0]
 		}
 	}
@@ -263,14 +265,14 @@
 }
 
 // drop closes a backend's idle connections.
-func (bs *backends) drop(b *backend) {
+func (bs *backends) closeIdle(b *backend) {
 	for len(b.idle) > 0 {
 		bs.close(b.idle[0])
 	}
 }
 
 // dialed tells how a dial ended.
-type dialed struct {
+type dialEnded struct {
 	b       *backend
 	address string
 	upSince int64 // as it was told when the dial began
@@ -278,7 +280,7 @@
 	err     error
 }
 
-func (e dialed) handle(l *Loop) {
+func (e dialEnded) handle(l *Loop) {
 	bs, b := l.backends, e.b
 	b.dialing--
 	if e.err != nil {
@@ -289,57 +291,57 @@
 				// Something listens there: nothing was sent, and another may do
 				// better. Nobody listening would refuse.
 				a.redialed = true
-				bs.connect(l, b)
+				bs.dialForWaiting(l, b)
 				return
 			}
 			b.waiting = b.waiting[1:]
-			l.finish(a, policy.ResultConnectFailed, nil)
+			l.endAttempt(a, policy.ResultConnectFailed, nil)
 		}
 		return
 	}
-	c := &backendConn{b: b, conn: e.conn, out: newSender(e.conn), gone: make(chan struct{}), passTo: make(chan *client, 1)}
+	c := &backendConn{backend: b, conn: e.conn, sender: newSender(e.conn), done: make(chan struct{}), valueClient: make(chan *client, 1)}
 	if e.address != b.address || e.upSince != b.upSince {
 		bs.close(c) // it leads to where the backend was, or to the process before
-		bs.connect(l, b)
+		bs.dialForWaiting(l, b)
 		return
 	}
-	go c.receive(l)
-	bs.free(l, c)
+	go c.readReplies(l)
+	bs.release(l, c)
 }
 
 // free gives a new connection to the attempt that has waited longest. One that has carried an answer
 // rests first.
-func (bs *backends) free(l *Loop, c *backendConn) {
-	b := c.b
-	if b.state != policy.EndpointReady && len(b.waiting) == 0 || !c.out.idle() {
+func (bs *backends) release(l *Loop, c *backendConn) {
+	b := c.backend
+	if b.state != policy.EndpointReady && len(b.waiting) == 0 || !c.sender.isIdle() {
 		// It is not to be used again; or the answer came before all of the
 		// request was written, and the next would be written into its rest.
 		bs.close(c)
-		bs.connect(l, b)
+		bs.dialForWaiting(l, b)
 		return
 	}
-	if c.used == 0 {
-		bs.give(l, c)
+	if c.bytesUsed == 0 {
+		bs.assignToWaiting(l, c)
 		return
 	}
-	bs.idles(l, c)
-	bs.await(l, b)
+	bs.addIdle(l, c)
+	bs.awaitQuiescence(l, b)
 }
 
 // idles keeps a connection.
-func (bs *backends) idles(l *Loop, c *backendConn) {
-	c.since = l.now()
-	c.b.idle = append(c.b.idle, c)
+func (bs *backends) addIdle(l *Loop, c *backendConn) {
+	c.idleSince = l.now()
+	c.backend.idle = append(c.backend.idle, c)
 }
 
 // give gives a connection to the attempt that has waited longest, or keeps it.
-func (bs *backends) give(l *Loop, c *backendConn) {
-	b := c.b
+func (bs *backends) assignToWaiting(l *Loop, c *backendConn) {
+	b := c.backend
 	for len(b.waiting) > 0 {
 		a := b.waiting[0]
 		b.waiting = b.waiting[1:]
-		if a.r != nil && (a.r.client.closed.Load() || !l.module.MaySend(l.now(), a.r.id, a.number)) {
-			l.finish(a, policy.ResultNotSent, nil) // it waited for too long, or nobody does any more
+		if a.request != nil && (a.request.client.disconnected.Load() || !l.controller.MaySend(l.now(), a.request.id, a.number)) {
+			l.endAttempt(a, policy.ResultNotSent, nil) // it waited for too long, or nobody does any more
 			continue
 		}
 		if bs.write(l, c, a) {
@@ -347,21 +349,21 @@
 		}
 		if c.closed {
 			b.waiting = slices.Insert(b.waiting, 0, a)
-			bs.connect(l, b)
+			bs.dialForWaiting(l, b)
 			return
 		}
 	}
-	bs.idles(l, c)
+	bs.addIdle(l, c)
 }
 
 // write writes an attempt to an idle connection. It tells whether the attempt
 // is done with: on its way, or ended. If the connection turned out broken the
 // attempt was not sent, and may go by another.
 func (bs *backends) write(l *Loop, c *backendConn, a *attempt) bool {
-	if c.b.state != policy.EndpointReady {
+	if c.backend.state != policy.EndpointReady {
 		// The drain was told while the attempt waited for its connection:
 		// nothing new goes there, however slow the dial was.
-		l.finish(a, policy.ResultNotSent, nil)
+		l.endAttempt(a, policy.ResultNotSent, nil)
 		bs.close(c)
 		return true
 	}
@@ -371,29 +373,29 @@
 	}
 	var b []byte
 	switch {
-	case a.r != nil:
-		b = a.r.forward(a.until - l.now())
-	case l.cfg.Host.ReportVia == "pull":
+	case a.request != nil:
+		b = a.request.forward(a.expiresAt - l.now())
+	case l.config.Host.ReportVia == "pull":
 		b = []byte("*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n")
 	default:
 		b = []byte("*1\r\n$4\r\nPING\r\n")
 	}
-	n, err := c.out.try(b)
+	n, err := c.sender.tryWrite(b)
 	if err != nil {
 		bs.close(c)
 		return false
 	}
 	if n < len(b) {
-		c.out.send(b[n:], len(b))
-	} else if a.r != nil && a.r.body == nil {
-		a.relayed()
+		c.sender.send(b[n:], len(b))
+	} else if a.request != nil && a.request.body == nil {
+		a.markFullyWritten()
 	}
-	c.a, a.conn = a, c
-	if a.r != nil {
-		a.r.waits = nil
+	c.attempt, a.conn = a, c
+	if a.request != nil {
+		a.request.waitingAttempt = nil
 	}
-	if a.r != nil {
-		a.r.body.pass(c)
+	if a.request != nil {
+		a.request.body.assign(c)
 	}
 	return true
 }
@@ -401,9 +403,9 @@
 // sweep closes idle connections well before their backends do: a request that
 // crosses the close would end as a reset.
 func (bs *backends) sweep(l *Loop) {
-	since := l.now() - l.cfg.Host.IdleClose/2
+	since := l.now() - l.config.Host.IdleClose/2
 	for _, b := range bs.byNumber {
-		for len(b.idle) > 0 && b.idle[0].since <= since {
+		for len(b.idle) > 0 && b.idle[0].idleSince <= since {
 			bs.close(b.idle[0])
 		}
 	}
@@ -415,34 +417,34 @@
 		return
 	}
 	c.closed = true
-	close(c.gone)
+	close(c.done)
 	bs.open--
 	_ = c.conn.Close()
-	if i := slices.Index(c.b.idle, c); i >= 0 {
-		c.b.idle = slices.Delete(c.b.idle, i, i+1)
+	if i := slices.Index(c.backend.idle, c); i >= 0 {
+		c.backend.idle = slices.Delete(c.backend.idle, i, i+1)
 	}
 }
 
 // wholeWithin is how soon more must come of an answer that has begun: its length
 // may be spoilt and promise more than ever comes.
-const wholeWithin = time.Second
+const replyTimeout = time.Second
 
 // receive posts what a backend answers until the connection ends or its answers
 // can't be told apart any more.
-func (c *backendConn) receive(l *Loop) {
+func (c *backendConn) readReplies(l *Loop) {
 	in := resp.NewReader(c)
 	for {
-		e := replied{c: c}
+		e := replyReceived{c: c}
 		if e.err = in.Await(); e.err == nil {
-			c.within = wholeWithin
-			if e.reply, e.err = in.ReadReply(); e.err == nil && e.reply.Large > 0 && !c.relay(l, in, &e) {
+			c.readTimeout = replyTimeout
+			if e.reply, e.err = in.ReadReply(); e.err == nil && e.reply.Large > 0 && !c.streamValue(l, in, &e) {
 				return
 			}
-			c.within = 0
+			c.readTimeout = 0
 			_ = c.conn.SetReadDeadline(time.Time{})
-			e.spoilt = errors.Is(e.err, resp.ErrProtocol) || errors.Is(e.err, os.ErrDeadlineExceeded)
+			e.malformed = errors.Is(e.err, resp.ErrProtocol) || errors.Is(e.err, os.ErrDeadlineExceeded)
 		}
-		e.used, e.more = c.read.Load()-int64(in.Buffered()), in.Buffered() > 0
+		e.bytesUsed, e.more = c.bytesRead.Load()-int64(in.Buffered()), in.Buffered() > 0
 		l.post(e)
 		if e.err != nil || e.more {
 			return
@@ -451,64 +453,64 @@
 }
 
 // replied is an answer on a backend's connection, or its end.
-type replied struct {
-	c      *backendConn
-	reply  resp.Reply
-	err    error
-	spoilt bool  // an answer has come that can't be read
-	used   int64 // bytes that have come with it and before
-	more   bool  // and others behind it
-	passed bool  // it has gone to the client already, as far as it came
-}
-
-func (e replied) handle(l *Loop) {
-	c, a := e.c, e.c.a
+type replyReceived struct {
+	c         *backendConn
+	reply     resp.Reply
+	err       error
+	malformed bool  // an answer has come that can't be read
+	bytesUsed int64 // bytes that have come with it and before
+	more      bool  // and others behind it
+	streamed  bool  // it has gone to the client already, as far as it came
+}
+
+func (e replyReceived) handle(l *Loop) {
+	c, a := e.c, e.c.attempt
 	if c.closed {
 		return
 	}
-	if e.passed {
-		e.end(l)
+	if e.streamed {
+		e.finishStream(l)
 		return
 	}
-	kept := c.used > 0 // it has carried an answer before this one
-	c.used = e.used
-	if a == nil || e.err != nil && !e.spoilt {
+	kept := c.bytesUsed > 0 // it has carried an answer before this one
+	c.bytesUsed = e.bytesUsed
+	if a == nil || e.err != nil && !e.malformed {
 		l.backends.close(c)
-		if c.a = nil; a != nil {
+		if c.attempt = nil; a != nil {
 			// Its last byte was written, or may have been: it may have run. Where a
 			// connection was kept and proved dead when used, those that have been
 			// kept for longer are most likely dead too, though nothing shows it.
-			idle := a.sent - c.since
-			for kept && len(c.b.idle) > 0 && c.b.idle[0].since <= c.since && l.backends.keep.blames(l.now(), idle) {
-				l.backends.close(c.b.idle[0])
+			idle := a.sentAt - c.idleSince
+			for kept && len(c.backend.idle) > 0 && c.backend.idle[0].idleSince <= c.idleSince && l.backends.idleTimeout.blames(l.now(), idle) {
+				l.backends.close(c.backend.idle[0])
 			}
-			if kept && l.now()-a.sent < atOnce {
-				l.backends.keep.broke(l.now(), idle)
+			if kept && l.now()-a.sentAt < staleReuseWindow {
+				l.backends.idleTimeout.recordBroken(l.now(), idle)
 			}
-			l.finish(a, policy.ResultReset, nil)
+			l.endAttempt(a, policy.ResultReset, nil)
 		}
 		return
 	}
-	if a.unended() {
+	if a.bodyPending() {
 		e.more = true // the rest of its body will not be written, or is being written now
 	}
-	result, value, use, load, fine := classify(e.reply, a.r == nil)
-	if e.spoilt && value == nil {
+	result, value, use, load, fine := classify(e.reply, a.request == nil)
+	if e.malformed && value == nil {
 		result = policy.ResultFailed
 	}
-	c.a = nil
+	c.attempt = nil
 	if kept {
-		l.backends.keep.lived(l.now(), a.sent-c.since)
+		l.backends.idleTimeout.recordAlive(l.now(), a.sentAt-c.idleSince)
 	}
-	if !fine || e.spoilt || e.more {
+	if !fine || e.malformed || e.more {
 		// What comes next on this connection may belong to nothing. That tells
 		// only of it: the others to the backend go on.
 		l.backends.close(c)
-		l.backends.connect(l, c.b)
+		l.backends.dialForWaiting(l, c.backend)
 	}
-	l.finishWith(a, result, answerParts{value, l.units(use), l.report(load)})
+	l.endAttemptWith(a, result, answerParts{value, l.actualCost(use), l.loadReport(load)})
 	if !c.closed {
-		l.backends.free(l, c)
+		l.backends.release(l, c)
 	}
 }
 
@@ -539,13 +541,13 @@
 
 // units reads the true units from the figures on use, such as "used=37,cost=4"; 0 if they
 // are not told. What no request can take must not reach a customer's bank.
-func (l *Loop) units(use string) float64 {
-	if !l.cfg.Settings.SettlesCost {
+func (l *Loop) actualCost(use string) float64 {
+	if !l.config.Settings.SettlesCost {
 		return 0
 	}
 	for pair := range strings.SplitSeq(use, ",") {
 		if name, value, _ := strings.Cut(pair, "="); name == "cost" {
-			if units, err := strconv.ParseFloat(value, 64); err == nil && units > 0 && units <= l.cfg.mostUnits() {
+			if units, err := strconv.ParseFloat(value, 64); err == nil && units > 0 && units <= l.config.maxCost() {
 				return units
 			}
 			return 0
@@ -557,9 +559,9 @@
 // report reads a load report, in the order of the settings; nil if it is none.
 // One that is not whole, or holds what no load can be, must not reach the
 // decisions: it would draw all requests to its backend, or none.
-func (l *Loop) report(text string) []float32 {
-	names := l.cfg.Host.Report
-	if len(l.cfg.Settings.LoadReport) == 0 || !strings.Contains(text, "=") {
+func (l *Loop) loadReport(text string) []float32 {
+	names := l.config.Host.Report
+	if len(l.config.Settings.LoadReport) == 0 || !strings.Contains(text, "=") {
 		return nil
 	}
 	load, told := make([]float32, len(names)), 0
@@ -582,52 +584,52 @@
 }
 
 // giveUp ends an attempt whose time has passed, and its connection with it.
-type giveUp struct{ a *attempt }
+type attemptTimeout struct{ a *attempt }
 
-func (g giveUp) due(l *Loop) {
+func (g attemptTimeout) fire(l *Loop) {
 	a := g.a
 	if a.ended {
 		return
 	}
-	if a.r != nil && a.r.value != nil && a.r.value == a.conn {
-		a.r.value = nil // its turn in the client's line never came
+	if a.request != nil && a.request.valueConn != nil && a.request.valueConn == a.conn {
+		a.request.valueConn = nil // its turn in the client's line never came
 	}
 	if a.conn == nil {
-		l.backends.forgo(l, a)
+		l.backends.cancelWaiting(l, a)
 		return
 	}
-	a.conn.a = nil
+	a.conn.attempt = nil
 	l.backends.close(a.conn)
-	l.finish(a, policy.ResultTimedOut, nil)
+	l.endAttempt(a, policy.ResultTimedOut, nil)
 }
 
 // finish ends an attempt: the first call counts, and brings its one outcome.
-func (l *Loop) finish(a *attempt, result policy.Result, value []byte) {
-	l.finishWith(a, result, answerParts{value: value})
+func (l *Loop) endAttempt(a *attempt, result policy.Result, value []byte) {
+	l.endAttemptWith(a, result, answerParts{value: value})
 }
 
-func (l *Loop) finishWith(a *attempt, result policy.Result, answer answerParts) {
+func (l *Loop) endAttemptWith(a *attempt, result policy.Result, answer answerParts) {
 	if a.ended {
 		return
 	}
 	a.ended = true
-	if a.r != nil && a.r.waits == a {
-		a.r.waits = nil
+	if a.request != nil && a.request.waitingAttempt == a {
+		a.request.waitingAttempt = nil
 	}
-	if a.halfway() {
+	if a.bodyIncomplete() {
 		if result != policy.ResultOverloaded {
 			result = policy.ResultNotSent // its last byte was never written
 		}
-	} else if a.r != nil && a.conn != nil && !a.whole && a.conn.out.idle() {
-		a.relayed() // what the socket did not take at once was written since
+	} else if a.request != nil && a.conn != nil && !a.fullyWritten && a.conn.sender.isIdle() {
+		a.markFullyWritten() // what the socket did not take at once was written since
 	}
-	l.cancel(a.giveUp)
-	a.giveUp, a.conn = nil, nil
-	l.later(outcome{a, result, answer, l.now() - a.sent})
+	l.cancelTimer(a.timeout)
+	a.timeout, a.conn = nil, nil
+	l.enqueue(attemptEnded{a, result, answer, l.now() - a.sentAt})
 }
 
 // members takes in discovery's list or its changes.
-func (bs *backends) members(l *Loop, news policy.UpdateKind, list []discovery.Endpoint) {
+func (bs *backends) updateEndpoints(l *Loop, news policy.UpdateKind, list []discovery.Endpoint) {
 	told := make([]policy.Endpoint, 0, len(list))
 	if news != policy.UpdateIncremental {
 		for _, b := range bs.byNumber {
@@ -635,28 +637,28 @@
 		}
 	}
 	for _, m := range list {
-		b := bs.find(m.ID)
-		b.state, b.told = m.State(), m
+		b := bs.findOrCreate(m.ID)
+		b.state, b.endpoint = m.State(), m
 		if b.address != m.Address || b.upSince != m.UpSinceMS {
 			// It has moved or started anew: what stands idle leads nowhere.
 			b.address, b.upSince = m.Address, m.UpSinceMS
-			bs.drop(b)
+			bs.closeIdle(b)
 		}
 		told = append(told, policy.Endpoint{
 			ID: b.number, Zone: l.discovery.zone(m.Zone), Cell: m.Cell, State: b.state,
 			CapacityHint: m.CapacityHint, StartedAt: m.UpSinceMS * 1000,
 		})
 	}
-	l.module.UpdateEndpoints(l.now(), news, told)
+	l.controller.UpdateEndpoints(l.now(), news, told)
 	listed := int64(0)
 	for id, b := range bs.byID {
 		if b.state != policy.EndpointRemoved {
 			listed++
 		}
 		if b.state != policy.EndpointReady {
-			bs.drop(b)
+			bs.closeIdle(b)
 			for len(b.waiting) > 0 {
-				bs.forgo(l, b.waiting[0]) // it can go elsewhere at once
+				bs.cancelWaiting(l, b.waiting[0]) // it can go elsewhere at once
 			}
 		}
 		if b.state == policy.EndpointRemoved && len(b.waiting) == 0 && b.dialing == 0 {
@@ -664,6 +666,6 @@
 			delete(bs.byNumber, b.number)
 		}
 	}
-	l.figures.listed.Store(listed)
-	l.figures.avoided.Store(int64(l.module.UnavailableBackends()))
+	l.metrics.listed.Store(listed)
+	l.metrics.outOfRotation.Store(int64(l.controller.UnavailableBackends()))
 }
--- a/internal/gateway/bodies.go
+++ b/internal/gateway/bodies.go
@@ -13,35 +13,39 @@
 // body is a large body of a request, which its client's reader passes on as it reads it. It goes
 // to one attempt, or to nobody: then it is read past.
 type body struct {
-	size int
-	to   chan *backendConn // where it goes, nil: nowhere
-	last atomic.Bool       // its last bytes are being written: the attempt may run from now on
+	size             int
+	target           chan *backendConn // where it goes, nil: nowhere
+	lastBytesWriting atomic.Bool       // its last bytes are being written: the attempt may run from now on
 
 	// the loop's
-	r       *request
-	settled bool         // it is known where it goes
-	conn    *backendConn // there
+	request  *request
+	assigned bool         // it is known where it goes
+	conn     *backendConn // there
 }
 
 // free tells whether an attempt may be made: its request has no body, or still has it.
-func (b *body) free() bool { return b == nil || !b.settled }
+func (b *body) unassigned() bool { return b == nil || !b.assigned }
 
 // pass has the body go to a connection, on which the request's head was written.
-func (b *body) pass(c *backendConn) {
-	if b != nil && !b.settled {
-		b.settled, b.conn = true, c
-		b.to <- c
+func (b *body) assign(c *backendConn) {
+	if b != nil && !b.assigned {
+		b.assigned, b.conn = true, c
+		b.target <- c
 	}
 }
 
 // drop has the body read past, as its request has its answer.
-func (b *body) drop() { b.pass(nil) }
+func (b *body) discard() { b.assign(nil) }
 
 // halfway tells whether an attempt's body is not written to its end.
-func (a *attempt) halfway() bool { return a.unended() && !a.r.body.last.Load() }
+func (a *attempt) bodyIncomplete() bool {
+	return a.bodyPending() && !a.request.body.lastBytesWriting.Load()
+}
 
 // unended tells whether it is not known that an attempt's body is written to its end.
-func (a *attempt) unended() bool { return a.r != nil && a.r.body != nil && a.conn != nil && !a.whole }
+func (a *attempt) bodyPending() bool {
+	return a.request != nil && a.request.body != nil && a.conn != nil && !a.fullyWritten
+}
 
 // relayBody passes a body on as it is read, a buffer at a time: a backend that takes it slowly
 // holds up the reading, and nothing else. It runs in the client's reader, and tells whether the
@@ -49,14 +53,14 @@
 func (c *client) relayBody(l *Loop, in *resp.Reader, b *body) bool {
 	var to *backendConn
 	gone := false
-	c.meanwhile(l, func() {
+	c.readAheadWhile(l, func() {
 		select {
-		case to = <-b.to:
+		case to = <-b.target:
 		case <-c.done:
 			gone = true
 		}
 	})
-	if gone || c.closed.Load() {
+	if gone || c.disconnected.Load() {
 		return false // the attempt, if any, ends with the request
 	}
 	write := func(p []byte) {
@@ -64,86 +68,86 @@
 			return
 		}
 		var err error
-		c.meanwhile(l, func() { err = to.out.pump(p, relayIdle) })
+		c.readAheadWhile(l, func() { err = to.sender.writeBlocking(p, relayTimeout) })
 		if err != nil {
-			l.post(bodyBroken{b: b})
+			l.post(bodyFailed{b: b})
 			to = nil // the rest is read past
 		}
 	}
-	buf := make([]byte, min(b.size, relayBuffer))
+	buf := make([]byte, min(b.size, relayBufferSize))
 	var err error
-	for left := b.size; left > 0 && err == nil && !c.closed.Load(); {
-		c.until = time.Now().Add(commandWithin)
-		_ = c.conn.SetReadDeadline(c.until)
+	for left := b.size; left > 0 && err == nil && !c.disconnected.Load(); {
+		c.commandDeadline = time.Now().Add(commandTimeout)
+		_ = c.conn.SetReadDeadline(c.commandDeadline)
 		var n int
 		n, err = in.ReadPart(buf[:min(left, len(buf))])
 		left -= n
 		write(buf[:n])
 	}
-	if c.closed.Load() {
+	if c.disconnected.Load() {
 		return false
 	}
 	if err == nil {
-		_ = c.conn.SetReadDeadline(c.until)
+		_ = c.conn.SetReadDeadline(c.commandDeadline)
 		err = in.ReadEnd()
 	}
 	switch {
 	case err == nil:
-		b.last.Store(to != nil)
+		b.lastBytesWriting.Store(to != nil)
 		write([]byte("\r\n"))
 		if to != nil {
-			l.post(bodyWhole{b})
+			l.post(bodyWritten{b})
 		}
 		_ = c.conn.SetReadDeadline(time.Time{})
 		return true
 	case errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, resp.ErrProtocol):
-		l.post(bodyBroken{b: b, spoilt: true})
+		l.post(bodyFailed{b: b, malformed: true})
 	default:
-		c.leave(l)
+		c.disconnect(l)
 	}
 	return false
 }
 
 // bodyWhole tells that an attempt was written to its last byte.
-type bodyWhole struct{ b *body }
+type bodyWritten struct{ b *body }
 
-func (e bodyWhole) handle(*Loop) {
-	if a := e.b.conn.a; a != nil && a.r == e.b.r && a.unended() {
-		a.relayed()
+func (e bodyWritten) handle(*Loop) {
+	if a := e.b.conn.attempt; a != nil && a.request == e.b.request && a.bodyPending() {
+		a.markFullyWritten()
 	}
 }
 
 // bodyBroken tells that a body can't be passed on: its backend takes no more of it or, spoilt, it
 // does not come whole. What comes behind that can't be read.
-type bodyBroken struct {
-	b      *body
-	spoilt bool
+type bodyFailed struct {
+	b         *body
+	malformed bool
 }
 
-func (e bodyBroken) handle(l *Loop) {
-	r := e.b.r
+func (e bodyFailed) handle(l *Loop) {
+	r := e.b.request
 	c := r.client
-	if e.spoilt && !c.gone {
-		c.barred.Store(true)
+	if e.malformed && !c.closed {
+		c.ignoreInput.Store(true)
 		if !r.answered {
-			l.answer(r, refusal(errors.New("command not whole in time")))
-			l.module.RequestCancelled(l.now(), r.id)
+			l.answer(r, errorReply(errors.New("command not whole in time")))
+			l.controller.RequestCancelled(l.now(), r.id)
 		}
-		c.end(l)
+		c.closeWhenIdle(l)
 	}
-	l.abort(r)
+	l.abortBody(r)
 }
 
 // abort ends the attempt that a request's body has not reached whole.
-func (l *Loop) abort(r *request) {
+func (l *Loop) abortBody(r *request) {
 	if r.body == nil || r.body.conn == nil {
 		return
 	}
 	c := r.body.conn
-	if a := c.a; a != nil && a.r == r && a.halfway() {
-		l.finish(a, policy.ResultNotSent, nil)
-		c.a = nil
+	if a := c.attempt; a != nil && a.request == r && a.bodyIncomplete() {
+		l.endAttempt(a, policy.ResultNotSent, nil)
+		c.attempt = nil
 		l.backends.close(c)
-		l.backends.connect(l, c.b)
+		l.backends.dialForWaiting(l, c.backend)
 	}
 }
--- a/internal/gateway/bodies_test.go
+++ b/internal/gateway/bodies_test.go
@@ -51,7 +51,7 @@
 	b.next(t).serve(t, "ok")
 	c.value("ok")
 	c.raw(bodyHead(2, "tiny", len(body)) + body + "\r\n")
-	if got := c.line(); !isBusy([]byte(got)) {
+	if got := c.line(); !isBusyReply([]byte(got)) {
 		t.Errorf("answer %q", got)
 	}
 	c.raw(bodyHead(3, "none", len(body)) + body + "\r\n")
@@ -94,7 +94,7 @@
 	c.raw(bodyHead(1, "team", len(body)) + body[:5000])
 	wait(t, b.begun, "the body to begin")
 	b.conns.Range(func(conn, _ any) bool { conn.(interface{ Close() error }).Close(); return true })
-	if got := c.line(); !isBusy([]byte(got)) {
+	if got := c.line(); !isBusyReply([]byte(got)) {
 		t.Errorf("answer %q", got)
 	}
 	c.raw(body[5000:] + "\r\n")
@@ -117,7 +117,7 @@
 		t.Run(name, func(t *testing.T) {
 			b := newBackend(t)
 			l := unstarted(t, newFakeDiscovery(t))
-			l.backends.members(l, policy.UpdateComplete, []discovery.Endpoint{
+			l.backends.updateEndpoints(l, policy.UpdateComplete, []discovery.Endpoint{
 				{ID: "s-00000001", Address: b.listener.Addr().String(), Phase: "Ready"}})
 			l.clients.resume(l)
 			t.Cleanup(l.clients.pause)
@@ -131,9 +131,9 @@
 			var whole, answer event
 			for whole == nil || answer == nil {
 				switch e := wait(t, l.events, "the body's end and the answer").(type) {
-				case bodyWhole:
+				case bodyWritten:
 					whole = e
-				case replied:
+				case replyReceived:
 					answer = e
 				}
 			}
--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -16,27 +16,27 @@
 )
 
 const (
-	acceptAgain = 20 * time.Millisecond
-	backlogIdle = 20 * time.Millisecond // without a new connection: none waits
-	pipelined   = 256                   // commands of one connection without an answer
-	unread      = 2 * resp.MaxValue     // bytes of answers that a client has not taken
-	aheadMost   = 2 * resp.MaxValue     // and of what it has sent that are read while its reader waits,
-	aheadStep   = 4096                  // for which room is taken as they come
-	refuseAfter = 500_000               // advice where the gateway itself has no room
-	lingerFor   = 500_000               // for the other side to close, after the last answer,
-	lingerLost  = 200_000               // after an error that ends the connection,
-	lingerMost  = 10                    // and so many times longer while it takes answers slowly
-
-	firstWithin   = 2500 * time.Millisecond // for a connection's first command, whole
-	commandWithin = 2500 * time.Millisecond // for any other, from its first byte: true ones take up to 2 s
-	mostErrors    = 5                       // bad commands in a row that a connection may send
-	idleMost      = 8_000_000               // without a request, after which a connection is closed,
-	onceMost      = 3_000_000               // one that has asked only once,
-	idleLeast     = 2_000_000               // and any, where places are short
-	settled       = 100_000                 // age of a connection that might have spoken by now,
-	silentSpare   = 300_000                 // and of one that should have
-
-	unfinishedShare = 75 // percent of the places that connections without a whole command may hold
+	acceptRetryDelay   = 20 * time.Millisecond
+	backlogIdle        = 20 * time.Millisecond // without a new connection: none waits
+	maxPipelined       = 256                   // commands of one connection without an answer
+	maxUnreadReply     = 2 * resp.MaxValue     // bytes of answers that a client has not taken
+	maxReadAhead       = 2 * resp.MaxValue     // and of what it has sent that are read while its reader waits,
+	readAheadStep      = 4096                  // for which room is taken as they come
+	overloadRetryAfter = 500_000               // advice where the gateway itself has no room
+	lingerTime         = 500_000               // for the other side to close, after the last answer,
+	lingerAfterError   = 200_000               // after an error that ends the connection,
+	maxLingers         = 10                    // and so many times longer while it takes answers slowly
+
+	firstCommandTimeout  = 2500 * time.Millisecond // for a connection's first command, whole
+	commandTimeout       = 2500 * time.Millisecond // for any other, from its first byte: true ones take up to 2 s
+	maxConsecutiveErrors = 5                       // bad commands in a row that a connection may send
+	maxIdle              = 8_000_000               // without a request, after which a connection is closed,
+	maxIdleOnce          = 3_000_000               // one that has asked only once,
+	minIdleToEvict       = 2_000_000               // and any, where places are short
+	newcomerAge          = 100_000                 // age of a connection that might have spoken by now,
+	silentNewcomerAge    = 300_000                 // and of one that should have
+
+	maxUnfinishedPercent = 75 // percent of the places that connections without a whole command may hold
 )
 
 var (
@@ -48,8 +48,8 @@
 // clients accepts connections and keeps them within their share of descriptors.
 type clients struct {
 	listener *net.TCPListener
-	room     chan struct{} // a place for each connection that may be open
-	most     int           // connections that are served; those beyond are refused
+	slots    chan struct{} // a place for each connection that may be open
+	limit    int           // connections that are served; those beyond are refused
 	conns    map[*client]bool
 	pausing  chan struct{} // closed to have no more accepted; nil: none are
 	shutting chan struct{} // closed to have no more accepted than wait by now
@@ -59,56 +59,56 @@
 // clientCounts is what became of connections and of requests for which the gateway itself had no
 // room.
 type clientCounts struct {
-	since                     policy.Time
-	accepted, silent, halfway int // connections; closed before a command began, or amid one
-	idle, surplus, noMem      int // closed idle; requests refused for places, and for memory
-	wait                      policy.Time
+	since                                             policy.Time
+	accepted, closedSilent, closedMidCommand          int // connections; closed before a command began, or amid one
+	closedIdle, rejectedOverLimit, rejectedOverMemory int // closed idle; requests refused for places, and for memory
+	longestAccept                                     policy.Time
 }
 
-const clientsEvery = 5_000_000
+const clientReportInterval = 5_000_000
 
 // report logs the counters now and then.
 func (cs *clients) report(l *Loop) {
 	n, now := &cs.counts, l.now()
-	if now-n.since < clientsEvery {
+	if now-n.since < clientReportInterval {
 		return
 	}
-	l.log.Info("clients", "accepted", n.accepted, "open", len(cs.conns), "most", cs.most, "closed_silent", n.silent,
-		"closed_halfway", n.halfway, "closed_idle", n.idle, "refused_places", n.surplus,
-		"refused_memory", n.noMem, "longest_accept_us", n.wait, "dialed_backends", l.backends.dialed, "to_backends", l.backends.open)
-	l.backends.dialed = 0
+	l.log.Info("clients", "accepted", n.accepted, "open", len(cs.conns), "most", cs.limit, "closed_silent", n.closedSilent,
+		"closed_halfway", n.closedMidCommand, "closed_idle", n.closedIdle, "refused_places", n.rejectedOverLimit,
+		"refused_memory", n.rejectedOverMemory, "longest_accept_us", n.longestAccept, "dialed_backends", l.backends.dialsSinceReport, "to_backends", l.backends.open)
+	l.backends.dialsSinceReport = 0
 	*n = clientCounts{since: now}
 }
 
 // client is one connection from the front.
 type client struct {
-	conn    *net.TCPConn
-	out     *sender
-	line    []*request // in the order of their commands; answers wait their turn
-	room    chan struct{}
-	done    chan struct{} // closed when it is gone
-	barred  atomic.Bool   // what it still sends is not read
-	closed  atomic.Bool   // by the other side, of which the loop may not have heard yet
-	gone    bool          // nothing more can be written
-	ending  bool          // ends as soon as its line is empty
-	parting bool          // ends after the command that has begun to come
-	ended   bool          // has ended its sending: no more is taken
-	surplus bool          // over the share: refused at once, then ended
-	asked   int           // commands that were well-formed
-	errors  int           // bad ones, in a row
-	used    policy.Time   // when it last sent a command, or was opened
-	opened  time.Time     // when it was accepted, by whichever process
-	clock   clock         // the loop's
-
-	passing atomic.Bool   // it is to go to another process once nothing is open on it
-	parted  bool          // and is read no more
-	active  atomic.Int64  // when something last came from it; 0: nothing yet
-	carry   []byte        // commands that were read and are to be decided on there
-	unread  []byte        // the reader's: what another process has read, and not decided on
-	ahead   []byte        // the reader's: what was read while it waited,
-	coming  *atomic.Int64 // into which that is counted
-	midway  bool          // the reader's: a command has begun
-	until   time.Time     // the reader's: by when it has to be whole
+	conn              *net.TCPConn
+	sender            *sender
+	pipeline          []*request // in the order of their commands; answers wait their turn
+	pipelineSlots     chan struct{}
+	done              chan struct{} // closed when it is gone
+	ignoreInput       atomic.Bool   // what it still sends is not read
+	disconnected      atomic.Bool   // by the other side, of which the loop may not have heard yet
+	closed            bool          // nothing more can be written
+	ending            bool          // ends as soon as its line is empty
+	closeAfterCommand bool          // ends after the command that has begun to come
+	sendingEnded      bool          // has ended its sending: no more is taken
+	overLimit         bool          // over the share: refused at once, then ended
+	commands          int           // commands that were well-formed
+	consecutiveErrors int           // bad ones, in a row
+	lastCommandAt     policy.Time   // when it last sent a command, or was opened
+	openedAt          time.Time     // when it was accepted, by whichever process
+	clock             clock         // the loop's
+
+	handingOver     atomic.Bool   // it is to go to another process once nothing is open on it
+	readerStopped   bool          // and is read no more
+	lastInputAt     atomic.Int64  // when something last came from it; 0: nothing yet
+	handoverInput   []byte        // commands that were read and are to be decided on there
+	inheritedInput  []byte        // the reader's: what another process has read, and not decided on
+	readAheadInput  []byte        // the reader's: what was read while it waited,
+	queuedBytes     *atomic.Int64 // into which that is counted
+	midCommand      bool          // the reader's: a command has begun
+	commandDeadline time.Time     // the reader's: by when it has to be whole
 }
 
 // resume has connections accepted from now on, and pause none any more: they stay
@@ -127,7 +127,7 @@
 
 // shut closes the listener once all that waits in its backlog is accepted: to close it over them would
 // reset connections on which a request may have come. That it is closed is posted behind the last.
-func (cs *clients) shut(l *Loop) {
+func (cs *clients) closeListener(l *Loop) {
 	close(cs.shutting)
 	if cs.pausing == nil {
 		cs.resume(l)
@@ -137,11 +137,11 @@
 }
 
 // shutDown tells that no more connections will come.
-type shutDown struct{}
+type listenerClosed struct{}
 
-func (shutDown) handle(l *Loop) {
-	l.drain.shut = true
-	l.drain.check(l)
+func (listenerClosed) handle(l *Loop) {
+	l.shutdown.listenerClosed = true
+	l.shutdown.endIfIdle(l)
 }
 
 // accept posts new connections. Over its share it waits: the rest stays in the
@@ -149,7 +149,7 @@
 func (cs *clients) accept(l *Loop, listener *net.TCPListener, pausing <-chan struct{}) {
 	for {
 		select {
-		case cs.room <- struct{}{}:
+		case cs.slots <- struct{}{}:
 		case <-pausing:
 			return
 		}
@@ -162,7 +162,7 @@
 		}
 		conn, err := listener.AcceptTCP()
 		if over := errors.Is(err, net.ErrClosed); over || errors.Is(err, os.ErrDeadlineExceeded) {
-			<-cs.room
+			<-cs.slots
 			select {
 			case <-pausing:
 				return
@@ -173,48 +173,48 @@
 			}
 			_ = listener.Close()
 			if shutting {
-				l.post(shutDown{})
+				l.post(listenerClosed{})
 			}
 			return
 		}
 		if err != nil { // such as a shortage of descriptors: the next may do better
-			<-cs.room
+			<-cs.slots
 			l.log.Warn("accept", "error", err)
-			time.Sleep(acceptAgain)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		l.post(connected{conn: conn, opened: time.Now()})
+		l.post(clientConnected{conn: conn, openedAt: time.Now()})
 	}
 }
 
 // connected is a new connection, or one that another process has passed on with
 // what it had read and not decided on.
-type connected struct {
-	conn   *net.TCPConn
-	opened time.Time
-	asked  int
-	unread []byte
+type clientConnected struct {
+	conn           *net.TCPConn
+	openedAt       time.Time
+	commands       int
+	inheritedInput []byte
 }
 
-func (e connected) handle(l *Loop) {
+func (e clientConnected) handle(l *Loop) {
 	cs, now := l.clients, l.now()
 	cs.counts.accepted++
-	cs.counts.wait = max(cs.counts.wait, time.Since(e.opened).Microseconds())
+	cs.counts.longestAccept = max(cs.counts.longestAccept, time.Since(e.openedAt).Microseconds())
 	c := &client{
-		conn: e.conn, out: newSender(e.conn), room: make(chan struct{}, pipelined), done: make(chan struct{}),
-		used: now, opened: e.opened, asked: e.asked, unread: e.unread, clock: l.clock, coming: &l.coming,
+		conn: e.conn, sender: newSender(e.conn), pipelineSlots: make(chan struct{}, maxPipelined), done: make(chan struct{}),
+		lastCommandAt: now, openedAt: e.openedAt, commands: e.commands, inheritedInput: e.inheritedInput, clock: l.clock, queuedBytes: &l.queuedBytes,
 	}
 	cs.conns[c] = true
-	c.parting = l.drain.closing // it came at the last moment: one command is answered
-	if l.move.given() {
-		c.parted, c.carry, c.unread = true, e.unread, nil
-		c.pass(l)
+	c.closeAfterCommand = l.shutdown.closing // it came at the last moment: one command is answered
+	if l.handover.hasGivenOwnership() {
+		c.readerStopped, c.handoverInput, c.inheritedInput = true, e.inheritedInput, nil
+		c.handOver(l)
 		return
 	}
-	if len(cs.conns) > cs.most {
+	if len(cs.conns) > cs.limit {
 		cs.evict(l, nil)
 	}
-	go c.read(l, c.asked > 0)
+	go c.readCommands(l, c.commands > 0)
 }
 
 // evict closes the connection that matters least, if one may be closed. Those that
@@ -224,19 +224,19 @@
 func (cs *clients) evict(l *Loop, asking *client) bool {
 	now, unfinished := l.now(), 0
 	for c := range cs.conns {
-		if c.asked == 0 && !c.ending {
+		if c.commands == 0 && !c.ending {
 			unfinished++
 		}
 	}
-	crowded := unfinished > cs.most*unfinishedShare/100
+	crowded := unfinished > cs.limit*maxUnfinishedPercent/100
 	var least *client
-	leastRank := spared
+	leastRank := rankSpared
 	for c := range cs.conns {
-		if c == asking || c.ending || len(c.line) > 0 {
+		if c == asking || c.ending || len(c.pipeline) > 0 {
 			continue
 		}
 		rank := c.rank(now, asking != nil, crowded)
-		if rank < leastRank || rank == leastRank && rank != spared && c.used < least.used {
+		if rank < leastRank || rank == leastRank && rank != rankSpared && c.lastCommandAt < least.lastCommandAt {
 			least, leastRank = c, rank
 		}
 	}
@@ -244,21 +244,21 @@
 		return false
 	}
 	switch {
-	case least.asked > 0:
-		cs.counts.idle++
-	case least.active.Load() != 0:
-		cs.counts.halfway++
+	case least.commands > 0:
+		cs.counts.closedIdle++
+	case least.lastInputAt.Load() != 0:
+		cs.counts.closedMidCommand++
 	default:
-		cs.counts.silent++
+		cs.counts.closedSilent++
 	}
-	least.drop(l)
+	least.closeNow(l)
 	return true
 }
 
 // busy counts the connections on which something is open.
-func (cs *clients) busy() (n int) {
+func (cs *clients) countBusy() (n int) {
 	for c := range cs.conns {
-		if len(c.line) > 0 {
+		if len(c.pipeline) > 0 {
 			n++
 		}
 	}
@@ -267,56 +267,58 @@
 
 // The ranks of connections, those that make room first before others.
 const (
-	crowdSilent  = iota // has sent nothing, and there are too many like it
-	crowdHalfway        // has begun a command, and there are too many
-	stale               // has sent nothing, or not finished in its time
-	idleOnce
-	idleFront
-	idleBriefly // after its only answer: a client without another request closes it
-	halfway     // a true client may take 2 s to write
-	spared
+	rankCrowdSilent     = iota // has sent nothing, and there are too many like it
+	rankCrowdMidCommand        // has begun a command, and there are too many
+	rankStale                  // has sent nothing, or not finished in its time
+	rankIdleOnce
+	rankIdle
+	rankIdleBriefly // after its only answer: a client without another request closes it
+	rankMidCommand  // a true client may take 2 s to write
+	rankSpared
 )
 
 // rank tells where a connection without an open request stands.
 func (c *client) rank(now policy.Time, asking, crowded bool) int {
-	idle, begun := now-c.used, c.active.Load()
+	idle, begun := now-c.lastCommandAt, c.lastInputAt.Load()
 	quiet := min(idle, now-begun) // idle, and amid no command
 	switch {
-	case asking && c.asked == 0 && idle < settled/5, !asking && c.asked == 0 && idle < settled:
-	case crowded && c.asked == 0 && begun == 0:
-		return crowdSilent
-	case crowded && c.asked == 0:
-		return crowdHalfway
-	case c.asked == 0 && (idle >= firstWithin.Microseconds() || begun == 0 && (asking || idle >= silentSpare)):
-		return stale
-	case c.asked == 0:
-		return halfway
-	case c.asked == 1 && (asking || quiet >= 2*settled):
-		return idleOnce
-	case c.asked == 1 && quiet >= settled/4:
-		return idleBriefly
-	case c.asked > 1 && (asking || quiet >= idleLeast):
-		return idleFront
-	}
-	return spared
+	case asking && c.commands == 0 && idle < newcomerAge/5, !asking && c.commands == 0 && idle < newcomerAge:
+	case crowded && c.commands == 0 && begun == 0:
+		return rankCrowdSilent
+	case crowded && c.commands == 0:
+		return rankCrowdMidCommand
+	case c.commands == 0 && (idle >= firstCommandTimeout.Microseconds() || begun == 0 && (asking || idle >= silentNewcomerAge)):
+		return rankStale
+	case c.commands == 0:
+		return rankMidCommand
+	case c.commands == 1 && (asking || quiet >= 2*newcomerAge):
+		return rankIdleOnce
+	case c.commands == 1 && quiet >= newcomerAge/4:
+		return rankIdleBriefly
+	case c.commands > 1 && (asking || quiet >= minIdleToEvict):
+		return rankIdle
+	}
+	return rankSpared
 }
 
 // writing tells whether a command has begun to come, and no reader has it whole.
-func (c *client) writing() bool { return len(c.line) == 0 && c.active.Load() > c.used }
+func (c *client) isMidCommand() bool {
+	return len(c.pipeline) == 0 && c.lastInputAt.Load() > c.lastCommandAt
+}
 
 // worth ranks a connection by what it has asked: nothing, once, or more.
-func (c *client) worth() int { return min(c.asked, 2) }
+func (c *client) activityClass() int { return min(c.commands, 2) }
 
 // sweep closes connections that only hold places.
 func (cs *clients) sweep(l *Loop) {
-	for len(cs.conns) > cs.most && cs.evict(l, nil) {
+	for len(cs.conns) > cs.limit && cs.evict(l, nil) {
 	}
 	cs.report(l)
 	now := l.now()
 	for c := range cs.conns {
-		c.pass(l)
-		if now-c.used > [...]policy.Time{idleMost, onceMost, idleMost}[c.worth()] && len(c.line) == 0 && !c.ending {
-			c.drop(l)
+		c.handOver(l)
+		if now-c.lastCommandAt > [...]policy.Time{maxIdle, maxIdleOnce, maxIdle}[c.activityClass()] && len(c.pipeline) == 0 && !c.ending {
+			c.closeNow(l)
 		}
 	}
 }
@@ -324,89 +326,89 @@
 // read posts what a client sends until it ends. It never waits for an answer
 // but where a line is full, and reads ahead then, so a close is seen while requests
 // are out. A client that says nothing, or begins a command and does not end it, is cut off.
-func (c *client) read(l *Loop, spoken bool) {
-	defer func() { l.coming.Add(-int64(len(c.ahead))); c.ahead = nil }()
+func (c *client) readCommands(l *Loop, spoken bool) {
+	defer func() { l.queuedBytes.Add(-int64(len(c.readAheadInput))); c.readAheadInput = nil }()
 	in := resp.NewReader(c)
-	if c.until = c.opened.Add(firstWithin); !spoken {
-		_ = c.conn.SetReadDeadline(c.until)
+	if c.commandDeadline = c.openedAt.Add(firstCommandTimeout); !spoken {
+		_ = c.conn.SetReadDeadline(c.commandDeadline)
 	}
 	for {
-		e := taken{client: c}
-		c.midway = false
-		if c.passing.Load() && in.Buffered() == 0 && len(c.unread)+len(c.ahead) == 0 {
-			l.post(parted{c})
+		e := commandReceived{client: c}
+		c.midCommand = false
+		if c.handingOver.Load() && in.Buffered() == 0 && len(c.inheritedInput)+len(c.readAheadInput) == 0 {
+			l.post(clientReaderStopped{c})
 			return
 		}
 		err := in.Await()
 		if err != nil {
-			if c.passing.Load() && errors.Is(err, os.ErrDeadlineExceeded) {
-				l.post(parted{c})
+			if c.handingOver.Load() && errors.Is(err, os.ErrDeadlineExceeded) {
+				l.post(clientReaderStopped{c})
 				return
 			}
 			break
 		}
-		c.midway = true
+		c.midCommand = true
 		if spoken {
-			c.until = time.Now().Add(commandWithin)
-			_ = c.conn.SetReadDeadline(c.until)
+			c.commandDeadline = time.Now().Add(commandTimeout)
+			_ = c.conn.SetReadDeadline(c.commandDeadline)
 		}
-		e.take(l, in)
-		if e.left {
+		e.readFrom(l, in)
+		if e.disconnected {
 			break
 		}
-		if !e.bad {
+		if !e.malformed {
 			spoken = true
 		}
 		if spoken {
 			_ = c.conn.SetReadDeadline(time.Time{})
 		}
-		if !c.enter(l, spoken) {
-			l.coming.Add(-int64(e.size))
+		if !c.acquireSlot(l, spoken) {
+			l.queuedBytes.Add(-int64(e.size))
 			return
 		}
 		l.post(e)
 		if e.body != nil && !c.relayBody(l, in, e.body) {
 			return
 		}
-		if e.last || c.barred.Load() {
-			c.meanwhile(l, func() { <-c.done }) // it is closed after its last answer
+		if e.framingLost || c.ignoreInput.Load() {
+			c.readAheadWhile(l, func() { <-c.done }) // it is closed after its last answer
 			return
 		}
 	}
-	c.leave(l)
+	c.disconnect(l)
 }
 
 // enter waits for a place in the line, and tells whether it is still of use.
-func (c *client) enter(l *Loop, spoken bool) bool {
+func (c *client) acquireSlot(l *Loop, spoken bool) bool {
 	select {
-	case c.room <- struct{}{}:
+	case c.pipelineSlots <- struct{}{}:
 		return true
 	default:
 	}
 	entered := false
-	c.meanwhile(l, func() {
+	c.readAheadWhile(l, func() {
 		select {
-		case c.room <- struct{}{}:
+		case c.pipelineSlots <- struct{}{}:
 			entered = true
 		case <-c.done:
 		}
 	})
 	if !spoken {
-		_ = c.conn.SetReadDeadline(c.until)
+		_ = c.conn.SetReadDeadline(c.commandDeadline)
 	}
-	return entered && !c.closed.Load()
+	return entered && !c.disconnected.Load()
 }
 
 // leave tells that the other side has closed. No attempt begins from here on, whatever the loop
 // has to do before it takes that in.
-func (c *client) leave(l *Loop) {
-	c.closed.Store(true)
-	l.post(left{c})
+func (c *client) disconnect(l *Loop) {
+	c.disconnected.Store(true)
+	l.post(clientDisconnected{c})
 }
 
 // meanwhile does what the reader has to wait for. As long as that takes another goroutine
 // reads ahead, for the end of the connection alone: it leaves no read deadline behind.
-func (c *client) meanwhile(l *Loop, wait func()) {
+func (c *client) readAheadWhile(l *Loop, wait func()) {
 	over, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(stopped)
@@ -423,14 +425,14 @@
 // so many bytes, nor where all that waits for the loop has taken half of its memory: the
 // other half is for those that read on in order.
 func (c *client) readAhead(l *Loop, over <-chan struct{}) {
-	most := l.shown.Load().comingMost() / 2
-	for len(c.ahead) < aheadMost && l.coming.Load() < most {
-		if len(c.ahead) == cap(c.ahead) {
-			c.ahead = slices.Grow(c.ahead, min(max(aheadStep, len(c.ahead)), aheadMost-len(c.ahead)))
+	most := l.publishedConfig.Load().maxQueuedBytes() / 2
+	for len(c.readAheadInput) < maxReadAhead && l.queuedBytes.Load() < most {
+		if len(c.readAheadInput) == cap(c.readAheadInput) {
+			c.readAheadInput = slices.Grow(c.readAheadInput, min(max(readAheadStep, len(c.readAheadInput)), maxReadAhead-len(c.readAheadInput)))
 		}
-		n, err := c.conn.Read(c.ahead[len(c.ahead):min(cap(c.ahead), aheadMost)])
-		c.ahead = c.ahead[:len(c.ahead)+max(n, 0)]
-		l.coming.Add(int64(max(n, 0)))
+		n, err := c.conn.Read(c.readAheadInput[len(c.readAheadInput):min(cap(c.readAheadInput), maxReadAhead)])
+		c.readAheadInput = c.readAheadInput[:len(c.readAheadInput)+max(n, 0)]
+		l.queuedBytes.Add(int64(max(n, 0)))
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			// The wait may be over; else a deadline was left from before, or the connection is to be
@@ -445,7 +447,7 @@
 		case errors.Is(err, net.ErrClosed):
 			return // by this gateway
 		case err != nil:
-			c.leave(l)
+			c.disconnect(l)
 			return
 		}
 	}
@@ -455,31 +457,31 @@
 // connection is to be passed on interrupts the wait for a command, but none that
 // has begun.
 func (c *client) Read(b []byte) (int, error) {
-	if len(c.unread) > 0 {
-		n := copy(b, c.unread)
-		c.unread = c.unread[n:]
+	if len(c.inheritedInput) > 0 {
+		n := copy(b, c.inheritedInput)
+		c.inheritedInput = c.inheritedInput[n:]
 		return n, nil
 	}
-	if len(c.ahead) > 0 {
-		n := copy(b, c.ahead)
-		if c.ahead = c.ahead[n:]; len(c.ahead) == 0 {
-			c.ahead = nil // not to be kept for a connection that idles
+	if len(c.readAheadInput) > 0 {
+		n := copy(b, c.readAheadInput)
+		if c.readAheadInput = c.readAheadInput[n:]; len(c.readAheadInput) == 0 {
+			c.readAheadInput = nil // not to be kept for a connection that idles
 		}
-		c.coming.Add(-int64(n))
+		c.queuedBytes.Add(-int64(n))
 		return n, nil
 	}
 	n, err := c.conn.Read(b)
 	if n > 0 {
-		c.active.Store(c.clock.now())
+		c.lastInputAt.Store(c.clock.now())
 	}
-	if n == 0 && c.midway && c.passing.Load() && errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(c.until) {
-		_ = c.conn.SetReadDeadline(c.until)
+	if n == 0 && c.midCommand && c.handingOver.Load() && errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(c.commandDeadline) {
+		_ = c.conn.SetReadDeadline(c.commandDeadline)
 		n, err = c.conn.Read(b)
 	}
 	return n, err
 }
 
-func refusal(err error) []byte {
+func errorReply(err error) []byte {
 	return fmt.Appendf(nil, "-ERR %s\r\n", strings.Map(func(r rune) rune {
 		if r < ' ' || r > '~' {
 			return '?'
@@ -489,278 +491,278 @@
 }
 
 // taken is a command that a client has sent.
-type taken struct {
-	client *client
-	at     policy.Time
-	cmd    command
-	size   int      // bytes that it holds
-	reply  []byte   // at once, without the module
-	bad    bool     // it was no good command
-	last   bool     // the connection's framing is lost
-	left   bool     // the client has gone
-	full   bool     // there is no room to keep it
-	body   *body    // a large one, still to be read; nil: none
-	args   [][]byte // as it was read
-	cfg    *Config
+type commandReceived struct {
+	client       *client
+	receivedAt   policy.Time
+	command      command
+	size         int      // bytes that it holds
+	reply        []byte   // at once, without the module
+	malformed    bool     // it was no good command
+	framingLost  bool     // the connection's framing is lost
+	disconnected bool     // the client has gone
+	overMemory   bool     // there is no room to keep it
+	body         *body    // a large one, still to be read; nil: none
+	args         [][]byte // as it was read
+	config       *Config
 }
 
 // comingMost is how many bytes may wait for the loop.
-func (cfg *Config) comingMost() int64 { return int64(cfg.MemoryMB) << 20 / 8 }
+func (cfg *Config) maxQueuedBytes() int64 { return int64(cfg.MemoryMB) << 20 / 8 }
 
 // take reads one command.
-func (e *taken) take(l *Loop, in *resp.Reader) {
+func (e *commandReceived) readFrom(l *Loop, in *resp.Reader) {
 	args, large, err := in.ReadHead()
-	e.at = l.clock.now()
+	e.receivedAt = l.clock.now()
 	switch {
 	case errors.Is(err, resp.ErrTooLarge):
-		e.reply, e.bad = refusal(err), true
+		e.reply, e.malformed = errorReply(err), true
 	case errors.Is(err, resp.ErrProtocol):
-		e.reply, e.bad, e.last = refusal(err), true, true
+		e.reply, e.malformed, e.framingLost = errorReply(err), true, true
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		e.reply, e.bad, e.last = refusal(errors.New("command not whole in time")), true, true
+		e.reply, e.malformed, e.framingLost = errorReply(errors.New("command not whole in time")), true, true
 	case err != nil:
-		e.left = true
+		e.disconnected = true
 	default:
-		e.read(l.shown.Load(), args)
-		e.size, e.args = size(args), args
+		e.parseCommand(l.publishedConfig.Load(), args)
+		e.size, e.args = argsSize(args), args
 		if large > 0 {
-			e.body = &body{size: large, to: make(chan *backendConn, 1)}
+			e.body = &body{size: large, target: make(chan *backendConn, 1)}
 		}
-		if l.coming.Add(int64(e.size)) > e.cfg.comingMost() {
+		if l.queuedBytes.Add(int64(e.size)) > e.config.maxQueuedBytes() {
 			// What waits for the loop counts too: it must not grow with what comes.
-			l.coming.Add(-int64(e.size))
-			e.cmd.args, e.args, e.size, e.full = nil, nil, 0, true
+			l.queuedBytes.Add(-int64(e.size))
+			e.command.args, e.args, e.size, e.overMemory = nil, nil, 0, true
 		}
 	}
 }
 
 // read tells the commands apart.
-func (e *taken) read(cfg *Config, args [][]byte) {
-	e.cfg = cfg
+func (e *commandReceived) parseCommand(cfg *Config, args [][]byte) {
+	e.config = cfg
 	switch {
 	case bytes.EqualFold(args[0], apiRead) || bytes.EqualFold(args[0], apiWrite):
 		cmd, err := cfg.parse(args)
 		if err != nil {
 			// A class that has vanished is no fault of the connection's.
-			e.reply, e.bad = refusal(err), !errors.Is(err, errClass)
+			e.reply, e.malformed = errorReply(err), !errors.Is(err, errUnknownClass)
 			return
 		}
-		e.cmd = cmd
+		e.command = cmd
 	case bytes.EqualFold(args[0], ping):
-		e.reply = pong
+		e.reply = pongReply
 	default:
-		e.reply, e.bad = refusal(fmt.Errorf("unknown command %.32q", args[0])), true
+		e.reply, e.malformed = errorReply(fmt.Errorf("unknown command %.32q", args[0])), true
 	}
 }
 
-func (e taken) handle(l *Loop) {
+func (e commandReceived) handle(l *Loop) {
 	c, now := e.client, l.now()
-	l.coming.Add(-int64(e.size))
-	if c.gone || c.ended || c.barred.Load() {
-		e.body.drop()
-		<-c.room
+	l.queuedBytes.Add(-int64(e.size))
+	if c.closed || c.sendingEnded || c.ignoreInput.Load() {
+		e.body.discard()
+		<-c.pipelineSlots
 		return // it crossed the end of the connection: the client sends it again
 	}
-	if l.move != nil && e.args != nil && e.body == nil {
-		l.move.keep(e) // the process that takes over decides on it
+	if l.handover != nil && e.args != nil && e.body == nil {
+		l.handover.holdCommand(e) // the process that takes over decides on it
 		return
 	}
-	if e.cmd.args != nil && e.cfg != l.cfg {
+	if e.command.args != nil && e.config != l.config {
 		// Read under the settings of before: its class may have another number now, or none.
-		args := e.cmd.args
-		e.cmd = command{}
-		e.read(l.cfg, args)
+		args := e.command.args
+		e.command = command{}
+		e.parseCommand(l.config, args)
 	}
-	if c.parting {
+	if c.closeAfterCommand {
 		c.ending = true
 		if e.body == nil {
-			c.barred.Store(true)
+			c.ignoreInput.Store(true)
 		}
 	}
-	e.full = e.full || l.move != nil // a large body can't follow to another process
-	r := &request{client: c, body: e.body, args: e.cmd.args, wait: e.cmd.wait, name: e.cmd.name}
+	e.overMemory = e.overMemory || l.handover != nil // a large body can't follow to another process
+	r := &request{client: c, body: e.body, args: e.command.args, timeoutField: e.command.timeoutField, clientID: e.command.clientID}
 	if e.body != nil {
-		e.body.r = r
+		e.body.request = r
 	}
 	if r.args != nil {
-		r.figures = l.cfg.classes[e.cmd.what.Class]
-		l.figures.open.Add(1)
+		r.metrics = l.config.classes[e.command.request.Class]
+		l.metrics.open.Add(1)
 	}
-	c.line, c.used = append(c.line, r), now
-	l.open++
-	if e.reply == nil && l.names[r.name] != nil {
+	c.pipeline, c.lastCommandAt = append(c.pipeline, r), now
+	l.openRequests++
+	if e.reply == nil && l.openByClientID[r.clientID] != nil {
 		// Two open requests of one id can't be told apart behind this gateway.
-		e.reply, e.bad = refusal(errors.New("id: that request is open")), true
+		e.reply, e.malformed = errorReply(errors.New("id: that request is open")), true
 	}
-	c.count(e.bad, e.last)
+	c.countCommand(e.malformed, e.framingLost)
 	if e.reply == nil {
-		e.reply = l.refusal(c, e.full)
+		e.reply = l.rejectionForCapacity(c, e.overMemory)
 	}
 	if e.reply != nil {
 		l.answer(r, e.reply)
 		return
 	}
-	l.take(r, e.cmd.what, e.at)
+	l.admitRequest(r, e.command.request, e.receivedAt)
 }
 
 // count takes note of a good or bad command. A client that errs again and again
 // is cut off: each error costs as much as a request.
-func (c *client) count(bad, last bool) {
+func (c *client) countCommand(bad, last bool) {
 	if !bad {
-		c.asked++
-		c.errors = 0
+		c.commands++
+		c.consecutiveErrors = 0
 		return
 	}
-	if c.errors++; c.errors >= mostErrors || last {
+	if c.consecutiveErrors++; c.consecutiveErrors >= maxConsecutiveErrors || last {
 		c.ending = true
-		c.barred.Store(true)
+		c.ignoreInput.Store(true)
 	}
 }
 
 // take has the module decide on a request.
-func (l *Loop) take(r *request, what policy.Request, at policy.Time) {
+func (l *Loop) admitRequest(r *request, what policy.Request, at policy.Time) {
 	now := l.now()
-	l.nextID++
-	r.id = l.nextID
-	l.requests[r.id], l.names[r.name] = r, r
-	l.held += size(r.args)
-	r.customer, r.units = what.Customer, what.Cost
-	spare := min(margin, what.Timeout/4)
-	r.read, r.deadline = at, at+what.Timeout-spare
-	r.backstop = l.at(r.deadline+spare/2, backstop{r})
+	l.nextRequestID++
+	r.id = l.nextRequestID
+	l.requests[r.id], l.openByClientID[r.clientID] = r, r
+	l.retainedBytes += argsSize(r.args)
+	r.customer, r.estimatedCost = what.Customer, what.Cost
+	spare := min(deadlineMargin, what.Timeout/4)
+	r.receivedAt, r.deadline = at, at+what.Timeout-spare
+	r.guard = l.schedule(r.deadline+spare/2, deadlineGuard{r})
 	what.ID, what.Timeout = r.id, max(0, r.deadline-now)
-	l.module.RequestReceived(now, what)
+	l.controller.RequestReceived(now, what)
 }
 
 // refusal is the prompt answer where the gateway itself has no room.
-func (l *Loop) refusal(c *client, full bool) []byte {
+func (l *Loop) rejectionForCapacity(c *client, full bool) []byte {
 	cs := l.clients
-	for c.asked == 1 && len(cs.conns) > cs.most {
+	for c.commands == 1 && len(cs.conns) > cs.limit {
 		if !cs.evict(l, c) {
 			// Of those that have only just come none may be shut, nor do they keep out one that asks.
-			c.surplus = cs.busy() > cs.most
+			c.overLimit = cs.countBusy() > cs.limit
 			break
 		}
 	}
-	full = full || l.cfg.Host.MaxOpen > 0 && l.open > l.cfg.Host.MaxOpen || l.held >= l.cfg.MemoryMB<<20/4
-	if !full && !c.surplus && !l.drain.answered {
+	full = full || l.config.Host.MaxOpen > 0 && l.openRequests > l.config.Host.MaxOpen || l.retainedBytes >= l.config.MemoryMB<<20/4
+	if !full && !c.overLimit && !l.shutdown.allAnswered {
 		return nil
 	}
-	c.ending = c.ending || c.surplus
-	if c.surplus {
-		l.clients.counts.surplus++
+	c.ending = c.ending || c.overLimit
+	if c.overLimit {
+		l.clients.counts.rejectedOverLimit++
 	} else {
-		l.clients.counts.noMem++
+		l.clients.counts.rejectedOverMemory++
 	}
 	after := policy.Time(0)
-	if l.cfg.Settings.RetryAfterAdvice {
-		after = min(refuseAfter, l.cfg.Settings.MaxRetryAfter)
+	if l.config.Settings.RetryAfterAdvice {
+		after = min(overloadRetryAfter, l.config.Settings.MaxRetryAfter)
 	}
-	return busy(after)
+	return busyReply(after)
 }
 
 // flush writes the answers whose turn has come, in one write.
 func (c *client) flush(l *Loop) {
 	var out []byte
 	n := 0
-	for n < len(c.line) && c.line[n].answered {
+	for n < len(c.pipeline) && c.pipeline[n].answered {
 		if out == nil {
-			out = c.line[n].reply
+			out = c.pipeline[n].reply
 		} else {
-			out = append(out[:len(out):len(out)], c.line[n].reply...)
+			out = append(out[:len(out):len(out)], c.pipeline[n].reply...)
 		}
-		l.held -= len(c.line[n].reply)
-		c.line[n].reply = nil
+		l.retainedBytes -= len(c.pipeline[n].reply)
+		c.pipeline[n].reply = nil
 		n++
-		<-c.room
+		<-c.pipelineSlots
 	}
 	if n == 0 {
 		return
 	}
-	c.line = slices.Delete(c.line, 0, n)
-	if !c.gone && len(out) > 0 && !c.out.send(out, unread) {
-		l.later(left{c})
+	c.pipeline = slices.Delete(c.pipeline, 0, n)
+	if !c.closed && len(out) > 0 && !c.sender.send(out, maxUnreadReply) {
+		l.enqueue(clientDisconnected{c})
 	}
-	if len(c.line) == 0 {
+	if len(c.pipeline) == 0 {
 		if c.ending {
-			c.finish(l)
+			c.closeSending(l)
 		}
-		c.pass(l)
-	} else if r := c.line[0]; r.value != nil {
-		l.begin(r)
+		c.handOver(l)
+	} else if r := c.pipeline[0]; r.valueConn != nil {
+		l.startValue(r)
 	}
 }
 
 // end lets a connection end: between requests now, else after its last answer.
-func (c *client) end(l *Loop) {
-	if c.ending || c.gone {
+func (c *client) closeWhenIdle(l *Loop) {
+	if c.ending || c.closed {
 		return
 	}
 	c.ending = true
-	if len(c.line) == 0 {
-		c.finish(l)
+	if len(c.pipeline) == 0 {
+		c.closeSending(l)
 	}
 }
 
 // finish ends the sending and gives the other side some time to close first: to
 // close with something unread would reset the connection, and with it an answer
 // that is still on its way.
-func (c *client) finish(l *Loop) {
-	if c.ended {
+func (c *client) closeSending(l *Loop) {
+	if c.sendingEnded {
 		return
 	}
-	c.ended = true
-	c.out.end()
-	wait := policy.Time(lingerFor)
-	if c.barred.Load() {
-		wait = lingerLost
+	c.sendingEnded = true
+	c.sender.closeWrite()
+	wait := policy.Time(lingerTime)
+	if c.ignoreInput.Load() {
+		wait = lingerAfterError
 	}
-	l.at(l.now()+wait, linger{c, 0})
+	l.schedule(l.now()+wait, lingerTimer{c, 0})
 }
 
 // linger closes a connection that the other side leaves open.
-type linger struct {
-	c     *client
-	again int
+type lingerTimer struct {
+	c       *client
+	repeats int
 }
 
-func (e linger) due(l *Loop) {
-	if !e.c.out.idle() && e.again < lingerMost {
-		l.at(l.now()+lingerFor, linger{e.c, e.again + 1})
+func (e lingerTimer) fire(l *Loop) {
+	if !e.c.sender.isIdle() && e.repeats < maxLingers {
+		l.schedule(l.now()+lingerTime, lingerTimer{e.c, e.repeats + 1})
 		return
 	}
-	e.c.drop(l)
+	e.c.closeNow(l)
 }
 
 // drop closes a connection at once.
-func (c *client) drop(l *Loop) { left{c}.handle(l) }
+func (c *client) closeNow(l *Loop) { clientDisconnected{c}.handle(l) }
 
 // left tells that a client has closed its connection: it has gone away from all
 // it still waited for.
-type left struct{ client *client }
+type clientDisconnected struct{ client *client }
 
-func (e left) handle(l *Loop) {
+func (e clientDisconnected) handle(l *Loop) {
 	c := e.client
-	if c.gone {
+	if c.closed {
 		return
 	}
-	c.gone = true
+	c.closed = true
 	close(c.done)
 	_ = c.conn.Close()
 	delete(l.clients.conns, c)
-	<-l.clients.room
-	c.carry = nil
+	<-l.clients.slots
+	c.handoverInput = nil
 	now := l.now()
-	for _, r := range c.line {
-		l.withdraw(r)
-		l.abort(r)
-		l.held -= len(r.reply)
+	for _, r := range c.pipeline {
+		l.cancelValue(r)
+		l.abortBody(r)
+		l.retainedBytes -= len(r.reply)
 		if !r.answered {
-			l.close(r)
-			l.module.RequestCancelled(now, r.id)
-			l.forget(r)
+			l.markAnswered(r)
+			l.controller.RequestCancelled(now, r.id)
+			l.releaseRequest(r)
 		}
 	}
-	c.line = nil
-	l.drain.check(l)
+	c.pipeline = nil
+	l.shutdown.endIfIdle(l)
 }
--- a/internal/gateway/clients_test.go
+++ b/internal/gateway/clients_test.go
@@ -48,7 +48,7 @@
 func TestErrorsInARowEndTheConnection(t *testing.T) {
 	r, _, _ := oneBackend(t, nil)
 	c := r.client(t)
-	for range 2 * mostErrors {
+	for range 2 * maxConsecutiveErrors {
 		c.send("NOTHING")
 		if got := c.line(); !strings.HasPrefix(got, "-ERR ") {
 			t.Errorf("answer %q", got)
@@ -61,7 +61,7 @@
 		flood.WriteString("*1\r\n$7\r\nNOTHING\r\n")
 	}
 	go func() { _, _ = io.WriteString(c.conn, flood.String()) }() // may be cut off before its end
-	for range mostErrors {
+	for range maxConsecutiveErrors {
 		if got := c.line(); !strings.HasPrefix(got, "-ERR ") {
 			t.Errorf("answer %q", got)
 		}
@@ -96,25 +96,25 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c := &client{conn: near, out: newSender(near), done: make(chan struct{}), asked: asked, used: now - idle}
+		c := &client{conn: near, sender: newSender(near), done: make(chan struct{}), commands: asked, lastCommandAt: now - idle}
 		l.clients.conns[c] = true
-		l.clients.room <- struct{}{}
+		l.clients.slots <- struct{}{}
 		return c
 	}
 	front, gone := add(9, 1e6), add(9, 60e6)
 	once, onceOld := add(1, 0), add(1, 1e6)
 	busy, newcomer := add(1, 90e6), add(0, -60e6)
-	busy.line = []*request{{answered: true}}
+	busy.pipeline = []*request{{answered: true}}
 	old, older := add(0, 10e6), add(0, 20e6)
 	for i, c := range []struct {
 		asking *client
 		gone   *client
 	}{{nil, older}, {nil, old}, {nil, onceOld}, {nil, gone}, {newcomer, once}, {newcomer, front}, {newcomer, nil}} {
-		if made := l.clients.evict(l, c.asking); made != (c.gone != nil) || c.gone != nil && !c.gone.gone {
+		if made := l.clients.evict(l, c.asking); made != (c.gone != nil) || c.gone != nil && !c.gone.closed {
 			t.Fatalf("step %d: room made %t", i, made)
 		}
 	}
-	if busy.gone || newcomer.gone || len(l.clients.room) != 2 {
+	if busy.closed || newcomer.closed || len(l.clients.slots) != 2 {
 		t.Error("one with an open request, or just come, made room")
 	}
 }
@@ -149,12 +149,12 @@
 	r.loop.post(inspect(func(l *Loop) {
 		timers := 0
 		for _, timer := range l.timers {
-			switch timer.what.(type) {
-			case backstop, giveUp:
+			switch timer.callback.(type) {
+			case deadlineGuard, attemptTimeout:
 				timers++
 			}
 		}
-		left <- fmt.Sprint(timers, len(l.requests), len(l.names), l.held, l.open)
+		left <- fmt.Sprint(timers, len(l.requests), len(l.openByClientID), l.retainedBytes, l.openRequests)
 	}))
 	if got := wait(t, left, "the loop"); got != "0 0 0 0 0" {
 		t.Errorf("timers, requests, ids, bytes, open: %s", got)
@@ -165,19 +165,19 @@
 // oldest before others. What is half written is spared before idle connections that had an answer.
 func TestACrowdKeepsToItsShare(t *testing.T) {
 	l := unstarted(t, newFakeDiscovery(t))
-	l.clients.most = 8 // six of them for those without a whole command
+	l.clients.limit = 8 // six of them for those without a whole command
 	now := l.now()
 	add := func(asked int, age, silent policy.Time) *client {
 		near, err := net.DialTCP("tcp", nil, l.clients.listener.Addr().(*net.TCPAddr))
 		if err != nil {
 			t.Fatal(err)
 		}
-		c := &client{conn: near, out: newSender(near), done: make(chan struct{}), asked: asked, used: now - age}
+		c := &client{conn: near, sender: newSender(near), done: make(chan struct{}), commands: asked, lastCommandAt: now - age}
 		if silent >= 0 {
-			c.active.Store(now - silent)
+			c.lastInputAt.Store(now - silent)
 		}
 		l.clients.conns[c] = true
-		l.clients.room <- struct{}{}
+		l.clients.slots <- struct{}{}
 		return c
 	}
 	const nothing = -1
@@ -186,7 +186,7 @@
 	step := func(what string, want *client) {
 		t.Helper()
 		made := l.clients.evict(l, nil)
-		if made != (want != nil) || want != nil && !want.gone {
+		if made != (want != nil) || want != nil && !want.closed {
 			t.Errorf("%s: made room %t, not by the one expected", what, made)
 		}
 	}
@@ -203,7 +203,7 @@
 	step("and the next", old)
 	step("half written, within the share", writing)
 	step("those that have just come, or are amid a command", nil)
-	if front.gone {
+	if front.closed {
 		t.Error("the front's made room amid a command")
 	}
 }
@@ -212,16 +212,16 @@
 // client that asks is served beside them. Beyond the share of those that ask, one is refused.
 func TestNewcomersKeepNobodyOutWhoAsks(t *testing.T) {
 	l := unstarted(t, newFakeDiscovery(t))
-	l.clients.most = 4
+	l.clients.limit = 4
 	add := func(asked int, line ...*request) *client {
 		near, err := net.DialTCP("tcp", nil, l.clients.listener.Addr().(*net.TCPAddr))
 		if err != nil {
 			t.Fatal(err)
 		}
-		c := &client{conn: near, out: newSender(near), done: make(chan struct{}), asked: asked, line: line,
-			used: l.now() + 60e6} // it is as new when it is looked at
+		c := &client{conn: near, sender: newSender(near), done: make(chan struct{}), commands: asked, pipeline: line,
+			lastCommandAt: l.now() + 60e6} // it is as new when it is looked at
 		l.clients.conns[c] = true
-		l.clients.room <- struct{}{}
+		l.clients.slots <- struct{}{}
 		return c
 	}
 	for range 5 {
@@ -229,8 +229,8 @@
 	}
 	for i := range 5 {
 		c := add(1, &request{})
-		if answer := l.refusal(c, false); (answer != nil) != (i == 4) || c.surplus != (i == 4) {
-			t.Errorf("client %d: answer %q, over the share %t", i, answer, c.surplus)
+		if answer := l.rejectionForCapacity(c, false); (answer != nil) != (i == 4) || c.overLimit != (i == 4) {
+			t.Errorf("client %d: answer %q, over the share %t", i, answer, c.overLimit)
 		}
 	}
 	if len(l.clients.conns) != 10 {
--- a/internal/gateway/command.go
+++ b/internal/gateway/command.go
@@ -13,20 +13,20 @@
 
 // command is a client's request as it was read.
 type command struct {
-	args [][]byte
-	name uint64 // the id that the client gave
-	wait [2]int // where the value of d stands in args[3]
-	what policy.Request
+	args         [][]byte
+	clientID     uint64 // the id that the client gave
+	timeoutField [2]int // where the value of d stands in args[3]
+	request      policy.Request
 }
 
 const (
-	mostUnits    = 1e6              // where the settings tell none
-	mostWait     = 24 * 3600 * 1000 // ms
-	mostCustomer = 1 << 33
-	waitSlack    = 1_000_000 // that d may be over the class's limit
+	defaultMaxCost = 1e6              // where the settings tell none
+	maxTimeoutMS   = 24 * 3600 * 1000 // ms
+	customerLimit  = 1 << 33
+	timeoutSlack   = 1_000_000 // that d may be over the class's limit
 )
 
-var errClass = errors.New("unknown class")
+var errUnknownClass = errors.New("unknown class")
 
 // parse reads API.READ or API.WRITE. Every field must be known and right: what
 // is not understood reaches no backend.
@@ -36,13 +36,13 @@
 	}
 	c := command{args: args}
 	customer, ok := hex16(args[1])
-	if !ok || customer >= mostCustomer {
+	if !ok || customer >= customerLimit {
 		return c, errors.New("customer: 16 hex digits below 2^33 wanted")
 	}
-	if c.name, ok = hex16(args[2]); !ok {
+	if c.clientID, ok = hex16(args[2]); !ok {
 		return c, errors.New("id: 16 hex digits wanted")
 	}
-	c.what.Customer = customer
+	c.request.Customer = customer
 	seen, err := cfg.fields(&c)
 	if err != nil {
 		return c, err
@@ -52,16 +52,16 @@
 			return c, fmt.Errorf("field %s: missing", name)
 		}
 	}
-	if limit := cfg.Host.Limits[c.what.Class]; limit > 0 && c.what.Timeout > limit+waitSlack {
+	if limit := cfg.Host.Limits[c.request.Class]; limit > 0 && c.request.Timeout > limit+timeoutSlack {
 		// Longer than any client waits: it would keep its timers and its request.
 		return c, errors.New("field d: longer than the class allows")
 	}
-	effect := cfg.Settings.Classes[c.what.Class].Idempotency
+	effect := cfg.Settings.Classes[c.request.Class].Idempotency
 	if effect == policy.IdempotentWithKey && seen&(1<<keyField) == 0 {
 		return c, errors.New("field k: missing")
 	}
 	if reads := bytes.EqualFold(args[0], apiRead); reads != (effect == policy.Idempotent) {
-		return c, fmt.Errorf("class %s does not go by this command", cfg.Host.Classes[c.what.Class])
+		return c, fmt.Errorf("class %s does not go by this command", cfg.Host.Classes[c.request.Class])
 	}
 	return c, nil
 }
@@ -70,7 +70,7 @@
 const (
 	classField = iota
 	planField
-	waitField
+	timeoutFieldNumber
 	unitsField
 	spreadField
 	firstField
@@ -101,8 +101,8 @@
 		if err := cfg.field(c, field, string(value)); err != nil {
 			return seen, err
 		}
-		if field == waitField {
-			c.wait = [2]int{end - len(value), end}
+		if field == timeoutFieldNumber {
+			c.timeoutField = [2]int{end - len(value), end}
 		}
 		seen |= 1 << field
 		start = end + 1
@@ -114,32 +114,32 @@
 	ok := false
 	switch field {
 	case classField:
-		if c.what.Class = slices.Index(cfg.Host.Classes, value); c.what.Class < 0 {
-			return fmt.Errorf("field c: %w %.64q", errClass, value)
+		if c.request.Class = slices.Index(cfg.Host.Classes, value); c.request.Class < 0 {
+			return fmt.Errorf("field c: %w %.64q", errUnknownClass, value)
 		}
 		ok = true
 	case planField:
-		c.what.Plan = slices.Index(cfg.Host.Plans, value)
-		ok = c.what.Plan >= 0
-	case waitField:
+		c.request.Plan = slices.Index(cfg.Host.Plans, value)
+		ok = c.request.Plan >= 0
+	case timeoutFieldNumber:
 		ms, err := strconv.ParseInt(value, 10, 64)
-		c.what.Timeout = ms * 1000
-		ok = err == nil && ms > 0 && ms <= mostWait
+		c.request.Timeout = ms * 1000
+		ok = err == nil && ms > 0 && ms <= maxTimeoutMS
 	case keyField:
 		ok = value != ""
 	case retryField:
 		ok = value == "0" || value == "1"
 	case unitsField:
 		units, err := strconv.ParseFloat(value, 64)
-		c.what.Cost = units
-		ok = err == nil && units > 0 && units <= cfg.mostUnits() // which NaN is not
+		c.request.Cost = units
+		ok = err == nil && units > 0 && units <= cfg.maxCost() // which NaN is not
 	case spreadField:
 		n, err := strconv.Atoi(value)
-		c.what.Replicas = n
+		c.request.Replicas = n
 		ok = err == nil && n >= 1 && n <= cfg.Settings.Gateways
 	case firstField:
 		n, err := strconv.Atoi(value)
-		c.what.FirstReplica = n
+		c.request.FirstReplica = n
 		ok = err == nil && n >= 0 && n < cfg.Settings.Gateways
 	}
 	if !ok {
@@ -149,11 +149,11 @@
 }
 
 // mostUnits is the most that a request may take.
-func (cfg *Config) mostUnits() float64 {
+func (cfg *Config) maxCost() float64 {
 	if cfg.Settings.MaxCost > 0 {
 		return cfg.Settings.MaxCost
 	}
-	return mostUnits
+	return defaultMaxCost
 }
 
 func hex16(b []byte) (uint64, bool) {
@@ -165,15 +165,15 @@
 func (r *request) forward(wait policy.Time) []byte {
 	fields := r.args[3]
 	list := make([]byte, 0, len(fields)+8)
-	list = append(list, fields[:r.wait[0]]...)
+	list = append(list, fields[:r.timeoutField[0]]...)
 	list = strconv.AppendInt(list, max(1, wait/1000), 10)
-	list = append(list, fields[r.wait[1]:]...)
+	list = append(list, fields[r.timeoutField[1]:]...)
 
 	n := len(r.args)
 	if r.body != nil {
 		n++
 	}
-	b := resp.AppendArray(make([]byte, 0, size(r.args)+72), n)
+	b := resp.AppendArray(make([]byte, 0, argsSize(r.args)+72), n)
 	for i, arg := range r.args {
 		if i == 3 {
 			arg = list
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -19,14 +19,14 @@
 
 // Config is what a gateway is told at its start.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Seed      uint64
-	MemoryMB  int
-	Sockets   int
-	Files     int    // descriptors that the process may open; 0: not known
-	Ops       string // where operators call; empty: nowhere
+	Name            string
+	Listen          string
+	Discovery       string
+	Seed            uint64
+	MemoryMB        int
+	Sockets         int
+	DescriptorLimit int    // descriptors that the process may open; 0: not known
+	Ops             string // where operators call; empty: nowhere
 
 	PeerListen string
 	Peers      []netip.AddrPort // by number, this gateway's own among them
@@ -36,8 +36,8 @@
 	Settings policy.Settings
 	Host     simproto.Host
 
-	keys    map[string]present // those of the file
-	classes []*classFigures    // in the order of the settings' classes
+	keys    map[string]presentKey // those of the file
+	classes []*classMetrics       // in the order of the settings' classes
 }
 
 // file is the configuration as it is written.
@@ -60,16 +60,16 @@
 
 // present is the value of a key of which only the name counts: the list last known may be long, and a
 // copy of its text would be a quarter of what reading the file takes.
-type present struct{}
+type presentKey struct{}
 
-func (*present) UnmarshalJSON([]byte) error { return nil }
+func (*presentKey) UnmarshalJSON([]byte) error { return nil }
 
 // The limits held where the configuration states none, and the least that a
 // gateway can work with.
 const (
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
-	leastSockets    = 32
+	minSockets      = 32
 )
 
 // ParseConfig reads a configuration.
@@ -114,7 +114,7 @@
 
 // missing tells which key of the configuration in force another one lacks. What the list was
 // last known to be is no setting.
-func (c *Config) missing(other *Config) error {
+func (c *Config) checkKeys(other *Config) error {
 	for key := range c.keys {
 		if _, ok := other.keys[key]; !ok && key != "known" {
 			return fmt.Errorf("configuration: %s: missing", key)
@@ -135,8 +135,8 @@
 		return errors.New("configuration: listen: missing")
 	case c.Discovery == "":
 		return errors.New("configuration: discovery: missing")
-	case c.Sockets < leastSockets:
-		return fmt.Errorf("configuration: limits.sockets: %d, at least %d wanted", c.Sockets, leastSockets)
+	case c.Sockets < minSockets:
+		return fmt.Errorf("configuration: limits.sockets: %d, at least %d wanted", c.Sockets, minSockets)
 	case c.Settings.Gossip && (c.PeerListen == "" || len(c.Peers) != c.Settings.Gateways):
 		return fmt.Errorf("configuration: peers: %d addresses for %d gateways, peer_listen %q",
 			len(c.Peers), c.Settings.Gateways, c.PeerListen)
--- a/internal/gateway/counter.go
+++ b/internal/gateway/counter.go
@@ -43,9 +43,9 @@
 		url:  counterURL(cfg.Counter),
 		wait: time.Duration(cfg.Host.CounterTimeout) * time.Microsecond,
 		on:   cfg.Settings.SharedCounter && cfg.Counter != "",
-		client: &http.Client{CheckRedirect: stay, Transport: &http.Transport{
+		client: &http.Client{CheckRedirect: refuseRedirect, Transport: &http.Transport{
 			MaxConnsPerHost: countLines, MaxIdleConnsPerHost: countLines,
-			IdleConnTimeout: 4 * time.Second, DisableCompression: true, MaxResponseHeaderBytes: mostHeader,
+			IdleConnTimeout: 4 * time.Second, DisableCompression: true, MaxResponseHeaderBytes: maxHeaderBytes,
 		}},
 	}
 	for i := range c.lines {
@@ -73,7 +73,7 @@
 		default:
 		}
 	}
-	l.later(counted{name: name, result: policy.ResultOverloaded})
+	l.enqueue(counterAnswered{name: name, result: policy.ResultOverloaded})
 }
 
 // run makes the calls of one line, one after another.
@@ -84,19 +84,21 @@
 			return
 		case call := <-line:
 			total, result := c.call(ctx, call)
-			l.post(counted{call.name, result, total})
+			l.post(counterAnswered{call.name, result, total})
 		}
 	}
 }
 
 // counted is how a call ended.
-type counted struct {
+type counterAnswered struct {
 	name   uint64
 	result policy.Result
 	total  float64
 }
 
-func (e counted) handle(l *Loop) { l.module.CounterAnswered(l.now(), e.name, e.result, e.total) }
+func (e counterAnswered) handle(l *Loop) {
+	l.controller.CounterAnswered(l.now(), e.name, e.result, e.total)
+}
 
 // call makes one call. Full and ConnectFailed tell that nothing was added; with
 // TimedOut and Reset it may have been, or may yet be.
--- a/internal/gateway/crossings_test.go
+++ b/internal/gateway/crossings_test.go
@@ -52,13 +52,13 @@
 		},
 		"it is answered": func(t *testing.T, l *Loop, c *testClient) {
 			l.failAll()
-			l.follow()
+			l.handleQueue()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBackend(t)
 			l := unstarted(t, newFakeDiscovery(t))
-			l.backends.members(l, policy.UpdateComplete, []discovery.Endpoint{
+			l.backends.updateEndpoints(l, policy.UpdateComplete, []discovery.Endpoint{
 				{ID: "s-00000001", Address: b.listener.Addr().String(), Phase: "Ready"}})
 			begun, letGo := heldDials(l)
 			c := byHand(t, l, "c=once")
@@ -68,10 +68,10 @@
 				t.Errorf("%d attempts wait, %d requests are kept", n, len(l.requests))
 			}
 			close(letGo)
-			if e := handle(t, l, "the dial's end").(dialed); e.err != nil {
+			if e := handle(t, l, "the dial's end").(dialEnded); e.err != nil {
 				t.Fatal(e.err)
 			}
-			l.backends.drop(l.backends.byNumber[1])
+			l.backends.closeIdle(l.backends.byNumber[1])
 			wait(t, b.ended, "the connection's end")
 			if len(b.got) > 0 {
 				t.Error("sent on")
@@ -85,7 +85,7 @@
 func TestLateConnectionCarriesNoRepeatBehindItsWindow(t *testing.T) {
 	b := newBackend(t)
 	l := unstarted(t, newFakeDiscovery(t))
-	l.backends.members(l, policy.UpdateComplete, []discovery.Endpoint{
+	l.backends.updateEndpoints(l, policy.UpdateComplete, []discovery.Endpoint{
 		{ID: "s-00000001", Address: b.listener.Addr().String(), Phase: "Ready"}})
 	c := byHand(t, l, "c=order,k=5c0f6e1a2b3d4c59")
 	handle(t, l, "the dial's end")
@@ -107,17 +107,17 @@
 func TestDrainFreesAllThatWait(t *testing.T) {
 	l := unstarted(t, newFakeDiscovery(t))
 	m := discovery.Endpoint{ID: "s-00000001", Address: newBackend(t).listener.Addr().String(), Phase: "Ready"}
-	l.backends.members(l, policy.UpdateComplete, []discovery.Endpoint{m})
+	l.backends.updateEndpoints(l, policy.UpdateComplete, []discovery.Endpoint{m})
 	_, letGo := heldDials(l)
 	defer close(letGo)
 	for i := range 3 {
-		l.backends.start(l, &attempt{number: i, sent: l.now(), until: l.now() + 1e9}, 1)
+		l.backends.startAttempt(l, &attempt{number: i, sentAt: l.now(), expiresAt: l.now() + 1e9}, 1)
 	}
 	m.Phase = "Terminating"
-	l.backends.members(l, policy.UpdateIncremental, []discovery.Endpoint{m})
+	l.backends.updateEndpoints(l, policy.UpdateIncremental, []discovery.Endpoint{m})
 	ended := ""
-	for _, e := range l.queue {
-		ended += fmt.Sprint(e.(outcome).result, " ")
+	for _, e := range l.followUps {
+		ended += fmt.Sprint(e.(attemptEnded).result, " ")
 	}
 	if want := fmt.Sprint(policy.ResultNotSent, policy.ResultNotSent, policy.ResultNotSent) + " "; ended != want {
 		t.Errorf("outcomes %q, want %q", ended, want)
@@ -130,13 +130,13 @@
 	b := newBackend(t)
 	l := unstarted(t, newFakeDiscovery(t))
 	m := discovery.Endpoint{ID: "s-00000001", Address: b.listener.Addr().String(), Phase: "Ready"}
-	l.backends.members(l, policy.UpdateComplete, []discovery.Endpoint{m})
+	l.backends.updateEndpoints(l, policy.UpdateComplete, []discovery.Endpoint{m})
 	begun, letGo := heldDials(l)
-	a := &attempt{sent: l.now(), until: l.now() + 1e9}
-	l.backends.start(l, a, 1)
+	a := &attempt{sentAt: l.now(), expiresAt: l.now() + 1e9}
+	l.backends.startAttempt(l, a, 1)
 	wait(t, begun, "the dial")
 	m.UpSinceMS = 1_000_000_000_000
-	l.backends.members(l, policy.UpdateIncremental, []discovery.Endpoint{m})
+	l.backends.updateEndpoints(l, policy.UpdateIncremental, []discovery.Endpoint{m})
 	close(letGo)
 	handle(t, l, "the dial's end")
 	wait(t, b.ended, "the end of the first connection")
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -28,9 +28,9 @@
 
 // stay follows no redirect: only the addresses of the configuration are called,
 // and a call to the counter must not be made twice.
-func stay(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+func refuseRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-const mostHeader = 16 << 10 // bytes of an answer's header
+const maxHeaderBytes = 16 << 10 // bytes of an answer's header
 
 // discoveryClient follows the list of members.
 type discoveryClient struct {
@@ -66,10 +66,10 @@
 		// has it: a call and the pause behind it are over well within the grace of a drain.
 		d.slack, d.pause = min(watchSlack, grace/2), min(retryAfter, grace/5)
 	}
-	d.client = &http.Client{CheckRedirect: stay, Transport: &http.Transport{
+	d.client = &http.Client{CheckRedirect: refuseRedirect, Transport: &http.Transport{
 		// A dial goes on though its call is given up, and keeps the next call waiting.
 		DialContext:     (&net.Dialer{Timeout: d.slack}).DialContext,
-		MaxConnsPerHost: 1, MaxIdleConns: 1, DisableCompression: true, MaxResponseHeaderBytes: mostHeader,
+		MaxConnsPerHost: 1, MaxIdleConns: 1, DisableCompression: true, MaxResponseHeaderBytes: maxHeaderBytes,
 	}}
 	if cfg.Known.Complete {
 		d.known = &cfg.Known.Revision
@@ -98,34 +98,34 @@
 }
 
 // news is what discovery has told.
-type news struct {
-	kind policy.UpdateKind
-	list discovery.Update
+type endpointsUpdated struct {
+	kind   policy.UpdateKind
+	update discovery.Update
 }
 
-func (n news) handle(l *Loop) {
+func (n endpointsUpdated) handle(l *Loop) {
 	if n.kind == policy.UpdateUnavailable {
-		l.module.UpdateEndpoints(l.now(), n.kind, nil)
+		l.controller.UpdateEndpoints(l.now(), n.kind, nil)
 		return
 	}
 	l.discovery.heard = true
 	n.keepDrains(l)
-	l.backends.members(l, n.kind, n.list.Endpoints)
-	l.ready()
+	l.backends.updateEndpoints(l, n.kind, n.update.Endpoints)
+	l.startAccepting()
 }
 
 // keepDrains has an older list, as another address may tell it at first, make no backend ready that was
 // told as draining by a newer one, unless it has started anew since.
-func (n news) keepDrains(l *Loop) {
+func (n endpointsUpdated) keepDrains(l *Loop) {
 	d := l.discovery
-	if n.list.Revision >= d.newest {
-		d.newest = n.list.Revision
+	if n.update.Revision >= d.newest {
+		d.newest = n.update.Revision
 		return
 	}
-	for i := range n.list.Endpoints {
-		m := &n.list.Endpoints[i]
-		if b := l.backends.byID[m.ID]; b != nil && b.state == policy.EndpointDraining && b.told.UpSinceMS == m.UpSinceMS {
-			m.Phase = b.told.Phase
+	for i := range n.update.Endpoints {
+		m := &n.update.Endpoints[i]
+		if b := l.backends.byID[m.ID]; b != nil && b.state == policy.EndpointDraining && b.endpoint.UpSinceMS == m.UpSinceMS {
+			m.Phase = b.endpoint.Phase
 		}
 	}
 }
@@ -176,9 +176,9 @@
 		case <-ctx.Done():
 		}
 	}
-	tell := func(n news) {
+	tell := func(n endpointsUpdated) {
 		select {
-		case l.urgent <- n:
+		case l.urgentEvents <- n:
 		case <-whole.Done():
 		}
 	}
@@ -198,7 +198,7 @@
 				l.log.Warn("discovery", "error", err, "failed_before", failed, "took", time.Since(called))
 			}
 			if d.asks {
-				tell(news{kind: policy.UpdateUnavailable})
+				tell(endpointsUpdated{kind: policy.UpdateUnavailable})
 			} else {
 				wait = 0
 			}
@@ -215,7 +215,7 @@
 		if list.Complete {
 			kind = policy.UpdateComplete
 		}
-		tell(news{kind, list})
+		tell(endpointsUpdated{kind, list})
 		end()
 		if wait > 0 && len(list.Endpoints) == 0 && time.Since(called) < tooSoon {
 			pause(tooSoon) // a watch that does not wait must not become a busy loop
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -88,7 +88,7 @@
 		return strings.NewReader(oneMember)
 	})
 	l.discovery.watch(ctx, context.Background(), l, "http://127.0.0.1:1/", nil)
-	if len(l.urgent) != 1 || (<-l.urgent).(news).list.Revision != 7 {
+	if len(l.urgentEvents) != 1 || (<-l.urgentEvents).(endpointsUpdated).update.Revision != 7 {
 		t.Error("news that were read were not told")
 	}
 }
@@ -111,7 +111,7 @@
 	}()
 	defer func() { cancel(); close(over); <-ended }()
 	select {
-	case <-l.urgent:
+	case <-l.urgentEvents:
 	case <-time.After(patience):
 		t.Error("the list was not told before its call had ended")
 	}
@@ -122,7 +122,7 @@
 func TestOlderListMakesNothingReadyThatDrains(t *testing.T) {
 	l := unstarted(t, newFakeDiscovery(t))
 	tell := func(revision uint64, kind policy.UpdateKind, phase string, upSince int64) policy.EndpointState {
-		l.handle(news{kind, discovery.Update{Revision: revision, Complete: kind == policy.UpdateComplete, Endpoints: []discovery.Endpoint{
+		l.handle(endpointsUpdated{kind, discovery.Update{Revision: revision, Complete: kind == policy.UpdateComplete, Endpoints: []discovery.Endpoint{
 			{ID: "s-00000001", Address: "127.0.0.1:9", Phase: phase, UpSinceMS: upSince}}}})
 		return l.backends.byID["s-00000001"].state
 	}
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -13,9 +13,9 @@
 	t.Helper()
 	b := newBackend(t)
 	l := unstarted(t, newFakeDiscovery(t))
-	l.backends.members(l, policy.UpdateComplete, []discovery.Endpoint{
+	l.backends.updateEndpoints(l, policy.UpdateComplete, []discovery.Endpoint{
 		{ID: "s-00000001", Address: b.listener.Addr().String(), Phase: "Ready"}})
-	stop{}.handle(l)
+	shutdownRequested{}.handle(l)
 	return l, b
 }
 
@@ -30,7 +30,7 @@
 // later lets time pass for a loop that is run by hand.
 func later(l *Loop, time policy.Time) {
 	l.clock.wall += time
-	l.fire()
+	l.runTimers()
 }
 
 // A connection with a whole request waits in the listener's backlog as that is to be closed: the
@@ -40,21 +40,21 @@
 	l.accepting = true
 	c := (&rig{addr: l.clients.listener.Addr().String()}).client(t)
 	c.lookup(1, "60000") // in the kernel, as nothing accepts yet
-	later(l, acceptFor)
-	turn(t, l, "the request", func() bool { return l.open == 1 })
-	turn(t, l, "the listener's end", func() bool { return l.drain.shut })
-	later(l, 2*closeFor) // the backend takes long
+	later(l, acceptPeriod)
+	turn(t, l, "the request", func() bool { return l.openRequests == 1 })
+	turn(t, l, "the listener's end", func() bool { return l.shutdown.listenerClosed })
+	later(l, 2*closePeriod) // the backend takes long
 	if l.done {
 		t.Fatal("the process ends with an open request")
 	}
 	turn(t, l, "the dial", func() bool { return len(l.backends.byNumber[1].waiting) == 0 })
 	b.next(t).serve(t, "ok")
-	turn(t, l, "the answer", func() bool { return l.open == 0 })
+	turn(t, l, "the answer", func() bool { return l.openRequests == 0 })
 	c.value("ok")
 	c.closed()
 	c.conn.Close()
 	// Its reader may have stopped behind the last command, and then does not see the end.
-	later(l, lingerLost)
+	later(l, lingerAfterError)
 	if !l.done {
 		t.Error("the process goes on though its last client has ended")
 	}
@@ -70,16 +70,16 @@
 	handle(t, l, "the connection")
 	c.raw("*4\r\n$8\r\nAPI.R")
 	for client := range l.clients.conns {
-		for client.active.Load() == 0 { // until the reader has it
+		for client.lastInputAt.Load() == 0 { // until the reader has it
 			runtime.Gosched()
 		}
-		client.used = 0 // it was opened earlier
+		client.lastCommandAt = 0 // it was opened earlier
 	}
-	later(l, acceptFor)
+	later(l, acceptPeriod)
 	if l.done || len(l.clients.conns) != 1 {
 		t.Fatalf("done %v with %d connections", l.done, len(l.clients.conns))
 	}
-	later(l, l.cfg.answerFor()-acceptFor)
+	later(l, l.config.answerWithin()-acceptPeriod)
 	c.closed()
 	c.conn.Close()
 	turn(t, l, "the end of all", func() bool { return l.done })
@@ -92,13 +92,13 @@
 		cfg := Config{}
 		cfg.Host.Limits = []policy.Time{limit}
 		longest := limit
-		if limit == 0 || limit > longestMost {
-			longest = longestMost
+		if limit == 0 || limit > maxLongestTimeout {
+			longest = maxLongestTimeout
 		}
-		answer, exit, kill := cfg.answerFor(), cfg.exitFor(), longest+700_000
-		if answer < acceptFor+min(limit, lastFor) || exit < answer+lastFor || exit >= kill {
+		answer, exit, kill := cfg.answerWithin(), cfg.exitWithin(), longest+700_000
+		if answer < acceptPeriod+min(limit, backlogPeriod) || exit < answer+backlogPeriod || exit >= kill {
 			t.Errorf("longest deadline %d: accepted for %d, answered after %d, ended after %d, SIGKILL after %d",
-				limit, policy.Time(acceptFor), answer, exit, kill)
+				limit, policy.Time(acceptPeriod), answer, exit, kill)
 		}
 	}
 }
--- a/internal/gateway/figures_test.go
+++ b/internal/gateway/figures_test.go
@@ -12,8 +12,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &figures{}
-	for i, c := range f.of([]string{"read", "once"}) {
+	f := &metrics{}
+	for i, c := range f.forClasses([]string{"read", "once"}) {
 		c.fulfilled.Add(int64(10*i + 1))
 		c.throttled.Add(int64(10*i + 2))
 		c.faulted.Add(int64(10*i + 3))
@@ -21,9 +21,9 @@
 	}
 	f.open.Store(31)
 	f.listed.Store(32)
-	f.avoided.Store(33)
-	f.cfgAccepted.Store(34)
-	f.cfgInvalid.Store(35)
+	f.outOfRotation.Store(33)
+	f.configsAccepted.Store(34)
+	f.configsRejected.Store(35)
 	var got bytes.Buffer
 	f.write(&got)
 	if !bytes.Equal(got.Bytes(), want) {
--- a/internal/gateway/files.go
+++ b/internal/gateway/files.go
@@ -20,43 +20,43 @@
 )
 
 // files is how the descriptors that the process may open are shared out.
-type files struct {
-	share   int // for connections of clients, and as many to backends
-	room    int // for connections of clients, those that are to be turned away among them
-	callers int // for connections of operators
+type descriptorBudget struct {
+	perSide     int // for connections of clients, and as many to backends
+	clientSlots int // for connections of clients, those that are to be turned away among them
+	operators   int // for connections of operators
 }
 
 // shareOut gives two in five descriptors to clients and as many to backends, and never more than
 // all the others leave: a connection that finds no descriptor is one that the gateway can't
 // refuse, and discovery's may be the one.
-func shareOut(sockets int, counter bool) files {
-	f := files{callers: min(opsCallers, max(2, sockets/16))}
-	others := runtimeFiles + ownFiles + discoveryFiles + opsFiles + f.callers
+func budgetDescriptors(sockets int, counter bool) descriptorBudget {
+	f := descriptorBudget{operators: min(opsCallers, max(2, sockets/16))}
+	others := runtimeFiles + ownFiles + discoveryFiles + opsFiles + f.operators
 	if counter {
 		others += counterFiles
 	}
-	f.share = min((sockets-spareFiles)*2/5, (sockets-others-leastBeyond)/2)
-	f.room = f.share + max(leastBeyond, f.share/4)
+	f.perSide = min((sockets-spareFiles)*2/5, (sockets-others-leastBeyond)/2)
+	f.clientSlots = f.perSide + max(leastBeyond, f.perSide/4)
 	return f
 }
 
 // Files is how many descriptors the process may open; an error where none can serve with so few.
-func Files() (int, error) {
+func DescriptorLimit() (int, error) {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return math.MaxInt32, nil // not known: what the configuration states holds
 	}
-	if limit.Cur < leastSockets {
-		return 0, fmt.Errorf("limit of open files: %d, at least %d wanted", limit.Cur, leastSockets)
+	if limit.Cur < minSockets {
+		return 0, fmt.Errorf("limit of open files: %d, at least %d wanted", limit.Cur, minSockets)
 	}
 	return int(min(limit.Cur, math.MaxInt32)), nil
 }
 
 // sockets is how many descriptors to count on: the configuration may state more than the process gets.
 func (c *Config) sockets(log *slog.Logger) int {
-	if c.Files == 0 || c.Files >= c.Sockets {
+	if c.DescriptorLimit == 0 || c.DescriptorLimit >= c.Sockets {
 		return c.Sockets
 	}
-	log.Warn("fewer descriptors than configured", "limits.sockets", c.Sockets, "limit_of_open_files", c.Files)
-	return c.Files
+	log.Warn("fewer descriptors than configured", "limits.sockets", c.Sockets, "limit_of_open_files", c.DescriptorLimit)
+	return c.DescriptorLimit
 }
--- a/internal/gateway/files_test.go
+++ b/internal/gateway/files_test.go
@@ -10,25 +10,25 @@
 // All that may be open at once fits, whatever the limit; where descriptors are not few, clients and
 // backends get two in five each.
 func TestDescriptorsFitTheLimit(t *testing.T) {
-	for sockets := leastSockets; sockets <= 4096; sockets++ {
+	for sockets := minSockets; sockets <= 4096; sockets++ {
 		for _, counter := range []bool{false, true} {
-			f := shareOut(sockets, counter)
+			f := budgetDescriptors(sockets, counter)
 			// streams 3, poller 2, control group 2, listener, peers, door, who stands there, configuration,
 			// discovery at two addresses, operators' listener and one more caller than there are places
-			sum := f.room + f.share + 3 + 2 + 2 + 5 + 2 + 1 + f.callers + 1
+			sum := f.clientSlots + f.perSide + 3 + 2 + 2 + 5 + 2 + 1 + f.operators + 1
 			if counter {
 				sum += 2 * countLines
 			}
-			if sum > sockets || f.share < 1 || f.callers < 2 {
+			if sum > sockets || f.perSide < 1 || f.operators < 2 {
 				t.Fatalf("limit %d, counter %t: up to %d open, %+v", sockets, counter, sum, f)
 			}
-			if even := (sockets - 24) * 2 / 5; f.share != even && (sockets >= 64 || !counter) {
-				t.Errorf("limit %d, counter %t: share %d, want %d", sockets, counter, f.share, even)
+			if even := (sockets - 24) * 2 / 5; f.perSide != even && (sockets >= 64 || !counter) {
+				t.Errorf("limit %d, counter %t: share %d, want %d", sockets, counter, f.perSide, even)
 			}
 		}
 	}
-	for sockets, want := range map[int]files{32: {3, 7, 2}, 64: {16, 20, 4}, 256: {92, 115, 12}, 1024: {400, 500, 12}} {
-		if got := shareOut(sockets, false); got != want {
+	for sockets, want := range map[int]descriptorBudget{32: {3, 7, 2}, 64: {16, 20, 4}, 256: {92, 115, 12}, 1024: {400, 500, 12}} {
+		if got := budgetDescriptors(sockets, false); got != want {
 			t.Errorf("limit %d: %+v, want %+v", sockets, got, want)
 		}
 	}
@@ -43,15 +43,15 @@
 		cfg := configure(t, newFakeDiscovery(t), func(f map[string]any) {
 			f["limits"] = map[string]any{"sockets": c.configured}
 		})
-		cfg.Files = c.process
+		cfg.DescriptorLimit = c.process
 		l, err := newLoop(cfg, slog.New(slog.NewTextHandler(&log, nil)))
 		if err != nil {
 			t.Fatal(err)
 		}
 		l.clients.listener.Close()
-		want := shareOut(c.want, false)
-		if l.clients.most != want.share || cap(l.clients.room) != want.room || l.backends.most != want.share {
-			t.Errorf("%+v: %d clients, %d in all, %d to backends", c, l.clients.most, cap(l.clients.room), l.backends.most)
+		want := budgetDescriptors(c.want, false)
+		if l.clients.limit != want.perSide || cap(l.clients.slots) != want.clientSlots || l.backends.limit != want.perSide {
+			t.Errorf("%+v: %d clients, %d in all, %d to backends", c, l.clients.limit, cap(l.clients.slots), l.backends.limit)
 		}
 		if n := strings.Count(log.String(), "fewer descriptors than configured"); n != c.lines {
 			t.Errorf("%+v: %d lines", c, n)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -10,7 +10,7 @@
 	"sparspread/policy"
 )
 
-const queued = 1024 // events that wait for the loop
+const eventQueueLength = 1024 // events that wait for the loop
 
 // Run serves until it is told to stop and all that was taken is answered.
 func Run(cfg Config, log *slog.Logger, control Control) error {
@@ -27,16 +27,16 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	l.start(ctx)
-	go control.steer(ctx, l)
+	go control.run(ctx, l)
 	l.run()
 	_ = l.clients.listener.Close()
 	l.ops.close()
-	l.peers.close()
-	l.door.close(!l.move.given())
-	if l.former != nil {
-		l.former.abandon()
+	l.gossip.close()
+	l.handoverListener.close(!l.handover.hasGivenOwnership())
+	if l.predecessor != nil {
+		l.predecessor.abandon()
 	}
-	if m := l.move; m != nil && !m.over {
+	if m := l.handover; m != nil && !m.ended {
 		m.link.finish()
 	}
 }
@@ -45,32 +45,32 @@
 func newLoop(cfg Config, log *slog.Logger) (*Loop, error) {
 	l := &Loop{
 		log: log, clock: newClock(),
-		events: make(chan event, queued), urgent: make(chan event, 16),
-		requests: map[uint64]*request{}, names: map[uint64]*request{}, timer: time.NewTimer(time.Hour),
-		counter: newCounter(&cfg), discovery: newDiscovery(&cfg), figures: &figures{},
+		events: make(chan event, eventQueueLength), urgentEvents: make(chan event, 16),
+		requests: map[uint64]*request{}, openByClientID: map[uint64]*request{}, timer: time.NewTimer(time.Hour),
+		counter: newCounter(&cfg), discovery: newDiscovery(&cfg), metrics: &metrics{},
 	}
-	l.use(&cfg)
+	l.applyConfig(&cfg)
 	l.timer.Stop()
 	limitMemory(&cfg, 1)
-	files := shareOut(cfg.sockets(log), l.counter.on)
-	l.backends = newBackends(&cfg, files.share)
+	files := budgetDescriptors(cfg.sockets(log), l.counter.on)
+	l.backends = newBackends(&cfg, files.perSide)
 	l.clients = &clients{
-		most: files.share, room: make(chan struct{}, files.room), conns: map[*client]bool{},
+		limit: files.perSide, slots: make(chan struct{}, files.clientSlots), conns: map[*client]bool{},
 		shutting: make(chan struct{}),
 	}
 	var err error
-	if l.module, err = policy.New(cfg.Settings, cfg.Seed, l); err != nil {
+	if l.controller, err = policy.New(cfg.Settings, cfg.Seed, l); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	if l.ops, err = newOps(cfg.Ops, l.figures, files.callers); err != nil {
+	if l.ops, err = newOps(cfg.Ops, l.metrics, files.operators); err != nil {
 		return nil, err
 	}
-	l.inherit = claim(&cfg, log)
-	if l.peers, err = newPeers(&cfg, log, l.inherit != nil); err != nil {
+	l.pendingTakeover = dialPredecessor(&cfg, log)
+	if l.gossip, err = newPeers(&cfg, log, l.pendingTakeover != nil); err != nil {
 		return nil, err
 	}
-	if l.inherit != nil {
-		l.clients.listener = l.inherit.listener
+	if l.pendingTakeover != nil {
+		l.clients.listener = l.pendingTakeover.listener
 		return l, nil
 	}
 	return l, l.listen()
@@ -78,7 +78,7 @@
 
 // listen listens for clients.
 func (l *Loop) listen() error {
-	listener, err := reuse.Listen(context.Background(), "tcp", l.cfg.Listen)
+	listener, err := reuse.Listen(context.Background(), "tcp", l.config.Listen)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
@@ -88,13 +88,13 @@
 
 // start begins with the list as last known and has all sockets read.
 func (l *Loop) start(ctx context.Context) {
-	l.backends.members(l, policy.UpdateStale, l.cfg.Known.Endpoints)
-	l.follow()
+	l.backends.updateEndpoints(l, policy.UpdateStale, l.config.Known.Endpoints)
+	l.handleQueue()
 	go l.ops.serve()
-	l.at(l.now()+untilReady, readyAnyway{})
-	l.at(l.now()+sweepEvery, sweep{})
+	l.schedule(l.now()+readinessWait, readinessTimeout{})
+	l.schedule(l.now()+sweepInterval, sweepTimer{})
 	go l.discovery.run(ctx, l)
-	l.peers.resume(l)
+	l.gossip.resume(l)
 	if l.counter.on {
 		for _, line := range l.counter.lines {
 			go l.counter.run(ctx, l, line)
@@ -103,24 +103,24 @@
 }
 
 // sweep closes, now and then, connections that are of no more use.
-type sweep struct{}
+type sweepTimer struct{}
 
-const sweepEvery = 100_000
+const sweepInterval = 100_000
 
-func (sweep) due(l *Loop) {
+func (sweepTimer) fire(l *Loop) {
 	l.clients.sweep(l)
 	l.backends.sweep(l)
-	l.figures.avoided.Store(int64(l.module.UnavailableBackends()))
-	l.at(l.now()+sweepEvery, sweep{})
+	l.metrics.outOfRotation.Store(int64(l.controller.UnavailableBackends()))
+	l.schedule(l.now()+sweepInterval, sweepTimer{})
 }
 
 // ready has clients accepted from now on: until then nothing answers PING. Where
 // another process still serves, that is once it has handed over.
-func (l *Loop) ready() {
+func (l *Loop) startAccepting() {
 	switch {
 	case l.accepting:
-	case l.inherit != nil:
-		l.inherit.once.Do(func() { go l.inherit.take(l) })
+	case l.pendingTakeover != nil:
+		l.pendingTakeover.once.Do(func() { go l.pendingTakeover.run(l) })
 	default:
 		l.accept()
 	}
@@ -130,11 +130,11 @@
 	l.accepting = true
 	l.log.Info("ready", "listen", l.clients.listener.Addr().String(), "backends", len(l.backends.byNumber))
 	l.clients.resume(l)
-	l.openDoor()
-	l.ops.ready.Store(!l.drain.begun)
+	l.listenForSuccessor()
+	l.ops.ready.Store(!l.shutdown.started)
 }
 
 // readyAnyway ends the wait for discovery, which may be down for long.
-type readyAnyway struct{}
+type readinessTimeout struct{}
 
-func (readyAnyway) due(l *Loop) { l.ready() }
+func (readinessTimeout) fire(l *Loop) { l.startAccepting() }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -408,18 +408,18 @@
 	d := newFakeDiscovery(t)
 	l := unstarted(t, d)
 	m := discovery.Endpoint{ID: "s-00000001", Address: b.listener.Addr().String(), Phase: "Ready"}
-	l.backends.members(l, policy.UpdateComplete, []discovery.Endpoint{m})
-	a := &attempt{sent: l.now(), until: l.now() + 1e9}
-	l.backends.start(l, a, 1)
+	l.backends.updateEndpoints(l, policy.UpdateComplete, []discovery.Endpoint{m})
+	a := &attempt{sentAt: l.now(), expiresAt: l.now() + 1e9}
+	l.backends.startAttempt(l, a, 1)
 	m.Phase = "Terminating"
-	l.backends.members(l, policy.UpdateIncremental, []discovery.Endpoint{m})
-	up := wait(t, l.events, "the dial").(dialed)
+	l.backends.updateEndpoints(l, policy.UpdateIncremental, []discovery.Endpoint{m})
+	up := wait(t, l.events, "the dial").(dialEnded)
 	if up.err != nil {
 		t.Fatal(up.err)
 	}
 	up.handle(l)
-	if len(l.queue) != 1 || l.queue[0].(outcome).result != policy.ResultNotSent {
-		t.Errorf("outcomes %+v, want one that tells that nothing ran", l.queue)
+	if len(l.followUps) != 1 || l.followUps[0].(attemptEnded).result != policy.ResultNotSent {
+		t.Errorf("outcomes %+v, want one that tells that nothing ran", l.followUps)
 	}
 	if err := wait(t, b.ended, "the connection's end"); !errors.Is(err, io.EOF) || len(b.got) > 0 {
 		t.Errorf("the connection ended with %v after %d commands", err, len(b.got))
@@ -559,7 +559,7 @@
 	c, idle := r.client(t), r.client(t)
 	c.lookup(1, "60000")
 	call := b.next(t)
-	r.stopFor(t, acceptFor)
+	r.stopFor(t, acceptPeriod)
 	idle.closed()
 	call.serve(t, "ok")
 	c.value("ok")
@@ -575,7 +575,7 @@
 	c := r.client(t)
 	c.lookup(1, "80000000")
 	b.next(t)
-	r.stopFor(t, longestMost+answerLeast)
+	r.stopFor(t, maxLongestTimeout+answerMargin)
 	c.want("-ERR failed")
 	c.closed()
 	c.conn.Close()
@@ -584,7 +584,7 @@
 
 // Without a descriptor to spare an attempt ends at once, and no client waits.
 func TestOutOfDescriptors(t *testing.T) {
-	r, b := fourBackends(t, leastSockets) // 3 to backends
+	r, b := fourBackends(t, minSockets) // 3 to backends
 	c := r.client(t)
 	for id := range 3 {
 		c.lookup(id, "60000")
@@ -668,10 +668,10 @@
 	for id := range 2 {
 		r := &request{id: uint64(id + 1), client: &client{}, args: [][]byte{nil, []byte("7"), fmt.Appendf(nil, "id-%d", id), nil}}
 		l.requests[r.id] = r
-		r.out = 2
-		outcome{a: &attempt{r: r, backend: 5}, result: policy.ResultReset}.handle(l)
+		r.attemptsInFlight = 2
+		attemptEnded{attempt: &attempt{request: r, backend: 5}, result: policy.ResultReset}.handle(l)
 		l.Fail(r.id)
-		l.traceAt[1] += 3600e6 // however long the test takes
+		l.nextTraceAt[1] += 3600e6 // however long the test takes
 	}
 	if text := log.String(); strings.Count(text, "msg=trace") != 1 || !strings.Contains(text, "id=id-0") ||
 		!strings.Contains(text, "to 5 at") {
@@ -693,13 +693,13 @@
 		told := make(chan bool, 1)
 		r.loop.post(inspect(func(l *Loop) {
 			for c := range l.clients.conns {
-				begun = begun || c.asked == 0 && c.writing()
+				begun = begun || c.commands == 0 && c.isMidCommand()
 			}
 			told <- begun
 		}))
 		begun = wait(t, told, "the loop")
 	}
-	r.stopFor(t, acceptFor)
+	r.stopFor(t, acceptPeriod)
 	idle.closed() // by now connections are closed
 	c.raw(command[40:])
 	b.next(t).serve(t, "ok")
--- a/internal/gateway/handover.go
+++ b/internal/gateway/handover.go
@@ -39,11 +39,11 @@
 }}
 
 const (
-	claimTries = 2         // calls at a door that is there and does not answer
-	takeTries  = 3         // handovers that may be torn before this process begins without one
-	frozenFor  = 1_000_000 // for the new process to take in the state
-	bindAgain  = 100_000   // after a bind that failed, when the new process has ended
-	heapPart   = 2.0 / 3   // of the memory limit, where the collector begins to hurry
+	maxDialAttempts   = 2         // calls at a door that is there and does not answer
+	maxTakeovers      = 3         // handovers that may be torn before this process begins without one
+	stateTimeout      = 1_000_000 // for the new process to take in the state
+	rebindDelay       = 100_000   // after a bind that failed, when the new process has ended
+	heapLimitFraction = 2.0 / 3   // of the memory limit, where the collector begins to hurry
 )
 
 // socketPrefix begins the name of the handover's socket. It is the program's former name: a new version has to
@@ -52,7 +52,7 @@
 
 // doorPath is where the process that serves these clients can be asked to hand over; empty where
 // the address is not known beforehand.
-func doorPath(listen string) string {
+func handoverSocketPath(listen string) string {
 	if _, port, err := net.SplitHostPort(listen); err != nil || port == "0" {
 		return ""
 	}
@@ -61,21 +61,21 @@
 
 // limitMemory sets where the collector hurries, for one process of so many.
 func limitMemory(cfg *Config, processes int) {
-	debug.SetMemoryLimit(int64(float64(cfg.MemoryMB<<20) * heapPart / float64(processes)))
+	debug.SetMemoryLimit(int64(float64(cfg.MemoryMB<<20) * heapLimitFraction / float64(processes)))
 }
 
 // The old process.
 
 // door is where a new process asks this one to hand over.
-type door struct {
+type successorListener struct {
 	listener *net.UnixListener
 	closed   bool
 }
 
 // openDoor listens for a new process. A gateway without a door serves all the same: its next
 // start binds beside it.
-func (l *Loop) openDoor() {
-	path := doorPath(l.cfg.Listen)
+func (l *Loop) listenForSuccessor() {
+	path := handoverSocketPath(l.config.Listen)
 	if path == "" {
 		return
 	}
@@ -88,13 +88,13 @@
 		return
 	}
 	_ = os.Chmod(path, 0o600)
-	l.door = &door{listener: listener}
-	go l.host(listener, l.clients.listener, l.peers.conn)
+	l.handoverListener = &successorListener{listener: listener}
+	go l.serveHandovers(listener, l.clients.listener, l.gossip.conn)
 }
 
 // close ends the listening, and removes the socket's file unless another process has put its own
 // there.
-func (d *door) close(remove bool) {
+func (d *successorListener) close(remove bool) {
 	if d != nil && !d.closed {
 		d.closed = true
 		d.listener.SetUnlinkOnClose(remove)
@@ -104,7 +104,7 @@
 
 // host deals with those who come to the door, one after another. Rubbish and silence cost the
 // caller its connection.
-func (l *Loop) host(d *net.UnixListener, clients *net.TCPListener, peers *net.UDPConn) {
+func (l *Loop) serveHandovers(d *net.UnixListener, clients *net.TCPListener, peers *net.UDPConn) {
 	for {
 		conn, err := d.AcceptUnix()
 		if errors.Is(err, net.ErrClosed) {
@@ -112,17 +112,17 @@
 		}
 		if err != nil {
 			l.log.Warn("handover", "error", err)
-			time.Sleep(acceptAgain)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		if err := l.receive(conn, clients, peers); err != nil {
+		if err := l.leadHandover(conn, clients, peers); err != nil {
 			l.log.Info("handover: not done", "error", err)
 		}
 	}
 }
 
 // receive leads one new process through the handover, and stays with it till it ends.
-func (l *Loop) receive(conn *net.UnixConn, clients *net.TCPListener, peers *net.UDPConn) error {
+func (l *Loop) leadHandover(conn *net.UnixConn, clients *net.TCPListener, peers *net.UDPConn) error {
 	buf := make([]byte, 64)
 	expect := func(want byte, wait time.Duration) error {
 		_ = conn.SetReadDeadline(time.Now().Add(wait))
@@ -151,69 +151,69 @@
 		_ = conn.Close()
 		return err
 	}
-	m := &move{link: newLink(conn)}
-	l.urgent <- m
+	m := &outgoingHandover{link: newLink(conn)}
+	l.urgentEvents <- m
 	err = expect(msgTaken, 2*linkReply)
 	if err == nil {
-		l.urgent <- moveTaken{m}
+		l.urgentEvents <- stateTaken{m}
 		_ = conn.SetReadDeadline(time.Time{})
 		_, _, files, _ := get(conn, buf) // nothing more comes but its end
 		closeAll(files)
 	}
-	l.urgent <- moveEnded{m}
+	l.urgentEvents <- successorExited{m}
 	return err
 }
 
 // move is a handover to a new process.
-type move struct {
-	link  *link
-	taken bool    // the new process decides
-	held  []taken // commands that were read while it was taking over
-	over  bool
+type outgoingHandover struct {
+	link           *link
+	ownershipGiven bool              // the new process decides
+	heldCommands   []commandReceived // commands that were read while it was taking over
+	ended          bool
 }
 
 // given tells whether another process decides now.
-func (m *move) given() bool { return m != nil && m.taken }
+func (m *outgoingHandover) hasGivenOwnership() bool { return m != nil && m.ownershipGiven }
 
 // handle begins the handover: from here on nothing is taken and nothing is granted, until the new
 // process has said that it has the state.
-func (m *move) handle(l *Loop) {
-	if l.move != nil || l.drain.closing || !l.accepting {
+func (m *outgoingHandover) handle(l *Loop) {
+	if l.handover != nil || l.shutdown.closing || !l.accepting {
 		m.end()
 		return
 	}
 	endpoints := make([]discovery.Endpoint, 0, len(l.backends.byID))
 	for _, b := range l.backends.byID {
 		if b.state != policy.EndpointRemoved {
-			endpoints = append(endpoints, b.told)
+			endpoints = append(endpoints, b.endpoint)
 		}
 	}
 	state, err := handover.EncodeState(&handover.State{
-		NextRequestID: l.nextID, Endpoints: endpoints, Policy: l.module.Export(l.now()),
+		NextRequestID: l.nextRequestID, Endpoints: endpoints, Policy: l.controller.Export(l.now()),
 	})
 	if err != nil {
 		l.log.Error("handover", "error", err)
 		m.end()
 		return
 	}
-	l.move = m
+	l.handover = m
 	l.clients.pause()
-	l.peers.pause()
+	l.gossip.pause()
 	m.link.parts(msgPart, msgState, state)
-	l.at(l.now()+frozenFor, moveLate{m})
+	l.schedule(l.now()+stateTimeout, handoverTimeout{m})
 }
 
 // end closes the link, once.
-func (m *move) end() {
-	if !m.over {
-		m.over = true
+func (m *outgoingHandover) end() {
+	if !m.ended {
+		m.ended = true
 		close(m.link.out)
 	}
 }
 
 // mirror tells the new process of an attempt that stayed behind.
-func (l *Loop) mirror(kind byte, encode func() ([]byte, error)) {
-	if l.move == nil || l.move.over {
+func (l *Loop) replicate(kind byte, encode func() ([]byte, error)) {
+	if l.handover == nil || l.handover.ended {
 		return
 	}
 	body, err := encode()
@@ -221,17 +221,17 @@
 		l.log.Warn("handover", "error", err) // a figure that is no number can't be told
 		return
 	}
-	l.move.link.send(linkMessage{kind: kind, body: body})
+	l.handover.link.send(linkMessage{kind: kind, body: body})
 }
 
 // keep puts a command aside that the new process is to decide on.
-func (m *move) keep(e taken) {
-	if !m.taken {
-		m.held = append(m.held, e)
+func (m *outgoingHandover) holdCommand(e commandReceived) {
+	if !m.ownershipGiven {
+		m.heldCommands = append(m.heldCommands, e)
 		return
 	}
-	e.client.carry = appendCommand(e.client.carry, e.args)
-	<-e.client.room
+	e.client.handoverInput = appendCommand(e.client.handoverInput, e.args)
+	<-e.client.pipelineSlots
 }
 
 func appendCommand(b []byte, args [][]byte) []byte {
@@ -243,190 +243,190 @@
 }
 
 // moveTaken tells that the new process has the state.
-type moveTaken struct{ m *move }
+type stateTaken struct{ m *outgoingHandover }
 
-func (e moveTaken) handle(l *Loop) {
+func (e stateTaken) handle(l *Loop) {
 	m := e.m
-	if l.move != m || m.over {
+	if l.handover != m || m.ended {
 		return
 	}
 	m.link.send(linkMessage{kind: msgGo})
-	m.taken = true
-	l.log.Info("handed over", "open", l.open, "clients", len(l.clients.conns))
+	m.ownershipGiven = true
+	l.log.Info("handed over", "open", l.openRequests, "clients", len(l.clients.conns))
 	l.ops.ready.Store(false)
-	l.door.close(false)
+	l.handoverListener.close(false)
 	_ = l.clients.listener.Close()
-	l.peers.close()
-	l.module.GiveUpOwnership(l.now())
+	l.gossip.close()
+	l.controller.GiveUpOwnership(l.now())
 	for _, b := range l.backends.byNumber {
-		l.backends.drop(b)
+		l.backends.closeIdle(b)
 	}
-	limitMemory(l.cfg, 2)
-	for _, held := range m.held {
-		m.keep(held)
+	limitMemory(l.config, 2)
+	for _, held := range m.heldCommands {
+		m.holdCommand(held)
 	}
-	m.held = nil
+	m.heldCommands = nil
 	for c := range l.clients.conns {
-		c.part()
+		c.stopReading()
 	}
-	l.drain.check(l)
+	l.shutdown.endIfIdle(l)
 }
 
 // moveLate ends a handover that the new process has not taken up in time.
-type moveLate struct{ m *move }
+type handoverTimeout struct{ m *outgoingHandover }
 
-func (e moveLate) due(l *Loop) {
-	if !e.m.taken {
+func (e handoverTimeout) fire(l *Loop) {
+	if !e.m.ownershipGiven {
 		e.m.end()
-		l.goOn(e.m)
+		l.resumeServing(e.m)
 	}
 }
 
 // moveEnded tells that the new process has ended, or given up.
-type moveEnded struct{ m *move }
+type successorExited struct{ m *outgoingHandover }
 
-func (e moveEnded) handle(l *Loop) {
+func (e successorExited) handle(l *Loop) {
 	e.m.end()
-	l.goOn(e.m)
+	l.resumeServing(e.m)
 }
 
 // goOn has this process serve again. Where the new one had decided already, what it granted is
 // not known, and the sockets are bound anew.
-func (l *Loop) goOn(m *move) {
-	if l.move != m {
+func (l *Loop) resumeServing(m *outgoingHandover) {
+	if l.handover != m {
 		return
 	}
-	l.move = nil
-	if !m.taken {
+	l.handover = nil
+	if !m.ownershipGiven {
 		l.log.Warn("handover: this process goes on")
 		if l.clients.pausing == nil { // else it has been resumed to be shut
 			l.clients.resume(l)
 		}
-		l.peers.resume(l)
-		l.module.AdvertiseAll()
+		l.gossip.resume(l)
+		l.controller.AdvertiseAll()
 	} else {
 		l.log.Warn("handover: the new process has ended, this one serves again")
-		limitMemory(l.cfg, 1)
-		l.module.ResumeOwnership(l.now())
-		if !l.drain.begun {
-			l.bindAgain()
+		limitMemory(l.config, 1)
+		l.controller.ResumeOwnership(l.now())
+		if !l.shutdown.started {
+			l.rebind()
 		}
 		for c := range l.clients.conns {
-			c.unpart(l)
+			c.resumeReading(l)
 		}
 	}
-	for _, held := range m.held {
-		l.coming.Add(int64(held.size)) // as before it came
+	for _, held := range m.heldCommands {
+		l.queuedBytes.Add(int64(held.size)) // as before it came
 		held.handle(l)
 	}
-	l.drain.check(l)
+	l.shutdown.endIfIdle(l)
 }
 
 // bindAgain binds what the new process had, as often as it takes.
-func (l *Loop) bindAgain() {
+func (l *Loop) rebind() {
 	err := l.listen()
-	if err == nil && l.cfg.Settings.Gossip {
-		if err = l.peers.listen(l.cfg); err != nil {
+	if err == nil && l.config.Settings.Gossip {
+		if err = l.gossip.listen(l.config); err != nil {
 			_ = l.clients.listener.Close()
 		}
 	}
 	if err != nil {
 		l.log.Error("handover: binding again", "error", err)
-		l.at(l.now()+bindAgain, bindLater{})
+		l.schedule(l.now()+rebindDelay, rebindTimer{})
 		return
 	}
-	l.peers.resume(l)
+	l.gossip.resume(l)
 	l.accept()
 }
 
-type bindLater struct{}
+type rebindTimer struct{}
 
-func (bindLater) due(l *Loop) {
-	if !l.drain.begun {
-		l.bindAgain()
+func (rebindTimer) fire(l *Loop) {
+	if !l.shutdown.started {
+		l.rebind()
 	}
 }
 
 // part has a connection's reader stop before the next command.
-func (c *client) part() {
-	c.passing.Store(true)
+func (c *client) stopReading() {
+	c.handingOver.Store(true)
 	_ = c.conn.SetReadDeadline(time.Unix(1, 0))
 }
 
 // unpart has it read again. A reader that has not stopped yet stops before.
-func (c *client) unpart(l *Loop) {
-	if c.parted && !c.gone {
-		c.parted = false
-		c.passing.Store(false)
-		c.unread, c.carry = c.carry, nil
+func (c *client) resumeReading(l *Loop) {
+	if c.readerStopped && !c.closed {
+		c.readerStopped = false
+		c.handingOver.Store(false)
+		c.inheritedInput, c.handoverInput = c.handoverInput, nil
 		_ = c.conn.SetReadDeadline(time.Time{})
-		go c.read(l, c.asked > 0)
+		go c.readCommands(l, c.commands > 0)
 	}
-	if l.drain.closing {
-		c.end(l)
+	if l.shutdown.closing {
+		c.closeWhenIdle(l)
 	}
 }
 
 // parted tells that a connection is read no more.
-type parted struct{ c *client }
+type clientReaderStopped struct{ c *client }
 
-func (e parted) handle(l *Loop) {
+func (e clientReaderStopped) handle(l *Loop) {
 	c := e.c
-	c.parted = true
-	if !l.move.given() {
-		c.unpart(l)
+	c.readerStopped = true
+	if !l.handover.hasGivenOwnership() {
+		c.resumeReading(l)
 		return
 	}
-	c.pass(l)
+	c.handOver(l)
 }
 
 // pass passes a connection on, with what was read from it, once nothing is open on it.
-func (c *client) pass(l *Loop) {
-	if !c.parted || c.gone || c.ending || len(c.line) > 0 || !l.move.given() || l.move.over || !c.out.idle() {
+func (c *client) handOver(l *Loop) {
+	if !c.readerStopped || c.closed || c.ending || len(c.pipeline) > 0 || !l.handover.hasGivenOwnership() || l.handover.ended || !c.sender.isIdle() {
 		return
 	}
-	c.gone = true
+	c.closed = true
 	close(c.done)
 	delete(l.clients.conns, c)
-	<-l.clients.room
-	k := l.move.link
-	if len(c.carry) > 0 {
-		k.parts(msgUnread, msgUnread, c.carry)
-		c.carry = nil
+	<-l.clients.slots
+	k := l.handover.link
+	if len(c.handoverInput) > 0 {
+		k.parts(msgUnread, msgUnread, c.handoverInput)
+		c.handoverInput = nil
 	}
 	conn := c.conn
-	body, err := handover.EncodeClientConnection(handover.ClientConnection{Requests: c.asked, OpenedAt: c.opened})
+	body, err := handover.EncodeClientConnection(handover.ClientConnection{Requests: c.commands, OpenedAt: c.openedAt})
 	if err != nil {
 		l.log.Warn("handover", "error", err)
 	}
 	k.send(linkMessage{
-		kind: msgClient, body: body, socket: c.out.raw,
+		kind: msgClient, body: body, socket: c.sender.raw,
 		sent: func() { _ = conn.Close() },
 	})
-	l.drain.check(l)
+	l.shutdown.endIfIdle(l)
 }
 
 // The new process.
 
 // inheritance is what a process that still serves will hand over.
-type inheritance struct {
+type takeover struct {
 	conn     *net.UnixConn
 	listener *net.TCPListener
 	peers    *net.UDPConn // nil: none
 
-	once sync.Once
-	mu   sync.Mutex
-	left bool // this process ends: nothing is taken any more
+	once      sync.Once
+	mu        sync.Mutex
+	abandoned bool // this process ends: nothing is taken any more
 }
 
 // claim asks the process that serves these clients for its sockets; nil if there is none.
-func claim(cfg *Config, log *slog.Logger) *inheritance {
-	path := doorPath(cfg.Listen)
-	for range claimTries {
+func dialPredecessor(cfg *Config, log *slog.Logger) *takeover {
+	path := handoverSocketPath(cfg.Listen)
+	for range maxDialAttempts {
 		if path == "" {
 			return nil
 		}
-		i, err := knock(path)
+		i, err := dialOnce(path)
 		if err == nil {
 			return i
 		}
@@ -439,7 +439,7 @@
 }
 
 // knock asks once.
-func knock(path string) (*inheritance, error) {
+func dialOnce(path string) (*takeover, error) {
 	conn, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: path, Net: "unixpacket"})
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
@@ -454,7 +454,7 @@
 				err = errors.New("handover: no sockets")
 			}
 		}
-		i := &inheritance{conn: conn}
+		i := &takeover{conn: conn}
 		if err == nil {
 			i.listener, err = socketOf[*net.TCPListener](files[0], func(f *os.File) (any, error) { return net.FileListener(f) })
 		}
@@ -473,16 +473,16 @@
 }
 
 // abandon has nothing taken over any more.
-func (i *inheritance) abandon() {
+func (i *takeover) abandon() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.left = true
+	i.abandoned = true
 	_ = i.conn.Close()
 }
 
 // again replaces a link that was torn by a new one.
-func (i *inheritance) again(cfg *Config) bool {
-	other, err := knock(doorPath(cfg.Listen))
+func (i *takeover) redial(cfg *Config) bool {
+	other, err := dialOnce(handoverSocketPath(cfg.Listen))
 	if err != nil {
 		return false
 	}
@@ -493,38 +493,38 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.conn = other.conn
-	if i.left {
+	if i.abandoned {
 		_ = i.conn.Close()
 	}
-	return !i.left
+	return !i.abandoned
 }
 
 // take takes over, and then passes on what still comes from the other process until that ends.
 // Where it can't, this one begins as after a restart, on the sockets that it has.
-func (i *inheritance) take(l *Loop) {
-	cfg := l.shown.Load()
+func (i *takeover) run(l *Loop) {
+	cfg := l.publishedConfig.Load()
 	for try := 1; ; try++ {
-		state, early, err := i.ask()
+		state, early, err := i.requestState()
 		if err == nil {
-			l.post(tookOver{i, state})
+			l.post(stateReceived{i, state})
 			for _, e := range early {
 				l.post(e)
 			}
-			i.follow(l)
-			l.post(nothingElsewhere{})
+			i.followPredecessor(l)
+			l.post(predecessorExited{})
 			return
 		}
 		l.log.Warn("handover: torn", "try", try, "error", err)
 		_ = i.conn.Close()
-		if try == takeTries || !i.again(cfg) {
-			l.post(tookOver{i, nil})
+		if try == maxTakeovers || !i.redial(cfg) {
+			l.post(stateReceived{i, nil})
 			return
 		}
 	}
 }
 
 // ask has the other process hand over. What it tells before it says go is kept till then.
-func (i *inheritance) ask() (*handover.State, []event, error) {
+func (i *takeover) requestState() (*handover.State, []event, error) {
 	_ = i.conn.SetDeadline(time.Now().Add(2 * linkReply))
 	if err := put(i.conn, msgTake, nil); err != nil {
 		return nil, nil, err
@@ -559,7 +559,7 @@
 }
 
 // follow posts what still comes.
-func (i *inheritance) follow(l *Loop) {
+func (i *takeover) followPredecessor(l *Loop) {
 	in := &linkReader{conn: i.conn, buf: make([]byte, partSize+1)}
 	for {
 		_, _, e, err := in.next()
@@ -598,99 +598,103 @@
 		}
 		conn, err := socketOf[*net.TCPConn](files[0], func(f *os.File) (any, error) { return net.FileConn(f) })
 		if err == nil { // else it has broken on the way
-			e = passedOn{connected{conn, p.OpenedAt, p.Requests, unread}}
+			e = clientHandedOver{clientConnected{conn, p.OpenedAt, p.Requests, unread}}
 		}
 	case msgOutcome:
 		if o, err := handover.DecodeAttemptEnded(body); err == nil {
-			e = endedElsewhere{o}
+			e = predecessorAttemptEnded{o}
 		}
 	case msgSettled:
 		if s, err := handover.DecodeCostSettled(body); err == nil {
-			e = settledElsewhere{s}
+			e = predecessorCostSettled{s}
 		}
 	case msgSent:
 		if s, err := handover.DecodeAttemptSent(body); err == nil {
-			e = sentElsewhere{s}
+			e = predecessorSent{s}
 		}
 	}
 	return kind, body, e, nil
 }
 
 // tookOver is the state that was handed over; nil: it could not be had.
-type tookOver struct {
-	i     *inheritance
+type stateReceived struct {
+	i     *takeover
 	state *handover.State
 }
 
-func (e tookOver) handle(l *Loop) {
-	if l.accepting || l.drain.begun {
+func (e stateReceived) handle(l *Loop) {
+	if l.accepting || l.shutdown.started {
 		return
 	}
 	if e.state != nil {
 		if !l.discovery.heard {
-			l.backends.members(l, policy.UpdateStale, e.state.Endpoints)
+			l.backends.updateEndpoints(l, policy.UpdateStale, e.state.Endpoints)
 		}
-		if err := l.module.Import(l.now(), e.state.Policy); err != nil {
+		if err := l.controller.Import(l.now(), e.state.Policy); err != nil {
 			l.log.Error("handover: beginning as after a restart", "error", err)
 		}
-		l.nextID = max(l.nextID, e.state.NextRequestID)
-		l.beside = true
-		l.backends.most /= 2
-		limitMemory(l.cfg, 2)
-	}
-	l.inherit, l.former = nil, e.i
-	if p := e.i.peers; p != nil && l.cfg.Settings.Gossip && p.LocalAddr().String() == l.cfg.PeerListen {
-		l.peers.conn = p
+		l.nextRequestID = max(l.nextRequestID, e.state.NextRequestID)
+		l.predecessorRunning = true
+		l.backends.limit /= 2
+		limitMemory(l.config, 2)
+	}
+	l.pendingTakeover, l.predecessor = nil, e.i
+	if p := e.i.peers; p != nil && l.config.Settings.Gossip && p.LocalAddr().String() == l.config.PeerListen {
+		l.gossip.conn = p
 	} else {
 		if p != nil {
 			_ = p.Close()
 		}
-		if l.cfg.Settings.Gossip {
-			if err := l.peers.listen(l.cfg); err != nil {
+		if l.config.Settings.Gossip {
+			if err := l.gossip.listen(l.config); err != nil {
 				l.log.Error("handover: no notes from peers", "error", err)
 			}
 		}
 	}
-	l.peers.resume(l)
+	l.gossip.resume(l)
 	l.accept()
 }
 
 // passedOn is a client's connection from the other process.
-type passedOn struct{ connected }
+type clientHandedOver struct{ clientConnected }
 
-func (e passedOn) handle(l *Loop) {
+func (e clientHandedOver) handle(l *Loop) {
 	select {
-	case l.clients.room <- struct{}{}:
-		e.connected.handle(l)
+	case l.clients.slots <- struct{}{}:
+		e.clientConnected.handle(l)
 	default:
 		_ = e.conn.Close()
 	}
 }
 
 // settledElsewhere is what a request of the former process took beyond its guess.
-type settledElsewhere struct{ handover.CostSettled }
+type predecessorCostSettled struct{ handover.CostSettled }
 
-func (e settledElsewhere) handle(l *Loop) { l.module.CostSettled(l.now(), e.Customer, e.Extra) }
+func (e predecessorCostSettled) handle(l *Loop) {
+	l.controller.CostSettled(l.now(), e.Customer, e.Extra)
+}
 
 // sentElsewhere is a further attempt that the former process has made.
-type sentElsewhere struct{ handover.AttemptSent }
+type predecessorSent struct{ handover.AttemptSent }
 
-func (e sentElsewhere) handle(l *Loop) { l.module.PredecessorSent(l.now(), e.RequestID, e.Backend) }
+func (e predecessorSent) handle(l *Loop) {
+	l.controller.PredecessorSent(l.now(), e.RequestID, e.Backend)
+}
 
 // endedElsewhere is how an attempt ended that the other process has made.
-type endedElsewhere struct{ o policy.Outcome }
+type predecessorAttemptEnded struct{ o policy.Outcome }
 
-func (e endedElsewhere) handle(l *Loop) { l.module.PredecessorAttemptEnded(l.now(), e.o) }
+func (e predecessorAttemptEnded) handle(l *Loop) { l.controller.PredecessorAttemptEnded(l.now(), e.o) }
 
 // nothingElsewhere tells that the other process has ended.
-type nothingElsewhere struct{}
-
-func (nothingElsewhere) handle(l *Loop) {
-	if l.beside {
-		l.beside = false
-		l.backends.most *= 2
-		limitMemory(l.cfg, 1)
-		l.module.PredecessorExited(l.now())
+type predecessorExited struct{}
+
+func (predecessorExited) handle(l *Loop) {
+	if l.predecessorRunning {
+		l.predecessorRunning = false
+		l.backends.limit *= 2
+		limitMemory(l.config, 1)
+		l.controller.PredecessorExited(l.now())
 		l.log.Info("the former process has ended")
 	}
 }
--- a/internal/gateway/handover_test.go
+++ b/internal/gateway/handover_test.go
@@ -38,7 +38,7 @@
 func atDoor(t *testing.T, cfg Config) *net.UnixConn {
 	t.Helper()
 	for until := time.Now().Add(patience); time.Now().Before(until); {
-		conn, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: doorPath(cfg.Listen), Net: "unixpacket"})
+		conn, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: handoverSocketPath(cfg.Listen), Net: "unixpacket"})
 		if err == nil {
 			t.Cleanup(func() { conn.Close() })
 			_ = conn.SetDeadline(time.Now().Add(patience))
@@ -195,7 +195,7 @@
 // A socket's file that nobody listens at keeps nobody from starting.
 func TestStaleDoorIsPassedBy(t *testing.T) {
 	cfg, b, _ := twoProcesses(t)
-	old, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: doorPath(cfg.Listen), Net: "unixpacket"})
+	old, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: handoverSocketPath(cfg.Listen), Net: "unixpacket"})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gateway/keep_test.go
+++ b/internal/gateway/keep_test.go
@@ -11,24 +11,24 @@
 
 // Kept connections that break when used are trusted for less, until that heals.
 func TestKeepLearnsAndHeals(t *testing.T) {
-	k := keep{longest: 15_000_000}
+	k := idleTimeoutEstimate{longest: 15_000_000}
 	now := policy.Time(1e9)
 	want := func(most policy.Time) {
 		t.Helper()
-		if got := k.most(now); got != most {
+		if got := k.current(now); got != most {
 			t.Errorf("trusted for %d, want %d", got, most)
 		}
 	}
-	k.broke(now, 400_000)
+	k.recordBroken(now, 400_000)
 	want(15_000_000) // one is chance
 	now += 100_000
-	k.broke(now, 400_000)
+	k.recordBroken(now, 400_000)
 	want(200_000)
 	now += 1
-	k.broke(now, 1000)
-	want(keepLeast)
-	now += 2 * keepHeals
-	want(4 * keepLeast)
+	k.recordBroken(now, 1000)
+	want(minIdleTimeout)
+	now += 2 * idleTimeoutRecovery
+	want(4 * minIdleTimeout)
 	now += 60e6
 	want(15_000_000)
 }
@@ -36,25 +36,25 @@
 // Resets that hit connections whatever their idling say nothing of it: the kept
 // ones stay trusted, or each request would pay for a handshake.
 func TestKeepBlamesIdlingOnlyIfNoneIdleForLongerWasSound(t *testing.T) {
-	k := keep{longest: 15_000_000}
+	k := idleTimeoutEstimate{longest: 15_000_000}
 	now := policy.Time(1e9)
-	k.lived(now, 500_000)
-	k.lived(now, 1000)
+	k.recordAlive(now, 500_000)
+	k.recordAlive(now, 1000)
 	for range 3 {
 		now += 100_000
-		k.broke(now, 400_000)
+		k.recordBroken(now, 400_000)
 	}
-	if got := k.most(now); got != 15_000_000 {
+	if got := k.current(now); got != 15_000_000 {
 		t.Errorf("trusted for %d after resets of connections idle for less than a sound one", got)
 	}
 	for range 2 {
 		now += 100_000
-		k.broke(now, 600_000)
+		k.recordBroken(now, 600_000)
 	}
-	if got := k.most(now); got != 300_000 {
+	if got := k.current(now); got != 300_000 {
 		t.Errorf("trusted for %d after two resets of longer idle ones, want half of their idling", got)
 	}
-	now += 2*keepHeals + 1
+	now += 2*idleTimeoutRecovery + 1
 	if !k.blames(now, 400_000) {
 		t.Error("a sound connection of long ago still clears those that break")
 	}
@@ -65,11 +65,11 @@
 func TestResetDialIsMadeOnceMore(t *testing.T) {
 	b := newBackend(t)
 	l := unstarted(t, newFakeDiscovery(t))
-	l.backends.members(l, policy.UpdateComplete, []discovery.Endpoint{{ID: "s-00000001", Address: b.listener.Addr().String(), Phase: "Ready"}})
-	a := &attempt{sent: l.now(), until: l.now() + 1e9}
-	l.backends.start(l, a, 1)
+	l.backends.updateEndpoints(l, policy.UpdateComplete, []discovery.Endpoint{{ID: "s-00000001", Address: b.listener.Addr().String(), Phase: "Ready"}})
+	a := &attempt{sentAt: l.now(), expiresAt: l.now() + 1e9}
+	l.backends.startAttempt(l, a, 1)
 	for i, want := range []bool{false, true} {
-		e := wait(t, l.events, "a dial").(dialed)
+		e := wait(t, l.events, "a dial").(dialEnded)
 		if e.err != nil {
 			t.Fatal(e.err)
 		}
@@ -80,7 +80,7 @@
 			t.Fatalf("after %d resets the attempt has ended: %t", i+1, a.ended)
 		}
 	}
-	if got := l.queue[len(l.queue)-1].(outcome).result; got != policy.ResultConnectFailed {
+	if got := l.followUps[len(l.followUps)-1].(attemptEnded).result; got != policy.ResultConnectFailed {
 		t.Errorf("result %d", got)
 	}
 }
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/leaving_test.go
@@ -45,7 +45,7 @@
 	t.Helper()
 	b = newBackend(t)
 	l = unstarted(t, newFakeDiscovery(t))
-	l.backends.members(l, policy.UpdateComplete, []discovery.Endpoint{
+	l.backends.updateEndpoints(l, policy.UpdateComplete, []discovery.Endpoint{
 		{ID: "s-00000001", Address: b.listener.Addr().String(), Phase: "Ready"}})
 	begun, letGo = heldDials(l)
 	return l, b, begun, letGo
@@ -67,7 +67,7 @@
 	}
 	close(letGo)
 	turn(t, l, "the dial's end", func() bool { return l.backends.byNumber[1].dialing == 0 })
-	l.backends.drop(l.backends.byNumber[1])
+	l.backends.closeIdle(l.backends.byNumber[1])
 	wait(t, b.ended, "the connection's end")
 	if len(b.got) > 0 {
 		t.Error("sent on")
@@ -80,11 +80,11 @@
 		l, b, begun, letGo := oneHeld(t)
 		c := byHand(t, l, "c=once")
 		wait(t, begun, "the dial")
-		c.raw(strings.Repeat("*1\r\n$4\r\nPING\r\n", 2*pipelined))
+		c.raw(strings.Repeat("*1\r\n$4\r\nPING\r\n", 2*maxPipelined))
 		c.book(2, "team")
 		turn(t, l, "the line to fill", func() bool {
 			for c := range l.clients.conns {
-				return len(c.line) == pipelined
+				return len(c.pipeline) == maxPipelined
 			}
 			return false
 		})
@@ -101,12 +101,12 @@
 	c.lookup(1, "60000")
 	call := b.next(t)
 	var text strings.Builder
-	const many = 20 * pipelined
+	const many = 20 * maxPipelined
 	for i := range many {
 		fmt.Fprintf(&text, "*1\r\n$5\r\nX%04d\r\n*1\r\n$4\r\nPING\r\n", i)
 	}
 	c.raw(text.String())
-	for r.loop.coming.Load() < aheadMost/2 { // until much is read ahead
+	for r.loop.queuedBytes.Load() < maxReadAhead/2 { // until much is read ahead
 		runtime.Gosched()
 	}
 	call.serve(t, "ok")
@@ -115,7 +115,7 @@
 		c.want(fmt.Sprintf("-ERR unknown command \"X%04d\"", i))
 		c.want("+PONG")
 	}
-	if n := r.loop.coming.Load(); n != 0 {
+	if n := r.loop.queuedBytes.Load(); n != 0 {
 		t.Errorf("%d bytes are counted when all is answered", n)
 	}
 }
@@ -126,18 +126,18 @@
 	l.clients.resume(l)
 	t.Cleanup(l.clients.pause)
 	far := (&rig{addr: l.clients.listener.Addr().String()}).client(t)
-	near := wait(t, l.events, "the connection").(connected).conn
+	near := wait(t, l.events, "the connection").(clientConnected).conn
 	defer near.Close()
-	go func() { _, _ = far.conn.Write(make([]byte, 2*aheadMost)) }()
-	most := l.cfg.comingMost() / 2
-	l.coming.Store(most)
+	go func() { _, _ = far.conn.Write(make([]byte, 2*maxReadAhead)) }()
+	most := l.config.maxQueuedBytes() / 2
+	l.queuedBytes.Store(most)
 	c := &client{conn: near}
-	if c.readAhead(l, nil); len(c.ahead) != 0 {
-		t.Errorf("%d bytes read where there is no memory", len(c.ahead))
+	if c.readAhead(l, nil); len(c.readAheadInput) != 0 {
+		t.Errorf("%d bytes read where there is no memory", len(c.readAheadInput))
 	}
-	l.coming.Store(0)
-	if c.readAhead(l, nil); len(c.ahead) != aheadMost || cap(c.ahead) > aheadMost+aheadMost/4 || l.coming.Load() != aheadMost {
-		t.Errorf("%d bytes in %d read, %d counted, want %d", len(c.ahead), cap(c.ahead), l.coming.Load(), aheadMost)
+	l.queuedBytes.Store(0)
+	if c.readAhead(l, nil); len(c.readAheadInput) != maxReadAhead || cap(c.readAheadInput) > maxReadAhead+maxReadAhead/4 || l.queuedBytes.Load() != maxReadAhead {
+		t.Errorf("%d bytes in %d read, %d counted, want %d", len(c.readAheadInput), cap(c.readAheadInput), l.queuedBytes.Load(), maxReadAhead)
 	}
 }
 
@@ -150,16 +150,16 @@
 	open := b.next(t)
 	// 16 bytes each: a reader's buffer may be empty between two of them with more read ahead.
 	const ping = "*1\r\n$004\r\nPING\r\n"
-	c.raw(strings.Repeat(ping, 2*pipelined))
+	c.raw(strings.Repeat(ping, 2*maxPipelined))
 	c.book(2, "team")
-	for first.loop.coming.Load() < pipelined/2*int64(len(ping)) {
+	for first.loop.queuedBytes.Load() < maxPipelined/2*int64(len(ping)) {
 		runtime.Gosched()
 	}
 	second := begin(t, cfg)
 	takesClients(t, second, 200)
 	open.serve(t, "one")
 	c.value("one")
-	for range 2 * pipelined {
+	for range 2 * maxPipelined {
 		c.want("+PONG")
 	}
 	b.next(t).serve(t, "two")
@@ -206,8 +206,8 @@
 			t.Errorf("%d attempts, %d dials for a client that has gone", r.attempts, n)
 		}
 		handle(t, l, "the client's end")
-		if len(l.requests) != 0 || l.open != 0 {
-			t.Errorf("%d requests are kept, %d open", len(l.requests), l.open)
+		if len(l.requests) != 0 || l.openRequests != 0 {
+			t.Errorf("%d requests are kept, %d open", len(l.requests), l.openRequests)
 		}
 	})
 }
@@ -227,7 +227,7 @@
 			t.Fatal("sent on")
 		}
 		handle(t, l, "the client's end")
-		l.backends.drop(l.backends.byNumber[1])
+		l.backends.closeIdle(l.backends.byNumber[1])
 		wait(t, b.ended, "the connection's end")
 		if len(b.got) > 0 {
 			t.Error("sent on")
@@ -246,7 +246,7 @@
 		b.next(t).serve(t, "ok")
 		handle(t, l, "the answer")
 		c.value("ok")
-		later(l, restFor)
+		later(l, quiescencePeriod)
 		c.book(2, "team")
 		queue(l, 1)
 		leave(c)
@@ -256,8 +256,8 @@
 			t.Fatalf("sent on: %d idle connections", n)
 		}
 		handle(t, l, "the client's end")
-		if len(l.requests) != 0 || l.open != 0 || l.held != 0 {
-			t.Errorf("%d requests are kept, %d open, %d bytes", len(l.requests), l.open, l.held)
+		if len(l.requests) != 0 || l.openRequests != 0 || l.retainedBytes != 0 {
+			t.Errorf("%d requests are kept, %d open, %d bytes", len(l.requests), l.openRequests, l.retainedBytes)
 		}
 	})
 }
@@ -278,7 +278,7 @@
 		wait(t, begun, "a dial beside the connection that rests")
 		leave(c)
 		turn(t, l, "the client's end", func() bool { return len(l.clients.conns) == 0 })
-		later(l, restFor)
+		later(l, quiescencePeriod)
 		if idle := len(l.backends.byNumber[1].idle); idle != 1 {
 			t.Errorf("%d idle connections, want the one that rested", idle)
 		}
@@ -296,7 +296,7 @@
 			c := byHand(t, l, "c=once")
 			wait(t, begun, "the dial")
 			c.raw(bodyHead(2, "team", len(body)) + text)
-			turn(t, l, name+" the second request", func() bool { return l.open == 2 })
+			turn(t, l, name+" the second request", func() bool { return l.openRequests == 2 })
 			leave(c)
 			turn(t, l, "the client's end", func() bool { return len(l.clients.conns) == 0 })
 			nothingSent(t, l, b, letGo)
@@ -322,15 +322,15 @@
 		defer b.Close()
 		l := unstarted(t, newFakeDiscovery(t))
 		l.backends.dial.Control = little(syscall.SO_SNDBUF)
-		l.backends.members(l, policy.UpdateComplete, []discovery.Endpoint{{ID: "s-00000001", Address: b.Addr().String(), Phase: "Ready"}})
+		l.backends.updateEndpoints(l, policy.UpdateComplete, []discovery.Endpoint{{ID: "s-00000001", Address: b.Addr().String(), Phase: "Ready"}})
 		c := byHand(t, l, "c=once")
 		handle(t, l, "the dial's end")
 		_, body := largeHead()
 		c.raw(bodyHead(2, "team", len(body)) + body + "\r\n")
-		turn(t, l, "the second dial's end", func() bool { return l.open == 2 && l.backends.byNumber[1].dialing == 0 })
+		turn(t, l, "the second dial's end", func() bool { return l.openRequests == 2 && l.backends.byNumber[1].dialing == 0 })
 		leave(c)
 		for len(l.clients.conns) > 0 {
-			if _, broken := handle(t, l, "the client's end").(bodyBroken); broken {
+			if _, broken := handle(t, l, "the client's end").(bodyFailed); broken {
 				t.Fatal("the body was given up first")
 			}
 		}
@@ -345,7 +345,7 @@
 		wait(t, begun, "the dial")
 		c.raw("rubbish\r\n")
 		turn(t, l, "the rubbish", func() bool {
-			return slices.ContainsFunc(clientsOf(l), func(c *client) bool { return c.barred.Load() })
+			return slices.ContainsFunc(clientsOf(l), func(c *client) bool { return c.ignoreInput.Load() })
 		})
 		leave(c)
 		turn(t, l, "the client's end", func() bool { return len(l.clients.conns) == 0 })
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -13,7 +13,7 @@
 
 // margin is how long before the client stops waiting a request is ended: its
 // answer has to reach the client, and this process may be kept from running.
-const margin = 25_000
+const deadlineMargin = 25_000
 
 // clock gives the time in microseconds since 1970 as of the start, monotonic
 // from then on.
@@ -36,50 +36,50 @@
 }
 
 // due is something to be done at a time.
-type due interface {
-	due(l *Loop)
+type timerCallback interface {
+	fire(l *Loop)
 }
 
 // Loop owns the module and the table of open requests. Only its goroutine
 // touches either; all else reaches it as an event.
 type Loop struct {
-	cfg    *Config // in force; readers go by shown
-	log    *slog.Logger
-	clock  clock
-	last   policy.Time
-	module *policy.Controller
-
-	events chan event
-	urgent chan event // discovery's news: ahead of all queued work
-	queue  []event    // what follows from the module's own actions
-	timers timerHeap
-	timer  *time.Timer
-	armed  policy.Time
-
-	requests map[uint64]*request
-	names    map[uint64]*request // those without a final answer, by the id that the client gave
-	nextID   uint64
-	open     int          // requests without a final answer
-	held     int          // bytes of requests and of answers that wait their turn
-	coming   atomic.Int64 // bytes of requests that were read and wait for the loop
-
-	clients   *clients
-	backends  *backends
-	peers     *peers
-	counter   *counter
-	discovery *discoveryClient
-	ops       *ops
-	door      *door        // where another process asks to take over; nil: nowhere
-	inherit   *inheritance // from a process that still serves; nil: none
-	former    *inheritance // the same once it has handed over
-	beside    bool         // it has not ended yet
-	move      *move        // to another process; nil: none
-	figures   *figures
-	shown     atomic.Pointer[Config]
-	drain     drain
-	traceAt   [3]policy.Time // when a refused request, a failed one and one not taken may be traced again
-	accepting bool
-	done      bool
+	config     *Config // in force; readers go by shown
+	log        *slog.Logger
+	clock      clock
+	lastTime   policy.Time
+	controller *policy.Controller
+
+	events        chan event
+	urgentEvents  chan event // discovery's news: ahead of all queued work
+	followUps     []event    // what follows from the module's own actions
+	timers        timerHeap
+	timer         *time.Timer
+	timerArmedFor policy.Time
+
+	requests       map[uint64]*request
+	openByClientID map[uint64]*request // those without a final answer, by the id that the client gave
+	nextRequestID  uint64
+	openRequests   int          // requests without a final answer
+	retainedBytes  int          // bytes of requests and of answers that wait their turn
+	queuedBytes    atomic.Int64 // bytes of requests that were read and wait for the loop
+
+	clients            *clients
+	backends           *backends
+	gossip             *gossipTransport
+	counter            *counter
+	discovery          *discoveryClient
+	ops                *ops
+	handoverListener   *successorListener // where another process asks to take over; nil: nowhere
+	pendingTakeover    *takeover          // from a process that still serves; nil: none
+	predecessor        *takeover          // the same once it has handed over
+	predecessorRunning bool               // it has not ended yet
+	handover           *outgoingHandover  // to another process; nil: none
+	metrics            *metrics
+	publishedConfig    atomic.Pointer[Config]
+	shutdown           shutdownState
+	nextTraceAt        [3]policy.Time // when a refused request, a failed one and one not taken may be traced again
+	accepting          bool
+	done               bool
 }
 
 // post hands an event to the loop.
@@ -87,87 +87,87 @@
 
 // later has an event handled right after the one at hand. Actions use it: they
 // must not call the module while it is deciding.
-func (l *Loop) later(e event) { l.queue = append(l.queue, e) }
+func (l *Loop) enqueue(e event) { l.followUps = append(l.followUps, e) }
 
 // now is the time, never going back.
 func (l *Loop) now() policy.Time {
-	l.last = max(l.last, l.clock.now())
-	return l.last
+	l.lastTime = max(l.lastTime, l.clock.now())
+	return l.lastTime
 }
 
 // run handles events until the gateway has ended.
 func (l *Loop) run() {
 	for !l.done {
-		l.fire()
+		l.runTimers()
 		// Discovery first: work queued before a drain was told must not be sent
 		// on after its grace.
 		select {
-		case e := <-l.urgent:
+		case e := <-l.urgentEvents:
 			l.handle(e)
 			continue
 		default:
 		}
 		select {
-		case e := <-l.urgent:
+		case e := <-l.urgentEvents:
 			l.handle(e)
 		case e := <-l.events:
 			l.handle(e)
 		case <-l.timer.C:
-			l.armed = 0
+			l.timerArmedFor = 0
 		}
 	}
 }
 
 func (l *Loop) handle(e event) {
 	e.handle(l)
-	l.follow()
+	l.handleQueue()
 }
 
 // follow handles what the actions left behind.
-func (l *Loop) follow() {
-	for i := 0; i < len(l.queue); i++ {
-		l.queue[i].handle(l)
+func (l *Loop) handleQueue() {
+	for i := 0; i < len(l.followUps); i++ {
+		l.followUps[i].handle(l)
 	}
-	clear(l.queue)
-	l.queue = l.queue[:0]
+	clear(l.followUps)
+	l.followUps = l.followUps[:0]
 }
 
 // at has something done at a time.
-func (l *Loop) at(when policy.Time, d due) *timer {
-	t := &timer{at: when, what: d}
+func (l *Loop) schedule(when policy.Time, d timerCallback) *timer {
+	t := &timer{at: when, callback: d}
 	heap.Push(&l.timers, t)
 	return t
 }
 
 // cancel drops a timer that is not wanted any more: until due it would keep all
 // that it is about.
-func (l *Loop) cancel(t *timer) {
+func (l *Loop) cancelTimer(t *timer) {
 	if t != nil && t.index >= 0 {
 		heap.Remove(&l.timers, t.index)
 	}
 }
 
 // fire does all that is due and arms the timer for the next.
-func (l *Loop) fire() {
+func (l *Loop) runTimers() {
 	for len(l.timers) > 0 {
 		next, now := l.timers[0].at, l.now()
 		if next > now {
-			if l.armed == 0 || next < l.armed {
+			if l.timerArmedFor == 0 || next < l.timerArmedFor {
 				l.timer.Reset(time.Duration(next-now) * time.Microsecond)
-				l.armed = next
+				l.timerArmedFor = next
 			}
 			return
 		}
 		t := heap.Pop(&l.timers).(*timer)
-		t.what.due(l)
-		l.follow()
+		t.callback.fire(l)
+		l.handleQueue()
 	}
 }
 
 type timer struct {
-	at    policy.Time
-	what  due
-	index int // in the heap; -1: in it no more
+	at       policy.Time
+	callback timerCallback
+	index    int // in the heap; -1: in it no more
 }
 
 type timerHeap []*timer
@@ -195,9 +195,9 @@
 }
 
 // alarm is a timer that the module has set.
-type alarm uint32
+type policyTimer uint32
 
-func (a alarm) due(l *Loop) { l.module.TimerFired(l.now(), uint32(a)) }
+func (a policyTimer) fire(l *Loop) { l.controller.TimerFired(l.now(), uint32(a)) }
 
 // The module's actions.
 
@@ -210,43 +210,43 @@
 	if until == 0 || until > r.deadline {
 		until = r.deadline
 	}
-	l.mirror(msgSent, func() ([]byte, error) {
+	l.replicate(msgSent, func() ([]byte, error) {
 		return handover.EncodeAttemptSent(handover.AttemptSent{RequestID: id, Backend: backend})
 	})
-	a := &attempt{r: r, number: r.attempts, sent: l.now(), until: until}
+	a := &attempt{request: r, number: r.attempts, sentAt: l.now(), expiresAt: until}
 	r.attempts++
-	r.out++
-	l.backends.start(l, a, backend)
+	r.attemptsInFlight++
+	l.backends.startAttempt(l, a, backend)
 }
 
 // Refuse gives the final answer that trying again is harmless.
 func (l *Loop) Reject(id uint64, after policy.Time) {
 	if r := l.requests[id]; r != nil {
-		l.answer(r, busy(after))
+		l.answer(r, busyReply(after))
 	}
 }
 
 // Fail gives the final answer that promises nothing.
 func (l *Loop) Fail(id uint64) {
 	if r := l.requests[id]; r != nil {
-		l.answer(r, failed)
+		l.answer(r, failedReply)
 	}
 }
 
 // SetTimer has the module called at the time.
-func (l *Loop) SetTimer(at policy.Time, token uint32) { l.at(at, alarm(token)) }
+func (l *Loop) SetTimer(at policy.Time, token uint32) { l.schedule(at, policyTimer(token)) }
 
 // Probe asks a backend whether it lives.
 func (l *Loop) HealthCheck(backend uint32) {
 	now := l.now()
-	a := &attempt{sent: now, until: now + l.cfg.Host.DialTimeout}
-	l.backends.start(l, a, backend)
+	a := &attempt{sentAt: now, expiresAt: now + l.config.Host.DialTimeout}
+	l.backends.startAttempt(l, a, backend)
 }
 
 // Tell sends a note to a peer; while another process takes over, none.
 func (l *Loop) SendGossip(peer int, note []byte) {
-	if l.move == nil {
-		l.peers.tell(peer, note)
+	if l.handover == nil {
+		l.gossip.send(peer, note)
 	}
 }
 
--- a/internal/gateway/ops.go
+++ b/internal/gateway/ops.go
@@ -21,7 +21,7 @@
 type ops struct {
 	listener net.Listener
 	server   *http.Server
-	figures  *figures
+	figures  *metrics
 	most     int         // callers at once
 	ready    atomic.Bool // this process takes clients
 
@@ -30,7 +30,7 @@
 }
 
 // newOps listens for operators; without an address there is nothing to listen at.
-func newOps(address string, f *figures, most int) (*ops, error) {
+func newOps(address string, f *metrics, most int) (*ops, error) {
 	o := &ops{figures: f, most: most}
 	if address == "" {
 		return o, nil
--- a/internal/gateway/ops_test.go
+++ b/internal/gateway/ops_test.go
@@ -71,7 +71,7 @@
 	b.next(t).answer(t, "-ERR failed\r\n")
 	c.want("-ERR failed")
 	c.send("API.READ", "0000000000000008", "0000000000000003", "c=lookup,t=tiny,d=60000,units=8,spread=1,first=0")
-	if got := c.line(); !isBusy([]byte(got)) {
+	if got := c.line(); !isBusyReply([]byte(got)) {
 		t.Fatalf("answer %q", got)
 	}
 	wantFigures(t, r, "fulfilled.lookup=1", "throttled.lookup=1", "faulted.lookup=0", "relayed.lookup=1",
@@ -107,11 +107,11 @@
 	if got, _ := operate(t, r, "GET", "/ops/readiness"); got != 503 {
 		t.Errorf("before clients are taken: %d", got)
 	}
-	l.ready()
+	l.startAccepting()
 	if got, _ := operate(t, r, "GET", "/ops/readiness"); got != 200 {
 		t.Errorf("with clients taken: %d", got)
 	}
-	stop{}.handle(l)
+	shutdownRequested{}.handle(l)
 	if got, _ := operate(t, r, "GET", "/ops/readiness"); got != 503 {
 		t.Errorf("when stopping: %d", got)
 	}
@@ -165,7 +165,7 @@
 	}), nil)
 	reached(t, r, "cfg_accepted=1")
 	c2 := r.client(t)
-	for range 2 * mostErrors { // which is no fault of the connection's
+	for range 2 * maxConsecutiveErrors { // which is no fault of the connection's
 		c2.lookup(2, "60000")
 		if got := c2.line(); !strings.HasPrefix(got, "-ERR") {
 			t.Fatalf("a class that vanished: %q", got)
@@ -187,7 +187,7 @@
 	elsewhere := newFakeDiscovery(t)
 	good := configure(t, elsewhere, withOps)
 	lacking := good
-	lacking.keys = map[string]present{"name": {}}
+	lacking.keys = map[string]presentKey{"name": {}}
 	r.reloads(lacking, nil)
 	short := configure(t, elsewhere, func(f map[string]any) {
 		withOps(f)
@@ -231,7 +231,7 @@
 	for limit, want := range map[int64]int64{500_000: 700_000, 2_500_000: 2_700_000, 9_000_000: 3_200_000, 0: 3_200_000} {
 		cfg := Config{}
 		cfg.Host.Limits = []int64{limit}
-		if got := cfg.answerFor(); got != want {
+		if got := cfg.answerWithin(); got != want {
 			t.Errorf("longest deadline %d: answered after %d, want %d", limit, got, want)
 		}
 	}
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-const noteMost = 256 // bytes in a datagram between gateways
+const maxMessageBytes = 256 // bytes in a datagram between gateways
 
 // peers sends and receives notes through one socket.
-type peers struct {
+type gossipTransport struct {
 	conn  *net.UDPConn
 	addrs []netip.AddrPort
 	self  int
@@ -22,15 +22,15 @@
 }
 
 // newPeers listens for notes, unless that waits for another process to hand over.
-func newPeers(cfg *Config, log *slog.Logger, later bool) (*peers, error) {
-	p := &peers{addrs: cfg.Peers, self: cfg.Settings.Self, log: log}
+func newPeers(cfg *Config, log *slog.Logger, later bool) (*gossipTransport, error) {
+	p := &gossipTransport{addrs: cfg.Peers, self: cfg.Settings.Self, log: log}
 	if !cfg.Settings.Gossip || later {
 		return p, nil
 	}
 	return p, p.listen(cfg)
 }
 
-func (p *peers) listen(cfg *Config) error {
+func (p *gossipTransport) listen(cfg *Config) error {
 	conn, err := reuse.ListenPacket(context.Background(), "udp", cfg.PeerListen)
 	if err != nil {
 		return fmt.Errorf("peer_listen: %w", err)
@@ -40,20 +40,20 @@
 }
 
 // pause has no more notes read, resume has them read again.
-func (p *peers) pause() {
+func (p *gossipTransport) pause() {
 	if p.conn != nil {
 		_ = p.conn.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
-func (p *peers) resume(l *Loop) {
+func (p *gossipTransport) resume(l *Loop) {
 	if p.conn != nil {
 		_ = p.conn.SetReadDeadline(time.Time{})
 		go p.read(l, p.conn)
 	}
 }
 
-func (p *peers) close() {
+func (p *gossipTransport) close() {
 	if p.conn != nil {
 		_ = p.conn.Close()
 		p.conn = nil
@@ -61,11 +61,11 @@
 }
 
 // tell sends a note, which may be lost. One over the limit is never sent.
-func (p *peers) tell(peer int, note []byte) {
+func (p *gossipTransport) send(peer int, note []byte) {
 	if p.conn == nil || peer < 0 || peer >= len(p.addrs) || peer == p.self {
 		return
 	}
-	if len(note) > noteMost {
+	if len(note) > maxMessageBytes {
 		p.log.Error("note over the limit", "bytes", len(note))
 		return
 	}
@@ -73,30 +73,30 @@
 }
 
 // heard is a note from a peer.
-type heard struct {
-	from int
-	note []byte
+type gossipReceived struct {
+	from    int
+	message []byte
 }
 
-func (h heard) handle(l *Loop) { l.module.GossipReceived(l.now(), h.from, h.note) }
+func (h gossipReceived) handle(l *Loop) { l.controller.GossipReceived(l.now(), h.from, h.message) }
 
 // read posts notes until the socket is closed. What comes from no peer, or is
 // longer than any note, is dropped.
-func (p *peers) read(l *Loop, conn *net.UDPConn) {
+func (p *gossipTransport) read(l *Loop, conn *net.UDPConn) {
 	number := make(map[netip.AddrPort]int, len(p.addrs))
 	for i, a := range p.addrs {
 		number[a] = i
 	}
-	buf := make([]byte, noteMost+1)
+	buf := make([]byte, maxMessageBytes+1)
 	for {
 		n, from, err := conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded) {
 			return
 		}
 		peer, ok := number[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
-		if err != nil || !ok || peer == p.self || n > noteMost {
+		if err != nil || !ok || peer == p.self || n > maxMessageBytes {
 			continue
 		}
-		l.post(heard{peer, append([]byte(nil), buf[:n]...)})
+		l.post(gossipReceived{peer, append([]byte(nil), buf[:n]...)})
 	}
 }
--- a/internal/gateway/peers_test.go
+++ b/internal/gateway/peers_test.go
@@ -34,10 +34,10 @@
 	l := &Loop{events: make(chan event, 8)}
 	go p.read(l, p.conn)
 
-	p.tell(1, make([]byte, noteMost+1))
-	p.tell(0, []byte("to itself"))
-	p.tell(2, []byte("to nobody"))
-	p.tell(1, []byte("to the peer"))
+	p.send(1, make([]byte, maxMessageBytes+1))
+	p.send(0, []byte("to itself"))
+	p.send(2, []byte("to nobody"))
+	p.send(1, []byte("to the peer"))
 	buf := make([]byte, 1024)
 	n, from, err := peer.ReadFromUDPAddrPort(buf)
 	if err != nil || string(buf[:n]) != "to the peer" {
@@ -47,12 +47,12 @@
 	for _, send := range []struct {
 		conn *net.UDPConn
 		note []byte
-	}{{stranger, []byte("from nobody")}, {peer, make([]byte, noteMost+1)}, {peer, []byte("answer")}} {
+	}{{stranger, []byte("from nobody")}, {peer, make([]byte, maxMessageBytes+1)}, {peer, []byte("answer")}} {
 		if _, err := send.conn.WriteToUDPAddrPort(send.note, from); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if h := wait(t, l.events, "a note").(heard); h.from != 1 || string(h.note) != "answer" {
-		t.Errorf("note %q from %d", h.note, h.from)
+	if h := wait(t, l.events, "a note").(gossipReceived); h.from != 1 || string(h.message) != "answer" {
+		t.Errorf("note %q from %d", h.message, h.from)
 	}
 }
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -14,7 +14,7 @@
 
 // steer passes on what the gateway is told to do. A new configuration that can't
 // be read or used leaves the old one in force: a gateway that serves goes on.
-func (c Control) steer(ctx context.Context, l *Loop) {
+func (c Control) run(ctx context.Context, l *Loop) {
 	stopped := c.Stop
 	for {
 		var e event
@@ -22,17 +22,17 @@
 		case <-ctx.Done():
 			return
 		case <-stopped:
-			stopped, e = nil, stop{}
+			stopped, e = nil, shutdownRequested{}
 		case <-c.Reload:
 			cfg, err := c.Read()
 			if err != nil {
-				l.refuseConfig(err)
+				l.rejectConfig(err)
 				continue
 			}
-			e = reloaded{cfg}
+			e = configLoaded{cfg}
 		}
 		select {
-		case l.urgent <- e: // not behind a queue of requests
+		case l.urgentEvents <- e: // not behind a queue of requests
 		case <-ctx.Done():
 			return
 		}
@@ -40,11 +40,11 @@
 }
 
 // reloaded is a new configuration.
-type reloaded struct{ cfg Config }
+type configLoaded struct{ cfg Config }
 
 // refuseConfig takes note of a configuration of which nothing is taken in.
-func (l *Loop) refuseConfig(err error) {
-	l.figures.cfgInvalid.Add(1)
+func (l *Loop) rejectConfig(err error) {
+	l.metrics.configsRejected.Add(1)
 	l.log.Error("reload: the old configuration stays", "error", err)
 }
 
@@ -52,23 +52,23 @@
 // the counter: all of it or, where anything is wrong, nothing. Requests and
 // connections go on as they are; the list is taken whole at the new address, as
 // its versions may be others.
-func (e reloaded) handle(l *Loop) {
-	err := l.cfg.missing(&e.cfg)
+func (e configLoaded) handle(l *Loop) {
+	err := l.config.checkKeys(&e.cfg)
 	if err == nil {
-		err = l.module.Reload(l.now(), e.cfg.Settings)
+		err = l.controller.Reload(l.now(), e.cfg.Settings)
 	}
 	if err != nil {
-		l.refuseConfig(err)
+		l.rejectConfig(err)
 		return
 	}
-	l.figures.cfgAccepted.Add(1)
+	l.metrics.configsAccepted.Add(1)
 	l.log.Info("reload", "discovery", e.cfg.Discovery, "counter", e.cfg.Counter, "classes", e.cfg.Host.Classes)
-	if kept := l.cfg.fixed(&e.cfg); len(kept) > 0 {
+	if kept := l.config.changedFixed(&e.cfg); len(kept) > 0 {
 		l.log.Warn("reload: what needs a restart stays as it was", "settings", kept)
 	}
 	cfg := e.cfg
-	cfg.keep(l.cfg)
-	l.use(&cfg)
+	cfg.keepFixed(l.config)
+	l.applyConfig(&cfg)
 	l.discovery.move(cfg.Discovery)
 	if cfg.Counter != "" {
 		l.counter.move(cfg.Counter)
@@ -76,14 +76,14 @@
 }
 
 // use has the settings in force from now on, also for what reads from clients.
-func (l *Loop) use(cfg *Config) {
-	cfg.classes = l.figures.of(cfg.Host.Classes)
-	l.cfg = cfg
-	l.shown.Store(cfg)
+func (l *Loop) applyConfig(cfg *Config) {
+	cfg.classes = l.metrics.forClasses(cfg.Host.Classes)
+	l.config = cfg
+	l.publishedConfig.Store(cfg)
 }
 
 // keep takes over from the configuration in force what only a restart can change.
-func (c *Config) keep(old *Config) {
+func (c *Config) keepFixed(old *Config) {
 	c.Name, c.Listen, c.Ops, c.PeerListen, c.Peers = old.Name, old.Listen, old.Ops, old.PeerListen, old.Peers
 	c.MemoryMB, c.Sockets, c.Seed = old.MemoryMB, old.Sockets, old.Seed
 	set, was := &c.Settings, &old.Settings
@@ -92,7 +92,7 @@
 }
 
 // fixed names what another configuration would change that only a restart can.
-func (c *Config) fixed(other *Config) (names []string) {
+func (c *Config) changedFixed(other *Config) (names []string) {
 	for name, changed := range map[string]bool{
 		"name":        c.Name != other.Name,
 		"listen":      c.Listen != other.Listen,
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -85,11 +85,11 @@
 	}
 	l.IncrementCounter(1, 1, 1e6)
 	wait(t, atFirst, "a call at the first counter")
-	reloaded{with(second)}.handle(l)
+	configLoaded{with(second)}.handle(l)
 	l.IncrementCounter(1, 1, 1e6)
 	wait(t, atSecond, "a call at the second counter")
 	for _, total := range []float64{1, 2} {
-		if e := wait(t, l.events, "an answer").(counted); e.result != policy.ResultOK || e.total != total {
+		if e := wait(t, l.events, "an answer").(counterAnswered); e.result != policy.ResultOK || e.total != total {
 			t.Errorf("answer %+v, want the total %g", e, total)
 		}
 	}
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -13,38 +13,38 @@
 // request is a client's request that this gateway has taken. It stays in the
 // table until it is answered and none of its attempts is out.
 type request struct {
-	id       uint64
-	client   *client
-	args     [][]byte
-	wait     [2]int // where the value of d stands in the list of fields
-	deadline policy.Time
-	attempts int      // made so far
-	out      int      // of those, without an outcome
-	waits    *attempt // the one that waits for a connection; nil: none
-	answered bool
-	reply    []byte // waits in the client's line for its turn
-	name     uint64 // the id that the client gave
-	backstop *timer
-	read     policy.Time   // when its last byte was read
-	ends     []outcome     // of its attempts
-	figures  *classFigures // of its class; nil: no request
-	customer uint64
-	units    float64      // the guess
-	value    *backendConn // offers a large value; nil: none
-	begun    bool         // which is on its way
-	body     *body        // a large one; nil: none
+	id               uint64
+	client           *client
+	args             [][]byte
+	timeoutField     [2]int // where the value of d stands in the list of fields
+	deadline         policy.Time
+	attempts         int      // made so far
+	attemptsInFlight int      // of those, without an outcome
+	waitingAttempt   *attempt // the one that waits for a connection; nil: none
+	answered         bool
+	reply            []byte // waits in the client's line for its turn
+	clientID         uint64 // the id that the client gave
+	guard            *timer
+	receivedAt       policy.Time    // when its last byte was read
+	outcomes         []attemptEnded // of its attempts
+	metrics          *classMetrics  // of its class; nil: no request
+	customer         uint64
+	estimatedCost    float64      // the guess
+	valueConn        *backendConn // offers a large value; nil: none
+	valueStarted     bool         // which is on its way
+	body             *body        // a large one; nil: none
 }
 
 // The answers that are the gateway's own.
 var (
-	pong   = []byte("+PONG\r\n")
-	failed = []byte("-ERR failed\r\n")
+	pongReply   = []byte("+PONG\r\n")
+	failedReply = []byte("-ERR failed\r\n")
 )
 
-func isBusy(reply []byte) bool { return bytes.HasPrefix(reply, []byte("-BUSY")) }
+func isBusyReply(reply []byte) bool { return bytes.HasPrefix(reply, []byte("-BUSY")) }
 
 // busy is a refusal with the time after which to come again.
-func busy(after policy.Time) []byte {
+func busyReply(after policy.Time) []byte {
 	if after <= 0 {
 		return []byte("-BUSY\r\n")
 	}
@@ -54,25 +54,25 @@
 // answer gives a request its final answer. The first one counts; what comes
 // later never reaches the client.
 func (l *Loop) answer(r *request, reply []byte) {
-	if r.answered || r.begun {
+	if r.answered || r.valueStarted {
 		return
 	}
-	l.withdraw(r)
+	l.cancelValue(r)
 	if reply[0] == '-' {
 		l.trace(r, reply)
 	}
-	if r.figures != nil {
-		r.figures.ended(reply)
+	if r.metrics != nil {
+		r.metrics.countReply(reply)
 	}
 	r.reply = reply
-	l.held += len(reply)
-	l.close(r)
+	l.retainedBytes += len(reply)
+	l.markAnswered(r)
 	r.client.flush(l)
-	l.forget(r)
+	l.releaseRequest(r)
 }
 
 // traceEvery is the time between two requests that are traced in the log.
-const traceEvery = 5_000_000
+const traceInterval = 5_000_000
 
 // trace logs one request that ended badly, from its last byte to its answer. Only one
 // refused, one failed and one not even taken now and then: a line for each would cost more than the request.
@@ -81,52 +81,52 @@
 	switch {
 	case r.id == 0:
 		kind = 2
-	case !isBusy(reply):
+	case !isBusyReply(reply):
 		kind = 1
 	}
-	if now < l.traceAt[kind] {
+	if now < l.nextTraceAt[kind] {
 		return
 	}
-	l.traceAt[kind] = now + traceEvery
+	l.nextTraceAt[kind] = now + traceInterval
 	if r.id == 0 {
 		l.log.Info("turned away", "answer", string(bytes.TrimSpace(reply)), "conns", len(l.clients.conns))
 		return
 	}
 	var ends strings.Builder
-	for _, o := range r.ends {
-		fmt.Fprintf(&ends, " #%d to %d at %d us: result %d after %d us;", o.a.number, o.a.backend,
-			o.a.sent-r.read, o.result, o.took)
+	for _, o := range r.outcomes {
+		fmt.Fprintf(&ends, " #%d to %d at %d us: result %d after %d us;", o.attempt.number, o.attempt.backend,
+			o.attempt.sentAt-r.receivedAt, o.result, o.latency)
 	}
 	l.log.Info("trace", "id", string(r.args[2]), "customer", string(r.args[1]), "fields", string(r.args[3]),
 		"attempts", r.attempts, "ends", ends.String(), "answer", string(bytes.TrimSpace(reply)),
-		"after_us", now-r.read, "left_us", r.deadline-now, "open", l.open)
+		"after_us", now-r.receivedAt, "left_us", r.deadline-now, "open", l.openRequests)
 }
 
 // close takes note that a request has its final answer, or needs none any more.
-func (l *Loop) close(r *request) {
+func (l *Loop) markAnswered(r *request) {
 	r.answered = true
-	l.open--
-	if r.figures != nil {
-		l.figures.open.Add(-1)
+	l.openRequests--
+	if r.metrics != nil {
+		l.metrics.open.Add(-1)
 	}
-	l.cancel(r.backstop)
-	r.backstop = nil
-	r.body.drop()
-	l.backends.forgo(l, r.waits) // nobody waits for it any more
-	if l.names[r.name] == r {
-		delete(l.names, r.name)
+	l.cancelTimer(r.guard)
+	r.guard = nil
+	r.body.discard()
+	l.backends.cancelWaiting(l, r.waitingAttempt) // nobody waits for it any more
+	if l.openByClientID[r.clientID] == r {
+		delete(l.openByClientID, r.clientID)
 	}
 }
 
 // forget drops a request that nothing waits for any more.
-func (l *Loop) forget(r *request) {
-	if r.answered && r.out == 0 && l.requests[r.id] == r {
+func (l *Loop) releaseRequest(r *request) {
+	if r.answered && r.attemptsInFlight == 0 && l.requests[r.id] == r {
 		delete(l.requests, r.id)
-		l.held -= size(r.args)
+		l.retainedBytes -= argsSize(r.args)
 	}
 }
 
-func size(args [][]byte) int {
+func argsSize(args [][]byte) int {
 	n := 0
 	for _, a := range args {
 		n += len(a)
@@ -136,48 +136,48 @@
 
 // backstop fails a request that is still open just before its client stops
 // waiting, whatever went wrong: no request may be lost.
-type backstop struct{ r *request }
+type deadlineGuard struct{ r *request }
 
-func (b backstop) due(l *Loop) {
+func (b deadlineGuard) fire(l *Loop) {
 	if b.r.answered {
 		return
 	}
 	l.log.Warn("request was open at its deadline", "id", string(b.r.args[2]))
-	l.answer(b.r, failed)
-	l.module.RequestCancelled(l.now(), b.r.id)
+	l.answer(b.r, failedReply)
+	l.controller.RequestCancelled(l.now(), b.r.id)
 }
 
 // answerParts is what a backend's answer holds.
 type answerParts struct {
-	value []byte
-	units float64   // the true ones; 0: not told
-	load  []float32 // nil: no report
+	value      []byte
+	cost       float64   // the true ones; 0: not told
+	loadReport []float32 // nil: no report
 }
 
 // outcome ends an attempt: exactly one for each Send.
-type outcome struct {
-	a      *attempt
-	result policy.Result
+type attemptEnded struct {
+	attempt *attempt
+	result  policy.Result
 	answerParts
-	took policy.Time
+	latency policy.Time
 }
 
-func (o outcome) handle(l *Loop) {
-	r := o.a.r
+func (o attemptEnded) handle(l *Loop) {
+	r := o.attempt.request
 	if r == nil {
-		l.module.HealthCheckEnded(l.now(), o.a.backend, o.result, o.load)
+		l.controller.HealthCheckEnded(l.now(), o.attempt.backend, o.result, o.loadReport)
 		return
 	}
-	r.out--
-	r.ends = append(r.ends, o)
-	if o.result == policy.ResultOK && !r.answered && !r.begun {
+	r.attemptsInFlight--
+	r.outcomes = append(r.outcomes, o)
+	if o.result == policy.ResultOK && !r.answered && !r.valueStarted {
 		l.answer(r, resp.AppendBulk(make([]byte, 0, len(o.value)+16), o.value))
 	}
 	ended := policy.Outcome{
-		RequestID: r.id, Attempt: o.a.number, Backend: o.a.backend, Result: o.result,
-		Latency: o.took, Answered: r.answered || r.begun || r.client.closed.Load(), ActualCost: o.units, LoadReport: o.load,
+		RequestID: r.id, Attempt: o.attempt.number, Backend: o.attempt.backend, Result: o.result,
+		Latency: o.latency, Answered: r.answered || r.valueStarted || r.client.disconnected.Load(), ActualCost: o.cost, LoadReport: o.loadReport,
 	}
-	l.mirror(msgOutcome, func() ([]byte, error) { return handover.EncodeAttemptEnded(ended) })
-	l.module.AttemptEnded(l.now(), ended)
-	l.forget(r)
+	l.replicate(msgOutcome, func() ([]byte, error) { return handover.EncodeAttemptEnded(ended) })
+	l.controller.AttemptEnded(l.now(), ended)
+	l.releaseRequest(r)
 }
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -272,7 +272,7 @@
 		}))
 		idle = wait(t, told, "the loop")
 	}
-	r.pass(t, restFor)
+	r.pass(t, quiescencePeriod)
 }
 
 // stop begins a planned shutdown, with the clock running: its steps are due at their times.
@@ -287,7 +287,7 @@
 	r.once.Do(func() { close(r.stopped) })
 	for begun := false; !begun; {
 		told := make(chan bool, 1)
-		r.loop.post(inspect(func(l *Loop) { told <- l.drain.begun }))
+		r.loop.post(inspect(func(l *Loop) { told <- l.shutdown.started }))
 		begun = wait(t, told, "the loop")
 	}
 	r.pass(t, time)
--- a/internal/gateway/scale_test.go
+++ b/internal/gateway/scale_test.go
@@ -56,12 +56,12 @@
 			if err := json.Unmarshal(longList(n), &list); err != nil {
 				b.Fatal(err)
 			}
-			l.backends.members(l, policy.UpdateComplete, list.Endpoints)
+			l.backends.updateEndpoints(l, policy.UpdateComplete, list.Endpoints)
 			one := list.Endpoints[:1]
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				one[0].Phase = [...]string{"Ready", "Terminating"}[i%2]
-				l.backends.members(l, policy.UpdateIncremental, one)
+				l.backends.updateEndpoints(l, policy.UpdateIncremental, one)
 			}
 		})
 	}
--- a/internal/gateway/sender.go
+++ b/internal/gateway/sender.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-const pumpStep = 4096 // bytes, a part of which has to be taken in the time that a pump allows
+const pumpChunk = 4096 // bytes, a part of which has to be taken in the time that a pump allows
 
 // sender writes to a connection without ever making the loop wait: what the
 // socket takes at once is written at once, the rest by a goroutine of its own.
@@ -15,22 +15,22 @@
 	conn *net.TCPConn
 	raw  syscall.RawConn
 
-	mu   sync.Mutex
-	free sync.Cond // told when busy ends
-	rest []byte
-	busy bool // a goroutine is writing
-	fin  bool // ends the sending after the rest
+	mu                sync.Mutex
+	notBusy           sync.Cond // told when busy ends
+	pending           []byte
+	busy              bool // a goroutine is writing
+	closeAfterPending bool // ends the sending after the rest
 }
 
 func newSender(conn *net.TCPConn) *sender {
 	raw, _ := conn.SyscallConn() // fails only for a closed connection: so does try
 	s := &sender{conn: conn, raw: raw}
-	s.free.L = &s.mu
+	s.notBusy.L = &s.mu
 	return s
 }
 
 // try writes what the socket takes at once.
-func (s *sender) try(b []byte) (n int, err error) {
+func (s *sender) tryWrite(b []byte) (n int, err error) {
 	if s.raw == nil {
 		return 0, net.ErrClosed
 	}
@@ -51,7 +51,7 @@
 }
 
 // quiet tells whether the connection is open and nothing waits to be read from it.
-func (s *sender) quiet() bool {
+func (s *sender) isQuiet() bool {
 	if s.raw == nil {
 		return false
 	}
@@ -70,12 +70,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.busy {
-		s.rest = append(s.rest, b...)
-		return len(s.rest) <= most
+		s.pending = append(s.pending, b...)
+		return len(s.pending) <= most
 	}
-	n, err := s.try(b)
+	n, err := s.tryWrite(b)
 	if err == nil && n < len(b) {
-		s.rest, s.busy = append(s.rest, b[n:]...), true
+		s.pending, s.busy = append(s.pending, b[n:]...), true
 		go s.write()
 	}
 	return true // a broken connection is the reader's to find
@@ -84,12 +84,12 @@
 func (s *sender) write() {
 	for {
 		s.mu.Lock()
-		b := s.rest
-		s.rest = nil
+		b := s.pending
+		s.pending = nil
 		if len(b) == 0 {
 			s.busy = false
-			s.free.Broadcast()
-			if s.fin {
+			s.notBusy.Broadcast()
+			if s.closeAfterPending {
 				_ = s.conn.CloseWrite()
 			}
 			s.mu.Unlock()
@@ -103,14 +103,14 @@
 // pump writes b, after what was sent before, and waits for as long as the other
 // side goes on taking it. It is for a goroutine other than the loop's, while the
 // loop sends nothing.
-func (s *sender) pump(b []byte, within time.Duration) error {
+func (s *sender) writeBlocking(b []byte, within time.Duration) error {
 	s.mu.Lock()
 	for s.busy {
-		s.free.Wait()
+		s.notBusy.Wait()
 	}
 	s.mu.Unlock()
 	for len(b) > 0 {
-		n := min(len(b), pumpStep)
+		n := min(len(b), pumpChunk)
 		_ = s.conn.SetWriteDeadline(time.Now().Add(within))
 		if _, err := s.conn.Write(b[:n]); err != nil {
 			return err
@@ -122,17 +122,17 @@
 
 // end ends the sending after what was sent. The reading goes on until the other
 // side has closed, so that no answer is lost with a reset.
-func (s *sender) end() {
+func (s *sender) closeWrite() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fin = true
+	s.closeAfterPending = true
 	if !s.busy {
 		_ = s.conn.CloseWrite()
 	}
 }
 
 // idle tells whether all that was sent is written.
-func (s *sender) idle() bool {
+func (s *sender) isIdle() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.busy
--- a/internal/gateway/spoilt_test.go
+++ b/internal/gateway/spoilt_test.go
@@ -23,9 +23,9 @@
 			b := newBackend(t)
 			l := unstarted(t, newFakeDiscovery(t))
 			m := discovery.Endpoint{ID: "s-00000001", Address: b.listener.Addr().String(), Phase: "Ready"}
-			l.backends.members(l, policy.UpdateComplete, []discovery.Endpoint{m})
-			first := &attempt{sent: l.now(), until: l.now() + 1e9}
-			l.backends.start(l, first, 1)
+			l.backends.updateEndpoints(l, policy.UpdateComplete, []discovery.Endpoint{m})
+			first := &attempt{sentAt: l.now(), expiresAt: l.now() + 1e9}
+			l.backends.startAttempt(l, first, 1)
 			wait(t, l.events, "the dial").handle(l)
 			used := first.conn
 			call := b.next(t) // a probe: its answer is read like any other
@@ -36,14 +36,14 @@
 				call.answer(t, answers[1])
 				late = wait(t, l.events, "what follows") // read, and not taken in yet
 			}
-			second := &attempt{sent: l.now(), until: l.now() + 1e9}
-			l.backends.start(l, second, 1)
+			second := &attempt{sentAt: l.now(), expiresAt: l.now() + 1e9}
+			l.backends.startAttempt(l, second, 1)
 			if late != nil {
 				late.handle(l)
 			}
 			for again := false; !again; {
 				e := wait(t, l.events, "another dial")
-				_, again = e.(dialed)
+				_, again = e.(dialEnded)
 				e.handle(l)
 			}
 			if !first.ended || second.ended || second.conn == nil || second.conn == used {
@@ -61,10 +61,10 @@
 		t.Run(name, func(t *testing.T) {
 			b := newBackend(t)
 			l := unstarted(t, newFakeDiscovery(t))
-			l.backends.members(l, policy.UpdateComplete, []discovery.Endpoint{
+			l.backends.updateEndpoints(l, policy.UpdateComplete, []discovery.Endpoint{
 				{ID: "s-00000001", Address: b.listener.Addr().String(), Phase: "Ready"}})
-			first := &attempt{sent: l.now(), until: l.now() + 1e9}
-			l.backends.start(l, first, 1)
+			first := &attempt{sentAt: l.now(), expiresAt: l.now() + 1e9}
+			l.backends.startAttempt(l, first, 1)
 			wait(t, l.events, "the dial").handle(l)
 			used := first.conn
 			call := b.next(t)
@@ -73,8 +73,8 @@
 			defer close(letGo)
 			answered := wait(t, l.events, "the answer")
 			answered.handle(l)
-			second := &attempt{sent: l.now(), until: l.now() + 1e9}
-			l.backends.start(l, second, 1)
+			second := &attempt{sentAt: l.now(), expiresAt: l.now() + 1e9}
+			l.backends.startAttempt(l, second, 1)
 			if second.conn != nil {
 				t.Fatal("the connection was used at once")
 			}
@@ -82,7 +82,7 @@
 				call.answer(t, "+PONG\r\n")
 				wait(t, l.events, "the second answer").handle(l)
 			}
-			later(l, restFor)
+			later(l, quiescencePeriod)
 			if got := second.conn == used; got == late {
 				t.Errorf("the connection was used: %t", got)
 			}
@@ -137,15 +137,15 @@
 func TestReports(t *testing.T) {
 	settings := strings.Replace(settingsText, `"names":[],"via":"silent"`, `"names":["busy_reqs","pending"],"via":"piggyback"`, 1)
 	cfg := configure(t, newFakeDiscovery(t), func(f map[string]any) { f["settings"] = json.RawMessage(settings) })
-	l := &Loop{cfg: &cfg}
-	if got := l.report("pending=2,busy_reqs=7,other=1"); len(got) != 2 || got[0] != 7 || got[1] != 2 {
+	l := &Loop{config: &cfg}
+	if got := l.loadReport("pending=2,busy_reqs=7,other=1"); len(got) != 2 || got[0] != 7 || got[1] != 2 {
 		t.Errorf("a good report: %v", got)
 	}
 	for _, text := range []string{
 		"", "=,=", "busy_reqs=7", "busy_reqs=7,pending=", "busy_reqs=NaN,pending=1", "busy_reqs=-1,pending=1",
 		"busy_reqs=1,pending=+Inf", "busy_reqs=1,pending=1e99",
 	} {
-		if got := l.report(text); got != nil {
+		if got := l.loadReport(text); got != nil {
 			t.Errorf("%q: %v", text, got)
 		}
 	}
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -100,11 +100,11 @@
 			defer cancel()
 			l.start(ctx)
 			wait(t, met, "discovery's first call")
-			if l.fire(); l.accepting {
+			if l.runTimers(); l.accepting {
 				t.Fatal("ready before the wait was over")
 			}
-			l.clock.wall += untilReady
-			if l.fire(); !l.accepting {
+			l.clock.wall += readinessWait
+			if l.runTimers(); !l.accepting {
 				t.Fatal("not ready when the wait was over")
 			}
 			defer l.clients.pause()
--- a/internal/gateway/term_test.go
+++ b/internal/gateway/term_test.go
@@ -49,7 +49,7 @@
 	d := newDiscovery(&cfg)
 	d.client.Transport = discovery
 	d.follow()
-	l := &Loop{urgent: make(chan event, 16), log: quiet()}
+	l := &Loop{urgentEvents: make(chan event, 16), log: quiet()}
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -60,8 +60,8 @@
 		select {
 		case address := <-moves:
 			d.move(address)
-		case e := <-l.urgent:
-			if e.(news).list.Revision == 7 {
+		case e := <-l.urgentEvents:
+			if e.(endpointsUpdated).update.Revision == 7 {
 				return time.Now()
 			}
 		case <-ctx.Done():
--- a/internal/gateway/values.go
+++ b/internal/gateway/values.go
@@ -9,43 +9,43 @@
 )
 
 const (
-	relayFirst  = 1 << 10         // bytes of a large value that must have come before it begins
-	relayBuffer = 16 << 10        // bytes of one that are held
-	relayIdle   = 5 * time.Second // in which either side must go on
+	minValueBytes   = 1 << 10         // bytes of a large value that must have come before it begins
+	relayBufferSize = 16 << 10        // bytes of one that are held
+	relayTimeout    = 5 * time.Second // in which either side must go on
 )
 
 // relay offers a large value to the loop and passes it on to the client as it is read, a buffer at
 // a time: a client that takes it slowly holds up the reading, and nothing else. It runs in the
 // connection's reader, and tells whether what it did is still to be posted.
-func (c *backendConn) relay(l *Loop, in *resp.Reader, e *replied) bool {
+func (c *backendConn) streamValue(l *Loop, in *resp.Reader, e *replyReceived) bool {
 	left := e.reply.Large
-	buf := make([]byte, relayBuffer)
+	buf := make([]byte, relayBufferSize)
 	come := 0
-	for come < relayFirst {
-		n, err := in.ReadPart(buf[come:min(left, relayBuffer)])
+	for come < minValueBytes {
+		n, err := in.ReadPart(buf[come:min(left, relayBufferSize)])
 		if come += n; err != nil {
 			e.reply, e.err = resp.Reply{}, err // its length was spoilt: as good as no answer
 			return true
 		}
 	}
 	_ = c.conn.SetReadDeadline(time.Time{})
-	l.post(offered{c})
+	l.post(valueOffered{c})
 	var to *sender
 	select {
-	case client := <-c.passTo:
-		to = client.out
-	case <-c.gone:
+	case client := <-c.valueClient:
+		to = client.sender
+	case <-c.done:
 		return false
 	}
-	e.passed = true
+	e.streamed = true
 	head := resp.AppendBulkHead(nil, left)
-	e.err = to.pump(append(head, buf[:come]...), relayIdle)
-	c.within = relayIdle
+	e.err = to.writeBlocking(append(head, buf[:come]...), relayTimeout)
+	c.readTimeout = relayTimeout
 	for left -= come; left > 0 && e.err == nil; {
 		var n int
-		if n, e.err = in.ReadPart(buf[:min(left, relayBuffer)]); n > 0 {
+		if n, e.err = in.ReadPart(buf[:min(left, relayBufferSize)]); n > 0 {
 			left -= n
-			if err := to.pump(buf[:n], relayIdle); e.err == nil {
+			if err := to.writeBlocking(buf[:n], relayTimeout); e.err == nil {
 				e.err = err
 			}
 		}
@@ -54,125 +54,125 @@
 		e.err = in.ReadEnd()
 	}
 	if e.err == nil {
-		e.err = to.pump([]byte("\r\n"), relayIdle)
+		e.err = to.writeBlocking([]byte("\r\n"), relayTimeout)
 	}
 	if e.err == nil {
 		// The client has all of it: what comes behind can spoil only the connection.
-		c.within = wholeWithin
+		c.readTimeout = replyTimeout
 		var err error
 		e.reply, err = in.ReadRest(e.reply)
-		e.spoilt = err != nil
+		e.malformed = err != nil
 	}
 	return true
 }
 
 // offered tells that a large value has come for the request of a connection.
-type offered struct{ c *backendConn }
+type valueOffered struct{ c *backendConn }
 
-func (e offered) handle(l *Loop) {
-	c, a := e.c, e.c.a
+func (e valueOffered) handle(l *Loop) {
+	c, a := e.c, e.c.attempt
 	if c.closed {
 		return
 	}
-	if a == nil || a.r == nil || a.r.answered || a.r.value != nil {
+	if a == nil || a.request == nil || a.request.answered || a.request.valueConn != nil {
 		// Nobody waits for it any more.
 		l.backends.close(c)
-		if c.a = nil; a != nil {
-			l.finish(a, policy.ResultCancelled, nil)
+		if c.attempt = nil; a != nil {
+			l.endAttempt(a, policy.ResultCancelled, nil)
 		}
 		return
 	}
-	a.r.value = c
-	if a.r.client.line[0] == a.r {
-		l.begin(a.r)
+	a.request.valueConn = c
+	if a.request.client.pipeline[0] == a.request {
+		l.startValue(a.request)
 	}
 }
 
 // begin lets a large value go to the client, whose turn it is. That is the request's answer: no
 // further attempt is made, and neither deadline nor drain cuts off what the backend still gives.
-func (l *Loop) begin(r *request) {
-	if r.begun {
+func (l *Loop) startValue(r *request) {
+	if r.valueStarted {
 		return
 	}
-	c, a := r.value, r.value.a
-	r.begun = true
-	l.cancel(r.backstop)
-	l.cancel(a.giveUp)
-	r.backstop, a.giveUp = nil, nil
-	c.passTo <- r.client
-	l.later(valueBegun{a, l.now() - a.sent})
+	c, a := r.valueConn, r.valueConn.attempt
+	r.valueStarted = true
+	l.cancelTimer(r.guard)
+	l.cancelTimer(a.timeout)
+	r.guard, a.timeout = nil, nil
+	c.valueClient <- r.client
+	l.enqueue(valueStarted{a, l.now() - a.sentAt})
 }
 
 // valueBegun has the module know of an attempt's success when its value begins: how long the
 // client takes for the rest tells nothing of the backend.
-type valueBegun struct {
-	a    *attempt
-	took policy.Time
+type valueStarted struct {
+	a       *attempt
+	latency policy.Time
 }
 
-func (e valueBegun) handle(l *Loop) {
-	o := policy.Outcome{RequestID: e.a.r.id, Attempt: e.a.number, Backend: e.a.backend, Result: policy.ResultOK, Latency: e.took, Answered: true}
-	l.mirror(msgOutcome, func() ([]byte, error) { return handover.EncodeAttemptEnded(o) })
-	l.module.AttemptEnded(l.now(), o)
+func (e valueStarted) handle(l *Loop) {
+	o := policy.Outcome{RequestID: e.a.request.id, Attempt: e.a.number, Backend: e.a.backend, Result: policy.ResultOK, Latency: e.latency, Answered: true}
+	l.replicate(msgOutcome, func() ([]byte, error) { return handover.EncodeAttemptEnded(o) })
+	l.controller.AttemptEnded(l.now(), o)
 }
 
 // withdraw gives up a large value that has not begun: its request has another answer, or nobody
 // waits for it.
-func (l *Loop) withdraw(r *request) {
-	c := r.value
-	if c == nil || r.begun {
+func (l *Loop) cancelValue(r *request) {
+	c := r.valueConn
+	if c == nil || r.valueStarted {
 		return
 	}
-	r.value = nil
-	if a := c.a; a != nil {
-		c.a = nil
-		l.finish(a, policy.ResultCancelled, nil)
+	r.valueConn = nil
+	if a := c.attempt; a != nil {
+		c.attempt = nil
+		l.endAttempt(a, policy.ResultCancelled, nil)
 	}
 	l.backends.close(c)
 }
 
 // end takes note that a large value has gone to the client, or that it can't be finished: then the
 // client's connection ends amid the value, by which it can tell.
-func (e replied) end(l *Loop) {
-	c, a := e.c, e.c.a
-	r := a.r
-	c.a, a.ended, a.conn = nil, true, nil
-	c.used = e.used
-	r.out--
+func (e replyReceived) finishStream(l *Loop) {
+	c, a := e.c, e.c.attempt
+	r := a.request
+	c.attempt, a.ended, a.conn = nil, true, nil
+	c.bytesUsed = e.bytesUsed
+	r.attemptsInFlight--
 	if !r.answered {
-		l.endedValue(r, e.err)
+		l.finishValue(r, e.err)
 	}
-	if units := l.units(useOf(e.reply)); units > 0 {
-		l.mirror(msgSettled, func() ([]byte, error) {
-			return handover.EncodeCostSettled(handover.CostSettled{Customer: r.customer, Extra: units - r.units})
+	if units := l.actualCost(usageText(e.reply)); units > 0 {
+		l.replicate(msgSettled, func() ([]byte, error) {
+			return handover.EncodeCostSettled(handover.CostSettled{Customer: r.customer, Extra: units - r.estimatedCost})
 		})
-		l.module.CostSettled(l.now(), r.customer, units-r.units)
+		l.controller.CostSettled(l.now(), r.customer, units-r.estimatedCost)
 	}
-	l.forget(r)
-	if e.err != nil || e.spoilt || e.more {
+	l.releaseRequest(r)
+	if e.err != nil || e.malformed || e.more {
 		l.backends.close(c)
-		l.backends.connect(l, c.b)
+		l.backends.dialForWaiting(l, c.backend)
 		return
 	}
-	l.backends.free(l, c)
+	l.backends.release(l, c)
 }
 
 // endedValue ends a request whose value has ended.
-func (l *Loop) endedValue(r *request, err error) {
+func (l *Loop) finishValue(r *request, err error) {
 	if err != nil {
 		l.log.Info("value not whole", "id", string(r.args[2]), "error", err)
-		r.figures.faulted.Add(1)
-		r.client.drop(l)
+		r.metrics.faulted.Add(1)
+		r.client.closeNow(l)
 		return
 	}
-	r.figures.fulfilled.Add(1)
-	l.close(r)
-	r.client.used = l.now()
+	r.metrics.fulfilled.Add(1)
+	l.markAnswered(r)
+	r.client.lastCommandAt = l.now()
 	r.client.flush(l)
 }
 
 // useOf is the figures on use behind a value.
-func useOf(re resp.Reply) string {
+func usageText(re resp.Reply) string {
 	if len(re.Items) < 2 {
 		return ""
 	}
