--- a/internal/gateway/bodies_test.go
+++ b/internal/gateway/bodies_test.go
@@ -118,7 +118,8 @@
 			b := newBackend(t)
 			l := unstarted(t, newFakeDiscovery(t))
 			l.backends.updateEndpoints(l, policy.UpdateComplete, []discovery.Endpoint{
-				{ID: "s-00000001", Address: b.listener.Addr().String(), Phase: "Ready"}})
+				{ID: "s-00000001", Address: b.listener.Addr().String(), Phase: "Ready"},
+			})
 			l.clients.resume(l)
 			t.Cleanup(l.clients.pause)
 			client := (&rig{addr: l.clients.listener.Addr().String()}).client(t)
--- a/internal/gateway/clients_test.go
+++ b/internal/gateway/clients_test.go
@@ -218,8 +218,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c := &client{conn: near, sender: newSender(near), done: make(chan struct{}), commands: asked, pipeline: line,
-			lastCommandAt: l.now() + 60e6} // it is as new when it is looked at
+		c := &client{
+			conn: near, sender: newSender(near), done: make(chan struct{}), commands: asked, pipeline: line,
+			lastCommandAt: l.now() + 60e6,
+		} // it is as new when it is looked at
 		l.clients.conns[c] = true
 		l.clients.slots <- struct{}{}
 		return c
--- a/internal/gateway/command_test.go
+++ b/internal/gateway/command_test.go
@@ -29,8 +29,10 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	args := [][]byte{[]byte("API.WRITE"), []byte("0000000000000007"), []byte("9b1f03aa5c7e2d41"),
-		[]byte("c=order,t=team,d=480,k=5c0f6e1a2b3d4c59,units=2,spread=3,first=1"), []byte("BODY")}
+	args := [][]byte{
+		[]byte("API.WRITE"), []byte("0000000000000007"), []byte("9b1f03aa5c7e2d41"),
+		[]byte("c=order,t=team,d=480,k=5c0f6e1a2b3d4c59,units=2,spread=3,first=1"), []byte("BODY"),
+	}
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := cfg.parse(args); err != nil {
--- a/internal/gateway/crossings_test.go
+++ b/internal/gateway/crossings_test.go
@@ -59,7 +59,8 @@
 			b := newBackend(t)
 			l := unstarted(t, newFakeDiscovery(t))
 			l.backends.updateEndpoints(l, policy.UpdateComplete, []discovery.Endpoint{
-				{ID: "s-00000001", Address: b.listener.Addr().String(), Phase: "Ready"}})
+				{ID: "s-00000001", Address: b.listener.Addr().String(), Phase: "Ready"},
+			})
 			begun, letGo := heldDials(l)
 			c := byHand(t, l, "c=once")
 			wait(t, begun, "the dial")
@@ -86,7 +87,8 @@
 	b := newBackend(t)
 	l := unstarted(t, newFakeDiscovery(t))
 	l.backends.updateEndpoints(l, policy.UpdateComplete, []discovery.Endpoint{
-		{ID: "s-00000001", Address: b.listener.Addr().String(), Phase: "Ready"}})
+		{ID: "s-00000001", Address: b.listener.Addr().String(), Phase: "Ready"},
+	})
 	c := byHand(t, l, "c=order,k=5c0f6e1a2b3d4c59")
 	handle(t, l, "the dial's end")
 	call := b.next(t)
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -123,7 +123,8 @@
 	l := unstarted(t, newFakeDiscovery(t))
 	tell := func(revision uint64, kind policy.UpdateKind, phase string, upSince int64) policy.EndpointState {
 		l.handle(endpointsUpdated{kind, discovery.Update{Revision: revision, Complete: kind == policy.UpdateComplete, Endpoints: []discovery.Endpoint{
-			{ID: "s-00000001", Address: "127.0.0.1:9", Phase: phase, UpSinceMS: upSince}}}})
+			{ID: "s-00000001", Address: "127.0.0.1:9", Phase: phase, UpSinceMS: upSince},
+		}}})
 		return l.backends.byID["s-00000001"].state
 	}
 	for i, step := range []struct {
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -14,7 +14,8 @@
 	b := newBackend(t)
 	l := unstarted(t, newFakeDiscovery(t))
 	l.backends.updateEndpoints(l, policy.UpdateComplete, []discovery.Endpoint{
-		{ID: "s-00000001", Address: b.listener.Addr().String(), Phase: "Ready"}})
+		{ID: "s-00000001", Address: b.listener.Addr().String(), Phase: "Ready"},
+	})
 	shutdownRequested{}.handle(l)
 	return l, b
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -262,8 +262,10 @@
 // redcon's parser panicked on the first of these.
 func TestLostFramingClosesTheConnection(t *testing.T) {
 	r, _, _ := oneBackend(t, nil)
-	for _, text := range []string{"*1\r\n$-2\r\nxx", "GET / HTTP/1.1\r\n", "*1\r\n$99999999999999\r\n", "*-1\r\n", "*1\r\n:1\r\n",
-		"*1\r\n$1\r\nxyz", strings.Repeat("*", 1<<16) + "\n"} {
+	for _, text := range []string{
+		"*1\r\n$-2\r\nxx", "GET / HTTP/1.1\r\n", "*1\r\n$99999999999999\r\n", "*-1\r\n", "*1\r\n:1\r\n",
+		"*1\r\n$1\r\nxyz", strings.Repeat("*", 1<<16) + "\n",
+	} {
 		c := r.client(t)
 		c.raw(text)
 		if got := c.line(); !strings.HasPrefix(got, "-ERR ") {
@@ -639,9 +641,15 @@
 		t.Fatal(err)
 	}
 	for _, c := range [][2]string{
-		{`"seed":"01"`, `"seed":"x"`}, {`"listen":"127.0.0.1:0"`, `"listen":""`}, {`"discovery":"127.0.0.1:1"`, `"discovery":""`},
-		{`"balancers":1`, `"balancers":"many"`}, {`"peers":false`, `"peers":true`}, {`"name":"team"`, `"nam":"team"`},
-		{`{"name":"n"`, `{"peers":["nowhere"]`}, {`"settings":{`, `"set":{`}, {`}`, ``},
+		{`"seed":"01"`, `"seed":"x"`},
+		{`"listen":"127.0.0.1:0"`, `"listen":""`},
+		{`"discovery":"127.0.0.1:1"`, `"discovery":""`},
+		{`"balancers":1`, `"balancers":"many"`},
+		{`"peers":false`, `"peers":true`},
+		{`"name":"team"`, `"nam":"team"`},
+		{`{"name":"n"`, `{"peers":["nowhere"]`},
+		{`"settings":{`, `"set":{`},
+		{`}`, ``},
 	} {
 		bad := strings.Replace(good, c[0], c[1], 1)
 		if bad == good {
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/leaving_test.go
@@ -46,7 +46,8 @@
 	b = newBackend(t)
 	l = unstarted(t, newFakeDiscovery(t))
 	l.backends.updateEndpoints(l, policy.UpdateComplete, []discovery.Endpoint{
-		{ID: "s-00000001", Address: b.listener.Addr().String(), Phase: "Ready"}})
+		{ID: "s-00000001", Address: b.listener.Addr().String(), Phase: "Ready"},
+	})
 	begun, letGo = heldDials(l)
 	return l, b, begun, letGo
 }
--- a/internal/gateway/list_test.go
+++ b/internal/gateway/list_test.go
@@ -19,9 +19,11 @@
 // A list is read member by member as encoding/json would read it whole; one that is cut, or is none, is an error.
 func TestListIsReadMemberByMember(t *testing.T) {
 	whole := string(longList(3))
-	for _, text := range []string{whole, oneMember, `{"revision":4,"complete":true,"members":[]}`,
+	for _, text := range []string{
+		whole, oneMember, `{"revision":4,"complete":true,"members":[]}`,
 		`{"revision":4,"complete":true,"members":null}`, `{}`, ` { "REVISION" : 4 , "later" : { "a" : [ 1 , {} ] }, "members" : [ ] }`,
-		strings.ReplaceAll(whole, `,"`, ",\n\t\""), `{"members":[null,{"id":"s-1","later":[[]]}],"revision":4}`} {
+		strings.ReplaceAll(whole, `,"`, ",\n\t\""), `{"members":[null,{"id":"s-1","later":[[]]}],"revision":4}`,
+	} {
 		var got, want discovery.Update
 		if err := got.Read(json.NewDecoder(strings.NewReader(text))); err != nil {
 			t.Errorf("%s: %v", text, err)
--- a/internal/gateway/ops_test.go
+++ b/internal/gateway/ops_test.go
@@ -84,8 +84,12 @@
 		method, path string
 		want         int
 	}{
-		{"GET", "/ops/readiness", 200}, {"GET", "/ops/stats", 200}, {"GET", "/ops/backends/down", 404},
-		{"GET", "/", 404}, {"POST", "/ops/readiness", 405}, {"DELETE", "/ops/stats", 405},
+		{"GET", "/ops/readiness", 200},
+		{"GET", "/ops/stats", 200},
+		{"GET", "/ops/backends/down", 404},
+		{"GET", "/", 404},
+		{"POST", "/ops/readiness", 405},
+		{"DELETE", "/ops/stats", 405},
 	} {
 		if got, _ := operate(t, r, c.method, c.path); got != c.want {
 			t.Errorf("%s %s: %d, want %d", c.method, c.path, got, c.want)
@@ -209,9 +213,12 @@
 
 func TestConfigWantsPositiveFigures(t *testing.T) {
 	for _, change := range [][2]string{
-		{`"max-attempts":3`, `"max-attempts":0`}, {`"max-attempts":3`, `"max-attempts":-1`},
-		{`"max-attempts":3`, `"max-attempts":"some"`}, {`"max-attempts":3`, `"max-attempts":null`},
-		{`"promise-us":10000000`, `"promise-us":0`}, {`"promise-us":10000000`, `"promise-us":1,"hard-limit-us":0`},
+		{`"max-attempts":3`, `"max-attempts":0`},
+		{`"max-attempts":3`, `"max-attempts":-1`},
+		{`"max-attempts":3`, `"max-attempts":"some"`},
+		{`"max-attempts":3`, `"max-attempts":null`},
+		{`"promise-us":10000000`, `"promise-us":0`},
+		{`"promise-us":10000000`, `"promise-us":1,"hard-limit-us":0`},
 	} {
 		raw := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"01","settings":%s}`,
 			settingsWith(t, change[0], change[1]))
--- a/internal/gateway/peers_test.go
+++ b/internal/gateway/peers_test.go
@@ -24,8 +24,10 @@
 // peer is dropped.
 func TestNotes(t *testing.T) {
 	peer, stranger := udp(t), udp(t)
-	cfg := &Config{PeerListen: "127.0.0.1:0", Settings: policy.Settings{Gossip: true},
-		Peers: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1"), peer.LocalAddr().(*net.UDPAddr).AddrPort()}}
+	cfg := &Config{
+		PeerListen: "127.0.0.1:0", Settings: policy.Settings{Gossip: true},
+		Peers: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1"), peer.LocalAddr().(*net.UDPAddr).AddrPort()},
+	}
 	p, err := newPeers(cfg, quiet(), false)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -55,8 +55,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &fakeBackend{listener: l, got: make(chan *backendCall, 1024), ended: make(chan error, 1024),
-		begun: make(chan int, 16)}
+	b := &fakeBackend{
+		listener: l, got: make(chan *backendCall, 1024), ended: make(chan error, 1024),
+		begun: make(chan int, 16),
+	}
 	t.Cleanup(func() { l.Close() })
 	go func() {
 		for {
@@ -340,8 +342,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{addr: l.clients.listener.Addr().String(), loop: l, clock: hold(l), stopped: make(chan struct{}), ended: make(chan struct{}),
-		reload: make(chan struct{}), configs: make(chan func() (Config, error), 1)}
+	r := &rig{
+		addr: l.clients.listener.Addr().String(), loop: l, clock: hold(l), stopped: make(chan struct{}), ended: make(chan struct{}),
+		reload: make(chan struct{}), configs: make(chan func() (Config, error), 1),
+	}
 	control := Control{Stop: r.stopped, Reload: r.reload, Read: func() (Config, error) { return (<-r.configs)() }}
 	go func() { l.serve(control); close(r.ended) }()
 	t.Cleanup(func() {
--- a/internal/gateway/scale_test.go
+++ b/internal/gateway/scale_test.go
@@ -16,8 +16,10 @@
 func longList(n int) []byte {
 	list := discovery.Update{Revision: 7, Complete: true}
 	for i := range n {
-		list.Endpoints = append(list.Endpoints, discovery.Endpoint{ID: fmt.Sprintf("s-%08x", i+1), Address: fmt.Sprintf("127.%d.%d.%d:6379", 1+i>>16, i>>8&255, i&255),
-			Zone: "a", Cell: i % 7, Phase: "Ready", CapacityHint: 1})
+		list.Endpoints = append(list.Endpoints, discovery.Endpoint{
+			ID: fmt.Sprintf("s-%08x", i+1), Address: fmt.Sprintf("127.%d.%d.%d:6379", 1+i>>16, i>>8&255, i&255),
+			Zone: "a", Cell: i % 7, Phase: "Ready", CapacityHint: 1,
+		})
 	}
 	text, err := json.Marshal(list)
 	if err != nil {
--- a/internal/gateway/spoilt_test.go
+++ b/internal/gateway/spoilt_test.go
@@ -62,7 +62,8 @@
 			b := newBackend(t)
 			l := unstarted(t, newFakeDiscovery(t))
 			l.backends.updateEndpoints(l, policy.UpdateComplete, []discovery.Endpoint{
-				{ID: "s-00000001", Address: b.listener.Addr().String(), Phase: "Ready"}})
+				{ID: "s-00000001", Address: b.listener.Addr().String(), Phase: "Ready"},
+			})
 			first := &attempt{sentAt: l.now(), expiresAt: l.now() + 1e9}
 			l.backends.startAttempt(l, first, 1)
 			wait(t, l.events, "the dial").handle(l)
--- a/internal/gateway/term_test.go
+++ b/internal/gateway/term_test.go
@@ -202,8 +202,10 @@
 			}
 			t.Run(fmt.Sprintf("%d gateways, all served in %d s", gateways, needs), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					q := &queueing{each: needs * time.Second / time.Duration(gateways), up: time.Now().Add(8 * time.Second),
-						second: map[time.Duration]int{}}
+					q := &queueing{
+						each: needs * time.Second / time.Duration(gateways), up: time.Now().Add(8 * time.Second),
+						second: map[time.Duration]int{},
+					}
 					q.each = min(q.each, inLine/4) // a few gateways are no load that could fill its line
 					ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 					defer cancel()
--- a/internal/handover/codec_test.go
+++ b/internal/handover/codec_test.go
@@ -174,23 +174,29 @@
 		write func(any) ([]byte, error)
 	}{
 		{
-			"client.json", ClientConnection{Requests: 1, OpenedAt: time.UnixMicro(2)},
+			"client.json",
+			ClientConnection{Requests: 1, OpenedAt: time.UnixMicro(2)},
 			func(b []byte) (any, error) { return DecodeClientConnection(b) },
 			func(m any) ([]byte, error) { return EncodeClientConnection(m.(ClientConnection)) },
 		},
 		{
-			"attempt-sent.json", AttemptSent{RequestID: 1, Backend: 2},
+			"attempt-sent.json",
+			AttemptSent{RequestID: 1, Backend: 2},
 			func(b []byte) (any, error) { return DecodeAttemptSent(b) },
 			func(m any) ([]byte, error) { return EncodeAttemptSent(m.(AttemptSent)) },
 		},
 		{
-			"attempt-ended.json", policy.Outcome{RequestID: 1, Attempt: 2, Backend: 3, Result: policy.ResultOverloaded, Latency: 5,
-				Answered: true, MeterReading: 7, ActualCost: 8.5, LoadReport: []float32{9.5, 10.5}},
+			"attempt-ended.json",
+			policy.Outcome{
+				RequestID: 1, Attempt: 2, Backend: 3, Result: policy.ResultOverloaded, Latency: 5,
+				Answered: true, MeterReading: 7, ActualCost: 8.5, LoadReport: []float32{9.5, 10.5},
+			},
 			func(b []byte) (any, error) { return DecodeAttemptEnded(b) },
 			func(m any) ([]byte, error) { return EncodeAttemptEnded(m.(policy.Outcome)) },
 		},
 		{
-			"cost-settled.json", CostSettled{Customer: 1, Extra: 2.5},
+			"cost-settled.json",
+			CostSettled{Customer: 1, Extra: 2.5},
 			func(b []byte) (any, error) { return DecodeCostSettled(b) },
 			func(m any) ([]byte, error) { return EncodeCostSettled(m.(CostSettled)) },
 		},
--- a/internal/simproto/wire_test.go
+++ b/internal/simproto/wire_test.go
@@ -34,28 +34,47 @@
 		name, bytes string
 		want        Event
 	}{
-		{"request", "03 0300 c4913a5d7f250800 01 00000040 80a90300 0100 00004040 0200 0000803f 640ad2557c3bf091",
-			Event{Kind: Ingress, Instance: 3, Request: policy.Request{ID: 0x8257f5d3a91c4, Cost: 2, Timeout: 240000,
-				Plan: 1, Replicas: 3, Class: 2, FirstReplica: 1, Customer: 0x91f03b7c55d20a64}}},
+		{
+			"request", "03 0300 c4913a5d7f250800 01 00000040 80a90300 0100 00004040 0200 0000803f 640ad2557c3bf091",
+			Event{Kind: Ingress, Instance: 3, Request: policy.Request{
+				ID: 0x8257f5d3a91c4, Cost: 2, Timeout: 240000,
+				Plan: 1, Replicas: 3, Class: 2, FirstReplica: 1, Customer: 0x91f03b7c55d20a64,
+			}},
+		},
 		{"timer", "04 0300 4d000000", Event{Kind: Wake, Instance: 3, Token: 77}},
-		{"gone", "09 0500 192b6f0e23e80e00", Event{Kind: Dropped, Instance: 5,
-			Outcome: policy.Outcome{RequestID: 0x0ee8230e6f2b19}}},
-		{"outcome", "07 0300 c4913a5d7f250800 0100 074a1203 03 44480000 01 5600 0300 01 0000803f",
-			Event{Kind: Done, Instance: 3, Outcome: policy.Outcome{RequestID: 0x8257f5d3a91c4, Attempt: 1, Backend: 0x03124a07,
-				Result: policy.ResultOverloaded, Latency: 18500, Answered: true, MeterReading: 86, ActualCost: 3, LoadReport: []float32{1}}}},
-		{"members", "08 0300 01 2900000000000000 02000000 " +
-			"074a1203 0000 00 0000 01 0000803f 0000000000000000 f211902c 0100 01 0300 02 0000c03f 20145d0000000000",
+		{"gone", "09 0500 192b6f0e23e80e00", Event{
+			Kind: Dropped, Instance: 5,
+			Outcome: policy.Outcome{RequestID: 0x0ee8230e6f2b19},
+		}},
+		{
+			"outcome", "07 0300 c4913a5d7f250800 0100 074a1203 03 44480000 01 5600 0300 01 0000803f",
+			Event{Kind: Done, Instance: 3, Outcome: policy.Outcome{
+				RequestID: 0x8257f5d3a91c4, Attempt: 1, Backend: 0x03124a07,
+				Result: policy.ResultOverloaded, Latency: 18500, Answered: true, MeterReading: 86, ActualCost: 3, LoadReport: []float32{1},
+			}},
+		},
+		{
+			"members", "08 0300 01 2900000000000000 02000000 " +
+				"074a1203 0000 00 0000 01 0000803f 0000000000000000 f211902c 0100 01 0300 02 0000c03f 20145d0000000000",
 			Event{Kind: Backends, Instance: 3, News: policy.UpdateStale, Members: []policy.Endpoint{
 				{ID: 0x03124a07, CapacityHint: 1},
-				{ID: 0x2c9011f2, Zone: 1, Cell: 3, State: policy.EndpointDraining, CapacityHint: 1.5, StartedAt: 0x5d1420}}}},
-		{"count", "0b 0300 00001842 01 90f6890000000000 66080000",
-			Event{Kind: Ledger, Instance: 3, Total: 38, Result: policy.ResultOK, Name: 0x89f690}},
+				{ID: 0x2c9011f2, Zone: 1, Cell: 3, State: policy.EndpointDraining, CapacityHint: 1.5, StartedAt: 0x5d1420},
+			}},
+		},
+		{
+			"count", "0b 0300 00001842 01 90f6890000000000 66080000",
+			Event{Kind: Ledger, Instance: 3, Total: 38, Result: policy.ResultOK, Name: 0x89f690},
+		},
 		{"probe", "02 0100 09000000 04 01000000 00", Event{Kind: Sampled, Instance: 1, Backend: 9, Result: policy.ResultTimedOut}},
 		{"note", "01 0200 0100 0300 616263", Event{Kind: Heard, Instance: 2, From: 1, Note: []byte("abc")}},
-		{"stream", "0a 0100 0500000000000000 09000000 0100 02000000",
-			Event{Kind: First, Instance: 1, Outcome: policy.Outcome{RequestID: 5, Backend: 9, Attempt: 1, Latency: 2}}},
-		{"start", "05 0100 0700000000000000 03000000 613d31",
-			Event{Kind: Provision, Instance: 1, Seed: 7, Profile: []byte("a=1")}},
+		{
+			"stream", "0a 0100 0500000000000000 09000000 0100 02000000",
+			Event{Kind: First, Instance: 1, Outcome: policy.Outcome{RequestID: 5, Backend: 9, Attempt: 1, Latency: 2}},
+		},
+		{
+			"start", "05 0100 0700000000000000 03000000 613d31",
+			Event{Kind: Provision, Instance: 1, Seed: 7, Profile: []byte("a=1")},
+		},
 		{"stop", "06 0100", Event{Kind: CrashNow, Instance: 1}},
 	} {
 		body := unhex(t, c.bytes)
@@ -147,10 +166,12 @@
 
 func TestSettings(t *testing.T) {
 	got, err := ParseSettings([]byte(profile))
-	want := policy.Settings{Self: 1, Gateways: 2, PollEndpoints: true, SlowStartFloor: 0.16,
+	want := policy.Settings{
+		Self: 1, Gateways: 2, PollEndpoints: true, SlowStartFloor: 0.16,
 		LoadReport: []policy.LoadMetric{policy.UnusedMetric, policy.WaitingMetric},
 		Classes:    []policy.Class{{LatencyObjective: 600000, Idempotency: policy.IdempotentWithKey, DedupScope: policy.DedupCell}},
-		Plans:      []policy.Plan{{Rate: 1.5, Burst: 6, ValueFactor: 1}}}
+		Plans:      []policy.Plan{{Rate: 1.5, Burst: 6, ValueFactor: 1}},
+	}
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v, %v", got, err)
 	}
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -119,9 +119,11 @@
 		spread = min(max(spread, 1), g.set.Gateways)
 		even := float64(spread)
 		first = (first%g.set.Gateways + g.set.Gateways) % g.set.Gateways
-		c = &customer{id: id, plan: plan, first: first, spread: spread, window: g.windowOf(p, spread),
+		c = &customer{
+			id: id, plan: plan, first: first, spread: spread, window: g.windowOf(p, spread),
 			store: bank{p.Burst, p.Rate, p.Burst, g.now}, grant: 1, granted: 1,
-			ceiling: bank{p.CeilingSlack / even / 2, p.CeilingRate / even, p.CeilingBurst / even, g.born}}
+			ceiling: bank{p.CeilingSlack / even / 2, p.CeilingRate / even, p.CeilingBurst / even, g.born},
+		}
 		switch {
 		case !g.pooled:
 			c.store.level /= even
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -137,8 +137,10 @@
 		if r == ResultOK {
 			p.served++
 		}
-		n.AttemptEnded(p.now, Outcome{RequestID: id, Attempt: number, Backend: backend, Result: r, Latency: p.now - at,
-			Answered: r == ResultOK || p.now >= n.until[id]})
+		n.AttemptEnded(p.now, Outcome{
+			RequestID: id, Attempt: number, Backend: backend, Result: r, Latency: p.now - at,
+			Answered: r == ResultOK || p.now >= n.until[id],
+		})
 	})
 }
 func (n *coldNode) Reject(id uint64, after Time)           { n.answer = n.answer || after > 0 }
@@ -149,6 +151,7 @@
 func (n *coldNode) SetTimer(at Time, token uint32) {
 	n.later(at, func() { n.TimerFired(n.p.now, token) })
 }
+
 func (n *coldNode) HealthCheck(backend uint32) {
 	n.later(n.p.now+coldDelay, func() {
 		r := ResultOK
@@ -160,6 +163,7 @@
 		n.HealthCheckEnded(n.p.now, backend, r, nil)
 	})
 }
+
 func (n *coldNode) SendGossip(peer int, note []byte) {
 	note = slices.Clone(note)
 	n.p.at(n.p.now+coldDelay, func() { n.p.nodes[peer].GossipReceived(n.p.now, n.self, note) })
@@ -215,8 +219,10 @@
 
 // begin starts a process of a gateway, another life of it after the first.
 func (p *coldPlay) begin(self, life int) {
-	n := &coldNode{p: p, self: self, life: life, told: p.now >= start+coldAt,
-		tries: map[uint64]int{}, until: map[uint64]Time{}}
+	n := &coldNode{
+		p: p, self: self, life: life, told: p.now >= start+coldAt,
+		tries: map[uint64]int{}, until: map[uint64]Time{},
+	}
 	set := p.set
 	set.Self, set.Zone = self, self%2
 	g, err := New(set, uint64(life)<<40|p.rand.Uint64()>>24, n)
@@ -290,8 +296,10 @@
 
 // play plays the case with so many gateways.
 func (c *coldCase) play(t *testing.T, set Settings, gateways int, seed uint64) *coldPlay {
-	p := &coldPlay{t: t, c: c, set: set, rand: rand.New(rand.NewPCG(seed, uint64(gateways))), now: start,
-		nodes: make([]*coldNode, gateways), weights: make([]float64, gateways)}
+	p := &coldPlay{
+		t: t, c: c, set: set, rand: rand.New(rand.NewPCG(seed, uint64(gateways))), now: start,
+		nodes: make([]*coldNode, gateways), weights: make([]float64, gateways),
+	}
 	p.set.Gateways, p.set.HandshakePrice, p.set.CrossZonePrice = gateways, c.price, c.cross
 	if c.set != nil {
 		c.set(&p.set)
--- a/policy/controller_test.go
+++ b/policy/controller_test.go
@@ -110,8 +110,10 @@
 func (r *rig) ask(class, plan int, customer uint64, units float64) (uint64, bool) {
 	r.next++
 	before := r.fake.count("send")
-	r.RequestReceived(r.at, Request{ID: r.next, Class: class, Plan: plan, Customer: customer, Cost: units,
-		Timeout: 2 * second, Replicas: 2})
+	r.RequestReceived(r.at, Request{
+		ID: r.next, Class: class, Plan: plan, Customer: customer, Cost: units,
+		Timeout: 2 * second, Replicas: 2,
+	})
 	return r.next, r.fake.count("send") > before
 }
 
@@ -122,8 +124,10 @@
 		r.t.Fatalf("request %d is not held", id)
 	}
 	n := len(q.attempts) - 1
-	r.AttemptEnded(r.at, Outcome{RequestID: id, Attempt: n, Backend: q.attempts[n].b.ID, Result: result,
-		Latency: second / 10, Answered: over})
+	r.AttemptEnded(r.at, Outcome{
+		RequestID: id, Attempt: n, Backend: q.attempts[n].b.ID, Result: result,
+		Latency: second / 10, Answered: over,
+	})
 }
 
 // serve asks and has it answered at once.
@@ -768,8 +772,10 @@
 func askWide(home, member *rig, plan int, customer uint64) bool {
 	member.next++
 	member.done = nil
-	member.RequestReceived(member.at, Request{ID: member.next, Plan: plan, Customer: customer, Cost: 1,
-		Timeout: 2 * second, FirstReplica: member.firsts[customer], Replicas: 12})
+	member.RequestReceived(member.at, Request{
+		ID: member.next, Plan: plan, Customer: customer, Cost: 1,
+		Timeout: 2 * second, FirstReplica: member.firsts[customer], Replicas: 12,
+	})
 	sent := slices.Clone(member.done)
 	carry(member, home)
 	home.done = slices.DeleteFunc(home.done, func(l string) bool { return !strings.HasPrefix(l, "tell 5 ") })
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -15,10 +15,13 @@
 func (h *host) Send(id uint64, backend uint32, until policy.Time) {
 	fmt.Printf("request %d goes to backend %d\n", id, backend)
 }
+
 func (h *host) Reject(id uint64, after policy.Time) {
 	fmt.Printf("request %d refused, back after %d ms\n", id, after/1000)
 }
-func (h *host) Fail(id uint64)                                              { fmt.Printf("request %d failed\n", id) }
+
+func (h *host) Fail(id uint64) { fmt.Printf("request %d failed\n", id) }
+
 func (h *host) SetTimer(at policy.Time, token uint32)                       { h.timers = append(h.timers, at) }
 func (h *host) HealthCheck(backend uint32)                                  {}
 func (h *host) SendGossip(peer int, note []byte)                            {}
--- a/policy/handover_test.go
+++ b/policy/handover_test.go
@@ -149,8 +149,11 @@
 	level := r.customers[7].store.level
 	open, _ := r.ask(0, 1, 8, 1) // of class a, which is safe to repeat
 	set := namedSettings()
-	set.Classes = []Class{{Name: "new", LatencyObjective: second, Idempotency: NotIdempotent, PriorityWeight: 1}, set.Classes[1],
-		{Name: "a", LatencyObjective: second, Idempotency: NotIdempotent, PriorityWeight: 1}}
+	set.Classes = []Class{
+		{Name: "new", LatencyObjective: second, Idempotency: NotIdempotent, PriorityWeight: 1},
+		set.Classes[1],
+		{Name: "a", LatencyObjective: second, Idempotency: NotIdempotent, PriorityWeight: 1},
+	}
 	set.Plans[0], set.Plans[1] = set.Plans[1], set.Plans[0]
 	set.Plans[1].Burst *= 4
 	set.MaxAttempts = 2
--- a/policy/recorded_test.go
+++ b/policy/recorded_test.go
@@ -45,13 +45,19 @@
 }{
 	{"head", note{boot: 0x01020304, held: 2.5, inTime: 40.125}},
 	{"turn", note{boot: 0x01020304, held: 2.5, inTime: 40.125, turn: 77}},
-	{"entry", note{boot: 9, entries: []entry{{id: 0x1234567890, plan: 3, first: 258, spread: 40, taken: 65000,
-		asked: 515, fresh: 200, want: 7, ask: 8, left: unpackPart(181)}}}},
-	{"grant", note{boot: 9, grants: []grant{{id: 0x1234567890, part: unpackPart(90), ask: 5, yes: true},
-		{id: 2, part: unpackPart(1)}}}},
+	{"entry", note{boot: 9, entries: []entry{{
+		id: 0x1234567890, plan: 3, first: 258, spread: 40, taken: 65000,
+		asked: 515, fresh: 200, want: 7, ask: 8, left: unpackPart(181),
+	}}}},
+	{"grant", note{boot: 9, grants: []grant{
+		{id: 0x1234567890, part: unpackPart(90), ask: 5, yes: true},
+		{id: 2, part: unpackPart(1)},
+	}}},
 	{"word", note{boot: 9, words: []word{{backend: 0xa1b2c3d4, about: 254}, {backend: 1, about: 2}}}},
-	{"all", note{boot: 9, held: 0.125, inTime: 8191, turn: 255, entries: []entry{{id: 1, spread: 1, left: 1}, {id: 2, spread: 2}},
-		grants: []grant{{id: 3, part: 1, ask: 1}}, words: []word{{backend: 2, about: 0}}}},
+	{"all", note{
+		boot: 9, held: 0.125, inTime: 8191, turn: 255, entries: []entry{{id: 1, spread: 1, left: 1}, {id: 2, spread: 2}},
+		grants: []grant{{id: 3, part: 1, ask: 1}}, words: []word{{backend: 2, about: 0}},
+	}},
 }
 
 func writeNote(n note) []byte {
@@ -337,9 +343,11 @@
 		}
 		r.next++
 		customer := uint64(draw.IntN(6))
-		r.RequestReceived(r.at, Request{ID: r.next, Class: draw.IntN(len(set.Classes)), Plan: int(customer) % len(set.Plans),
+		r.RequestReceived(r.at, Request{
+			ID: r.next, Class: draw.IntN(len(set.Classes)), Plan: int(customer) % len(set.Plans),
 			Customer: customer, Cost: float64(1+draw.IntN(4)) / 2, Timeout: second * Time(1+draw.IntN(3)),
-			FirstReplica: int(customer), Replicas: 1 + int(customer)*5%set.Gateways})
+			FirstReplica: int(customer), Replicas: 1 + int(customer)*5%set.Gateways,
+		})
 		var open []uint64
 		for id := range r.requests {
 			open = append(open, id)
@@ -357,9 +365,11 @@
 			n := len(q.attempts) - 1
 			all = append(all, fmt.Sprintf("%d holds %d %t", i, id, r.MaySend(r.at, id, n)))
 			result := Result(max(0, draw.IntN(20)-12))
-			r.AttemptEnded(r.at, Outcome{RequestID: id, Attempt: n, Backend: q.attempts[n].b.ID, Result: result,
+			r.AttemptEnded(r.at, Outcome{
+				RequestID: id, Attempt: n, Backend: q.attempts[n].b.ID, Result: result,
 				Latency: Time(1+draw.IntN(60)) * second / 100, Answered: result == ResultOK, MeterReading: draw.IntN(150),
-				ActualCost: float64(draw.IntN(5)) / 2})
+				ActualCost: float64(draw.IntN(5)) / 2,
+			})
 		}
 		if step%90 == 50 {
 			list := members(6)
--- a/policy/state.go
+++ b/policy/state.go
@@ -388,8 +388,10 @@
 	if g.wide(c) {
 		left = c.grant
 	}
-	return entry{id: c.id, plan: c.plan, first: c.first, spread: c.spread, taken: counted(c.taken),
-		asked: counted(c.asked), fresh: counted(c.asked - c.askedTold), left: left}
+	return entry{
+		id: c.id, plan: c.plan, first: c.first, spread: c.spread, taken: counted(c.taken),
+		asked: counted(c.asked), fresh: counted(c.asked - c.askedTold), left: left,
+	}
 }
 
 // note adds a customer to the notes for those it is told to, if all have room.
--- a/scale/clients.go
+++ b/scale/clients.go
@@ -14,9 +14,9 @@
 	"syscall"
 	"time"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
-
 	"sparspread/internal/resp"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
 const (
--- a/scale/play.go
+++ b/scale/play.go
@@ -18,10 +18,10 @@
 	"sync"
 	"time"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
-
 	"sparspread/internal/simproto"
 	"sparspread/policy"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
 // stage is everything that plays one point.
--- a/scale/scale_test.go
+++ b/scale/scale_test.go
@@ -268,7 +268,10 @@
 func TestCeilingsAreSeen(t *testing.T) {
 	l, now := newLedger(), time.Now()
 	for i, want := range []ledgerFigures{
-		{Taken: 1}, {Taken: 2}, {Taken: 3}, {Taken: 4},
+		{Taken: 1},
+		{Taken: 2},
+		{Taken: 3},
+		{Taken: 4},
 		{Taken: 5, BeyondQuota: 1, LeastCeiling: -1},
 		{Taken: 6, BeyondQuota: 2, BeyondCeiling: 1, LeastCeiling: -2},
 	} {
