--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -11,6 +11,7 @@
 	"runtime/debug"
 	"syscall"
 
+	"sparspread/internal/config"
 	"sparspread/internal/gateway"
 )
 
@@ -62,16 +63,16 @@
 }
 
 // configuration reads the file that RELAY_CONFIG names.
-func configuration() (gateway.Config, error) {
+func configuration() (config.Config, error) {
 	path := os.Getenv("RELAY_CONFIG")
 	if path == "" {
-		return gateway.Config{}, fmt.Errorf("configuration: RELAY_CONFIG is not set")
+		return config.Config{}, fmt.Errorf("configuration: RELAY_CONFIG is not set")
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return gateway.Config{}, fmt.Errorf("configuration: %w", err)
+		return config.Config{}, fmt.Errorf("configuration: %w", err)
 	}
-	cfg, err := gateway.ParseConfig(raw)
+	cfg, err := config.Parse(raw)
 	if ops := os.Getenv("RELAY_OPS"); ops != "" {
 		cfg.Ops = ops // each process is told its own, though both may read one file
 	}
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -10,6 +10,7 @@
 	"io"
 	"os"
 
+	"sparspread/internal/settings"
 	"sparspread/internal/simproto"
 	"sparspread/policy"
 )
@@ -98,7 +99,7 @@
 }
 
 func (h *host) provision(e *simproto.Event) {
-	set, err := simproto.ParseSettings(e.Profile)
+	set, err := settings.ParseText(e.Profile)
 	if err == nil {
 		var g *policy.Controller
 		if g, err = policy.New(set, e.Seed, &h.reply); err == nil {
--- a/internal/gateway/config.go
+++ b/internal/config/config.go
@@ -1,8 +1,5 @@
-// Package gateway is a gateway on real sockets around the decision module: it
-// reads clients, backends, discovery, the counter and peers, tells the module
-// what happened and carries out what the module decides. It decides nothing
-// about requests but what no module could: malformed ones, and its own limits.
-package gateway
+// Package config reads a gateway's configuration and tells what of another one can be taken in while it serves.
+package config
 
 import (
 	"encoding/json"
@@ -10,10 +7,11 @@
 	"fmt"
 	"net"
 	"net/netip"
+	"slices"
 	"strconv"
 
 	"sparspread/internal/discovery"
-	"sparspread/internal/simproto"
+	"sparspread/internal/settings"
 	"sparspread/policy"
 )
 
@@ -34,10 +32,9 @@
 	Known      discovery.Update
 
 	Settings policy.Settings
-	Host     simproto.Host
+	Host     settings.Host
 
-	keys    map[string]presentKey // those of the file
-	classes []*classMetrics       // in the order of the settings' classes
+	Keys map[string]Present // the top-level keys that the file has
 }
 
 // file is the configuration as it is written.
@@ -58,22 +55,22 @@
 	Settings   json.RawMessage  `json:"settings"`
 }
 
-// present is the value of a key of which only the name counts: the list last known may be long, and a
+// Present is the value of a key of which only the name counts: the list last known may be long, and a
 // copy of its text would be a quarter of what reading the file takes.
-type presentKey struct{}
+type Present struct{}
 
-func (*presentKey) UnmarshalJSON([]byte) error { return nil }
+func (*Present) UnmarshalJSON([]byte) error { return nil }
 
 // The limits held where the configuration states none, and the least that a
 // gateway can work with.
 const (
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
-	minSockets      = 32
+	MinSockets      = 32
 )
 
-// ParseConfig reads a configuration.
-func ParseConfig(raw []byte) (Config, error) {
+// Parse reads a configuration.
+func Parse(raw []byte) (Config, error) {
 	var f file
 	if err := json.Unmarshal(raw, &f); err != nil {
 		return Config{}, fmt.Errorf("configuration: %w", err)
@@ -83,7 +80,7 @@
 		MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets,
 		PeerListen: f.PeerListen, Counter: f.Counter, Known: f.Known, Ops: f.Ops,
 	}
-	if err := json.Unmarshal(raw, &c.keys); err != nil {
+	if err := json.Unmarshal(raw, &c.Keys); err != nil {
 		return c, fmt.Errorf("configuration: %w", err)
 	}
 	if c.MemoryMB <= 0 {
@@ -106,17 +103,17 @@
 	if len(f.Settings) == 0 {
 		return c, errors.New("configuration: settings: missing")
 	}
-	if c.Settings, c.Host, err = simproto.ParseJSON(f.Settings); err != nil {
+	if c.Settings, c.Host, err = settings.ParseJSON(f.Settings); err != nil {
 		return c, fmt.Errorf("configuration: %w", err)
 	}
 	return c, c.check()
 }
 
-// missing tells which key of the configuration in force another one lacks. What the list was
+// CheckKeys tells which key of the configuration in force another one lacks. What the list was
 // last known to be is no setting.
-func (c *Config) checkKeys(other *Config) error {
-	for key := range c.keys {
-		if _, ok := other.keys[key]; !ok && key != "known" {
+func (c *Config) CheckKeys(other *Config) error {
+	for key := range c.Keys {
+		if _, ok := other.Keys[key]; !ok && key != "known" {
 			return fmt.Errorf("configuration: %s: missing", key)
 		}
 	}
@@ -135,8 +132,8 @@
 		return errors.New("configuration: listen: missing")
 	case c.Discovery == "":
 		return errors.New("configuration: discovery: missing")
-	case c.Sockets < minSockets:
-		return fmt.Errorf("configuration: limits.sockets: %d, at least %d wanted", c.Sockets, minSockets)
+	case c.Sockets < MinSockets:
+		return fmt.Errorf("configuration: limits.sockets: %d, at least %d wanted", c.Sockets, MinSockets)
 	case c.Settings.Gossip && (c.PeerListen == "" || len(c.Peers) != c.Settings.Gateways):
 		return fmt.Errorf("configuration: peers: %d addresses for %d gateways, peer_listen %q",
 			len(c.Peers), c.Settings.Gateways, c.PeerListen)
@@ -173,3 +170,30 @@
 	}
 	return nil
 }
+
+// KeepFixed takes over from the configuration in force what only a restart can change.
+func (c *Config) KeepFixed(old *Config) {
+	c.Name, c.Listen, c.Ops, c.PeerListen, c.Peers = old.Name, old.Listen, old.Ops, old.PeerListen, old.Peers
+	c.MemoryMB, c.Sockets, c.Seed = old.MemoryMB, old.Sockets, old.Seed
+	set, was := &c.Settings, &old.Settings
+	set.Self, set.Gateways, set.Zone, set.Gossip, set.SharedCounter = was.Self, was.Gateways, was.Zone, was.Gossip, was.SharedCounter
+	set.LoadReport, c.Host.Report, c.Host.Zones = was.LoadReport, old.Host.Report, old.Host.Zones
+}
+
+// ChangedFixed names what another configuration would change that only a restart can.
+func (c *Config) ChangedFixed(other *Config) (names []string) {
+	for name, changed := range map[string]bool{
+		"name":        c.Name != other.Name,
+		"listen":      c.Listen != other.Listen,
+		"ops":         c.Ops != other.Ops,
+		"peer_listen": c.PeerListen != other.PeerListen,
+		"peers":       !slices.Equal(c.Peers, other.Peers),
+		"limits":      c.MemoryMB != other.MemoryMB || c.Sockets != other.Sockets,
+	} {
+		if changed {
+			names = append(names, name)
+		}
+	}
+	slices.Sort(names)
+	return names
+}
--- a/internal/gateway/backends.go
+++ b/internal/gateway/backends.go
@@ -14,6 +14,7 @@
 	"syscall"
 	"time"
 
+	"sparspread/internal/config"
 	"sparspread/internal/discovery"
 	"sparspread/internal/resp"
 	"sparspread/policy"
@@ -106,7 +107,7 @@
 	dial             net.Dialer
 }
 
-func newBackends(cfg *Config, most int) *backends {
+func newBackends(cfg *config.Config, most int) *backends {
 	return &backends{
 		byNumber: map[uint32]*backend{}, byID: map[string]*backend{}, limit: most,
 		idleTimeout: idleTimeoutEstimate{longest: cfg.Host.IdleClose / 2},
@@ -547,7 +548,7 @@
 	}
 	for pair := range strings.SplitSeq(use, ",") {
 		if name, value, _ := strings.Cut(pair, "="); name == "cost" {
-			if units, err := strconv.ParseFloat(value, 64); err == nil && units > 0 && units <= l.config.maxCost() {
+			if units, err := strconv.ParseFloat(value, 64); err == nil && units > 0 && units <= maxCost(l.config) {
 				return units
 			}
 			return 0
--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -11,6 +11,7 @@
 	"sync/atomic"
 	"time"
 
+	"sparspread/internal/config"
 	"sparspread/internal/resp"
 	"sparspread/policy"
 )
@@ -425,7 +426,7 @@
 // so many bytes, nor where all that waits for the loop has taken half of its memory: the
 // other half is for those that read on in order.
 func (c *client) readAhead(l *Loop, over <-chan struct{}) {
-	most := l.publishedConfig.Load().maxQueuedBytes() / 2
+	most := maxQueuedBytes(l.publishedConfig.Load()) / 2
 	for len(c.readAheadInput) < maxReadAhead && l.queuedBytes.Load() < most {
 		if len(c.readAheadInput) == cap(c.readAheadInput) {
 			c.readAheadInput = slices.Grow(c.readAheadInput, min(max(readAheadStep, len(c.readAheadInput)), maxReadAhead-len(c.readAheadInput)))
@@ -503,11 +504,11 @@
 	overMemory   bool     // there is no room to keep it
 	body         *body    // a large one, still to be read; nil: none
 	args         [][]byte // as it was read
-	config       *Config
+	config       *config.Config
 }
 
-// comingMost is how many bytes may wait for the loop.
-func (cfg *Config) maxQueuedBytes() int64 { return int64(cfg.MemoryMB) << 20 / 8 }
+// maxQueuedBytes is how many bytes may wait for the loop.
+func maxQueuedBytes(cfg *config.Config) int64 { return int64(cfg.MemoryMB) << 20 / 8 }
 
 // take reads one command.
 func (e *commandReceived) readFrom(l *Loop, in *resp.Reader) {
@@ -528,7 +529,7 @@
 		if large > 0 {
 			e.body = &body{size: large, target: make(chan *backendConn, 1)}
 		}
-		if l.queuedBytes.Add(int64(e.size)) > e.config.maxQueuedBytes() {
+		if l.queuedBytes.Add(int64(e.size)) > maxQueuedBytes(e.config) {
 			// What waits for the loop counts too: it must not grow with what comes.
 			l.queuedBytes.Add(-int64(e.size))
 			e.command.args, e.args, e.size, e.overMemory = nil, nil, 0, true
@@ -537,11 +538,11 @@
 }
 
 // read tells the commands apart.
-func (e *commandReceived) parseCommand(cfg *Config, args [][]byte) {
+func (e *commandReceived) parseCommand(cfg *config.Config, args [][]byte) {
 	e.config = cfg
 	switch {
 	case bytes.EqualFold(args[0], apiRead) || bytes.EqualFold(args[0], apiWrite):
-		cmd, err := cfg.parse(args)
+		cmd, err := parseCommand(cfg, args)
 		if err != nil {
 			// A class that has vanished is no fault of the connection's.
 			e.reply, e.malformed = errorReply(err), !errors.Is(err, errUnknownClass)
@@ -585,7 +586,7 @@
 		e.body.request = r
 	}
 	if r.args != nil {
-		r.metrics = l.config.classes[e.command.request.Class]
+		r.metrics = l.classMetrics[e.command.request.Class]
 		l.metrics.open.Add(1)
 	}
 	c.pipeline, c.lastCommandAt = append(c.pipeline, r), now
--- a/internal/gateway/command.go
+++ b/internal/gateway/command.go
@@ -7,6 +7,7 @@
 	"slices"
 	"strconv"
 
+	"sparspread/internal/config"
 	"sparspread/internal/resp"
 	"sparspread/policy"
 )
@@ -28,9 +29,9 @@
 
 var errUnknownClass = errors.New("unknown class")
 
-// parse reads API.READ or API.WRITE. Every field must be known and right: what
+// parseCommand reads API.READ or API.WRITE. Every field must be known and right: what
 // is not understood reaches no backend.
-func (cfg *Config) parse(args [][]byte) (command, error) {
+func parseCommand(cfg *config.Config, args [][]byte) (command, error) {
 	if len(args) < 4 || len(args) > 5 {
 		return command{}, errors.New("wrong number of arguments")
 	}
@@ -43,7 +44,7 @@
 		return c, errors.New("id: 16 hex digits wanted")
 	}
 	c.request.Customer = customer
-	seen, err := cfg.fields(&c)
+	seen, err := parseFields(cfg, &c)
 	if err != nil {
 		return c, err
 	}
@@ -81,9 +82,9 @@
 
 var fieldNames = [...]string{"c", "t", "d", "units", "spread", "first", "k", "r"}
 
-// fields reads the list of names and values, and tells which it holds: a bit for
+// parseFields reads the list of names and values, and tells which it holds: a bit for
 // each.
-func (cfg *Config) fields(c *command) (seen uint, err error) {
+func parseFields(cfg *config.Config, c *command) (seen uint, err error) {
 	list := c.args[3]
 	for start := 0; start <= len(list); {
 		end := len(list)
@@ -98,7 +99,7 @@
 		case !ok || seen&(1<<field) != 0:
 			return seen, errors.New("fields: name=value wanted, each once")
 		}
-		if err := cfg.field(c, field, string(value)); err != nil {
+		if err := parseField(cfg, c, field, string(value)); err != nil {
 			return seen, err
 		}
 		if field == timeoutFieldNumber {
@@ -110,7 +111,7 @@
 	return seen, nil
 }
 
-func (cfg *Config) field(c *command, field int, value string) error {
+func parseField(cfg *config.Config, c *command, field int, value string) error {
 	ok := false
 	switch field {
 	case classField:
@@ -132,7 +133,7 @@
 	case unitsField:
 		units, err := strconv.ParseFloat(value, 64)
 		c.request.Cost = units
-		ok = err == nil && units > 0 && units <= cfg.maxCost() // which NaN is not
+		ok = err == nil && units > 0 && units <= maxCost(cfg) // which NaN is not
 	case spreadField:
 		n, err := strconv.Atoi(value)
 		c.request.Replicas = n
@@ -148,8 +149,8 @@
 	return nil
 }
 
-// mostUnits is the most that a request may take.
-func (cfg *Config) maxCost() float64 {
+// maxCost is the most that a request may cost.
+func maxCost(cfg *config.Config) float64 {
 	if cfg.Settings.MaxCost > 0 {
 		return cfg.Settings.MaxCost
 	}
--- a/internal/gateway/command_test.go
+++ b/internal/gateway/command_test.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"strings"
 	"testing"
+
+	"sparspread/internal/config"
 )
 
 // A start reads the list last known with the rest, however long it is.
@@ -17,14 +19,14 @@
 		"known":{"revision":1,"complete":true,"members":[%s]},"settings":%s}`, strings.Join(known, ","), settingsText)
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := ParseConfig(raw); err != nil {
+		if _, err := config.Parse(raw); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
 func BenchmarkParse(b *testing.B) {
-	cfg, err := ParseConfig([]byte(fmt.Sprintf(
+	cfg, err := config.Parse([]byte(fmt.Sprintf(
 		`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"01","settings":%s}`, settingsWith(b, `"balancers":1`, `"balancers":4`))))
 	if err != nil {
 		b.Fatal(err)
@@ -35,7 +37,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := cfg.parse(args); err != nil {
+		if _, err := parseCommand(&cfg, args); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/gateway/counter.go
+++ b/internal/gateway/counter.go
@@ -12,6 +12,7 @@
 	"sync/atomic"
 	"time"
 
+	"sparspread/internal/config"
 	"sparspread/policy"
 )
 
@@ -38,7 +39,7 @@
 	deadline time.Time
 }
 
-func newCounter(cfg *Config) *counter {
+func newCounter(cfg *config.Config) *counter {
 	c := &counter{
 		url:  counterURL(cfg.Counter),
 		wait: time.Duration(cfg.Host.CounterTimeout) * time.Microsecond,
--- a/internal/gateway/counter_test.go
+++ b/internal/gateway/counter_test.go
@@ -9,6 +9,7 @@
 	"testing"
 	"time"
 
+	"sparspread/internal/config"
 	"sparspread/policy"
 )
 
@@ -62,7 +63,7 @@
 				got <- r.Method + " " + r.URL.String()
 				c.serve(w, r)
 			}))
-			counter := newCounter(&Config{Counter: strings.TrimPrefix(s.URL, "http://")})
+			counter := newCounter(&config.Config{Counter: strings.TrimPrefix(s.URL, "http://")})
 			call := countCall{url: counter.url, name: 0xab, add: -2.5, life: 4e6, deadline: time.Now().Add(patience)}
 			total, result := counter.call(late, call)
 			if total != c.total || result != c.result {
@@ -78,7 +79,7 @@
 		})
 	}
 	gone := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { t.Error("called past its deadline") }))
-	counter := newCounter(&Config{Counter: strings.TrimPrefix(gone.URL, "http://")})
+	counter := newCounter(&config.Config{Counter: strings.TrimPrefix(gone.URL, "http://")})
 	_, result := counter.call(context.Background(), countCall{url: counter.url, deadline: time.Now()})
 	if result != policy.ResultConnectFailed {
 		t.Errorf("past its deadline: result %d", result)
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -12,6 +12,7 @@
 	"slices"
 	"time"
 
+	"sparspread/internal/config"
 	"sparspread/internal/discovery"
 	"sparspread/policy"
 )
@@ -50,7 +51,7 @@
 	newest  uint64   // the loop's: the highest version told
 }
 
-func newDiscovery(cfg *Config) *discoveryClient {
+func newDiscovery(cfg *config.Config) *discoveryClient {
 	d := &discoveryClient{
 		address: cfg.Discovery, moved: make(chan string, 1),
 		rand: rand.New(rand.NewPCG(cfg.Seed, cfg.Seed>>32)),
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -1,6 +1,9 @@
 package gateway
 
-import "sparspread/policy"
+import (
+	"sparspread/internal/config"
+	"sparspread/policy"
+)
 
 // The steps of a planned restart, after SIGTERM. New connections go on coming
 // for a while.
@@ -14,7 +17,7 @@
 )
 
 // longest is the longest deadline of the settings in force, as far as the platform waits for it.
-func (c *Config) longestTimeout() policy.Time {
+func longestTimeout(c *config.Config) policy.Time {
 	longest := policy.Time(0)
 	for _, limit := range c.Host.Limits {
 		if limit == 0 {
@@ -27,13 +30,13 @@
 
 // answerFor is how long after SIGTERM all that is open is answered: every client that came while
 // connections were accepted has stopped waiting then or nearly, and SIGKILL is still to come.
-func (c *Config) answerWithin() policy.Time {
-	return max(c.longestTimeout()+answerMargin, acceptPeriod+backlogPeriod)
+func answerWithin(c *config.Config) policy.Time {
+	return max(longestTimeout(c)+answerMargin, acceptPeriod+backlogPeriod)
 }
 
 // exitFor is how long after SIGTERM the process ends, whatever is open.
-func (c *Config) exitWithin() policy.Time {
-	return min(c.answerWithin()+closePeriod, c.longestTimeout()+killMargin)
+func exitWithin(c *config.Config) policy.Time {
+	return min(answerWithin(c)+closePeriod, longestTimeout(c)+killMargin)
 }
 
 // drain is the state of a planned shutdown.
@@ -58,8 +61,8 @@
 	}
 	now := l.now()
 	l.schedule(now+acceptPeriod, shutdownStep{closing: true})
-	l.schedule(now+l.config.answerWithin(), shutdownStep{answer: true})
-	l.schedule(now+l.config.exitWithin(), shutdownStep{exit: true})
+	l.schedule(now+answerWithin(l.config), shutdownStep{answer: true})
+	l.schedule(now+exitWithin(l.config), shutdownStep{exit: true})
 	l.shutdown.endIfIdle(l)
 }
 
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -4,6 +4,7 @@
 	"runtime"
 	"testing"
 
+	"sparspread/internal/config"
 	"sparspread/internal/discovery"
 	"sparspread/policy"
 )
@@ -80,7 +81,7 @@
 	if l.done || len(l.clients.conns) != 1 {
 		t.Fatalf("done %v with %d connections", l.done, len(l.clients.conns))
 	}
-	later(l, l.config.answerWithin()-acceptPeriod)
+	later(l, answerWithin(l.config)-acceptPeriod)
 	c.closed()
 	c.conn.Close()
 	turn(t, l, "the end of all", func() bool { return l.done })
@@ -90,13 +91,13 @@
 // answered after that, and the process has ended before SIGKILL.
 func TestStepsOfAShutdownKeepTheirOrder(t *testing.T) {
 	for _, limit := range []policy.Time{20_000, 50_000, 100_000, 290_000, 400_000, 2_500_000, 9_000_000, 0} {
-		cfg := Config{}
+		cfg := config.Config{}
 		cfg.Host.Limits = []policy.Time{limit}
 		longest := limit
 		if limit == 0 || limit > maxLongestTimeout {
 			longest = maxLongestTimeout
 		}
-		answer, exit, kill := cfg.answerWithin(), cfg.exitWithin(), longest+700_000
+		answer, exit, kill := answerWithin(&cfg), exitWithin(&cfg), longest+700_000
 		if answer < acceptPeriod+min(limit, backlogPeriod) || exit < answer+backlogPeriod || exit >= kill {
 			t.Errorf("longest deadline %d: accepted for %d, answered after %d, ended after %d, SIGKILL after %d",
 				limit, policy.Time(acceptPeriod), answer, exit, kill)
--- a/internal/gateway/files.go
+++ b/internal/gateway/files.go
@@ -5,6 +5,8 @@
 	"log/slog"
 	"math"
 	"syscall"
+
+	"sparspread/internal/config"
 )
 
 // The descriptors for neither clients nor backends, at most.
@@ -46,14 +48,14 @@
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return math.MaxInt32, nil // not known: what the configuration states holds
 	}
-	if limit.Cur < minSockets {
-		return 0, fmt.Errorf("limit of open files: %d, at least %d wanted", limit.Cur, minSockets)
+	if limit.Cur < config.MinSockets {
+		return 0, fmt.Errorf("limit of open files: %d, at least %d wanted", limit.Cur, config.MinSockets)
 	}
 	return int(min(limit.Cur, math.MaxInt32)), nil
 }
 
-// sockets is how many descriptors to count on: the configuration may state more than the process gets.
-func (c *Config) sockets(log *slog.Logger) int {
+// usableSockets is how many descriptors to count on: the configuration may state more than the process gets.
+func usableSockets(c *config.Config, log *slog.Logger) int {
 	if c.DescriptorLimit == 0 || c.DescriptorLimit >= c.Sockets {
 		return c.Sockets
 	}
--- a/internal/gateway/files_test.go
+++ b/internal/gateway/files_test.go
@@ -5,12 +5,14 @@
 	"log/slog"
 	"strings"
 	"testing"
+
+	"sparspread/internal/config"
 )
 
 // All that may be open at once fits, whatever the limit; where descriptors are not few, clients and
 // backends get two in five each.
 func TestDescriptorsFitTheLimit(t *testing.T) {
-	for sockets := minSockets; sockets <= 4096; sockets++ {
+	for sockets := config.MinSockets; sockets <= 4096; sockets++ {
 		for _, counter := range []bool{false, true} {
 			f := budgetDescriptors(sockets, counter)
 			// streams 3, poller 2, control group 2, listener, peers, door, who stands there, configuration,
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -7,13 +7,14 @@
 	"net"
 	"time"
 
+	"sparspread/internal/config"
 	"sparspread/policy"
 )
 
 const eventQueueLength = 1024 // events that wait for the loop
 
 // Run serves until it is told to stop and all that was taken is answered.
-func Run(cfg Config, log *slog.Logger, control Control) error {
+func Run(cfg config.Config, log *slog.Logger, control Control) error {
 	l, err := newLoop(cfg, log)
 	if err != nil {
 		return err
@@ -42,7 +43,7 @@
 }
 
 // newLoop makes a gateway with its sockets. Clients are accepted once it is ready.
-func newLoop(cfg Config, log *slog.Logger) (*Loop, error) {
+func newLoop(cfg config.Config, log *slog.Logger) (*Loop, error) {
 	l := &Loop{
 		log: log, clock: newClock(),
 		events: make(chan event, eventQueueLength), urgentEvents: make(chan event, 16),
@@ -52,7 +53,7 @@
 	l.applyConfig(&cfg)
 	l.timer.Stop()
 	limitMemory(&cfg, 1)
-	files := budgetDescriptors(cfg.sockets(log), l.counter.on)
+	files := budgetDescriptors(usableSockets(&cfg, log), l.counter.on)
 	l.backends = newBackends(&cfg, files.perSide)
 	l.clients = &clients{
 		limit: files.perSide, slots: make(chan struct{}, files.clientSlots), conns: map[*client]bool{},
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -15,6 +15,7 @@
 	"testing"
 	"time"
 
+	"sparspread/internal/config"
 	"sparspread/internal/discovery"
 	"sparspread/internal/resp"
 	"sparspread/policy"
@@ -586,7 +587,7 @@
 
 // Without a descriptor to spare an attempt ends at once, and no client waits.
 func TestOutOfDescriptors(t *testing.T) {
-	r, b := fourBackends(t, minSockets) // 3 to backends
+	r, b := fourBackends(t, config.MinSockets) // 3 to backends
 	c := r.client(t)
 	for id := range 3 {
 		c.lookup(id, "60000")
@@ -637,7 +638,7 @@
 
 func TestBadConfiguration(t *testing.T) {
 	good := fmt.Sprintf(`{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"01","settings":%s}`, settingsText)
-	if _, err := ParseConfig([]byte(good)); err != nil {
+	if _, err := config.Parse([]byte(good)); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range [][2]string{
@@ -655,7 +656,7 @@
 		if bad == good {
 			t.Fatalf("%s: not there", c[0])
 		}
-		_, err := ParseConfig([]byte(bad))
+		_, err := config.Parse([]byte(bad))
 		if err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: error %v", c[1], err)
 		}
--- a/internal/gateway/handover.go
+++ b/internal/gateway/handover.go
@@ -14,6 +14,7 @@
 	"syscall"
 	"time"
 
+	"sparspread/internal/config"
 	"sparspread/internal/discovery"
 	"sparspread/internal/handover"
 	"sparspread/internal/resp"
@@ -60,7 +61,7 @@
 }
 
 // limitMemory sets where the collector hurries, for one process of so many.
-func limitMemory(cfg *Config, processes int) {
+func limitMemory(cfg *config.Config, processes int) {
 	debug.SetMemoryLimit(int64(float64(cfg.MemoryMB<<20) * heapLimitFraction / float64(processes)))
 }
 
@@ -420,7 +421,7 @@
 }
 
 // claim asks the process that serves these clients for its sockets; nil if there is none.
-func dialPredecessor(cfg *Config, log *slog.Logger) *takeover {
+func dialPredecessor(cfg *config.Config, log *slog.Logger) *takeover {
 	path := handoverSocketPath(cfg.Listen)
 	for range maxDialAttempts {
 		if path == "" {
@@ -481,7 +482,7 @@
 }
 
 // again replaces a link that was torn by a new one.
-func (i *takeover) redial(cfg *Config) bool {
+func (i *takeover) redial(cfg *config.Config) bool {
 	other, err := dialOnce(handoverSocketPath(cfg.Listen))
 	if err != nil {
 		return false
--- a/internal/gateway/handover_test.go
+++ b/internal/gateway/handover_test.go
@@ -8,10 +8,12 @@
 	"strings"
 	"testing"
 	"time"
+
+	"sparspread/internal/config"
 )
 
 // twoProcesses gives the configuration of a gateway of which a second process can be started.
-func twoProcesses(t *testing.T) (Config, *fakeBackend, *fakeDiscovery) {
+func twoProcesses(t *testing.T) (config.Config, *fakeBackend, *fakeDiscovery) {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "h") // a short path: a Unix socket's name has few bytes
 	if err != nil {
@@ -35,7 +37,7 @@
 }
 
 // door waits until a gateway can be asked to hand over.
-func atDoor(t *testing.T, cfg Config) *net.UnixConn {
+func atDoor(t *testing.T, cfg config.Config) *net.UnixConn {
 	t.Helper()
 	for until := time.Now().Add(patience); time.Now().Before(until); {
 		conn, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: handoverSocketPath(cfg.Listen), Net: "unixpacket"})
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/leaving_test.go
@@ -130,7 +130,7 @@
 	near := wait(t, l.events, "the connection").(clientConnected).conn
 	defer near.Close()
 	go func() { _, _ = far.conn.Write(make([]byte, 2*maxReadAhead)) }()
-	most := l.config.maxQueuedBytes() / 2
+	most := maxQueuedBytes(l.config) / 2
 	l.queuedBytes.Store(most)
 	c := &client{conn: near}
 	if c.readAhead(l, nil); len(c.readAheadInput) != 0 {
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -7,6 +7,7 @@
 	"sync/atomic"
 	"time"
 
+	"sparspread/internal/config"
 	"sparspread/internal/handover"
 	"sparspread/policy"
 )
@@ -43,7 +44,7 @@
 // Loop owns the module and the table of open requests. Only its goroutine
 // touches either; all else reaches it as an event.
 type Loop struct {
-	config     *Config // in force; readers go by shown
+	config     *config.Config // in force; readers go by shown
 	log        *slog.Logger
 	clock      clock
 	lastTime   policy.Time
@@ -75,7 +76,8 @@
 	predecessorRunning bool               // it has not ended yet
 	handover           *outgoingHandover  // to another process; nil: none
 	metrics            *metrics
-	publishedConfig    atomic.Pointer[Config]
+	classMetrics       []*classMetrics // in the order of the classes in force
+	publishedConfig    atomic.Pointer[config.Config]
 	shutdown           shutdownState
 	nextTraceAt        [3]policy.Time // when a refused request, a failed one and one not taken may be traced again
 	accepting          bool
--- a/internal/gateway/ops_test.go
+++ b/internal/gateway/ops_test.go
@@ -10,6 +10,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"sparspread/internal/config"
 )
 
 // withOps has a configuration name an address for operators.
@@ -191,7 +193,7 @@
 	elsewhere := newFakeDiscovery(t)
 	good := configure(t, elsewhere, withOps)
 	lacking := good
-	lacking.keys = map[string]presentKey{"name": {}}
+	lacking.Keys = map[string]config.Present{"name": {}}
 	r.reloads(lacking, nil)
 	short := configure(t, elsewhere, func(f map[string]any) {
 		withOps(f)
@@ -222,12 +224,12 @@
 	} {
 		raw := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"01","settings":%s}`,
 			settingsWith(t, change[0], change[1]))
-		if _, err := ParseConfig([]byte(raw)); err == nil {
+		if _, err := config.Parse([]byte(raw)); err == nil {
 			t.Errorf("%s passed", change[1])
 		}
 	}
 	for _, raw := range []string{"", "{", `{"name":"n0"}`, "null", "[]"} {
-		if _, err := ParseConfig([]byte(raw)); err == nil {
+		if _, err := config.Parse([]byte(raw)); err == nil {
 			t.Errorf("%q passed", raw)
 		}
 	}
@@ -236,9 +238,9 @@
 // All that is open is answered before SIGKILL, which comes by the longest deadline in force.
 func TestDrainGoesByTheDeadlinesInForce(t *testing.T) {
 	for limit, want := range map[int64]int64{500_000: 700_000, 2_500_000: 2_700_000, 9_000_000: 3_200_000, 0: 3_200_000} {
-		cfg := Config{}
+		cfg := config.Config{}
 		cfg.Host.Limits = []int64{limit}
-		if got := cfg.answerWithin(); got != want {
+		if got := answerWithin(&cfg); got != want {
 			t.Errorf("longest deadline %d: answered after %d, want %d", limit, got, want)
 		}
 	}
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -9,6 +9,8 @@
 	"net/netip"
 	"os"
 	"time"
+
+	"sparspread/internal/config"
 )
 
 const maxMessageBytes = 256 // bytes in a datagram between gateways
@@ -22,7 +24,7 @@
 }
 
 // newPeers listens for notes, unless that waits for another process to hand over.
-func newPeers(cfg *Config, log *slog.Logger, later bool) (*gossipTransport, error) {
+func newPeers(cfg *config.Config, log *slog.Logger, later bool) (*gossipTransport, error) {
 	p := &gossipTransport{addrs: cfg.Peers, self: cfg.Settings.Self, log: log}
 	if !cfg.Settings.Gossip || later {
 		return p, nil
@@ -30,7 +32,7 @@
 	return p, p.listen(cfg)
 }
 
-func (p *gossipTransport) listen(cfg *Config) error {
+func (p *gossipTransport) listen(cfg *config.Config) error {
 	conn, err := reuse.ListenPacket(context.Background(), "udp", cfg.PeerListen)
 	if err != nil {
 		return fmt.Errorf("peer_listen: %w", err)
--- a/internal/gateway/peers_test.go
+++ b/internal/gateway/peers_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"sparspread/internal/config"
 	"sparspread/policy"
 )
 
@@ -24,7 +25,7 @@
 // peer is dropped.
 func TestNotes(t *testing.T) {
 	peer, stranger := udp(t), udp(t)
-	cfg := &Config{
+	cfg := &config.Config{
 		PeerListen: "127.0.0.1:0", Settings: policy.Settings{Gossip: true},
 		Peers: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1"), peer.LocalAddr().(*net.UDPAddr).AddrPort()},
 	}
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -2,14 +2,15 @@
 
 import (
 	"context"
-	"slices"
+
+	"sparspread/internal/config"
 )
 
 // Control is how the program round a gateway steers it.
 type Control struct {
-	Stop   <-chan struct{}        // closed for a planned shutdown
-	Reload <-chan struct{}        // a value for each configuration to be taken in
-	Read   func() (Config, error) // reads the configuration as it is now
+	Stop   <-chan struct{}               // closed for a planned shutdown
+	Reload <-chan struct{}               // a value for each configuration to be taken in
+	Read   func() (config.Config, error) // reads the configuration as it is now
 }
 
 // steer passes on what the gateway is told to do. A new configuration that can't
@@ -40,7 +41,7 @@
 }
 
 // reloaded is a new configuration.
-type configLoaded struct{ cfg Config }
+type configLoaded struct{ cfg config.Config }
 
 // refuseConfig takes note of a configuration of which nothing is taken in.
 func (l *Loop) rejectConfig(err error) {
@@ -53,7 +54,7 @@
 // connections go on as they are; the list is taken whole at the new address, as
 // its versions may be others.
 func (e configLoaded) handle(l *Loop) {
-	err := l.config.checkKeys(&e.cfg)
+	err := l.config.CheckKeys(&e.cfg)
 	if err == nil {
 		err = l.controller.Reload(l.now(), e.cfg.Settings)
 	}
@@ -63,11 +64,11 @@
 	}
 	l.metrics.configsAccepted.Add(1)
 	l.log.Info("reload", "discovery", e.cfg.Discovery, "counter", e.cfg.Counter, "classes", e.cfg.Host.Classes)
-	if kept := l.config.changedFixed(&e.cfg); len(kept) > 0 {
+	if kept := l.config.ChangedFixed(&e.cfg); len(kept) > 0 {
 		l.log.Warn("reload: what needs a restart stays as it was", "settings", kept)
 	}
 	cfg := e.cfg
-	cfg.keepFixed(l.config)
+	cfg.KeepFixed(l.config)
 	l.applyConfig(&cfg)
 	l.discovery.move(cfg.Discovery)
 	if cfg.Counter != "" {
@@ -76,35 +77,8 @@
 }
 
 // use has the settings in force from now on, also for what reads from clients.
-func (l *Loop) applyConfig(cfg *Config) {
-	cfg.classes = l.metrics.forClasses(cfg.Host.Classes)
+func (l *Loop) applyConfig(cfg *config.Config) {
+	l.classMetrics = l.metrics.forClasses(cfg.Host.Classes)
 	l.config = cfg
 	l.publishedConfig.Store(cfg)
 }
-
-// keep takes over from the configuration in force what only a restart can change.
-func (c *Config) keepFixed(old *Config) {
-	c.Name, c.Listen, c.Ops, c.PeerListen, c.Peers = old.Name, old.Listen, old.Ops, old.PeerListen, old.Peers
-	c.MemoryMB, c.Sockets, c.Seed = old.MemoryMB, old.Sockets, old.Seed
-	set, was := &c.Settings, &old.Settings
-	set.Self, set.Gateways, set.Zone, set.Gossip, set.SharedCounter = was.Self, was.Gateways, was.Zone, was.Gossip, was.SharedCounter
-	set.LoadReport, c.Host.Report, c.Host.Zones = was.LoadReport, old.Host.Report, old.Host.Zones
-}
-
-// fixed names what another configuration would change that only a restart can.
-func (c *Config) changedFixed(other *Config) (names []string) {
-	for name, changed := range map[string]bool{
-		"name":        c.Name != other.Name,
-		"listen":      c.Listen != other.Listen,
-		"ops":         c.Ops != other.Ops,
-		"peer_listen": c.PeerListen != other.PeerListen,
-		"peers":       !slices.Equal(c.Peers, other.Peers),
-		"limits":      c.MemoryMB != other.MemoryMB || c.Sockets != other.Sockets,
-	} {
-		if changed {
-			names = append(names, name)
-		}
-	}
-	slices.Sort(names)
-	return names
-}
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -10,6 +10,7 @@
 	"strings"
 	"testing"
 
+	"sparspread/internal/config"
 	"sparspread/policy"
 )
 
@@ -39,7 +40,7 @@
 // What can't be read leaves the gateway as it was: it goes on watching.
 func TestReloadThatFailsKeepsTheOld(t *testing.T) {
 	r, _, d := oneBackend(t, nil)
-	r.reloads(Config{}, errors.New("no such file"))
+	r.reloads(config.Config{}, errors.New("no such file"))
 	d.settled(t)
 	second := newBackend(t)
 	d.tell(second.entry("s-00000002", "Ready"), strings.Replace(second.entry("s-00000001", "Gone"), "Ready", "Gone", 1))
@@ -65,7 +66,7 @@
 	second, atSecond := serve("2")
 	b := newBackend(t)
 	d := newFakeDiscovery(t, b.entry("s-00000001", "Ready"))
-	with := func(s *httptest.Server) Config {
+	with := func(s *httptest.Server) config.Config {
 		return configure(t, d, func(f map[string]any) {
 			f["settings"] = json.RawMessage(strings.Replace(settingsText, `"counter":false`, `"counter":true`, 1))
 			f["counter"] = strings.TrimPrefix(s.URL, "http://")
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -15,6 +15,7 @@
 	"testing"
 	"time"
 
+	"sparspread/internal/config"
 	"sparspread/internal/resp"
 	"sparspread/policy"
 )
@@ -228,7 +229,7 @@
 	loop    *Loop
 	clock   *hand
 	reload  chan struct{}
-	configs chan func() (Config, error) // what the next reload reads
+	configs chan func() (config.Config, error) // what the next reload reads
 	once    sync.Once
 	stopped chan struct{}
 	ended   chan struct{}
@@ -296,13 +297,13 @@
 }
 
 // reloads has the gateway take in another configuration, or fail to.
-func (r *rig) reloads(cfg Config, err error) {
-	r.configs <- func() (Config, error) { return cfg, err }
+func (r *rig) reloads(cfg config.Config, err error) {
+	r.configs <- func() (config.Config, error) { return cfg, err }
 	r.reload <- struct{}{}
 }
 
 // configure gives the configuration of a gateway that discovery serves.
-func configure(t testing.TB, d *fakeDiscovery, change func(map[string]any)) Config {
+func configure(t testing.TB, d *fakeDiscovery, change func(map[string]any)) config.Config {
 	t.Helper()
 	f := map[string]any{
 		"name": "n0", "listen": "127.0.0.1:0", "discovery": strings.TrimPrefix(d.URL, "http://"),
@@ -316,7 +317,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg, err := ParseConfig(raw)
+	cfg, err := config.Parse(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -336,7 +337,7 @@
 }
 
 // begin starts a gateway and waits until it is ready.
-func begin(t testing.TB, cfg Config) *rig {
+func begin(t testing.TB, cfg config.Config) *rig {
 	t.Helper()
 	l, err := newLoop(cfg, quiet())
 	if err != nil {
@@ -344,9 +345,9 @@
 	}
 	r := &rig{
 		addr: l.clients.listener.Addr().String(), loop: l, clock: hold(l), stopped: make(chan struct{}), ended: make(chan struct{}),
-		reload: make(chan struct{}), configs: make(chan func() (Config, error), 1),
+		reload: make(chan struct{}), configs: make(chan func() (config.Config, error), 1),
 	}
-	control := Control{Stop: r.stopped, Reload: r.reload, Read: func() (Config, error) { return (<-r.configs)() }}
+	control := Control{Stop: r.stopped, Reload: r.reload, Read: func() (config.Config, error) { return (<-r.configs)() }}
 	go func() { l.serve(control); close(r.ended) }()
 	t.Cleanup(func() {
 		r.stop()
--- a/internal/gateway/term_test.go
+++ b/internal/gateway/term_test.go
@@ -12,10 +12,12 @@
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"sparspread/internal/config"
 )
 
 // oneService has discovery be one service that every gateway of a fleet asks.
-func oneService(cfg *Config) {
+func oneService(cfg *config.Config) {
 	cfg.Settings.PollEndpoints, cfg.Settings.PollWithin = true, 10_000_000
 }
 
@@ -44,7 +46,7 @@
 
 // follows runs a gateway's following of the list on an injected clock until it is told of revision 7,
 // and tells when that was.
-func follows(ctx context.Context, cfg Config, moves <-chan string, discovery http.RoundTripper) time.Time {
+func follows(ctx context.Context, cfg config.Config, moves <-chan string, discovery http.RoundTripper) time.Time {
 	ctx, cancel := context.WithCancel(ctx)
 	d := newDiscovery(&cfg)
 	d.client.Transport = discovery
@@ -103,7 +105,7 @@
 	service, agent := configure(t, bare, nil), configure(t, bare, withGrace)
 	oneService(&service)
 	for name, trouble := range troubles {
-		for mode, cfg := range map[string]Config{"service": service, "agent": agent} {
+		for mode, cfg := range map[string]config.Config{"service": service, "agent": agent} {
 			for _, moved := range []bool{false, true} {
 				t.Run(fmt.Sprintf("%s, %s, moved %t", name, mode, moved), func(t *testing.T) {
 					worst := time.Duration(0)
--- a/internal/simproto/flatten.go
+++ b/internal/settings/flatten.go
@@ -1,4 +1,4 @@
-package simproto
+package settings
 
 import (
 	"bytes"
--- a/internal/simproto/flatten_test.go
+++ b/internal/settings/flatten_test.go
@@ -1,4 +1,4 @@
-package simproto
+package settings
 
 import (
 	"reflect"
@@ -17,7 +17,7 @@
 		"request-classes.count=1\nrequest-classes.0.name=lookup\nrequest-classes.0.promise-us=1000000\n" +
 		"request-classes.0.repeat=dedup\nrequest-classes.0.group=zone\n" +
 		"tariffs.count=2\ntariffs.0.name=team\ntariffs.0.rate=1.25\ntariffs.0.burst=7.0\ntariffs.1.name=other\ntariffs.1.rate=2.0\ntariffs.1.burst=8.0\n"
-	want, err := ParseSettings([]byte(flat))
+	want, err := ParseText([]byte(flat))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simproto/settings.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,6 @@
-package simproto
+// Package settings reads the settings of a deployment, in the simulator's flat text and in the nested JSON of a
+// gateway's configuration. Every key and word of the settings stands in this package.
+package settings
 
 import (
 	"fmt"
@@ -89,6 +91,18 @@
 	}
 }
 
+// The words of the settings that stand for a value.
+var effects = map[string]policy.Idempotency{
+	"retryable": policy.Idempotent, "dedup": policy.IdempotentWithKey, "fragile": policy.NotIdempotent,
+}
+
+var groups = map[string]policy.DedupScope{
+	"all": policy.DedupAll, "zone": policy.DedupZone, "cell": policy.DedupCell,
+}
+
+// metrics are the report values that are told apart; others are passed over.
+var metrics = map[string]policy.LoadMetric{"busy_reqs": policy.BusyMetric, "pending": policy.WaitingMetric}
+
 // keys are the plain settings.
 var keys = map[string]setter{
 	"self-index":                     whole(func(d *draft) *int { return &d.Self }),
@@ -170,9 +184,9 @@
 	planList  = "tariffs"
 )
 
-// ParseSettings reads a settings text. Unknown keys are skipped; a value that
+// ParseText reads a settings text. Unknown keys are skipped; a value that
 // can't be read is an error that names its key.
-func ParseSettings(text []byte) (policy.Settings, error) {
+func ParseText(text []byte) (policy.Settings, error) {
 	values := map[string]string{}
 	for line := range strings.SplitSeq(string(text), "\n") {
 		key, value, ok := strings.Cut(strings.TrimSuffix(line, "\r"), "=")
--- a/internal/simproto/codes.go
+++ b/internal/simproto/codes.go
@@ -1,5 +1,5 @@
-// Package simproto speaks the dune-e1ca dialect of the simulator: frames, records
-// and settings. Every code and key name of the dialect stands in this package.
+// Package simproto speaks the dune-e1ca dialect of the simulator: frames and records. Every code of the dialect
+// stands in this package; the keys of its settings are in package settings.
 package simproto
 
 import "sparspread/policy"
@@ -51,14 +51,3 @@
 }
 
 var states = map[uint8]policy.EndpointState{0: policy.EndpointRemoved, 1: policy.EndpointReady, 2: policy.EndpointDraining}
-
-var effects = map[string]policy.Idempotency{
-	"retryable": policy.Idempotent, "dedup": policy.IdempotentWithKey, "fragile": policy.NotIdempotent,
-}
-
-var groups = map[string]policy.DedupScope{
-	"all": policy.DedupAll, "zone": policy.DedupZone, "cell": policy.DedupCell,
-}
-
-// metrics are the report values that are told apart; others are passed over.
-var metrics = map[string]policy.LoadMetric{"busy_reqs": policy.BusyMetric, "pending": policy.WaitingMetric}
--- a/internal/simproto/wire_test.go
+++ b/internal/simproto/wire_test.go
@@ -149,44 +149,6 @@
 	}
 }
 
-const profile = `balancers=2
-self-index=1
-unknown.key=7
-report.names=served_ps,pending
-membership-mode=on_request
-guarantees.cold-from=0.16
-request-classes.count=1
-request-classes.0.promise-us=600000
-request-classes.0.repeat=dedup
-request-classes.0.group=cell
-tariffs.count=1
-tariffs.0.rate=1.5
-tariffs.0.burst=6
-`
-
-func TestSettings(t *testing.T) {
-	got, err := ParseSettings([]byte(profile))
-	want := policy.Settings{
-		Self: 1, Gateways: 2, PollEndpoints: true, SlowStartFloor: 0.16,
-		LoadReport: []policy.LoadMetric{policy.UnusedMetric, policy.WaitingMetric},
-		Classes:    []policy.Class{{LatencyObjective: 600000, Idempotency: policy.IdempotentWithKey, DedupScope: policy.DedupCell}},
-		Plans:      []policy.Plan{{Rate: 1.5, Burst: 6, ValueFactor: 1}},
-	}
-	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v, %v", got, err)
-	}
-	for key, bad := range map[string]string{
-		"balancers":                "balancers=two",
-		"request-classes.0.repeat": "request-classes.0.repeat=perhaps",
-		"request-classes.count":    "request-classes.count=1000000000",
-		"tariffs.0.rate":           "tariffs.0.rate=",
-	} {
-		if _, err := ParseSettings([]byte(profile + bad + "\n")); err == nil || !strings.Contains(err.Error(), key) {
-			t.Errorf("%s: %v", bad, err)
-		}
-	}
-}
-
 func FuzzDecode(f *testing.F) {
 	f.Add(uint32(1), unhex(f, "04 0300 4d000000"))
 	f.Add(uint32(1), unhex(f, "08 0300 01 2900000000000000 ffffffff 0000"))
--- a/scale/play.go
+++ b/scale/play.go
@@ -18,7 +18,7 @@
 	"sync"
 	"time"
 
-	"sparspread/internal/simproto"
+	"sparspread/internal/settings"
 	"sparspread/policy"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
@@ -169,7 +169,7 @@
 		return nil
 	}
 	s.hollow, err = newHollowTier(s.e, s.post, s.ledger, hollow, s.catalog.told(), func(self int) (policy.Settings, error) {
-		settings, _, err := simproto.ParseJSON(settingsOf(s.e.tier(s.p), self))
+		settings, _, err := settings.ParseJSON(settingsOf(s.e.tier(s.p), self))
 		if err != nil {
 			return settings, fmt.Errorf("settings: %w", err)
 		}
