--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -279,7 +279,7 @@
 	}
 	rate := load * hollowFull * float64(len(p.backends))
 	p.at(p.now+max(1, Time(p.rand.ExpFloat64()/rate*float64(second))), func() {
-		at, to := p.rand.Float64()*total(p.weights), 0
+		at, to := p.rand.Float64()*sum(p.weights), 0
 		for at -= p.weights[0]; at > 0 && to < len(p.weights)-1; at -= p.weights[to] {
 			to++
 		}
@@ -361,11 +361,11 @@
 		ahead, mine := 0, 0.0
 		for i, s := range b.sent {
 			for ahead < len(b.sent) && b.sent[ahead].at <= s.at+p.set.OverloadWindow {
-				mine += step(b.sent[ahead].told)
+				mine += indicator(b.sent[ahead].told)
 				ahead++
 			}
 			sum, sumTold := float64(ahead-i), mine
-			mine -= step(s.told)
+			mine -= indicator(s.told)
 			if s.at < b.starts || s.at >= b.starts+p.set.SlowStartTime {
 				continue
 			}
@@ -391,7 +391,7 @@
 			continue
 		}
 		for _, s := range b.sent {
-			sent += step(s.at >= b.starts)
+			sent += indicator(s.at >= b.starts)
 		}
 		for at := b.starts; at < start+coldEnd; at += second / 100 {
 			could += b.warmth(at, &p.set) * hollowFull / 100
@@ -411,10 +411,10 @@
 // Guards the rule on cold backends: through all gateways together none gets more in a span of the
 // settings' length than it bears and chance adds, and each is of use meanwhile.
 func TestColdBackendsStayWithinTheBudgetOfTheWholeFleet(t *testing.T) {
-	burst := func(age Time) float64 { return 0.7 + 0.35*step(age > second && age < 6*second) }
+	burst := func(age Time) float64 { return 0.7 + 0.35*indicator(age > second && age < 6*second) }
 	full := func(Time) float64 { return 0.95 }
 	over := func(Time) float64 { return 1.6 }
-	lull := func(age Time) float64 { return 0.7 - 0.65*step(age > -6*second && age < 3*second) }
+	lull := func(age Time) float64 { return 0.7 - 0.65*indicator(age > -6*second && age < 3*second) }
 	restart := func(p *coldPlay) {
 		for i := range p.nodes {
 			p.at(p.now+second+Time(i*10/len(p.nodes))*second/5, func() { p.begin(i, 1) })
@@ -440,7 +440,7 @@
 		}
 	}
 	early := func(set *Settings) { set.OverloadFactor, set.SlowStartFloor = 1.5, 0.15 }
-	rise := func(age Time) float64 { return 0.2 + 0.8*step(age > 6*second) }
+	rise := func(age Time) float64 { return 0.2 + 0.8*indicator(age > 6*second) }
 	cases := []coldCase{
 		{name: "even", cold: 0.2},
 		{name: "arcs", cold: 0.2, price: 0.08},
@@ -516,19 +516,19 @@
 		r.serve(0, 1, 9, 1)
 	}
 	for i := range list {
-		if r.byID[list[i].ID].near {
+		if r.backendsByID[list[i].ID].inSubset {
 			list[i].StartedAt = r.at
 		}
 	}
-	before := r.pace.get(r.at, paceTime)
+	before := r.sendRate.value(r.at, sendRateDecay)
 	r.UpdateEndpoints(r.at, UpdateComplete, list)
 	sent := 0
 	for i := range 100 {
 		r.at += second / 20
-		sent += int(step(r.serve(0, 1, uint64(i), 1)))
+		sent += int(indicator(r.serve(0, 1, uint64(i), 1)))
 	}
 	if sent < 50 || before == 0 {
 		t.Fatalf("%d of 100 sent, the pace was %g: want the far ones used", sent, before)
 	}
-	near(t, "the pace", r.pace.get(r.at, paceTime), before)
+	near(t, "the pace", r.sendRate.value(r.at, sendRateDecay), before)
 }
--- a/policy/controller_test.go
+++ b/policy/controller_test.go
@@ -125,7 +125,7 @@
 	}
 	n := len(q.attempts) - 1
 	r.AttemptEnded(r.at, Outcome{
-		RequestID: id, Attempt: n, Backend: q.attempts[n].b.ID, Result: result,
+		RequestID: id, Attempt: n, Backend: q.attempts[n].backend.ID, Result: result,
 		Latency: second / 10, Answered: over,
 	})
 }
@@ -159,7 +159,7 @@
 		{5, 10 * second, 5, 20},
 		{-3, second, -1, 0},
 	} {
-		b := bank{level: c.level, rate: 2, cap: 5, at: start}
+		b := tokenBucket{level: c.level, rate: 2, capacity: 5, updatedAt: start}
 		near(t, "spill", b.refill(start+c.after), c.spill)
 		near(t, "level", b.level, c.want)
 	}
@@ -189,8 +189,8 @@
 	r.serve(0, 1, 1, 1)
 	r.at += 10 * second // the bank of customer 1 is full and spills
 	r.serve(0, 1, 1, 1)
-	if r.lend.level < 10 {
-		t.Fatalf("bank 0 holds %g after ten seconds of spill", r.lend.level)
+	if r.sharedBucket.level < 10 {
+		t.Fatalf("bank 0 holds %g after ten seconds of spill", r.sharedBucket.level)
 	}
 	sent := 0
 	for range 40 {
@@ -201,7 +201,7 @@
 	if sent <= 20 {
 		t.Errorf("a soft customer got %d units, want more than its burst of 20", sent)
 	}
-	r.lend.level = 10
+	r.sharedBucket.level = 10
 	sent = 0
 	for range 40 {
 		if r.serve(0, 0, 3, 1) {
@@ -227,12 +227,12 @@
 	r.TimerFired(r.at, 0)
 	r.at += 60 * second
 	r.TimerFired(r.at, 0)
-	if n := len(r.customers) + len(r.order); n != 0 {
+	if n := len(r.customers) + len(r.customerOrder); n != 0 {
 		t.Errorf("%d records are kept of idle customers", n)
 	}
 	// A customer that comes counts as one of those dropped, known or not.
-	if r.lend.rate <= 100 || r.lend.rate > 3000 {
-		t.Errorf("bank 0 is fed at %g a second by 3000 idle slices of 1", r.lend.rate)
+	if r.sharedBucket.rate <= 100 || r.sharedBucket.rate > 3000 {
+		t.Errorf("bank 0 is fed at %g a second by 3000 idle slices of 1", r.sharedBucket.rate)
 	}
 }
 
@@ -252,8 +252,8 @@
 	for _, line := range told {
 		var peer int
 		var note []byte
-		if n, _ := fmt.Sscanf(line, "tell %d %x", &peer, &note); n == 2 && peer == to.set.Self {
-			to.GossipReceived(to.at, from.set.Self, note)
+		if n, _ := fmt.Sscanf(line, "tell %d %x", &peer, &note); n == 2 && peer == to.settings.Self {
+			to.GossipReceived(to.at, from.settings.Self, note)
 		}
 	}
 }
@@ -285,23 +285,23 @@
 	for range 3 {
 		a.serve(0, 1, 9, 4)
 		c := a.customers[9]
-		notes = append(notes, (&entry{id: 9, plan: 1, spread: 2, taken: counted(c.taken), left: 0.5}).put(a.noteHead()))
+		notes = append(notes, (&usageEntry{customer: 9, plan: 1, replicas: 2, consumed: packUnits(c.consumed), remaining: 0.5}).appendTo(a.newMessage()))
 	}
 	b.GossipReceived(b.at, 0, notes[0])
-	level := b.customers[9].store.level
+	level := b.customers[9].bucket.level
 	b.GossipReceived(b.at, 0, notes[2]) // the second is lost
-	near(t, "level after 8 more units", b.customers[9].store.level, level-8)
+	near(t, "level after 8 more units", b.customers[9].bucket.level, level-8)
 	b.GossipReceived(b.at, 0, notes[2])
 	b.GossipReceived(b.at, 0, notes[1])
-	near(t, "level after a repeat and a late note", b.customers[9].store.level, level-8)
+	near(t, "level after a repeat and a late note", b.customers[9].bucket.level, level-8)
 }
 
 func TestMalformedNotesArePassedOver(t *testing.T) {
 	_, b := pair(t)
-	good := (&entry{id: 9, plan: 0, spread: 2}).put(noteHead(1, 0, 0))
+	good := (&usageEntry{customer: 9, plan: 0, replicas: 2}).appendTo(messageHeader(1, 0, 0))
 	bad := slices.Clone(good)
 	bad[0]++
-	plan := (&entry{id: 9, plan: 200, spread: 2}).put(noteHead(1, 0, 0))
+	plan := (&usageEntry{customer: 9, plan: 200, replicas: 2}).appendTo(messageHeader(1, 0, 0))
 	for _, note := range [][]byte{nil, {1}, good[:len(good)-1], append(slices.Clone(good), 0), bad, plan} {
 		b.GossipReceived(b.at, 0, note)
 	}
@@ -322,12 +322,12 @@
 		b.serve(0, 1, 9, 1)
 	}
 	tellAll(b, a)
-	if part := a.part(a.customers[9]); part < 0.7 || part > 0.8 {
+	if part := a.quotaShare(a.customers[9]); part < 0.7 || part > 0.8 {
 		t.Errorf("part %g, want about three quarters", part)
 	}
 	a.at += 30 * second
 	a.serve(0, 1, 9, 1)
-	if part := a.part(a.customers[9]); part < 0.99 {
+	if part := a.quotaShare(a.customers[9]); part < 0.99 {
 		t.Errorf("part %g with the peer long silent, want all", part)
 	}
 }
@@ -339,13 +339,13 @@
 	}
 	tellAll(a, b)
 	tellAll(a, b)
-	again, err := New(a.set, 8, &fake{})
+	again, err := New(a.settings, 8, &fake{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{Controller: again, fake: again.do.(*fake), t: t, at: b.at}
+	r := &rig{Controller: again, fake: again.actions.(*fake), t: t, at: b.at}
 	r.UpdateEndpoints(r.at, UpdateStale, members(4))
-	b.GossipReceived(b.at, 0, again.noteHead()) // its greeting
+	b.GossipReceived(b.at, 0, again.newMessage()) // its greeting
 	tellAll(b, r)
 	if r.serve(0, 0, 9, 2) {
 		t.Error("the restarted gateway gave the spent burst out again")
@@ -362,13 +362,13 @@
 		t.Fatal("use was not counted")
 	}
 	r.CounterAnswered(r.at, 9, ResultOK, 2)
-	near(t, "level", r.customers[9].store.level, 6)
+	near(t, "level", r.customers[9].bucket.level, 6)
 	r.serve(0, 0, 9, 2)
 	r.TimerFired(r.at, 0)
 	r.CounterAnswered(r.at, 9, ResultOK, 7)
-	near(t, "level after 3 units by others", r.customers[9].store.level, 1)
+	near(t, "level after 3 units by others", r.customers[9].bucket.level, 1)
 	r.CounterAnswered(r.at, 9, ResultOK, 100) // no call is out
-	near(t, "level after a stray answer", r.customers[9].store.level, 1)
+	near(t, "level after a stray answer", r.customers[9].bucket.level, 1)
 }
 
 func TestMeterSetsTheSlice(t *testing.T) {
@@ -376,10 +376,10 @@
 	set.Gossip, set.MeterPeriod = false, second
 	r := newRig(t, set)
 	id, _ := r.ask(0, 1, 9, 5)
-	near(t, "slice before a reading", r.part(r.customers[9]), 0.5)
-	b := r.requests[id].attempts[0].b.ID
+	near(t, "slice before a reading", r.quotaShare(r.customers[9]), 0.5)
+	b := r.requests[id].attempts[0].backend.ID
 	r.AttemptEnded(r.at, Outcome{RequestID: id, Backend: b, Result: ResultOK, Latency: 1, Answered: true, MeterReading: 201})
-	near(t, "slice with a quarter of the use", r.part(r.customers[9]), 0.25)
+	near(t, "slice with a quarter of the use", r.quotaShare(r.customers[9]), 0.25)
 }
 
 func TestSettledUnitsAndOpenLimit(t *testing.T) {
@@ -388,8 +388,8 @@
 	set.Plans[0].ConcurrencyLimit = 2
 	r := newRig(t, set)
 	id, _ := r.ask(0, 0, 9, 2)
-	r.AttemptEnded(r.at, Outcome{RequestID: id, Backend: r.requests[id].attempts[0].b.ID, Result: ResultOK, Latency: 1, Answered: true, ActualCost: 5})
-	near(t, "store after 5 true units", r.customers[9].store.level, 8.0/1-5)
+	r.AttemptEnded(r.at, Outcome{RequestID: id, Backend: r.requests[id].attempts[0].backend.ID, Result: ResultOK, Latency: 1, Answered: true, ActualCost: 5})
+	near(t, "store after 5 true units", r.customers[9].bucket.level, 8.0/1-5)
 	r.ask(0, 0, 8, 1)
 	r.ask(0, 0, 8, 1)
 	if _, sent := r.ask(0, 0, 8, 1); sent {
@@ -400,7 +400,7 @@
 func TestCeilingHoldsThroughRestartsWithPeersSilent(t *testing.T) {
 	set := settings()
 	plan := set.Plans[2]
-	truth := bank{plan.CeilingBurst, plan.CeilingRate, plan.CeilingBurst, start}
+	truth := tokenBucket{plan.CeilingBurst, plan.CeilingRate, plan.CeilingBurst, start}
 	born := func(self int, at Time) *rig {
 		set.Self = self
 		g, err := New(set, uint64(at), &fake{})
@@ -408,7 +408,7 @@
 			t.Fatal(err)
 		}
 		g.UpdateEndpoints(at, UpdateStale, members(4))
-		return &rig{Controller: g, fake: g.do.(*fake), t: t}
+		return &rig{Controller: g, fake: g.actions.(*fake), t: t}
 	}
 	gateways := []*rig{born(0, start), born(1, start)}
 	sent, lowest := 0.0, 0.0
@@ -418,7 +418,7 @@
 			gateways[i/250%2] = born(i/250%2, at)
 		}
 		for _, r := range gateways {
-			r.at, r.lend.level = at, 100 // whatever bank 0 would give
+			r.at, r.sharedBucket.level = at, 100 // whatever bank 0 would give
 			if r.serve(0, 2, 9, 1) {
 				sent++
 				truth.refill(at)
@@ -437,8 +437,8 @@
 
 func TestMay(t *testing.T) {
 	x, y := &backend{Endpoint: Endpoint{Cell: 1}}, &backend{Endpoint: Endpoint{Cell: 2}}
-	ran, unran := &attempt{b: x, at: start, mayRun: true}, &attempt{b: y, at: start}
-	out := &attempt{b: x, at: start, mayRun: true, pending: true}
+	ran, unran := &attempt{backend: x, sentAt: start, mayHaveRun: true}, &attempt{backend: y, sentAt: start}
+	out := &attempt{backend: x, sentAt: start, mayHaveRun: true, pending: true}
 	safe, unsafe := &Class{Idempotency: Idempotent}, &Class{Idempotency: NotIdempotent}
 	cell, all := &Class{Idempotency: IdempotentWithKey, DedupScope: DedupCell, DedupWindow: second}, &Class{Idempotency: IdempotentWithKey, DedupWindow: second}
 	for _, c := range []struct {
@@ -461,7 +461,7 @@
 		{"keyed everywhere", all, []*attempt{ran}, false, 0, true, true, ran},
 		{"keyed never ran", cell, []*attempt{unran}, false, 9 * second, true, true, nil},
 	} {
-		again, within, refuse := c.class.may(c.tries, c.copies, start+c.at, 1000)
+		again, within, refuse := c.class.retryRule(c.tries, c.copies, start+c.at, 1000)
 		if again != c.again || within != c.within || refuse != c.refuse {
 			t.Errorf("%s: again %v within %v refuse %v", c.name, again, within, refuse)
 		}
@@ -483,7 +483,7 @@
 	} {
 		r := newRig(t, settings())
 		id, _ := r.ask(c.class, 1, 9, 1)
-		first := r.requests[id].attempts[0].b
+		first := r.requests[id].attempts[0].backend
 		r.end(id, c.result, false)
 		if got := r.last(); !strings.HasPrefix(got, fmt.Sprintf("%s %d", c.want, id)) {
 			t.Errorf("%s: %q", c.name, got)
@@ -492,7 +492,7 @@
 		if c.want != "send" {
 			continue
 		}
-		if second := r.requests[id].attempts[1].b; second == first || c.class == 2 && second.Cell != first.Cell {
+		if second := r.requests[id].attempts[1].backend; second == first || c.class == 2 && second.Cell != first.Cell {
 			t.Errorf("%s: to backend %d of cell %d", c.name, second.ID, second.Cell)
 		}
 		for r.requests[id] != nil {
@@ -538,7 +538,7 @@
 		r := newRig(t, settings())
 		r.UpdateEndpoints(r.at, news.news, news.list)
 		for i := range uint64(30) {
-			if id, sent := r.ask(0, 1, i, 1); sent && r.requests[id].attempts[0].b.ID < 3 {
+			if id, sent := r.ask(0, 1, i, 1); sent && r.requests[id].attempts[0].backend.ID < 3 {
 				t.Fatal("sent to a backend that drains or is gone")
 			}
 		}
@@ -556,10 +556,10 @@
 		for i := range seconds * 100 {
 			r.at += second / 100
 			if id, sent := r.ask(0, 1, uint64(i), 1); sent {
-				got[r.requests[id].attempts[0].b.ID]++
+				got[r.requests[id].attempts[0].backend.ID]++
 				out = append(out, id)
 			}
-			for len(out) > 0 && r.at-r.requests[out[0]].attempts[0].at >= second/10 {
+			for len(out) > 0 && r.at-r.requests[out[0]].attempts[0].sentAt >= second/10 {
 				r.end(out[0], ResultOK, true)
 				out = out[1:]
 			}
@@ -588,7 +588,7 @@
 func TestABrokenBackendIsTriedByProbeAndComesBackCold(t *testing.T) {
 	r := newRig(t, settings())
 	id, _ := r.ask(0, 1, 9, 1)
-	b := r.requests[id].attempts[0].b
+	b := r.requests[id].attempts[0].backend
 	r.end(id, ResultConnectFailed, false)
 	r.at += second
 	r.TimerFired(r.at, 0)
@@ -596,7 +596,7 @@
 		t.Fatal("the broken backend was not probed")
 	}
 	r.HealthCheckEnded(r.at, b.ID, ResultOK, nil)
-	if r.sick(b) || r.share(b) == 1 {
+	if r.unhealthy(b) || r.slowStartShare(b) == 1 {
 		t.Error("a backend whose connections broke must come back, and for cold")
 	}
 }
@@ -606,24 +606,24 @@
 func TestOneResetLeavesTheBackendIn(t *testing.T) {
 	r := newRig(t, settings())
 	id, _ := r.ask(0, 1, 9, 1)
-	b := r.requests[id].attempts[0].b
+	b := r.requests[id].attempts[0].backend
 	r.end(id, ResultReset, true)
-	if b.down || r.sick(b) {
+	if b.down || r.unhealthy(b) {
 		t.Error("left out after a single reset")
 	}
 	r.at += 10 * second
 	r.TimerFired(r.at, 0)
-	if r.broke(b, ResultReset) || b.down {
+	if r.recordConnectionFailure(b, ResultReset) || b.down {
 		t.Error("left out for two resets long apart")
 	}
 	for range 3 {
-		r.broke(b, ResultReset)
+		r.recordConnectionFailure(b, ResultReset)
 	}
 	if !b.down {
 		t.Fatal("kept after many resets at once")
 	}
 	r.HealthCheckEnded(r.at, b.ID, ResultOK, nil)
-	if b.down || r.share(b) < 1 {
+	if b.down || r.slowStartShare(b) < 1 {
 		t.Error("one whose connections were only reset came back for cold")
 	}
 }
@@ -632,20 +632,20 @@
 func TestASilentBackendIsLeftOut(t *testing.T) {
 	r := newRig(t, settings())
 	stuck, _ := r.ask(0, 1, 9, 1)
-	b := r.requests[stuck].attempts[0].b
+	b := r.requests[stuck].attempts[0].backend
 	for i := range 150 {
 		r.at += second / 100
 		r.TimerFired(r.at, 0)
-		if id, sent := r.ask(0, 1, uint64(i), 1); sent && r.requests[id].attempts[0].b != b {
+		if id, sent := r.ask(0, 1, uint64(i), 1); sent && r.requests[id].attempts[0].backend != b {
 			r.end(id, ResultOK, true)
 		}
 	}
-	if !b.down || !r.sick(b) {
+	if !b.down || !r.unhealthy(b) {
 		t.Error("a backend that answers nothing for several aims is still used")
 	}
 	r.at += second
 	r.HealthCheckEnded(r.at, b.ID, ResultOK, nil)
-	if r.sick(b) || r.share(b) != 1 {
+	if r.unhealthy(b) || r.slowStartShare(b) != 1 {
 		t.Error("a backend that was only silent must come back warm")
 	}
 }
@@ -665,7 +665,7 @@
 	}
 	r.at += 2 * second
 	for _, b := range r.backends {
-		b.quiet = r.at // each has answered others
+		b.unansweredSince = r.at // each has answered others
 	}
 	if _, sent := r.ask(1, 1, 200, 1); !sent {
 		t.Error("attempts past their aim still fill the room")
@@ -678,7 +678,7 @@
 		r.at += second / 100
 		id, sent := r.ask(0, 1, uint64(i), 1)
 		for sent && r.requests[id] != nil {
-			if q := r.requests[id]; q.attempts[len(q.attempts)-1].b.ID == 2 {
+			if q := r.requests[id]; q.attempts[len(q.attempts)-1].backend.ID == 2 {
 				r.end(id, ResultFailed, false)
 			} else {
 				r.end(id, ResultOK, true)
@@ -688,12 +688,12 @@
 	if n := r.fake.count("send") - 200; n > 20 {
 		t.Errorf("%d of 200 requests met the backend that fails all", n)
 	}
-	b := r.byID[2]
+	b := r.backendsByID[2]
 	for range 5 {
-		r.judge(&attempt{b: b}, 0, ResultFailed, 1)
+		r.recordResult(&attempt{backend: b}, 0, ResultFailed, 1)
 	}
-	if b.errs < sickShare || r.fake.count("log backend 2 out: errors") == 0 {
-		t.Errorf("errors %g", b.errs)
+	if b.errorRate < ejectionErrorRate || r.fake.count("log backend 2 out: errors") == 0 {
+		t.Errorf("errors %g", b.errorRate)
 	}
 }
 
@@ -757,7 +757,7 @@
 	set.Gateways = 12
 	set.Plans[1].Rate, set.Plans[1].Burst, set.Plans[1].OverageRevenue = 20, 40, 0
 	probe := newRig(t, set)
-	first := func(id uint64) int { return 12 - probe.home(&customer{id: id, spread: 12}, 0) }
+	first := func(id uint64) int { return 12 - probe.coordinator(&customer{id: id, replicas: 12}, 0) }
 	home = newRig(t, set)
 	set.Self = 5
 	member = newRig(t, set)
@@ -855,7 +855,7 @@
 		set.Plans[0] = Plan{Name: "large", Rate: 40, Burst: 64, CeilingRate: 80, CeilingBurst: 128, CeilingSlack: 12, ValueFactor: 1}
 		rigs, settle := fleet(t, set)
 		settle()
-		homes := rigs[0].homes(&customer{id: 9, plan: 0, spread: gateways})
+		homes := rigs[0].coordinatorCount(&customer{id: 9, plan: 0, replicas: gateways})
 		if homes < 2 || homes > 4 {
 			t.Fatalf("%d homes, want some that hold two of the largest requests each", homes)
 		}
@@ -874,22 +874,22 @@
 			settle()
 			if slices.ContainsFunc(r.done, func(l string) bool { return strings.HasPrefix(l, "send") }) {
 				sent += 2
-				r.AttemptEnded(r.at, Outcome{RequestID: r.next, Backend: r.requests[r.next].attempts[0].b.ID, Result: ResultOK, Answered: true})
+				r.AttemptEnded(r.at, Outcome{RequestID: r.next, Backend: r.requests[r.next].attempts[0].backend.ID, Result: ResultOK, Answered: true})
 			}
 		}
-		var quota, ceiling bank
+		var quota, ceiling tokenBucket
 		for _, r := range rigs {
 			if c := r.customers[9]; c != nil {
-				if r.keeps(c) {
-					quota.rate, quota.cap = quota.rate+c.store.rate, quota.cap+c.store.cap
+				if r.grantsQuota(c) {
+					quota.rate, quota.capacity = quota.rate+c.bucket.rate, quota.capacity+c.bucket.capacity
 				}
-				ceiling.rate, ceiling.cap = ceiling.rate+c.ceiling.rate, ceiling.cap+c.ceiling.cap
+				ceiling.rate, ceiling.capacity = ceiling.rate+c.ceiling.rate, ceiling.capacity+c.ceiling.capacity
 			}
 		}
 		near(t, "rate over all homes", quota.rate, 40)
-		near(t, "burst over all homes", quota.cap, 64)
+		near(t, "burst over all homes", quota.capacity, 64)
 		near(t, "rate of the ceiling over all", ceiling.rate, 80)
-		near(t, "burst of the ceiling over all", ceiling.cap, 128)
+		near(t, "burst of the ceiling over all", ceiling.capacity, 128)
 		if most := 64 + 40.0*seconds; sent > most || sent < 0.9*most {
 			t.Errorf("%d gateways sent %.0f units in %d s, want most of %.0f", gateways, sent, seconds, most)
 		}
@@ -901,8 +901,8 @@
 	set := settings()
 	set.Gateways, set.GossipPerSecond, set.MaxCost = 12, 40, 8
 	set.Plans[0] = Plan{Name: "large", Rate: 40, Burst: 64, ValueFactor: 1}
-	c := &customer{id: 9, plan: 0, spread: 12}
-	for set.Self = 0; newRig(t, set).keeps(c); set.Self++ {
+	c := &customer{id: 9, plan: 0, replicas: 12}
+	for set.Self = 0; newRig(t, set).grantsQuota(c); set.Self++ {
 	}
 	r := newRig(t, set)
 	asks := func() (to []string) {
@@ -915,8 +915,8 @@
 	}
 	r.done = nil
 	r.RequestReceived(r.at, Request{ID: 1, Customer: 9, Cost: 2, Timeout: 4 * second, Replicas: 12})
-	r.at += Time(askWait * float64(r.shortAim))
-	r.TimerFired(r.at, askToken)
+	r.at += Time(quotaRequestTimeout * float64(r.shortestObjective))
+	r.TimerFired(r.at, quotaRequestTimer)
 	if to := asks(); len(to) != 2 || to[0] == to[1] {
 		t.Fatalf("asked %v, want two homes", to)
 	}
@@ -928,8 +928,8 @@
 	if to := asks(); len(to) != 20 || slices.Contains(to, silent) {
 		t.Errorf("asked %v, want none of the silent home %s", to, silent)
 	}
-	r.at += Time(askWait * float64(r.shortAim))
-	r.TimerFired(r.at, askToken)
+	r.at += Time(quotaRequestTimeout * float64(r.shortestObjective))
+	r.TimerFired(r.at, quotaRequestTimer)
 	if r.fake.count("send 1 ") != 1 {
 		t.Errorf("%v, want the first request decided by the slice", r.done)
 	}
@@ -943,12 +943,12 @@
 	if member.fake.count("send") != 0 || member.fake.count("tell 0 ") != 1 || member.fake.count("timer") != 1 {
 		t.Fatalf("%v, want an ask to the home and a timer", member.done)
 	}
-	member.TimerFired(member.at+second/10, askToken)
+	member.TimerFired(member.at+second/10, quotaRequestTimer)
 	if member.fake.count("send 1 ") != 1 {
 		t.Errorf("%v, want it sent", member.done)
 	}
 	before := len(member.done)
-	member.GossipReceived(member.at+second/5, 0, grant{id: 9, part: 1, ask: 1, yes: true}.put(noteHead(1, 0, 0)))
+	member.GossipReceived(member.at+second/5, 0, grant{customer: 9, fraction: 1, quotaRequest: 1, approved: true}.appendTo(messageHeader(1, 0, 0)))
 	if len(member.done) != before {
 		t.Errorf("a late answer acted: %v", member.done[before:])
 	}
@@ -959,23 +959,23 @@
 func TestAClientThatLeftIsNotAnswered(t *testing.T) {
 	says := func(yes bool) func(*rig) {
 		return func(member *rig) {
-			member.GossipReceived(member.at, 0, grant{id: 9, part: 1, ask: 1, yes: yes}.put(noteHead(1, 0, 0)))
+			member.GossipReceived(member.at, 0, grant{customer: 9, fraction: 1, quotaRequest: 1, approved: yes}.appendTo(messageHeader(1, 0, 0)))
 		}
 	}
 	for name, then := range map[string]func(*rig){
 		"yes": says(true), "no": says(false),
-		"nothing": func(member *rig) { member.TimerFired(member.at+second/10, askToken) },
+		"nothing": func(member *rig) { member.TimerFired(member.at+second/10, quotaRequestTimer) },
 	} {
 		_, member := wideRigs(t)
 		member.RequestReceived(member.at, Request{ID: 1, Customer: 9, Cost: 1, Timeout: 2 * second, FirstReplica: member.firsts[9], Replicas: 12})
-		if len(member.waiting) != 1 {
-			t.Fatalf("%s: %d wait for the home", name, len(member.waiting))
+		if len(member.awaitingGrant) != 1 {
+			t.Fatalf("%s: %d wait for the home", name, len(member.awaitingGrant))
 		}
 		member.RequestCancelled(member.at, 1)
 		member.done = nil
 		then(member)
-		if len(member.done) != 0 || len(member.waiting) != 0 {
-			t.Errorf("%s: acted for a client that left: %v, %d waiting", name, member.done, len(member.waiting))
+		if len(member.done) != 0 || len(member.awaitingGrant) != 0 {
+			t.Errorf("%s: acted for a client that left: %v, %d waiting", name, member.done, len(member.awaitingGrant))
 		}
 	}
 }
@@ -984,14 +984,14 @@
 func TestStandingStillIsNoFaultOfTheBackends(t *testing.T) {
 	r := newRig(t, settings())
 	id, _ := r.ask(0, 1, 9, 1)
-	b := r.requests[id].attempts[0].b
+	b := r.requests[id].attempts[0].backend
 	r.TimerFired(r.at, 0)
 	r.at += 3 * second
 	if _, sent := r.ask(0, 1, 8, 1); !sent || b.down {
 		t.Error("what was out while the gateway stood still counts as unanswered")
 	}
 	r.AttemptEnded(r.at, Outcome{RequestID: id, Backend: b.ID, Result: ResultOK, Latency: 3 * second, Answered: true})
-	if b.slow != 0 || r.mean.v != 0 {
+	if b.latencyRatio != 0 || r.mean.value != 0 {
 		t.Error("the time that an answer waited for this gateway counts as the backend's")
 	}
 }
@@ -1023,12 +1023,12 @@
 func TestPatienceEndsWhileThereIsTimeForAnother(t *testing.T) {
 	r := newRig(t, settings())
 	for _, class := range []int{0, 1} {
-		r.base[class].add(float64(second/50), learn)
+		r.base[class].add(float64(second/50), fleetSampleWeight)
 	}
 	for _, c := range []struct {
 		class int
 		until Time
-	}{{0, patience * second / 50}, {1, 0}} { // a safe class and an unsafe one
+	}{{0, attemptTimeoutFactor * second / 50}, {1, 0}} { // a safe class and an unsafe one
 		r.waits = nil
 		if _, sent := r.ask(c.class, 1, 9, 1); !sent {
 			t.Fatal("not sent")
@@ -1048,13 +1048,13 @@
 		r.ask(0, 1, uint64(i), 1)
 	}
 	for _, b := range r.backends {
-		b.overdue = b.out
+		b.overdue = b.inFlight
 	}
-	near(t, "held with others in time", r.held(), 0)
+	near(t, "held with others in time", r.effectiveInFlight(), 0)
 	for range 200 {
-		r.late.add(1, learnOne)
+		r.lateShare.add(1, backendSampleWeight)
 	}
-	near(t, "held with all others late", r.held(), 4)
+	near(t, "held with all others late", r.effectiveInFlight(), 4)
 }
 
 // Guards against trouble for one class or plan that each gateway meets too seldom to
@@ -1070,13 +1070,13 @@
 	} {
 		a, b := pair(t)
 		id, _ := a.ask(c.class, c.plan, 9, 1)
-		bad := a.requests[id].attempts[0].b.ID
+		bad := a.requests[id].attempts[0].backend.ID
 		a.end(id, c.how, true)
 		tellAll(a, b)
 		used := func(class, plan int) bool {
 			for i := range 40 {
 				id, sent := b.ask(class, plan, uint64(100+i), 1)
-				if sent && b.requests[id].attempts[0].b.ID == bad {
+				if sent && b.requests[id].attempts[0].backend.ID == bad {
 					return true
 				}
 				if sent {
@@ -1103,7 +1103,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := &rig{Controller: g, fake: g.do.(*fake), t: t, at: start}
+		r := &rig{Controller: g, fake: g.actions.(*fake), t: t, at: start}
 		list := members(4)
 		list[3].StartedAt = start
 		g.UpdateEndpoints(start, UpdateComplete, list)
@@ -1111,7 +1111,7 @@
 			r.at += second / 2
 			r.TimerFired(r.at, 0)
 			id, ok := r.ask(0, 1, uint64(i), 1)
-			if ok && r.requests[id].attempts[0].b.ID == 4 {
+			if ok && r.requests[id].attempts[0].backend.ID == 4 {
 				sent++
 			}
 			if ok {
@@ -1139,7 +1139,7 @@
 			t.Fatal(err)
 		}
 		g.UpdateEndpoints(start, UpdateComplete, list)
-		fleet = append(fleet, &rig{Controller: g, fake: g.do.(*fake), t: t, at: start})
+		fleet = append(fleet, &rig{Controller: g, fake: g.actions.(*fake), t: t, at: start})
 	}
 	customer := uint64(0)
 	sent := func(seconds int) map[uint32]float64 {
@@ -1150,7 +1150,7 @@
 				r.TimerFired(r.at, 0)
 				customer++
 				if id, ok := r.ask(0, 1, customer*gateways+uint64(i), 1); ok {
-					got[r.requests[id].attempts[0].b.ID]++
+					got[r.requests[id].attempts[0].backend.ID]++
 					r.end(id, ResultOK, true)
 				}
 				r.done = nil
@@ -1206,8 +1206,8 @@
 				g.UpdateEndpoints(start, UpdateComplete, list)
 				own := map[int]int{}
 				for _, b := range g.backends {
-					near[b.ID] += int(step(b.near))
-					own[b.Zone] += int(step(b.near))
+					near[b.ID] += int(indicator(b.inSubset))
+					own[b.Zone] += int(indicator(b.inSubset))
 				}
 				if len(own) != zones || own[0]*own[1]*own[2] == 0 {
 					t.Fatalf("%v: gateway %d prefers %v of the zones", c, set.Self, own)
@@ -1220,8 +1220,8 @@
 			switch {
 			case len(near) != c.backends || c.price == 0 && least < c.gateways:
 				t.Errorf("%v: near to %d to %d gateways, want all where a handshake costs nothing", c, least, most)
-			case c.price > 0 && (least < min(nearShared-2, c.gateways) || most > 2*nearShared):
-				t.Errorf("%v: near to %d to %d gateways, want about %d", c, least, most, nearShared)
+			case c.price > 0 && (least < min(gatewaysPerBackend-2, c.gateways) || most > 2*gatewaysPerBackend):
+				t.Errorf("%v: near to %d to %d gateways, want about %d", c, least, most, gatewaysPerBackend)
 			}
 		}
 	}
@@ -1233,23 +1233,23 @@
 	set.Gateways, set.HandshakePrice, set.HealthChecks = 80, 0.08, false
 	r := newRig(t, set)
 	r.UpdateEndpoints(r.at, UpdateComplete, members(20))
-	chosen := func() *backend { return r.choose(&request{Request: Request{}}, nil) }
+	chosen := func() *backend { return r.chooseBackend(&request{Request: Request{}}, nil) }
 	for range 6 {
 		b := chosen()
-		if !b.near {
+		if !b.inSubset {
 			t.Fatal("want a near backend while one idles")
 		}
-		b.out++
+		b.inFlight++
 	}
-	if chosen().near {
+	if chosen().inSubset {
 		t.Error("want one that idles, though a connection to it has a price, when all near ones are busy")
 	}
 	for _, b := range r.backends {
-		if b.out = 0; b.near {
-			b.down, b.trialAt = true, r.at+healTime
+		if b.inFlight = 0; b.inSubset {
+			b.down, b.nextTrialAt = true, r.at+maxEjectionTime
 		}
 	}
-	if b := chosen(); b == nil || b.near {
+	if b := chosen(); b == nil || b.inSubset {
 		t.Error("want another backend when all near ones are down")
 	}
 }
@@ -1260,7 +1260,7 @@
 		r := newRig(t, settings())
 		r.TimerFired(r.at, 0)
 		for range 200 {
-			r.late.add(late, learnOne)
+			r.lateShare.add(late, backendSampleWeight)
 		}
 		n := 0
 		for n < 100 {
@@ -1284,8 +1284,8 @@
 		for _, spread := range []int{-1, 0, 3, 9, 12, 100} {
 			r := newRig(t, set)
 			r.RequestReceived(r.at, Request{ID: 1, Customer: 9, Cost: 1, Timeout: second, FirstReplica: first, Replicas: spread})
-			r.TimerFired(r.at+second, askToken)
-			r.TimerFired(r.at+second, noteToken)
+			r.TimerFired(r.at+second, quotaRequestTimer)
+			r.TimerFired(r.at+second, gossipTimer)
 			if r.fake.count("send 1 ") != 1 {
 				t.Errorf("first %d, spread %d: %v", first, spread, r.done)
 			}
@@ -1301,15 +1301,15 @@
 		r.TimerFired(r.at, 0)
 		r.at += second / 50
 	}
-	r.GossipReceived(r.at, 1, noteHead(1, 6, 40))
-	held, inTime, n := r.view()
+	r.GossipReceived(r.at, 1, messageHeader(1, 6, 40))
+	held, inTime, n := r.loadView()
 	near(t, "held", held, 6)
 	near(t, "in time", inTime, 40)
 	near(t, "gateways", n, 2)
 	for range 800 {
-		r.inTime.add(r.awake, second, 1)
+		r.onTime.add(r.activeTime, second, 1)
 	}
-	if held, _, n = r.view(); held > 0.1 || n > 1.02 {
+	if held, _, n = r.loadView(); held > 0.1 || n > 1.02 {
 		t.Errorf("with many answers of its own: held %g of others, %g gateways", held, n)
 	}
 }
@@ -1331,7 +1331,7 @@
 				now += 5000
 				g.RequestReceived(now, Request{ID: id, Plan: 1, Customer: id % 200, Cost: 1, Timeout: second, Replicas: c.spread})
 				if r := g.requests[id]; r != nil {
-					g.AttemptEnded(now, Outcome{RequestID: id, Backend: r.attempts[0].b.ID, Latency: 1000, Answered: true})
+					g.AttemptEnded(now, Outcome{RequestID: id, Backend: r.attempts[0].backend.ID, Latency: 1000, Answered: true})
 				}
 			}
 		})
@@ -1364,8 +1364,8 @@
 	for range 6 {
 		r.serve(0, 0, 9, 2) // a burst of 8 holds four
 	}
-	r.at += reportEvery
-	r.TimerFired(r.at, noteToken)
+	r.at += counterLogInterval
+	r.TimerFired(r.at, gossipTimer)
 	if r.count("log sent 4,") != 1 || !strings.Contains(strings.Join(r.done, "\n"), "quota 2,") {
 		t.Errorf("%q, want one line of counters with 4 sent and 2 refused for their quota", r.done)
 	}
@@ -1377,7 +1377,7 @@
 	r := newRig(t, set)
 	for range 4 {
 		id, _ := r.ask(0, 1, 1, 1)
-		b := r.requests[id].attempts[0].b.ID
+		b := r.requests[id].attempts[0].backend.ID
 		load := float32(9)
 		if b == 1 {
 			load = 0
@@ -1388,15 +1388,15 @@
 		r.ask(0, 1, 1, 1)
 	}
 	for _, b := range r.backends {
-		if b.out != 1 {
-			t.Errorf("backend %d holds %d of 4 requests for 4 backends", b.ID, b.out)
+		if b.inFlight != 1 {
+			t.Errorf("backend %d holds %d of 4 requests for 4 backends", b.ID, b.inFlight)
 		}
 	}
 }
 
 func TestTheLeastRoomIsOpenToCheapRequests(t *testing.T) {
 	r := newRig(t, settings())
-	r.set.Plans[0].Burst, r.set.Plans[0].Rate = 100, 100
+	r.settings.Plans[0].Burst, r.settings.Plans[0].Rate = 100, 100
 	for range 10 {
 		r.serve(0, 0, 1, 8)
 	}
@@ -1421,7 +1421,7 @@
 	b.serve(0, 2, 9, 1)
 	tellAll(a, b)
 	tellAll(b, a)
-	ca, cb := a.customer(9, 2, 0, 2), b.customer(9, 2, 0, 2)
+	ca, cb := a.customerRecord(9, 2, 0, 2), b.customerRecord(9, 2, 0, 2)
 	if ca.ceiling.rate <= 4.5 {
 		t.Errorf("ceiling rate %g of 8 with three quarters of the demand, want more than half", ca.ceiling.rate)
 	}
@@ -1430,9 +1430,9 @@
 	}
 	for range 30 {
 		a.at += second / 30
-		a.TimerFired(a.at, noteToken)
+		a.TimerFired(a.at, gossipTimer)
 	}
-	if a.refill(ca); ca.ceiling.rate != 4 {
+	if a.refillBuckets(ca); ca.ceiling.rate != 4 {
 		t.Errorf("ceiling rate %g of 8 with the peer silent, want the even half", ca.ceiling.rate)
 	}
 }
@@ -1463,13 +1463,13 @@
 // back at once, though nothing more was asked; only an older one is late.
 func TestUnitsGivenBackAreTold(t *testing.T) {
 	a, b := pair(t)
-	a.set.SettlesCost = true
+	a.settings.SettlesCost = true
 	id, _ := a.ask(0, 1, 9, 8)
 	tellAll(a, b)
-	level := b.customers[9].store.level
-	a.AttemptEnded(a.at, Outcome{RequestID: id, Backend: a.requests[id].attempts[0].b.ID, Result: ResultOK, Latency: 1, Answered: true, ActualCost: 4})
+	level := b.customers[9].bucket.level
+	a.AttemptEnded(a.at, Outcome{RequestID: id, Backend: a.requests[id].attempts[0].backend.ID, Result: ResultOK, Latency: 1, Answered: true, ActualCost: 4})
 	tellAll(a, b)
-	near(t, "level after 4 of 8 units were given back and 1 came", b.customers[9].store.level, level+4+1)
+	near(t, "level after 4 of 8 units were given back and 1 came", b.customers[9].bucket.level, level+4+1)
 }
 
 // What was never sent has taken nothing: its units go back to the bank that they came from and to
@@ -1491,7 +1491,7 @@
 			r := newRig(t, settings())
 			r.serve(0, c.plan, 9, 1)
 			of := r.customers[9]
-			store, ceiling, taken := of.store.level, of.ceiling.level, of.taken
+			store, ceiling, taken := of.bucket.level, of.ceiling.level, of.consumed
 			id, _ := r.ask(0, c.plan, 9, 2)
 			for i, result := range c.ends {
 				r.end(id, result, result == ResultOK || len(c.ends) == 1 && i == 0)
@@ -1499,9 +1499,9 @@
 			if r.requests[id] != nil {
 				t.Fatal("the request is still held")
 			}
-			near(t, "store", of.store.level, store-c.kept)
-			near(t, "taken", of.taken, taken+c.kept)
-			if set := &r.set.Plans[c.plan]; set.CeilingRate > 0 {
+			near(t, "store", of.bucket.level, store-c.kept)
+			near(t, "taken", of.consumed, taken+c.kept)
+			if set := &r.settings.Plans[c.plan]; set.CeilingRate > 0 {
 				near(t, "ceiling", of.ceiling.level, ceiling-c.kept)
 			}
 		})
@@ -1511,16 +1511,16 @@
 // Bank 0 gets back what it lent.
 func TestWhatWasLentForNothingGoesBackToBankZero(t *testing.T) {
 	r := newRig(t, settings())
-	r.lend.level = r.lend.cap
-	for r.serve(0, 1, 9, 2) && r.lend.level == r.lend.cap {
+	r.sharedBucket.level = r.sharedBucket.capacity
+	for r.serve(0, 1, 9, 2) && r.sharedBucket.level == r.sharedBucket.capacity {
 	}
-	before := r.lend.level
+	before := r.sharedBucket.level
 	id, sent := r.ask(0, 1, 9, 2)
-	if !sent || r.lend.level >= before {
-		t.Fatalf("sent %t, bank 0 from %g to %g: nothing was lent", sent, before, r.lend.level)
+	if !sent || r.sharedBucket.level >= before {
+		t.Fatalf("sent %t, bank 0 from %g to %g: nothing was lent", sent, before, r.sharedBucket.level)
 	}
 	r.end(id, ResultNotSent, true)
-	near(t, "bank 0", r.lend.level, before)
+	near(t, "bank 0", r.sharedBucket.level, before)
 }
 
 // Guards against units beyond the quota through the whole fleet: with a set that nobody has seen,
@@ -1568,7 +1568,7 @@
 			}
 		}
 		const seconds, step = 20, second / 50
-		truth := bank{level: 64, rate: 40, cap: 64, at: start}
+		truth := tokenBucket{level: 64, rate: 40, capacity: 64, updatedAt: start}
 		inside, beyond, asked := 0.0, 0.0, 0.0
 		id := uint64(0)
 		for i := range seconds * 50 { // 100 units a second, that come to other gateways every four seconds
@@ -1578,7 +1578,7 @@
 			}
 			if i%2 == 0 {
 				for _, r := range rigs[:spread] {
-					r.TimerFired(at, noteToken)
+					r.TimerFired(at, gossipTimer)
 				}
 				carryAll(at)
 			}
@@ -1590,7 +1590,7 @@
 			r.RequestReceived(at, Request{ID: id, Customer: 9, Cost: 2, Timeout: 4 * second, Replicas: spread})
 			carryAll(at)
 			if r.requests[id] != nil && len(r.requests[id].attempts) == 0 { // its ask or the grant was lost
-				r.TimerFired(at+second/10, askToken)
+				r.TimerFired(at+second/10, quotaRequestTimer)
 				carryAll(at)
 			}
 			if q := r.requests[id]; q != nil && len(q.attempts) > 0 {
@@ -1600,7 +1600,7 @@
 				} else {
 					beyond += 2
 				}
-				r.AttemptEnded(at, Outcome{RequestID: id, Backend: q.attempts[0].b.ID, Result: ResultOK, Answered: true})
+				r.AttemptEnded(at, Outcome{RequestID: id, Backend: q.attempts[0].backend.ID, Result: ResultOK, Answered: true})
 			}
 		}
 		most := 64 + 40.0*seconds
--- a/policy/handover.go
+++ b/policy/handover.go
@@ -81,65 +81,67 @@
 	Pending, Late, Blind, MayRun bool
 }
 
-func (b bank) state() [4]float64   { return [4]float64{b.level, b.rate, b.cap, float64(b.at)} }
-func (f fading) state() [2]float64 { return [2]float64{f.sum, float64(f.at)} }
-func (m mean) state() [2]float64   { return [2]float64{m.v, m.n} }
+func (b tokenBucket) encode() [4]float64 {
+	return [4]float64{b.level, b.rate, b.capacity, float64(b.updatedAt)}
+}
+func (f decayingSum) encode() [2]float64   { return [2]float64{f.sum, float64(f.updatedAt)} }
+func (m movingAverage) encode() [2]float64 { return [2]float64{m.value, m.samples} }
 
-func bankOf(s [4]float64) bank     { return bank{s[0], s[1], s[2], Time(s[3])} }
-func fadingOf(s [2]float64) fading { return fading{s[0], Time(s[1])} }
-func meanOf(s [2]float64) mean     { return mean{s[0], s[1]} }
+func decodeBucket(s [4]float64) tokenBucket    { return tokenBucket{s[0], s[1], s[2], Time(s[3])} }
+func decodeSum(s [2]float64) decayingSum       { return decayingSum{s[0], Time(s[1])} }
+func decodeAverage(s [2]float64) movingAverage { return movingAverage{s[0], s[1]} }
 
 // Export gives all that the process that takes over has to know. The further attempts saved
 // up are cut in two: both processes may make some for a while.
 func (g *Controller) Export(now Time) *Snapshot {
-	g.begin(now)
-	g.again /= 2
+	g.advanceClock(now)
+	g.retryBudget /= 2
 	s := &Snapshot{
-		Born: g.born, Still: g.still, Woke: g.woke, Swept: g.swept, Boot: g.boot, Turn: g.turn,
-		Boots: g.boots, HeardAt: g.heardAt, Turns: g.turns, Lend: g.lend.state(), IdleSpill: g.idleSpill,
-		InTime: g.inTime.state(), Peers: g.peers.state(), PeersHeld: g.peersHeld.state(),
-		PeersInTime: g.peersInTime.state(), Pace: g.pace.state(),
-		Mean: g.mean.state(), ColdMean: g.coldMean.state(), Late: g.late.state(), Worth: g.worth.state(), Again: g.again,
+		Born: g.startedAt, Still: g.stalledTime, Woke: g.resumedAt, Swept: g.sweptAt, Boot: g.incarnation, Turn: g.sequence,
+		Boots: g.boots, HeardAt: g.heardAt, Turns: g.turns, Lend: g.sharedBucket.encode(), IdleSpill: g.idleOverflow,
+		InTime: g.onTime.encode(), Peers: g.peers.encode(), PeersHeld: g.peersHeld.encode(),
+		PeersInTime: g.peersInTime.encode(), Pace: g.sendRate.encode(),
+		Mean: g.mean.encode(), ColdMean: g.coldMean.encode(), Late: g.lateShare.encode(), Worth: g.priority.encode(), Again: g.retryBudget,
 	}
-	for _, c := range g.set.Classes {
+	for _, c := range g.settings.Classes {
 		s.Classes = append(s.Classes, c.Name)
 	}
-	for i, p := range g.set.Plans {
+	for i, p := range g.settings.Plans {
 		s.Plans = append(s.Plans, p.Name)
-		row := make([][2]float64, len(g.grace[i]))
-		for j, m := range g.grace[i] {
-			row[j] = m.state()
+		row := make([][2]float64, len(g.clientTimeouts[i]))
+		for j, m := range g.clientTimeouts[i] {
+			row[j] = m.encode()
 		}
 		s.Grace = append(s.Grace, row)
 	}
 	for _, m := range g.base {
-		s.Base = append(s.Base, m.state())
+		s.Base = append(s.Base, m.encode())
 	}
-	for _, c := range g.order {
-		g.refill(c)
+	for _, c := range g.customerOrder {
+		g.refillBuckets(c)
 		cs := CustomerState{
-			ID: c.id, Plan: c.plan, First: c.first, Spread: c.spread, Store: c.store.state(), Ceiling: c.ceiling.state(),
-			Taken: c.taken, Told: c.told, Asked: c.asked, AskedTold: c.askedTold, LastAsk: c.lastAsk,
-			Grant: c.grant, Slice: c.slice, Granted: c.granted, Total: c.total, Part: c.part,
-			Use: c.use.state(), Others: c.others.state(), Metered: c.metered.state(),
-			GrantAt: c.grantAt, TellAt: c.tellAt, Asks: c.asks,
+			ID: c.id, Plan: c.plan, First: c.firstReplica, Spread: c.replicas, Store: c.bucket.encode(), Ceiling: c.ceiling.encode(),
+			Taken: c.consumed, Told: c.consumedReported, Asked: c.requested, AskedTold: c.requestedReported, LastAsk: c.lastRequestCost,
+			Grant: c.grantFraction, Slice: c.grantedUnits, Granted: c.advertisedGrant, Total: c.counterTotal, Part: c.meteredShare,
+			Use: c.demand.encode(), Others: c.peerDemand.encode(), Metered: c.meteredDemand.encode(),
+			GrantAt: c.nextGrantAt, TellAt: c.nextReportAt, Asks: c.quotaRequests,
 		}
-		for _, h := range c.heard {
-			cs.Heard = append(cs.Heard, HeardState{h.known, h.boot, h.taken, h.asked})
+		for _, h := range c.peers {
+			cs.Heard = append(cs.Heard, HeardState{h.known, h.incarnation, h.consumed, h.requested})
 		}
-		for _, t := range c.tallies {
-			cs.Tallies = append(cs.Tallies, [3]float64{t.taken, t.asked, t.askedTold})
+		for _, t := range c.coordinatorUsages {
+			cs.Tallies = append(cs.Tallies, [3]float64{t.consumed, t.requested, t.requestedReported})
 		}
 		s.Customers = append(s.Customers, cs)
 	}
 	for _, b := range g.backends {
 		bs := BackendState{
-			Backend: b.ID, Started: b.StartedAt, Quiet: b.quiet, SlowAt: b.slowAt, Left: b.left, Wait: b.wait,
-			TrialAt: b.trialAt, Slow: b.slow, Errs: b.errs, Down: b.down, Silent: b.silent,
-			Breaks: b.breaks.state(), Cold: b.cold.state(),
+			Backend: b.ID, Started: b.StartedAt, Quiet: b.unansweredSince, SlowAt: b.latencyRatioAt, Left: b.ejectedAt, Wait: b.ejectionTime,
+			TrialAt: b.nextTrialAt, Slow: b.latencyRatio, Errs: b.errorRate, Down: b.down, Silent: b.unresponsive,
+			Breaks: b.connectionFailures.encode(), Cold: b.slowStartBucket.encode(),
 		}
-		for _, w := range b.words {
-			bs.Words = append(bs.Words, w.state())
+		for _, w := range b.faults {
+			bs.Words = append(bs.Words, w.encode())
 		}
 		s.Backends = append(s.Backends, bs)
 	}
@@ -149,7 +151,7 @@
 		}
 		open := OpenState{ID: id, Customer: r.Customer, Class: r.Class, Plan: r.Plan, Units: r.Cost}
 		for _, a := range r.attempts {
-			open.Attempts = append(open.Attempts, AttemptState{a.b.ID, a.at, a.pending, a.late, a.blind, a.mayRun})
+			open.Attempts = append(open.Attempts, AttemptState{a.backend.ID, a.sentAt, a.pending, a.overdue, a.overlappedStall, a.mayHaveRun})
 		}
 		s.Open = append(s.Open, open)
 	}
@@ -160,81 +162,81 @@
 // Retire has this gateway end what is open and take nothing new: another process grants from
 // its banks now. What waits for a home's answer will not hear of it.
 func (g *Controller) GiveUpOwnership(now Time) {
-	g.begin(now)
+	g.advanceClock(now)
 	g.retired = true
-	for _, r := range g.waiting {
+	for _, r := range g.awaitingGrant {
 		if g.requests[r.ID] == r {
 			delete(g.requests, r.ID)
-			g.refuse(r.ID, overQuota, g.shortAim/2)
+			g.reject(r.ID, rejectOverQuota, g.shortestObjective/2)
 		}
 	}
-	g.waiting = nil
+	g.awaitingGrant = nil
 }
 
 // Resume has a retired gateway decide again, as the other process has ended. What that one
 // granted is not known: no bank holds more than that of a gateway that has just started.
 func (g *Controller) ResumeOwnership(now Time) {
-	g.begin(now)
-	g.born = g.now
+	g.advanceClock(now)
+	g.startedAt = g.now
 	g.retired = false
-	for _, c := range g.order {
-		g.refill(c)
-		p, even := &g.set.Plans[c.plan], float64(c.spread)
-		c.store.level = min(c.store.level, p.Burst/even)
+	for _, c := range g.customerOrder {
+		g.refillBuckets(c)
+		p, even := &g.settings.Plans[c.plan], float64(c.replicas)
+		c.bucket.level = min(c.bucket.level, p.Burst/even)
 		c.ceiling.level = min(c.ceiling.level, p.CeilingSlack/even/2)
-		g.mark(c)
+		g.scheduleReport(c)
 	}
-	g.lend.level = 0
+	g.sharedBucket.level = 0
 }
 
 // Retell has peers told again of all that may not have reached them.
 func (g *Controller) AdvertiseAll() {
-	for _, c := range g.order {
-		g.mark(c)
+	for _, c := range g.customerOrder {
+		g.scheduleReport(c)
 	}
 }
 
 // Import takes in what another process knew, by the names of its classes and plans. It is for
 // a gateway that has decided on nothing yet.
 func (g *Controller) Import(now Time, s *Snapshot) error {
-	if err := s.check(); err != nil {
+	if err := s.validate(); err != nil {
 		return err
 	}
-	g.begin(now)
+	g.advanceClock(now)
 	class, plan := make([]int, len(s.Classes)), make([]int, len(s.Plans))
 	for i, name := range s.Classes {
-		class[i] = named(g.set.Classes, className, name)
+		class[i] = indexByName(g.settings.Classes, className, name)
 	}
 	for i, name := range s.Plans {
-		plan[i] = named(g.set.Plans, planName, name)
+		plan[i] = indexByName(g.settings.Plans, planName, name)
 	}
-	g.born, g.still, g.woke, g.swept, g.awake = s.Born, s.Still, s.Woke, s.Swept, g.now-s.Still
-	g.boot, g.turn = s.Boot, s.Turn
-	if len(s.Boots) == g.set.Gateways && len(s.HeardAt) == g.set.Gateways && len(s.Turns) == g.set.Gateways {
+	g.startedAt, g.stalledTime, g.resumedAt, g.sweptAt, g.activeTime = s.Born, s.Still, s.Woke, s.Swept, g.now-s.Still
+	g.incarnation, g.sequence = s.Boot, s.Turn
+	if len(s.Boots) == g.settings.Gateways && len(s.HeardAt) == g.settings.Gateways && len(s.Turns) == g.settings.Gateways {
 		g.boots, g.heardAt, g.turns = s.Boots, s.HeardAt, s.Turns
 	}
-	g.inTime, g.peers, g.peersHeld = fadingOf(s.InTime), fadingOf(s.Peers), fadingOf(s.PeersHeld)
-	g.peersInTime, g.pace = fadingOf(s.PeersInTime), fadingOf(s.Pace)
-	g.mean, g.coldMean, g.late = meanOf(s.Mean), meanOf(s.ColdMean), meanOf(s.Late)
-	g.worth, g.again = meanOf(s.Worth), s.Again
+	g.onTime, g.peers, g.peersHeld = decodeSum(s.InTime), decodeSum(s.Peers), decodeSum(s.PeersHeld)
+	g.peersInTime, g.sendRate = decodeSum(s.PeersInTime), decodeSum(s.Pace)
+	g.mean, g.coldMean, g.lateShare = decodeAverage(s.Mean), decodeAverage(s.ColdMean), decodeAverage(s.Late)
+	g.priority, g.retryBudget = decodeAverage(s.Worth), s.Again
 	for i, m := range s.Base {
 		if class[i] >= 0 {
-			g.base[class[i]] = meanOf(m)
+			g.base[class[i]] = decodeAverage(m)
 		}
 	}
 	for p, row := range s.Grace {
 		for c, m := range row {
 			if plan[p] >= 0 && class[c] >= 0 {
-				g.grace[plan[p]][class[c]] = meanOf(m)
+				g.clientTimeouts[plan[p]][class[c]] = decodeAverage(m)
 			}
 		}
 	}
-	rate := g.lend.cap
-	g.lend = bankOf(s.Lend)
-	g.lend.cap, g.lend.level = rate, min(g.lend.level, rate)
+	rate := g.sharedBucket.capacity
+	g.sharedBucket = decodeBucket(s.Lend)
+	g.sharedBucket.capacity, g.sharedBucket.level = rate, min(g.sharedBucket.level, rate)
 	for i, spill := range s.IdleSpill {
 		if plan[i] >= 0 {
-			g.idleSpill[plan[i]] = spill
+			g.idleOverflow[plan[i]] = spill
 		}
 	}
 	for i := range s.Customers {
@@ -250,7 +252,7 @@
 }
 
 // check tells whether all numbers lie within their lists: another release may have written it.
-func (s *Snapshot) check() error {
+func (s *Snapshot) validate() error {
 	ok := len(s.Base) <= len(s.Classes) && len(s.Grace) <= len(s.Plans) && len(s.IdleSpill) <= len(s.Plans)
 	for _, row := range s.Grace {
 		ok = ok && len(row) <= len(s.Classes)
@@ -269,52 +271,52 @@
 }
 
 func (g *Controller) importCustomer(s *CustomerState, plan []int) {
-	if plan[s.Plan] < 0 || s.Spread < 1 || s.Spread > g.set.Gateways {
+	if plan[s.Plan] < 0 || s.Spread < 1 || s.Spread > g.settings.Gateways {
 		return
 	}
-	p := &g.set.Plans[plan[s.Plan]]
+	p := &g.settings.Plans[plan[s.Plan]]
 	c := &customer{
-		id: s.ID, plan: plan[s.Plan], first: s.First, spread: s.Spread, window: g.windowOf(p, s.Spread),
-		store: bankOf(s.Store), ceiling: bankOf(s.Ceiling), taken: s.Taken, told: s.Told, asked: s.Asked,
-		askedTold: s.AskedTold, lastAsk: s.LastAsk, use: fadingOf(s.Use), others: fadingOf(s.Others), metered: fadingOf(s.Metered),
-		grant: s.Grant, slice: s.Slice, granted: s.Granted, grantAt: s.GrantAt, asks: s.Asks, tellAt: s.TellAt,
-		total: s.Total, part: s.Part,
+		id: s.ID, plan: plan[s.Plan], firstReplica: s.First, replicas: s.Spread, demandWindow: g.demandWindow(p, s.Spread),
+		bucket: decodeBucket(s.Store), ceiling: decodeBucket(s.Ceiling), consumed: s.Taken, consumedReported: s.Told, requested: s.Asked,
+		requestedReported: s.AskedTold, lastRequestCost: s.LastAsk, demand: decodeSum(s.Use), peerDemand: decodeSum(s.Others), meteredDemand: decodeSum(s.Metered),
+		grantFraction: s.Grant, grantedUnits: s.Slice, advertisedGrant: s.Granted, nextGrantAt: s.GrantAt, quotaRequests: s.Asks, nextReportAt: s.TellAt,
+		counterTotal: s.Total, meteredShare: s.Part,
 	}
-	if g.pooled {
-		c.store.rate, c.store.cap = p.Rate, p.Burst
+	if g.sharesUsage {
+		c.bucket.rate, c.bucket.capacity = p.Rate, p.Burst
 	}
-	if g.keeps(c) { // an older one's bank may hold all of the burst
-		c.store.level = math.Min(c.store.level, p.Burst/float64(g.homes(c)))
+	if g.grantsQuota(c) { // an older one's bank may hold all of the burst
+		c.bucket.level = math.Min(c.bucket.level, p.Burst/float64(g.coordinatorCount(c)))
 	}
 	for _, t := range s.Tallies {
-		c.tallies = append(c.tallies, tally{t[0], t[1], t[2]})
+		c.coordinatorUsages = append(c.coordinatorUsages, coordinatorUsage{t[0], t[1], t[2]})
 	}
 	if s.Tallies == nil {
-		*c.with(0) = tally{s.Taken, s.Asked, s.AskedTold}
+		*c.usageUnder(0) = coordinatorUsage{s.Taken, s.Asked, s.AskedTold}
 	}
 	for _, h := range s.Heard {
-		c.heard = append(c.heard, heard{h.Known, h.Boot, h.Taken, h.Asked})
+		c.peers = append(c.peers, peerUsage{h.Known, h.Boot, h.Taken, h.Asked})
 	}
-	if len(c.heard) != c.spread {
-		c.heard = nil
+	if len(c.peers) != c.replicas {
+		c.peers = nil
 	}
 	g.customers[c.id] = c
-	g.order = append(g.order, c)
-	if c.taken != c.told || c.asked != c.askedTold {
-		g.mark(c)
+	g.customerOrder = append(g.customerOrder, c)
+	if c.consumed != c.consumedReported || c.requested != c.requestedReported {
+		g.scheduleReport(c)
 	}
 }
 
 func (g *Controller) importBackend(s *BackendState, class, plan []int) {
-	b := g.backend(Endpoint{ID: s.Backend, State: EndpointRemoved})
+	b := g.backendRecord(Endpoint{ID: s.Backend, State: EndpointRemoved})
 	b.StartedAt = max(b.StartedAt, s.Started)
-	b.quiet, b.slow, b.slowAt, b.errs, b.left, b.wait = s.Quiet, s.Slow, s.SlowAt, s.Errs, s.Left, s.Wait
-	b.trialAt, b.down, b.silent, b.breaks, b.cold = s.TrialAt, s.Down, s.Silent, fadingOf(s.Breaks), bankOf(s.Cold)
+	b.unansweredSince, b.latencyRatio, b.latencyRatioAt, b.errorRate, b.ejectedAt, b.ejectionTime = s.Quiet, s.Slow, s.SlowAt, s.Errs, s.Left, s.Wait
+	b.nextTrialAt, b.down, b.unresponsive, b.connectionFailures, b.slowStartBucket = s.TrialAt, s.Down, s.Silent, decodeSum(s.Breaks), decodeBucket(s.Cold)
 	for i, w := range s.Words {
 		if i < len(class) && class[i] >= 0 {
-			b.words[class[i]] = fadingOf(w)
+			b.faults[class[i]] = decodeSum(w)
 		} else if p := i - len(class); p >= 0 && p < len(plan) && plan[p] >= 0 {
-			b.words[len(g.set.Classes)+plan[p]] = fadingOf(w)
+			b.faults[len(g.settings.Classes)+plan[p]] = decodeSum(w)
 		}
 	}
 }
@@ -324,64 +326,64 @@
 	if c == nil || class[s.Class] < 0 || plan[s.Plan] < 0 {
 		return
 	}
-	r := &request{Request: Request{ID: s.ID, Class: class[s.Class], Plan: plan[s.Plan], Customer: s.Customer, Cost: s.Units}, c: c}
+	r := &request{Request: Request{ID: s.ID, Class: class[s.Class], Plan: plan[s.Plan], Customer: s.Customer, Cost: s.Units}, customer: c}
 	for _, a := range s.Attempts {
-		b := g.backend(Endpoint{ID: a.Backend, State: EndpointRemoved})
-		at := &attempt{b: b, at: a.At, pending: a.Pending, late: a.Late && a.Pending, blind: a.Blind, mayRun: a.MayRun}
+		b := g.backendRecord(Endpoint{ID: a.Backend, State: EndpointRemoved})
+		at := &attempt{backend: b, sentAt: a.At, pending: a.Pending, overdue: a.Late && a.Pending, overlappedStall: a.Blind, mayHaveRun: a.MayRun}
 		r.attempts = append(r.attempts, at)
 		if !at.pending {
 			continue
 		}
-		b.out++
-		c.open++
-		if at.late {
+		b.inFlight++
+		c.inFlight++
+		if at.overdue {
 			b.overdue++
 		} else {
-			g.due[r.Class] = append(g.due[r.Class], at)
+			g.withinObjective[r.Class] = append(g.withinObjective[r.Class], at)
 		}
 	}
-	slices.SortStableFunc(g.due[r.Class], func(a, b *attempt) int { return int(a.at - b.at) })
-	g.elsewhere[r.ID] = r
+	slices.SortStableFunc(g.withinObjective[r.Class], func(a, b *attempt) int { return int(a.sentAt - b.sentAt) })
+	g.predecessorRequests[r.ID] = r
 }
 
 // SentElsewhere books a further attempt that the former process has made.
 func (g *Controller) PredecessorSent(now Time, id uint64, backend uint32) {
-	g.begin(now)
-	if r := g.elsewhere[id]; r != nil {
-		g.book(r, g.backend(Endpoint{ID: backend, State: EndpointRemoved}))
+	g.advanceClock(now)
+	if r := g.predecessorRequests[id]; r != nil {
+		g.recordSend(r, g.backendRecord(Endpoint{ID: backend, State: EndpointRemoved}))
 	}
 }
 
 // EndedElsewhere books how an attempt of the former process has ended.
 func (g *Controller) PredecessorAttemptEnded(now Time, o Outcome) {
-	g.begin(now)
-	r := g.elsewhere[o.RequestID]
+	g.advanceClock(now)
+	r := g.predecessorRequests[o.RequestID]
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || !r.attempts[o.Attempt].pending || o.Result > ResultNotSent {
 		return
 	}
 	a := r.attempts[o.Attempt]
 	a.pending = false
-	g.settle(r, a, &o)
+	g.settleAttempt(r, a, &o)
 	if o.Answered && !r.pending() {
-		delete(g.elsewhere, o.RequestID)
+		delete(g.predecessorRequests, o.RequestID)
 	}
 }
 
 // NothingElsewhere tells that the former process has ended, with whatever it had out.
 func (g *Controller) PredecessorExited(now Time) {
-	g.begin(now)
-	for _, r := range g.elsewhere {
+	g.advanceClock(now)
+	for _, r := range g.predecessorRequests {
 		for _, a := range r.attempts {
 			if !a.pending {
 				continue
 			}
 			a.pending = false
-			a.b.out--
-			if a.late {
-				a.b.overdue--
+			a.backend.inFlight--
+			if a.overdue {
+				a.backend.overdue--
 			}
-			r.c.open--
+			r.customer.inFlight--
 		}
 	}
-	clear(g.elsewhere)
+	clear(g.predecessorRequests)
 }
--- a/policy/handover_test.go
+++ b/policy/handover_test.go
@@ -47,7 +47,7 @@
 	if !sent {
 		t.Fatal("not sent")
 	}
-	backend := r.requests[open].attempts[0].b.ID
+	backend := r.requests[open].attempts[0].backend.ID
 	next := r.second(t, namedSettings())
 	r.GiveUpOwnership(r.at)
 	if next.serve(0, 2, 7, 1) {
@@ -57,17 +57,17 @@
 		t.Error("the first process went on granting")
 	}
 	was, now := r.customers[8], next.customers[8]
-	near(t, "store", now.store.level, was.store.level)
-	near(t, "taken", now.taken, was.taken)
-	if next.boot != r.boot || now.open != 1 || next.byID[backend].out != 1 {
-		t.Errorf("boot %d of %d, open %d, out %d", next.boot, r.boot, now.open, next.byID[backend].out)
+	near(t, "store", now.bucket.level, was.bucket.level)
+	near(t, "taken", now.consumed, was.consumed)
+	if next.incarnation != r.incarnation || now.inFlight != 1 || next.backendsByID[backend].inFlight != 1 {
+		t.Errorf("boot %d of %d, open %d, out %d", next.incarnation, r.incarnation, now.inFlight, next.backendsByID[backend].inFlight)
 	}
-	before := now.taken
-	next.set.SettlesCost = true
+	before := now.consumed
+	next.settings.SettlesCost = true
 	next.PredecessorAttemptEnded(next.at, Outcome{RequestID: open, Backend: backend, Result: ResultOK, Latency: second / 10, Answered: true, ActualCost: 3})
-	near(t, "settled late", now.taken, before+1)
-	if now.open != 0 || next.byID[backend].out != 0 || len(next.elsewhere) != 0 {
-		t.Errorf("open %d, out %d, elsewhere %d", now.open, next.byID[backend].out, len(next.elsewhere))
+	near(t, "settled late", now.consumed, before+1)
+	if now.inFlight != 0 || next.backendsByID[backend].inFlight != 0 || len(next.predecessorRequests) != 0 {
+		t.Errorf("open %d, out %d, elsewhere %d", now.inFlight, next.backendsByID[backend].inFlight, len(next.predecessorRequests))
 	}
 }
 
@@ -80,39 +80,39 @@
 	next.PredecessorSent(next.at, 999, 2) // of nothing that is known
 	out := func() (n int) {
 		for _, b := range next.backends {
-			n += b.out
+			n += b.inFlight
 		}
 		return n
 	}
-	if out() != 2 || next.customers[8].open != 2 {
-		t.Errorf("out %d, open %d; want 2", out(), next.customers[8].open)
+	if out() != 2 || next.customers[8].inFlight != 2 {
+		t.Errorf("out %d, open %d; want 2", out(), next.customers[8].inFlight)
 	}
 	next.at += 3 * second
-	next.sweepOverdue()
+	next.refreshBackendHealth()
 	next.PredecessorExited(next.at)
 	for _, b := range next.backends {
-		if b.out != 0 || b.overdue != 0 {
-			t.Errorf("backend %d: out %d, overdue %d", b.ID, b.out, b.overdue)
+		if b.inFlight != 0 || b.overdue != 0 {
+			t.Errorf("backend %d: out %d, overdue %d", b.ID, b.inFlight, b.overdue)
 		}
 	}
-	if next.customers[8].open != 0 {
-		t.Errorf("open %d", next.customers[8].open)
+	if next.customers[8].inFlight != 0 {
+		t.Errorf("open %d", next.customers[8].inFlight)
 	}
 }
 
 // A backend that was left out stays so; classes pass over by their names.
 func TestHandoverKeepsWhatWasLearnt(t *testing.T) {
 	r := newRig(t, namedSettings())
-	r.byID[2].down, r.byID[2].trialAt = true, r.at+second
-	r.base[0] = mean{1000, 5}
+	r.backendsByID[2].down, r.backendsByID[2].nextTrialAt = true, r.at+second
+	r.base[0] = movingAverage{1000, 5}
 	set := namedSettings()
 	set.Classes[0], set.Classes[2] = set.Classes[2], set.Classes[0]
 	next := r.second(t, set)
-	if !next.byID[2].down || !next.sick(next.byID[2]) {
+	if !next.backendsByID[2].down || !next.unhealthy(next.backendsByID[2]) {
 		t.Error("a backend that is down came back with the handover")
 	}
-	near(t, "base", next.base[2].v, 1000)
-	near(t, "base of another class", next.base[0].v, 0)
+	near(t, "base", next.base[2].value, 1000)
+	near(t, "base of another class", next.base[0].value, 0)
 }
 
 // If the new process ends, the old one grants no more than one that has just started.
@@ -122,8 +122,8 @@
 	r.GiveUpOwnership(r.at)
 	r.ResumeOwnership(r.at)
 	c := r.customers[7]
-	if p := r.set.Plans[2]; c.store.level > p.Burst/2 || c.ceiling.level > p.CeilingSlack/4 {
-		t.Errorf("store %g, ceiling %g", c.store.level, c.ceiling.level)
+	if p := r.settings.Plans[2]; c.bucket.level > p.Burst/2 || c.ceiling.level > p.CeilingSlack/4 {
+		t.Errorf("store %g, ceiling %g", c.bucket.level, c.ceiling.level)
 	}
 }
 
@@ -146,7 +146,7 @@
 	r := newRig(t, namedSettings())
 	for r.serve(0, 0, 7, 1) {
 	}
-	level := r.customers[7].store.level
+	level := r.customers[7].bucket.level
 	open, _ := r.ask(0, 1, 8, 1) // of class a, which is safe to repeat
 	set := namedSettings()
 	set.Classes = []Class{
@@ -161,13 +161,13 @@
 		t.Fatal(err)
 	}
 	q := r.requests[open]
-	if c := r.set.Classes[q.Class]; c.Name != "a" || c.Idempotency != Idempotent || len(r.set.Classes) != 4 || q.Plan != 0 {
-		t.Errorf("the open request: class %+v, plan %d, of %d classes", c, q.Plan, len(r.set.Classes))
+	if c := r.settings.Classes[q.Class]; c.Name != "a" || c.Idempotency != Idempotent || len(r.settings.Classes) != 4 || q.Plan != 0 {
+		t.Errorf("the open request: class %+v, plan %d, of %d classes", c, q.Plan, len(r.settings.Classes))
 	}
 	c := r.customers[7]
-	near(t, "level", c.store.level, level)
-	if c.plan != 1 || c.store.cap != 32 {
-		t.Errorf("plan %d, cap %g", c.plan, c.store.cap)
+	near(t, "level", c.bucket.level, level)
+	if c.plan != 1 || c.bucket.capacity != 32 {
+		t.Errorf("plan %d, cap %g", c.plan, c.bucket.capacity)
 	}
 	r.end(open, ResultFailed, false)
 	if q := r.requests[open]; q == nil || len(q.attempts) != 2 {
@@ -182,11 +182,11 @@
 	if r.requests[strict] != nil {
 		t.Error("a new request of the stricter class was sent again")
 	}
-	if err := r.Reload(r.at, set); err != nil || len(r.set.Classes) != 3 {
-		t.Errorf("%d classes, %v: what nothing needs any more is dropped", len(r.set.Classes), err)
+	if err := r.Reload(r.at, set); err != nil || len(r.settings.Classes) != 3 {
+		t.Errorf("%d classes, %v: what nothing needs any more is dropped", len(r.settings.Classes), err)
 	}
 	set.Classes = nil
-	if err := r.Reload(r.at, set); err == nil || len(r.set.Classes) != 3 {
+	if err := r.Reload(r.at, set); err == nil || len(r.settings.Classes) != 3 {
 		t.Error("settings without classes were taken in")
 	}
 }
@@ -194,12 +194,12 @@
 // A try that the whole store could have served is told from one beyond the quota.
 func TestCountersTellSlicesFromQuotas(t *testing.T) {
 	r := newRig(t, namedSettings())
-	c := r.customer(7, 0, 0, 2)
+	c := r.customerRecord(7, 0, 0, 2)
 	for level, want := range map[float64]string{1: "0, half of all 0", 3: "1, half of all 0", 4: "1, half of all 1"} {
-		c.store.level = level
-		n := counts{}
-		n.short(c, 2)
-		if got := fmt.Sprintf("%d, half of all %d", n.slice, n.half); got != want {
+		c.bucket.level = level
+		n := activityCounters{}
+		n.countOverQuota(c, 2)
+		if got := fmt.Sprintf("%d, half of all %d", n.shareTooSmall, n.halfFull); got != want {
 			t.Errorf("store at %g: %s, want %s", level, got, want)
 		}
 	}
@@ -213,18 +213,18 @@
 	set.Plans[0].Rate, set.Plans[0].Burst = 60, 60
 	r := newRig(t, set)
 	first := 0
-	for !r.keeps(&customer{id: 9, first: first, spread: 12}) {
+	for !r.grantsQuota(&customer{id: 9, firstReplica: first, replicas: 12}) {
 		first++
 	}
-	c := r.customer(9, 0, first, 12)
-	if n := r.homes(c); n < 2 {
+	c := r.customerRecord(9, 0, first, 12)
+	if n := r.coordinatorCount(c); n < 2 {
 		t.Fatalf("%d homes, want several", n)
 	}
-	*c.with(1) = tally{taken: 5, asked: 8, askedTold: 7}
-	*c.with(0) = tally{taken: 2, asked: 3, askedTold: 3}
-	c.taken, c.asked, c.askedTold = 7, 11, 10
-	if got := r.second(t, set).customers[9].tallies; !slices.Equal(got, c.tallies) {
-		t.Errorf("tallies %v, want %v", got, c.tallies)
+	*c.usageUnder(1) = coordinatorUsage{consumed: 5, requested: 8, requestedReported: 7}
+	*c.usageUnder(0) = coordinatorUsage{consumed: 2, requested: 3, requestedReported: 3}
+	c.consumed, c.requested, c.requestedReported = 7, 11, 10
+	if got := r.second(t, set).customers[9].coordinatorUsages; !slices.Equal(got, c.coordinatorUsages) {
+		t.Errorf("tallies %v, want %v", got, c.coordinatorUsages)
 	}
 	s := r.Export(r.at)
 	for i := range s.Customers {
@@ -235,10 +235,10 @@
 		t.Fatal(err)
 	}
 	now := next.customers[9]
-	if want := []tally{{7, 11, 10}}; !slices.Equal(now.tallies, want) {
-		t.Errorf("tallies %v from an older process, want %v", now.tallies, want)
+	if want := []coordinatorUsage{{7, 11, 10}}; !slices.Equal(now.coordinatorUsages, want) {
+		t.Errorf("tallies %v from an older process, want %v", now.coordinatorUsages, want)
 	}
-	if now.store.level > 60/float64(next.homes(now)) {
-		t.Errorf("a home holds %g of a burst cut over %d", now.store.level, next.homes(now))
+	if now.bucket.level > 60/float64(next.coordinatorCount(now)) {
+		t.Errorf("a home holds %g of a burst cut over %d", now.bucket.level, next.coordinatorCount(now))
 	}
 }
--- a/policy/recorded_test.go
+++ b/policy/recorded_test.go
@@ -41,38 +41,38 @@
 // recordedNotes are gossip messages of each kind.
 var recordedNotes = []struct {
 	name string
-	note note
+	note gossipMessage
 }{
-	{"head", note{boot: 0x01020304, held: 2.5, inTime: 40.125}},
-	{"turn", note{boot: 0x01020304, held: 2.5, inTime: 40.125, turn: 77}},
-	{"entry", note{boot: 9, entries: []entry{{
-		id: 0x1234567890, plan: 3, first: 258, spread: 40, taken: 65000,
-		asked: 515, fresh: 200, want: 7, ask: 8, left: unpackPart(181),
+	{"head", gossipMessage{incarnation: 0x01020304, inFlight: 2.5, onTimeRate: 40.125}},
+	{"turn", gossipMessage{incarnation: 0x01020304, inFlight: 2.5, onTimeRate: 40.125, sequence: 77}},
+	{"entry", gossipMessage{incarnation: 9, usage: []usageEntry{{
+		customer: 0x1234567890, plan: 3, firstReplica: 258, replicas: 40, consumed: 65000,
+		requested: 515, newlyRequested: 200, wantedHalves: 7, quotaRequest: 8, remaining: unpackFraction(181),
 	}}}},
-	{"grant", note{boot: 9, grants: []grant{
-		{id: 0x1234567890, part: unpackPart(90), ask: 5, yes: true},
-		{id: 2, part: unpackPart(1)},
+	{"grant", gossipMessage{incarnation: 9, grants: []grant{
+		{customer: 0x1234567890, fraction: unpackFraction(90), quotaRequest: 5, approved: true},
+		{customer: 2, fraction: unpackFraction(1)},
 	}}},
-	{"word", note{boot: 9, words: []word{{backend: 0xa1b2c3d4, about: 254}, {backend: 1, about: 2}}}},
-	{"all", note{
-		boot: 9, held: 0.125, inTime: 8191, turn: 255, entries: []entry{{id: 1, spread: 1, left: 1}, {id: 2, spread: 2}},
-		grants: []grant{{id: 3, part: 1, ask: 1}}, words: []word{{backend: 2, about: 0}},
+	{"word", gossipMessage{incarnation: 9, faults: []faultReport{{backend: 0xa1b2c3d4, subject: 254}, {backend: 1, subject: 2}}}},
+	{"all", gossipMessage{
+		incarnation: 9, inFlight: 0.125, onTimeRate: 8191, sequence: 255, usage: []usageEntry{{customer: 1, replicas: 1, remaining: 1}, {customer: 2, replicas: 2}},
+		grants: []grant{{customer: 3, fraction: 1, quotaRequest: 1}}, faults: []faultReport{{backend: 2, subject: 0}},
 	}},
 }
 
-func writeNote(n note) []byte {
-	b := noteHead(n.boot, n.held, n.inTime)
-	if n.turn != 0 {
-		b = append(b, turnItem, n.turn)
+func writeNote(n gossipMessage) []byte {
+	b := messageHeader(n.incarnation, n.inFlight, n.onTimeRate)
+	if n.sequence != 0 {
+		b = append(b, sequenceItem, n.sequence)
 	}
-	for i := range n.entries {
-		b = n.entries[i].put(b)
+	for i := range n.usage {
+		b = n.usage[i].appendTo(b)
 	}
 	for _, g := range n.grants {
-		b = g.put(b)
+		b = g.appendTo(b)
 	}
-	for _, w := range n.words {
-		b = w.put(b)
+	for _, w := range n.faults {
+		b = w.appendTo(b)
 	}
 	return b
 }
@@ -100,12 +100,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, ok := readNote(b); !ok || name != recordedNotes[i].name || !reflect.DeepEqual(got, recordedNotes[i].note) {
+		if got, ok := decodeGossip(b); !ok || name != recordedNotes[i].name || !reflect.DeepEqual(got, recordedNotes[i].note) {
 			t.Errorf("%s: read %+v (%t), want %+v", name, got, ok, recordedNotes[i].note)
 		}
 		for _, version := range []byte{0, 1, 2, 4} { // of other versions nothing is taken in
 			b[0] = version
-			if _, ok := readNote(b); ok {
+			if _, ok := decodeGossip(b); ok {
 				t.Errorf("%s: a message of version %d was read", name, version)
 			}
 		}
@@ -133,8 +133,8 @@
 	r.next = 20
 	for r.serve(0, 0, 7, 1) { // until nothing is left
 	}
-	for !r.byID[2].down {
-		r.broke(r.byID[2], ResultConnectFailed)
+	for !r.backendsByID[2].down {
+		r.recordConnectionFailure(r.backendsByID[2], ResultConnectFailed)
 	}
 	r.next = 39
 	id, sent := r.ask(1, 1, 8, 3)
@@ -205,26 +205,26 @@
 	if r.serve(0, 0, 7, 1) {
 		t.Error("a burst was granted again")
 	}
-	near(t, "bank of an open request's customer", r.customers[8].store.level, was.customers[8].store.level)
-	near(t, "bank that a peer has told of", r.customers[9].store.level, was.customers[9].store.level)
-	if !r.byID[2].down || !r.sick(r.byID[2]) {
+	near(t, "bank of an open request's customer", r.customers[8].bucket.level, was.customers[8].bucket.level)
+	near(t, "bank that a peer has told of", r.customers[9].bucket.level, was.customers[9].bucket.level)
+	if !r.backendsByID[2].down || !r.unhealthy(r.backendsByID[2]) {
 		t.Error("a backend that is down came back")
 	}
-	if share := r.share(r.byID[3]); share == 1 || share != was.share(was.byID[3]) {
-		t.Errorf("the cold backend has a share of %g, want %g", share, was.share(was.byID[3]))
+	if share := r.slowStartShare(r.backendsByID[3]); share == 1 || share != was.slowStartShare(was.backendsByID[3]) {
+		t.Errorf("the cold backend has a share of %g, want %g", share, was.slowStartShare(was.backendsByID[3]))
 	}
-	if r.byID[3].cold != was.byID[3].cold {
-		t.Errorf("cold backend may be sent %+v, want %+v", r.byID[3].cold, was.byID[3].cold)
+	if r.backendsByID[3].slowStartBucket != was.backendsByID[3].slowStartBucket {
+		t.Errorf("cold backend may be sent %+v, want %+v", r.backendsByID[3].slowStartBucket, was.backendsByID[3].slowStartBucket)
 	}
-	open := was.requests[40].attempts[0].b.ID
-	if r.byID[open].out != 1 || r.customers[8].open != 1 {
-		t.Errorf("out %d, open %d; want 1 of each", r.byID[open].out, r.customers[8].open)
+	open := was.requests[40].attempts[0].backend.ID
+	if r.backendsByID[open].inFlight != 1 || r.customers[8].inFlight != 1 {
+		t.Errorf("out %d, open %d; want 1 of each", r.backendsByID[open].inFlight, r.customers[8].inFlight)
 	}
-	before := r.customers[8].store.level
+	before := r.customers[8].bucket.level
 	r.PredecessorAttemptEnded(r.at, Outcome{RequestID: 40, Backend: open, Result: ResultOK, Latency: second / 10, Answered: true, ActualCost: 5})
-	near(t, "bank after the true units", r.customers[8].store.level, before-2)
-	if r.byID[open].out != 0 || r.customers[8].open != 0 {
-		t.Errorf("out %d, open %d after the end", r.byID[open].out, r.customers[8].open)
+	near(t, "bank after the true units", r.customers[8].bucket.level, before-2)
+	if r.backendsByID[open].inFlight != 0 || r.customers[8].inFlight != 0 {
+		t.Errorf("out %d, open %d after the end", r.backendsByID[open].inFlight, r.customers[8].inFlight)
 	}
 }
 
@@ -366,7 +366,7 @@
 			all = append(all, fmt.Sprintf("%d holds %d %t", i, id, r.MaySend(r.at, id, n)))
 			result := Result(max(0, draw.IntN(20)-12))
 			r.AttemptEnded(r.at, Outcome{
-				RequestID: id, Attempt: n, Backend: q.attempts[n].b.ID, Result: result,
+				RequestID: id, Attempt: n, Backend: q.attempts[n].backend.ID, Result: result,
 				Latency: Time(1+draw.IntN(60)) * second / 100, Answered: result == ResultOK, MeterReading: draw.IntN(150),
 				ActualCost: float64(draw.IntN(5)) / 2,
 			})
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -30,7 +30,7 @@
 	if r == nil {
 		b.Fatal("a request was not sent on")
 	}
-	g.AttemptEnded(now, Outcome{RequestID: id, Backend: r.attempts[0].b.ID, Latency: 1000, Answered: true})
+	g.AttemptEnded(now, Outcome{RequestID: id, Backend: r.attempts[0].backend.ID, Latency: 1000, Answered: true})
 }
 
 func BenchmarkRequestByBackends(b *testing.B) {
@@ -63,8 +63,8 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			g, now := sized(b, n, 46), start
 			for b.Loop() {
-				now += g.period
-				g.TimerFired(now, noteToken)
+				now += g.gossipPeriod
+				g.TimerFired(now, gossipTimer)
 			}
 		})
 	}
@@ -93,9 +93,9 @@
 				for k := range n {
 					serveOne(b, g, now+Time(k)*second/Time(n), i+k, k, 2)
 				}
-				for range second / g.period {
-					now += g.period
-					g.TimerFired(now, noteToken)
+				for range second / g.gossipPeriod {
+					now += g.gossipPeriod
+					g.TimerFired(now, gossipTimer)
 				}
 			}
 			b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N)/float64(n), "us/customer")
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -3,7 +3,7 @@
 import "fmt"
 
 // check tells which field of the settings cannot be served.
-func (set *Settings) check() error {
+func (set *Settings) validate() error {
 	switch {
 	case set.Gateways < 1:
 		return fmt.Errorf("settings: gateways: %d, at least 1 wanted", set.Gateways)
--- a/policy/stats.go
+++ b/policy/stats.go
@@ -3,50 +3,50 @@
 import "math"
 
 // bank is a store of units that fills at a rate up to a cap.
-type bank struct {
-	level, rate, cap float64
-	at               Time
+type tokenBucket struct {
+	level, rate, capacity float64
+	updatedAt             Time
 }
 
 // refill brings the level up to now and returns what the full bank spilled.
-func (b *bank) refill(now Time) float64 {
-	b.level += b.rate * float64(now-b.at) / float64(second)
-	b.at = now
-	spill := math.Max(0, b.level-b.cap)
-	b.level = math.Min(b.level, b.cap)
+func (b *tokenBucket) refill(now Time) float64 {
+	b.level += b.rate * float64(now-b.updatedAt) / float64(second)
+	b.updatedAt = now
+	spill := math.Max(0, b.level-b.capacity)
+	b.level = math.Min(b.level, b.capacity)
 	return spill
 }
 
 // fading is a sum whose parts fade with age.
-type fading struct {
-	sum float64
-	at  Time
+type decayingSum struct {
+	sum       float64
+	updatedAt Time
 }
 
-func (f *fading) get(now, window Time) float64 {
-	if now > f.at {
-		f.sum *= math.Exp(-float64(now-f.at) / float64(window))
-		f.at = now
+func (f *decayingSum) value(now, window Time) float64 {
+	if now > f.updatedAt {
+		f.sum *= math.Exp(-float64(now-f.updatedAt) / float64(window))
+		f.updatedAt = now
 	}
 	return f.sum
 }
 
-func (f *fading) add(now, window Time, x float64) { f.sum = f.get(now, window) + x }
+func (f *decayingSum) add(now, window Time, x float64) { f.sum = f.value(now, window) + x }
 
 // mean is a mean that follows its samples: of all at first, then with a least weight.
-type mean struct{ v, n float64 }
+type movingAverage struct{ value, samples float64 }
 
-func (m *mean) add(x, weight float64) {
-	m.n++
-	m.v += math.Max(weight, 1/m.n) * (x - m.v)
+func (m *movingAverage) add(x, weight float64) {
+	m.samples++
+	m.value += math.Max(weight, 1/m.samples) * (x - m.value)
 }
 
 // until is the time until a level holds the units.
-func until(level, rate, units float64) Time {
+func timeUntil(level, rate, units float64) Time {
 	return Time((units - level) / math.Max(rate, 1e-3) * float64(second))
 }
 
-func total(xs []float64) float64 {
+func sum(xs []float64) float64 {
 	sum := 0.0
 	for _, x := range xs {
 		sum += x
@@ -55,7 +55,7 @@
 }
 
 // step is 1 if it is so, else 0.
-func step(so bool) float64 {
+func indicator(so bool) float64 {
 	if so {
 		return 1
 	}
