--- a/policy/api.go
+++ b/policy/api.go
@@ -1,52 +1,45 @@
-// Package policy makes the decisions of a gateway that keeps each customer of
-// a shared back end to its plan. This file is its whole interface; the
-// decisions are in admission.go.
-//
-// The host owns the clock, the sockets and the timers. It must call a Gateway
-// from one goroutine at a time, with times that never go back, deliver exactly
-// one Outcome for each Send and one Probed for each Probe, and let a request's
-// attempts end by its deadline. A second or unknown outcome is passed over; a
-// missing one leaves the backend looking busier than it is for good.
 package policy
 
-// Time is a moment or a length of time in microseconds.
+// Time is a point in time or a duration, in microseconds.
 type Time = int64
 
-// Effect tells how far a request that may have run may be sent again.
+const second = Time(1e6)
+
+// Idempotency says whether a request that may have run can be sent again.
 type Idempotency uint8
 
-// The effects: repeatable at will, dropped when repeated within a group of
-// backends, or never to run twice.
+// The kinds of requests: those that may run any number of times, those that backends of one
+// deduplication scope run once per key, and those that must never be sent twice.
 const (
 	Idempotent Idempotency = iota
 	IdempotentWithKey
 	NotIdempotent
 )
 
-// Group names the backends that drop repeats of a keyed request.
+// DedupScope names the backends that together drop repeats of a request with an idempotency key.
 type DedupScope uint8
 
-// The groups: every backend, those of one zone, those of one cell.
+// The scopes: all backends, those of one zone, those of one cell.
 const (
 	DedupAll DedupScope = iota
 	DedupZone
 	DedupCell
 )
 
-// State is what discovery says of a backend.
+// EndpointState is what service discovery says of an endpoint.
 type EndpointState uint8
 
-// The states of a backend.
+// The states of an endpoint.
 const (
 	EndpointReady EndpointState = iota
 	EndpointDraining
 	EndpointRemoved
 )
 
-// Result is how an attempt, a probe or a counter call ended.
+// Result is how an attempt, a health check or a counter call ended.
 type Result uint8
 
-// The results. Full, ConnectFailed and Moot prove that nothing ran.
+// The results. Overloaded, ConnectFailed and NotSent prove that the request did not run.
 const (
 	ResultOK Result = iota
 	ResultFailed
@@ -58,18 +51,18 @@
 	ResultNotSent
 )
 
-// Class is a class of requests.
+// Class describes one class of requests.
 type Class struct {
 	Name             string
-	LatencyObjective Time // an answer by then earns the full worth
+	LatencyObjective Time // an answer by then earns the full value
 	Idempotency      Idempotency
 	DedupScope       DedupScope
-	DedupWindow      Time // how long the group drops repeats
+	DedupWindow      Time // how long the scope drops repeats of a key
 	PriorityWeight   float64
 }
 
-// Plan is what a customer has bought. A rate of 0 means no such quota, an
-// open limit of 0 no such limit, a ceiling rate of 0 no ceiling.
+// Plan is what a customer has bought, in units and units a second. A Rate of 0 means no quota, a
+// ConcurrencyLimit of 0 no limit, a CeilingRate of 0 no ceiling.
 type Plan struct {
 	Name                                     string
 	Rate, Burst                              float64
@@ -78,48 +71,48 @@
 	ValueFactor, OverageRevenue, OverageCost float64
 }
 
-// Metric is a value that backends report of their load.
+// LoadMetric is the meaning of one value in a backend's load report.
 type LoadMetric uint8
 
-// The metrics that are told apart; a report's other values are Unused. No decision rests on
-// them now: a report is older than a request takes.
+// The metrics. Values of no known meaning are UnusedMetric. No decision uses load reports: a
+// report is older than a request takes.
 const (
 	UnusedMetric LoadMetric = iota
 	BusyMetric
 	WaitingMetric
 )
 
-// Settings are what a gateway is told at its start.
+// Settings configure a Controller.
 type Settings struct {
-	Self, Gateways int
+	Self, Gateways int // this gateway's index, and how many there are
 	Zone           int
 	Classes        []Class
 	Plans          []Plan
 	LoadReport     []LoadMetric // the order of the values in a load report
 
-	PollEndpoints bool // discovery tells only who asks
-	PollWithin    Time
+	PollEndpoints bool // service discovery sends updates only while it is watched
+	PollWithin    Time // within which an ended watch is to be renewed
 
 	Gossip, HealthChecks, Hedging, RetryAfterAdvice, SharedCounter, SettlesCost bool
 
-	MeterPeriod      Time // 0: no meter
-	GossipPerSecond  float64
-	MaxCost          float64 // of one request; 0: not told
+	MeterPeriod      Time    // the period that a meter reading covers; 0: no meter
+	GossipPerSecond  float64 // messages a second that a gateway can receive
+	MaxCost          float64 // the largest cost of a request, in units; 0: unknown
 	MaxAttempts      int
 	MaxRetryAfter    Time
-	MinEventInterval Time // least time between two events
+	MinEventInterval Time // the least time between two events
 
-	SlowStartFloor float64 // least share of its capacity that a backend starts at
-	SlowStartTime  Time    // it is warm by then
-	OverloadFactor float64 // what a cold backend falls over at, in multiples of its capacity; 0: not told
-	OverloadWindow Time    // span over which what a cold backend is sent is counted
+	SlowStartFloor float64 // the least share of its capacity that a backend starts with
+	SlowStartTime  Time    // after which a backend has all of its capacity
+	OverloadFactor float64 // the load, in capacities, that a backend in slow start fails at; 0: unknown
+	OverloadWindow Time    // over which the load on a starting backend is counted
 
 	CrossZonePrice   float64
 	HandshakePrice   float64
-	UseCapacityHints bool // members' hints are comparable sizes
+	UseCapacityHints bool // the endpoints' capacity hints can be compared
 }
 
-// Member is an entry of discovery's list.
+// Endpoint is one entry of the endpoint list from service discovery.
 type Endpoint struct {
 	ID           uint32
 	Zone, Cell   int
@@ -128,11 +121,11 @@
 	StartedAt    Time // 0: long ago
 }
 
-// News tells what a list of members is.
+// UpdateKind says what an endpoint update holds.
 type UpdateKind uint8
 
-// A list is whole, whole but perhaps stale, only what changed, or could not
-// be had.
+// The kinds: the complete list, a complete list that may be stale, only the changed endpoints, or
+// nothing since service discovery is unavailable.
 const (
 	UpdateComplete UpdateKind = iota
 	UpdateStale
@@ -140,48 +133,49 @@
 	UpdateUnavailable
 )
 
-// Request is a client's try.
+// Request is a client's request.
 type Request struct {
 	ID                     uint64
-	Class, Plan            int
+	Class, Plan            int // indices into the settings
 	Customer               uint64
-	Cost                   float64
-	Timeout                Time // how long the client waits from now
-	FirstReplica, Replicas int  // the customer's gateways: Spread in a row from First
+	Cost                   float64 // in units
+	Timeout                Time    // how long the client waits from now
+	FirstReplica, Replicas int     // the customer's gateways: Replicas in a row from FirstReplica
 }
 
-// Outcome is how an attempt ended.
+// Outcome reports how an attempt ended.
 type Outcome struct {
 	RequestID    uint64
-	Attempt      int
+	Attempt      int // 0 is the request's first
 	Backend      uint32
 	Result       Result
 	Latency      Time
-	Answered     bool // the client has its final answer
-	MeterReading int  // 1 + percent of the rate used through all gateways; 0: not told
-	ActualCost   float64
+	Answered     bool    // the client has its final answer
+	MeterReading int     // 1 + the customer's use through all gateways in percent of the rate; 0: none
+	ActualCost   float64 // in units; 0: not reported
 	LoadReport   []float32
 }
 
-// Actions is what a Gateway does to the world. Calls take effect in order.
+// Actions carries out what a Controller decides, in the order of the calls. The methods must not
+// call the controller back.
 type Actions interface {
-	// Send starts the next attempt of a request; until is when it is given up,
-	// 0 for the client's deadline.
+	// Send starts the next attempt of a request. The attempt is given up at until, or at the
+	// client's deadline if until is 0.
 	Send(id uint64, backend uint32, until Time)
-	// Refuse answers that trying again is harmless, and after how long.
+	// Reject answers that the request did not run and may be sent again after the given time.
 	Reject(id uint64, after Time)
-	// Fail answers without promising anything.
+	// Fail answers with an error that promises nothing.
 	Fail(id uint64)
-	// SetTimer asks for a Timer call with the token at the time.
+	// SetTimer asks for a call of TimerFired with the token at the given time.
 	SetTimer(at Time, token uint32)
-	// Probe asks a backend whether it lives.
+	// HealthCheck asks a backend whether it is alive.
 	HealthCheck(backend uint32)
-	// Tell sends at most 256 bytes to a peer; they may be late or lost.
+	// SendGossip sends a message of at most 256 bytes to a peer; it may arrive late or never.
 	SendGossip(peer int, note []byte)
-	// Count adds to a named number that all gateways share.
+	// IncrementCounter adds to a named counter that all gateways share.
 	IncrementCounter(name uint64, add float64, life Time)
-	// Follow asks discovery for the list and its changes from now on.
+	// WatchEndpoints asks service discovery for the endpoint list and its changes from now on.
 	WatchEndpoints()
-	// Log writes a line for the people on call.
+	// Log writes a line for the operators.
 	Log(line string)
 }
--- a/policy/controller_test.go
+++ b/policy/controller_test.go
@@ -189,8 +189,8 @@
 	r.serve(0, 1, 1, 1)
 	r.at += 10 * second // the bank of customer 1 is full and spills
 	r.serve(0, 1, 1, 1)
-	if r.sharedBucket.level < 10 {
-		t.Fatalf("bank 0 holds %g after ten seconds of spill", r.sharedBucket.level)
+	if r.shared.level < 10 {
+		t.Fatalf("bank 0 holds %g after ten seconds of spill", r.shared.level)
 	}
 	sent := 0
 	for range 40 {
@@ -201,7 +201,7 @@
 	if sent <= 20 {
 		t.Errorf("a soft customer got %d units, want more than its burst of 20", sent)
 	}
-	r.sharedBucket.level = 10
+	r.shared.level = 10
 	sent = 0
 	for range 40 {
 		if r.serve(0, 0, 3, 1) {
@@ -231,8 +231,8 @@
 		t.Errorf("%d records are kept of idle customers", n)
 	}
 	// A customer that comes counts as one of those dropped, known or not.
-	if r.sharedBucket.rate <= 100 || r.sharedBucket.rate > 3000 {
-		t.Errorf("bank 0 is fed at %g a second by 3000 idle slices of 1", r.sharedBucket.rate)
+	if r.shared.rate <= 100 || r.shared.rate > 3000 {
+		t.Errorf("bank 0 is fed at %g a second by 3000 idle slices of 1", r.shared.rate)
 	}
 }
 
@@ -418,7 +418,7 @@
 			gateways[i/250%2] = born(i/250%2, at)
 		}
 		for _, r := range gateways {
-			r.at, r.sharedBucket.level = at, 100 // whatever bank 0 would give
+			r.at, r.shared.level = at, 100 // whatever bank 0 would give
 			if r.serve(0, 2, 9, 1) {
 				sent++
 				truth.refill(at)
@@ -461,9 +461,9 @@
 		{"keyed everywhere", all, []*attempt{ran}, false, 0, true, true, ran},
 		{"keyed never ran", cell, []*attempt{unran}, false, 9 * second, true, true, nil},
 	} {
-		again, within, refuse := c.class.retryRule(c.tries, c.copies, start+c.at, 1000)
-		if again != c.again || within != c.within || refuse != c.refuse {
-			t.Errorf("%s: again %v within %v refuse %v", c.name, again, within, refuse)
+		want := retryRule{allowed: c.again, within: c.within, rejectable: c.refuse}
+		if got := c.class.retryRule(c.tries, c.copies, start+c.at, 1000); got != want {
+			t.Errorf("%s: got %+v, want %+v", c.name, got, want)
 		}
 	}
 }
@@ -692,7 +692,7 @@
 	for range 5 {
 		r.recordResult(&attempt{backend: b}, 0, ResultFailed, 1)
 	}
-	if b.errorRate < ejectionErrorRate || r.fake.count("log backend 2 out: errors") == 0 {
+	if b.errorRate < ejectionErrorRate || r.fake.count("log backend 2 ejected: errors") == 0 {
 		t.Errorf("errors %g", b.errorRate)
 	}
 }
@@ -991,7 +991,7 @@
 		t.Error("what was out while the gateway stood still counts as unanswered")
 	}
 	r.AttemptEnded(r.at, Outcome{RequestID: id, Backend: b.ID, Result: ResultOK, Latency: 3 * second, Answered: true})
-	if b.latencyRatio != 0 || r.mean.value != 0 {
+	if b.latencyRatio != 0 || r.latency.all.value != 0 {
 		t.Error("the time that an answer waited for this gateway counts as the backend's")
 	}
 }
@@ -1023,7 +1023,7 @@
 func TestPatienceEndsWhileThereIsTimeForAnother(t *testing.T) {
 	r := newRig(t, settings())
 	for _, class := range []int{0, 1} {
-		r.base[class].add(float64(second/50), fleetSampleWeight)
+		r.latency.byClass[class].add(float64(second/50), fleetSampleWeight)
 	}
 	for _, c := range []struct {
 		class int
@@ -1052,7 +1052,7 @@
 	}
 	near(t, "held with others in time", r.effectiveInFlight(), 0)
 	for range 200 {
-		r.lateShare.add(1, backendSampleWeight)
+		r.load.lateShare.add(1, sampleWeight)
 	}
 	near(t, "held with all others late", r.effectiveInFlight(), 4)
 }
@@ -1260,7 +1260,7 @@
 		r := newRig(t, settings())
 		r.TimerFired(r.at, 0)
 		for range 200 {
-			r.lateShare.add(late, backendSampleWeight)
+			r.load.lateShare.add(late, sampleWeight)
 		}
 		n := 0
 		for n < 100 {
@@ -1302,15 +1302,15 @@
 		r.at += second / 50
 	}
 	r.GossipReceived(r.at, 1, messageHeader(1, 6, 40))
-	held, inTime, n := r.loadView()
-	near(t, "held", held, 6)
-	near(t, "in time", inTime, 40)
-	near(t, "gateways", n, 2)
+	view := r.loadView()
+	near(t, "in flight", view.inFlight, 6)
+	near(t, "on time", view.onTimeRate, 40)
+	near(t, "gateways", view.gateways, 2)
 	for range 800 {
-		r.onTime.add(r.activeTime, second, 1)
+		r.load.onTime.add(r.activeTime, second, 1)
 	}
-	if held, _, n = r.loadView(); held > 0.1 || n > 1.02 {
-		t.Errorf("with many answers of its own: held %g of others, %g gateways", held, n)
+	if view = r.loadView(); view.inFlight > 0.1 || view.gateways > 1.02 {
+		t.Errorf("with many answers of its own: %g in flight by others, %g gateways", view.inFlight, view.gateways)
 	}
 }
 
@@ -1511,16 +1511,16 @@
 // Bank 0 gets back what it lent.
 func TestWhatWasLentForNothingGoesBackToBankZero(t *testing.T) {
 	r := newRig(t, settings())
-	r.sharedBucket.level = r.sharedBucket.capacity
-	for r.serve(0, 1, 9, 2) && r.sharedBucket.level == r.sharedBucket.capacity {
+	r.shared.level = r.shared.capacity
+	for r.serve(0, 1, 9, 2) && r.shared.level == r.shared.capacity {
 	}
-	before := r.sharedBucket.level
+	before := r.shared.level
 	id, sent := r.ask(0, 1, 9, 2)
-	if !sent || r.sharedBucket.level >= before {
-		t.Fatalf("sent %t, bank 0 from %g to %g: nothing was lent", sent, before, r.sharedBucket.level)
+	if !sent || r.shared.level >= before {
+		t.Fatalf("sent %t, bank 0 from %g to %g: nothing was lent", sent, before, r.shared.level)
 	}
 	r.end(id, ResultNotSent, true)
-	near(t, "bank 0", r.sharedBucket.level, before)
+	near(t, "bank 0", r.shared.level, before)
 }
 
 // Guards against units beyond the quota through the whole fleet: with a set that nobody has seen,
--- /dev/null
+++ b/policy/customer.go
@@ -0,0 +1,108 @@
+package policy
+
+import "math"
+
+// customer is what this gateway knows of one customer. The customer's requests arrive at a replica
+// set of gateways, which share its quota.
+type customer struct {
+	id                     uint64
+	plan                   int
+	firstReplica, replicas int // the set: replicas gateways in a row from firstReplica
+	inFlight               int // attempts
+	lastRequestCost        float64
+	demandWindow           Time // the time constant of demand and peerDemand
+
+	bucket  tokenBucket // the whole quota as far as known; without shared usage this gateway's share
+	ceiling tokenBucket // this gateway's share of the ceiling
+
+	customerUsage                  // in total, since this gateway started
+	consumedReported   float64     // the part of consumed that peers, or the counter, have been told
+	reportsLeft        int         // gossip rounds that are still to report the use
+	peers              []peerUsage // by position in the set; nil: none reported yet
+	demand, peerDemand decayingSum // units requested of late: here, and of the other gateways
+
+	// In wide replica sets.
+	grantFraction      float64         // the fraction of requested units that may be granted
+	grantedUnits       float64         // a participant's units under a grant below 1
+	nextReportAt       Time            // when a participant under a grant reports again
+	usageByCoordinator []customerUsage // a participant's, by index of the coordinator
+	quotaRequests      byte            // the number of the last quota request; wraps
+	advertisedGrant    float64         // a coordinator's grant as last sent to the set
+	nextGrantAt        Time            // when it may be sent again
+
+	// Where gateways share a counter.
+	counterCalls []float64 // units of the calls that are not answered yet, oldest first
+	counterTotal float64   // the counter's total as last answered
+
+	// Where backends report a meter.
+	meteredDemand decayingSum // units requested here, over the meter's period
+	meteredShare  float64     // the quota share by the last reading; 0: no reading yet
+}
+
+// customerUsage counts the units of a customer at this gateway.
+type customerUsage struct {
+	consumed, requested float64
+	requestedReported   float64 // the part of requested that peers have been told
+}
+
+// peerUsage holds the wrapping counts of a customer's use that a peer last reported.
+type peerUsage struct {
+	known       bool
+	incarnation uint32
+	consumed    uint16
+	requested   uint16
+}
+
+func (u *peerUsage) update(incarnation uint32, e usageEntry) {
+	*u = peerUsage{known: true, incarnation: incarnation, consumed: e.consumed, requested: e.requested}
+}
+
+// customerRecord returns a customer's record with its buckets refilled. It makes a missing one.
+func (g *Controller) customerRecord(id uint64, plan, firstReplica, replicas int) *customer {
+	c := g.customers[id]
+	if c == nil {
+		c = g.newCustomer(id, plan, firstReplica, replicas)
+		idle := &g.shared.idleOverflow[plan]
+		*idle = math.Max(0, *idle-g.settings.Plans[plan].Rate/float64(c.replicas))
+		g.addCustomer(c)
+	}
+	g.refillBuckets(c)
+	return c
+}
+
+func (g *Controller) addCustomer(c *customer) {
+	g.customers[c.id] = c
+	g.customerOrder = append(g.customerOrder, c)
+}
+
+// usageUnder is what was counted under the customer's coordinator of that index.
+func (c *customer) usageUnder(coordinator int) *customerUsage {
+	for len(c.usageByCoordinator) <= coordinator {
+		c.usageByCoordinator = append(c.usageByCoordinator, customerUsage{})
+	}
+	return &c.usageByCoordinator[coordinator]
+}
+
+// idle reports whether nothing is lost when the record is dropped.
+func (c *customer) idle(now Time) bool {
+	const negligible = 0.01 // units: a decaying sum never reaches 0
+	return c.demand.value(now, c.demandWindow) < negligible &&
+		c.peerDemand.value(now, c.demandWindow) < negligible &&
+		c.inFlight == 0 && c.reportsLeft == 0 && len(c.counterCalls) == 0 &&
+		c.grantFraction == 1 && c.advertisedGrant == 1 &&
+		c.bucket.level >= c.bucket.capacity && c.ceiling.level >= c.ceiling.capacity
+}
+
+// isReplica reports whether a gateway is of the customer's set.
+func (g *Controller) isReplica(c *customer, gateway int) bool {
+	gateways := g.settings.Gateways
+	return (gateway-c.firstReplica+gateways)%gateways < c.replicas
+}
+
+// usageFrom is the record of what a gateway of the customer's set reported.
+func (g *Controller) usageFrom(c *customer, gateway int) *peerUsage {
+	if c.peers == nil {
+		c.peers = make([]peerUsage, c.replicas)
+	}
+	return &c.peers[(gateway-c.firstReplica+g.settings.Gateways)%g.settings.Gateways]
+}
--- /dev/null
+++ b/policy/gossip_codec.go
@@ -0,0 +1,178 @@
+package policy
+
+import (
+	"encoding/binary"
+	"math"
+)
+
+// A gossip message is a header followed by items, each of which begins with a byte that gives its
+// kind. Numbers are little-endian. Gateways of different versions exchange these bytes, so that the
+// layout must not change within a version.
+//
+//	header    version u8, incarnation u32, in flight u16, on-time rate u16 (in counts)
+//	usage     kind u8, customer u40, plan u8, first replica u16, replicas u16, consumed u16,
+//	          requested u16, newly requested u8, wanted halves u8, quota request u8, remaining u8
+//	grant     kind u8, customer u40, fraction u8, quota request u8, approved u8
+//	fault     kind u8, backend u32, subject u8
+//	sequence  kind u8, number u8
+const (
+	gossipVersion = 3
+
+	headerSize   = 9
+	usageSize    = 19
+	grantSize    = 9
+	faultSize    = 6
+	sequenceSize = 2
+
+	maxMessageSize      = 256
+	maxFaultsPerMessage = 3
+	countsPerUnit       = 8.0 // units are sent as whole eighths; totals wrap
+)
+
+// The kinds of items.
+const (
+	usageItem = iota
+	grantItem
+	faultItem
+	sequenceItem
+)
+
+// gossipMessage is a decoded message.
+type gossipMessage struct {
+	incarnation uint32
+	inFlight    float64 // the sender's load view, per gateway
+	onTimeRate  float64
+	usage       []usageEntry
+	grants      []grant
+	faults      []faultReport
+	sequence    byte // 0: none
+}
+
+// usageEntry reports the use of one customer at the sender.
+type usageEntry struct {
+	customer               uint64
+	plan                   int
+	firstReplica, replicas int
+	consumed, requested    uint16  // counts since the sender's start
+	newlyRequested         uint16  // the part of requested since the last report; at most 255 are sent
+	wantedHalves           byte    // half units that a quota request asks for
+	quotaRequest           byte    // its number; 0: none
+	remaining              float64 // the level as a fraction of the burst; in wide sets the grant
+}
+
+// grant is a coordinator's message on one customer.
+type grant struct {
+	customer     uint64
+	fraction     float64 // of the requested units that the receiver may grant
+	quotaRequest byte    // the quota request that this answers; 0: none
+	approved     bool    // whether that is granted
+}
+
+// faultReport reports a fault of a backend with one class or plan.
+type faultReport struct {
+	backend uint32
+	subject byte // see Controller.encodeSubject
+}
+
+func packUnits(units float64) uint16 { return uint16(int64(units * countsPerUnit)) }
+
+func unpackUnits(counts uint16) float64 { return float64(counts) / countsPerUnit }
+
+// packFraction packs a fraction of one into a byte, with a finer resolution near 0.
+func packFraction(x float64) byte {
+	return byte(math.Round(math.MaxUint8 * math.Sqrt(math.Min(1, math.Max(0, x)))))
+}
+
+func unpackFraction(b byte) float64 { return float64(b) / math.MaxUint8 * float64(b) / math.MaxUint8 }
+
+// messageHeader begins a message.
+func messageHeader(incarnation uint32, inFlight, onTimeRate float64) []byte {
+	message := binary.LittleEndian.AppendUint32([]byte{gossipVersion}, incarnation)
+	message = binary.LittleEndian.AppendUint16(message, packLoad(inFlight))
+	return binary.LittleEndian.AppendUint16(message, packLoad(onTimeRate))
+}
+
+// packLoad packs a figure of the load view, which saturates.
+func packLoad(x float64) uint16 { return uint16(math.Min(math.MaxUint16, x*countsPerUnit)) }
+
+// appendItemID begins an item on a customer, whose lower 40 bits are sent.
+func appendItemID(message []byte, kind byte, customer uint64) []byte {
+	message = binary.LittleEndian.AppendUint32(append(message, kind), uint32(customer))
+	return append(message, byte(customer>>32))
+}
+
+func decodeItemID(b []byte) uint64 { return uint64(binary.LittleEndian.Uint32(b)) | uint64(b[4])<<32 }
+
+func (e *usageEntry) appendTo(message []byte) []byte {
+	message = append(appendItemID(message, usageItem, e.customer), byte(e.plan))
+	message = binary.LittleEndian.AppendUint16(message, uint16(e.firstReplica))
+	message = binary.LittleEndian.AppendUint16(message, uint16(e.replicas))
+	message = binary.LittleEndian.AppendUint16(message, e.consumed)
+	message = binary.LittleEndian.AppendUint16(message, e.requested)
+	newlyRequested := byte(min(e.newlyRequested, math.MaxUint8))
+	return append(message, newlyRequested, e.wantedHalves, e.quotaRequest, packFraction(e.remaining))
+}
+
+func decodeUsage(b []byte) usageEntry {
+	return usageEntry{
+		customer: decodeItemID(b[1:]), plan: int(b[6]),
+		firstReplica: int(binary.LittleEndian.Uint16(b[7:])),
+		replicas:     int(binary.LittleEndian.Uint16(b[9:])),
+		consumed:     binary.LittleEndian.Uint16(b[11:]), requested: binary.LittleEndian.Uint16(b[13:]),
+		newlyRequested: uint16(b[15]), wantedHalves: b[16], quotaRequest: b[17],
+		remaining: unpackFraction(b[18]),
+	}
+}
+
+func (r grant) appendTo(message []byte) []byte {
+	approved := byte(0)
+	if r.approved {
+		approved = 1
+	}
+	message = appendItemID(message, grantItem, r.customer)
+	return append(message, packFraction(r.fraction), r.quotaRequest, approved)
+}
+
+func decodeGrant(b []byte) grant {
+	return grant{
+		customer: decodeItemID(b[1:]), fraction: unpackFraction(b[6]),
+		quotaRequest: b[7], approved: b[8] == 1,
+	}
+}
+
+func (f faultReport) appendTo(message []byte) []byte {
+	return append(binary.LittleEndian.AppendUint32(append(message, faultItem), f.backend), f.subject)
+}
+
+func decodeFault(b []byte) faultReport {
+	return faultReport{backend: binary.LittleEndian.Uint32(b[1:]), subject: b[5]}
+}
+
+// decodeGossip decodes a message. One of another version or with an incomplete item is not ok.
+func decodeGossip(b []byte) (message gossipMessage, ok bool) {
+	if len(b) < headerSize || b[0] != gossipVersion {
+		return message, false
+	}
+	message.incarnation = binary.LittleEndian.Uint32(b[1:])
+	message.inFlight = unpackUnits(binary.LittleEndian.Uint16(b[5:]))
+	message.onTimeRate = unpackUnits(binary.LittleEndian.Uint16(b[7:]))
+	for b = b[headerSize:]; len(b) > 0; {
+		switch {
+		case b[0] == usageItem && len(b) >= usageSize:
+			message.usage = append(message.usage, decodeUsage(b))
+			b = b[usageSize:]
+		case b[0] == grantItem && len(b) >= grantSize:
+			message.grants = append(message.grants, decodeGrant(b))
+			b = b[grantSize:]
+		case b[0] == faultItem && len(b) >= faultSize:
+			message.faults = append(message.faults, decodeFault(b))
+			b = b[faultSize:]
+		case b[0] == sequenceItem && len(b) >= sequenceSize:
+			message.sequence = b[1]
+			b = b[sequenceSize:]
+		default:
+			return message, false
+		}
+	}
+	return message, true
+}
--- a/policy/handover_test.go
+++ b/policy/handover_test.go
@@ -59,8 +59,8 @@
 	was, now := r.customers[8], next.customers[8]
 	near(t, "store", now.bucket.level, was.bucket.level)
 	near(t, "taken", now.consumed, was.consumed)
-	if next.incarnation != r.incarnation || now.inFlight != 1 || next.backendsByID[backend].inFlight != 1 {
-		t.Errorf("boot %d of %d, open %d, out %d", next.incarnation, r.incarnation, now.inFlight, next.backendsByID[backend].inFlight)
+	if next.gossip.incarnation != r.gossip.incarnation || now.inFlight != 1 || next.backendsByID[backend].inFlight != 1 {
+		t.Errorf("boot %d of %d, open %d, out %d", next.gossip.incarnation, r.gossip.incarnation, now.inFlight, next.backendsByID[backend].inFlight)
 	}
 	before := now.consumed
 	next.settings.SettlesCost = true
@@ -104,15 +104,15 @@
 func TestHandoverKeepsWhatWasLearnt(t *testing.T) {
 	r := newRig(t, namedSettings())
 	r.backendsByID[2].down, r.backendsByID[2].nextTrialAt = true, r.at+second
-	r.base[0] = movingAverage{1000, 5}
+	r.latency.byClass[0] = movingAverage{1000, 5}
 	set := namedSettings()
 	set.Classes[0], set.Classes[2] = set.Classes[2], set.Classes[0]
 	next := r.second(t, set)
 	if !next.backendsByID[2].down || !next.unhealthy(next.backendsByID[2]) {
 		t.Error("a backend that is down came back with the handover")
 	}
-	near(t, "base", next.base[2].value, 1000)
-	near(t, "base of another class", next.base[0].value, 0)
+	near(t, "base", next.latency.byClass[2].value, 1000)
+	near(t, "base of another class", next.latency.byClass[0].value, 0)
 }
 
 // If the new process ends, the old one grants no more than one that has just started.
@@ -220,11 +220,11 @@
 	if n := r.coordinatorCount(c); n < 2 {
 		t.Fatalf("%d homes, want several", n)
 	}
-	*c.usageUnder(1) = coordinatorUsage{consumed: 5, requested: 8, requestedReported: 7}
-	*c.usageUnder(0) = coordinatorUsage{consumed: 2, requested: 3, requestedReported: 3}
+	*c.usageUnder(1) = customerUsage{consumed: 5, requested: 8, requestedReported: 7}
+	*c.usageUnder(0) = customerUsage{consumed: 2, requested: 3, requestedReported: 3}
 	c.consumed, c.requested, c.requestedReported = 7, 11, 10
-	if got := r.second(t, set).customers[9].coordinatorUsages; !slices.Equal(got, c.coordinatorUsages) {
-		t.Errorf("tallies %v, want %v", got, c.coordinatorUsages)
+	if got := r.second(t, set).customers[9].usageByCoordinator; !slices.Equal(got, c.usageByCoordinator) {
+		t.Errorf("tallies %v, want %v", got, c.usageByCoordinator)
 	}
 	s := r.Export(r.at)
 	for i := range s.Customers {
@@ -235,8 +235,8 @@
 		t.Fatal(err)
 	}
 	now := next.customers[9]
-	if want := []coordinatorUsage{{7, 11, 10}}; !slices.Equal(now.coordinatorUsages, want) {
-		t.Errorf("tallies %v from an older process, want %v", now.coordinatorUsages, want)
+	if want := []customerUsage{{7, 11, 10}}; !slices.Equal(now.usageByCoordinator, want) {
+		t.Errorf("tallies %v from an older process, want %v", now.usageByCoordinator, want)
 	}
 	if now.bucket.level > 60/float64(next.coordinatorCount(now)) {
 		t.Errorf("a home holds %g of a burst cut over %d", now.bucket.level, next.coordinatorCount(now))
--- a/policy/reload.go
+++ b/policy/reload.go
@@ -1,195 +1,220 @@
 package policy
 
 import (
-	"cmp"
 	"math"
 	"slices"
 )
 
-// Reload puts other settings in force. Classes and plans go by their names, as their numbers
-// may shift. A class that vanished, or means something else from now on, stays behind the new
-// ones as it was while requests of it are open; a plan while customers are on it. What the tier
-// is built on (who is in it, and how gateways hear of each other) only a restart can change.
-func (g *Controller) Reload(now Time, set Settings) error {
-	if err := set.validate(); err != nil {
+const demandWindowFraction = 0.5 // the demand window, in times in which a plan's burst refills
+
+// Reload puts other settings in force. Classes and plans are matched by name, as their indices may
+// change. A class that is gone or has changed stays after the new ones, as it was, while requests of
+// it are open; so does a plan that is gone while customers have it. Only a restart can change the
+// gateways and how they hear of each other: those settings stay as they are.
+func (g *Controller) Reload(now Time, settings Settings) error {
+	if err := settings.validate(); err != nil {
 		return err
 	}
 	g.advanceClock(now)
-	old := &g.settings
-	set.Self, set.Gateways, set.Zone, set.PollEndpoints = old.Self, old.Gateways, old.Zone, old.PollEndpoints
-	set.Gossip, set.SharedCounter, set.MeterPeriod, set.LoadReport = old.Gossip, old.SharedCounter, old.MeterPeriod, old.LoadReport
-	set.Classes, set.Plans = slices.Clone(set.Classes), slices.Clone(set.Plans)
-	classes, plans := g.mapClasses(&set), g.mapPlans(&set)
-	if err := set.validate(); err != nil {
-		return err // with what must be kept
-	}
-	g.renumber(&set, classes, plans)
-	spill := make([]float64, len(set.Plans))
-	for plan, rate := range g.idleOverflow {
-		if to := plans[plan]; to >= 0 && old.Plans[plan].Rate > 0 {
-			spill[to] += rate * set.Plans[to].Rate / old.Plans[plan].Rate
-		}
-	}
-	g.idleOverflow = spill
+	g.keepFixedSettings(&settings)
+	classes, plans := g.mapClasses(&settings), g.mapPlans(&settings)
+	if err := settings.validate(); err != nil {
+		return err // what must be kept does not fit
+	}
+	g.renumberClasses(&settings, classes)
+	g.renumberPlans(&settings, plans)
+	g.renumberRequests(classes, plans)
 	for _, c := range g.customerOrder {
-		g.refillBuckets(c) // at the old rate up to now
+		g.refillBuckets(c) // at the old rate
 	}
-	g.settings = set
+	g.settings = settings
 	g.deriveFromSettings()
 	g.selectSubset()
-	g.sharedBucket.refill(now)
-	g.sharedBucket.rate, g.sharedBucket.level = sum(g.idleOverflow), math.Min(g.sharedBucket.level, g.sharedBucket.capacity)
+	g.shared.refill(now)
+	g.shared.rate, g.shared.level = sum(g.shared.idleOverflow), math.Min(g.shared.level, g.shared.capacity)
 	for _, c := range g.customerOrder {
-		c.plan = plans[c.plan]
-		// A larger burst comes by and by: what a bank holds is no more than it was.
-		p := &g.settings.Plans[c.plan]
-		c.bucket.rate, c.bucket.capacity, c.bucket.level = p.Rate, p.Burst, math.Min(c.bucket.level, p.Burst)
-		if g.grantsQuota(c) {
-			c.bucket.level = math.Min(c.bucket.level, p.Burst/float64(g.coordinatorCount(c)))
-		}
-		c.demandWindow = g.demandWindow(p, c.replicas)
+		g.applyPlan(c, plans[c.plan])
 	}
 	return nil
 }
 
-// named is the number of what has the name, -1: none.
-func indexByName[T any](items []T, name func(*T) string, want string) int {
-	return slices.IndexFunc(items, func(item T) bool { return name(&item) == want })
+// keepFixedSettings copies what only a restart can change from the settings in force. It also copies
+// the lists, which are appended to.
+func (g *Controller) keepFixedSettings(settings *Settings) {
+	old := &g.settings
+	settings.Self, settings.Gateways, settings.Zone = old.Self, old.Gateways, old.Zone
+	settings.PollEndpoints, settings.LoadReport = old.PollEndpoints, old.LoadReport
+	settings.Gossip, settings.SharedCounter = old.Gossip, old.SharedCounter
+	settings.MeterPeriod = old.MeterPeriod
+	settings.Classes, settings.Plans = slices.Clone(settings.Classes), slices.Clone(settings.Plans)
+}
+
+// applyPlan gives a customer the plan of that index. Its bucket holds no more than before: a larger
+// burst fills at the plan's rate.
+func (g *Controller) applyPlan(c *customer, plan int) {
+	p := &g.settings.Plans[plan]
+	c.plan = plan
+	c.bucket.rate, c.bucket.capacity, c.bucket.level = p.Rate, p.Burst, math.Min(c.bucket.level, p.Burst)
+	g.limitToPart(c)
+	c.demandWindow = g.demandWindow(p, c.replicas)
+}
+
+// indexByName is the index of the item of that name; -1: none.
+func indexByName[T any](items []T, nameOf func(*T) string, name string) int {
+	return slices.IndexFunc(items, func(item T) bool { return nameOf(&item) == name })
 }
 
 func className(c *Class) string { return c.Name }
 func planName(p *Plan) string   { return p.Name }
 
-// keptClasses gives the new number of each class, -1 where nothing needs it any more, and
-// adds those that open requests keep.
-func (g *Controller) mapClasses(set *Settings) []int {
-	listed := len(set.Classes)
-	to := make([]int, len(g.settings.Classes))
-	for i, c := range g.settings.Classes {
-		to[i] = indexByName(set.Classes[:listed], className, c.Name)
-		if to[i] >= 0 && set.Classes[to[i]] == c {
+// mapClasses returns the new index of each class, -1 where nothing needs it any more. It appends
+// the classes that open requests still need to the new settings.
+func (g *Controller) mapClasses(settings *Settings) []int {
+	configured := len(settings.Classes)
+	indices := make([]int, len(g.settings.Classes))
+	for i, class := range g.settings.Classes {
+		indices[i] = indexByName(settings.Classes[:configured], className, class.Name)
+		if indices[i] >= 0 && settings.Classes[indices[i]] == class {
 			continue
 		}
-		to[i] = -1
-		if g.anyOpenRequest(func(r *request) bool { return r.Class == i }) {
-			to[i] = len(set.Classes)
-			set.Classes = append(set.Classes, c)
+		indices[i] = -1
+		if g.hasRequestOf(i) {
+			indices[i] = len(settings.Classes)
+			settings.Classes = append(settings.Classes, class)
 		}
 	}
-	return to
+	return indices
 }
 
-// anyOpen tells whether it is so of any open request, here or with the former process.
-func (g *Controller) anyOpenRequest(so func(*request) bool) bool {
-	for _, open := range []map[uint64]*request{g.requests, g.predecessorRequests} {
-		for _, r := range open {
-			if so(r) {
-				return true
-			}
+// mapPlans is the same for plans, which are needed while customers have them.
+func (g *Controller) mapPlans(settings *Settings) []int {
+	indices := make([]int, len(g.settings.Plans))
+	for i, plan := range g.settings.Plans {
+		indices[i] = indexByName(settings.Plans, planName, plan.Name)
+		hasPlan := func(c *customer) bool { return c.plan == i }
+		if indices[i] < 0 && slices.ContainsFunc(g.customerOrder, hasPlan) {
+			indices[i] = len(settings.Plans)
+			settings.Plans = append(settings.Plans, plan)
 		}
 	}
-	return false
+	return indices
+}
+
+func (g *Controller) hasRequestOf(class int) bool {
+	found := false
+	g.eachRequest(func(r *request) { found = found || r.Class == class })
+	return found
+}
+
+// eachRequest calls do for each open request, this process's and the predecessor's.
+func (g *Controller) eachRequest(do func(*request)) {
+	for _, requests := range []map[uint64]*request{g.requests, g.predecessorRequests} {
+		for _, r := range requests {
+			do(r)
+		}
+	}
+}
+
+func (g *Controller) renumberRequests(classes, plans []int) {
+	g.eachRequest(func(r *request) { r.Class, r.Plan = classes[r.Class], plans[r.Plan] })
 }
 
-// keptPlans is the same of plans, which stay while customers are on them.
-func (g *Controller) mapPlans(set *Settings) []int {
-	to := make([]int, len(g.settings.Plans))
-	for i, p := range g.settings.Plans {
-		to[i] = indexByName(set.Plans, planName, p.Name)
-		if to[i] < 0 && slices.ContainsFunc(g.customerOrder, func(c *customer) bool { return c.plan == i }) {
-			to[i] = len(set.Plans)
-			set.Plans = append(set.Plans, p)
+// renumberClasses moves the state of each class to its new index. What was learnt of a class holds
+// for the class of its name, whatever else of it has changed.
+func (g *Controller) renumberClasses(settings *Settings, classes []int) {
+	count := len(settings.Classes)
+	latency, withinObjective := make([]movingAverage, count), make([][]*attempt, count)
+	oldIndices := g.oldClassIndices(settings, classes)
+	pickFrom(latency, g.latency.byClass, oldIndices)
+	for i, attempts := range g.withinObjective {
+		if class := classes[i]; class >= 0 {
+			withinObjective[class] = append(withinObjective[class], attempts...)
+			slices.SortStableFunc(withinObjective[class], bySendTime)
 		}
 	}
-	return to
+	for i, row := range g.clientTimeouts {
+		g.clientTimeouts[i] = make([]movingAverage, count)
+		pickFrom(g.clientTimeouts[i], row, oldIndices)
+	}
+	for _, b := range g.backends {
+		faults := make([]decayingSum, count+len(g.settings.Plans))
+		pickFrom(faults[:count], b.faults, oldIndices)
+		copy(faults[count:], b.faults[len(g.settings.Classes):])
+		b.faults = faults
+	}
+	g.latency.byClass, g.withinObjective = latency, withinObjective
+	g.gossip.faults = nil // they name classes by their old index
 }
 
-// renumber moves all that is kept by class or plan to the new numbers. What was learnt of a
-// class holds for that of its name, whatever else has changed of it.
-func (g *Controller) renumber(set *Settings, classes, plans []int) {
-	from := make([]int, len(set.Classes))
-	for i := range from {
-		if from[i] = slices.Index(classes, i); from[i] < 0 {
-			from[i] = indexByName(g.settings.Classes, className, set.Classes[i].Name)
+// oldClassIndices is the inverse of the indices from mapClasses, completed by name; -1: new.
+func (g *Controller) oldClassIndices(settings *Settings, classes []int) []int {
+	indices := make([]int, len(settings.Classes))
+	for i := range indices {
+		if indices[i] = slices.Index(classes, i); indices[i] < 0 {
+			indices[i] = indexByName(g.settings.Classes, className, settings.Classes[i].Name)
 		}
 	}
-	base, due := make([]movingAverage, len(set.Classes)), make([][]*attempt, len(set.Classes))
-	for i, f := range from {
-		if f >= 0 {
-			base[i] = g.base[f]
+	return indices
+}
+
+// pickFrom sets each item of to from the one at its old index in from, if that is not -1.
+func pickFrom[T any](to, from []T, oldIndices []int) {
+	for i, old := range oldIndices {
+		if old >= 0 {
+			to[i] = from[old]
 		}
 	}
-	for i, attempts := range g.withinObjective {
-		if to := classes[i]; to >= 0 {
-			due[to] = append(due[to], attempts...)
-			slices.SortStableFunc(due[to], func(a, b *attempt) int { return cmp.Compare(a.sentAt, b.sentAt) })
+}
+
+// renumberPlans moves the state of each plan to its new index, once the classes have theirs.
+func (g *Controller) renumberPlans(settings *Settings, plans []int) {
+	timeouts, overflow := make([][]movingAverage, len(settings.Plans)), make([]float64, len(settings.Plans))
+	for plan := range timeouts {
+		timeouts[plan] = make([]movingAverage, len(settings.Classes))
+		if old := slices.Index(plans, plan); old >= 0 {
+			copy(timeouts[plan], g.clientTimeouts[old])
 		}
 	}
-	grace := make([][]movingAverage, len(set.Plans))
-	for p := range grace {
-		grace[p] = make([]movingAverage, len(set.Classes))
-		if f := slices.Index(plans, p); f >= 0 {
-			for i, c := range from {
-				if c >= 0 {
-					grace[p][i] = g.clientTimeouts[f][c]
-				}
-			}
+	for old, plan := range plans {
+		if oldRate := g.settings.Plans[old].Rate; plan >= 0 && oldRate > 0 {
+			overflow[plan] += g.shared.idleOverflow[old] * settings.Plans[plan].Rate / oldRate
 		}
 	}
 	for _, b := range g.backends {
-		words := make([]decayingSum, len(set.Classes)+len(set.Plans))
-		for i, f := range from {
-			if f >= 0 {
-				words[i] = b.faults[f]
+		faults := make([]decayingSum, len(settings.Classes)+len(settings.Plans))
+		copy(faults, b.faults[:len(settings.Classes)])
+		for old, plan := range plans {
+			if plan >= 0 {
+				faults[len(settings.Classes)+plan] = b.faults[len(settings.Classes)+old]
 			}
 		}
-		for i, p := range plans {
-			if p >= 0 {
-				words[len(set.Classes)+p] = b.faults[len(g.settings.Classes)+i]
-			}
-		}
-		b.faults = words
+		b.faults = faults
 	}
-	g.anyOpenRequest(func(r *request) bool {
-		r.Class, r.Plan = classes[r.Class], plans[r.Plan]
-		return false
-	})
-	g.base, g.withinObjective, g.clientTimeouts, g.faultReports = base, due, grace, nil
+	g.clientTimeouts, g.shared.idleOverflow = timeouts, overflow
 }
 
-// derive works out what follows from the settings.
+// deriveFromSettings computes what follows from the settings alone.
 func (g *Controller) deriveFromSettings() {
-	g.gossipPeriod = minGossipPeriod
+	g.gossip.period = minGossipPeriod
 	if g.settings.GossipPerSecond > 0 {
-		g.gossipPeriod = max(g.gossipPeriod, g.receiveTime(min(g.settings.Gateways-1, maxFullMeshPeers)))
+		g.gossip.period = max(g.gossip.period, g.receiveTime(min(g.settings.Gateways-1, maxFullMeshPeers)))
 	}
 	g.shortestObjective = g.settings.Classes[0].LatencyObjective
 	for _, c := range g.settings.Classes {
 		g.shortestObjective = min(g.shortestObjective, c.LatencyObjective)
 	}
-	g.sharedBucket.capacity = 0
+	g.shared.capacity = 0
 	for _, p := range g.settings.Plans {
-		if p.soft() {
-			g.sharedBucket.capacity = math.Max(g.sharedBucket.capacity, p.Burst)
+		if p.overagePays() {
+			g.shared.capacity = math.Max(g.shared.capacity, p.Burst)
 		}
 	}
 }
 
-// windowOf is the demand window of a plan's customers.
-func (g *Controller) demandWindow(p *Plan, spread int) Time {
+// demandWindow is the time constant in which the demand of a plan's customers is measured.
+func (g *Controller) demandWindow(p *Plan, replicas int) Time {
 	if p.Rate <= 0 {
 		return second
 	}
-	return max(Time(demandWindowFraction*p.Burst/p.Rate*float64(second)), g.receiveTime(spread))
-}
-
-// Avoided is how many listed backends get nothing now: they drain, or are left out.
-func (g *Controller) UnavailableBackends() int {
-	n := 0
-	for _, b := range g.backends {
-		if b.listed && (b.State != EndpointReady || b.down || b.errorRate >= ejectionErrorRate) {
-			n++
-		}
-	}
-	return n
+	return max(Time(demandWindowFraction*p.Burst/p.Rate*float64(second)), g.receiveTime(replicas))
 }
--- a/policy/report.go
+++ b/policy/report.go
@@ -1,38 +1,39 @@
 package policy
 
-import "fmt"
+import (
+	"fmt"
+	"strings"
+)
 
-// reportEvery is the time between two lines of counters in the log.
-const counterLogInterval = 5 * second
+const counterLogInterval = 5 * second // the least time between two lines of counters in the log
 
-// reason is why a try was refused.
+// rejectReason says why a request was rejected.
 type rejectReason int
 
 const (
-	rejectExpired     rejectReason = iota // it came while this gateway stood still
-	rejectAtCapacity                      // the back end is full
-	rejectOverQuota                       // neither its own bank nor bank 0 holds its units
-	rejectOverCeiling                     // nor its part of the ceiling
-	rejectNoBackend                       // none is usable
-	rejectNeverRan                        // all its attempts ended without having run
+	rejectExpired     rejectReason = iota // it arrived in a stall and can't be answered in time
+	rejectAtCapacity                      // the backends are at capacity
+	rejectOverQuota                       // neither the quota nor the shared bucket covers its cost
+	rejectOverCeiling                     // it is beyond this gateway's share of the ceiling
+	rejectNoBackend                       // no backend is ready
+	rejectNeverRan                        // all its attempts ended, and it may be sent again
 	rejectReasonCount
 )
 
-// counts is what happened since the last report.
+// activityCounters count what happened since the last line of counters.
 type activityCounters struct {
 	since         Time
 	sent          int // attempts
-	consecutive   int // those of them that went to the same backend as the one before
+	consecutive   int // attempts to the same backend as the one before: many show herding
 	lastBackend   *backend
 	rejected      [rejectReasonCount]int
-	shareTooSmall int // those over quota whose whole store held their units: this gateway's slice did not
-	halfFull      int // and those of them with half of the store or more
-	quotaRequests int // of homes, by wide sets
-	unanswered    int // those of them without an answer in time
+	shareTooSmall int // over quota for this gateway's share alone: the whole bucket held the units
+	halfFull      int // those of them with at least half of the bucket left
+	quotaRequests int
+	unanswered    int // quota requests that timed out
 	results       [ResultNotSent + 1]int
 }
 
-// sentTo counts an attempt. Many in a row to one backend tell that choice herds.
 func (n *activityCounters) countSend(b *backend) {
 	n.sent++
 	if n.lastBackend == b {
@@ -41,31 +42,44 @@
 	n.lastBackend = b
 }
 
-// short counts a try refused over quota for its slice alone: a peer could have let it in.
+// countOverQuota counts a request over quota that a peer could have admitted.
 func (n *activityCounters) countOverQuota(c *customer, units float64) {
-	if c.bucket.level >= units {
-		n.shareTooSmall++
-		n.halfFull += int(indicator(c.bucket.level >= c.bucket.capacity/2))
+	if c.bucket.level < units {
+		return
+	}
+	n.shareTooSmall++
+	if c.bucket.level >= c.bucket.capacity/2 {
+		n.halfFull++
 	}
 }
 
-// report writes the counters and the view of the back end for the people on call: a line
-// now and then, as a line a request would cost more than the request.
+// logCounters logs the counters and the load view once in a while: a line for each request would
+// cost more than the request.
 func (g *Controller) logCounters() {
 	n := &g.counters
 	if g.now-n.since < counterLogInterval {
 		return
 	}
-	held, inTime, gateways := g.loadView()
-	g.actions.Log(fmt.Sprintf("sent %d, in a row to one %d; refused: late %d, room %d, quota %d, ceiling %d, backend %d, turned away %d; "+
-		"of quota for a slice %d, half of all %d; asked homes %d, unanswered %d; "+
-		"ok %d, failed %d, full %d, timed out %d, no connection %d, reset %d, moot %d; "+
-		"held %.1f, in time %.1f/s, of %.1f gateways; late %.2f, mean %.0f ms, sound %d of %d",
-		n.sent, n.consecutive, n.rejected[rejectExpired], n.rejected[rejectAtCapacity], n.rejected[rejectOverQuota], n.rejected[rejectOverCeiling],
-		n.rejected[rejectNoBackend], n.rejected[rejectNeverRan],
-		n.shareTooSmall, n.halfFull, n.quotaRequests, n.unanswered,
-		n.results[ResultOK], n.results[ResultFailed], n.results[ResultOverloaded], n.results[ResultTimedOut], n.results[ResultConnectFailed],
-		n.results[ResultReset], n.results[ResultNotSent],
-		held, inTime, gateways, g.lateShare.value, g.mean.value/1000, g.healthy, len(g.backends)))
+	view := g.loadView()
+	const microsecondsPerMillisecond = 1000
+	g.actions.Log(strings.Join([]string{
+		fmt.Sprintf("sent %d, consecutive to one backend %d", n.sent, n.consecutive),
+		fmt.Sprintf("rejected: expired %d, at capacity %d, over quota %d, over ceiling %d, "+
+			"no backend %d, never ran %d",
+			n.rejected[rejectExpired], n.rejected[rejectAtCapacity], n.rejected[rejectOverQuota],
+			n.rejected[rejectOverCeiling], n.rejected[rejectNoBackend], n.rejected[rejectNeverRan]),
+		fmt.Sprintf("over quota by the share alone %d, with half of the bucket left %d",
+			n.shareTooSmall, n.halfFull),
+		fmt.Sprintf("quota requests %d, unanswered %d", n.quotaRequests, n.unanswered),
+		fmt.Sprintf("results: ok %d, failed %d, overloaded %d, timed out %d, connect failed %d, "+
+			"reset %d, not sent %d",
+			n.results[ResultOK], n.results[ResultFailed], n.results[ResultOverloaded],
+			n.results[ResultTimedOut],
+			n.results[ResultConnectFailed], n.results[ResultReset], n.results[ResultNotSent]),
+		fmt.Sprintf("in flight %.1f, on time %.1f/s, of %.1f gateways",
+			view.inFlight, view.onTimeRate, view.gateways),
+		fmt.Sprintf("late share %.2f, mean latency %.0f ms, healthy %d of %d", g.load.lateShare.value,
+			g.latency.all.value/microsecondsPerMillisecond, g.healthy, len(g.backends)),
+	}, "; "))
 	*n = activityCounters{since: g.now}
 }
--- /dev/null
+++ b/policy/retry.go
@@ -0,0 +1,90 @@
+package policy
+
+import "math"
+
+const (
+	retryRatio           = 0.2  // retries that one admitted request pays for
+	maxRetryBudget       = 10.0 // the most retries saved up
+	ranRetryCost         = 1.0  // the cost of a retry after an attempt that may have run,
+	notRunRetryCost      = 0.1  // and after one that did not: it has cost next to nothing
+	attemptTimeoutFactor = 10   // average latencies after which an attempt is given up for another
+	minRetryTime         = 10   // the part of the latency objective, 1/n, that must be left for a retry
+	dedupMarginEvents    = 4    // least event intervals by which a deduplication window ends early
+)
+
+// retryBudget limits retries to a ratio of the requests admitted.
+type retryBudget float64
+
+func (budget *retryBudget) deposit() {
+	*budget = retryBudget(math.Min(maxRetryBudget, float64(*budget)+retryRatio))
+}
+
+// retryRule says what may follow the attempts that a request has had.
+type retryRule struct {
+	allowed    bool     // another attempt may be made
+	within     *attempt // it must stay in this one's deduplication scope; nil: anywhere
+	rejectable bool     // the request may be rejected, as it did not run or may run again
+}
+
+// retryRule applies a class's idempotency to the attempts that a request has had. Hedging allows an
+// attempt while another is pending.
+func (c *Class) retryRule(attempts []*attempt, hedging bool, now, dedupMargin Time) retryRule {
+	rule := retryRule{allowed: true, rejectable: true}
+	for _, a := range attempts {
+		if a.pending && !hedging {
+			rule.allowed = false
+		}
+		if !a.mayHaveRun || c.Idempotency == Idempotent {
+			continue
+		}
+		if c.Idempotency == NotIdempotent {
+			return retryRule{}
+		}
+		if rule.within == nil {
+			rule.within = a
+			rule.allowed = rule.allowed && now < a.sentAt+c.DedupWindow-dedupMargin
+			rule.rejectable = c.DedupScope == DedupAll
+		}
+	}
+	return rule
+}
+
+// ruleFor applies the request's class to the given attempts of it.
+func (g *Controller) ruleFor(r *request, attempts []*attempt, now Time) retryRule {
+	margin := dedupMarginEvents * g.settings.MinEventInterval
+	return g.settings.Classes[r.Class].retryRule(attempts, g.settings.Hedging, now, margin)
+}
+
+// retry sends another attempt if the rule, the number of attempts, the budget and the time that is
+// left allow it and there is a backend. It reports whether it did.
+func (g *Controller) retry(r *request, last *attempt, rule retryRule, now Time) bool {
+	cost := retryBudget(notRunRetryCost)
+	if last.mayHaveRun {
+		cost = ranRetryCost
+	}
+	minTime := g.settings.Classes[r.Class].LatencyObjective / minRetryTime
+	if !rule.allowed || len(r.attempts) >= g.settings.MaxAttempts || g.retryBudget < cost ||
+		r.deadline-now <= minTime {
+		return false
+	}
+	b := g.chooseBackend(r, rule.within)
+	if b == nil {
+		return false
+	}
+	g.retryBudget -= cost
+	g.send(r, b)
+	return true
+}
+
+// attemptDeadline is when the request's newest attempt is given up for another one, 0 if there is
+// no budget, capacity or time for another.
+func (g *Controller) attemptDeadline(r *request) Time {
+	class, latency := &g.settings.Classes[r.Class], Time(g.latency.byClass[r.Class].value)
+	deadline := g.now + attemptTimeoutFactor*latency
+	if class.Idempotency == NotIdempotent || g.retryBudget < ranRetryCost ||
+		len(r.attempts) == g.settings.MaxAttempts || g.atCapacity(borrowCapacityShare) ||
+		latency == 0 || deadline+latency > r.attempts[0].sentAt+class.LatencyObjective {
+		return 0
+	}
+	return deadline
+}
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -63,7 +63,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			g, now := sized(b, n, 46), start
 			for b.Loop() {
-				now += g.gossipPeriod
+				now += g.gossip.period
 				g.TimerFired(now, gossipTimer)
 			}
 		})
@@ -93,8 +93,8 @@
 				for k := range n {
 					serveOne(b, g, now+Time(k)*second/Time(n), i+k, k, 2)
 				}
-				for range second / g.gossipPeriod {
-					now += g.gossipPeriod
+				for range second / g.gossip.period {
+					now += g.gossip.period
 					g.TimerFired(now, gossipTimer)
 				}
 			}
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -2,29 +2,44 @@
 
 import "fmt"
 
-// check tells which field of the settings cannot be served.
-func (set *Settings) validate() error {
+// maxSubjects is how many classes and plans there may be, as a byte numbers both in fault reports.
+const maxSubjects = 255
+
+// SettingsError says which field of the settings can't be served, by its key in the settings file.
+type SettingsError struct {
+	Field   string
+	Problem string
+}
+
+func (e *SettingsError) Error() string { return "settings: " + e.Field + ": " + e.Problem }
+
+func settingsError(field, format string, args ...any) error {
+	return &SettingsError{Field: field, Problem: fmt.Sprintf(format, args...)}
+}
+
+// validate returns a SettingsError for the first field that can't be served.
+func (s *Settings) validate() error {
 	switch {
-	case set.Gateways < 1:
-		return fmt.Errorf("settings: gateways: %d, at least 1 wanted", set.Gateways)
-	case set.Self < 0 || set.Self >= set.Gateways:
-		return fmt.Errorf("settings: self: %d is none of %d gateways", set.Self, set.Gateways)
-	case len(set.Classes) == 0:
-		return fmt.Errorf("settings: classes: none")
-	case len(set.Plans) == 0 || len(set.Classes)+len(set.Plans) > 255:
-		return fmt.Errorf("settings: plans: %d, at least 1 and with the classes at most 255 wanted", len(set.Plans))
-	}
-	if set.MaxAttempts < 0 {
-		return fmt.Errorf("settings: attempts: %d, above 0 wanted", set.MaxAttempts)
+	case s.Gateways < 1:
+		return settingsError("gateways", "%d, at least 1 wanted", s.Gateways)
+	case s.Self < 0 || s.Self >= s.Gateways:
+		return settingsError("self", "%d is none of %d gateways", s.Self, s.Gateways)
+	case len(s.Classes) == 0:
+		return settingsError("classes", "none")
+	case len(s.Plans) == 0 || len(s.Classes)+len(s.Plans) > maxSubjects:
+		return settingsError("plans", "%d, at least 1 and with the classes at most %d wanted",
+			len(s.Plans), maxSubjects)
+	case s.MaxAttempts < 0:
+		return settingsError("attempts", "%d, above 0 wanted", s.MaxAttempts)
 	}
-	for i, c := range set.Classes {
-		if c.LatencyObjective <= 0 {
-			return fmt.Errorf("settings: classes[%d].aim: %d, above 0 wanted", i, c.LatencyObjective)
+	for i := range s.Classes {
+		if objective := s.Classes[i].LatencyObjective; objective <= 0 {
+			return settingsError(fmt.Sprintf("classes[%d].aim", i), "%d, above 0 wanted", objective)
 		}
 	}
-	for i, p := range set.Plans {
-		if p.Rate < 0 || p.CeilingRate < 0 || p.Rate > 0 && p.Burst <= 0 {
-			return fmt.Errorf("settings: plans[%d]: rate %g with burst %g", i, p.Rate, p.Burst)
+	for i := range s.Plans {
+		if p := &s.Plans[i]; p.Rate < 0 || p.CeilingRate < 0 || p.Rate > 0 && p.Burst <= 0 {
+			return settingsError(fmt.Sprintf("plans[%d]", i), "rate %g with burst %g", p.Rate, p.Burst)
 		}
 	}
 	return nil
--- /dev/null
+++ b/policy/slowstart.go
@@ -0,0 +1,73 @@
+package policy
+
+import "math"
+
+const (
+	sendRateDecay  = 4 * second // the time constant of the rate of attempts to warm backends
+	overloadMargin = 0.6        // the part of the load that a starting backend fails at which it is sent
+)
+
+// slowStartShare is the least part of its capacity that a backend has by now: 1 once it is warm.
+func (g *Controller) slowStartShare(b *backend) float64 {
+	if b.StartedAt == 0 || g.settings.SlowStartTime == 0 {
+		return 1
+	}
+	age := math.Max(0, float64(g.now-b.StartedAt)/float64(g.settings.SlowStartTime))
+	return math.Min(1, g.settings.SlowStartFloor+(1-g.settings.SlowStartFloor)*age)
+}
+
+// slowStartAllows reports whether a backend may get one more attempt. One in slow start gets its
+// share of what this gateway sends a warm one, saved up for at most half of the overload window, so
+// that all gateways together load it no more than the warm ones.
+func (g *Controller) slowStartAllows(b *backend) bool {
+	share := g.slowStartShare(b)
+	if share == 1 || g.retired { // what was saved up belongs to the process that took over
+		return share == 1
+	}
+	window := float64(g.settings.OverloadWindow) / float64(second)
+	margin := 1.0
+	if g.settings.OverloadFactor > 0 { // may be below 1: half a window's worth can come on top
+		margin = overloadMargin * g.settings.OverloadFactor
+	}
+	bucket := &b.slowStartBucket
+	turn := share / math.Max(window, 1) / float64(g.settings.Gateways)
+	bucket.rate = margin * math.Max(g.slowStartRate(b, share), turn)
+	// What can't be saved up to one attempt in that time is dropped and comes at its next turn: else
+	// many slow gateways would each hold an attempt for the backend and send them all at once.
+	saved := bucket.rate * window / 2
+	if bucket.capacity = saved; saved < 1 {
+		bucket.capacity = 1 + saved
+	}
+	if overflow := bucket.refill(g.now); saved < 1 && overflow > 0 {
+		bucket.level = saved + math.Mod(overflow, 1)
+	}
+	return bucket.level >= 1
+}
+
+// slowStartRate is how many attempts a second a backend in slow start gets: its share of a warm
+// backend's rate. With no warm backend in the subset it is one core's rate, the least that any
+// backend has, split over the gateways that prefer it.
+func (g *Controller) slowStartRate(b *backend, share float64) float64 {
+	if !b.inSubset {
+		return 0 // left to the gateways that prefer it
+	}
+	rate := share * g.sendRate.value(g.now, sendRateDecay) * float64(second) / float64(sendRateDecay)
+	if g.warm > 0 {
+		return rate
+	}
+	gateways := g.settings.Gateways
+	if g.settings.HandshakePrice > 0 {
+		gateways = min(gateways, gatewaysPerBackend)
+	}
+	latency := float64(g.shortestObjective)
+	if g.latency.slowStart.value > 0 {
+		latency = g.latency.slowStart.value
+	}
+	return math.Max(rate, share*float64(second)/latency/float64(gateways))
+}
+
+// newSlowStartBucket holds less than one attempt, drawn so that of many gateways neither all nor
+// none send at once.
+func (g *Controller) newSlowStartBucket() tokenBucket {
+	return tokenBucket{level: g.random.Float64(), updatedAt: g.now}
+}
--- a/policy/stats.go
+++ b/policy/stats.go
@@ -2,38 +2,27 @@
 
 import "math"
 
-// bank is a store of units that fills at a rate up to a cap.
-type tokenBucket struct {
-	level, rate, capacity float64
-	updatedAt             Time
-}
-
-// refill brings the level up to now and returns what the full bank spilled.
-func (b *tokenBucket) refill(now Time) float64 {
-	b.level += b.rate * float64(now-b.updatedAt) / float64(second)
-	b.updatedAt = now
-	spill := math.Max(0, b.level-b.capacity)
-	b.level = math.Min(b.level, b.capacity)
-	return spill
-}
-
-// fading is a sum whose parts fade with age.
+// decayingSum is a sum whose terms decay exponentially with age. The time constant is passed with
+// each call and must be the same in all of them.
 type decayingSum struct {
 	sum       float64
 	updatedAt Time
 }
 
-func (f *decayingSum) value(now, window Time) float64 {
-	if now > f.updatedAt {
-		f.sum *= math.Exp(-float64(now-f.updatedAt) / float64(window))
-		f.updatedAt = now
+func (d *decayingSum) value(now, timeConstant Time) float64 {
+	if now > d.updatedAt {
+		d.sum *= math.Exp(-float64(now-d.updatedAt) / float64(timeConstant))
+		d.updatedAt = now
 	}
-	return f.sum
+	return d.sum
 }
 
-func (f *decayingSum) add(now, window Time, x float64) { f.sum = f.value(now, window) + x }
+func (d *decayingSum) add(now, timeConstant Time, x float64) {
+	d.sum = d.value(now, timeConstant) + x
+}
 
-// mean is a mean that follows its samples: of all at first, then with a least weight.
+// movingAverage is the plain average of its first samples, and an exponentially weighted one
+// (EWMA) once the given weight of a sample exceeds that of a plain average.
 type movingAverage struct{ value, samples float64 }
 
 func (m *movingAverage) add(x, weight float64) {
@@ -41,23 +30,17 @@
 	m.value += math.Max(weight, 1/m.samples) * (x - m.value)
 }
 
-// until is the time until a level holds the units.
-func timeUntil(level, rate, units float64) Time {
-	return Time((units - level) / math.Max(rate, 1e-3) * float64(second))
+// loadEstimate is what this gateway and its peers saw of the backends' load of late. The sums
+// decay within a second.
+type loadEstimate struct {
+	onTime                            decayingSum   // answers within their objective
+	lateShare                         movingAverage // the share of answers after their objective
+	peers, peersInFlight, peersOnTime decayingSum   // peers heard, their attempts, their rates of onTime
 }
 
-func sum(xs []float64) float64 {
-	sum := 0.0
-	for _, x := range xs {
-		sum += x
-	}
-	return sum
-}
-
-// step is 1 if it is so, else 0.
-func indicator(so bool) float64 {
-	if so {
-		return 1
-	}
-	return 0
+// loadView is the load that all gateways heard of put on the backends.
+type loadView struct {
+	inFlight   float64 // attempts
+	onTimeRate float64 // answers a second within their objective
+	gateways   float64 // how many gateways the figures cover
 }
