--- /dev/null
+++ b/policy/attempts_test.go
@@ -0,0 +1,92 @@
+package policy
+
+import "testing"
+
+func TestRequestGetsOneFinalAnswer(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		class  int
+		result Result
+		want   actionKind
+	}{
+		{"idempotent is retried after an error", 0, ResultFailed, sendAction},
+		{"not idempotent fails after an error", 1, ResultFailed, failAction},
+		{"not idempotent is retried after an overload", 1, ResultOverloaded, sendAction},
+		{"not idempotent is retried without a connection", 1, ResultConnectFailed, sendAction},
+		{"key per cell is retried after a reset", 2, ResultReset, sendAction},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			h := newHarness(t, testSettings())
+			id, _ := h.request(c.class, 1, 9, 1)
+			first := h.lastAttempt(id).backend
+			h.end(id, c.result, false)
+			if got := h.last(); got.kind != c.want || got.request != id {
+				t.Fatalf("got %+v", got)
+			}
+			if c.want != sendAction {
+				return
+			}
+			retried := h.lastAttempt(id).backend
+			if retried == first || c.class == 2 && retried.Cell != first.Cell {
+				t.Errorf("retried at backend %d of cell %d", retried.ID, retried.Cell)
+			}
+			for h.requests[id] != nil {
+				h.at += second
+				h.end(id, ResultTimedOut, false)
+			}
+			if n := h.count(failAction) + h.count(rejectAction); n != 1 {
+				t.Errorf("%d final answers", n)
+			}
+		})
+	}
+}
+
+func TestUnknownEventsAreIgnored(t *testing.T) {
+	h := newHarness(t, testSettings())
+	id, _ := h.request(0, 1, 9, 1)
+	h.take()
+	h.AttemptEnded(h.at, Outcome{RequestID: 999})
+	h.AttemptEnded(h.at, Outcome{RequestID: id, Attempt: 4})
+	h.AttemptEnded(h.at, Outcome{RequestID: id, Attempt: -1})
+	h.RequestCancelled(h.at, 999)
+	h.TimerFired(h.at, 77)
+	h.HealthCheckEnded(h.at, 99, ResultOK, nil)
+	h.CounterAnswered(h.at, 5, ResultOK, 1)
+	if len(h.performed) != 0 {
+		t.Errorf("unknown events acted: %+v", h.performed)
+	}
+	h.RequestCancelled(h.at, id)
+	h.end(id, ResultReset, true)
+	if h.requests[id] != nil || h.count(failAction)+h.count(rejectAction) != 0 {
+		t.Error("a request whose client has disconnected was answered or kept")
+	}
+}
+
+// An attempt that was kept from being written may be written later only if it still may be made.
+func TestDelayedAttemptMayBeSentOnlyWhileItIsWanted(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		change func(h *harness, id uint64)
+		want   bool
+	}{
+		{name: "unchanged", change: func(*harness, uint64) {}, want: true},
+		{name: "answered", change: func(h *harness, id uint64) { h.ResponseStarted(h.at, id) }},
+		{name: "ended", change: func(h *harness, id uint64) { h.end(id, ResultOK, true) }},
+		{name: "backend draining", change: func(h *harness, id uint64) {
+			draining := Endpoint{ID: h.lastAttempt(id).backend.ID, State: EndpointDraining}
+			h.UpdateEndpoints(h.at, UpdateIncremental, []Endpoint{draining})
+		}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			h := newHarness(t, testSettings())
+			id, _ := h.request(0, 1, 9, 1)
+			c.change(h, id)
+			if got := h.MaySend(h.at, id, 0); got != c.want {
+				t.Errorf("got %t, want %t", got, c.want)
+			}
+			if h.MaySend(h.at, id, 1) || h.MaySend(h.at, 999, 0) {
+				t.Error("an unknown attempt may be sent")
+			}
+		})
+	}
+}
--- /dev/null
+++ b/policy/bench_test.go
@@ -0,0 +1,152 @@
+package policy
+
+import (
+	"fmt"
+	"strconv"
+	"testing"
+)
+
+// The benchmarks show what a controller alone does as the fleet grows along one axis; docs/CAPACITY.md
+// works with their figures.
+
+func newSilentController(b *testing.B, settings Settings) *Controller {
+	b.Helper()
+	g, err := New(settings, 7, silent{&recorder{}})
+	if err != nil {
+		b.Fatal(err)
+	}
+	return g
+}
+
+// newSizedController makes one of that many gateways with that many backends.
+func newSizedController(b *testing.B, gateways, backends int) *Controller {
+	b.Helper()
+	settings := testSettings()
+	settings.Gateways, settings.Gossip, settings.GossipPerSecond = gateways, true, 40
+	settings.HandshakePrice = 0.1
+	settings.Plans[1].Rate, settings.Plans[1].Burst = 1e6, 1e6 // no quota is a limit
+	g := newSilentController(b, settings)
+	g.UpdateEndpoints(start, UpdateComplete, endpoints(backends))
+	b.ReportAllocs()
+	return g
+}
+
+// serveOne has a request sent and answered.
+func serveOne(b *testing.B, g *Controller, now Time, id, customer uint64) {
+	b.Helper()
+	const replicas = 2
+	g.RequestReceived(now, Request{
+		ID: id, Plan: 1, Customer: customer, Cost: 1, Timeout: second, Replicas: replicas,
+	})
+	r := g.requests[id]
+	if r == nil {
+		b.Fatal("a request was not sent")
+	}
+	g.AttemptEnded(now, Outcome{
+		RequestID: id, Backend: r.attempts[0].backend.ID, Latency: 1000, Answered: true,
+	})
+}
+
+func BenchmarkRequest(b *testing.B) {
+	for _, c := range []struct{ gateways, backends, replicas int }{{2, 16, 2}, {360, 90, 150}} {
+		b.Run(fmt.Sprintf("%dx%d", c.gateways, c.backends), func(b *testing.B) {
+			settings := testSettings()
+			settings.Gateways = c.gateways
+			settings.Plans[1].Rate = 60 // too large for quota requests: each request is decided at once
+			g := newSilentController(b, settings)
+			g.UpdateEndpoints(start, UpdateStale, endpoints(c.backends))
+			b.ReportAllocs()
+			now := start
+			for id := uint64(1); b.Loop(); id++ { // this gateway would coordinate the customer of ID 0
+				now += 5000
+				g.RequestReceived(now, Request{
+					ID: id, Plan: 1, Customer: id % 200, Cost: 1, Timeout: second, Replicas: c.replicas,
+				})
+				if r := g.requests[id]; r != nil {
+					g.AttemptEnded(now, Outcome{
+						RequestID: id, Backend: r.attempts[0].backend.ID, Latency: 1000, Answered: true,
+					})
+				}
+			}
+		})
+	}
+}
+
+func BenchmarkUpdateEndpoints(b *testing.B) {
+	g := newSilentController(b, testSettings())
+	list := endpoints(32)
+	b.ReportAllocs()
+	for b.Loop() {
+		g.UpdateEndpoints(start, UpdateComplete, list)
+	}
+}
+
+func BenchmarkRequestByBackends(b *testing.B) {
+	for _, backends := range []int{46, 830, 8300, 83000} {
+		b.Run(strconv.Itoa(backends), func(b *testing.B) {
+			g, now := newSizedController(b, 3, backends), start
+			for id := uint64(0); b.Loop(); id++ {
+				now += 12_000 // 86 requests a second
+				serveOne(b, g, now, id, id%200)
+			}
+		})
+	}
+}
+
+func BenchmarkChangeByBackends(b *testing.B) {
+	for _, backends := range []int{46, 830, 8300, 83000} {
+		b.Run(strconv.Itoa(backends), func(b *testing.B) {
+			g := newSizedController(b, 3, backends)
+			change := endpoints(1)
+			for b.Loop() {
+				change[0].State = EndpointDraining - change[0].State
+				g.UpdateEndpoints(start, UpdateIncremental, change)
+			}
+		})
+	}
+}
+
+func BenchmarkTickByGateways(b *testing.B) {
+	for _, gateways := range []int{30, 300, 1800, 6500} {
+		b.Run(strconv.Itoa(gateways), func(b *testing.B) {
+			g, now := newSizedController(b, gateways, 46), start
+			for b.Loop() {
+				now += g.gossip.period
+				g.TimerFired(now, gossipTimer)
+			}
+		})
+	}
+}
+
+func BenchmarkRequestByGateways(b *testing.B) {
+	for _, gateways := range []int{30, 300, 1800, 6500} {
+		b.Run(strconv.Itoa(gateways), func(b *testing.B) {
+			g, now := newSizedController(b, gateways, 46), start
+			for id := uint64(0); b.Loop(); id++ {
+				now += 12_000
+				serveOne(b, g, now, id, id%200)
+			}
+		})
+	}
+}
+
+// A second of a gateway at which that many customers are active: a request of each, and all rounds.
+func BenchmarkSecondByCustomers(b *testing.B) {
+	for _, customers := range []uint64{60, 300, 1500, 6000} {
+		b.Run(strconv.FormatUint(customers, 10), func(b *testing.B) {
+			g, now := newSizedController(b, 300, 46), start
+			for id := uint64(0); b.Loop(); id += customers {
+				for customer := range customers {
+					at := now + Time(customer)*second/Time(customers)
+					serveOne(b, g, at, id+customer, customer)
+				}
+				for range second / g.gossip.period {
+					now += g.gossip.period
+					g.TimerFired(now, gossipTimer)
+				}
+			}
+			microseconds := float64(b.Elapsed().Microseconds())
+			b.ReportMetric(microseconds/float64(b.N)/float64(customers), "us/customer")
+		})
+	}
+}
--- /dev/null
+++ b/policy/coordinator_test.go
@@ -0,0 +1,257 @@
+package policy
+
+import (
+	"math"
+	"slices"
+	"testing"
+)
+
+// coordinatorPair is a coordinator and a participant of the replica sets of two customers: 9 has a
+// small quota, which takes a quota request for each request, and 10 a large one.
+type coordinatorPair struct {
+	coordinator, participant *harness
+	firstReplicas            map[uint64]int // by customer
+}
+
+func newCoordinatorPair(t *testing.T) *coordinatorPair {
+	t.Helper()
+	settings := testSettings()
+	settings.Gateways = 12
+	settings.Plans[1].Rate, settings.Plans[1].Burst, settings.Plans[1].OverageRevenue = 20, 40, 0
+	pair := &coordinatorPair{coordinator: newHarness(t, settings), firstReplicas: map[uint64]int{}}
+	for _, id := range []uint64{9, 10} {
+		offset := pair.coordinator.coordinator(&customer{id: id, replicas: 12}, 0)
+		pair.firstReplicas[id] = 12 - offset
+	}
+	settings.Self = 5
+	pair.participant = newHarness(t, settings)
+	gossipRound(pair.participant, pair.coordinator)
+	gossipRound(pair.coordinator, pair.participant)
+	return pair
+}
+
+// receive has the participant receive a request.
+func (p *coordinatorPair) receive(plan int, customer uint64) (id uint64) {
+	id, _ = p.participant.receive(Request{
+		Plan: plan, Customer: customer, Cost: 1,
+		Timeout: 2 * second, FirstReplica: p.firstReplicas[customer], Replicas: 12,
+	})
+	return id
+}
+
+// serve has the participant receive a request and both gateways decide on it. It reports whether it
+// was sent.
+func (p *coordinatorPair) serve(plan int, customer uint64) bool {
+	p.participant.take()
+	id := p.receive(plan, customer)
+	sent := p.participant.countSent(id) > 0
+	deliver(p.participant, p.coordinator)
+	deliver(p.coordinator, p.participant)
+	if !sent && p.participant.countSent(id) == 0 {
+		return false
+	}
+	p.participant.end(id, ResultOK, true)
+	return true
+}
+
+// Guards against use beyond the quota through many gateways, none of which sees more than a little
+// of it: by quota requests, and by grants where quota requests would be too many.
+func TestWideReplicaSetKeepsToItsQuota(t *testing.T) {
+	for _, c := range []struct {
+		name      string
+		plan      int
+		customer  uint64
+		requests  int // in each tenth of a second
+		rate      float64
+		tolerance float64
+	}{
+		{name: "small quota", plan: 0, customer: 9, requests: 1, rate: 2, tolerance: 0.05},
+		{name: "large quota", plan: 1, customer: 10, requests: 8, rate: 20, tolerance: 0.25},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			pair, sent := newCoordinatorPair(t), 0
+			for i := range 600 {
+				for range c.requests {
+					if pair.serve(c.plan, c.customer) && i >= 300 {
+						sent++
+					}
+				}
+				gossipRound(pair.participant, pair.coordinator)
+				pair.coordinator.at = pair.participant.at
+				pair.coordinator.TimerFired(pair.coordinator.at, gossipTimer)
+				deliver(pair.coordinator, pair.participant)
+			}
+			if got := float64(sent) / 30; math.Abs(got-c.rate) > c.tolerance*c.rate {
+				t.Errorf("%.2f units a second sent, want about %g", got, c.rate)
+			}
+		})
+	}
+}
+
+// largePlan has a quota that is split over several coordinators.
+func largePlan() Plan {
+	return Plan{Name: "large", Rate: 40, Burst: 64, ValueFactor: 1}
+}
+
+// Guards against a quota, a burst or a ceiling that counts once for each coordinator, and against
+// one that uneven demand can't use up: each request draws a coordinator, also one that comes to a
+// coordinator.
+func TestCoordinatorsShareOneQuotaAndCeiling(t *testing.T) {
+	for _, gateways := range []int{7, 12, 80} {
+		settings := testSettings()
+		settings.Gateways, settings.GossipPerSecond, settings.MaxCost = gateways, 40, 8
+		plan := largePlan()
+		plan.CeilingRate, plan.CeilingBurst, plan.CeilingSlack = 80, 128, 12
+		settings.Plans[0] = plan
+		fleet := newGatewayFleet(t, settings)
+		fleet.deliverAll()
+		coordinators := fleet[0].coordinatorCount(&customer{id: 9, plan: 0, replicas: gateways})
+		if coordinators < 2 || coordinators > 4 {
+			t.Fatalf("%d coordinators, want some that hold two of the largest requests each", coordinators)
+		}
+		const seconds = 20
+		sent := 0.0
+		for i := range seconds * 50 { // 100 units a second, half of them at one gateway
+			receiver := 0
+			if i%2 == 1 {
+				receiver = i % gateways
+			}
+			fleet[receiver].at = start + second + Time(i)*second/50
+			if fleet.serveLarge(receiver) {
+				sent += 2
+			}
+		}
+		quota, ceiling := fleet.totals(9)
+		assertNear(t, "rate over all coordinators", quota.rate, 40)
+		assertNear(t, "burst over all coordinators", quota.capacity, 64)
+		assertNear(t, "rate of the ceiling over all", ceiling.rate, 80)
+		assertNear(t, "burst of the ceiling over all", ceiling.capacity, 128)
+		if most := 64 + 40.0*seconds; sent > most || sent < 0.9*most {
+			t.Errorf("%d gateways sent %.0f units in %d s, want most of %.0f", gateways, sent, seconds, most)
+		}
+	}
+}
+
+// serveLarge has a gateway serve a request of 2 units of customer 9, whose replicas are all
+// gateways. It reports whether it was sent.
+func (f gatewayFleet) serveLarge(receiver int) bool {
+	h := f[receiver]
+	h.take()
+	id, _ := h.receive(Request{Customer: 9, Cost: 2, Timeout: 4 * second, Replicas: len(f)})
+	f.deliverAll()
+	if h.count(sendAction) == 0 {
+		return false
+	}
+	h.endWith(id, Outcome{Result: ResultOK, Answered: true})
+	return true
+}
+
+// totals adds up a customer's buckets over its coordinators, and its ceilings over all gateways.
+func (f gatewayFleet) totals(id uint64) (quota, ceiling tokenBucket) {
+	for _, h := range f {
+		c := h.customers[id]
+		if c == nil {
+			continue
+		}
+		if h.grantsQuota(c) {
+			quota.rate, quota.capacity = quota.rate+c.bucket.rate, quota.capacity+c.bucket.capacity
+		}
+		ceiling.rate, ceiling.capacity = ceiling.rate+c.ceiling.rate, ceiling.capacity+c.ceiling.capacity
+	}
+	return quota, ceiling
+}
+
+// Guards against a request that waits twice for a coordinator that has ended: it asks another one.
+func TestAnotherCoordinatorIsAskedWhereOneIsUnresponsive(t *testing.T) {
+	settings := testSettings()
+	settings.Gateways, settings.GossipPerSecond, settings.MaxCost = 12, 40, 8
+	settings.Plans[0] = largePlan()
+	c := &customer{id: 9, plan: 0, replicas: 12}
+	h := newHarness(t, settings)
+	for h.grantsQuota(c) { // until it is a participant
+		settings.Self++
+		h = newHarness(t, settings)
+	}
+	asked := func() (peers []int) {
+		for _, a := range ofKind(h.performed, gossipAction) {
+			peers = append(peers, a.peer)
+		}
+		return peers
+	}
+	request := Request{Customer: 9, Cost: 2, Timeout: 4 * second, Replicas: 12}
+	timeout := Time(quotaRequestTimeout * float64(h.shortestObjective))
+	h.take()
+	first, _ := h.receive(request)
+	h.at += timeout
+	h.TimerFired(h.at, quotaRequestTimer)
+	if peers := asked(); len(peers) != 2 || peers[0] == peers[1] {
+		t.Fatalf("asked %v, want two coordinators", peers)
+	}
+	unresponsive := asked()[0]
+	h.take()
+	for range 20 {
+		h.receive(request)
+	}
+	if peers := asked(); len(peers) != 20 || slices.Contains(peers, unresponsive) {
+		t.Errorf("asked %v, want none of the unresponsive coordinator %d", peers, unresponsive)
+	}
+	h.at += timeout
+	h.TimerFired(h.at, quotaRequestTimer)
+	if h.countSent(first) != 1 {
+		t.Errorf("%+v, want the first request decided by the share", h.performed)
+	}
+}
+
+// Guards against a coordinator that does not answer: the share decides, in time.
+func TestUnresponsiveCoordinatorKeepsNoRequestWaiting(t *testing.T) {
+	pair := newCoordinatorPair(t)
+	participant := pair.participant
+	participant.take()
+	id := pair.receive(0, 9)
+	requests := ofKind(participant.performed, gossipAction)
+	if participant.count(sendAction) != 0 || len(requests) != 1 || requests[0].peer != 0 ||
+		participant.count(timerAction) != 1 {
+		t.Fatalf("%+v, want a quota request and a timer", participant.performed)
+	}
+	participant.TimerFired(participant.at+second/10, quotaRequestTimer)
+	if participant.countSent(id) != 1 {
+		t.Errorf("%+v, want it sent", participant.performed)
+	}
+	participant.take()
+	participant.GossipReceived(participant.at+second/5, 0, answerTo(1, true))
+	if len(participant.performed) != 0 {
+		t.Errorf("a late answer acted: %+v", participant.performed)
+	}
+}
+
+// answerTo is a coordinator's answer to a quota request of customer 9.
+func answerTo(quotaRequest byte, approved bool) []byte {
+	answer := grant{customer: 9, fraction: 1, quotaRequest: quotaRequest, approved: approved}
+	return answer.appendTo(messageHeader(1, 0, 0))
+}
+
+// Guards against answering a client that has disconnected while its quota request was pending: the
+// coordinator then approves or denies it, or does not answer.
+func TestDisconnectedClientIsNotAnswered(t *testing.T) {
+	for name, resolve := range map[string]func(participant *harness){
+		"approved":   func(h *harness) { h.GossipReceived(h.at, 0, answerTo(1, true)) },
+		"denied":     func(h *harness) { h.GossipReceived(h.at, 0, answerTo(1, false)) },
+		"unanswered": func(h *harness) { h.TimerFired(h.at+second/10, quotaRequestTimer) },
+	} {
+		t.Run(name, func(t *testing.T) {
+			pair := newCoordinatorPair(t)
+			participant := pair.participant
+			id := pair.receive(0, 9)
+			if len(participant.awaitingGrant) != 1 {
+				t.Fatalf("%d requests wait for the coordinator, want 1", len(participant.awaitingGrant))
+			}
+			participant.RequestCancelled(participant.at, id)
+			participant.take()
+			resolve(participant)
+			if len(participant.performed) != 0 || len(participant.awaitingGrant) != 0 {
+				t.Errorf("acted for a disconnected client: %+v, %d waiting",
+					participant.performed, len(participant.awaitingGrant))
+			}
+		})
+	}
+}
--- /dev/null
+++ b/policy/harness_test.go
@@ -0,0 +1,340 @@
+package policy
+
+import (
+	"math"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+)
+
+// start is the time of the first event in most tests.
+const start = 100 * second
+
+// actionKind tells the methods of Actions apart.
+type actionKind int
+
+const (
+	sendAction actionKind = iota
+	rejectAction
+	failAction
+	timerAction
+	healthCheckAction
+	gossipAction
+	counterAction
+	watchAction
+	logAction
+)
+
+// action is one call of an Actions method. Fields that its kind does not have are zero.
+type action struct {
+	kind    actionKind
+	request uint64
+	backend uint32
+	at      Time // an attempt's deadline, the time to retry after, or a timer's time
+	token   uint32
+	peer    int
+	message []byte
+	counter uint64
+	units   float64
+	line    string
+}
+
+// recorder is an Actions that records the calls.
+type recorder struct{ performed []action }
+
+func (r *recorder) record(a action) { r.performed = append(r.performed, a) }
+
+func (r *recorder) Send(id uint64, backend uint32, until Time) {
+	r.record(action{kind: sendAction, request: id, backend: backend, at: until})
+}
+
+func (r *recorder) Reject(id uint64, after Time) {
+	r.record(action{kind: rejectAction, request: id, at: after})
+}
+
+func (r *recorder) Fail(id uint64) { r.record(action{kind: failAction, request: id}) }
+
+func (r *recorder) SetTimer(at Time, token uint32) {
+	r.record(action{kind: timerAction, at: at, token: token})
+}
+
+func (r *recorder) HealthCheck(backend uint32) {
+	r.record(action{kind: healthCheckAction, backend: backend})
+}
+
+func (r *recorder) SendGossip(peer int, message []byte) {
+	r.record(action{kind: gossipAction, peer: peer, message: slices.Clone(message)})
+}
+
+func (r *recorder) IncrementCounter(counter uint64, units float64, _ Time) {
+	r.record(action{kind: counterAction, counter: counter, units: units})
+}
+
+func (r *recorder) WatchEndpoints() { r.record(action{kind: watchAction}) }
+
+func (r *recorder) Log(line string) { r.record(action{kind: logAction, line: line}) }
+
+// take returns the recorded actions and forgets them.
+func (r *recorder) take() []action {
+	performed := r.performed
+	r.performed = nil
+	return performed
+}
+
+// count is the number of actions of a kind.
+func (r *recorder) count(kind actionKind) int { return len(ofKind(r.performed, kind)) }
+
+// countSent is the number of attempts that were sent for a request.
+func (r *recorder) countSent(request uint64) int {
+	isOther := func(a action) bool { return a.request != request }
+	return len(slices.DeleteFunc(ofKind(r.performed, sendAction), isOther))
+}
+
+// countLogged is the number of log lines that begin with the prefix.
+func (r *recorder) countLogged(prefix string) int {
+	count := 0
+	for _, a := range r.performed {
+		if a.kind == logAction && strings.HasPrefix(a.line, prefix) {
+			count++
+		}
+	}
+	return count
+}
+
+// last is the last action that is no log line.
+func (r *recorder) last() action {
+	for _, a := range slices.Backward(r.performed) {
+		if a.kind != logAction {
+			return a
+		}
+	}
+	return action{}
+}
+
+func ofKind(actions []action, kind actionKind) []action {
+	return slices.DeleteFunc(slices.Clone(actions), func(a action) bool { return a.kind != kind })
+}
+
+// silent is an Actions for benchmarks, which records nothing that happens for each request.
+type silent struct{ Actions }
+
+func (silent) Send(uint64, uint32, Time) {}
+func (silent) Reject(uint64, Time)       {}
+func (silent) SetTimer(Time, uint32)     {}
+func (silent) SendGossip(int, []byte)    {}
+func (silent) Log(string)                {}
+
+// testSettings have three classes (idempotent, not idempotent, idempotent with a key per cell) and
+// three plans (whose overage does not pay, whose overage pays, the same with a ceiling).
+func testSettings() Settings {
+	return Settings{
+		Gateways: 2, Gossip: true, HealthChecks: true, RetryAfterAdvice: true, GossipPerSecond: 60,
+		MaxAttempts: 3, MaxRetryAfter: second, MinEventInterval: 4000,
+		SlowStartFloor: 0.2, SlowStartTime: 10 * second, OverloadWindow: second,
+		Classes: []Class{
+			{LatencyObjective: second / 2, Idempotency: Idempotent, PriorityWeight: 1},
+			{LatencyObjective: second, Idempotency: NotIdempotent, PriorityWeight: 5},
+			{
+				LatencyObjective: second, Idempotency: IdempotentWithKey, DedupScope: DedupCell,
+				DedupWindow: second, PriorityWeight: 3,
+			},
+		},
+		Plans: []Plan{
+			{Rate: 2, Burst: 8, ValueFactor: 1, OverageCost: 1},
+			{Rate: 10, Burst: 20, ValueFactor: 1, OverageRevenue: 0.3},
+			{
+				Rate: 4, Burst: 8, ValueFactor: 1, OverageRevenue: 0.3,
+				CeilingRate: 8, CeilingBurst: 16, CeilingSlack: 2,
+			},
+		},
+	}
+}
+
+// namedSettings are the same with names, by which state passes from one process to another.
+func namedSettings() Settings {
+	settings := testSettings()
+	for i := range settings.Classes {
+		settings.Classes[i].Name = string(rune('a' + i))
+	}
+	for i := range settings.Plans {
+		settings.Plans[i].Name = string(rune('p' + i))
+	}
+	return settings
+}
+
+// endpoints lists that many ready endpoints of two cells, with IDs from 1.
+func endpoints(count int) []Endpoint {
+	var list []Endpoint
+	for i := range count {
+		list = append(list, Endpoint{ID: uint32(i + 1), Cell: i % 2})
+	}
+	return list
+}
+
+// harness is a controller with its recorded actions and the time of the next event.
+type harness struct {
+	*Controller
+	*recorder
+	t      *testing.T
+	at     Time
+	nextID uint64 // the ID of the last request
+}
+
+// newUnstartedHarness makes a harness at the given time whose controller has had no event yet.
+func newUnstartedHarness(t *testing.T, settings Settings, seed uint64, at Time) *harness {
+	t.Helper()
+	r := &recorder{}
+	g, err := New(settings, seed, r)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return &harness{Controller: g, recorder: r, t: t, at: at}
+}
+
+// newHarness makes a harness with four backends of two cells that has run for a second.
+func newHarness(t *testing.T, settings Settings) *harness {
+	t.Helper()
+	h := newUnstartedHarness(t, settings, 7, start)
+	h.UpdateEndpoints(start, UpdateStale, endpoints(4))
+	h.at += second
+	return h
+}
+
+// request has a customer of two gateways send a request. It returns the request's ID and whether
+// it was sent to a backend at once.
+func (h *harness) request(class, plan int, customer uint64, cost float64) (id uint64, sent bool) {
+	return h.receive(Request{
+		Class: class, Plan: plan, Customer: customer, Cost: cost, Timeout: 2 * second, Replicas: 2,
+	})
+}
+
+// receive gives the request the next ID. It returns the ID and whether the request was sent at once.
+func (h *harness) receive(request Request) (id uint64, sent bool) {
+	h.nextID++
+	request.ID = h.nextID
+	before := h.count(sendAction)
+	h.RequestReceived(h.at, request)
+	return request.ID, h.count(sendAction) > before
+}
+
+// lastAttempt is the last attempt of an open request.
+func (h *harness) lastAttempt(id uint64) *attempt {
+	h.t.Helper()
+	r := h.requests[id]
+	if r == nil || len(r.attempts) == 0 {
+		h.t.Fatalf("request %d has no attempt", id)
+	}
+	return r.attempts[len(r.attempts)-1]
+}
+
+// end ends the last attempt of a request after a tenth of a second.
+func (h *harness) end(id uint64, result Result, answered bool) {
+	h.t.Helper()
+	h.endWith(id, Outcome{Result: result, Latency: second / 10, Answered: answered})
+}
+
+// endWith ends the last attempt of a request with an outcome, whose address it fills in.
+func (h *harness) endWith(id uint64, outcome Outcome) {
+	h.t.Helper()
+	backend := h.lastAttempt(id).backend.ID
+	outcome.RequestID, outcome.Attempt, outcome.Backend = id, len(h.requests[id].attempts)-1, backend
+	h.AttemptEnded(h.at, outcome)
+}
+
+// serve has a customer send an idempotent request that is answered at once. It reports whether it
+// was sent.
+func (h *harness) serve(plan int, customer uint64, cost float64) bool {
+	h.t.Helper()
+	id, sent := h.request(0, plan, customer, cost)
+	if sent {
+		h.end(id, ResultOK, true)
+	}
+	return sent
+}
+
+// gossipPair makes two gateways that have heard of each other.
+func gossipPair(t *testing.T) (a, b *harness) {
+	t.Helper()
+	settings := testSettings()
+	a = newHarness(t, settings)
+	settings.Self = 1
+	b = newHarness(t, settings)
+	gossipRound(a, b)
+	gossipRound(b, a)
+	return a, b
+}
+
+// gossipRound has one gateway run a gossip round a tenth of a second later and another receive it.
+func gossipRound(from, to *harness) {
+	from.take()
+	from.at += second / 10
+	from.TimerFired(from.at, gossipTimer)
+	deliver(from, to)
+}
+
+// deliver has a gateway receive the messages that another one has sent to it.
+func deliver(from, to *harness) {
+	to.at = max(to.at, from.at)
+	for _, a := range from.take() {
+		if a.kind == gossipAction && a.peer == to.settings.Self {
+			to.GossipReceived(to.at, from.settings.Self, a.message)
+		}
+	}
+}
+
+// gatewayFleet is all gateways of one group, by index.
+type gatewayFleet []*harness
+
+func newGatewayFleet(t *testing.T, settings Settings) gatewayFleet {
+	t.Helper()
+	var fleet gatewayFleet
+	for settings.Self = range settings.Gateways {
+		fleet = append(fleet, newHarness(t, settings))
+	}
+	return fleet
+}
+
+// deliverAll delivers messages until none is left. Other actions stay recorded.
+func (f gatewayFleet) deliverAll() {
+	for delivered := true; delivered; {
+		delivered = false
+		for from, h := range f {
+			for _, a := range h.take() {
+				if a.kind != gossipAction {
+					h.record(a)
+					continue
+				}
+				f[a.peer].GossipReceived(max(h.at, f[a.peer].at), from, a.message)
+				delivered = true
+			}
+		}
+	}
+}
+
+func assertNear(t *testing.T, what string, got, want float64) {
+	t.Helper()
+	if math.Abs(got-want) > 1e-6 {
+		t.Errorf("%s: got %g, want %g", what, got, want)
+	}
+}
+
+func TestSameEventsGiveSameActions(t *testing.T) {
+	run := func() []action {
+		h := newHarness(t, testSettings())
+		for i := range 3000 {
+			h.at += second / 200
+			id, sent := h.request(i%3, i%3, uint64(i*7%90), 1+float64(i%2))
+			if sent {
+				h.end(id, Result(i*i%5), i*i%5 == 0)
+			}
+			if i%10 == 0 {
+				h.TimerFired(h.at, gossipTimer)
+			}
+		}
+		return h.performed
+	}
+	if !reflect.DeepEqual(run(), run()) {
+		t.Error("the same events gave other actions")
+	}
+}
--- /dev/null
+++ b/policy/ownership_test.go
@@ -0,0 +1,85 @@
+package policy
+
+import "testing"
+
+func TestHandoverGrantsNothingTwice(t *testing.T) {
+	h := newHarness(t, namedSettings())
+	for h.serve(2, 7, 1) { // until the bucket or the ceiling is empty
+		continue
+	}
+	id, sent := h.request(0, 1, 8, 2)
+	if !sent {
+		t.Fatal("not sent")
+	}
+	backend := h.lastAttempt(id).backend.ID
+	next := h.successor(t, namedSettings())
+	h.GiveUpOwnership(h.at)
+	if next.serve(2, 7, 1) {
+		t.Error("the second process granted a burst again")
+	}
+	if h.serve(1, 9, 1) {
+		t.Error("the first process went on granting")
+	}
+	before, after := h.customers[8], next.customers[8]
+	assertNear(t, "bucket", after.bucket.level, before.bucket.level)
+	assertNear(t, "consumed", after.consumed, before.consumed)
+	if next.gossip.incarnation != h.gossip.incarnation {
+		t.Errorf("incarnation %d, want %d", next.gossip.incarnation, h.gossip.incarnation)
+	}
+	b := next.backendsByID[backend]
+	if after.inFlight != 1 || b.inFlight != 1 {
+		t.Errorf("in flight: customer %d, backend %d, want 1", after.inFlight, b.inFlight)
+	}
+	consumed := after.consumed
+	next.settings.SettlesCost = true
+	next.PredecessorAttemptEnded(next.at, Outcome{
+		RequestID: id, Backend: backend, Result: ResultOK,
+		Latency: second / 10, Answered: true, ActualCost: 3,
+	})
+	assertNear(t, "consumed with the actual cost", after.consumed, consumed+1)
+	if after.inFlight != 0 || b.inFlight != 0 || len(next.predecessorRequests) != 0 {
+		t.Errorf("in flight: customer %d, backend %d; %d requests of the predecessor; want none",
+			after.inFlight, b.inFlight, len(next.predecessorRequests))
+	}
+}
+
+// What the predecessor sent and never reported the end of counts as no load once it has exited.
+func TestNothingOfThePredecessorStaysInFlight(t *testing.T) {
+	h := newHarness(t, namedSettings())
+	id, _ := h.request(0, 1, 8, 2)
+	next := h.successor(t, namedSettings())
+	next.PredecessorSent(next.at, id, 2)
+	next.PredecessorSent(next.at, 999, 2) // of an unknown request
+	inFlight := func() (total int) {
+		for _, b := range next.backends {
+			total += b.inFlight
+		}
+		return total
+	}
+	if inFlight() != 2 || next.customers[8].inFlight != 2 {
+		t.Errorf("in flight: backends %d, customer %d; want 2", inFlight(), next.customers[8].inFlight)
+	}
+	next.at += 3 * second
+	next.refreshBackendHealth()
+	next.PredecessorExited(next.at)
+	for _, b := range next.backends {
+		if b.inFlight != 0 || b.overdue != 0 {
+			t.Errorf("backend %d: in flight %d, overdue %d", b.ID, b.inFlight, b.overdue)
+		}
+	}
+	if next.customers[8].inFlight != 0 {
+		t.Errorf("in flight: customer %d", next.customers[8].inFlight)
+	}
+}
+
+// If the new process ends, the old one grants no more than one that has just started.
+func TestResumedOwnershipGrantsNoFreshBurst(t *testing.T) {
+	h := newHarness(t, namedSettings())
+	h.serve(2, 7, 1)
+	h.GiveUpOwnership(h.at)
+	h.ResumeOwnership(h.at)
+	c := h.customers[7]
+	if p := h.settings.Plans[2]; c.bucket.level > p.Burst/2 || c.ceiling.level > p.CeilingSlack/4 {
+		t.Errorf("bucket %g, ceiling %g", c.bucket.level, c.ceiling.level)
+	}
+}
--- /dev/null
+++ b/policy/quotashare_fleet_test.go
@@ -0,0 +1,121 @@
+package policy
+
+import "testing"
+
+// lossyFleet is a large set of gateways that share customer 9's quota. A tenth of their messages is
+// lost, and single gateways restart.
+type lossyFleet struct {
+	t        *testing.T
+	settings Settings
+	gateways []*harness
+	replicas int // the customer's gateways: the first ones
+	messages int // sent so far
+
+	truth                      tokenBucket // the quota as it is
+	requested, within, outside float64     // units requested, sent within the quota and beyond it
+}
+
+func newLossyFleet(t *testing.T, gateways int) *lossyFleet {
+	t.Helper()
+	settings := testSettings()
+	settings.Gateways, settings.GossipPerSecond, settings.MaxCost = gateways, 40, 8
+	settings.Plans[0] = Plan{Name: "large", Rate: 40, Burst: 64, ValueFactor: 1, OverageCost: 1}
+	f := &lossyFleet{
+		t: t, settings: settings, gateways: make([]*harness, gateways), replicas: min(gateways, 40),
+		truth: tokenBucket{level: 64, rate: 40, capacity: 64, updatedAt: start},
+	}
+	for i := range f.gateways {
+		f.restart(i, start)
+	}
+	return f
+}
+
+// restart starts a gateway with another seed, and so with another incarnation.
+func (f *lossyFleet) restart(i int, at Time) {
+	f.t.Helper()
+	settings := f.settings
+	settings.Self = i
+	f.gateways[i] = newUnstartedHarness(f.t, settings, uint64(at)<<20+uint64(i), at)
+	f.gateways[i].UpdateEndpoints(at, UpdateStale, endpoints(4))
+}
+
+// deliver delivers nine in ten messages until none is left.
+func (f *lossyFleet) deliver(at Time) {
+	for delivered := true; delivered; {
+		delivered = false
+		for from, h := range f.gateways[:f.replicas] {
+			for _, a := range h.take() {
+				if a.kind == gossipAction && f.deliverOne(at, from, a) {
+					delivered = true
+				}
+			}
+		}
+	}
+}
+
+func (f *lossyFleet) deliverOne(at Time, from int, a action) bool {
+	f.messages++
+	if f.messages%10 == 0 || a.peer >= f.replicas {
+		return false
+	}
+	f.gateways[a.peer].GossipReceived(at, from, a.message)
+	return true
+}
+
+// runRounds has all replicas run a gossip round.
+func (f *lossyFleet) runRounds(at Time) {
+	for _, h := range f.gateways[:f.replicas] {
+		h.TimerFired(at, gossipTimer)
+	}
+	f.deliver(at)
+}
+
+// serve has a gateway receive a request of 2 units, and counts it if it is sent.
+func (f *lossyFleet) serve(gateway int, id uint64, at Time) {
+	f.t.Helper()
+	const cost = 2
+	h := f.gateways[gateway]
+	h.take()
+	h.at, h.nextID = at, id-1
+	f.requested += cost
+	h.receive(Request{Customer: 9, Cost: cost, Timeout: 4 * second, Replicas: f.replicas})
+	f.deliver(at)
+	if r := h.requests[id]; r != nil && len(r.attempts) == 0 { // the quota request or its answer was lost
+		h.TimerFired(at+second/10, quotaRequestTimer)
+		f.deliver(at)
+	}
+	if r := h.requests[id]; r == nil || len(r.attempts) == 0 {
+		return
+	}
+	if f.truth.refill(at); f.truth.level >= cost {
+		f.truth.level -= cost
+		f.within += cost
+	} else {
+		f.outside += cost
+	}
+	h.endWith(id, Outcome{Result: ResultOK, Answered: true})
+}
+
+// Guards against units beyond the quota through the whole fleet: with a replica set that nobody has
+// seen, traffic that shifts, a tenth of all messages lost, and gateways that restart.
+func TestFleetKeepsAQuotaThroughShiftsLossesAndRestarts(t *testing.T) {
+	for _, gateways := range []int{3, 40, 300} {
+		f := newLossyFleet(t, gateways)
+		const seconds, step = 20, second / 50
+		for i := range seconds * 50 { // 100 units a second, that come to other gateways every four seconds
+			at := start + second + Time(i)*step
+			if i%250 == 249 {
+				f.restart(i%f.replicas, at)
+			}
+			if i%2 == 0 {
+				f.runRounds(at)
+			}
+			f.serve((i/200*7+i%3)%f.replicas, uint64(i+1), at)
+		}
+		most := 64 + 40.0*seconds
+		if f.outside > 0.1*most || f.within < 0.6*most {
+			t.Errorf("%d gateways: of %.0f units %.0f were sent within the quota of %.0f, and %.0f beyond it",
+				gateways, f.requested, f.within, most, f.outside)
+		}
+	}
+}
--- /dev/null
+++ b/policy/quotashare_test.go
@@ -0,0 +1,173 @@
+package policy
+
+import "testing"
+
+func TestGatewaysShareOneBurst(t *testing.T) {
+	a, b := gossipPair(t)
+	for range 4 {
+		a.serve(0, 9, 2)
+	}
+	gossipRound(a, b)
+	if b.serve(0, 9, 2) {
+		t.Error("the second gateway granted the burst again")
+	}
+}
+
+func TestQuotaShareFollowsDemandAndSilentPeersAgeOut(t *testing.T) {
+	a, b := gossipPair(t)
+	for range 6 {
+		a.serve(1, 9, 1)
+	}
+	for range 2 {
+		b.serve(1, 9, 1)
+	}
+	gossipRound(b, a)
+	if share := a.quotaShare(a.customers[9]); share < 0.7 || share > 0.8 {
+		t.Errorf("share %g, want about three quarters", share)
+	}
+	a.at += 30 * second
+	a.serve(1, 9, 1)
+	if share := a.quotaShare(a.customers[9]); share < 0.99 {
+		t.Errorf("share %g with the peer silent for long, want all", share)
+	}
+}
+
+func TestRestartGrantsNoSecondBurst(t *testing.T) {
+	a, b := gossipPair(t)
+	for range 4 {
+		a.serve(0, 9, 2)
+	}
+	gossipRound(a, b)
+	gossipRound(a, b)
+	restarted := newUnstartedHarness(t, a.settings, 8, b.at)
+	restarted.UpdateEndpoints(restarted.at, UpdateStale, endpoints(4))
+	b.GossipReceived(b.at, 0, restarted.newMessage()) // its announcement
+	gossipRound(b, restarted)
+	if restarted.serve(0, 9, 2) {
+		t.Error("the restarted gateway granted the spent burst again")
+	}
+}
+
+func TestSharedCounterStandsInForGossip(t *testing.T) {
+	settings := testSettings()
+	settings.Gossip, settings.SharedCounter = false, true
+	h := newHarness(t, settings)
+	h.serve(0, 9, 2)
+	h.TimerFired(h.at, gossipTimer)
+	if got := ofKind(h.performed, counterAction); len(got) != 1 || got[0].counter != 9 || got[0].units != 2 {
+		t.Fatalf("counted %+v, want 2 units of customer 9", got)
+	}
+	h.CounterAnswered(h.at, 9, ResultOK, 2)
+	assertNear(t, "level", h.customers[9].bucket.level, 6)
+	h.serve(0, 9, 2)
+	h.TimerFired(h.at, gossipTimer)
+	h.CounterAnswered(h.at, 9, ResultOK, 7)
+	assertNear(t, "level after 3 units by peers", h.customers[9].bucket.level, 1)
+	h.CounterAnswered(h.at, 9, ResultOK, 100) // no call is pending
+	assertNear(t, "level after a stray answer", h.customers[9].bucket.level, 1)
+}
+
+func TestMeterReadingSetsTheQuotaShare(t *testing.T) {
+	settings := testSettings()
+	settings.Gossip, settings.MeterPeriod = false, second
+	h := newHarness(t, settings)
+	id, _ := h.request(0, 1, 9, 5)
+	assertNear(t, "share before a reading", h.quotaShare(h.customers[9]), 0.5)
+	h.endWith(id, Outcome{Result: ResultOK, Latency: 1, Answered: true, MeterReading: 201})
+	assertNear(t, "share with a quarter of the use", h.quotaShare(h.customers[9]), 0.25)
+}
+
+func TestCeilingHoldsThroughRestartsWithPeersSilent(t *testing.T) {
+	settings := testSettings()
+	plan := settings.Plans[2]
+	truth := tokenBucket{
+		level: plan.CeilingBurst, rate: plan.CeilingRate, capacity: plan.CeilingBurst, updatedAt: start,
+	}
+	restart := func(self int, at Time) *harness {
+		settings.Self = self
+		h := newUnstartedHarness(t, settings, uint64(at), at)
+		h.UpdateEndpoints(at, UpdateStale, endpoints(4))
+		return h
+	}
+	gateways := []*harness{restart(0, start), restart(1, start)}
+	sent, lowest := 0.0, 0.0
+	for i := range 3000 {
+		at := start + Time(i)*second/100
+		if i%250 == 249 {
+			gateways[i/250%2] = restart(i/250%2, at)
+		}
+		for _, h := range gateways {
+			h.at, h.shared.level = at, 100 // more than the shared bucket would lend
+			if h.serve(2, 9, 1) {
+				sent++
+				truth.refill(at)
+				truth.level--
+				lowest = min(lowest, truth.level)
+			}
+		}
+	}
+	if lowest < -plan.CeilingSlack {
+		t.Errorf("the ceiling's bucket fell to %g, %g allowed", lowest, -plan.CeilingSlack)
+	}
+	if sent < 200 {
+		t.Errorf("%g units sent in 30 s: the ceiling of 8 a second is far from used", sent)
+	}
+}
+
+// A ceiling that is split evenly rejects requests within the quota where most of the demand comes
+// to one gateway.
+func TestCeilingShareFollowsDemandWhilePeersAreHeard(t *testing.T) {
+	a, b := gossipPair(t)
+	for range 3 {
+		a.serve(2, 9, 1)
+	}
+	b.serve(2, 9, 1)
+	gossipRound(a, b)
+	gossipRound(b, a)
+	atA, atB := a.customerRecord(9, 2, 0, 2), b.customerRecord(9, 2, 0, 2)
+	if atA.ceiling.rate <= 4.5 {
+		t.Errorf("ceiling rate %g of 8 with three quarters of the demand, want over half", atA.ceiling.rate)
+	}
+	if total := atA.ceiling.rate + atB.ceiling.rate; total > 8.5 {
+		t.Errorf("ceiling rates add up to %g of 8", total)
+	}
+	for range 30 {
+		a.at += second / 30
+		a.TimerFired(a.at, gossipTimer)
+	}
+	if a.refillBuckets(atA); atA.ceiling.rate != 4 {
+		t.Errorf("ceiling rate %g of 8 with the peer silent, want the even half", atA.ceiling.rate)
+	}
+}
+
+// The even share of a gateway that has just started must not stand for what the whole bucket holds:
+// the burst of all gateways that start together would be lost until the bucket has refilled.
+func TestEvenShareAfterAStartLeavesTheBucketFull(t *testing.T) {
+	h := newUnstartedHarness(t, testSettings(), 7, start)
+	h.UpdateEndpoints(start, UpdateStale, endpoints(4))
+	for i := range 3 {
+		if sent := h.serve(0, 9, 2); sent != (i < 2) {
+			t.Fatalf("request %d of 2 units: sent %t, want the even share of 4 at the start", i, sent)
+		}
+	}
+	h.at += second
+	for i := range 2 {
+		if !h.serve(0, 9, 2) {
+			t.Fatalf("request %d was rejected later, though the bucket of 8 holds 4 and more", i)
+		}
+	}
+}
+
+// Where cost is settled, less may have been consumed than was reported: a newer message returns
+// the units at once, though nothing more was requested.
+func TestReturnedUnitsAreReported(t *testing.T) {
+	a, b := gossipPair(t)
+	a.settings.SettlesCost = true
+	id, _ := a.request(0, 1, 9, 8)
+	gossipRound(a, b)
+	level := b.customers[9].bucket.level
+	a.endWith(id, Outcome{Result: ResultOK, Latency: 1, Answered: true, ActualCost: 4})
+	gossipRound(a, b)
+	got := b.customers[9].bucket.level
+	assertNear(t, "level after 4 of 8 units were returned and 1 refilled", got, level+4+1)
+}
--- /dev/null
+++ b/policy/recorded_play_test.go
@@ -0,0 +1,215 @@
+package policy
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"testing"
+)
+
+// recordedPlay is a fleet of gateways that meet all kinds of events, drawn by a seed, and the
+// transcript of what they do but what they log.
+type recordedPlay struct {
+	settings   Settings
+	draw       *rand.Rand
+	gateways   gatewayFleet
+	timers     map[int][]action // by gateway
+	transcript []string
+}
+
+func newRecordedPlay(t *testing.T, settings Settings, seed uint64) *recordedPlay {
+	t.Helper()
+	p := &recordedPlay{settings: settings, draw: rand.New(rand.NewPCG(seed, 1)), timers: map[int][]action{}}
+	for settings.Self = range settings.Gateways {
+		h := newUnstartedHarness(t, settings, 7, start)
+		h.UpdateEndpoints(start, UpdateStale, endpoints(4))
+		p.gateways = append(p.gateways, h)
+	}
+	return p
+}
+
+// run plays 500 steps of a hundredth of a second.
+func (p *recordedPlay) run() {
+	for step := range 500 {
+		at := start + Time(step)*second/100
+		gateway := p.draw.IntN(len(p.gateways))
+		h := p.gateways[gateway]
+		h.at = max(h.at, at)
+		if step == 200 {
+			h.at += second / 2 // a stall
+		}
+		p.receiveRequest(h)
+		p.endAttempts(gateway)
+		if step%90 == 50 {
+			p.updateEndpoints(at)
+		}
+		for gateway := range p.gateways {
+			p.fireTimers(gateway, at)
+		}
+		p.performActions()
+	}
+}
+
+func (p *recordedPlay) receiveRequest(h *harness) {
+	customer := p.draw.IntN(6)
+	h.receive(Request{
+		Class: p.draw.IntN(len(p.settings.Classes)), Plan: customer % len(p.settings.Plans),
+		Customer: uint64(customer), Cost: float64(1+p.draw.IntN(4)) / 2,
+		Timeout:      second * Time(1+p.draw.IntN(3)),
+		FirstReplica: customer, Replicas: 1 + customer*5%p.settings.Gateways,
+	})
+}
+
+// endAttempts ends most open attempts of a gateway.
+func (p *recordedPlay) endAttempts(gateway int) {
+	h := p.gateways[gateway]
+	var open []uint64
+	for id := range h.requests {
+		open = append(open, id)
+	}
+	slices.Sort(open)
+	for _, id := range open {
+		r := h.requests[id]
+		if r == nil || len(r.attempts) == 0 || p.draw.IntN(3) == 0 {
+			continue
+		}
+		if p.draw.IntN(15) == 0 {
+			h.RequestCancelled(h.at, id)
+			continue
+		}
+		maySend := h.MaySend(h.at, id, len(r.attempts)-1)
+		p.transcript = append(p.transcript, fmt.Sprintf("%d holds %d %t", gateway, id, maySend))
+		result := Result(max(0, p.draw.IntN(20)-12))
+		h.endWith(id, Outcome{
+			Result: result, Latency: Time(1+p.draw.IntN(60)) * second / 100, Answered: result == ResultOK,
+			MeterReading: p.draw.IntN(150), ActualCost: float64(p.draw.IntN(5)) / 2,
+		})
+	}
+}
+
+// updateEndpoints sends all gateways a list with drawn states and starts.
+func (p *recordedPlay) updateEndpoints(at Time) {
+	list := endpoints(6)
+	for i := range list {
+		list[i].Zone = i % 3
+		if p.draw.IntN(4) == 0 {
+			list[i].State = EndpointState(p.draw.IntN(3))
+		}
+		if p.draw.IntN(3) == 0 {
+			list[i].StartedAt = at - Time(p.draw.IntN(3))*second
+		}
+	}
+	for _, h := range p.gateways {
+		h.UpdateEndpoints(max(h.at, at), UpdateKind(p.draw.IntN(4)), list)
+	}
+}
+
+// fireTimers fires a gateway's timers that are due.
+func (p *recordedPlay) fireTimers(gateway int, at Time) {
+	h := p.gateways[gateway]
+	pending := p.timers[gateway]
+	p.timers[gateway] = nil
+	for _, timer := range pending {
+		if timer.at > max(at, h.at) {
+			p.timers[gateway] = append(p.timers[gateway], timer)
+			continue
+		}
+		h.at = max(h.at, timer.at, at)
+		h.TimerFired(h.at, timer.token)
+	}
+}
+
+// performActions carries out what the gateways have asked for until nothing is left.
+func (p *recordedPlay) performActions() {
+	for busy := true; busy; {
+		busy = false
+		for gateway, h := range p.gateways {
+			for _, a := range h.take() {
+				if a.kind == logAction {
+					continue
+				}
+				p.transcript = append(p.transcript, fmt.Sprintf("%d %s", gateway, recordedLine(a)))
+				busy = p.perform(gateway, a) || busy
+			}
+		}
+	}
+}
+
+// perform carries out one action. It reports whether a gateway has heard of something by it.
+func (p *recordedPlay) perform(gateway int, a action) bool {
+	h := p.gateways[gateway]
+	switch a.kind {
+	case gossipAction:
+		if p.draw.IntN(20) == 0 { // lost
+			return false
+		}
+		to := p.gateways[a.peer]
+		to.GossipReceived(max(h.at, to.at), gateway, a.message)
+	case counterAction:
+		result := Result(p.draw.IntN(5) / 4)
+		h.CounterAnswered(h.at, a.counter, result, a.units*float64(1+p.draw.IntN(3)))
+	case healthCheckAction:
+		h.HealthCheckEnded(h.at, a.backend, Result(p.draw.IntN(5)), nil)
+	case timerAction:
+		p.timers[gateway] = append(p.timers[gateway], a)
+		return false
+	default:
+		return false
+	}
+	return true
+}
+
+// recordedLine is an action in the words of the recorded files, which are those of the program that
+// wrote them.
+func recordedLine(a action) string {
+	switch a.kind {
+	case sendAction:
+		return fmt.Sprintf("send %d to %d", a.request, a.backend)
+	case rejectAction:
+		return fmt.Sprintf("refuse %d after %d", a.request, a.at)
+	case failAction:
+		return fmt.Sprintf("fail %d", a.request)
+	case timerAction:
+		return fmt.Sprintf("timer %d %d", a.at, a.token)
+	case healthCheckAction:
+		return fmt.Sprintf("probe %d", a.backend)
+	case gossipAction:
+		return fmt.Sprintf("tell %d %x", a.peer, a.message)
+	case counterAction:
+		return fmt.Sprintf("count %d %g", a.counter, a.units)
+	default:
+		return "follow"
+	}
+}
+
+// The decisions are the recorded ones, action by action and bit by bit: also in the order in which
+// random numbers are drawn and sums are added up.
+func TestDecisionsAreTheRecordedOnes(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		set  func(*Settings)
+	}{
+		{"gossip-small", func(s *Settings) { s.Gateways, s.SettlesCost = 3, true }},
+		{"gossip-wide", func(s *Settings) {
+			s.Gateways, s.SettlesCost, s.GossipPerSecond = 9, true, 200
+			s.HandshakePrice, s.CrossZonePrice, s.OverloadFactor, s.MaxCost = 0.1, 0.2, 2, 2
+		}},
+		{"counter", func(s *Settings) {
+			s.Gateways, s.Gossip, s.SharedCounter = 2, false, true
+			s.PollEndpoints, s.PollWithin = true, second
+		}},
+		{"meter", func(s *Settings) {
+			s.Gateways, s.Gossip, s.MeterPeriod = 2, false, second
+			s.HealthChecks, s.Hedging, s.UseCapacityHints = false, true, true
+		}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			settings := namedSettings()
+			c.set(&settings)
+			play := newRecordedPlay(t, settings, 11)
+			play.run()
+			assertRecorded(t, "decisions-"+c.name+".txt", []byte(strings.Join(play.transcript, "\n")+"\n"))
+		})
+	}
+}
--- /dev/null
+++ b/policy/reload_test.go
@@ -0,0 +1,66 @@
+package policy
+
+import "testing"
+
+// Classes and plans are matched by name: their indices shift, an open request keeps its class as it
+// was, and new figures of a plan bring no fresh burst.
+func TestReloadMatchesClassesAndPlansByName(t *testing.T) {
+	h := newHarness(t, namedSettings())
+	for h.serve(0, 7, 1) { // until the bucket is empty
+		continue
+	}
+	level := h.customers[7].bucket.level
+	open, _ := h.request(0, 1, 8, 1) // of class a, which is idempotent
+	settings := namedSettings()
+	settings.Classes = []Class{
+		{Name: "new", LatencyObjective: second, Idempotency: NotIdempotent, PriorityWeight: 1},
+		settings.Classes[1],
+		{Name: "a", LatencyObjective: second, Idempotency: NotIdempotent, PriorityWeight: 1},
+	}
+	settings.Plans[0], settings.Plans[1] = settings.Plans[1], settings.Plans[0]
+	settings.Plans[1].Burst *= 4
+	settings.MaxAttempts = 2
+	if err := h.Reload(h.at, settings); err != nil {
+		t.Fatal(err)
+	}
+	assertOldClassKept(t, h, open)
+	c := h.customers[7]
+	assertNear(t, "level", c.bucket.level, level)
+	if c.plan != 1 || c.bucket.capacity != 32 {
+		t.Errorf("plan %d, capacity %g", c.plan, c.bucket.capacity)
+	}
+	h.end(open, ResultFailed, false)
+	if r := h.requests[open]; r == nil || len(r.attempts) != 2 {
+		t.Fatal("the open request was not retried, as its class allows")
+	}
+	h.end(open, ResultFailed, false)
+	if h.requests[open] != nil {
+		t.Error("a third attempt where two are allowed")
+	}
+	stricter, _ := h.request(2, 0, 9, 1)
+	h.end(stricter, ResultFailed, false)
+	if h.requests[stricter] != nil {
+		t.Error("a new request of the stricter class was retried")
+	}
+	if err := h.Reload(h.at, settings); err != nil || len(h.settings.Classes) != 3 {
+		t.Errorf("%d classes, %v: what nothing needs any more is dropped", len(h.settings.Classes), err)
+	}
+	settings.Classes = nil
+	if err := h.Reload(h.at, settings); err == nil || len(h.settings.Classes) != 3 {
+		t.Error("settings without classes were accepted")
+	}
+}
+
+// assertOldClassKept checks that an open request has the class that is gone from the settings, and
+// the new index of its plan.
+func assertOldClassKept(t *testing.T, h *harness, id uint64) {
+	t.Helper()
+	r := h.requests[id]
+	class := h.settings.Classes[r.Class]
+	if class.Name != "a" || class.Idempotency != Idempotent {
+		t.Errorf("class of the open request: %+v", class)
+	}
+	if len(h.settings.Classes) != 4 || r.Plan != 0 {
+		t.Errorf("%d classes, plan %d of the open request", len(h.settings.Classes), r.Plan)
+	}
+}
--- /dev/null
+++ b/policy/report_test.go
@@ -0,0 +1,39 @@
+package policy
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+)
+
+func TestCountersSayWhyRequestsWereRejected(t *testing.T) {
+	h := newHarness(t, testSettings())
+	for range 6 {
+		h.serve(0, 9, 2) // a burst of 8 holds four
+	}
+	h.at += counterLogInterval
+	h.TimerFired(h.at, gossipTimer)
+	lines := ofKind(h.performed, logAction)
+	if h.countLogged("sent 4,") != 1 || !strings.Contains(lines[len(lines)-1].line, "over quota 2,") {
+		t.Errorf("%+v, want one line of counters with 4 sent and 2 rejected over quota", lines)
+	}
+}
+
+// A request that a peer could have admitted is told from one beyond the quota.
+func TestCountersTellQuotaSharesFromQuotas(t *testing.T) {
+	h := newHarness(t, namedSettings())
+	c := h.customerRecord(7, 0, 0, 2)
+	for _, want := range []struct {
+		level                   float64
+		shareTooSmall, halfFull int
+	}{{level: 1}, {level: 3, shareTooSmall: 1}, {level: 4, shareTooSmall: 1, halfFull: 1}} {
+		t.Run(fmt.Sprint(want.level), func(t *testing.T) {
+			c.bucket.level = want.level
+			var counters activityCounters
+			counters.countOverQuota(c, 2)
+			if counters.shareTooSmall != want.shareTooSmall || counters.halfFull != want.halfFull {
+				t.Errorf("got %d and %d, want %+v", counters.shareTooSmall, counters.halfFull, want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/policy/retry_test.go
@@ -0,0 +1,85 @@
+package policy
+
+import "testing"
+
+func TestRetryRule(t *testing.T) {
+	x, y := &backend{Endpoint: Endpoint{Cell: 1}}, &backend{Endpoint: Endpoint{Cell: 2}}
+	ran, notRun := &attempt{backend: x, sentAt: start, mayHaveRun: true}, &attempt{backend: y, sentAt: start}
+	pending := &attempt{backend: x, sentAt: start, mayHaveRun: true, pending: true}
+	idempotent, never := &Class{Idempotency: Idempotent}, &Class{Idempotency: NotIdempotent}
+	perCell := &Class{Idempotency: IdempotentWithKey, DedupScope: DedupCell, DedupWindow: second}
+	anywhere := &Class{Idempotency: IdempotentWithKey, DedupWindow: second}
+	for _, c := range []struct {
+		name     string
+		class    *Class
+		attempts []*attempt
+		hedging  bool
+		after    Time
+		want     retryRule
+	}{
+		{name: "nothing sent", class: never, want: retryRule{allowed: true, rejectable: true}},
+		{
+			name: "idempotent that ran", class: idempotent, attempts: []*attempt{ran},
+			want: retryRule{allowed: true, rejectable: true},
+		},
+		{
+			name: "idempotent still pending", class: idempotent, attempts: []*attempt{pending},
+			want: retryRule{rejectable: true},
+		},
+		{
+			name: "idempotent still pending, hedging", class: idempotent, attempts: []*attempt{pending},
+			hedging: true, want: retryRule{allowed: true, rejectable: true},
+		},
+		{
+			name: "not idempotent, did not run", class: never, attempts: []*attempt{notRun, notRun},
+			want: retryRule{allowed: true, rejectable: true},
+		},
+		{name: "not idempotent, may have run", class: never, attempts: []*attempt{notRun, ran}},
+		{
+			name: "key in its cell", class: perCell, attempts: []*attempt{notRun, ran}, after: second / 2,
+			want: retryRule{allowed: true, within: ran},
+		},
+		{
+			name: "key after its window", class: perCell, attempts: []*attempt{ran}, after: second,
+			want: retryRule{within: ran},
+		},
+		{
+			name: "key anywhere", class: anywhere, attempts: []*attempt{ran},
+			want: retryRule{allowed: true, within: ran, rejectable: true},
+		},
+		{
+			name: "key that did not run", class: perCell, attempts: []*attempt{notRun}, after: 9 * second,
+			want: retryRule{allowed: true, rejectable: true},
+		},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if got := c.class.retryRule(c.attempts, c.hedging, start+c.after, 1000); got != c.want {
+				t.Errorf("got %+v, want %+v", got, c.want)
+			}
+		})
+	}
+}
+
+// Guards against waiting for a backend that leaves one request unanswered.
+func TestAttemptIsGivenUpWhileThereIsTimeForAnother(t *testing.T) {
+	h := newHarness(t, testSettings())
+	for _, class := range []int{0, 1} {
+		h.latency.byClass[class].add(float64(second/50), fleetSampleWeight)
+	}
+	for _, c := range []struct {
+		name  string
+		class int
+		want  Time // from now; 0: not before the client's deadline
+	}{
+		{name: "idempotent", class: 0, want: attemptTimeoutFactor * second / 50},
+		{name: "not idempotent", class: 1, want: 0},
+	} {
+		h.take()
+		if _, sent := h.request(c.class, 1, 9, 1); !sent {
+			t.Fatalf("%s: not sent", c.name)
+		}
+		if got := max(0, ofKind(h.performed, sendAction)[0].at-h.at); got != c.want {
+			t.Errorf("%s: given up after %d, want %d", c.name, got, c.want)
+		}
+	}
+}
--- /dev/null
+++ b/policy/slowstart_fleet_test.go
@@ -0,0 +1,134 @@
+package policy
+
+import (
+	"fmt"
+	"testing"
+)
+
+func slowStartSettings() Settings {
+	settings := testSettings()
+	settings.SlowStartFloor, settings.SlowStartTime = 0.27, 16*second
+	settings.OverloadFactor, settings.OverloadWindow = 2.5, 3*second
+	settings.Classes = []Class{{LatencyObjective: second / 2, Idempotency: Idempotent, PriorityWeight: 1}}
+	settings.Plans = []Plan{{ValueFactor: 1, OverageCost: 1}}
+	return settings
+}
+
+// The loads, in capacities of all backends, by the time since the start.
+func burstLoad(age Time) float64 { return 0.7 + 0.35*indicator(age > second && age < 6*second) }
+func fullLoad(Time) float64      { return 0.95 }
+func overload(Time) float64      { return 1.6 }
+func lullLoad(age Time) float64  { return 0.7 - 0.65*indicator(age > -6*second && age < 3*second) }
+func risingLoad(age Time) float64 {
+	return 0.2 + 0.8*indicator(age > 6*second)
+}
+
+func removeWarmSoon(s *simulation) { s.schedule(s.now+second, s.removeWarm) }
+
+func cutOffThenRemoveWarm(s *simulation) {
+	s.cutOff(1, 4)
+	s.schedule(s.now+6*second, s.removeWarm)
+}
+
+func loseOtherZone(s *simulation) {
+	s.schedule(s.now+6*second, func() {
+		for i, b := range s.backends {
+			b.gone = i%2 == 0
+		}
+		s.updateAll()
+	})
+}
+
+func drainByStaleList(s *simulation) {
+	s.schedule(s.now+second/4, func() { s.updateAllAtOnce(EndpointDraining) })
+	s.schedule(s.now+7*second, func() { s.updateAllAtOnce(EndpointReady) })
+}
+
+func removeByStaleList(s *simulation) {
+	s.schedule(s.now+second/10, func() { s.updateAllAtOnce(EndpointRemoved) })
+	s.schedule(s.now+second/5, func() {
+		for _, n := range s.gateways {
+			n.UpdateEndpoints(s.now, UpdateComplete, s.endpoints(true))
+		}
+	})
+}
+
+func failEarly(s *Settings)         { s.OverloadFactor, s.OverloadWindow = 1.1, 6*second }
+func shortWindow(s *Settings)       { s.OverloadWindow = second }
+func lowFactorAndFloor(s *Settings) { s.OverloadFactor, s.SlowStartFloor = 1.5, 0.15 }
+func restartGateways(s *simulation) { s.restartGateways() }
+
+var slowStartScenarios = []scenario{
+	{name: "even", starting: 0.2},
+	{name: "subsets", starting: 0.2, handshake: 0.08},
+	{name: "uneven, burst, shift", starting: 0.2, uneven: true, shift: true, load: burstLoad},
+	{
+		name: "uneven subsets, burst, shift", starting: 0.2, handshake: 0.08, uneven: true, shift: true,
+		load: burstLoad,
+	},
+	{name: "lull", starting: 0.3, load: lullLoad},
+	{name: "some hear late", starting: 0.2, late: 0.2, lateBy: 2 * second},
+	{name: "many start", starting: 0.7, load: burstLoad},
+	{name: "all start", starting: 1, load: overload, minUse: 0.6},
+	{name: "warm ones leave", starting: 0.4, minUse: 0.6, afterStart: removeWarmSoon},
+	{name: "fleet restarts", starting: 0.3, afterStart: restartGateways},
+	{
+		name: "fleet restarts, subsets, uneven", starting: 0.5, handshake: 0.08, uneven: true,
+		afterStart: restartGateways,
+	},
+	{name: "fleet restarts as all start", starting: 1, load: overload, afterStart: restartGateways},
+	{name: "stale lists", starting: 0.3, staleLists: true},
+	{
+		name: "cut off in slow start, warm ones leave", starting: 0.3, mayBeIdle: true,
+		afterStart: cutOffThenRemoveWarm,
+	},
+	{name: "another zone's", starting: 0.3, crossZone: 0.1, load: risingLoad},
+	{
+		name: "half a zone starts, the other is lost", zone: 1, starting: 0.5, crossZone: 0.4,
+		mayBeIdle: true, afterStart: loseOtherZone,
+	},
+	{
+		name: "few backends, subsets", starting: 0.5, backends: 12, handshake: 0.08, uneven: true,
+		load: overload,
+	},
+	{name: "low overload factor", starting: 0.5, load: fullLoad, settings: failEarly},
+	{
+		name: "a stale list has them draining", starting: 0.3, load: fullLoad, mayBeIdle: true,
+		afterStart: drainByStaleList,
+	},
+	{name: "short window", starting: 0.3, load: burstLoad, settings: shortWindow},
+	{
+		name: "a stale list without them, then one from before", starting: 0.3, load: fullLoad,
+		settings: lowFactorAndFloor, afterStart: removeByStaleList,
+	},
+}
+
+// Guards the rule on starting backends: through all gateways together none gets more in a window of
+// the settings' length than it bears and chance adds, and each is of use meanwhile.
+func TestStartingBackendsStayWithinTheBudgetOfTheWholeFleet(t *testing.T) {
+	for _, c := range slowStartScenarios {
+		for _, gateways := range []int{3, 20, 30, 300} {
+			t.Run(fmt.Sprintf("%s/%d", c.name, gateways), func(t *testing.T) {
+				t.Parallel()
+				assertWithinBudget(t, c.play(t, slowStartSettings(), gateways, 1))
+			})
+		}
+	}
+}
+
+func assertWithinBudget(t *testing.T, s *simulation) {
+	t.Helper()
+	const defaultMinUse = 0.25
+	worst := s.worstWindow(false)
+	if worst.ratio() > 1 {
+		t.Errorf("a starting backend got %.0f in a window, %.0f of them by informed gateways: %.0f at most",
+			worst.total, worst.informed, worst.budget)
+	}
+	if s.use() < max(s.scenario.minUse, defaultMinUse) && !s.scenario.mayBeIdle {
+		t.Errorf("starting backends got %.2f of what they could serve", s.use())
+	}
+	// The strict figure is not checked: the protocol has capacity rise evenly at least.
+	t.Logf("worst %.2f (%.0f, informed %.0f, of %.0f), strict %.2f, use %.2f, served %d of %d",
+		worst.ratio(), worst.total, worst.informed, worst.budget,
+		s.worstWindow(true).ratio(), s.use(), s.served, s.requests)
+}
