--- /dev/null
+++ b/internal/discovery/backoff.go
@@ -0,0 +1,37 @@
+package discovery
+
+import (
+	"errors"
+	"time"
+)
+
+// The exponential backoff after a call that a shared service did not answer.
+const (
+	baseBackoff         = 100 * time.Millisecond // at most after the first failure, doubled with each
+	maxUnansweredDelay  = 2 * time.Second        // to which the doubling goes
+	maxBackoffDoublings = 16                     // keeps the shift from overflowing
+)
+
+// backoff draws the delay after a failed call; previous is how many calls in a row failed before it or,
+// for a refused call, were refused. It is random because what fails for one gateway fails for the whole
+// fleet at that moment.
+//
+// An unanswered call is soon made again, since what it had to deliver is due within seconds. A service
+// that has refused the whole fleet is called again by all gateways within the same period: the first
+// delays spread them over it, and the later ones are almost constant, so that they stay spread.
+func (c *Client) backoff(previous int, err error) time.Duration {
+	shortest := time.Duration(0)
+	longest := min(baseBackoff<<min(previous, maxBackoffDoublings), maxUnansweredDelay)
+	switch {
+	case errors.Is(err, errUpdateTooLarge):
+		longest = watchWait // it will be as large next time: there is no sense in reading it again at once
+	case !c.config.Poll:
+		longest = c.maxBackoff
+	case errors.Is(err, errRefused):
+		longest = c.maxBackoff
+		if previous > 0 {
+			shortest = longest * 9 / 10
+		}
+	}
+	return shortest + time.Duration(c.random.Int64N(int64(longest-shortest))) + time.Millisecond
+}
--- /dev/null
+++ b/internal/discovery/backoff_test.go
@@ -0,0 +1,62 @@
+package discovery
+
+import (
+	"fmt"
+	"io"
+	"slices"
+	"testing"
+	"time"
+)
+
+// An agent with a pushed list is silent while its own source is down. However long that lasted, it is
+// called again well within the grace of a drain.
+func TestAgentIsCalledAgainWithinTheDrainGrace(t *testing.T) {
+	config := agentConfigWithGrace()
+	client, _ := newTestClient(config, nil)
+	limit := config.DrainGrace * 4 / 5
+	for _, failures := range []int{0, 1, 5, 60} {
+		for _, err := range []error{errRefused, io.ErrUnexpectedEOF} {
+			for range 100 {
+				if got := client.slack + client.backoff(failures, err); got > limit {
+					t.Fatalf("after %d failures (%v): called again after %v, want within %v",
+						failures, err, got, limit)
+				}
+			}
+		}
+	}
+}
+
+// The backoff after a refused call, the wait of the next one and its slack end within the delivery limit.
+// Gateways that are refused at one moment spread over that backoff and stay spread. A call that was not
+// answered at all is soon made again.
+func TestBackoffSpreadsTheFleet(t *testing.T) {
+	const (
+		gateways = 80
+		longest  = deliveryLimit - watchWait - maxAnswerSlack
+	)
+	clients, nextCall := make([]*Client, gateways), make([]time.Duration, gateways)
+	for i := range clients {
+		config := serviceConfig()
+		config.Seed = uint64(i)<<32 + 7
+		clients[i], _ = newTestClient(config, nil)
+	}
+	for refusals := range 60 {
+		perQuarter := [4]int{}
+		for i, client := range clients {
+			delay := client.backoff(refusals, fmt.Errorf("%w: status 503", errRefused))
+			if delay <= 0 || delay > longest {
+				t.Fatalf("after %d refusals: backoff %v, want at most %v", refusals, delay, longest)
+			}
+			nextCall[i] += delay
+			perQuarter[int(4*(nextCall[i]%longest)/longest)]++
+			const limit = maxUnansweredDelay + time.Millisecond
+			if delay := client.backoff(refusals, io.ErrUnexpectedEOF); delay > limit {
+				t.Fatalf("after %d unanswered calls: backoff %v, want at most %v", refusals, delay, limit)
+			}
+		}
+		if slices.Min(perQuarter[:]) < 8 || slices.Max(perQuarter[:]) > 34 {
+			t.Errorf("after %d refusals: %v of %d gateways call in the quarters of %v, want 8 to 34 in each",
+				refusals, perQuarter, gateways, longest)
+		}
+	}
+}
--- /dev/null
+++ b/internal/discovery/client_test.go
@@ -0,0 +1,83 @@
+package discovery
+
+import (
+	"context"
+	"io"
+	"net/http"
+	"slices"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+// After a watch that the agent left unanswered, it is asked for what it has, without a wait, rather than
+// for what comes next.
+func TestSilentAgentIsCalledAgainWithoutWait(t *testing.T) {
+	config := agentConfigWithGrace()
+	synctest.Test(t, func(t *testing.T) {
+		var queries []string
+		var silentFrom, calledAgain time.Time
+		ctx, cancel := context.WithCancel(t.Context())
+		timeOfUpdate(ctx, config, nil, roundTrip(func(r *http.Request) (*http.Response, error) {
+			queries = append(queries, r.URL.RawQuery)
+			switch len(queries) {
+			case 1:
+				const empty = `{"revision":1,"complete":true,"members":[]}`
+				return respond(r, http.StatusOK, strings.NewReader(empty))
+			case 2:
+				silentFrom = time.Now()
+				return hang(r)
+			}
+			calledAgain = time.Now()
+			cancel()
+			return hang(r)
+		}))
+		if want := []string{"", "index=1&wait=2000", "index=1&wait=0"}; !slices.Equal(queries, want) {
+			t.Errorf("got queries %q, want %q", queries, want)
+		}
+		limit := config.DrainGrace * 4 / 5
+		if got := calledAgain.Sub(silentFrom.Add(watchWait)); got > limit {
+			t.Errorf("called again %v after the watch should have ended, want within %v", got, limit)
+		}
+	})
+}
+
+// The address changes as the last byte of an update is read: it is reported all the same.
+func TestUpdateThatWasReadIsReported(t *testing.T) {
+	ctx, cancel := context.WithCancel(context.Background())
+	client, events := newTestClient(agentConfig(), respondWith(func(*http.Request) io.Reader {
+		cancel()
+		return strings.NewReader(oneEndpoint)
+	}))
+	client.watch(ctx, context.Background(), testURL, nil)
+	if len(events) != 1 || (<-events).Update.Revision != testRevision {
+		t.Error("an update that was read was not reported")
+	}
+}
+
+func TestUpdateIsReportedBeforeItsResponseEnds(t *testing.T) {
+	ctx, cancel := context.WithCancel(context.Background())
+	responseEnd := make(chan struct{})
+	client, events := newTestClient(agentConfig(), respondWith(func(r *http.Request) io.Reader {
+		if r.Context().Err() != nil {
+			return strings.NewReader("")
+		}
+		return io.MultiReader(strings.NewReader(oneEndpoint), callAtEOF(func() { <-responseEnd }))
+	}))
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		client.watch(ctx, context.Background(), testURL, nil)
+	}()
+	defer func() {
+		cancel()
+		close(responseEnd)
+		<-ended
+	}()
+	select {
+	case <-events:
+	case <-time.After(testTimeout):
+		t.Error("the update was not reported before its response ended")
+	}
+}
--- /dev/null
+++ b/internal/discovery/delivery_test.go
@@ -0,0 +1,146 @@
+package discovery
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+// faults are the ways in which calls fail.
+var faults = map[string]roundTrip{
+	"refused": refuse,
+	"refused from a queue": func(r *http.Request) (*http.Response, error) {
+		time.Sleep(queueTimeout)
+		return refuse(r)
+	},
+	"reset":  func(*http.Request) (*http.Response, error) { return nil, io.ErrUnexpectedEOF },
+	"silent": hang,
+	"hangs in the dial": func(*http.Request) (*http.Response, error) {
+		time.Sleep(maxAnswerSlack)
+		return nil, context.DeadlineExceeded
+	},
+	"list truncated": func(r *http.Request) (*http.Response, error) {
+		return respond(r, http.StatusOK, strings.NewReader(oneEndpoint[:40]))
+	},
+	"list stalls": func(r *http.Request) (*http.Response, error) {
+		body := io.MultiReader(strings.NewReader(oneEndpoint[:40]), hangingBody{r.Context()})
+		return respond(r, http.StatusOK, body)
+	},
+	"watch silent": func(r *http.Request) (*http.Response, error) {
+		if r.URL.Query().Get("index") == "" {
+			return respond(r, http.StatusOK, strings.NewReader(`{"revision":6,"complete":true,"members":[]}`))
+		}
+		return hang(r)
+	},
+}
+
+// Whatever became of the calls before, and at whatever moment a change comes and the service can be
+// reached: the change is reported within the delivery limit, by one service and by an agent, also if the
+// address changes meanwhile.
+func TestChangeIsReportedWithinTheDeliveryLimitAfterAnyFault(t *testing.T) {
+	configs := map[string]Config{"service": serviceConfig(), "agent": agentConfigWithGrace()}
+	for name, fault := range faults {
+		for mode, config := range configs {
+			for _, moved := range []bool{false, true} {
+				t.Run(fmt.Sprintf("%s, %s, moved %t", name, mode, moved), func(t *testing.T) {
+					longest := time.Duration(0)
+					for at := 100 * time.Millisecond; at < 20*time.Second; at += 370 * time.Millisecond {
+						synctest.Test(t, func(t *testing.T) {
+							longest = max(longest, reportDelay(t, config, fault, at, moved))
+						})
+					}
+					if longest > deliveryLimit {
+						t.Errorf("reported up to %v after the fault, want within %v", longest, deliveryLimit)
+					}
+				})
+			}
+		}
+	}
+}
+
+// reportDelay is how long after the end of a fault a client reports a change. If moved, the client is
+// given another address at that moment, and the fault goes on at the old one.
+func reportDelay(
+	t *testing.T, config Config, fault roundTrip, faultDuration time.Duration, moved bool,
+) time.Duration {
+	t.Helper()
+	config.Seed = uint64(faultDuration) << 20
+	reachable := time.Now().Add(faultDuration)
+	addresses := make(chan string, 1)
+	if moved {
+		time.AfterFunc(faultDuration, func() { addresses <- "127.0.0.1:2" })
+	}
+	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
+	defer cancel()
+	reported := timeOfUpdate(ctx, config, addresses, roundTrip(func(r *http.Request) (*http.Response, error) {
+		if time.Now().Before(reachable) || moved && r.URL.Host == testAddress {
+			return fault(r)
+		}
+		return respond(r, http.StatusOK, strings.NewReader(oneEndpoint))
+	}))
+	if reported.IsZero() {
+		t.Fatalf("reachable after %v: never reported", faultDuration)
+	}
+	return reported.Sub(reachable)
+}
+
+// The whole fleet was refused while the service was down. At its return each gateway has the change
+// within the delivery limit, if the service can serve as many calls as there are gateways in the time of
+// a backoff and of its queue; no second has most of the calls in it.
+func TestRefusedFleetIsServedWithinTheDeliveryLimit(t *testing.T) {
+	for _, gateways := range []int{3, 300, 6500} {
+		for _, secondsForAll := range []time.Duration{1, 2, 4} { // in which it serves a call of each gateway
+			if gateways > 300 && secondsForAll < 4 {
+				continue // only the hardest: this many take seconds and a gigabyte under the race detector
+			}
+			name := fmt.Sprintf("%d gateways, all served in %d s", gateways, secondsForAll)
+			t.Run(name, func(t *testing.T) {
+				workPerCall := secondsForAll * time.Second / time.Duration(gateways)
+				synctest.Test(t, func(t *testing.T) { testRefusedFleet(t, gateways, workPerCall) })
+			})
+		}
+	}
+}
+
+func testRefusedFleet(t *testing.T, gateways int, workPerCall time.Duration) {
+	t.Helper()
+	service := &queueingService{
+		workPerCall:    min(workPerCall, queueTimeout/4), // a few gateways could not fill its queue
+		upAt:           time.Now().Add(8 * time.Second),
+		callsPerSecond: map[time.Duration]int{},
+	}
+	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
+	defer cancel()
+	reports := make(chan time.Time, gateways)
+	for i := range gateways {
+		config := serviceConfig()
+		config.Seed = uint64(i)<<32 + 7
+		go func() { reports <- timeOfUpdate(ctx, config, nil, service) }()
+	}
+	latest, late, never := time.Duration(0), 0, 0
+	for range gateways {
+		reported := <-reports
+		delay := reported.Sub(service.upAt)
+		latest = max(latest, delay)
+		switch {
+		case reported.IsZero():
+			never++
+		case delay > deliveryLimit:
+			late++
+		}
+	}
+	highest := service.maxCallsPerSecond()
+	t.Logf("served %d, refused %d, latest after %v, %d over %v, %d never, at most %d calls in a second",
+		service.served, service.refused, latest, late, deliveryLimit, never, highest)
+	if never > 0 || late > 0 {
+		t.Errorf("%d gateways had the change after the delivery limit, %d never", late, never)
+	}
+	if gateways > 3 && highest > gateways/2 {
+		t.Errorf("%d calls within one second, want at most %d", highest, gateways/2)
+	}
+}
--- /dev/null
+++ b/internal/discovery/fake_test.go
@@ -0,0 +1,234 @@
+package discovery
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"net/http"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+)
+
+const (
+	testAddress  = "127.0.0.1:1" // never dialed: tests replace the transport
+	testURL      = "http://" + testAddress + listPath
+	testRevision = 7 // of oneEndpoint and listJSON
+	testTimeout  = 30 * time.Second
+
+	oneEndpoint = `{"revision":7,"complete":false,"members":[{"id":"s-00000001","phase":"Terminating"}]}`
+)
+
+// agentConfig is the configuration of a client beside an agent, without a grace for drains.
+func agentConfig() Config {
+	return Config{Address: testAddress, Seed: 0x8c1f30d27a5be964, MemoryBytes: 192 << 20}
+}
+
+// agentConfigWithGrace adds the grace that a deployment with a pushed list has.
+func agentConfigWithGrace() Config {
+	config := agentConfig()
+	config.DrainGrace = 500 * time.Millisecond
+	return config
+}
+
+// serviceConfig is the configuration of a client that polls one service for the whole fleet.
+func serviceConfig() Config {
+	config := agentConfig()
+	config.Poll = true
+	return config
+}
+
+// newTestClient returns a client that calls the given service, and its events.
+func newTestClient(config Config, service http.RoundTripper) (*Client, <-chan Event) {
+	events := make(chan Event, 16)
+	client := New(config, slog.New(slog.DiscardHandler), func(ctx context.Context, event Event) {
+		select {
+		case events <- event:
+		case <-ctx.Done():
+		}
+	})
+	client.http.Transport = service
+	return client, events
+}
+
+// timeOfUpdate runs a client until it reports testRevision and returns when that was; the zero time if
+// ctx ended before. Each address received meanwhile is given to the client.
+func timeOfUpdate(
+	ctx context.Context, config Config, addresses <-chan string, service http.RoundTripper,
+) time.Time {
+	ctx, cancel := context.WithCancel(ctx)
+	client, events := newTestClient(config, service)
+	client.Watch()
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		client.Run(ctx)
+	}()
+	defer func() {
+		cancel()
+		<-ended
+	}()
+	for {
+		select {
+		case address := <-addresses:
+			client.SetAddress(address)
+		case event := <-events:
+			if event.Update.Revision == testRevision {
+				return time.Now()
+			}
+		case <-ctx.Done():
+			return time.Time{}
+		}
+	}
+}
+
+// listJSON is a complete list with the given number of endpoints.
+func listJSON(tb testing.TB, endpoints int) []byte {
+	tb.Helper()
+	list := Update{Revision: testRevision, Complete: true}
+	for i := range endpoints {
+		list.Endpoints = append(list.Endpoints, Endpoint{
+			ID:      fmt.Sprintf("s-%08x", i+1),
+			Address: fmt.Sprintf("127.%d.%d.%d:6379", 1+i>>16, i>>8&255, i&255),
+			Zone:    "a", Cell: i % 7, Phase: phaseReady, CapacityHint: 1,
+		})
+	}
+	text, err := json.Marshal(list)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	return text
+}
+
+// roundTrip is a service as a function.
+type roundTrip func(*http.Request) (*http.Response, error)
+
+func (f roundTrip) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
+
+// respondWith is a service that answers every call with the body that a function returns.
+func respondWith(body func(*http.Request) io.Reader) roundTrip {
+	return func(r *http.Request) (*http.Response, error) { return respond(r, http.StatusOK, body(r)) }
+}
+
+func respond(r *http.Request, status int, body io.Reader) (*http.Response, error) {
+	return &http.Response{
+		StatusCode: status, Status: fmt.Sprint(status), Request: r, Body: io.NopCloser(body),
+	}, nil
+}
+
+func refuse(r *http.Request) (*http.Response, error) {
+	return respond(r, http.StatusServiceUnavailable, strings.NewReader(""))
+}
+
+// hang never answers.
+func hang(r *http.Request) (*http.Response, error) {
+	<-r.Context().Done()
+	return nil, r.Context().Err()
+}
+
+// hangingBody yields nothing until its call is cancelled.
+type hangingBody struct{ call context.Context }
+
+func (b hangingBody) Read([]byte) (int, error) {
+	<-b.call.Done()
+	return 0, b.call.Err()
+}
+
+// slowBody yields a part each interval until its call is cancelled.
+type slowBody struct {
+	call     context.Context
+	interval time.Duration
+	parts    []string
+}
+
+func (b *slowBody) Read(buffer []byte) (int, error) {
+	if len(b.parts) == 0 {
+		return 0, io.EOF
+	}
+	select {
+	case <-time.After(b.interval):
+	case <-b.call.Done():
+		return 0, b.call.Err()
+	}
+	n := copy(buffer, b.parts[0])
+	if b.parts[0] = b.parts[0][n:]; b.parts[0] == "" {
+		b.parts = b.parts[1:]
+	}
+	return n, nil
+}
+
+// callAtEOF is an empty body that calls a function when it is read.
+type callAtEOF func()
+
+func (f callAtEOF) Read([]byte) (int, error) {
+	f()
+	return 0, io.EOF
+}
+
+// queueTimeout is how long a queueingService keeps a call before it refuses it.
+const queueTimeout = 2 * time.Second
+
+var errCallerGone = errors.New("the caller has gone")
+
+// queueingService is one service for a whole fleet. It serves calls in order, at a limited rate, refuses
+// those that waited too long and works on them all the same, and is down at first. A watch that is held
+// open costs it nothing.
+type queueingService struct {
+	workPerCall time.Duration
+	upAt        time.Time // until then every call is refused
+
+	mu             sync.Mutex // guards the fields below
+	busyUntil      time.Time
+	callsPerSecond map[time.Duration]int
+	served         int
+	refused        int // since it is up
+}
+
+func (s *queueingService) RoundTrip(r *http.Request) (*http.Response, error) {
+	if r.URL.Query().Get("index") == fmt.Sprint(testRevision) {
+		return hang(r)
+	}
+	now := time.Now()
+	if now.Before(s.upAt) {
+		return refuse(r)
+	}
+	delay := s.enqueue(now)
+	select {
+	case <-time.After(min(delay, queueTimeout)):
+	case <-r.Context().Done():
+		return nil, errCallerGone
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if delay > queueTimeout {
+		s.refused++
+		return refuse(r)
+	}
+	s.served++
+	return respond(r, http.StatusOK, strings.NewReader(oneEndpoint))
+}
+
+// enqueue returns how long a call that comes now takes.
+func (s *queueingService) enqueue(now time.Time) time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.callsPerSecond[now.Sub(s.upAt).Truncate(time.Second)]++
+	if s.busyUntil.Before(now) {
+		s.busyUntil = now
+	}
+	s.busyUntil = s.busyUntil.Add(s.workPerCall)
+	return s.busyUntil.Sub(now)
+}
+
+// maxCallsPerSecond is the largest number of calls within a second since the service is up.
+func (s *queueingService) maxCallsPerSecond() int {
+	highest := 0
+	for _, calls := range s.callsPerSecond {
+		highest = max(highest, calls)
+	}
+	return highest
+}
--- a/internal/gateway/backends.go
+++ b/internal/gateway/backends.go
@@ -646,7 +646,7 @@
 			bs.closeIdle(b)
 		}
 		told = append(told, policy.Endpoint{
-			ID: b.number, Zone: l.discovery.zone(m.Zone), Cell: m.Cell, State: b.state,
+			ID: b.number, Zone: l.endpoints.zoneNumber(m.Zone), Cell: m.Cell, State: b.state,
 			CapacityHint: m.CapacityHint, StartedAt: m.UpSinceMS * 1000,
 		})
 	}
--- a/internal/gateway/counter.go
+++ b/internal/gateway/counter.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"sparspread/internal/config"
+	"sparspread/internal/httpclient"
 	"sparspread/policy"
 )
 
@@ -44,10 +45,9 @@
 		url:  counterURL(cfg.Counter),
 		wait: time.Duration(cfg.Host.CounterTimeout) * time.Microsecond,
 		on:   cfg.Settings.SharedCounter && cfg.Counter != "",
-		client: &http.Client{CheckRedirect: refuseRedirect, Transport: &http.Transport{
-			MaxConnsPerHost: countLines, MaxIdleConnsPerHost: countLines,
-			IdleConnTimeout: 4 * time.Second, DisableCompression: true, MaxResponseHeaderBytes: maxHeaderBytes,
-		}},
+		client: httpclient.New(&http.Transport{
+			MaxConnsPerHost: countLines, MaxIdleConnsPerHost: countLines, IdleConnTimeout: 4 * time.Second,
+		}),
 	}
 	for i := range c.lines {
 		c.lines[i] = make(chan countCall, countQueue)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"sparspread/internal/config"
+	"sparspread/internal/discovery"
 	"sparspread/policy"
 )
 
@@ -48,8 +49,9 @@
 		log: log, clock: newClock(),
 		events: make(chan event, eventQueueLength), urgentEvents: make(chan event, 16),
 		requests: map[uint64]*request{}, openByClientID: map[uint64]*request{}, timer: time.NewTimer(time.Hour),
-		counter: newCounter(&cfg), discovery: newDiscovery(&cfg), metrics: &metrics{},
+		counter: newCounter(&cfg), endpoints: endpointList{zones: cfg.Host.Zones}, metrics: &metrics{},
 	}
+	l.discovery = discovery.New(discoveryConfig(&cfg), log, l.postEndpoints)
 	l.applyConfig(&cfg)
 	l.timer.Stop()
 	limitMemory(&cfg, 1)
@@ -94,7 +96,7 @@
 	go l.ops.serve()
 	l.schedule(l.now()+readinessWait, readinessTimeout{})
 	l.schedule(l.now()+sweepInterval, sweepTimer{})
-	go l.discovery.run(ctx, l)
+	go l.discovery.Run(ctx)
 	l.gossip.resume(l)
 	if l.counter.on {
 		for _, line := range l.counter.lines {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -467,7 +467,8 @@
 	hung := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Has("index") && !held.Swap(true) {
 			wait, err := strconv.Atoi(r.URL.Query().Get("wait"))
-			if limit := time.Duration(wait)*time.Millisecond + watchSlack; err != nil || limit >= 6*time.Second {
+			const slack = time.Second // for the answer, by the discovery client
+			if limit := time.Duration(wait)*time.Millisecond + slack; err != nil || limit >= 6*time.Second {
 				t.Errorf("a watch is waited for %v, %v", limit, err)
 			}
 			d.tell(second.entry("s-00000002", "Ready"))
--- a/internal/gateway/handover.go
+++ b/internal/gateway/handover.go
@@ -628,7 +628,7 @@
 		return
 	}
 	if e.state != nil {
-		if !l.discovery.heard {
+		if !l.endpoints.received {
 			l.backends.updateEndpoints(l, policy.UpdateStale, e.state.Endpoints)
 		}
 		if err := l.controller.Import(l.now(), e.state.Policy); err != nil {
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"sparspread/internal/config"
+	"sparspread/internal/discovery"
 	"sparspread/internal/handover"
 	"sparspread/policy"
 )
@@ -68,7 +69,8 @@
 	backends           *backends
 	gossip             *gossipTransport
 	counter            *counter
-	discovery          *discoveryClient
+	discovery          *discovery.Client
+	endpoints          endpointList
 	ops                *ops
 	handoverListener   *successorListener // where another process asks to take over; nil: nowhere
 	pendingTakeover    *takeover          // from a process that still serves; nil: none
@@ -258,7 +260,7 @@
 }
 
 // Follow asks discovery for the list and its changes from now on.
-func (l *Loop) WatchEndpoints() { l.discovery.follow() }
+func (l *Loop) WatchEndpoints() { l.discovery.Watch() }
 
 // Log writes a line for the people on call.
 func (l *Loop) Log(line string) { l.log.Info(line) }
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -70,7 +70,7 @@
 	cfg := e.cfg
 	cfg.KeepFixed(l.config)
 	l.applyConfig(&cfg)
-	l.discovery.move(cfg.Discovery)
+	l.discovery.SetAddress(cfg.Discovery)
 	if cfg.Counter != "" {
 		l.counter.move(cfg.Counter)
 	}
--- a/internal/gateway/scale_test.go
+++ b/internal/gateway/scale_test.go
@@ -1,8 +1,6 @@
 package gateway
 
 import (
-	"bytes"
-	"encoding/json"
 	"fmt"
 	"testing"
 
@@ -10,41 +8,20 @@
 	"sparspread/policy"
 )
 
-// What the network code does alone as the list grows: docs/CAPACITY.md works with these figures.
-
-// longList is a whole list of so many members in discovery's form.
-func longList(n int) []byte {
-	list := discovery.Update{Revision: 7, Complete: true}
+// endpoints is a list of the given length.
+func endpoints(n int) []discovery.Endpoint {
+	list := make([]discovery.Endpoint, 0, n)
 	for i := range n {
-		list.Endpoints = append(list.Endpoints, discovery.Endpoint{
-			ID: fmt.Sprintf("s-%08x", i+1), Address: fmt.Sprintf("127.%d.%d.%d:6379", 1+i>>16, i>>8&255, i&255),
-			Zone: "a", Cell: i % 7, Phase: "Ready", CapacityHint: 1,
-		})
-	}
-	text, err := json.Marshal(list)
-	if err != nil {
-		panic(err)
-	}
-	return text
-}
-
-func BenchmarkReadListByMembers(b *testing.B) {
-	for _, n := range []int{46, 830, 8300, 83000} {
-		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			text := longList(n)
-			b.ReportAllocs()
-			b.SetBytes(int64(len(text)))
-			for b.Loop() {
-				var list discovery.Update
-				if err := list.Read(json.NewDecoder(bytes.NewReader(text))); err != nil {
-					b.Fatal(err)
-				}
-			}
+		list = append(list, discovery.Endpoint{
+			ID:      fmt.Sprintf("s-%08x", i+1),
+			Address: fmt.Sprintf("127.%d.%d.%d:6379", 1+i>>16, i>>8&255, i&255),
+			Zone:    "a", Cell: i % 7, Phase: "Ready", CapacityHint: 1,
 		})
 	}
+	return list
 }
 
-// One member has changed: what the loop does with it, module included.
+// The cost of an update of one endpoint in the loop, the policy included. docs/CAPACITY.md uses the figures.
 func BenchmarkChangeByMembers(b *testing.B) {
 	for _, n := range []int{46, 830, 8300, 83000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -53,13 +30,10 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			defer l.clients.listener.Close()
-			var list discovery.Update
-			if err := json.Unmarshal(longList(n), &list); err != nil {
-				b.Fatal(err)
-			}
-			l.backends.updateEndpoints(l, policy.UpdateComplete, list.Endpoints)
-			one := list.Endpoints[:1]
+			defer func() { _ = l.clients.listener.Close() }()
+			list := endpoints(n)
+			l.backends.updateEndpoints(l, policy.UpdateComplete, list)
+			one := list[:1]
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				one[0].Phase = [...]string{"Ready", "Terminating"}[i%2]
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -5,101 +5,104 @@
 	"encoding/json"
 	"fmt"
 	"net"
-	"net/http"
 	"strings"
 	"syscall"
 	"testing"
 
+	"sparspread/internal/discovery"
 	"sparspread/policy"
 )
 
-// Whatever discovery does or does not do, a start is over when its wait is: the gateway serves with the
-// list that it was given.
-func TestStartWaitsForNoDiscovery(t *testing.T) {
-	// listening gives an address at which each connection meets the same fate.
-	listening := func(t *testing.T, fate func(net.Conn)) string {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { l.Close() })
-		go func() {
-			for {
-				conn, err := l.Accept()
-				if err != nil {
-					return
-				}
-				t.Cleanup(func() { conn.Close() })
-				fate(conn)
-			}
-		}()
-		return l.Addr().String()
+// faultyDiscovery is a discovery service that fails in one way.
+type faultyDiscovery struct {
+	address string
+	// control replaces that of the client's dialer; nil: the client dials as ever.
+	control func(network, address string, c syscall.RawConn) error
+}
+
+// serveFaulty listens and does the same with each connection.
+func serveFaulty(t *testing.T, serve func(net.Conn)) faultyDiscovery {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
 	}
-	for name, discovery := range map[string]func(*testing.T, chan<- string) (string, func(*discoveryClient)){
-		"refuses": func(t *testing.T, met chan<- string) (string, func(*discoveryClient)) {
-			l, err := net.Listen("tcp", "127.0.0.1:0")
+	t.Cleanup(func() { _ = listener.Close() })
+	go func() {
+		for {
+			conn, err := listener.Accept()
 			if err != nil {
-				t.Fatal(err)
-			}
-			l.Close()
-			return l.Addr().String(), func(d *discoveryClient) {
-				d.client.Transport.(*http.Transport).DialContext = (&net.Dialer{Control: func(_, _ string, _ syscall.RawConn) error {
-					met <- "dial"
-					return nil
-				}}).DialContext
+				return
 			}
-		},
-		"resets": func(t *testing.T, met chan<- string) (string, func(*discoveryClient)) {
-			return listening(t, func(conn net.Conn) {
-				_ = conn.(*net.TCPConn).SetLinger(0)
-				conn.Close()
-				met <- "reset"
-			}), nil
-		},
-		"is silent": func(t *testing.T, met chan<- string) (string, func(*discoveryClient)) {
-			return listening(t, func(net.Conn) { met <- "call" }), nil
-		},
-		"breaks off amid a list": func(t *testing.T, met chan<- string) (string, func(*discoveryClient)) {
-			return listening(t, func(conn net.Conn) {
-				fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n{\"revision\":9,\"members\":[")
-				met <- "half a list"
-			}), nil
-		},
-		"hangs in the dial": func(t *testing.T, met chan<- string) (string, func(*discoveryClient)) {
-			letGo := make(chan struct{})
-			t.Cleanup(func() { close(letGo) })
-			return "127.0.0.1:1", func(d *discoveryClient) {
-				d.client.Transport.(*http.Transport).DialContext = (&net.Dialer{Control: func(_, _ string, _ syscall.RawConn) error {
-					met <- "dial"
-					<-letGo
-					return syscall.ECONNREFUSED
-				}}).DialContext
-			}
-		},
-	} {
+			t.Cleanup(func() { _ = conn.Close() })
+			serve(conn)
+		}
+	}()
+	return faultyDiscovery{address: listener.Addr().String()}
+}
+
+// discoveryFaults start a faulty service each. It sends to called whenever the client has called it.
+var discoveryFaults = map[string]func(t *testing.T, called chan<- string) faultyDiscovery{
+	"refuses": func(t *testing.T, called chan<- string) faultyDiscovery {
+		t.Helper()
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		_ = listener.Close()
+		control := func(string, string, syscall.RawConn) error {
+			called <- "dial"
+			return nil
+		}
+		return faultyDiscovery{listener.Addr().String(), control}
+	},
+	"resets": func(t *testing.T, called chan<- string) faultyDiscovery {
+		t.Helper()
+		return serveFaulty(t, func(conn net.Conn) {
+			_ = conn.(*net.TCPConn).SetLinger(0)
+			_ = conn.Close()
+			called <- "reset"
+		})
+	},
+	"is silent": func(t *testing.T, called chan<- string) faultyDiscovery {
+		t.Helper()
+		return serveFaulty(t, func(net.Conn) { called <- "call" })
+	},
+	"breaks off amid a list": func(t *testing.T, called chan<- string) faultyDiscovery {
+		t.Helper()
+		return serveFaulty(t, func(conn net.Conn) {
+			const half = "HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n{\"revision\":9,\"members\":["
+			_, _ = fmt.Fprint(conn, half) // a gateway that has gone fails the test elsewhere
+			called <- "half a list"
+		})
+	},
+	"hangs in the dial": func(t *testing.T, called chan<- string) faultyDiscovery {
+		t.Helper()
+		release := make(chan struct{})
+		t.Cleanup(func() { close(release) })
+		control := func(string, string, syscall.RawConn) error {
+			called <- "dial"
+			<-release
+			return syscall.ECONNREFUSED
+		}
+		return faultyDiscovery{"127.0.0.1:1", control}
+	},
+}
+
+// Whatever the discovery service does, a start is over when its wait is: the gateway serves with the list that its
+// configuration contains.
+func TestStartDoesNotDependOnDiscovery(t *testing.T) {
+	for name, start := range discoveryFaults {
 		t.Run(name, func(t *testing.T) {
-			met := make(chan string, 1024)
-			address, change := discovery(t, met)
-			var members []string
-			for i := range 3000 {
-				members = append(members, fmt.Sprintf(`{"id":"s-%08x","host_port":"127.0.0.1:9","phase":"Ready"}`, i+1))
-			}
-			cfg := configure(t, newFakeDiscovery(t), func(f map[string]any) {
-				f["discovery"] = address
-				f["known"] = json.RawMessage(`{"revision":1,"complete":true,"members":[` + strings.Join(members, ",") + `]}`)
-			})
-			l, err := newLoop(cfg, quiet())
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer l.clients.listener.Close()
-			if change != nil {
-				change(l.discovery)
-			}
+			called := make(chan string, 1024)
+			faulty := start(t, called)
+			const endpoints = 3000
+			l := newLoopWithKnownList(t, faulty, endpoints)
+			defer func() { _ = l.clients.listener.Close() }()
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			l.start(ctx)
-			wait(t, met, "discovery's first call")
+			wait(t, called, "discovery's first call")
 			if l.runTimers(); l.accepting {
 				t.Fatal("ready before the wait was over")
 			}
@@ -114,9 +117,32 @@
 					ready++
 				}
 			}
-			if ready != len(members) {
-				t.Errorf("%d backends of %d are ready", ready, len(members))
+			if ready != endpoints {
+				t.Errorf("%d backends are ready, want %d", ready, endpoints)
 			}
 		})
 	}
 }
+
+// newLoopWithKnownList makes a gateway whose configuration contains a list and names a faulty service.
+func newLoopWithKnownList(t *testing.T, faulty faultyDiscovery, endpoints int) *Loop {
+	t.Helper()
+	var entries []string
+	for i := range endpoints {
+		entries = append(entries, fmt.Sprintf(`{"id":"s-%08x","host_port":"127.0.0.1:9","phase":"Ready"}`, i+1))
+	}
+	cfg := configure(t, newFakeDiscovery(t), func(f map[string]any) {
+		f["discovery"] = faulty.address
+		f["known"] = json.RawMessage(`{"revision":1,"complete":true,"members":[` + strings.Join(entries, ",") + `]}`)
+	})
+	l, err := newLoop(cfg, quiet())
+	if err != nil {
+		t.Fatal(err)
+	}
+	if faulty.control != nil {
+		c := discoveryConfig(&cfg)
+		c.DialContext = (&net.Dialer{Control: faulty.control}).DialContext
+		l.discovery = discovery.New(c, quiet(), l.postEndpoints)
+	}
+	return l
+}
