--- a/internal/gateway/files.go
+++ b/internal/gateway/files.go
@@ -7,15 +7,16 @@
 	"syscall"
 
 	"sparspread/internal/config"
+	"sparspread/internal/counter"
 )
 
 // The descriptors for neither clients nor backends, at most.
 const (
-	runtimeFiles   = 7              // standard streams 3, the poller and what wakes it 2, the control group's limit 2
-	ownFiles       = 5              // the listener, the peers' socket, the door and who stands at it, the configuration
-	discoveryFiles = 2              // one for an address: a dial to the one before may still hang
-	counterFiles   = 2 * countLines // the same
-	opsFiles       = 2              // the listener, and the caller that another one is cut off for
+	runtimeFiles   = 7                       // standard streams 3, the poller and what wakes it 2, the control group's limit 2
+	ownFiles       = 5                       // the listener, the peers' socket, the door and who stands at it, the configuration
+	discoveryFiles = 2                       // one for an address: a dial to the one before may still hang
+	counterFiles   = 2 * counter.Connections // the same
+	opsFiles       = 2                       // the listener, and the caller that another one is cut off for
 
 	spareFiles  = 24 // that no share counts on, where there are many
 	leastBeyond = 4  // clients over their share, that can be turned away
@@ -31,10 +32,10 @@
 // shareOut gives two in five descriptors to clients and as many to backends, and never more than
 // all the others leave: a connection that finds no descriptor is one that the gateway can't
 // refuse, and discovery's may be the one.
-func budgetDescriptors(sockets int, counter bool) descriptorBudget {
+func budgetDescriptors(sockets int, withCounter bool) descriptorBudget {
 	f := descriptorBudget{operators: min(opsCallers, max(2, sockets/16))}
 	others := runtimeFiles + ownFiles + discoveryFiles + opsFiles + f.operators
-	if counter {
+	if withCounter {
 		others += counterFiles
 	}
 	f.perSide = min((sockets-spareFiles)*2/5, (sockets-others-leastBeyond)/2)
--- a/internal/gateway/files_test.go
+++ b/internal/gateway/files_test.go
@@ -7,25 +7,26 @@
 	"testing"
 
 	"sparspread/internal/config"
+	"sparspread/internal/counter"
 )
 
 // All that may be open at once fits, whatever the limit; where descriptors are not few, clients and
 // backends get two in five each.
 func TestDescriptorsFitTheLimit(t *testing.T) {
 	for sockets := config.MinSockets; sockets <= 4096; sockets++ {
-		for _, counter := range []bool{false, true} {
-			f := budgetDescriptors(sockets, counter)
+		for _, withCounter := range []bool{false, true} {
+			f := budgetDescriptors(sockets, withCounter)
 			// streams 3, poller 2, control group 2, listener, peers, door, who stands there, configuration,
 			// discovery at two addresses, operators' listener and one more caller than there are places
 			sum := f.clientSlots + f.perSide + 3 + 2 + 2 + 5 + 2 + 1 + f.operators + 1
-			if counter {
-				sum += 2 * countLines
+			if withCounter {
+				sum += 2 * counter.Connections
 			}
 			if sum > sockets || f.perSide < 1 || f.operators < 2 {
-				t.Fatalf("limit %d, counter %t: up to %d open, %+v", sockets, counter, sum, f)
+				t.Fatalf("limit %d, counter %t: up to %d open, %+v", sockets, withCounter, sum, f)
 			}
-			if even := (sockets - 24) * 2 / 5; f.perSide != even && (sockets >= 64 || !counter) {
-				t.Errorf("limit %d, counter %t: share %d, want %d", sockets, counter, f.perSide, even)
+			if even := (sockets - 24) * 2 / 5; f.perSide != even && (sockets >= 64 || !withCounter) {
+				t.Errorf("limit %d, counter %t: share %d, want %d", sockets, withCounter, f.perSide, even)
 			}
 		}
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -49,13 +49,14 @@
 		log: log, clock: newClock(),
 		events: make(chan event, eventQueueLength), urgentEvents: make(chan event, 16),
 		requests: map[uint64]*request{}, openByClientID: map[uint64]*request{}, timer: time.NewTimer(time.Hour),
-		counter: newCounter(&cfg), endpoints: endpointList{zones: cfg.Host.Zones}, metrics: &metrics{},
+		endpoints: endpointList{zones: cfg.Host.Zones}, metrics: &metrics{},
 	}
+	l.counter = newCounter(&cfg, l.post)
 	l.discovery = discovery.New(discoveryConfig(&cfg), log, l.postEndpoints)
 	l.applyConfig(&cfg)
 	l.timer.Stop()
 	limitMemory(&cfg, 1)
-	files := budgetDescriptors(usableSockets(&cfg, log), l.counter.on)
+	files := budgetDescriptors(usableSockets(&cfg, log), l.counter != nil)
 	l.backends = newBackends(&cfg, files.perSide)
 	l.clients = &clients{
 		limit: files.perSide, slots: make(chan struct{}, files.clientSlots), conns: map[*client]bool{},
@@ -98,10 +99,8 @@
 	l.schedule(l.now()+sweepInterval, sweepTimer{})
 	go l.discovery.Run(ctx)
 	l.gossip.resume(l)
-	if l.counter.on {
-		for _, line := range l.counter.lines {
-			go l.counter.run(ctx, l, line)
-		}
+	if l.counter != nil {
+		go l.counter.Run(ctx)
 	}
 }
 
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"sparspread/internal/config"
+	"sparspread/internal/counter"
 	"sparspread/internal/discovery"
 	"sparspread/internal/handover"
 	"sparspread/policy"
@@ -68,7 +69,7 @@
 	clients            *clients
 	backends           *backends
 	gossip             *gossipTransport
-	counter            *counter
+	counter            *counter.Client // nil: there is none
 	discovery          *discovery.Client
 	endpoints          endpointList
 	ops                *ops
@@ -254,11 +255,6 @@
 	}
 }
 
-// Count adds to a number that all gateways share.
-func (l *Loop) IncrementCounter(name uint64, add float64, life policy.Time) {
-	l.counter.count(l, name, add, life)
-}
-
 // Follow asks discovery for the list and its changes from now on.
 func (l *Loop) WatchEndpoints() { l.discovery.Watch() }
 
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -71,8 +71,8 @@
 	cfg.KeepFixed(l.config)
 	l.applyConfig(&cfg)
 	l.discovery.SetAddress(cfg.Discovery)
-	if cfg.Counter != "" {
-		l.counter.move(cfg.Counter)
+	if l.counter != nil && cfg.Counter != "" {
+		l.counter.SetAddress(cfg.Counter)
 	}
 }
 
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -81,16 +81,14 @@
 	defer l.clients.listener.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	for _, line := range l.counter.lines {
-		go l.counter.run(ctx, l, line)
-	}
+	go l.counter.Run(ctx)
 	l.IncrementCounter(1, 1, 1e6)
 	wait(t, atFirst, "a call at the first counter")
 	configLoaded{with(second)}.handle(l)
 	l.IncrementCounter(1, 1, 1e6)
 	wait(t, atSecond, "a call at the second counter")
 	for _, total := range []float64{1, 2} {
-		if e := wait(t, l.events, "an answer").(counterAnswered); e.result != policy.ResultOK || e.total != total {
+		if e := wait(t, l.events, "an answer").(counterAnswered); e.Result != policy.ResultOK || e.Total != total {
 			t.Errorf("answer %+v, want the total %g", e, total)
 		}
 	}
