--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,5 @@
-// Package config reads a gateway's configuration and tells what of another one can be taken in while it serves.
+// Package config reads a gateway's configuration and tells what of another one can be taken in while it
+// serves.
 package config
 
 import (
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -55,7 +55,7 @@
 	l.log.Info("stopping", "open", l.openRequests)
 	l.ops.ready.Store(false)
 	if !l.accepting && l.pendingTakeover != nil {
-		l.pendingTakeover.abandon() // the other process goes on
+		l.pendingTakeover.Abandon() // the other process goes on
 		l.done = true
 		return
 	}
@@ -72,7 +72,7 @@
 	switch {
 	case s.closing:
 		l.shutdown.closing = true
-		l.handoverListener.close(!l.handover.hasGivenOwnership())
+		l.handoverListener.Close(!l.handover.hasGivenOwnership())
 		if l.handover.hasGivenOwnership() {
 			l.shutdown.listenerClosed = true // its listener is closed
 		} else {
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -70,11 +70,11 @@
 	counter            *counter
 	discovery          *discoveryClient
 	ops                *ops
-	handoverListener   *successorListener // where another process asks to take over; nil: nowhere
-	pendingTakeover    *takeover          // from a process that still serves; nil: none
-	predecessor        *takeover          // the same once it has handed over
+	handoverListener   *handover.Listener // where a successor asks for the handover; nil: nowhere
+	pendingTakeover    *handover.Takeover // from a process that still serves; nil: none
+	predecessor        *handover.Takeover // the same once it has handed over
 	predecessorRunning bool               // it has not ended yet
-	handover           *outgoingHandover  // to another process; nil: none
+	handover           *outgoingHandover  // to a successor; nil: none
 	metrics            *metrics
 	classMetrics       []*classMetrics // in the order of the classes in force
 	publishedConfig    atomic.Pointer[config.Config]
@@ -212,9 +212,7 @@
 	if until == 0 || until > r.deadline {
 		until = r.deadline
 	}
-	l.replicate(msgSent, func() ([]byte, error) {
-		return handover.EncodeAttemptSent(handover.AttemptSent{RequestID: id, Backend: backend})
-	})
+	l.replicateAttemptSent(id, backend)
 	a := &attempt{request: r, number: r.attempts, sentAt: l.now(), expiresAt: until}
 	r.attempts++
 	r.attemptsInFlight++
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"strings"
 
-	"sparspread/internal/handover"
 	"sparspread/internal/resp"
 	"sparspread/policy"
 )
@@ -177,7 +176,7 @@
 		RequestID: r.id, Attempt: o.attempt.number, Backend: o.attempt.backend, Result: o.result,
 		Latency: o.latency, Answered: r.answered || r.valueStarted || r.client.disconnected.Load(), ActualCost: o.cost, LoadReport: o.loadReport,
 	}
-	l.replicate(msgOutcome, func() ([]byte, error) { return handover.EncodeAttemptEnded(ended) })
+	l.replicateAttemptEnded(ended)
 	l.controller.AttemptEnded(l.now(), ended)
 	l.releaseRequest(r)
 }
--- a/internal/gateway/values.go
+++ b/internal/gateway/values.go
@@ -3,7 +3,6 @@
 import (
 	"time"
 
-	"sparspread/internal/handover"
 	"sparspread/internal/resp"
 	"sparspread/policy"
 )
@@ -112,7 +111,7 @@
 
 func (e valueStarted) handle(l *Loop) {
 	o := policy.Outcome{RequestID: e.a.request.id, Attempt: e.a.number, Backend: e.a.backend, Result: policy.ResultOK, Latency: e.latency, Answered: true}
-	l.replicate(msgOutcome, func() ([]byte, error) { return handover.EncodeAttemptEnded(o) })
+	l.replicateAttemptEnded(o)
 	l.controller.AttemptEnded(l.now(), o)
 }
 
@@ -143,9 +142,7 @@
 		l.finishValue(r, e.err)
 	}
 	if units := l.actualCost(usageText(e.reply)); units > 0 {
-		l.replicate(msgSettled, func() ([]byte, error) {
-			return handover.EncodeCostSettled(handover.CostSettled{Customer: r.customer, Extra: units - r.estimatedCost})
-		})
+		l.replicateCostSettled(r.customer, units-r.estimatedCost)
 		l.controller.CostSettled(l.now(), r.customer, units-r.estimatedCost)
 	}
 	l.releaseRequest(r)
--- a/internal/handover/codec.go
+++ b/internal/handover/codec.go
@@ -182,7 +182,8 @@
 	}
 	return policy.Outcome{
 		RequestID: form.ID, Attempt: form.Attempt, Backend: form.Backend, Result: policy.Result(form.Result),
-		Latency: form.Took, Answered: form.Over, MeterReading: form.Metered, ActualCost: form.TrueUnits, LoadReport: form.Load,
+		Latency: form.Took, Answered: form.Over, MeterReading: form.Metered, ActualCost: form.TrueUnits,
+		LoadReport: form.Load,
 	}, nil
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings of a deployment, in the simulator's flat text and in the nested JSON of a
-// gateway's configuration. Every key and word of the settings stands in this package.
+// Package settings reads the settings of a deployment, in the simulator's flat text and in the nested JSON of
+// a gateway's configuration. Every key and word of the settings stands in this package.
 package settings
 
 import (
