--- /dev/null
+++ b/internal/config/compare.go
@@ -0,0 +1,58 @@
+package config
+
+import "slices"
+
+// knownKey is the key of the endpoint list as last known. It is no setting: a file may lack it.
+const knownKey = "known"
+
+// CheckKeys reports a key that the configuration in force has and another one lacks: what an operator left
+// out by mistake must not fall back to its default.
+func (c *Config) CheckKeys(other *Config) error {
+	for key := range c.Keys {
+		if _, ok := other.Keys[key]; !ok && key != knownKey {
+			return missing(key)
+		}
+	}
+	for key := range c.Host.Keys {
+		if !other.Host.Keys[key] {
+			return missing("settings: " + key)
+		}
+	}
+	return nil
+}
+
+// KeepFixed replaces what only a restart can change by the values of the configuration in force.
+func (c *Config) KeepFixed(inForce *Config) {
+	c.Name, c.Listen, c.Ops = inForce.Name, inForce.Listen, inForce.Ops
+	c.PeerListen, c.Peers = inForce.PeerListen, inForce.Peers
+	c.MemoryMB, c.Sockets, c.Seed = inForce.MemoryMB, inForce.Sockets, inForce.Seed
+
+	kept, from := &c.Settings, &inForce.Settings
+	kept.Self, kept.Gateways, kept.Zone = from.Self, from.Gateways, from.Zone
+	kept.Gossip, kept.SharedCounter = from.Gossip, from.SharedCounter
+	kept.LoadReport = from.LoadReport
+
+	c.Host.Report, c.Host.Zones = inForce.Host.Report, inForce.Host.Zones
+}
+
+// ChangedFixed returns the sorted keys whose values differ in another configuration and only a restart can
+// change.
+func (c *Config) ChangedFixed(other *Config) []string {
+	var changed []string
+	for _, field := range []struct {
+		key     string
+		differs bool
+	}{
+		{"limits", c.MemoryMB != other.MemoryMB || c.Sockets != other.Sockets},
+		{"listen", c.Listen != other.Listen},
+		{"name", c.Name != other.Name},
+		{"ops", c.Ops != other.Ops},
+		{"peer_listen", c.PeerListen != other.PeerListen},
+		{"peers", !slices.Equal(c.Peers, other.Peers)},
+	} {
+		if field.differs {
+			changed = append(changed, field.key)
+		}
+	}
+	return changed
+}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,14 +1,10 @@
-// Package config reads a gateway's configuration and tells what of another one can be taken in while it
-// serves.
+// Package config reads a gateway's configuration, checks it, and compares it with the one in force.
 package config
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
-	"net"
 	"net/netip"
-	"slices"
 	"strconv"
 
 	"sparspread/internal/discovery"
@@ -16,29 +12,45 @@
 	"sparspread/policy"
 )
 
-// Config is what a gateway is told at its start.
+// What is used where the configuration states nothing, or nothing above 0. Times are in microseconds.
+const (
+	defaultMemoryMB = 192  // below the platform's limit of 256 MB, at which it kills
+	defaultSockets  = 1024 // the usual soft limit of open files
+
+	defaultDialTimeout    policy.Time = 250_000
+	defaultIdleClose      policy.Time = 10_000_000
+	defaultCounterTimeout policy.Time = 50_000
+)
+
+// MinSockets is the smallest number of descriptors that a gateway can work with.
+const MinSockets = 32
+
+const seedBase, seedBits = 16, 64
+
+// Config is a gateway's configuration. It is not changed once it is in force, so that any goroutine may read
+// it.
 type Config struct {
 	Name            string
-	Listen          string
-	Discovery       string
-	Seed            uint64
+	Listen          string // address for clients
+	Discovery       string // address of the discovery service
+	Seed            uint64 // of the random numbers
 	MemoryMB        int
-	Sockets         int
-	DescriptorLimit int    // descriptors that the process may open; 0: not known
-	Ops             string // where operators call; empty: nowhere
+	Sockets         int    // descriptors that all parts together keep to
+	DescriptorLimit int    // descriptors that the process may open; 0: unknown
+	Ops             string // address for operators; empty: none
 
-	PeerListen string
-	Peers      []netip.AddrPort // by number, this gateway's own among them
-	Counter    string
-	Known      discovery.Update
+	PeerListen string           // address for gossip
+	Peers      []netip.AddrPort // of all gateways by number, this one included
+	Counter    string           // address of the shared counter; empty: none
+	Known      discovery.Update // the endpoint list as last known, to start with
 
 	Settings policy.Settings
 	Host     settings.Host
 
-	Keys map[string]Present // the top-level keys that the file has
+	Keys map[string]Present // the top-level keys of the file
 }
 
-// file is the configuration as it is written.
+// file is the JSON form of the configuration.
 type file struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -56,21 +68,14 @@
 	Settings   json.RawMessage  `json:"settings"`
 }
 
-// Present is the value of a key of which only the name counts: the list last known may be long, and a
-// copy of its text would be a quarter of what reading the file takes.
+// Present stands for a value of which only the key matters. The endpoint list in the file may be long, and a
+// copy of its text would be a quarter of what reading the file allocates.
 type Present struct{}
 
+// UnmarshalJSON accepts any value and keeps nothing of it.
 func (*Present) UnmarshalJSON([]byte) error { return nil }
 
-// The limits held where the configuration states none, and the least that a
-// gateway can work with.
-const (
-	defaultMemoryMB = 192
-	defaultSockets  = 1024
-	MinSockets      = 32
-)
-
-// Parse reads a configuration.
+// Parse reads and checks a configuration. An error that concerns one field is a *FieldError.
 func Parse(raw []byte) (Config, error) {
 	var f file
 	if err := json.Unmarshal(raw, &f); err != nil {
@@ -78,123 +83,63 @@
 	}
 	c := Config{
 		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery,
-		MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets,
-		PeerListen: f.PeerListen, Counter: f.Counter, Known: f.Known, Ops: f.Ops,
+		MemoryMB: positiveOr(f.Limits.MemoryMB, defaultMemoryMB),
+		Sockets:  positiveOr(f.Limits.Sockets, defaultSockets),
+		Ops:      f.Ops, PeerListen: f.PeerListen, Counter: f.Counter, Known: f.Known,
 	}
 	if err := json.Unmarshal(raw, &c.Keys); err != nil {
 		return c, fmt.Errorf("configuration: %w", err)
 	}
-	if c.MemoryMB <= 0 {
-		c.MemoryMB = defaultMemoryMB
-	}
-	if c.Sockets <= 0 {
-		c.Sockets = defaultSockets
-	}
 	var err error
-	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-		return c, fmt.Errorf("configuration: seed %q: 16 hex digits wanted", f.Seed)
+	if c.Seed, err = parseSeed(f.Seed); err != nil {
+		return c, err
 	}
-	for i, p := range f.Peers {
-		addr, err := netip.ParseAddrPort(p)
-		if err != nil {
-			return c, fmt.Errorf("configuration: peers[%d]: %w", i, err)
-		}
-		c.Peers = append(c.Peers, addr)
+	if c.Peers, err = parsePeers(f.Peers); err != nil {
+		return c, err
 	}
 	if len(f.Settings) == 0 {
-		return c, errors.New("configuration: settings: missing")
+		return c, missing("settings")
 	}
 	if c.Settings, c.Host, err = settings.ParseJSON(f.Settings); err != nil {
 		return c, fmt.Errorf("configuration: %w", err)
 	}
-	return c, c.check()
-}
-
-// CheckKeys tells which key of the configuration in force another one lacks. What the list was
-// last known to be is no setting.
-func (c *Config) CheckKeys(other *Config) error {
-	for key := range c.Keys {
-		if _, ok := other.Keys[key]; !ok && key != "known" {
-			return fmt.Errorf("configuration: %s: missing", key)
-		}
-	}
-	for key := range c.Host.Keys {
-		if !other.Host.Keys[key] {
-			return fmt.Errorf("configuration: settings: %s: missing", key)
-		}
+	if err := c.check(); err != nil {
+		return c, err
 	}
-	return nil
+	c.setDefaultTimes()
+	return c, nil
 }
 
-// check tells which part of the configuration cannot be served.
-func (c *Config) check() error {
-	switch {
-	case c.Listen == "":
-		return errors.New("configuration: listen: missing")
-	case c.Discovery == "":
-		return errors.New("configuration: discovery: missing")
-	case c.Sockets < MinSockets:
-		return fmt.Errorf("configuration: limits.sockets: %d, at least %d wanted", c.Sockets, MinSockets)
-	case c.Settings.Gossip && (c.PeerListen == "" || len(c.Peers) != c.Settings.Gateways):
-		return fmt.Errorf("configuration: peers: %d addresses for %d gateways, peer_listen %q",
-			len(c.Peers), c.Settings.Gateways, c.PeerListen)
-	case c.Settings.SharedCounter && !c.Settings.Gossip && c.Counter == "":
-		return errors.New("configuration: counter: missing")
-	}
-	addresses := map[string]string{"discovery": c.Discovery, "counter": c.Counter}
-	if c.Counter == "" {
-		delete(addresses, "counter")
-	}
-	for name, address := range addresses {
-		if _, _, err := net.SplitHostPort(address); err != nil {
-			return fmt.Errorf("configuration: %s: %w", name, err)
-		}
-	}
-	for i, name := range c.Host.Classes {
-		if name == "" {
-			return fmt.Errorf("configuration: class %d has no name", i)
-		}
-	}
-	for i, name := range c.Host.Plans {
-		if name == "" {
-			return fmt.Errorf("configuration: plan %d has no name", i)
-		}
-	}
-	if c.Host.DialTimeout <= 0 {
-		c.Host.DialTimeout = 250_000
-	}
-	if c.Host.IdleClose <= 0 {
-		c.Host.IdleClose = 10_000_000
-	}
-	if c.Host.CounterTimeout <= 0 {
-		c.Host.CounterTimeout = 50_000
+// positiveOr returns n, or a default where n is not above 0.
+func positiveOr[T ~int | ~int64](n, otherwise T) T {
+	if n <= 0 {
+		return otherwise
 	}
-	return nil
+	return n
 }
 
-// KeepFixed takes over from the configuration in force what only a restart can change.
-func (c *Config) KeepFixed(old *Config) {
-	c.Name, c.Listen, c.Ops, c.PeerListen, c.Peers = old.Name, old.Listen, old.Ops, old.PeerListen, old.Peers
-	c.MemoryMB, c.Sockets, c.Seed = old.MemoryMB, old.Sockets, old.Seed
-	set, was := &c.Settings, &old.Settings
-	set.Self, set.Gateways, set.Zone, set.Gossip, set.SharedCounter = was.Self, was.Gateways, was.Zone, was.Gossip, was.SharedCounter
-	set.LoadReport, c.Host.Report, c.Host.Zones = was.LoadReport, old.Host.Report, old.Host.Zones
+func parseSeed(text string) (uint64, error) {
+	seed, err := strconv.ParseUint(text, seedBase, seedBits)
+	if err != nil {
+		return 0, &FieldError{Field: "seed", Err: fmt.Errorf("%q: %w", text, errSeedFormat)}
+	}
+	return seed, nil
 }
 
-// ChangedFixed names what another configuration would change that only a restart can.
-func (c *Config) ChangedFixed(other *Config) (names []string) {
-	for name, changed := range map[string]bool{
-		"name":        c.Name != other.Name,
-		"listen":      c.Listen != other.Listen,
-		"ops":         c.Ops != other.Ops,
-		"peer_listen": c.PeerListen != other.PeerListen,
-		"peers":       !slices.Equal(c.Peers, other.Peers),
-		"limits":      c.MemoryMB != other.MemoryMB || c.Sockets != other.Sockets,
-	} {
-		if changed {
-			names = append(names, name)
+func parsePeers(addresses []string) ([]netip.AddrPort, error) {
+	var peers []netip.AddrPort
+	for i, text := range addresses {
+		address, err := netip.ParseAddrPort(text)
+		if err != nil {
+			return peers, &FieldError{Field: fmt.Sprintf("peers[%d]", i), Err: err}
 		}
+		peers = append(peers, address)
 	}
-	slices.Sort(names)
-	return names
+	return peers, nil
+}
+
+func (c *Config) setDefaultTimes() {
+	c.Host.DialTimeout = positiveOr(c.Host.DialTimeout, defaultDialTimeout)
+	c.Host.IdleClose = positiveOr(c.Host.IdleClose, defaultIdleClose)
+	c.Host.CounterTimeout = positiveOr(c.Host.CounterTimeout, defaultCounterTimeout)
 }
--- /dev/null
+++ b/internal/config/config_test.go
@@ -0,0 +1,77 @@
+package config
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+)
+
+const minimalSettings = `{"self-index":0,"balancers":1,` +
+	`"request-classes":[{"name":"c","promise-us":1}],"tariffs":[{"name":"t"}]}`
+
+func TestParseNamesTheFieldThatIsWrong(t *testing.T) {
+	for name, tt := range map[string]struct {
+		raw, field, text string
+		missing          bool
+	}{
+		"no listen address": {
+			`{"discovery":"a:1","seed":"01","settings":%s}`, "listen", "configuration: listen: missing", true,
+		},
+		"no discovery": {
+			`{"listen":"a:1","seed":"01","settings":%s}`,
+			"discovery", "configuration: discovery: missing", true,
+		},
+		"bad seed": {
+			`{"seed":"x","settings":%s}`, "seed", `configuration: seed: "x": 16 hex digits wanted`, false,
+		},
+		"too few sockets": {
+			`{"listen":"a:1","discovery":"a:1","seed":"01","limits":{"sockets":31},"settings":%s}`,
+			"limits.sockets", "configuration: limits.sockets: 31, at least 32 wanted", false,
+		},
+		"bad counter": {
+			`{"listen":"a:1","discovery":"a:1","counter":"b","seed":"01","settings":%s}`,
+			"counter", "configuration: counter: address b: missing port in address", false,
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			_, err := Parse(fmt.Appendf(nil, tt.raw, minimalSettings))
+			var fieldErr *FieldError
+			if !errors.As(err, &fieldErr) || fieldErr.Field != tt.field || err.Error() != tt.text {
+				t.Errorf("error %v, want field %s and %q", err, tt.field, tt.text)
+			}
+			if errors.Is(err, ErrMissing) != tt.missing {
+				t.Errorf("error %v: missing %t, want %t", err, !tt.missing, tt.missing)
+			}
+		})
+	}
+}
+
+func TestParseSetsDefaults(t *testing.T) {
+	const minimal = `{"listen":"a:1","discovery":"a:1","seed":"01","settings":` + minimalSettings + `}`
+	c, err := Parse([]byte(minimal))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if c.MemoryMB != 192 || c.Sockets != 1024 {
+		t.Errorf("%d MB and %d sockets, want 192 and 1024", c.MemoryMB, c.Sockets)
+	}
+	if c.Host.DialTimeout != 250_000 || c.Host.IdleClose != 10_000_000 || c.Host.CounterTimeout != 50_000 {
+		t.Errorf("dial timeout %d, idle close %d, counter timeout %d µs, want 250000, 10000000 and 50000",
+			c.Host.DialTimeout, c.Host.IdleClose, c.Host.CounterTimeout)
+	}
+}
+
+func TestReloadKeepsWhatNeedsARestart(t *testing.T) {
+	inForce := Config{Name: "a", Listen: "a:1", Sockets: 64, Seed: 1}
+	changed := Config{Name: "b", Listen: "a:2", Sockets: 65, Seed: 2, Discovery: "b:1"}
+	if got := fmt.Sprint(inForce.ChangedFixed(&changed)); got != "[limits listen name]" {
+		t.Errorf("changed %s, want [limits listen name]", got)
+	}
+	changed.KeepFixed(&inForce)
+	if left := inForce.ChangedFixed(&changed); len(left) > 0 || changed.Seed != 1 {
+		t.Errorf("still changed %v, seed %d", left, changed.Seed)
+	}
+	if changed.Discovery != "b:1" {
+		t.Errorf("discovery %q, want the new address", changed.Discovery)
+	}
+}
--- /dev/null
+++ b/internal/settings/fields.go
@@ -0,0 +1,68 @@
+package settings
+
+import "strconv"
+
+// fieldSetter parses a value and sets the field that its key stands for.
+type fieldSetter func(p *parser, value string) error
+
+// integer sets a number, or a time in microseconds.
+func integer[T ~int | ~int64](field func(*parser) *T) fieldSetter {
+	return func(p *parser, value string) error {
+		n, err := strconv.ParseInt(value, 10, 64)
+		if err != nil {
+			return err
+		}
+		*field(p) = T(n)
+		return nil
+	}
+}
+
+func float(field func(*parser) *float64) fieldSetter {
+	return func(p *parser, value string) error {
+		f, err := strconv.ParseFloat(value, 64)
+		if err != nil {
+			return err
+		}
+		*field(p) = f
+		return nil
+	}
+}
+
+func boolean(field func(*parser) *bool) fieldSetter {
+	return func(p *parser, value string) error {
+		b, err := strconv.ParseBool(value)
+		if err != nil {
+			return err
+		}
+		*field(p) = b
+		return nil
+	}
+}
+
+func text(field func(*parser) *string) fieldSetter {
+	return func(p *parser, value string) error {
+		*field(p) = value
+		return nil
+	}
+}
+
+// name sets a name in the settings and in the host's list.
+func name(fields func(*parser) (host, settings *string)) fieldSetter {
+	return func(p *parser, value string) error {
+		host, settings := fields(p)
+		*host, *settings = value, value
+		return nil
+	}
+}
+
+// word sets what a word stands for.
+func word[V any](meanings map[string]V, field func(*parser) *V) fieldSetter {
+	return func(p *parser, value string) error {
+		meaning, ok := meanings[value]
+		if !ok {
+			return errUnknownWord
+		}
+		*field(p) = meaning
+		return nil
+	}
+}
--- a/internal/settings/flatten.go
+++ b/internal/settings/flatten.go
@@ -8,13 +8,13 @@
 	"strings"
 )
 
-// flatten turns nested JSON settings into the simulator's paths and values, so
-// that both forms are read by one table.
+// flatten converts nested JSON into the keys and values of the simulator's form, so that one table serves
+// both.
 func flatten(raw []byte) (map[string]string, error) {
-	dec := json.NewDecoder(bytes.NewReader(raw))
-	dec.UseNumber() // keeps a number as it is written
+	decoder := json.NewDecoder(bytes.NewReader(raw))
+	decoder.UseNumber() // keeps a number as it is written
 	var tree map[string]any
-	if err := dec.Decode(&tree); err != nil {
+	if err := decoder.Decode(&tree); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	values := map[string]string{}
@@ -26,37 +26,43 @@
 	switch node := node.(type) {
 	case map[string]any:
 		for key, child := range node {
-			flattenInto(values, join(path, key), child)
+			flattenInto(values, joinPath(path, key), child)
 		}
 	case []any:
-		var scalars []string
-		for i, child := range node {
-			switch child.(type) {
-			case map[string]any, []any:
-				flattenInto(values, join(path, strconv.Itoa(i)), child)
-			default:
-				scalars = append(scalars, scalar(child))
-			}
-		}
-		if len(scalars) < len(node) || len(node) == 0 {
-			values[join(path, "count")] = strconv.Itoa(len(node))
-		}
-		if len(scalars) == len(node) {
-			values[path] = strings.Join(scalars, ",")
-		}
+		flattenList(values, path, node)
 	default:
-		values[path] = scalar(node)
+		values[path] = formatScalar(node)
+	}
+}
+
+// flattenList writes a list of plain values as one value, and any other as its items with their count. An
+// empty list can be either.
+func flattenList(values map[string]string, path string, list []any) {
+	var scalars []string
+	for i, child := range list {
+		switch child.(type) {
+		case map[string]any, []any:
+			flattenInto(values, joinPath(path, strconv.Itoa(i)), child)
+		default:
+			scalars = append(scalars, formatScalar(child))
+		}
+	}
+	if len(scalars) < len(list) || len(list) == 0 {
+		values[countKey(path)] = strconv.Itoa(len(list))
+	}
+	if len(scalars) == len(list) {
+		values[path] = strings.Join(scalars, ",")
 	}
 }
 
-func join(path, key string) string {
+func joinPath(path, key string) string {
 	if path == "" {
 		return key
 	}
 	return path + "." + key
 }
 
-func scalar(v any) string {
+func formatScalar(v any) string {
 	if v == nil {
 		return ""
 	}
--- /dev/null
+++ b/internal/settings/keys.go
@@ -0,0 +1,129 @@
+package settings
+
+import (
+	"strings"
+
+	"sparspread/policy"
+)
+
+// The keys and words in this file are those of the deployment pages and of the configuration: they stay as
+// they are.
+
+// The names of the lists.
+const (
+	classList = "request-classes"
+	planList  = "tariffs"
+)
+
+// positiveKeys are the settings that must be above 0 wherever they are present.
+var positiveKeys = map[string]bool{"hard-limit-us": true, "promise-us": true, "max-attempts": true}
+
+// idempotency lists the words for whether a request may run twice.
+var idempotency = map[string]policy.Idempotency{
+	"retryable": policy.Idempotent,
+	"dedup":     policy.IdempotentWithKey,
+	"fragile":   policy.NotIdempotent,
+}
+
+// dedupScopes are the words for the backends that drop repeats of a request with an idempotency key.
+var dedupScopes = map[string]policy.DedupScope{
+	"all":  policy.DedupAll,
+	"zone": policy.DedupZone,
+	"cell": policy.DedupCell,
+}
+
+// loadMetrics are the values of a load report that are used; others are skipped.
+var loadMetrics = map[string]policy.LoadMetric{
+	"busy_reqs": policy.BusyMetric,
+	"pending":   policy.WaitingMetric,
+}
+
+// pollsEndpoints are the words for how the endpoint list comes: pushed, or polled.
+var pollsEndpoints = map[string]bool{"pushed": false, "on_request": true}
+
+// hasCapacityHints are the words for the sizes in the endpoint list: unknown, or known in some way.
+var hasCapacityHints = map[string]bool{"silent": false, "nominal": true, "rough": true, "live": true}
+
+// plainKeys are the settings that stand once. Times are in microseconds.
+var plainKeys = map[string]fieldSetter{
+	"self-index":      integer(func(p *parser) *int { return &p.Self }),
+	"balancers":       integer(func(p *parser) *int { return &p.Gateways }),
+	"az":              integer(func(p *parser) *int { return &p.Zone }),
+	"granularity-us":  integer(func(p *parser) *policy.Time { return &p.MinEventInterval }),
+	"localities":      setZones,
+	"report.via":      text(func(p *parser) *string { return &p.host.ReportVia }),
+	"membership-mode": word(pollsEndpoints, func(p *parser) *bool { return &p.PollEndpoints }),
+	"weights":         word(hasCapacityHints, func(p *parser) *bool { return &p.UseCapacityHints }),
+	"report.names":    setReportNames,
+
+	"ceilings.peers":              boolean(func(p *parser) *bool { return &p.Gossip }),
+	"ceilings.probes":             boolean(func(p *parser) *bool { return &p.HealthChecks }),
+	"ceilings.second-copies":      boolean(func(p *parser) *bool { return &p.Hedging }),
+	"ceilings.retry-after":        boolean(func(p *parser) *bool { return &p.RetryAfterAdvice }),
+	"ceilings.max-attempts":       integer(func(p *parser) *int { return &p.MaxAttempts }),
+	"ceilings.max-retry-after-us": integer(func(p *parser) *policy.Time { return &p.MaxRetryAfter }),
+	"ceilings.max-open":           integer(func(p *parser) *int { return &p.host.MaxOpen }),
+	"ceilings.dial-timeout-us":    integer(func(p *parser) *policy.Time { return &p.host.DialTimeout }),
+	"ceilings.idle-close-us":      integer(func(p *parser) *policy.Time { return &p.host.IdleClose }),
+
+	"family-info.counter-timeout-us": integer(func(p *parser) *policy.Time { return &p.host.CounterTimeout }),
+	"family-info.counter":            boolean(func(p *parser) *bool { return &p.SharedCounter }),
+	"family-info.settles":            boolean(func(p *parser) *bool { return &p.SettlesCost }),
+	"family-info.meter-period-us":    integer(func(p *parser) *policy.Time { return &p.MeterPeriod }),
+	"family-info.max-units":          float(func(p *parser) *float64 { return &p.MaxCost }),
+	"family-info.mail-per-s":         float(func(p *parser) *float64 { return &p.GossipPerSecond }),
+
+	"guarantees.drain-grace-us":  integer(func(p *parser) *policy.Time { return &p.host.DrainGrace }),
+	"guarantees.ask-within-us":   integer(func(p *parser) *policy.Time { return &p.PollWithin }),
+	"guarantees.cold-from":       float(func(p *parser) *float64 { return &p.SlowStartFloor }),
+	"guarantees.cold-us":         integer(func(p *parser) *policy.Time { return &p.SlowStartTime }),
+	"guarantees.overload-factor": float(func(p *parser) *float64 { return &p.OverloadFactor }),
+	"guarantees.tip-after-us":    integer(func(p *parser) *policy.Time { return &p.OverloadWindow }),
+
+	"prices.handshake":  float(func(p *parser) *float64 { return &p.HandshakePrice }),
+	"prices.cross-zone": float(func(p *parser) *float64 { return &p.CrossZonePrice }),
+}
+
+// classKeys are the settings of a class of requests.
+var classKeys = map[string]fieldSetter{
+	"name":          name(func(p *parser) (*string, *string) { return last(p.host.Classes), &class(p).Name }),
+	"promise-us":    integer(func(p *parser) *policy.Time { return &class(p).LatencyObjective }),
+	"hard-limit-us": integer(func(p *parser) *policy.Time { return last(p.host.Limits) }),
+	"window-us":     integer(func(p *parser) *policy.Time { return &class(p).DedupWindow }),
+	"worth":         float(func(p *parser) *float64 { return &class(p).PriorityWeight }),
+	"repeat":        word(idempotency, func(p *parser) *policy.Idempotency { return &class(p).Idempotency }),
+	"group":         word(dedupScopes, func(p *parser) *policy.DedupScope { return &class(p).DedupScope }),
+}
+
+// planKeys are the settings of a plan.
+var planKeys = map[string]fieldSetter{
+	"name":            name(func(p *parser) (*string, *string) { return last(p.host.Plans), &plan(p).Name }),
+	"rate":            float(func(p *parser) *float64 { return &plan(p).Rate }),
+	"burst":           float(func(p *parser) *float64 { return &plan(p).Burst }),
+	"never-over-rate": float(func(p *parser) *float64 { return &plan(p).CeilingRate }),
+	"ceiling-burst":   float(func(p *parser) *float64 { return &plan(p).CeilingBurst }),
+	"hard-slack":      float(func(p *parser) *float64 { return &plan(p).CeilingSlack }),
+	"max-out":         integer(func(p *parser) *int { return &plan(p).ConcurrencyLimit }),
+	"value-factor":    float(func(p *parser) *float64 { return &plan(p).ValueFactor }),
+	"beyond-earns":    float(func(p *parser) *float64 { return &plan(p).OverageRevenue }),
+	"beyond-costs":    float(func(p *parser) *float64 { return &plan(p).OverageCost }),
+}
+
+func setZones(p *parser, value string) error {
+	p.host.Zones = strings.Split(value, ",")
+	return nil
+}
+
+func setReportNames(p *parser, value string) error {
+	p.LoadReport, p.host.Report = nil, strings.Split(value, ",")
+	for _, metric := range p.host.Report {
+		p.LoadReport = append(p.LoadReport, loadMetrics[metric])
+	}
+	return nil
+}
+
+// The item of a list that is being parsed is its last one.
+func last[T any](items []T) *T { return &items[len(items)-1] }
+
+func class(p *parser) *policy.Class { return last(p.Classes) }
+func plan(p *parser) *policy.Plan   { return last(p.Plans) }
--- /dev/null
+++ b/internal/settings/parser.go
@@ -0,0 +1,164 @@
+package settings
+
+import (
+	"errors"
+	"fmt"
+	"strconv"
+	"strings"
+
+	"sparspread/policy"
+)
+
+var (
+	errMissing     = errors.New("missing")
+	errNotPositive = errors.New("a number above 0 wanted")
+	errUnknownWord = errors.New("unknown word")
+)
+
+// KeyError is a setting whose value can't be used.
+type KeyError struct {
+	Key   string
+	Value string
+	Err   error
+}
+
+// Error names the key, its value and what is wrong with it.
+func (e *KeyError) Error() string {
+	return fmt.Sprintf("setting %s: value %q: %v", e.Key, e.Value, e.Err)
+}
+
+// Unwrap returns what is wrong with the value.
+func (e *KeyError) Unwrap() error { return e.Err }
+
+// parser fills the settings from values by their full key.
+type parser struct {
+	policy.Settings
+	host   Host
+	values map[string]string
+}
+
+func (p *parser) parse() error {
+	if err := p.parseTable("", plainKeys); err != nil {
+		return err
+	}
+	if err := p.parseList(classList, classKeys, p.addClass); err != nil {
+		return err
+	}
+	return p.parseList(planList, planKeys, p.addPlan)
+}
+
+func (p *parser) addClass() {
+	p.Classes = append(p.Classes, policy.Class{})
+	p.host.Classes = append(p.host.Classes, "")
+	p.host.Limits = append(p.host.Limits, 0)
+}
+
+func (p *parser) addPlan() {
+	p.Plans = append(p.Plans, policy.Plan{ValueFactor: 1})
+	p.host.Plans = append(p.host.Plans, "")
+}
+
+// parseTable sets the fields of a table whose keys are present.
+func (p *parser) parseTable(prefix string, table map[string]fieldSetter) error {
+	for key, set := range table {
+		value, ok := p.values[prefix+key]
+		if !ok {
+			continue
+		}
+		if err := set(p, value); err != nil {
+			return &KeyError{Key: prefix + key, Value: value, Err: err}
+		}
+	}
+	return nil
+}
+
+// parseList adds the items of a list and sets the fields of each.
+func (p *parser) parseList(list string, table map[string]fieldSetter, addItem func()) error {
+	count, err := p.countItems(list)
+	if err != nil {
+		return err
+	}
+	for i := range count {
+		addItem()
+		if err := p.parseTable(itemKey(list, i, ""), table); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// countItems reads the length of a list. Each item has at least one value, which bounds what is allocated for
+// a count that is wrong.
+func (p *parser) countItems(list string) (int, error) {
+	key := countKey(list)
+	value, ok := p.values[key]
+	if !ok {
+		return 0, fmt.Errorf("setting %s: %w", key, errMissing)
+	}
+	count, err := strconv.Atoi(value)
+	if err != nil || count < 0 || count > len(p.values) {
+		return 0, fmt.Errorf("setting %s: value %q is no count of items", key, value)
+	}
+	return count, nil
+}
+
+func countKey(list string) string { return list + ".count" }
+
+func itemKey(list string, item int, field string) string {
+	return fmt.Sprintf("%s.%d.%s", list, item, field)
+}
+
+// checkPositive checks the values that must be above 0 where they are present: otherwise nothing can be
+// served.
+func checkPositive(values map[string]string) error {
+	for key, value := range values {
+		field := key[strings.LastIndexByte(key, '.')+1:]
+		if !positiveKeys[field] {
+			continue
+		}
+		if n, err := strconv.ParseInt(value, 10, 64); err != nil || n <= 0 {
+			return &KeyError{Key: key, Value: value, Err: errNotPositive}
+		}
+	}
+	return nil
+}
+
+// presentKeys returns the keys that are present. A key of a list's items stands in it once, as LIST.*.KEY,
+// and only if all items have it.
+func presentKeys(values map[string]string) map[string]bool {
+	keys := map[string]bool{}
+	for key := range values {
+		keys[key] = true
+	}
+	generalizeItems(keys, values[countKey(classList)], classList, classKeys)
+	generalizeItems(keys, values[countKey(planList)], planList, planKeys)
+	return keys
+}
+
+// generalizeItems replaces the keys of a list's items by those that all items have.
+func generalizeItems(keys map[string]bool, countText, list string, table map[string]fieldSetter) {
+	count, err := strconv.Atoi(countText)
+	if err != nil {
+		count = 0 // the parser reports it
+	}
+	for field := range table {
+		if allItemsHave(keys, list, count, field) {
+			keys[list+".*."+field] = true
+		}
+	}
+	for key := range keys {
+		rest, ok := strings.CutPrefix(key, list+".")
+		if ok && rest[0] >= '0' && rest[0] <= '9' {
+			delete(keys, key)
+		}
+	}
+}
+
+func allItemsHave(keys map[string]bool, list string, count int, field string) bool {
+	for i := range count {
+		if !keys[itemKey(list, i, field)] {
+			return false
+		}
+	}
+	return count > 0
+}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -23,16 +23,18 @@
 tariffs.0.burst=6
 `
 
-func TestSettings(t *testing.T) {
+func TestParseTextReadsSettingsAndNamesBadValues(t *testing.T) {
 	got, err := ParseText([]byte(profile))
 	want := policy.Settings{
 		Self: 1, Gateways: 2, PollEndpoints: true, SlowStartFloor: 0.16,
 		LoadReport: []policy.LoadMetric{policy.UnusedMetric, policy.WaitingMetric},
-		Classes:    []policy.Class{{LatencyObjective: 600000, Idempotency: policy.IdempotentWithKey, DedupScope: policy.DedupCell}},
-		Plans:      []policy.Plan{{Rate: 1.5, Burst: 6, ValueFactor: 1}},
+		Classes: []policy.Class{{
+			LatencyObjective: 600000, Idempotency: policy.IdempotentWithKey, DedupScope: policy.DedupCell,
+		}},
+		Plans: []policy.Plan{{Rate: 1.5, Burst: 6, ValueFactor: 1}},
 	}
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("settings %+v, %v; want %+v", got, err, want)
 	}
 	for key, bad := range map[string]string{
 		"balancers":                "balancers=two",
@@ -40,8 +42,9 @@
 		"request-classes.count":    "request-classes.count=1000000000",
 		"tariffs.0.rate":           "tariffs.0.rate=",
 	} {
-		if _, err := ParseText([]byte(profile + bad + "\n")); err == nil || !strings.Contains(err.Error(), key) {
-			t.Errorf("%s: %v", bad, err)
+		_, err := ParseText([]byte(profile + bad + "\n"))
+		if err == nil || !strings.Contains(err.Error(), key) {
+			t.Errorf("%s: error %v, want one that names %s", bad, err, key)
 		}
 	}
 }
