--- a/internal/gateway/crossings_test.go
+++ b/internal/gateway/crossings_test.go
@@ -51,7 +51,7 @@
 			handle(t, l, "the client's end")
 		},
 		"it is answered": func(t *testing.T, l *Loop, c *testClient) {
-			l.failAll()
+			l.failOpenRequests()
 			l.handleQueue()
 		},
 	} {
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -6,24 +6,24 @@
 	"sparspread/internal/config"
 )
 
-// Control is how the program round a gateway steers it.
+// Control is how the surrounding program controls a gateway.
 type Control struct {
 	Stop   <-chan struct{}               // closed for a planned shutdown
-	Reload <-chan struct{}               // a value for each configuration to be taken in
+	Reload <-chan struct{}               // receives a value for each reload of the configuration
 	Read   func() (config.Config, error) // reads the configuration as it is now
 }
 
-// steer passes on what the gateway is told to do. A new configuration that can't
-// be read or used leaves the old one in force: a gateway that serves goes on.
+// run passes commands on to the loop until ctx ends. A configuration that can't be read leaves the one in
+// force.
 func (c Control) run(ctx context.Context, l *Loop) {
-	stopped := c.Stop
+	stop := c.Stop
 	for {
 		var e event
 		select {
 		case <-ctx.Done():
 			return
-		case <-stopped:
-			stopped, e = nil, shutdownRequested{}
+		case <-stop:
+			stop, e = nil, shutdownRequested{}
 		case <-c.Reload:
 			cfg, err := c.Read()
 			if err != nil {
@@ -33,26 +33,25 @@
 			e = configLoaded{cfg}
 		}
 		select {
-		case l.urgentEvents <- e: // not behind a queue of requests
+		case l.urgentEvents <- e: // ahead of queued requests
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// reloaded is a new configuration.
-type configLoaded struct{ cfg config.Config }
-
-// refuseConfig takes note of a configuration of which nothing is taken in.
+// rejectConfig records a configuration of which nothing is used. It is safe for any goroutine.
 func (l *Loop) rejectConfig(err error) {
 	l.metrics.configsRejected.Add(1)
 	l.log.Error("reload: the old configuration stays", "error", err)
 }
 
-// handle takes in new settings and moves to the new addresses of discovery and
-// the counter: all of it or, where anything is wrong, nothing. Requests and
-// connections go on as they are; the list is taken whole at the new address, as
-// its versions may be others.
+// configLoaded is a configuration that was read for a reload.
+type configLoaded struct{ cfg config.Config }
+
+// handle applies the settings and the addresses of discovery and the counter: all of it or, where anything is
+// wrong, nothing. Requests and connections go on. The endpoint list is read completely at the new address,
+// whose versions need not be those of the old one.
 func (e configLoaded) handle(l *Loop) {
 	err := l.config.CheckKeys(&e.cfg)
 	if err == nil {
@@ -63,11 +62,11 @@
 		return
 	}
 	l.metrics.configsAccepted.Add(1)
-	l.log.Info("reload", "discovery", e.cfg.Discovery, "counter", e.cfg.Counter, "classes", e.cfg.Host.Classes)
-	if kept := l.config.ChangedFixed(&e.cfg); len(kept) > 0 {
-		l.log.Warn("reload: what needs a restart stays as it was", "settings", kept)
-	}
 	cfg := e.cfg
+	l.log.Info("reload", "discovery", cfg.Discovery, "counter", cfg.Counter, "classes", cfg.Host.Classes)
+	if fixed := l.config.ChangedFixed(&cfg); len(fixed) > 0 {
+		l.log.Warn("reload: what needs a restart stays as it was", "settings", fixed)
+	}
 	cfg.KeepFixed(l.config)
 	l.applyConfig(&cfg)
 	l.discovery.move(cfg.Discovery)
@@ -76,7 +75,7 @@
 	}
 }
 
-// use has the settings in force from now on, also for what reads from clients.
+// applyConfig puts a configuration in force, also for the goroutines that read from clients.
 func (l *Loop) applyConfig(cfg *config.Config) {
 	l.classMetrics = l.metrics.forClasses(cfg.Host.Classes)
 	l.config = cfg
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -4,7 +4,7 @@
 	"context"
 	"encoding/json"
 	"errors"
-	"fmt"
+	"io"
 	"net/http"
 	"net/http/httptest"
 	"strings"
@@ -14,8 +14,8 @@
 	"sparspread/policy"
 )
 
-// A new configuration moves discovery at once, though a watch is under way at
-// the old address; the request and the connection that are open go on.
+// Discovery moves at once, though a watch is open at the old address; the request and the connection that are
+// open go on.
 func TestReloadMovesDiscovery(t *testing.T) {
 	r, before, old := oneBackend(t, nil)
 	old.settled(t)
@@ -37,13 +37,13 @@
 	}
 }
 
-// What can't be read leaves the gateway as it was: it goes on watching.
-func TestReloadThatFailsKeepsTheOld(t *testing.T) {
+// A configuration that can't be read leaves the gateway as it was: it goes on watching the endpoint list.
+func TestFailedReloadKeepsTheConfiguration(t *testing.T) {
 	r, _, d := oneBackend(t, nil)
 	r.reloads(config.Config{}, errors.New("no such file"))
 	d.settled(t)
 	second := newBackend(t)
-	d.tell(second.entry("s-00000002", "Ready"), strings.Replace(second.entry("s-00000001", "Gone"), "Ready", "Gone", 1))
+	d.tell(second.entry("s-00000002", "Ready"), second.entry("s-00000001", "Gone"))
 	d.settled(t)
 	c := r.client(t)
 	c.lookup(1, "60000")
@@ -51,44 +51,50 @@
 	c.value("ok")
 }
 
+// newCounterServer serves a counter that always has the same total, and tells of each call.
+func newCounterServer(t *testing.T, total string) (server *httptest.Server, calls <-chan string) {
+	t.Helper()
+	got := make(chan string, 8)
+	server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		got <- r.URL.Path
+		if _, err := io.WriteString(w, total); err != nil {
+			t.Error(err)
+		}
+	}))
+	t.Cleanup(server.Close)
+	return server, got
+}
+
 // Calls go to the counter of the newest configuration, each with one answer.
 func TestReloadMovesTheCounter(t *testing.T) {
-	serve := func(total string) (*httptest.Server, chan string) {
-		got := make(chan string, 8)
-		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			got <- r.URL.Path
-			fmt.Fprint(w, total)
-		}))
-		t.Cleanup(s.Close)
-		return s, got
-	}
-	first, atFirst := serve("1")
-	second, atSecond := serve("2")
+	first, firstCalls := newCounterServer(t, "1")
+	second, secondCalls := newCounterServer(t, "2")
 	b := newBackend(t)
 	d := newFakeDiscovery(t, b.entry("s-00000001", "Ready"))
-	with := func(s *httptest.Server) config.Config {
+	withCounter := strings.Replace(settingsText, `"counter":false`, `"counter":true`, 1)
+	configWith := func(s *httptest.Server) config.Config {
 		return configure(t, d, func(f map[string]any) {
-			f["settings"] = json.RawMessage(strings.Replace(settingsText, `"counter":false`, `"counter":true`, 1))
+			f["settings"] = json.RawMessage(withCounter)
 			f["counter"] = strings.TrimPrefix(s.URL, "http://")
 		})
 	}
-	cfg := with(first)
+	cfg := configWith(first)
 	cfg.Host.CounterTimeout = policy.Time(patience.Microseconds())
 	l, err := newLoop(cfg, quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.clients.listener.Close()
+	t.Cleanup(func() { _ = l.clients.listener.Close() })
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	for _, line := range l.counter.lines {
 		go l.counter.run(ctx, l, line)
 	}
 	l.IncrementCounter(1, 1, 1e6)
-	wait(t, atFirst, "a call at the first counter")
-	configLoaded{with(second)}.handle(l)
+	wait(t, firstCalls, "a call at the first counter")
+	configLoaded{configWith(second)}.handle(l)
 	l.IncrementCounter(1, 1, 1e6)
-	wait(t, atSecond, "a call at the second counter")
+	wait(t, secondCalls, "a call at the second counter")
 	for _, total := range []float64{1, 2} {
 		if e := wait(t, l.events, "an answer").(counterAnswered); e.result != policy.ResultOK || e.total != total {
 			t.Errorf("answer %+v, want the total %g", e, total)
--- /dev/null
+++ b/internal/gateway/shutdown.go
@@ -0,0 +1,148 @@
+package gateway
+
+import (
+	"sparspread/internal/config"
+	"sparspread/policy"
+)
+
+// The periods of a planned shutdown, in microseconds. They begin with SIGTERM unless said otherwise. The
+// platform sends SIGKILL 0.7 s after the longest time that a client waits.
+const (
+	acceptPeriod      = 500_000   // new connections go on coming for a while
+	backlogPeriod     = 50_000    // after the accept period, for what came at the last moment
+	maxLongestTimeout = 3_000_000 // the longest client timeout that the platform waits for
+	answerMargin      = 200_000   // beyond the longest timeout, until everything open is answered
+	closePeriod       = 300_000   // after the last answer, for the other side to close
+	killMargin        = 650_000   // beyond the longest timeout: SIGKILL is near
+)
+
+// longestTimeout returns the longest client timeout of the settings, as far as the platform waits for it.
+func longestTimeout(c *config.Config) policy.Time {
+	longest := policy.Time(0)
+	for _, limit := range c.Host.Limits {
+		if limit == 0 {
+			limit = maxLongestTimeout
+		}
+		longest = max(longest, limit)
+	}
+	return min(longest, maxLongestTimeout)
+}
+
+// answerWithin returns how long after SIGTERM everything open is answered. By then every client that came
+// while connections were accepted has stopped waiting or is about to, and SIGKILL is still to come.
+func answerWithin(c *config.Config) policy.Time {
+	return max(longestTimeout(c)+answerMargin, acceptPeriod+backlogPeriod)
+}
+
+// exitWithin returns how long after SIGTERM the process ends, whatever is open.
+func exitWithin(c *config.Config) policy.Time {
+	return min(answerWithin(c)+closePeriod, longestTimeout(c)+killMargin)
+}
+
+// shutdownState is how far a planned shutdown has come. Each field implies those before it, apart from
+// listenerClosed, which follows closing by the time that the backlog takes.
+type shutdownState struct {
+	started        bool // SIGTERM was received
+	closing        bool // no further connections are accepted, and idle ones are ended
+	allAnswered    bool // everything open was answered, and so is what still comes
+	listenerClosed bool // the backlog is empty: no connection can come any more
+}
+
+// shutdownRequested begins a planned shutdown.
+type shutdownRequested struct{}
+
+func (shutdownRequested) handle(l *Loop) {
+	if l.shutdown.started {
+		return
+	}
+	l.shutdown.started = true
+	l.log.Info("stopping", "open", l.openRequests)
+	l.ops.ready.Store(false)
+	if !l.accepting && l.pendingTakeover != nil {
+		l.pendingTakeover.Abandon() // the predecessor goes on
+		l.done = true
+		return
+	}
+	now := l.now()
+	l.schedule(now+acceptPeriod, stepStopAccepting)
+	l.schedule(now+answerWithin(l.config), stepAnswerAll)
+	l.schedule(now+exitWithin(l.config), stepExit)
+	l.shutdown.endIfIdle(l)
+}
+
+// shutdownStep is a step of a planned shutdown that is taken at its time.
+type shutdownStep uint8
+
+const (
+	stepStopAccepting shutdownStep = iota
+	stepAnswerAll
+	stepExit
+)
+
+func (s shutdownStep) fire(l *Loop) {
+	switch s {
+	case stepStopAccepting:
+		l.stopAccepting()
+	case stepAnswerAll:
+		l.answerAll()
+	case stepExit:
+		l.done = true
+	}
+	l.shutdown.endIfIdle(l)
+}
+
+// stopAccepting closes the sockets for clients and successors, and ends the connections that are idle.
+func (l *Loop) stopAccepting() {
+	l.shutdown.closing = true
+	handedOver := l.handover.hasGivenOwnership()
+	l.handoverListener.Close(!handedOver)
+	if handedOver {
+		l.shutdown.listenerClosed = true // the successor has it
+		return                           // and gets each connection once nothing is open on it
+	}
+	l.clients.closeListener(l)
+	for c := range l.clients.conns {
+		if c.isMidCommand() {
+			c.closeAfterCommand = true // the command is answered first
+		} else {
+			c.closeWhenIdle(l)
+		}
+	}
+}
+
+// answerAll answers everything that is open: with SIGKILL it would be lost.
+func (l *Loop) answerAll() {
+	l.shutdown.allAnswered = true
+	l.failOpenRequests()
+	if l.handover.hasGivenOwnership() {
+		return
+	}
+	for c := range l.clients.conns {
+		c.closeWhenIdle(l) // also amid a command: its client sends it again
+	}
+}
+
+func (l *Loop) failOpenRequests() {
+	now := l.now()
+	for _, r := range l.requests {
+		if !r.answered {
+			l.answer(r, failedReply)
+			l.controller.RequestCancelled(now, r.id)
+		}
+	}
+}
+
+// endIfIdle ends the gateway when nothing is open any more: its clients have read their answers and closed,
+// had their time for it, or were handed over.
+func (s *shutdownState) endIfIdle(l *Loop) {
+	if len(l.clients.conns) > 0 {
+		return
+	}
+	if s.listenerClosed || s.started && l.handover.hasGivenOwnership() && l.openRequests == 0 {
+		l.done = true
+	}
+}
+
+// readinessWait is how long, in microseconds, a start waits for discovery before it serves with the endpoint
+// list of its configuration.
+const readinessWait policy.Time = 500_000
--- /dev/null
+++ b/internal/gateway/shutdown_test.go
@@ -0,0 +1,119 @@
+package gateway
+
+import (
+	"fmt"
+	"net"
+	"runtime"
+	"testing"
+
+	"sparspread/internal/config"
+	"sparspread/internal/discovery"
+	"sparspread/policy"
+)
+
+// newStoppingLoop returns a gateway with one backend during a planned shutdown. The test runs its loop.
+func newStoppingLoop(t *testing.T) (*Loop, *fakeBackend) {
+	t.Helper()
+	b := newBackend(t)
+	l := unstarted(t, newFakeDiscovery(t))
+	l.backends.updateEndpoints(l, policy.UpdateComplete, []discovery.Endpoint{
+		{ID: "s-00000001", Address: b.listener.Addr().String(), Phase: "Ready"},
+	})
+	shutdownRequested{}.handle(l)
+	return l, b
+}
+
+// turn handles events until a condition holds.
+func turn(t *testing.T, l *Loop, what string, holds func() bool) {
+	t.Helper()
+	for !holds() {
+		handle(t, l, what)
+	}
+}
+
+// later lets time pass for a loop that the test runs.
+func later(l *Loop, period policy.Time) {
+	l.clock.wall += period
+	l.runTimers()
+}
+
+// A connection with a complete request waits in the listener's backlog when that is about to be closed: the
+// request is served, and nothing ends the process meanwhile.
+func TestShutdownServesConnectionsInTheBacklog(t *testing.T) {
+	l, b := newStoppingLoop(t)
+	l.accepting = true
+	c := (&rig{addr: l.clients.listener.Addr().String()}).client(t)
+	c.lookup(1, "60000") // in the kernel, as nothing accepts yet
+	later(l, acceptPeriod)
+	turn(t, l, "the request", func() bool { return l.openRequests == 1 })
+	turn(t, l, "the listener to close", func() bool { return l.shutdown.listenerClosed })
+	later(l, 2*closePeriod) // the backend takes long
+	if l.done {
+		t.Fatal("the process ends with an open request")
+	}
+	turn(t, l, "the dial", func() bool { return len(l.backends.byNumber[1].waiting) == 0 })
+	b.next(t).serve(t, "ok")
+	turn(t, l, "the answer", func() bool { return l.openRequests == 0 })
+	c.value("ok")
+	c.closed()
+	closeConn(t, c.conn)
+	// The connection's reader may have stopped after the last command, and then does not see the end.
+	later(l, lingerAfterError)
+	if !l.done {
+		t.Error("the process goes on after its last client has closed")
+	}
+}
+
+// A command is partly written when everything open is answered: its connection ends in an orderly way, so
+// that its client sends it again elsewhere, and is not left to the end of the process.
+func TestShutdownClosesConnectionsAmidACommand(t *testing.T) {
+	l, _ := newStoppingLoop(t)
+	l.accepting = true
+	l.clients.resume(l)
+	c := (&rig{addr: l.clients.listener.Addr().String()}).client(t)
+	handle(t, l, "the connection")
+	c.raw("*4\r\n$8\r\nAPI.R")
+	for conn := range l.clients.conns {
+		for conn.lastInputAt.Load() == 0 { // until the reader has it
+			runtime.Gosched()
+		}
+		conn.lastCommandAt = 0 // it was opened earlier
+	}
+	later(l, acceptPeriod)
+	if l.done || len(l.clients.conns) != 1 {
+		t.Fatalf("done %v with %d connections", l.done, len(l.clients.conns))
+	}
+	later(l, answerWithin(l.config)-acceptPeriod)
+	c.closed()
+	closeConn(t, c.conn)
+	turn(t, l, "the end of all", func() bool { return l.done })
+}
+
+// However short the timeouts of clients are: connections are accepted as long as they may come, their
+// requests are answered after that, and the process has ended before SIGKILL.
+func TestShutdownStepsKeepTheirOrder(t *testing.T) {
+	const killDelay = 700_000 // beyond the longest timeout, in microseconds
+	for _, limit := range []policy.Time{20_000, 50_000, 100_000, 290_000, 400_000, 2_500_000, 9_000_000, 0} {
+		t.Run(fmt.Sprintf("timeout %d us", limit), func(t *testing.T) {
+			cfg := config.Config{}
+			cfg.Host.Limits = []policy.Time{limit}
+			longest := limit
+			if limit == 0 || limit > maxLongestTimeout {
+				longest = maxLongestTimeout
+			}
+			answer, exit, kill := answerWithin(&cfg), exitWithin(&cfg), longest+killDelay
+			if answer < acceptPeriod+min(limit, backlogPeriod) || exit < answer+backlogPeriod || exit >= kill {
+				t.Errorf("accepted for %d, answered after %d, ended after %d, SIGKILL after %d",
+					policy.Time(acceptPeriod), answer, exit, kill)
+			}
+		})
+	}
+}
+
+// closeConn closes a client's side of a connection.
+func closeConn(t *testing.T, conn net.Conn) {
+	t.Helper()
+	if err := conn.Close(); err != nil {
+		t.Error(err)
+	}
+}
