--- a/internal/gateway/backends.go
+++ b/internal/gateway/backends.go
@@ -45,7 +45,7 @@
 type backend struct {
 	number          uint32
 	address         string
-	upSince         int64 // as discovery tells it
+	startedAtMS     int64 // as discovery tells it
 	state           policy.EndpointState
 	endpoint        discovery.Endpoint // by discovery, last
 	idle            []*backendConn     // the one used last at the end
@@ -110,7 +110,7 @@
 func newBackends(cfg *config.Config, most int) *backends {
 	return &backends{
 		byNumber: map[uint32]*backend{}, byID: map[string]*backend{}, limit: most,
-		idleTimeout: idleTimeoutEstimate{longest: cfg.Host.IdleClose / 2},
+		idleTimeout: idleTimeoutEstimate{upperLimit: cfg.Host.IdleClose / 2},
 		dial:        net.Dialer{Timeout: time.Duration(cfg.Host.DialTimeout) * time.Microsecond, KeepAlive: -1},
 	}
 }
@@ -200,10 +200,10 @@
 }
 
 // rested tells that a connection has rested for which attempts may wait.
-type connectionQuiesced struct{ b *backend }
+type connectionQuiesced struct{ backend *backend }
 
 func (e connectionQuiesced) fire(l *Loop) {
-	bs, b := l.backends, e.b
+	bs, b := l.backends, e.backend
 	b.quiesceTimerSet = false
 	for len(b.waiting) > 0 {
 		c := bs.takeIdle(l, b)
@@ -241,12 +241,12 @@
 		bs.dialsSinceReport++
 		go func(address string, upSince int64) {
 			conn, err := bs.dial.DialContext(context.Background(), "tcp", address)
-			e := dialEnded{b: b, address: address, upSince: upSince, err: err}
+			e := dialEnded{backend: b, address: address, startedAtMS: upSince, err: err}
 			if err == nil {
 				e.conn = conn.(*net.TCPConn)
 			}
 			l.post(e)
-		}(b.address, b.upSince)
+		}(b.address, b.startedAtMS)
 	}
 }
 
@@ -274,15 +274,15 @@
 
 // dialed tells how a dial ended.
 type dialEnded struct {
-	b       *backend
-	address string
-	upSince int64 // as it was told when the dial began
-	conn    *net.TCPConn
-	err     error
+	backend     *backend
+	address     string
+	startedAtMS int64 // as it was told when the dial began
+	conn        *net.TCPConn
+	err         error
 }
 
 func (e dialEnded) handle(l *Loop) {
-	bs, b := l.backends, e.b
+	bs, b := l.backends, e.backend
 	b.dialing--
 	if e.err != nil {
 		bs.open--
@@ -301,7 +301,7 @@
 		return
 	}
 	c := &backendConn{backend: b, conn: e.conn, sender: newSender(e.conn), done: make(chan struct{}), valueClient: make(chan *client, 1)}
-	if e.address != b.address || e.upSince != b.upSince {
+	if e.address != b.address || e.startedAtMS != b.startedAtMS {
 		bs.close(c) // it leads to where the backend was, or to the process before
 		bs.dialForWaiting(l, b)
 		return
@@ -435,7 +435,7 @@
 func (c *backendConn) readReplies(l *Loop) {
 	in := resp.NewReader(c)
 	for {
-		e := replyReceived{c: c}
+		e := replyReceived{conn: c}
 		if e.err = in.Await(); e.err == nil {
 			c.readTimeout = replyTimeout
 			if e.reply, e.err = in.ReadReply(); e.err == nil && e.reply.Large > 0 && !c.streamValue(l, in, &e) {
@@ -455,7 +455,7 @@
 
 // replied is an answer on a backend's connection, or its end.
 type replyReceived struct {
-	c         *backendConn
+	conn      *backendConn
 	reply     resp.Reply
 	err       error
 	malformed bool  // an answer has come that can't be read
@@ -465,7 +465,7 @@
 }
 
 func (e replyReceived) handle(l *Loop) {
-	c, a := e.c, e.c.attempt
+	c, a := e.conn, e.conn.attempt
 	if c.closed {
 		return
 	}
@@ -482,7 +482,7 @@
 			// connection was kept and proved dead when used, those that have been
 			// kept for longer are most likely dead too, though nothing shows it.
 			idle := a.sentAt - c.idleSince
-			for kept && len(c.backend.idle) > 0 && c.backend.idle[0].idleSince <= c.idleSince && l.backends.idleTimeout.blames(l.now(), idle) {
+			for kept && len(c.backend.idle) > 0 && c.backend.idle[0].idleSince <= c.idleSince && l.backends.idleTimeout.explains(l.now(), idle) {
 				l.backends.close(c.backend.idle[0])
 			}
 			if kept && l.now()-a.sentAt < staleReuseWindow {
@@ -495,13 +495,13 @@
 	if a.bodyPending() {
 		e.more = true // the rest of its body will not be written, or is being written now
 	}
-	result, value, use, load, fine := classify(e.reply, a.request == nil)
+	result, value, use, load, fine := classifyReply(e.reply, a.request == nil)
 	if e.malformed && value == nil {
 		result = policy.ResultFailed
 	}
 	c.attempt = nil
 	if kept {
-		l.backends.idleTimeout.recordAlive(l.now(), a.sentAt-c.idleSince)
+		l.backends.idleTimeout.recordSound(l.now(), a.sentAt-c.idleSince)
 	}
 	if !fine || e.malformed || e.more {
 		// What comes next on this connection may belong to nothing. That tells
@@ -509,7 +509,7 @@
 		l.backends.close(c)
 		l.backends.dialForWaiting(l, c.backend)
 	}
-	l.endAttemptWith(a, result, answerParts{value, l.actualCost(use), l.loadReport(load)})
+	l.endAttemptWith(a, result, backendAnswer{value, l.actualCost(use), l.loadReport(load)})
 	if !c.closed {
 		l.backends.release(l, c)
 	}
@@ -518,7 +518,7 @@
 // classify tells what an answer means, and whether it is in the form agreed on:
 // an array with the value first, or an error. What follows the value, such as a
 // load report that can't be read, does not spoil it.
-func classify(re resp.Reply, probe bool) (result policy.Result, value []byte, use, load string, fine bool) {
+func classifyReply(re resp.Reply, probe bool) (result policy.Result, value []byte, use, load string, fine bool) {
 	switch {
 	case re.Kind == '-':
 		word, rest, _ := strings.Cut(string(re.Text), " ")
@@ -585,10 +585,10 @@
 }
 
 // giveUp ends an attempt whose time has passed, and its connection with it.
-type attemptTimeout struct{ a *attempt }
+type attemptTimeout struct{ attempt *attempt }
 
-func (g attemptTimeout) fire(l *Loop) {
-	a := g.a
+func (t attemptTimeout) fire(l *Loop) {
+	a := t.attempt
 	if a.ended {
 		return
 	}
@@ -606,10 +606,10 @@
 
 // finish ends an attempt: the first call counts, and brings its one outcome.
 func (l *Loop) endAttempt(a *attempt, result policy.Result, value []byte) {
-	l.endAttemptWith(a, result, answerParts{value: value})
+	l.endAttemptWith(a, result, backendAnswer{value: value})
 }
 
-func (l *Loop) endAttemptWith(a *attempt, result policy.Result, answer answerParts) {
+func (l *Loop) endAttemptWith(a *attempt, result policy.Result, answer backendAnswer) {
 	if a.ended {
 		return
 	}
@@ -640,9 +640,9 @@
 	for _, m := range list {
 		b := bs.findOrCreate(m.ID)
 		b.state, b.endpoint = m.State(), m
-		if b.address != m.Address || b.upSince != m.UpSinceMS {
+		if b.address != m.Address || b.startedAtMS != m.UpSinceMS {
 			// It has moved or started anew: what stands idle leads nowhere.
-			b.address, b.upSince = m.Address, m.UpSinceMS
+			b.address, b.startedAtMS = m.Address, m.UpSinceMS
 			bs.closeIdle(b)
 		}
 		told = append(told, policy.Endpoint{
--- a/internal/gateway/bodies.go
+++ b/internal/gateway/bodies.go
@@ -14,7 +14,7 @@
 // to one attempt, or to nobody: then it is read past.
 type body struct {
 	size             int
-	target           chan *backendConn // where it goes, nil: nowhere
+	destination      chan *backendConn // where it goes, nil: nowhere
 	lastBytesWriting atomic.Bool       // its last bytes are being written: the attempt may run from now on
 
 	// the loop's
@@ -30,7 +30,7 @@
 func (b *body) assign(c *backendConn) {
 	if b != nil && !b.assigned {
 		b.assigned, b.conn = true, c
-		b.target <- c
+		b.destination <- c
 	}
 }
 
@@ -50,12 +50,12 @@
 // relayBody passes a body on as it is read, a buffer at a time: a backend that takes it slowly
 // holds up the reading, and nothing else. It runs in the client's reader, and tells whether the
 // next command can be read.
-func (c *client) relayBody(l *Loop, in *resp.Reader, b *body) bool {
+func (c *client) forwardBody(l *Loop, in *resp.Reader, b *body) bool {
 	var to *backendConn
 	gone := false
 	c.readAheadWhile(l, func() {
 		select {
-		case to = <-b.target:
+		case to = <-b.destination:
 		case <-c.done:
 			gone = true
 		}
@@ -68,13 +68,13 @@
 			return
 		}
 		var err error
-		c.readAheadWhile(l, func() { err = to.sender.writeBlocking(p, relayTimeout) })
+		c.readAheadWhile(l, func() { err = to.sender.writeBlocking(p, transferStallTimeout) })
 		if err != nil {
-			l.post(bodyFailed{b: b})
+			l.post(bodyFailed{body: b})
 			to = nil // the rest is read past
 		}
 	}
-	buf := make([]byte, min(b.size, relayBufferSize))
+	buf := make([]byte, min(b.size, transferBufferSize))
 	var err error
 	for left := b.size; left > 0 && err == nil && !c.disconnected.Load(); {
 		c.commandDeadline = time.Now().Add(commandTimeout)
@@ -101,7 +101,7 @@
 		_ = c.conn.SetReadDeadline(time.Time{})
 		return true
 	case errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, resp.ErrProtocol):
-		l.post(bodyFailed{b: b, malformed: true})
+		l.post(bodyFailed{body: b, malformed: true})
 	default:
 		c.disconnect(l)
 	}
@@ -109,10 +109,10 @@
 }
 
 // bodyWhole tells that an attempt was written to its last byte.
-type bodyWritten struct{ b *body }
+type bodyWritten struct{ body *body }
 
 func (e bodyWritten) handle(*Loop) {
-	if a := e.b.conn.attempt; a != nil && a.request == e.b.request && a.bodyPending() {
+	if a := e.body.conn.attempt; a != nil && a.request == e.body.request && a.bodyPending() {
 		a.markFullyWritten()
 	}
 }
@@ -120,12 +120,12 @@
 // bodyBroken tells that a body can't be passed on: its backend takes no more of it or, spoilt, it
 // does not come whole. What comes behind that can't be read.
 type bodyFailed struct {
-	b         *body
+	body      *body
 	malformed bool
 }
 
 func (e bodyFailed) handle(l *Loop) {
-	r := e.b.request
+	r := e.body.request
 	c := r.client
 	if e.malformed && !c.closed {
 		c.ignoreInput.Store(true)
@@ -133,7 +133,7 @@
 			l.answer(r, errorReply(errors.New("command not whole in time")))
 			l.controller.RequestCancelled(l.now(), r.id)
 		}
-		c.closeWhenIdle(l)
+		c.closeAfterReplies(l)
 	}
 	l.abortBody(r)
 }
--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -35,7 +35,7 @@
 	maxIdleOnce          = 3_000_000               // one that has asked only once,
 	minIdleToEvict       = 2_000_000               // and any, where places are short
 	newcomerAge          = 100_000                 // age of a connection that might have spoken by now,
-	silentNewcomerAge    = 300_000                 // and of one that should have
+	idleNewcomerAge      = 300_000                 // and of one that should have
 
 	maxUnfinishedPercent = 75 // percent of the places that connections without a whole command may hold
 )
@@ -48,20 +48,20 @@
 
 // clients accepts connections and keeps them within their share of descriptors.
 type clients struct {
-	listener *net.TCPListener
-	slots    chan struct{} // a place for each connection that may be open
-	limit    int           // connections that are served; those beyond are refused
-	conns    map[*client]bool
-	pausing  chan struct{} // closed to have no more accepted; nil: none are
-	shutting chan struct{} // closed to have no more accepted than wait by now
-	counts   clientCounts  // since the last line of them
+	listener     *net.TCPListener
+	slots        chan struct{} // a place for each connection that may be open
+	limit        int           // connections that are served; those beyond are refused
+	conns        map[*client]bool
+	pauseAccept  chan struct{} // closed to have no more accepted; nil: none are
+	drainBacklog chan struct{} // closed to have no more accepted than wait by now
+	counts       clientCounts  // since the last line of them
 }
 
 // clientCounts is what became of connections and of requests for which the gateway itself had no
 // room.
 type clientCounts struct {
 	since                                             policy.Time
-	accepted, closedSilent, closedMidCommand          int // connections; closed before a command began, or amid one
+	accepted, closedBeforeInput, closedMidCommand     int // connections; closed before a command began, or amid one
 	closedIdle, rejectedOverLimit, rejectedOverMemory int // closed idle; requests refused for places, and for memory
 	longestAccept                                     policy.Time
 }
@@ -74,7 +74,7 @@
 	if now-n.since < clientReportInterval {
 		return
 	}
-	l.log.Info("clients", "accepted", n.accepted, "open", len(cs.conns), "most", cs.limit, "closed_silent", n.closedSilent,
+	l.log.Info("clients", "accepted", n.accepted, "open", len(cs.conns), "most", cs.limit, "closed_silent", n.closedBeforeInput,
 		"closed_halfway", n.closedMidCommand, "closed_idle", n.closedIdle, "refused_places", n.rejectedOverLimit,
 		"refused_memory", n.rejectedOverMemory, "longest_accept_us", n.longestAccept, "dialed_backends", l.backends.dialsSinceReport, "to_backends", l.backends.open)
 	l.backends.dialsSinceReport = 0
@@ -83,23 +83,23 @@
 
 // client is one connection from the front.
 type client struct {
-	conn              *net.TCPConn
-	sender            *sender
-	pipeline          []*request // in the order of their commands; answers wait their turn
-	pipelineSlots     chan struct{}
-	done              chan struct{} // closed when it is gone
-	ignoreInput       atomic.Bool   // what it still sends is not read
-	disconnected      atomic.Bool   // by the other side, of which the loop may not have heard yet
-	closed            bool          // nothing more can be written
-	ending            bool          // ends as soon as its line is empty
-	closeAfterCommand bool          // ends after the command that has begun to come
-	sendingEnded      bool          // has ended its sending: no more is taken
-	overLimit         bool          // over the share: refused at once, then ended
-	commands          int           // commands that were well-formed
-	consecutiveErrors int           // bad ones, in a row
-	lastCommandAt     policy.Time   // when it last sent a command, or was opened
-	openedAt          time.Time     // when it was accepted, by whichever process
-	clock             clock         // the loop's
+	conn                  *net.TCPConn
+	sender                *sender
+	pipeline              []*request // in the order of their commands; answers wait their turn
+	pipelineSlots         chan struct{}
+	done                  chan struct{} // closed when it is gone
+	ignoreInput           atomic.Bool   // what it still sends is not read
+	disconnected          atomic.Bool   // by the other side, of which the loop may not have heard yet
+	closed                bool          // nothing more can be written
+	closeWhenDrained      bool          // ends as soon as its line is empty
+	closeAfterNextCommand bool          // ends after the command that has begun to come
+	writeClosed           bool          // has ended its sending: no more is taken
+	overLimit             bool          // over the share: refused at once, then ended
+	commands              int           // commands that were well-formed
+	consecutiveErrors     int           // bad ones, in a row
+	lastCommandAt         policy.Time   // when it last sent a command, or was opened
+	openedAt              time.Time     // when it was accepted, by whichever process
+	clock                 clock         // the loop's
 
 	handingOver     atomic.Bool   // it is to go to another process once nothing is open on it
 	readerStopped   bool          // and is read no more
@@ -115,22 +115,22 @@
 // resume has connections accepted from now on, and pause none any more: they stay
 // in the listener's backlog.
 func (cs *clients) resume(l *Loop) {
-	cs.pausing = make(chan struct{})
+	cs.pauseAccept = make(chan struct{})
 	_ = cs.listener.SetDeadline(time.Time{})
-	go cs.accept(l, cs.listener, cs.pausing)
+	go cs.accept(l, cs.listener, cs.pauseAccept)
 }
 
 func (cs *clients) pause() {
-	close(cs.pausing)
-	cs.pausing = nil
+	close(cs.pauseAccept)
+	cs.pauseAccept = nil
 	_ = cs.listener.SetDeadline(time.Unix(1, 0))
 }
 
 // shut closes the listener once all that waits in its backlog is accepted: to close it over them would
 // reset connections on which a request may have come. That it is closed is posted behind the last.
 func (cs *clients) closeListener(l *Loop) {
-	close(cs.shutting)
-	if cs.pausing == nil {
+	close(cs.drainBacklog)
+	if cs.pauseAccept == nil {
 		cs.resume(l)
 		return
 	}
@@ -156,7 +156,7 @@
 		}
 		shutting := false
 		select {
-		case <-cs.shutting:
+		case <-cs.drainBacklog:
 			shutting = true
 			_ = listener.SetDeadline(time.Now().Add(backlogIdle))
 		default:
@@ -206,7 +206,7 @@
 		lastCommandAt: now, openedAt: e.openedAt, commands: e.commands, inheritedInput: e.inheritedInput, clock: l.clock, queuedBytes: &l.queuedBytes,
 	}
 	cs.conns[c] = true
-	c.closeAfterCommand = l.shutdown.closing // it came at the last moment: one command is answered
+	c.closeAfterNextCommand = l.shutdown.closing // it came at the last moment: one command is answered
 	if l.handover.hasGivenOwnership() {
 		c.readerStopped, c.handoverInput, c.inheritedInput = true, e.inheritedInput, nil
 		c.handOver(l)
@@ -225,7 +225,7 @@
 func (cs *clients) evict(l *Loop, asking *client) bool {
 	now, unfinished := l.now(), 0
 	for c := range cs.conns {
-		if c.commands == 0 && !c.ending {
+		if c.commands == 0 && !c.closeWhenDrained {
 			unfinished++
 		}
 	}
@@ -233,7 +233,7 @@
 	var least *client
 	leastRank := rankSpared
 	for c := range cs.conns {
-		if c == asking || c.ending || len(c.pipeline) > 0 {
+		if c == asking || c.closeWhenDrained || len(c.pipeline) > 0 {
 			continue
 		}
 		rank := c.rank(now, asking != nil, crowded)
@@ -250,14 +250,14 @@
 	case least.lastInputAt.Load() != 0:
 		cs.counts.closedMidCommand++
 	default:
-		cs.counts.closedSilent++
+		cs.counts.closedBeforeInput++
 	}
 	least.closeNow(l)
 	return true
 }
 
 // busy counts the connections on which something is open.
-func (cs *clients) countBusy() (n int) {
+func (cs *clients) busyCount() (n int) {
 	for c := range cs.conns {
 		if len(c.pipeline) > 0 {
 			n++
@@ -268,9 +268,9 @@
 
 // The ranks of connections, those that make room first before others.
 const (
-	rankCrowdSilent     = iota // has sent nothing, and there are too many like it
-	rankCrowdMidCommand        // has begun a command, and there are too many
-	rankStale                  // has sent nothing, or not finished in its time
+	rankExcessIdle       = iota // has sent nothing, and there are too many like it
+	rankExcessMidCommand        // has begun a command, and there are too many
+	rankStale                   // has sent nothing, or not finished in its time
 	rankIdleOnce
 	rankIdle
 	rankIdleBriefly // after its only answer: a client without another request closes it
@@ -285,10 +285,10 @@
 	switch {
 	case asking && c.commands == 0 && idle < newcomerAge/5, !asking && c.commands == 0 && idle < newcomerAge:
 	case crowded && c.commands == 0 && begun == 0:
-		return rankCrowdSilent
+		return rankExcessIdle
 	case crowded && c.commands == 0:
-		return rankCrowdMidCommand
-	case c.commands == 0 && (idle >= firstCommandTimeout.Microseconds() || begun == 0 && (asking || idle >= silentNewcomerAge)):
+		return rankExcessMidCommand
+	case c.commands == 0 && (idle >= firstCommandTimeout.Microseconds() || begun == 0 && (asking || idle >= idleNewcomerAge)):
 		return rankStale
 	case c.commands == 0:
 		return rankMidCommand
@@ -318,7 +318,7 @@
 	now := l.now()
 	for c := range cs.conns {
 		c.handOver(l)
-		if now-c.lastCommandAt > [...]policy.Time{maxIdle, maxIdleOnce, maxIdle}[c.activityClass()] && len(c.pipeline) == 0 && !c.ending {
+		if now-c.lastCommandAt > [...]policy.Time{maxIdle, maxIdleOnce, maxIdle}[c.activityClass()] && len(c.pipeline) == 0 && !c.closeWhenDrained {
 			c.closeNow(l)
 		}
 	}
@@ -368,7 +368,7 @@
 			return
 		}
 		l.post(e)
-		if e.body != nil && !c.relayBody(l, in, e.body) {
+		if e.body != nil && !c.forwardBody(l, in, e.body) {
 			return
 		}
 		if e.framingLost || c.ignoreInput.Load() {
@@ -527,7 +527,7 @@
 		e.parseCommand(l.publishedConfig.Load(), args)
 		e.size, e.args = argsSize(args), args
 		if large > 0 {
-			e.body = &body{size: large, target: make(chan *backendConn, 1)}
+			e.body = &body{size: large, destination: make(chan *backendConn, 1)}
 		}
 		if l.queuedBytes.Add(int64(e.size)) > maxQueuedBytes(e.config) {
 			// What waits for the loop counts too: it must not grow with what comes.
@@ -559,7 +559,7 @@
 func (e commandReceived) handle(l *Loop) {
 	c, now := e.client, l.now()
 	l.queuedBytes.Add(-int64(e.size))
-	if c.closed || c.sendingEnded || c.ignoreInput.Load() {
+	if c.closed || c.writeClosed || c.ignoreInput.Load() {
 		e.body.discard()
 		<-c.pipelineSlots
 		return // it crossed the end of the connection: the client sends it again
@@ -574,8 +574,8 @@
 		e.command = command{}
 		e.parseCommand(l.config, args)
 	}
-	if c.closeAfterCommand {
-		c.ending = true
+	if c.closeAfterNextCommand {
+		c.closeWhenDrained = true
 		if e.body == nil {
 			c.ignoreInput.Store(true)
 		}
@@ -597,7 +597,7 @@
 	}
 	c.countCommand(e.malformed, e.framingLost)
 	if e.reply == nil {
-		e.reply = l.rejectionForCapacity(c, e.overMemory)
+		e.reply = l.capacityRejection(c, e.overMemory)
 	}
 	if e.reply != nil {
 		l.answer(r, e.reply)
@@ -615,7 +615,7 @@
 		return
 	}
 	if c.consecutiveErrors++; c.consecutiveErrors >= maxConsecutiveErrors || last {
-		c.ending = true
+		c.closeWhenDrained = true
 		c.ignoreInput.Store(true)
 	}
 }
@@ -636,12 +636,12 @@
 }
 
 // refusal is the prompt answer where the gateway itself has no room.
-func (l *Loop) rejectionForCapacity(c *client, full bool) []byte {
+func (l *Loop) capacityRejection(c *client, full bool) []byte {
 	cs := l.clients
 	for c.commands == 1 && len(cs.conns) > cs.limit {
 		if !cs.evict(l, c) {
 			// Of those that have only just come none may be shut, nor do they keep out one that asks.
-			c.overLimit = cs.countBusy() > cs.limit
+			c.overLimit = cs.busyCount() > cs.limit
 			break
 		}
 	}
@@ -649,7 +649,7 @@
 	if !full && !c.overLimit && !l.shutdown.allAnswered {
 		return nil
 	}
-	c.ending = c.ending || c.overLimit
+	c.closeWhenDrained = c.closeWhenDrained || c.overLimit
 	if c.overLimit {
 		l.clients.counts.rejectedOverLimit++
 	} else {
@@ -685,8 +685,8 @@
 		l.enqueue(clientDisconnected{c})
 	}
 	if len(c.pipeline) == 0 {
-		if c.ending {
-			c.closeSending(l)
+		if c.closeWhenDrained {
+			c.closeWrite(l)
 		}
 		c.handOver(l)
 	} else if r := c.pipeline[0]; r.valueConn != nil {
@@ -695,24 +695,24 @@
 }
 
 // end lets a connection end: between requests now, else after its last answer.
-func (c *client) closeWhenIdle(l *Loop) {
-	if c.ending || c.closed {
+func (c *client) closeAfterReplies(l *Loop) {
+	if c.closeWhenDrained || c.closed {
 		return
 	}
-	c.ending = true
+	c.closeWhenDrained = true
 	if len(c.pipeline) == 0 {
-		c.closeSending(l)
+		c.closeWrite(l)
 	}
 }
 
 // finish ends the sending and gives the other side some time to close first: to
 // close with something unread would reset the connection, and with it an answer
 // that is still on its way.
-func (c *client) closeSending(l *Loop) {
-	if c.sendingEnded {
+func (c *client) closeWrite(l *Loop) {
+	if c.writeClosed {
 		return
 	}
-	c.sendingEnded = true
+	c.writeClosed = true
 	c.sender.closeWrite()
 	wait := policy.Time(lingerTime)
 	if c.ignoreInput.Load() {
@@ -723,16 +723,16 @@
 
 // linger closes a connection that the other side leaves open.
 type lingerTimer struct {
-	c       *client
-	repeats int
+	client     *client
+	extensions int
 }
 
-func (e lingerTimer) fire(l *Loop) {
-	if !e.c.sender.isIdle() && e.repeats < maxLingers {
-		l.schedule(l.now()+lingerTime, lingerTimer{e.c, e.repeats + 1})
+func (t lingerTimer) fire(l *Loop) {
+	if !t.client.sender.isIdle() && t.extensions < maxLingers {
+		l.schedule(l.now()+lingerTime, lingerTimer{t.client, t.extensions + 1})
 		return
 	}
-	e.c.closeNow(l)
+	t.client.closeNow(l)
 }
 
 // drop closes a connection at once.
--- a/internal/gateway/clients_test.go
+++ b/internal/gateway/clients_test.go
@@ -231,7 +231,7 @@
 	}
 	for i := range 5 {
 		c := add(1, &request{})
-		if answer := l.rejectionForCapacity(c, false); (answer != nil) != (i == 4) || c.overLimit != (i == 4) {
+		if answer := l.capacityRejection(c, false); (answer != nil) != (i == 4) || c.overLimit != (i == 4) {
 			t.Errorf("client %d: answer %q, over the share %t", i, answer, c.overLimit)
 		}
 	}
--- a/internal/gateway/command.go
+++ b/internal/gateway/command.go
@@ -36,11 +36,11 @@
 		return command{}, errors.New("wrong number of arguments")
 	}
 	c := command{args: args}
-	customer, ok := hex16(args[1])
+	customer, ok := parseHex64(args[1])
 	if !ok || customer >= customerLimit {
 		return c, errors.New("customer: 16 hex digits below 2^33 wanted")
 	}
-	if c.clientID, ok = hex16(args[2]); !ok {
+	if c.clientID, ok = parseHex64(args[2]); !ok {
 		return c, errors.New("id: 16 hex digits wanted")
 	}
 	c.request.Customer = customer
@@ -49,7 +49,7 @@
 		return c, err
 	}
 	for i, name := range fieldNames {
-		if i < needed && seen&(1<<i) == 0 {
+		if i < requiredFieldCount && seen&(1<<i) == 0 {
 			return c, fmt.Errorf("field %s: missing", name)
 		}
 	}
@@ -71,13 +71,13 @@
 const (
 	classField = iota
 	planField
-	timeoutFieldNumber
-	unitsField
-	spreadField
-	firstField
+	timeoutField
+	costField
+	replicasField
+	firstReplicaField
 	keyField
-	retryField
-	needed = keyField
+	retryFlagField
+	requiredFieldCount = keyField
 )
 
 var fieldNames = [...]string{"c", "t", "d", "units", "spread", "first", "k", "r"}
@@ -102,7 +102,7 @@
 		if err := parseField(cfg, c, field, string(value)); err != nil {
 			return seen, err
 		}
-		if field == timeoutFieldNumber {
+		if field == timeoutField {
 			c.timeoutField = [2]int{end - len(value), end}
 		}
 		seen |= 1 << field
@@ -122,23 +122,23 @@
 	case planField:
 		c.request.Plan = slices.Index(cfg.Host.Plans, value)
 		ok = c.request.Plan >= 0
-	case timeoutFieldNumber:
+	case timeoutField:
 		ms, err := strconv.ParseInt(value, 10, 64)
 		c.request.Timeout = ms * 1000
 		ok = err == nil && ms > 0 && ms <= maxTimeoutMS
 	case keyField:
 		ok = value != ""
-	case retryField:
+	case retryFlagField:
 		ok = value == "0" || value == "1"
-	case unitsField:
+	case costField:
 		units, err := strconv.ParseFloat(value, 64)
 		c.request.Cost = units
 		ok = err == nil && units > 0 && units <= maxCost(cfg) // which NaN is not
-	case spreadField:
+	case replicasField:
 		n, err := strconv.Atoi(value)
 		c.request.Replicas = n
 		ok = err == nil && n >= 1 && n <= cfg.Settings.Gateways
-	case firstField:
+	case firstReplicaField:
 		n, err := strconv.Atoi(value)
 		c.request.FirstReplica = n
 		ok = err == nil && n >= 0 && n < cfg.Settings.Gateways
@@ -157,7 +157,7 @@
 	return defaultMaxCost
 }
 
-func hex16(b []byte) (uint64, bool) {
+func parseHex64(b []byte) (uint64, bool) {
 	n, err := strconv.ParseUint(string(b), 16, 64)
 	return n, err == nil && len(b) == 16
 }
--- a/internal/gateway/crossings_test.go
+++ b/internal/gateway/crossings_test.go
@@ -52,7 +52,7 @@
 		},
 		"it is answered": func(t *testing.T, l *Loop, c *testClient) {
 			l.failAll()
-			l.handleQueue()
+			l.handlePending()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -118,7 +118,7 @@
 	m.Phase = "Terminating"
 	l.backends.updateEndpoints(l, policy.UpdateIncremental, []discovery.Endpoint{m})
 	ended := ""
-	for _, e := range l.followUps {
+	for _, e := range l.pending {
 		ended += fmt.Sprint(e.(attemptEnded).result, " ")
 	}
 	if want := fmt.Sprint(policy.ResultNotSent, policy.ResultNotSent, policy.ResultNotSent) + " "; ended != want {
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -82,9 +82,9 @@
 			switch {
 			case l.handover.hasGivenOwnership(): // it follows once nothing is open on it
 			case c.isMidCommand():
-				c.closeAfterCommand = true // what has begun to come is answered, and then it ends
+				c.closeAfterNextCommand = true // what has begun to come is answered, and then it ends
 			default:
-				c.closeWhenIdle(l)
+				c.closeAfterReplies(l)
 			}
 		}
 	case s.answer:
@@ -93,7 +93,7 @@
 		l.failAll()
 		if !l.handover.hasGivenOwnership() {
 			for c := range l.clients.conns {
-				c.closeWhenIdle(l) // also amid a command: its client sends it again
+				c.closeAfterReplies(l) // also amid a command: its client sends it again
 			}
 		}
 	case s.exit:
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -57,7 +57,7 @@
 	l.backends = newBackends(&cfg, files.perSide)
 	l.clients = &clients{
 		limit: files.perSide, slots: make(chan struct{}, files.clientSlots), conns: map[*client]bool{},
-		shutting: make(chan struct{}),
+		drainBacklog: make(chan struct{}),
 	}
 	var err error
 	if l.controller, err = policy.New(cfg.Settings, cfg.Seed, l); err != nil {
@@ -90,7 +90,7 @@
 // start begins with the list as last known and has all sockets read.
 func (l *Loop) start(ctx context.Context) {
 	l.backends.updateEndpoints(l, policy.UpdateStale, l.config.Known.Endpoints)
-	l.handleQueue()
+	l.handlePending()
 	go l.ops.serve()
 	l.schedule(l.now()+readinessWait, readinessTimeout{})
 	l.schedule(l.now()+sweepInterval, sweepTimer{})
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -421,8 +421,8 @@
 		t.Fatal(up.err)
 	}
 	up.handle(l)
-	if len(l.followUps) != 1 || l.followUps[0].(attemptEnded).result != policy.ResultNotSent {
-		t.Errorf("outcomes %+v, want one that tells that nothing ran", l.followUps)
+	if len(l.pending) != 1 || l.pending[0].(attemptEnded).result != policy.ResultNotSent {
+		t.Errorf("outcomes %+v, want one that tells that nothing ran", l.pending)
 	}
 	if err := wait(t, b.ended, "the connection's end"); !errors.Is(err, io.EOF) || len(b.got) > 0 {
 		t.Errorf("the connection ended with %v after %d commands", err, len(b.got))
--- a/internal/gateway/handover.go
+++ b/internal/gateway/handover.go
@@ -300,7 +300,7 @@
 	l.handover = nil
 	if !m.ownershipGiven {
 		l.log.Warn("handover: this process goes on")
-		if l.clients.pausing == nil { // else it has been resumed to be shut
+		if l.clients.pauseAccept == nil { // else it has been resumed to be shut
 			l.clients.resume(l)
 		}
 		l.gossip.resume(l)
@@ -364,7 +364,7 @@
 		go c.readCommands(l, c.commands > 0)
 	}
 	if l.shutdown.closing {
-		c.closeWhenIdle(l)
+		c.closeAfterReplies(l)
 	}
 }
 
@@ -383,7 +383,7 @@
 
 // pass passes a connection on, with what was read from it, once nothing is open on it.
 func (c *client) handOver(l *Loop) {
-	if !c.readerStopped || c.closed || c.ending || len(c.pipeline) > 0 || !l.handover.hasGivenOwnership() || l.handover.ended || !c.sender.isIdle() {
+	if !c.readerStopped || c.closed || c.closeWhenDrained || len(c.pipeline) > 0 || !l.handover.hasGivenOwnership() || l.handover.ended || !c.sender.isIdle() {
 		return
 	}
 	c.closed = true
--- a/internal/gateway/keep.go
+++ b/internal/gateway/keep.go
@@ -6,12 +6,12 @@
 // the way may forget connections that stand idle, and tell nobody: the next
 // request then ends as a reset, and may have run.
 type idleTimeoutEstimate struct {
-	longest        policy.Time // where nothing speaks against it
-	learned        policy.Time // 0: nothing
-	learnedAt      policy.Time
-	brokeAt        policy.Time // when a kept connection last proved dead
-	longestAlive   policy.Time // how long the longest idle of those lately used had been, and was sound
-	longestAliveAt policy.Time // 0: none
+	upperLimit         policy.Time // where nothing speaks against it
+	learned            policy.Time // 0: nothing
+	learnedAt          policy.Time
+	lastBrokenAt       policy.Time // when a kept connection last proved dead
+	longestSoundIdle   policy.Time // how long the longest idle of those lately used had been, and was sound
+	longestSoundIdleAt policy.Time // 0: none
 }
 
 const (
@@ -21,39 +21,39 @@
 )
 
 // most is how long a connection may have been idle.
-func (k *idleTimeoutEstimate) current(now policy.Time) policy.Time {
-	if k.learned == 0 {
-		return k.longest
+func (e *idleTimeoutEstimate) current(now policy.Time) policy.Time {
+	if e.learned == 0 {
+		return e.upperLimit
 	}
-	most := k.learned
-	for healed := k.learnedAt + idleTimeoutRecovery; healed <= now && most < k.longest; healed += idleTimeoutRecovery {
+	most := e.learned
+	for healed := e.learnedAt + idleTimeoutRecovery; healed <= now && most < e.upperLimit; healed += idleTimeoutRecovery {
 		most *= 2
 	}
-	return min(most, k.longest)
+	return min(most, e.upperLimit)
 }
 
 // lived takes in that a connection that was idle for so long was sound when used.
-func (k *idleTimeoutEstimate) recordAlive(now, idle policy.Time) {
-	if idle >= k.longestAlive || now-k.longestAliveAt > idleTimeoutRecovery {
-		k.longestAlive, k.longestAliveAt = idle, now
+func (e *idleTimeoutEstimate) recordSound(now, idle policy.Time) {
+	if idle >= e.longestSoundIdle || now-e.longestSoundIdleAt > idleTimeoutRecovery {
+		e.longestSoundIdle, e.longestSoundIdleAt = idle, now
 	}
 }
 
 // blames tells whether idling for so long can be why a connection is dead: not if
 // one idle for longer was sound of late. Something else breaks them then, and new
 // ones as well.
-func (k *idleTimeoutEstimate) blames(now, idle policy.Time) bool {
-	return k.longestAliveAt == 0 || now-k.longestAliveAt > idleTimeoutRecovery || idle > k.longestAlive
+func (e *idleTimeoutEstimate) explains(now, idle policy.Time) bool {
+	return e.longestSoundIdleAt == 0 || now-e.longestSoundIdleAt > idleTimeoutRecovery || idle > e.longestSoundIdle
 }
 
 // broke takes in that a connection that was idle for so long was dead when used.
 // Once is chance.
-func (k *idleTimeoutEstimate) recordBroken(now, idle policy.Time) {
-	if !k.blames(now, idle) {
+func (e *idleTimeoutEstimate) recordBroken(now, idle policy.Time) {
+	if !e.explains(now, idle) {
 		return
 	}
-	if k.brokeAt != 0 && now-k.brokeAt < idleTimeoutRecovery {
-		k.learned, k.learnedAt = max(minIdleTimeout, min(k.current(now), idle/2)), now
+	if e.lastBrokenAt != 0 && now-e.lastBrokenAt < idleTimeoutRecovery {
+		e.learned, e.learnedAt = max(minIdleTimeout, min(e.current(now), idle/2)), now
 	}
-	k.brokeAt = now
+	e.lastBrokenAt = now
 }
--- a/internal/gateway/keep_test.go
+++ b/internal/gateway/keep_test.go
@@ -11,7 +11,7 @@
 
 // Kept connections that break when used are trusted for less, until that heals.
 func TestKeepLearnsAndHeals(t *testing.T) {
-	k := idleTimeoutEstimate{longest: 15_000_000}
+	k := idleTimeoutEstimate{upperLimit: 15_000_000}
 	now := policy.Time(1e9)
 	want := func(most policy.Time) {
 		t.Helper()
@@ -36,10 +36,10 @@
 // Resets that hit connections whatever their idling say nothing of it: the kept
 // ones stay trusted, or each request would pay for a handshake.
 func TestKeepBlamesIdlingOnlyIfNoneIdleForLongerWasSound(t *testing.T) {
-	k := idleTimeoutEstimate{longest: 15_000_000}
+	k := idleTimeoutEstimate{upperLimit: 15_000_000}
 	now := policy.Time(1e9)
-	k.recordAlive(now, 500_000)
-	k.recordAlive(now, 1000)
+	k.recordSound(now, 500_000)
+	k.recordSound(now, 1000)
 	for range 3 {
 		now += 100_000
 		k.recordBroken(now, 400_000)
@@ -55,7 +55,7 @@
 		t.Errorf("trusted for %d after two resets of longer idle ones, want half of their idling", got)
 	}
 	now += 2*idleTimeoutRecovery + 1
-	if !k.blames(now, 400_000) {
+	if !k.explains(now, 400_000) {
 		t.Error("a sound connection of long ago still clears those that break")
 	}
 }
@@ -80,7 +80,7 @@
 			t.Fatalf("after %d resets the attempt has ended: %t", i+1, a.ended)
 		}
 	}
-	if got := l.followUps[len(l.followUps)-1].(attemptEnded).result; got != policy.ResultConnectFailed {
+	if got := l.pending[len(l.pending)-1].(attemptEnded).result; got != policy.ResultConnectFailed {
 		t.Errorf("result %d", got)
 	}
 }
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -52,7 +52,7 @@
 
 	events        chan event
 	urgentEvents  chan event // discovery's news: ahead of all queued work
-	followUps     []event    // what follows from the module's own actions
+	pending       []event    // what follows from the module's own actions
 	timers        timerHeap
 	timer         *time.Timer
 	timerArmedFor policy.Time
@@ -89,7 +89,7 @@
 
 // later has an event handled right after the one at hand. Actions use it: they
 // must not call the module while it is deciding.
-func (l *Loop) enqueue(e event) { l.followUps = append(l.followUps, e) }
+func (l *Loop) enqueue(e event) { l.pending = append(l.pending, e) }
 
 // now is the time, never going back.
 func (l *Loop) now() policy.Time {
@@ -122,16 +122,16 @@
 
 func (l *Loop) handle(e event) {
 	e.handle(l)
-	l.handleQueue()
+	l.handlePending()
 }
 
 // follow handles what the actions left behind.
-func (l *Loop) handleQueue() {
-	for i := 0; i < len(l.followUps); i++ {
-		l.followUps[i].handle(l)
+func (l *Loop) handlePending() {
+	for i := 0; i < len(l.pending); i++ {
+		l.pending[i].handle(l)
 	}
-	clear(l.followUps)
-	l.followUps = l.followUps[:0]
+	clear(l.pending)
+	l.pending = l.pending[:0]
 }
 
 // at has something done at a time.
@@ -162,7 +162,7 @@
 		}
 		t := heap.Pop(&l.timers).(*timer)
 		t.callback.fire(l)
-		l.handleQueue()
+		l.handlePending()
 	}
 }
 
@@ -199,7 +199,7 @@
 // alarm is a timer that the module has set.
 type policyTimer uint32
 
-func (a policyTimer) fire(l *Loop) { l.controller.TimerFired(l.now(), uint32(a)) }
+func (t policyTimer) fire(l *Loop) { l.controller.TimerFired(l.now(), uint32(t)) }
 
 // The module's actions.
 
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -136,19 +136,19 @@
 
 // backstop fails a request that is still open just before its client stops
 // waiting, whatever went wrong: no request may be lost.
-type deadlineGuard struct{ r *request }
+type deadlineGuard struct{ request *request }
 
-func (b deadlineGuard) fire(l *Loop) {
-	if b.r.answered {
+func (g deadlineGuard) fire(l *Loop) {
+	if g.request.answered {
 		return
 	}
-	l.log.Warn("request was open at its deadline", "id", string(b.r.args[2]))
-	l.answer(b.r, failedReply)
-	l.controller.RequestCancelled(l.now(), b.r.id)
+	l.log.Warn("request was open at its deadline", "id", string(g.request.args[2]))
+	l.answer(g.request, failedReply)
+	l.controller.RequestCancelled(l.now(), g.request.id)
 }
 
 // answerParts is what a backend's answer holds.
-type answerParts struct {
+type backendAnswer struct {
 	value      []byte
 	cost       float64   // the true ones; 0: not told
 	loadReport []float32 // nil: no report
@@ -158,24 +158,24 @@
 type attemptEnded struct {
 	attempt *attempt
 	result  policy.Result
-	answerParts
+	backendAnswer
 	latency policy.Time
 }
 
-func (o attemptEnded) handle(l *Loop) {
-	r := o.attempt.request
+func (e attemptEnded) handle(l *Loop) {
+	r := e.attempt.request
 	if r == nil {
-		l.controller.HealthCheckEnded(l.now(), o.attempt.backend, o.result, o.loadReport)
+		l.controller.HealthCheckEnded(l.now(), e.attempt.backend, e.result, e.loadReport)
 		return
 	}
 	r.attemptsInFlight--
-	r.outcomes = append(r.outcomes, o)
-	if o.result == policy.ResultOK && !r.answered && !r.valueStarted {
-		l.answer(r, resp.AppendBulk(make([]byte, 0, len(o.value)+16), o.value))
+	r.outcomes = append(r.outcomes, e)
+	if e.result == policy.ResultOK && !r.answered && !r.valueStarted {
+		l.answer(r, resp.AppendBulk(make([]byte, 0, len(e.value)+16), e.value))
 	}
 	ended := policy.Outcome{
-		RequestID: r.id, Attempt: o.attempt.number, Backend: o.attempt.backend, Result: o.result,
-		Latency: o.latency, Answered: r.answered || r.valueStarted || r.client.disconnected.Load(), ActualCost: o.cost, LoadReport: o.loadReport,
+		RequestID: r.id, Attempt: e.attempt.number, Backend: e.attempt.backend, Result: e.result,
+		Latency: e.latency, Answered: r.answered || r.valueStarted || r.client.disconnected.Load(), ActualCost: e.cost, LoadReport: e.loadReport,
 	}
 	l.replicate(msgOutcome, func() ([]byte, error) { return handover.EncodeAttemptEnded(ended) })
 	l.controller.AttemptEnded(l.now(), ended)
--- a/internal/gateway/sender.go
+++ b/internal/gateway/sender.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-const pumpChunk = 4096 // bytes, a part of which has to be taken in the time that a pump allows
+const blockingWriteChunk = 4096 // bytes, a part of which has to be taken in the time that a pump allows
 
 // sender writes to a connection without ever making the loop wait: what the
 // socket takes at once is written at once, the rest by a goroutine of its own.
@@ -110,7 +110,7 @@
 	}
 	s.mu.Unlock()
 	for len(b) > 0 {
-		n := min(len(b), pumpChunk)
+		n := min(len(b), blockingWriteChunk)
 		_ = s.conn.SetWriteDeadline(time.Now().Add(within))
 		if _, err := s.conn.Write(b[:n]); err != nil {
 			return err
--- a/internal/gateway/values.go
+++ b/internal/gateway/values.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	minValueBytes   = 1 << 10         // bytes of a large value that must have come before it begins
-	relayBufferSize = 16 << 10        // bytes of one that are held
-	relayTimeout    = 5 * time.Second // in which either side must go on
+	minValuePrefix       = 1 << 10         // bytes of a large value that must have come before it begins
+	transferBufferSize   = 16 << 10        // bytes of one that are held
+	transferStallTimeout = 5 * time.Second // in which either side must go on
 )
 
 // relay offers a large value to the loop and passes it on to the client as it is read, a buffer at
@@ -19,10 +19,10 @@
 // connection's reader, and tells whether what it did is still to be posted.
 func (c *backendConn) streamValue(l *Loop, in *resp.Reader, e *replyReceived) bool {
 	left := e.reply.Large
-	buf := make([]byte, relayBufferSize)
+	buf := make([]byte, transferBufferSize)
 	come := 0
-	for come < minValueBytes {
-		n, err := in.ReadPart(buf[come:min(left, relayBufferSize)])
+	for come < minValuePrefix {
+		n, err := in.ReadPart(buf[come:min(left, transferBufferSize)])
 		if come += n; err != nil {
 			e.reply, e.err = resp.Reply{}, err // its length was spoilt: as good as no answer
 			return true
@@ -39,13 +39,13 @@
 	}
 	e.streamed = true
 	head := resp.AppendBulkHead(nil, left)
-	e.err = to.writeBlocking(append(head, buf[:come]...), relayTimeout)
-	c.readTimeout = relayTimeout
+	e.err = to.writeBlocking(append(head, buf[:come]...), transferStallTimeout)
+	c.readTimeout = transferStallTimeout
 	for left -= come; left > 0 && e.err == nil; {
 		var n int
-		if n, e.err = in.ReadPart(buf[:min(left, relayBufferSize)]); n > 0 {
+		if n, e.err = in.ReadPart(buf[:min(left, transferBufferSize)]); n > 0 {
 			left -= n
-			if err := to.writeBlocking(buf[:n], relayTimeout); e.err == nil {
+			if err := to.writeBlocking(buf[:n], transferStallTimeout); e.err == nil {
 				e.err = err
 			}
 		}
@@ -54,7 +54,7 @@
 		e.err = in.ReadEnd()
 	}
 	if e.err == nil {
-		e.err = to.writeBlocking([]byte("\r\n"), relayTimeout)
+		e.err = to.writeBlocking([]byte("\r\n"), transferStallTimeout)
 	}
 	if e.err == nil {
 		// The client has all of it: what comes behind can spoil only the connection.
@@ -67,10 +67,10 @@
 }
 
 // offered tells that a large value has come for the request of a connection.
-type valueOffered struct{ c *backendConn }
+type valueOffered struct{ conn *backendConn }
 
 func (e valueOffered) handle(l *Loop) {
-	c, a := e.c, e.c.attempt
+	c, a := e.conn, e.conn.attempt
 	if c.closed {
 		return
 	}
@@ -106,12 +106,12 @@
 // valueBegun has the module know of an attempt's success when its value begins: how long the
 // client takes for the rest tells nothing of the backend.
 type valueStarted struct {
-	a       *attempt
+	attempt *attempt
 	latency policy.Time
 }
 
 func (e valueStarted) handle(l *Loop) {
-	o := policy.Outcome{RequestID: e.a.request.id, Attempt: e.a.number, Backend: e.a.backend, Result: policy.ResultOK, Latency: e.latency, Answered: true}
+	o := policy.Outcome{RequestID: e.attempt.request.id, Attempt: e.attempt.number, Backend: e.attempt.backend, Result: policy.ResultOK, Latency: e.latency, Answered: true}
 	l.replicate(msgOutcome, func() ([]byte, error) { return handover.EncodeAttemptEnded(o) })
 	l.controller.AttemptEnded(l.now(), o)
 }
@@ -134,7 +134,7 @@
 // end takes note that a large value has gone to the client, or that it can't be finished: then the
 // client's connection ends amid the value, by which it can tell.
 func (e replyReceived) finishStream(l *Loop) {
-	c, a := e.c, e.c.attempt
+	c, a := e.conn, e.conn.attempt
 	r := a.request
 	c.attempt, a.ended, a.conn = nil, true, nil
 	c.bytesUsed = e.bytesUsed
@@ -142,7 +142,7 @@
 	if !r.answered {
 		l.finishValue(r, e.err)
 	}
-	if units := l.actualCost(usageText(e.reply)); units > 0 {
+	if units := l.actualCost(usageFields(e.reply)); units > 0 {
 		l.replicate(msgSettled, func() ([]byte, error) {
 			return handover.EncodeCostSettled(handover.CostSettled{Customer: r.customer, Extra: units - r.estimatedCost})
 		})
@@ -172,7 +172,7 @@
 }
 
 // useOf is the figures on use behind a value.
-func usageText(re resp.Reply) string {
+func usageFields(re resp.Reply) string {
 	if len(re.Items) < 2 {
 		return ""
 	}
--- a/internal/gateway/values_test.go
+++ b/internal/gateway/values_test.go
@@ -44,14 +44,14 @@
 	c.book(1, "team")
 	call := b.next(t)
 	head, value := largeHead()
-	call.answer(t, head+value[:minValueBytes])
+	call.answer(t, head+value[:minValuePrefix])
 	c.want(fmt.Sprintf("$%d", largeSize))
-	if got := c.read(minValueBytes); got != value[:minValueBytes] {
+	if got := c.read(minValuePrefix); got != value[:minValuePrefix] {
 		t.Error("the value begins otherwise")
 	}
 	wantFigures(t, r, "open_requests=1", "fulfilled.once=0")
-	call.answer(t, value[minValueBytes:]+"\r\n$-1\r\n$-1\r\n")
-	c.read(largeSize - minValueBytes)
+	call.answer(t, value[minValuePrefix:]+"\r\n$-1\r\n$-1\r\n")
+	c.read(largeSize - minValuePrefix)
 	c.want("")
 	for id := 2; id < 4; id++ {
 		r.rest(t)
@@ -74,10 +74,10 @@
 	c.lookup(1, "60000")
 	call := b.next(t)
 	head, value := largeHead()
-	call.answer(t, head+value[:minValueBytes])
+	call.answer(t, head+value[:minValuePrefix])
 	c.want(fmt.Sprintf("$%d", largeSize))
 	call.conn.Close()
-	if rest, _ := io.ReadAll(c.in); len(rest) != minValueBytes {
+	if rest, _ := io.ReadAll(c.in); len(rest) != minValuePrefix {
 		t.Errorf("%d bytes of the value", len(rest))
 	}
 	reached(t, r, "faulted.lookup=1")
@@ -119,7 +119,7 @@
 	b.next(t) // never answered
 	c.book(4, "team")
 	call := b.next(t)
-	call.answer(t, head+value[:minValueBytes])
+	call.answer(t, head+value[:minValuePrefix])
 	c.conn.Close()
 	for wait(t, b.ended, "the backend's connection to end") == nil {
 	}
@@ -132,7 +132,7 @@
 	c.lookup(1, "400")
 	call := b.next(t)
 	head, value := largeHead()
-	call.answer(t, head+value[:minValueBytes])
+	call.answer(t, head+value[:minValuePrefix])
 	c.want(fmt.Sprintf("$%d", largeSize))
 	other.lookup(2, "500") // ends later than the deadline of the first
 	b.next(t)
@@ -142,7 +142,7 @@
 	}
 	r.stopFor(t, acceptPeriod)
 	other.closed()
-	call.answer(t, value[minValueBytes:]+"\r\n$-1\r\n$-1\r\n")
+	call.answer(t, value[minValuePrefix:]+"\r\n$-1\r\n$-1\r\n")
 	if got := c.read(largeSize); got != value {
 		t.Error("the value is another")
 	}
