--- a/internal/gateway/backends.go
+++ b/internal/gateway/backends.go
@@ -17,6 +17,7 @@
 	"sparspread/internal/config"
 	"sparspread/internal/discovery"
 	"sparspread/internal/resp"
+	"sparspread/internal/sockwriter"
 	"sparspread/policy"
 )
 
@@ -60,7 +61,7 @@
 type backendConn struct {
 	backend     *backend
 	conn        *net.TCPConn
-	sender      *sender
+	writer      *sockwriter.Writer
 	attempt     *attempt
 	closed      bool
 	idleSince   policy.Time   // idle since
@@ -94,7 +95,7 @@
 // clean tells whether nothing has come that no request asked for. What lies
 // there when a request is written would be taken for its answer: a second copy
 // of the last one, or noise.
-func (c *backendConn) clean() bool { return c.bytesRead.Load() == c.bytesUsed && c.sender.isQuiet() }
+func (c *backendConn) clean() bool { return c.bytesRead.Load() == c.bytesUsed && c.writer.NoInput() }
 
 // backends is the table of members and their connections.
 type backends struct {
@@ -300,7 +301,7 @@
 		}
 		return
 	}
-	c := &backendConn{backend: b, conn: e.conn, sender: newSender(e.conn), done: make(chan struct{}), valueClient: make(chan *client, 1)}
+	c := &backendConn{backend: b, conn: e.conn, writer: sockwriter.New(e.conn), done: make(chan struct{}), valueClient: make(chan *client, 1)}
 	if e.address != b.address || e.startedAtMS != b.startedAtMS {
 		bs.close(c) // it leads to where the backend was, or to the process before
 		bs.dialForWaiting(l, b)
@@ -314,7 +315,7 @@
 // rests first.
 func (bs *backends) release(l *Loop, c *backendConn) {
 	b := c.backend
-	if b.state != policy.EndpointReady && len(b.waiting) == 0 || !c.sender.isIdle() {
+	if b.state != policy.EndpointReady && len(b.waiting) == 0 || !c.writer.Idle() {
 		// It is not to be used again; or the answer came before all of the
 		// request was written, and the next would be written into its rest.
 		bs.close(c)
@@ -381,13 +382,13 @@
 	default:
 		b = []byte("*1\r\n$4\r\nPING\r\n")
 	}
-	n, err := c.sender.tryWrite(b)
+	n, err := c.writer.TryWrite(b)
 	if err != nil {
 		bs.close(c)
 		return false
 	}
 	if n < len(b) {
-		c.sender.send(b[n:], len(b))
+		c.writer.Send(b[n:], len(b))
 	} else if a.request != nil && a.request.body == nil {
 		a.markFullyWritten()
 	}
@@ -621,7 +622,7 @@
 		if result != policy.ResultOverloaded {
 			result = policy.ResultNotSent // its last byte was never written
 		}
-	} else if a.request != nil && a.conn != nil && !a.fullyWritten && a.conn.sender.isIdle() {
+	} else if a.request != nil && a.conn != nil && !a.fullyWritten && a.conn.writer.Idle() {
 		a.markFullyWritten() // what the socket did not take at once was written since
 	}
 	l.cancelTimer(a.timeout)
--- a/internal/gateway/bodies.go
+++ b/internal/gateway/bodies.go
@@ -68,7 +68,7 @@
 			return
 		}
 		var err error
-		c.readAheadWhile(l, func() { err = to.sender.writeBlocking(p, transferStallTimeout) })
+		c.readAheadWhile(l, func() { err = to.writer.WriteBlocking(p, transferStallTimeout) })
 		if err != nil {
 			l.post(bodyFailed{body: b})
 			to = nil // the rest is read past
--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -13,6 +13,7 @@
 
 	"sparspread/internal/config"
 	"sparspread/internal/resp"
+	"sparspread/internal/sockwriter"
 	"sparspread/policy"
 )
 
@@ -84,7 +85,7 @@
 // client is one connection from the front.
 type client struct {
 	conn                  *net.TCPConn
-	sender                *sender
+	writer                *sockwriter.Writer
 	pipeline              []*request // in the order of their commands; answers wait their turn
 	pipelineSlots         chan struct{}
 	done                  chan struct{} // closed when it is gone
@@ -202,7 +203,7 @@
 	cs.counts.accepted++
 	cs.counts.longestAccept = max(cs.counts.longestAccept, time.Since(e.openedAt).Microseconds())
 	c := &client{
-		conn: e.conn, sender: newSender(e.conn), pipelineSlots: make(chan struct{}, maxPipelined), done: make(chan struct{}),
+		conn: e.conn, writer: sockwriter.New(e.conn), pipelineSlots: make(chan struct{}, maxPipelined), done: make(chan struct{}),
 		lastCommandAt: now, openedAt: e.openedAt, commands: e.commands, inheritedInput: e.inheritedInput, clock: l.clock, queuedBytes: &l.queuedBytes,
 	}
 	cs.conns[c] = true
@@ -681,7 +682,7 @@
 		return
 	}
 	c.pipeline = slices.Delete(c.pipeline, 0, n)
-	if !c.closed && len(out) > 0 && !c.sender.send(out, maxUnreadReply) {
+	if !c.closed && len(out) > 0 && !c.writer.Send(out, maxUnreadReply) {
 		l.enqueue(clientDisconnected{c})
 	}
 	if len(c.pipeline) == 0 {
@@ -713,7 +714,7 @@
 		return
 	}
 	c.writeClosed = true
-	c.sender.closeWrite()
+	c.writer.CloseWrite()
 	wait := policy.Time(lingerTime)
 	if c.ignoreInput.Load() {
 		wait = lingerAfterError
@@ -728,7 +729,7 @@
 }
 
 func (t lingerTimer) fire(l *Loop) {
-	if !t.client.sender.isIdle() && t.extensions < maxLingers {
+	if !t.client.writer.Idle() && t.extensions < maxLingers {
 		l.schedule(l.now()+lingerTime, lingerTimer{t.client, t.extensions + 1})
 		return
 	}
--- a/internal/gateway/clients_test.go
+++ b/internal/gateway/clients_test.go
@@ -7,6 +7,7 @@
 	"strings"
 	"testing"
 
+	"sparspread/internal/sockwriter"
 	"sparspread/policy"
 )
 
@@ -96,7 +97,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c := &client{conn: near, sender: newSender(near), done: make(chan struct{}), commands: asked, lastCommandAt: now - idle}
+		c := &client{conn: near, writer: sockwriter.New(near), done: make(chan struct{}), commands: asked, lastCommandAt: now - idle}
 		l.clients.conns[c] = true
 		l.clients.slots <- struct{}{}
 		return c
@@ -172,7 +173,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c := &client{conn: near, sender: newSender(near), done: make(chan struct{}), commands: asked, lastCommandAt: now - age}
+		c := &client{conn: near, writer: sockwriter.New(near), done: make(chan struct{}), commands: asked, lastCommandAt: now - age}
 		if silent >= 0 {
 			c.lastInputAt.Store(now - silent)
 		}
@@ -219,7 +220,7 @@
 			t.Fatal(err)
 		}
 		c := &client{
-			conn: near, sender: newSender(near), done: make(chan struct{}), commands: asked, pipeline: line,
+			conn: near, writer: sockwriter.New(near), done: make(chan struct{}), commands: asked, pipeline: line,
 			lastCommandAt: l.now() + 60e6,
 		} // it is as new when it is looked at
 		l.clients.conns[c] = true
--- a/internal/gateway/handover.go
+++ b/internal/gateway/handover.go
@@ -383,7 +383,7 @@
 
 // pass passes a connection on, with what was read from it, once nothing is open on it.
 func (c *client) handOver(l *Loop) {
-	if !c.readerStopped || c.closed || c.closeWhenDrained || len(c.pipeline) > 0 || !l.handover.hasGivenOwnership() || l.handover.ended || !c.sender.isIdle() {
+	if !c.readerStopped || c.closed || c.closeWhenDrained || len(c.pipeline) > 0 || !l.handover.hasGivenOwnership() || l.handover.ended || !c.writer.Idle() {
 		return
 	}
 	c.closed = true
@@ -401,7 +401,7 @@
 		l.log.Warn("handover", "error", err)
 	}
 	k.send(linkMessage{
-		kind: msgClient, body: body, socket: c.sender.raw,
+		kind: msgClient, body: body, socket: c.writer.RawConn(),
 		sent: func() { _ = conn.Close() },
 	})
 	l.shutdown.endIfIdle(l)
--- a/internal/gateway/values.go
+++ b/internal/gateway/values.go
@@ -5,6 +5,7 @@
 
 	"sparspread/internal/handover"
 	"sparspread/internal/resp"
+	"sparspread/internal/sockwriter"
 	"sparspread/policy"
 )
 
@@ -30,22 +31,22 @@
 	}
 	_ = c.conn.SetReadDeadline(time.Time{})
 	l.post(valueOffered{c})
-	var to *sender
+	var to *sockwriter.Writer
 	select {
 	case client := <-c.valueClient:
-		to = client.sender
+		to = client.writer
 	case <-c.done:
 		return false
 	}
 	e.streamed = true
 	head := resp.AppendBulkHead(nil, left)
-	e.err = to.writeBlocking(append(head, buf[:come]...), transferStallTimeout)
+	e.err = to.WriteBlocking(append(head, buf[:come]...), transferStallTimeout)
 	c.readTimeout = transferStallTimeout
 	for left -= come; left > 0 && e.err == nil; {
 		var n int
 		if n, e.err = in.ReadPart(buf[:min(left, transferBufferSize)]); n > 0 {
 			left -= n
-			if err := to.writeBlocking(buf[:n], transferStallTimeout); e.err == nil {
+			if err := to.WriteBlocking(buf[:n], transferStallTimeout); e.err == nil {
 				e.err = err
 			}
 		}
@@ -54,7 +55,7 @@
 		e.err = in.ReadEnd()
 	}
 	if e.err == nil {
-		e.err = to.writeBlocking([]byte("\r\n"), transferStallTimeout)
+		e.err = to.WriteBlocking([]byte("\r\n"), transferStallTimeout)
 	}
 	if e.err == nil {
 		// The client has all of it: what comes behind can spoil only the connection.
