--- /dev/null
+++ b/internal/gateway/client_close.go
@@ -0,0 +1,87 @@
+package gateway
+
+import "sparspread/policy"
+
+const (
+	lingerTime       = 500 * millisecond // for the peer to close after the last reply
+	lingerAfterError = 200 * millisecond // and after an error that ends the connection
+	maxLingers       = 10                // further periods of lingerTime while it still reads replies
+)
+
+// closeAfterReplies closes the connection after the replies to its open requests.
+func (c *client) closeAfterReplies(l *Loop) {
+	if c.closeWhenDrained || c.closed {
+		return
+	}
+	c.closeWhenDrained = true
+	if len(c.pipeline) == 0 {
+		c.closeWrite(l)
+	}
+}
+
+// closeWrite closes the sending side and gives the peer some time to close first: closing with unread input
+// would reset the connection, and lose a reply that is still on its way.
+func (c *client) closeWrite(l *Loop) {
+	if c.writeClosed {
+		return
+	}
+	c.writeClosed = true
+	c.writer.CloseWrite()
+	linger := lingerTime
+	if c.ignoreInput.Load() {
+		linger = lingerAfterError
+	}
+	l.schedule(l.now()+linger, lingerTimer{client: c})
+}
+
+// lingerTimer closes a connection that the peer leaves open.
+type lingerTimer struct {
+	client     *client
+	extensions int // periods added so far because replies were still unread
+}
+
+func (t lingerTimer) fire(l *Loop) {
+	if !t.client.writer.Idle() && t.extensions < maxLingers {
+		l.schedule(l.now()+lingerTime, lingerTimer{client: t.client, extensions: t.extensions + 1})
+		return
+	}
+	t.client.closeNow(l)
+}
+
+// closeNow closes the connection at once, as if the peer had closed it.
+func (c *client) closeNow(l *Loop) { clientDisconnected{client: c}.handle(l) }
+
+// clientDisconnected says that a client has closed its connection. It no longer waits for its open requests.
+type clientDisconnected struct{ client *client }
+
+func (e clientDisconnected) handle(l *Loop) {
+	c := e.client
+	if c.closed {
+		return
+	}
+	c.closed = true
+	close(c.done)
+	_ = c.conn.Close() // nothing is left to do about a failed close
+	delete(l.clients.conns, c)
+	<-l.clients.slots
+	c.handoverInput = nil
+	now := l.now()
+	for _, r := range c.pipeline {
+		l.cancelRequest(r, now)
+	}
+	c.pipeline = nil
+	l.shutdown.endIfIdle(l)
+}
+
+// cancelRequest ends a request whose client has gone.
+func (l *Loop) cancelRequest(r *request, now policy.Time) {
+	l.cancelValue(r)
+	l.abortBody(r)
+	l.retainedBytes -= len(r.reply)
+	if r.answered {
+		return
+	}
+	l.markAnswered(r)
+	l.controller.RequestCancelled(now, r.id)
+	l.releaseRequest(r)
+}
--- /dev/null
+++ b/internal/gateway/client_read.go
@@ -0,0 +1,140 @@
+package gateway
+
+import (
+	"errors"
+	"os"
+	"time"
+
+	"sparspread/internal/resp"
+)
+
+const (
+	firstCommandTimeout = 2500 * time.Millisecond // for a connection's first command, from its opening
+	commandTimeout      = 2500 * time.Millisecond // for any other, from its first byte: up to 2 s are usual
+)
+
+// errHandingOver says that the connection is to be handed over and no command has begun to arrive.
+var errHandingOver = errors.New("connection is being handed over")
+
+// readCommands reads commands and posts them until the connection ends, is to be handed over, or can't be
+// read any more. It runs in the connection's reader goroutine, which closing the connection ends. It waits
+// for replies only while the pipeline is full, and reads ahead then, so that the end of the connection is
+// noticed while requests are open. A client that does not complete a command in time is cut off.
+// identified: the connection has sent a well-formed command.
+func (c *client) readCommands(l *Loop, identified bool) {
+	defer c.discardReadAhead(l)
+	in := resp.NewReader(c)
+	c.commandDeadline = c.openedAt.Add(firstCommandTimeout)
+	if !identified {
+		c.setReadDeadline(c.commandDeadline)
+	}
+	for {
+		switch err := c.awaitCommand(in); {
+		case errors.Is(err, errHandingOver):
+			l.post(clientReaderStopped{c})
+			return
+		case err != nil:
+			c.disconnect(l)
+			return
+		}
+		if identified {
+			c.commandDeadline = time.Now().Add(commandTimeout)
+			c.setReadDeadline(c.commandDeadline)
+		}
+		e := commandReceived{client: c}
+		e.readFrom(l, in)
+		if e.disconnected {
+			c.disconnect(l)
+			return
+		}
+		identified = identified || !e.malformed
+		if identified {
+			c.setReadDeadline(time.Time{})
+		}
+		if !c.acquireSlot(l, identified) {
+			l.queuedBytes.Add(-int64(e.size))
+			return
+		}
+		l.post(e)
+		if e.body != nil && !c.forwardBody(l, in, e.body) {
+			return
+		}
+		if e.framingLost || c.ignoreInput.Load() {
+			c.readAheadWhile(l, func() { <-c.done }) // the loop closes it after its last reply
+			return
+		}
+	}
+}
+
+// awaitCommand waits for the first byte of a command. It returns errHandingOver if the connection is to be
+// handed over instead.
+func (c *client) awaitCommand(in *resp.Reader) error {
+	c.midCommand = false
+	if c.handingOver.Load() && in.Buffered() == 0 && len(c.inheritedInput)+len(c.readAheadInput) == 0 {
+		return errHandingOver
+	}
+	if err := in.Await(); err != nil {
+		if c.handingOver.Load() && errors.Is(err, os.ErrDeadlineExceeded) {
+			return errHandingOver
+		}
+		return err
+	}
+	c.midCommand = true
+	return nil
+}
+
+// acquireSlot waits for a slot in the pipeline and reports whether the connection is still of use.
+func (c *client) acquireSlot(l *Loop, identified bool) bool {
+	select {
+	case c.pipelineSlots <- struct{}{}:
+		return true
+	default:
+	}
+	acquired := false
+	c.readAheadWhile(l, func() {
+		select {
+		case c.pipelineSlots <- struct{}{}:
+			acquired = true
+		case <-c.done:
+		}
+	})
+	if !identified {
+		c.setReadDeadline(c.commandDeadline)
+	}
+	return acquired && !c.disconnected.Load()
+}
+
+// disconnect reports that the peer has closed. No attempt begins from here on, whatever the loop handles
+// before the event.
+func (c *client) disconnect(l *Loop) {
+	c.disconnected.Store(true)
+	l.post(clientDisconnected{client: c})
+}
+
+// setReadDeadline sets by when input has to arrive; zero: no deadline.
+func (c *client) setReadDeadline(deadline time.Time) {
+	_ = c.conn.SetReadDeadline(deadline) // fails only for a closed connection, and then so does the next read
+}
+
+// Read implements io.Reader for the reader goroutine: first what the process before had read, then what was
+// read ahead, then the connection. A handover interrupts the wait for a command, but not one that has begun.
+func (c *client) Read(b []byte) (int, error) {
+	if len(c.inheritedInput) > 0 {
+		n := copy(b, c.inheritedInput)
+		c.inheritedInput = c.inheritedInput[n:]
+		return n, nil
+	}
+	if len(c.readAheadInput) > 0 {
+		return c.consumeReadAhead(b), nil
+	}
+	n, err := c.conn.Read(b)
+	if n > 0 {
+		c.lastInputAt.Store(c.clock.now())
+	}
+	interrupted := n == 0 && c.midCommand && c.handingOver.Load() && errors.Is(err, os.ErrDeadlineExceeded)
+	if interrupted && time.Now().Before(c.commandDeadline) {
+		c.setReadDeadline(c.commandDeadline)
+		n, err = c.conn.Read(b)
+	}
+	return n, err
+}
--- a/internal/gateway/command.go
+++ b/internal/gateway/command.go
@@ -14,12 +14,15 @@
 
 // command is a client's request as it was read.
 type command struct {
-	args         [][]byte
-	clientID     uint64 // the id that the client gave
-	timeoutField [2]int // where the value of d stands in args[3]
-	request      policy.Request
+	args        [][]byte
+	clientID    uint64 // the id that the client gave
+	timeoutSpan span   // of the value of d in args[3]
+	request     policy.Request
 }
 
+// span is a range of bytes, its end excluded.
+type span struct{ start, end int }
+
 const (
 	defaultMaxCost = 1e6              // where the settings tell none
 	maxTimeoutMS   = 24 * 3600 * 1000 // ms
@@ -103,7 +106,7 @@
 			return seen, err
 		}
 		if field == timeoutField {
-			c.timeoutField = [2]int{end - len(value), end}
+			c.timeoutSpan = span{start: end - len(value), end: end}
 		}
 		seen |= 1 << field
 		start = end + 1
@@ -166,9 +169,9 @@
 func (r *request) forward(wait policy.Time) []byte {
 	fields := r.args[3]
 	list := make([]byte, 0, len(fields)+8)
-	list = append(list, fields[:r.timeoutField[0]]...)
+	list = append(list, fields[:r.timeoutSpan.start]...)
 	list = strconv.AppendInt(list, max(1, wait/1000), 10)
-	list = append(list, fields[r.timeoutField[1]:]...)
+	list = append(list, fields[r.timeoutSpan.end:]...)
 
 	n := len(r.args)
 	if r.body != nil {
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -12,24 +12,12 @@
 	"sparspread/policy"
 )
 
-// margin is how long before the client stops waiting a request is ended: its
-// answer has to reach the client, and this process may be kept from running.
-const deadlineMargin = 25_000
-
-// clock gives the time in microseconds since 1970 as of the start, monotonic
-// from then on.
-type clock struct {
-	wall  policy.Time
-	start time.Time
-	since func(time.Time) time.Duration // time.Since, but in tests
-}
-
-func newClock() clock {
-	now := time.Now()
-	return clock{now.UnixMicro(), now, time.Since}
-}
-
-func (c clock) now() policy.Time { return c.wall + c.since(c.start).Microseconds() }
+// deadlineMargin is how long before the client stops waiting a request is ended: the reply has to reach the
+// client, and this process may be descheduled. It is at most the timeout divided by maxMarginDivisor.
+const (
+	deadlineMargin   = 25 * millisecond
+	maxMarginDivisor = 4
+)
 
 // event is something that happened, posted by a socket's goroutine.
 type event interface {
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -16,7 +16,7 @@
 	id               uint64
 	client           *client
 	args             [][]byte
-	timeoutField     [2]int // where the value of d stands in the list of fields
+	timeoutSpan      span // of the value of d in args[3]
 	deadline         policy.Time
 	attempts         int      // made so far
 	attemptsInFlight int      // of those, without an outcome
@@ -35,22 +35,6 @@
 	body             *body        // a large one; nil: none
 }
 
-// The answers that are the gateway's own.
-var (
-	pongReply   = []byte("+PONG\r\n")
-	failedReply = []byte("-ERR failed\r\n")
-)
-
-func isBusyReply(reply []byte) bool { return bytes.HasPrefix(reply, []byte("-BUSY")) }
-
-// busy is a refusal with the time after which to come again.
-func busyReply(after policy.Time) []byte {
-	if after <= 0 {
-		return []byte("-BUSY\r\n")
-	}
-	return fmt.Appendf(nil, "-BUSY %d\r\n", (after+999)/1000)
-}
-
 // answer gives a request its final answer. The first one counts; what comes
 // later never reaches the client.
 func (l *Loop) answer(r *request, reply []byte) {
@@ -89,7 +73,7 @@
 	}
 	l.nextTraceAt[kind] = now + traceInterval
 	if r.id == 0 {
-		l.log.Info("turned away", "answer", string(bytes.TrimSpace(reply)), "conns", len(l.clients.conns))
+		l.log.Info("rejected", "answer", string(bytes.TrimSpace(reply)), "conns", len(l.clients.conns))
 		return
 	}
 	var ends strings.Builder
--- a/internal/gateway/values.go
+++ b/internal/gateway/values.go
@@ -161,7 +161,7 @@
 // endedValue ends a request whose value has ended.
 func (l *Loop) finishValue(r *request, err error) {
 	if err != nil {
-		l.log.Info("value not whole", "id", string(r.args[2]), "error", err)
+		l.log.Info("value incomplete", "id", string(r.args[2]), "error", err)
 		r.metrics.faulted.Add(1)
 		r.client.closeNow(l)
 		return
--- a/internal/sockwriter/writer.go
+++ b/internal/sockwriter/writer.go
@@ -1,5 +1,5 @@
-// Package sockwriter writes to TCP connections without blocking the caller: what the kernel accepts at once is
-// written at once, the rest by a goroutine that ends with the last byte or with the connection.
+// Package sockwriter writes to TCP connections without blocking the caller: what the kernel accepts at once
+// is written at once, the rest by a goroutine that ends with the last byte or with the connection.
 package sockwriter
 
 import (
