--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -14,24 +14,12 @@
 	"sparspread/policy"
 )
 
-// margin is how long before the client stops waiting a request is ended: its
-// answer has to reach the client, and this process may be kept from running.
-const deadlineMargin = 25_000
-
-// clock gives the time in microseconds since 1970 as of the start, monotonic
-// from then on.
-type clock struct {
-	wall  policy.Time
-	start time.Time
-	since func(time.Time) time.Duration // time.Since, but in tests
-}
-
-func newClock() clock {
-	now := time.Now()
-	return clock{now.UnixMicro(), now, time.Since}
-}
-
-func (c clock) now() policy.Time { return c.wall + c.since(c.start).Microseconds() }
+// deadlineMargin is how long before the client stops waiting a request is ended: the reply has to reach the
+// client, and this process may be descheduled. It is at most the timeout divided by maxMarginDivisor.
+const (
+	deadlineMargin   = 25 * millisecond
+	maxMarginDivisor = 4
+)
 
 // event is something that happened, posted by a socket's goroutine.
 type event interface {
@@ -54,7 +42,7 @@
 
 	events        chan event
 	urgentEvents  chan event // discovery's news: ahead of all queued work
-	followUps     []event    // what follows from the module's own actions
+	pending       []event    // what follows from the module's own actions
 	timers        timerHeap
 	timer         *time.Timer
 	timerArmedFor policy.Time
@@ -92,7 +80,7 @@
 
 // later has an event handled right after the one at hand. Actions use it: they
 // must not call the module while it is deciding.
-func (l *Loop) enqueue(e event) { l.followUps = append(l.followUps, e) }
+func (l *Loop) enqueue(e event) { l.pending = append(l.pending, e) }
 
 // now is the time, never going back.
 func (l *Loop) now() policy.Time {
@@ -125,16 +113,16 @@
 
 func (l *Loop) handle(e event) {
 	e.handle(l)
-	l.handleQueue()
+	l.handlePending()
 }
 
 // follow handles what the actions left behind.
-func (l *Loop) handleQueue() {
-	for i := 0; i < len(l.followUps); i++ {
-		l.followUps[i].handle(l)
+func (l *Loop) handlePending() {
+	for i := 0; i < len(l.pending); i++ {
+		l.pending[i].handle(l)
 	}
-	clear(l.followUps)
-	l.followUps = l.followUps[:0]
+	clear(l.pending)
+	l.pending = l.pending[:0]
 }
 
 // at has something done at a time.
@@ -165,7 +153,7 @@
 		}
 		t := heap.Pop(&l.timers).(*timer)
 		t.callback.fire(l)
-		l.handleQueue()
+		l.handlePending()
 	}
 }
 
@@ -202,7 +190,7 @@
 // alarm is a timer that the module has set.
 type policyTimer uint32
 
-func (a policyTimer) fire(l *Loop) { l.controller.TimerFired(l.now(), uint32(a)) }
+func (t policyTimer) fire(l *Loop) { l.controller.TimerFired(l.now(), uint32(t)) }
 
 // The module's actions.
 
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -103,9 +103,9 @@
 	l.clients.closeListener(l)
 	for c := range l.clients.conns {
 		if c.isMidCommand() {
-			c.closeAfterCommand = true // the command is answered first
+			c.closeAfterNextCommand = true // the command is answered first
 		} else {
-			c.closeWhenIdle(l)
+			c.closeAfterReplies(l)
 		}
 	}
 }
@@ -118,7 +118,7 @@
 		return
 	}
 	for c := range l.clients.conns {
-		c.closeWhenIdle(l) // also amid a command: its client sends it again
+		c.closeAfterReplies(l) // also amid a command: its client sends it again
 	}
 }
 
