--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -41,7 +41,7 @@
 			return err
 		}
 		body = batch.Body
-		h.reply.Start(batch.Index)
+		h.reply.Reset(batch.Index)
 		if err := batch.Decode(func(e *simproto.Event) { h.take(batch.Now, e) }); err != nil {
 			return err
 		}
@@ -57,18 +57,18 @@
 // take carries one event to its instance. A panic there is told as broken, and
 // the instance is gone.
 func (h *host) take(now policy.Time, e *simproto.Event) {
-	h.reply.For(e.Instance)
+	h.reply.SetInstance(e.Instance)
 	defer func() {
 		if p := recover(); p != nil {
 			delete(h.gateways, e.Instance)
-			h.reply.Broken(fmt.Sprint("panic: ", p))
+			h.reply.InstanceFailed(fmt.Sprint("panic: ", p))
 		}
 	}()
 	switch e.Kind {
-	case simproto.Provision:
+	case simproto.InstanceStarted:
 		h.provision(e)
 		return
-	case simproto.CrashNow:
+	case simproto.InstanceStopped:
 		delete(h.gateways, e.Instance)
 		return
 	}
@@ -77,29 +77,29 @@
 		return
 	}
 	switch e.Kind {
-	case simproto.Backends:
-		g.UpdateEndpoints(now, e.News, e.Members)
-	case simproto.Ingress:
+	case simproto.EndpointsUpdated:
+		g.UpdateEndpoints(now, e.UpdateKind, e.Endpoints)
+	case simproto.RequestReceived:
 		g.RequestReceived(now, e.Request)
-	case simproto.First:
+	case simproto.ResponseStarted:
 		g.ResponseStarted(now, e.Outcome.RequestID)
-	case simproto.Done:
+	case simproto.AttemptEnded:
 		g.AttemptEnded(now, e.Outcome)
-	case simproto.Dropped:
+	case simproto.RequestCancelled:
 		g.RequestCancelled(now, e.Outcome.RequestID)
-	case simproto.Wake:
-		g.TimerFired(now, e.Token)
-	case simproto.Sampled:
-		g.HealthCheckEnded(now, e.Backend, e.Result, e.Load)
-	case simproto.Heard:
-		g.GossipReceived(now, e.From, e.Note)
-	case simproto.Ledger:
-		g.CounterAnswered(now, e.Name, e.Result, e.Total)
+	case simproto.TimerFired:
+		g.TimerFired(now, e.TimerToken)
+	case simproto.HealthCheckEnded:
+		g.HealthCheckEnded(now, e.Backend, e.Result, e.LoadReport)
+	case simproto.GossipReceived:
+		g.GossipReceived(now, e.Sender, e.Gossip)
+	case simproto.CounterAnswered:
+		g.CounterAnswered(now, e.CounterName, e.Result, e.CounterTotal)
 	}
 }
 
 func (h *host) provision(e *simproto.Event) {
-	set, err := settings.ParseText(e.Profile)
+	set, err := settings.ParseText(e.Settings)
 	if err == nil {
 		var g *policy.Controller
 		if g, err = policy.New(set, e.Seed, &h.reply); err == nil {
@@ -108,5 +108,5 @@
 		}
 	}
 	delete(h.gateways, e.Instance)
-	h.reply.Broken(err.Error())
+	h.reply.InstanceFailed(err.Error())
 }
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -49,8 +49,8 @@
 
 func TestPanicIsToldAsBroken(t *testing.T) {
 	h := &host{gateways: map[uint16]*policy.Controller{4: {}}} // one that New did not make
-	h.reply.Start(1)
-	h.take(1, &simproto.Event{Kind: simproto.Wake, Instance: 4})
+	h.reply.Reset(1)
+	h.take(1, &simproto.Event{Kind: simproto.TimerFired, Instance: 4})
 	if got := string(h.reply.Bytes()); !strings.Contains(got, "panic") {
 		t.Errorf("%q", got)
 	}
--- a/internal/simproto/codes.go
+++ b/internal/simproto/codes.go
@@ -1,53 +1,83 @@
-// Package simproto speaks the dune-e1ca dialect of the simulator: frames and records. Every code of the dialect
-// stands in this package; the keys of its settings are in package settings.
+// Package simproto is the codec of the simulator's protocol: frames of events that the simulator sends, and
+// frames of actions that are returned for them. Integers are little-endian, times are in microseconds. The
+// package holds every code of the protocol; package settings holds the keys of its settings.
+//
+// No type of the package is safe for concurrent use.
 package simproto
 
-import "sparspread/policy"
+import (
+	"errors"
 
-// Kind is the kind of an event.
+	"sparspread/policy"
+)
+
+// Errors of a batch that breaks the protocol. No further batch can be read after one.
+var (
+	// ErrTruncated reports a frame, a record or a list that ends before its last field or entry.
+	ErrTruncated = errors.New("truncated")
+	// ErrUnknownCode reports a code that the protocol does not define.
+	ErrUnknownCode = errors.New("unknown code")
+	// ErrTrailingBytes reports bytes after the last record of a batch.
+	ErrTrailingBytes = errors.New("trailing bytes")
+)
+
+// Kind is the code of an event's kind.
 type Kind uint8
 
-// The events, by their codes.
+// The kinds of events, each with its name in the protocol's specification.
 const (
-	Heard     Kind = 1
-	Sampled   Kind = 2
-	Ingress   Kind = 3
-	Wake      Kind = 4
-	Provision Kind = 5
-	CrashNow  Kind = 6
-	Done      Kind = 7
-	Backends  Kind = 8
-	Dropped   Kind = 9
-	First     Kind = 10
-	Ledger    Kind = 11
+	GossipReceived   Kind = 1  // heard
+	HealthCheckEnded Kind = 2  // sampled
+	RequestReceived  Kind = 3  // ingress
+	TimerFired       Kind = 4  // wake
+	InstanceStarted  Kind = 5  // provision
+	InstanceStopped  Kind = 6  // crash_now
+	AttemptEnded     Kind = 7  // done
+	EndpointsUpdated Kind = 8  // backends_changed
+	RequestCancelled Kind = 9  // dropped
+	ResponseStarted  Kind = 10 // first
+	CounterAnswered  Kind = 11 // ledger_reply
 )
 
-// The actions, by their codes.
+// The codes of the actions, each with its name in the protocol's specification.
 const (
-	actAssign   = 65
-	actPushBack = 66
-	actLose     = 67
-	actSetAlarm = 69
-	actSoundOut = 70
-	actWrite    = 72
-	actRecord   = 73
-	actBroken   = 74
-	actFollow   = 75
-	actCount    = 77
+	codeSend             = 65 // assign
+	codeReject           = 66 // push_back
+	codeFail             = 67 // lose
+	codeSetTimer         = 69 // set_alarm
+	codeHealthCheck      = 70 // sound_out
+	codeSendGossip       = 72 // write_peer
+	codeLog              = 73 // record
+	codeInstanceFailed   = 74 // broken
+	codeWatchEndpoints   = 75 // follow
+	codeIncrementCounter = 77 // count
 )
 
 const (
-	noteLimit = 256
-	entrySize = 22
+	maxGossipSize = 256 // bytes of one gossip message
+	endpointSize  = 22  // bytes of one entry of an endpoint list
 )
 
-var results = map[uint8]policy.Result{
-	1: policy.ResultOK, 2: policy.ResultFailed, 3: policy.ResultOverloaded, 4: policy.ResultTimedOut,
-	5: policy.ResultConnectFailed, 6: policy.ResultReset, 7: policy.ResultCancelled, 8: policy.ResultNotSent,
+var resultByCode = map[uint8]policy.Result{
+	1: policy.ResultOK,
+	2: policy.ResultFailed,
+	3: policy.ResultOverloaded,
+	4: policy.ResultTimedOut,
+	5: policy.ResultConnectFailed,
+	6: policy.ResultReset,
+	7: policy.ResultCancelled,
+	8: policy.ResultNotSent,
 }
 
-var news = map[uint8]policy.UpdateKind{
-	0: policy.UpdateComplete, 1: policy.UpdateStale, 2: policy.UpdateIncremental, 3: policy.UpdateUnavailable,
+var updateKindByCode = map[uint8]policy.UpdateKind{
+	0: policy.UpdateComplete,
+	1: policy.UpdateStale,
+	2: policy.UpdateIncremental,
+	3: policy.UpdateUnavailable,
 }
 
-var states = map[uint8]policy.EndpointState{0: policy.EndpointRemoved, 1: policy.EndpointReady, 2: policy.EndpointDraining}
+var endpointStateByCode = map[uint8]policy.EndpointState{
+	0: policy.EndpointRemoved,
+	1: policy.EndpointReady,
+	2: policy.EndpointDraining,
+}
--- /dev/null
+++ b/internal/simproto/simproto_test.go
@@ -0,0 +1,238 @@
+package simproto
+
+import (
+	"bytes"
+	"encoding/binary"
+	"encoding/hex"
+	"errors"
+	"io"
+	"reflect"
+	"strings"
+	"testing"
+
+	"sparspread/policy"
+)
+
+// fromHex decodes hexadecimal digits; blanks between them are ignored.
+func fromHex(tb testing.TB, digits string) []byte {
+	tb.Helper()
+	b, err := hex.DecodeString(strings.Join(strings.Fields(digits), ""))
+	if err != nil {
+		tb.Fatal(err)
+	}
+	return b
+}
+
+// frame returns a batch as it is sent.
+func frame(index, count uint32, now uint64, body []byte) []byte {
+	b := binary.LittleEndian.AppendUint32(nil, index)
+	b = binary.LittleEndian.AppendUint32(b, count)
+	b = binary.LittleEndian.AppendUint32(b, uint32(len(body)))
+	return append(binary.LittleEndian.AppendUint64(b, now), body...)
+}
+
+// eventCase is the record of one event and what it is decoded to.
+type eventCase struct {
+	name   string
+	record string // in hexadecimal
+	want   Event
+}
+
+var eventCases = []eventCase{
+	{
+		name: "request received",
+		record: "03 0300 c4913a5d7f250800 01 00000040 80a90300 0100 00004040 0200 0000803f" +
+			"640ad2557c3bf091",
+		want: Event{Kind: RequestReceived, Instance: 3, Request: policy.Request{
+			ID: 0x8257f5d3a91c4, Cost: 2, Timeout: 240000,
+			Plan: 1, Replicas: 3, Class: 2, FirstReplica: 1, Customer: 0x91f03b7c55d20a64,
+		}},
+	},
+	{
+		name:   "timer fired",
+		record: "04 0300 4d000000",
+		want:   Event{Kind: TimerFired, Instance: 3, TimerToken: 77},
+	},
+	{
+		name:   "request cancelled",
+		record: "09 0500 192b6f0e23e80e00",
+		want: Event{
+			Kind: RequestCancelled, Instance: 5,
+			Outcome: policy.Outcome{RequestID: 0x0ee8230e6f2b19},
+		},
+	},
+	{
+		name:   "attempt ended",
+		record: "07 0300 c4913a5d7f250800 0100 074a1203 03 44480000 01 5600 0300 01 0000803f",
+		want: Event{Kind: AttemptEnded, Instance: 3, Outcome: policy.Outcome{
+			RequestID: 0x8257f5d3a91c4, Attempt: 1, Backend: 0x03124a07,
+			Result: policy.ResultOverloaded, Latency: 18500, Answered: true,
+			MeterReading: 86, ActualCost: 3, LoadReport: []float32{1},
+		}},
+	},
+	{
+		name: "endpoints updated",
+		record: "08 0300 01 2900000000000000 02000000" +
+			"074a1203 0000 00 0000 01 0000803f 0000000000000000" +
+			"f211902c 0100 01 0300 02 0000c03f 20145d0000000000",
+		want: Event{
+			Kind: EndpointsUpdated, Instance: 3, UpdateKind: policy.UpdateStale,
+			Endpoints: []policy.Endpoint{
+				{ID: 0x03124a07, CapacityHint: 1},
+				{
+					ID: 0x2c9011f2, Zone: 1, Cell: 3, State: policy.EndpointDraining,
+					CapacityHint: 1.5, StartedAt: 0x5d1420,
+				},
+			},
+		},
+	},
+	{
+		name:   "counter answered",
+		record: "0b 0300 00001842 01 90f6890000000000 66080000",
+		want: Event{
+			Kind: CounterAnswered, Instance: 3,
+			CounterTotal: 38, Result: policy.ResultOK, CounterName: 0x89f690,
+		},
+	},
+	{
+		name:   "health check ended",
+		record: "02 0100 09000000 04 01000000 00",
+		want:   Event{Kind: HealthCheckEnded, Instance: 1, Backend: 9, Result: policy.ResultTimedOut},
+	},
+	{
+		name:   "gossip received",
+		record: "01 0200 0100 0300 616263",
+		want:   Event{Kind: GossipReceived, Instance: 2, Sender: 1, Gossip: []byte("abc")},
+	},
+	{
+		name:   "response started",
+		record: "0a 0100 0500000000000000 09000000 0100 02000000",
+		want: Event{
+			Kind: ResponseStarted, Instance: 1,
+			Outcome: policy.Outcome{RequestID: 5, Backend: 9, Attempt: 1, Latency: 2},
+		},
+	},
+	{
+		name:   "instance started",
+		record: "05 0100 0700000000000000 03000000 613d31",
+		want:   Event{Kind: InstanceStarted, Instance: 1, Seed: 7, Settings: []byte("a=1")},
+	},
+	{
+		name:   "instance stopped",
+		record: "06 0100",
+		want:   Event{Kind: InstanceStopped, Instance: 1},
+	},
+}
+
+func TestDecodeReadsEachKindOfEvent(t *testing.T) {
+	for _, c := range eventCases {
+		t.Run(c.name, func(t *testing.T) {
+			body := fromHex(t, c.record)
+			batch, err := ReadBatch(bytes.NewReader(frame(12, 1, 99, body)), nil)
+			if err != nil || batch.Index != 12 || batch.Now != 99 {
+				t.Fatalf("batch %+v: %v", batch, err)
+			}
+			var got Event
+			if err := batch.Decode(func(e *Event) { got = *e }); err != nil {
+				t.Error(err)
+			} else if !reflect.DeepEqual(got, c.want) {
+				t.Errorf("got\n%+v, want\n%+v", got, c.want)
+			}
+			for size := range body {
+				short := Batch{Count: 1, Body: body[:size]}
+				if err := short.Decode(func(*Event) {}); !errors.Is(err, ErrTruncated) {
+					t.Errorf("cut to %d bytes: error %v, want %v", size, err, ErrTruncated)
+				}
+			}
+		})
+	}
+}
+
+func TestReadBatchReportsIncompleteFrames(t *testing.T) {
+	if _, err := ReadBatch(strings.NewReader(""), nil); !errors.Is(err, io.EOF) {
+		t.Errorf("end of input: %v", err)
+	}
+	for name, input := range map[string][]byte{
+		"header cut":           {1, 2, 3},
+		"body cut":             frame(1, 1, 1, []byte{4, 0, 0, 0})[:22],
+		"huge body announced":  append(fromHex(t, "01000000 01000000 ffffffff 0000000000000000"), 4),
+		"only the header came": frame(1, 1, 1, []byte{4, 0, 0, 0})[:batchHeaderSize],
+	} {
+		if _, err := ReadBatch(bytes.NewReader(input), nil); !errors.Is(err, ErrTruncated) {
+			t.Errorf("%s: error %v, want %v", name, err, ErrTruncated)
+		}
+	}
+}
+
+func TestDecodeReportsMalformedRecords(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		count  uint32
+		record string // in hexadecimal
+		want   error
+	}{
+		{"unknown event", 1, "63 0000", ErrUnknownCode},
+		{"unknown result", 1, "02 0100 09000000 63 01000000 00", ErrUnknownCode},
+		{"bytes after the last record", 1, "06 0100 00", ErrTrailingBytes},
+		{"endpoint list too long", 1, "08 0300 01 2900000000000000 ffffffff 0000", ErrTruncated},
+		{"gossip longer than its batch", 1, "01 0200 0100 ffff 61", ErrTruncated},
+		{"fewer records than announced", 2, "06 0100", ErrTruncated},
+	} {
+		batch := Batch{Count: c.count, Body: fromHex(t, c.record)}
+		if err := batch.Decode(func(*Event) {}); !errors.Is(err, c.want) {
+			t.Errorf("%s: error %v, want %v", c.name, err, c.want)
+		}
+	}
+}
+
+func TestReplyEncodesEachAction(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		act    func(*Reply)
+		record string // in hexadecimal
+	}{
+		{
+			"send", func(r *Reply) { r.Send(0x8257f5d3a91c4, 0x03124a07, 0x8194da) },
+			"41 0300 c4913a5d7f250800 da94810000000000 074a1203",
+		},
+		{"reject", func(r *Reply) { r.Reject(5, 1000) }, "42 0300 0500000000000000 e8030000"},
+		{"fail", func(r *Reply) { r.Fail(5) }, "43 0300 0500000000000000"},
+		{"set timer", func(r *Reply) { r.SetTimer(0x87fd7a, 77) }, "45 0300 7afd870000000000 4d000000"},
+		{"health check", func(r *Reply) { r.HealthCheck(9) }, "46 0300 09000000"},
+		{"send gossip", func(r *Reply) { r.SendGossip(1, []byte("hi 7")) }, "48 0300 0100 0400 68692037"},
+		{
+			"log", func(r *Reply) { r.Log("two servers known") },
+			"49 0300 1100 74776f2073657276657273206b6e6f776e",
+		},
+		{"instance failed", func(r *Reply) { r.InstanceFailed("no") }, "4a 0300 0200 6e6f"},
+		{"watch endpoints", func(r *Reply) { r.WatchEndpoints() }, "4b 0300 01"},
+		{
+			"increment counter", func(r *Reply) { r.IncrementCounter(0x89f690, 4, 3000000) },
+			"4d 0300 90f6890000000000 00008040 c0c62d00",
+		},
+	} {
+		var reply Reply
+		reply.Reset(12)
+		reply.SetInstance(3)
+		c.act(&reply)
+		record := fromHex(t, c.record)
+		want := append(binary.LittleEndian.AppendUint32([]byte{12, 0, 0, 0}, uint32(len(record))), record...)
+		if got := reply.Bytes(); !bytes.Equal(got, want) {
+			t.Errorf("%s: got %x, want %x", c.name, got, want)
+		}
+	}
+}
+
+func FuzzDecode(f *testing.F) {
+	f.Add(uint32(1), fromHex(f, "04 0300 4d000000"))
+	f.Add(uint32(1), fromHex(f, "08 0300 01 2900000000000000 ffffffff 0000"))
+	f.Add(uint32(2), fromHex(f, "01 0200 0100 0300 616263 06 0100"))
+	f.Fuzz(func(t *testing.T, count uint32, body []byte) {
+		batch := Batch{Count: count, Body: body}
+		decoded := 0
+		err := batch.Decode(func(*Event) { decoded++ })
+		if err == nil && uint32(decoded) != count {
+			t.Errorf("%d of %d records decoded without an error", decoded, count)
+		}
+	})
+}
