--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -4,10 +4,11 @@
 	"context"
 	"fmt"
 	"log/slog"
-	"net"
 	"time"
 
 	"sparspread/internal/config"
+	"sparspread/internal/discovery"
+	"sparspread/internal/handover"
 	"sparspread/policy"
 )
 
@@ -33,12 +34,12 @@
 	_ = l.clients.listener.Close()
 	l.ops.close()
 	l.gossip.close()
-	l.handoverListener.close(!l.handover.hasGivenOwnership())
+	l.handoverListener.Close(!l.handover.hasGivenOwnership())
 	if l.predecessor != nil {
-		l.predecessor.abandon()
+		l.predecessor.Abandon()
 	}
-	if m := l.handover; m != nil && !m.ended {
-		m.link.finish()
+	if l.handover != nil {
+		l.handover.link.CloseAndWait()
 	}
 }
 
@@ -48,16 +49,18 @@
 		log: log, clock: newClock(),
 		events: make(chan event, eventQueueLength), urgentEvents: make(chan event, 16),
 		requests: map[uint64]*request{}, openByClientID: map[uint64]*request{}, timer: time.NewTimer(time.Hour),
-		counter: newCounter(&cfg), discovery: newDiscovery(&cfg), metrics: &metrics{},
+		endpoints: endpointList{zones: cfg.Host.Zones}, metrics: &metrics{},
 	}
+	l.counter = newCounter(&cfg, l.post)
+	l.discovery = discovery.New(discoveryConfig(&cfg), log, l.postEndpoints)
 	l.applyConfig(&cfg)
 	l.timer.Stop()
 	limitMemory(&cfg, 1)
-	files := budgetDescriptors(usableSockets(&cfg, log), l.counter.on)
+	files := budgetDescriptors(usableSockets(&cfg, log), l.counter != nil)
 	l.backends = newBackends(&cfg, files.perSide)
 	l.clients = &clients{
 		limit: files.perSide, slots: make(chan struct{}, files.clientSlots), conns: map[*client]bool{},
-		shutting: make(chan struct{}),
+		drainBacklog: make(chan struct{}),
 	}
 	var err error
 	if l.controller, err = policy.New(cfg.Settings, cfg.Seed, l); err != nil {
@@ -66,40 +69,28 @@
 	if l.ops, err = newOps(cfg.Ops, l.metrics, files.operators); err != nil {
 		return nil, err
 	}
-	l.pendingTakeover = dialPredecessor(&cfg, log)
+	l.pendingTakeover = handover.Dial(cfg.Listen, log)
 	if l.gossip, err = newPeers(&cfg, log, l.pendingTakeover != nil); err != nil {
 		return nil, err
 	}
 	if l.pendingTakeover != nil {
-		l.clients.listener = l.pendingTakeover.listener
+		l.clients.listener = l.pendingTakeover.Clients
 		return l, nil
 	}
 	return l, l.listen()
 }
 
-// listen listens for clients.
-func (l *Loop) listen() error {
-	listener, err := reuse.Listen(context.Background(), "tcp", l.config.Listen)
-	if err != nil {
-		return fmt.Errorf("listen: %w", err)
-	}
-	l.clients.listener = listener.(*net.TCPListener)
-	return nil
-}
-
 // start begins with the list as last known and has all sockets read.
 func (l *Loop) start(ctx context.Context) {
 	l.backends.updateEndpoints(l, policy.UpdateStale, l.config.Known.Endpoints)
-	l.handleQueue()
+	l.handlePending()
 	go l.ops.serve()
 	l.schedule(l.now()+readinessWait, readinessTimeout{})
 	l.schedule(l.now()+sweepInterval, sweepTimer{})
-	go l.discovery.run(ctx, l)
+	go l.discovery.Run(ctx)
 	l.gossip.resume(l)
-	if l.counter.on {
-		for _, line := range l.counter.lines {
-			go l.counter.run(ctx, l, line)
-		}
+	if l.counter != nil {
+		go l.counter.Run(ctx)
 	}
 }
 
@@ -121,7 +112,7 @@
 	switch {
 	case l.accepting:
 	case l.pendingTakeover != nil:
-		l.pendingTakeover.once.Do(func() { go l.pendingTakeover.run(l) })
+		l.pendingTakeover.Start(successorEvents{l})
 	default:
 		l.accept()
 	}
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -8,28 +8,18 @@
 	"time"
 
 	"sparspread/internal/config"
+	"sparspread/internal/counter"
+	"sparspread/internal/discovery"
 	"sparspread/internal/handover"
 	"sparspread/policy"
 )
 
-// margin is how long before the client stops waiting a request is ended: its
-// answer has to reach the client, and this process may be kept from running.
-const deadlineMargin = 25_000
-
-// clock gives the time in microseconds since 1970 as of the start, monotonic
-// from then on.
-type clock struct {
-	wall  policy.Time
-	start time.Time
-	since func(time.Time) time.Duration // time.Since, but in tests
-}
-
-func newClock() clock {
-	now := time.Now()
-	return clock{now.UnixMicro(), now, time.Since}
-}
-
-func (c clock) now() policy.Time { return c.wall + c.since(c.start).Microseconds() }
+// deadlineMargin is how long before the client stops waiting a request is ended: the reply has to reach the
+// client, and this process may be descheduled. It is at most the timeout divided by maxMarginDivisor.
+const (
+	deadlineMargin   = 25 * millisecond
+	maxMarginDivisor = 4
+)
 
 // event is something that happened, posted by a socket's goroutine.
 type event interface {
@@ -52,7 +42,7 @@
 
 	events        chan event
 	urgentEvents  chan event // discovery's news: ahead of all queued work
-	followUps     []event    // what follows from the module's own actions
+	pending       []event    // what follows from the module's own actions
 	timers        timerHeap
 	timer         *time.Timer
 	timerArmedFor policy.Time
@@ -67,14 +57,15 @@
 	clients            *clients
 	backends           *backends
 	gossip             *gossipTransport
-	counter            *counter
-	discovery          *discoveryClient
+	counter            *counter.Client // nil: there is none
+	discovery          *discovery.Client
+	endpoints          endpointList
 	ops                *ops
-	handoverListener   *successorListener // where another process asks to take over; nil: nowhere
-	pendingTakeover    *takeover          // from a process that still serves; nil: none
-	predecessor        *takeover          // the same once it has handed over
+	handoverListener   *handover.Listener // where a successor asks for the handover; nil: nowhere
+	pendingTakeover    *handover.Takeover // from a process that still serves; nil: none
+	predecessor        *handover.Takeover // the same once it has handed over
 	predecessorRunning bool               // it has not ended yet
-	handover           *outgoingHandover  // to another process; nil: none
+	handover           *outgoingHandover  // to a successor; nil: none
 	metrics            *metrics
 	classMetrics       []*classMetrics // in the order of the classes in force
 	publishedConfig    atomic.Pointer[config.Config]
@@ -89,7 +80,7 @@
 
 // later has an event handled right after the one at hand. Actions use it: they
 // must not call the module while it is deciding.
-func (l *Loop) enqueue(e event) { l.followUps = append(l.followUps, e) }
+func (l *Loop) enqueue(e event) { l.pending = append(l.pending, e) }
 
 // now is the time, never going back.
 func (l *Loop) now() policy.Time {
@@ -122,16 +113,16 @@
 
 func (l *Loop) handle(e event) {
 	e.handle(l)
-	l.handleQueue()
+	l.handlePending()
 }
 
 // follow handles what the actions left behind.
-func (l *Loop) handleQueue() {
-	for i := 0; i < len(l.followUps); i++ {
-		l.followUps[i].handle(l)
+func (l *Loop) handlePending() {
+	for i := 0; i < len(l.pending); i++ {
+		l.pending[i].handle(l)
 	}
-	clear(l.followUps)
-	l.followUps = l.followUps[:0]
+	clear(l.pending)
+	l.pending = l.pending[:0]
 }
 
 // at has something done at a time.
@@ -162,7 +153,7 @@
 		}
 		t := heap.Pop(&l.timers).(*timer)
 		t.callback.fire(l)
-		l.handleQueue()
+		l.handlePending()
 	}
 }
 
@@ -199,7 +190,7 @@
 // alarm is a timer that the module has set.
 type policyTimer uint32
 
-func (a policyTimer) fire(l *Loop) { l.controller.TimerFired(l.now(), uint32(a)) }
+func (t policyTimer) fire(l *Loop) { l.controller.TimerFired(l.now(), uint32(t)) }
 
 // The module's actions.
 
@@ -212,9 +203,7 @@
 	if until == 0 || until > r.deadline {
 		until = r.deadline
 	}
-	l.replicate(msgSent, func() ([]byte, error) {
-		return handover.EncodeAttemptSent(handover.AttemptSent{RequestID: id, Backend: backend})
-	})
+	l.replicateAttemptSent(id, backend)
 	a := &attempt{request: r, number: r.attempts, sentAt: l.now(), expiresAt: until}
 	r.attempts++
 	r.attemptsInFlight++
@@ -252,13 +241,8 @@
 	}
 }
 
-// Count adds to a number that all gateways share.
-func (l *Loop) IncrementCounter(name uint64, add float64, life policy.Time) {
-	l.counter.count(l, name, add, life)
-}
-
 // Follow asks discovery for the list and its changes from now on.
-func (l *Loop) WatchEndpoints() { l.discovery.follow() }
+func (l *Loop) WatchEndpoints() { l.discovery.Watch() }
 
 // Log writes a line for the people on call.
 func (l *Loop) Log(line string) { l.log.Info(line) }
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"strings"
 
-	"sparspread/internal/handover"
 	"sparspread/internal/resp"
 	"sparspread/policy"
 )
@@ -16,7 +15,7 @@
 	id               uint64
 	client           *client
 	args             [][]byte
-	timeoutField     [2]int // where the value of d stands in the list of fields
+	timeoutSpan      span // of the value of d in args[3]
 	deadline         policy.Time
 	attempts         int      // made so far
 	attemptsInFlight int      // of those, without an outcome
@@ -35,22 +34,6 @@
 	body             *body        // a large one; nil: none
 }
 
-// The answers that are the gateway's own.
-var (
-	pongReply   = []byte("+PONG\r\n")
-	failedReply = []byte("-ERR failed\r\n")
-)
-
-func isBusyReply(reply []byte) bool { return bytes.HasPrefix(reply, []byte("-BUSY")) }
-
-// busy is a refusal with the time after which to come again.
-func busyReply(after policy.Time) []byte {
-	if after <= 0 {
-		return []byte("-BUSY\r\n")
-	}
-	return fmt.Appendf(nil, "-BUSY %d\r\n", (after+999)/1000)
-}
-
 // answer gives a request its final answer. The first one counts; what comes
 // later never reaches the client.
 func (l *Loop) answer(r *request, reply []byte) {
@@ -89,7 +72,7 @@
 	}
 	l.nextTraceAt[kind] = now + traceInterval
 	if r.id == 0 {
-		l.log.Info("turned away", "answer", string(bytes.TrimSpace(reply)), "conns", len(l.clients.conns))
+		l.log.Info("rejected", "answer", string(bytes.TrimSpace(reply)), "conns", len(l.clients.conns))
 		return
 	}
 	var ends strings.Builder
@@ -136,19 +119,19 @@
 
 // backstop fails a request that is still open just before its client stops
 // waiting, whatever went wrong: no request may be lost.
-type deadlineGuard struct{ r *request }
+type deadlineGuard struct{ request *request }
 
-func (b deadlineGuard) fire(l *Loop) {
-	if b.r.answered {
+func (g deadlineGuard) fire(l *Loop) {
+	if g.request.answered {
 		return
 	}
-	l.log.Warn("request was open at its deadline", "id", string(b.r.args[2]))
-	l.answer(b.r, failedReply)
-	l.controller.RequestCancelled(l.now(), b.r.id)
+	l.log.Warn("request was open at its deadline", "id", string(g.request.args[2]))
+	l.answer(g.request, failedReply)
+	l.controller.RequestCancelled(l.now(), g.request.id)
 }
 
 // answerParts is what a backend's answer holds.
-type answerParts struct {
+type backendAnswer struct {
 	value      []byte
 	cost       float64   // the true ones; 0: not told
 	loadReport []float32 // nil: no report
@@ -158,26 +141,26 @@
 type attemptEnded struct {
 	attempt *attempt
 	result  policy.Result
-	answerParts
+	backendAnswer
 	latency policy.Time
 }
 
-func (o attemptEnded) handle(l *Loop) {
-	r := o.attempt.request
+func (e attemptEnded) handle(l *Loop) {
+	r := e.attempt.request
 	if r == nil {
-		l.controller.HealthCheckEnded(l.now(), o.attempt.backend, o.result, o.loadReport)
+		l.controller.HealthCheckEnded(l.now(), e.attempt.backend, e.result, e.loadReport)
 		return
 	}
 	r.attemptsInFlight--
-	r.outcomes = append(r.outcomes, o)
-	if o.result == policy.ResultOK && !r.answered && !r.valueStarted {
-		l.answer(r, resp.AppendBulk(make([]byte, 0, len(o.value)+16), o.value))
+	r.outcomes = append(r.outcomes, e)
+	if e.result == policy.ResultOK && !r.answered && !r.valueStarted {
+		l.answer(r, resp.AppendBulk(make([]byte, 0, len(e.value)+16), e.value))
 	}
 	ended := policy.Outcome{
-		RequestID: r.id, Attempt: o.attempt.number, Backend: o.attempt.backend, Result: o.result,
-		Latency: o.latency, Answered: r.answered || r.valueStarted || r.client.disconnected.Load(), ActualCost: o.cost, LoadReport: o.loadReport,
+		RequestID: r.id, Attempt: e.attempt.number, Backend: e.attempt.backend, Result: e.result,
+		Latency: e.latency, Answered: r.answered || r.valueStarted || r.client.disconnected.Load(), ActualCost: e.cost, LoadReport: e.loadReport,
 	}
-	l.replicate(msgOutcome, func() ([]byte, error) { return handover.EncodeAttemptEnded(ended) })
+	l.replicateAttemptEnded(ended)
 	l.controller.AttemptEnded(l.now(), ended)
 	l.releaseRequest(r)
 }
