--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -343,6 +343,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
+	r := serveLoop(t, l)
+	c := r.client(t)
+	c.send("PING")
+	c.want("+PONG")
+	c.conn.Close()
+	return r
+}
+
+// serveLoop runs a gateway's loop until the test ends.
+func serveLoop(t testing.TB, l *Loop) *rig {
+	t.Helper()
 	r := &rig{
 		addr: l.clients.listener.Addr().String(), loop: l, clock: hold(l), stopped: make(chan struct{}), ended: make(chan struct{}),
 		reload: make(chan struct{}), configs: make(chan func() (config.Config, error), 1),
@@ -357,10 +368,6 @@
 			t.Error("the gateway did not end")
 		}
 	})
-	c := r.client(t)
-	c.send("PING")
-	c.want("+PONG")
-	c.conn.Close()
 	return r
 }
 
