--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"sparspread/internal/config"
+	"sparspread/internal/discovery"
 	"sparspread/internal/handover"
 	"sparspread/policy"
 )
@@ -48,16 +49,18 @@
 		log: log, clock: newClock(),
 		events: make(chan event, eventQueueLength), urgentEvents: make(chan event, 16),
 		requests: map[uint64]*request{}, openByClientID: map[uint64]*request{}, timer: time.NewTimer(time.Hour),
-		counter: newCounter(&cfg), discovery: newDiscovery(&cfg), metrics: &metrics{},
+		endpoints: endpointList{zones: cfg.Host.Zones}, metrics: &metrics{},
 	}
+	l.counter = newCounter(&cfg, l.post)
+	l.discovery = discovery.New(discoveryConfig(&cfg), log, l.postEndpoints)
 	l.applyConfig(&cfg)
 	l.timer.Stop()
 	limitMemory(&cfg, 1)
-	files := budgetDescriptors(usableSockets(&cfg, log), l.counter.on)
+	files := budgetDescriptors(usableSockets(&cfg, log), l.counter != nil)
 	l.backends = newBackends(&cfg, files.perSide)
 	l.clients = &clients{
 		limit: files.perSide, slots: make(chan struct{}, files.clientSlots), conns: map[*client]bool{},
-		shutting: make(chan struct{}),
+		drainBacklog: make(chan struct{}),
 	}
 	var err error
 	if l.controller, err = policy.New(cfg.Settings, cfg.Seed, l); err != nil {
@@ -80,16 +83,14 @@
 // start begins with the list as last known and has all sockets read.
 func (l *Loop) start(ctx context.Context) {
 	l.backends.updateEndpoints(l, policy.UpdateStale, l.config.Known.Endpoints)
-	l.handleQueue()
+	l.handlePending()
 	go l.ops.serve()
 	l.schedule(l.now()+readinessWait, readinessTimeout{})
 	l.schedule(l.now()+sweepInterval, sweepTimer{})
-	go l.discovery.run(ctx, l)
+	go l.discovery.Run(ctx)
 	l.gossip.resume(l)
-	if l.counter.on {
-		for _, line := range l.counter.lines {
-			go l.counter.run(ctx, l, line)
-		}
+	if l.counter != nil {
+		go l.counter.Run(ctx)
 	}
 }
 
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -421,8 +421,8 @@
 		t.Fatal(up.err)
 	}
 	up.handle(l)
-	if len(l.followUps) != 1 || l.followUps[0].(attemptEnded).result != policy.ResultNotSent {
-		t.Errorf("outcomes %+v, want one that tells that nothing ran", l.followUps)
+	if len(l.pending) != 1 || l.pending[0].(attemptEnded).result != policy.ResultNotSent {
+		t.Errorf("outcomes %+v, want one that tells that nothing ran", l.pending)
 	}
 	if err := wait(t, b.ended, "the connection's end"); !errors.Is(err, io.EOF) || len(b.got) > 0 {
 		t.Errorf("the connection ended with %v after %d commands", err, len(b.got))
@@ -467,7 +467,8 @@
 	hung := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Has("index") && !held.Swap(true) {
 			wait, err := strconv.Atoi(r.URL.Query().Get("wait"))
-			if limit := time.Duration(wait)*time.Millisecond + watchSlack; err != nil || limit >= 6*time.Second {
+			const slack = time.Second // for the answer, by the discovery client
+			if limit := time.Duration(wait)*time.Millisecond + slack; err != nil || limit >= 6*time.Second {
 				t.Errorf("a watch is waited for %v, %v", limit, err)
 			}
 			d.tell(second.entry("s-00000002", "Ready"))
--- a/internal/gateway/handover_clients.go
+++ b/internal/gateway/handover_clients.go
@@ -24,7 +24,7 @@
 		go c.readCommands(l, c.commands > 0)
 	}
 	if l.shutdown.closing {
-		c.closeWhenIdle(l)
+		c.closeAfterReplies(l)
 	}
 }
 
@@ -43,8 +43,8 @@
 
 // canBeHandedOver reports whether nothing is open on the connection and a successor can take it.
 func (c *client) canBeHandedOver(l *Loop) bool {
-	return c.readerStopped && !c.closed && !c.ending && len(c.pipeline) == 0 &&
-		l.handover.hasGivenOwnership() && !l.handover.link.IsClosed() && c.sender.isIdle()
+	return c.readerStopped && !c.closed && !c.closeWhenDrained && len(c.pipeline) == 0 &&
+		l.handover.hasGivenOwnership() && !l.handover.link.IsClosed() && c.writer.Idle()
 }
 
 // handOver sends the connection to the successor, with the input that was read and not processed.
@@ -61,7 +61,7 @@
 	l.warnOfHandover(l.handover.link.SendClient(
 		handover.ClientConnection{Requests: c.commands, OpenedAt: c.openedAt},
 		input,
-		c.sender.raw,
+		c.writer.RawConn(),
 		func() { _ = conn.Close() }, // the successor has a descriptor of its own, or the connection ends here
 	))
 	l.shutdown.endIfIdle(l)
--- a/internal/gateway/handover_in.go
+++ b/internal/gateway/handover_in.go
@@ -41,7 +41,7 @@
 // importState continues where the predecessor stopped. While that still runs each has half of the connections
 // to backends and of the memory.
 func (l *Loop) importState(state *handover.State) {
-	if !l.discovery.heard {
+	if !l.endpoints.received {
 		l.backends.updateEndpoints(l, policy.UpdateStale, state.Endpoints)
 	}
 	if err := l.controller.Import(l.now(), state.Policy); err != nil {
--- a/internal/gateway/handover_out.go
+++ b/internal/gateway/handover_out.go
@@ -220,7 +220,7 @@
 // keepOwnership goes on where this process has decided all the time.
 func (l *Loop) keepOwnership() {
 	l.log.Warn("handover: this process goes on")
-	if l.clients.pausing == nil { // otherwise a shutdown has resumed it to empty the backlog
+	if l.clients.pauseAccept == nil { // otherwise a shutdown has resumed it to empty the backlog
 		l.clients.resume(l)
 	}
 	l.gossip.resume(l)
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -69,9 +69,9 @@
 	}
 	cfg.KeepFixed(l.config)
 	l.applyConfig(&cfg)
-	l.discovery.move(cfg.Discovery)
-	if cfg.Counter != "" {
-		l.counter.move(cfg.Counter)
+	l.discovery.SetAddress(cfg.Discovery)
+	if l.counter != nil && cfg.Counter != "" {
+		l.counter.SetAddress(cfg.Counter)
 	}
 }
 
