--- a/internal/gateway/client_accept.go
+++ b/internal/gateway/client_accept.go
@@ -117,7 +117,7 @@
 		commands: e.commands, inheritedInput: e.inheritedInput,
 	}
 	cs.conns[c] = true
-	c.closeAfterNextCommand = l.shutdown.closing // accepted from the backlog: one command is answered
+	c.closeAfterNextCommand = l.shutdown.isClosing() // accepted from the backlog: one command is answered
 	if l.handover.hasGivenOwnership() {
 		c.readerStopped, c.handoverInput, c.inheritedInput = true, e.inheritedInput, nil
 		c.handOver(l)
--- a/internal/gateway/client_commands.go
+++ b/internal/gateway/client_commands.go
@@ -205,7 +205,7 @@
 		}
 	}
 	overMemory = overMemory || l.overCapacity()
-	if !overMemory && !c.overLimit && !l.shutdown.allAnswered {
+	if !overMemory && !c.overLimit && !l.shutdown.hasAnsweredAll() {
 		return nil
 	}
 	c.closeWhenDrained = c.closeWhenDrained || c.overLimit
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -123,9 +123,13 @@
 	l.log.Info("ready", "listen", l.clients.listener.Addr().String(), "backends", len(l.backends.byNumber))
 	l.clients.resume(l)
 	l.listenForSuccessor()
-	l.ops.ready.Store(!l.shutdown.started)
+	l.ops.ready.Store(!l.shutdown.hasStarted())
 }
 
+// readinessWait is how long, in microseconds, a start waits for discovery before it serves with the endpoint
+// list of its configuration.
+const readinessWait policy.Time = 500_000
+
 // readyAnyway ends the wait for discovery, which may be down for long.
 type readinessTimeout struct{}
 
--- a/internal/gateway/handover_clients.go
+++ b/internal/gateway/handover_clients.go
@@ -23,7 +23,7 @@
 		_ = c.conn.SetReadDeadline(time.Time{}) // fails only on a closed connection
 		go c.readCommands(l, c.commands > 0)
 	}
-	if l.shutdown.closing {
+	if l.shutdown.isClosing() {
 		c.closeAfterReplies(l)
 	}
 }
--- a/internal/gateway/handover_in.go
+++ b/internal/gateway/handover_in.go
@@ -26,7 +26,7 @@
 type stateReceived struct{ state *handover.State }
 
 func (e stateReceived) handle(l *Loop) {
-	if l.accepting || l.shutdown.started {
+	if l.accepting || l.shutdown.hasStarted() {
 		return
 	}
 	if e.state != nil {
--- a/internal/gateway/handover_out.go
+++ b/internal/gateway/handover_out.go
@@ -61,7 +61,7 @@
 // handle sends the state. From here on no command is processed and nothing is granted until the successor has
 // accepted the state.
 func (e takeoverRequested) handle(l *Loop) {
-	if l.handover != nil || l.shutdown.closing || !l.accepting {
+	if l.handover != nil || l.shutdown.isClosing() || !l.accepting {
 		e.link.Close()
 		return
 	}
@@ -233,7 +233,7 @@
 	l.log.Warn("handover: the new process has ended, this one serves again")
 	limitMemory(l.config, 1)
 	l.controller.ResumeOwnership(l.now())
-	if !l.shutdown.started {
+	if !l.shutdown.hasStarted() {
 		l.rebind()
 	}
 	for c := range l.clients.conns {
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -57,7 +57,7 @@
 type rebindTimer struct{}
 
 func (rebindTimer) fire(l *Loop) {
-	if !l.shutdown.started {
+	if !l.shutdown.hasStarted() {
 		l.rebind()
 	}
 }
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -290,7 +290,7 @@
 	r.once.Do(func() { close(r.stopped) })
 	for begun := false; !begun; {
 		told := make(chan bool, 1)
-		r.loop.post(inspect(func(l *Loop) { told <- l.shutdown.started }))
+		r.loop.post(inspect(func(l *Loop) { told <- l.shutdown.hasStarted() }))
 		begun = wait(t, told, "the loop")
 	}
 	r.pass(t, time)
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -39,23 +39,34 @@
 	return min(answerWithin(c)+closePeriod, longestTimeout(c)+killMargin)
 }
 
-// shutdownState is how far a planned shutdown has come. Each field implies those before it, apart from
-// listenerClosed, which follows closing by the time that the backlog takes.
+// shutdownPhase is how far a planned shutdown has come. Phases follow each other in this order.
+type shutdownPhase uint8
+
+const (
+	phaseServing   shutdownPhase = iota // no shutdown was requested
+	phaseAccepting                      // SIGTERM was received; connections are still accepted
+	phaseClosing                        // no connection is accepted, and those that become idle are ended
+	phaseAnswered                       // everything open was answered, and what still comes is rejected
+)
+
+// shutdownState is the state of a planned shutdown.
 type shutdownState struct {
-	started        bool // SIGTERM was received
-	closing        bool // no further connections are accepted, and idle ones are ended
-	allAnswered    bool // everything open was answered, and so is what still comes
-	listenerClosed bool // the backlog is empty: no connection can come any more
+	phase          shutdownPhase
+	listenerClosed bool // the backlog is empty too: no connection can come any more
 }
 
+func (s *shutdownState) hasStarted() bool     { return s.phase >= phaseAccepting }
+func (s *shutdownState) isClosing() bool      { return s.phase >= phaseClosing }
+func (s *shutdownState) hasAnsweredAll() bool { return s.phase >= phaseAnswered }
+
 // shutdownRequested begins a planned shutdown.
 type shutdownRequested struct{}
 
 func (shutdownRequested) handle(l *Loop) {
-	if l.shutdown.started {
+	if l.shutdown.hasStarted() {
 		return
 	}
-	l.shutdown.started = true
+	l.shutdown.phase = phaseAccepting
 	l.log.Info("stopping", "open", l.openRequests)
 	l.ops.ready.Store(false)
 	if !l.accepting && l.pendingTakeover != nil {
@@ -93,7 +104,7 @@
 
 // stopAccepting closes the sockets for clients and successors, and ends the connections that are idle.
 func (l *Loop) stopAccepting() {
-	l.shutdown.closing = true
+	l.shutdown.phase = phaseClosing
 	handedOver := l.handover.hasGivenOwnership()
 	l.handoverListener.Close(!handedOver)
 	if handedOver {
@@ -112,7 +123,7 @@
 
 // answerAll answers everything that is open: with SIGKILL it would be lost.
 func (l *Loop) answerAll() {
-	l.shutdown.allAnswered = true
+	l.shutdown.phase = phaseAnswered
 	l.failOpenRequests()
 	if l.handover.hasGivenOwnership() {
 		return
@@ -138,11 +149,7 @@
 	if len(l.clients.conns) > 0 {
 		return
 	}
-	if s.listenerClosed || s.started && l.handover.hasGivenOwnership() && l.openRequests == 0 {
+	if s.listenerClosed || s.hasStarted() && l.handover.hasGivenOwnership() && l.openRequests == 0 {
 		l.done = true
 	}
 }
-
-// readinessWait is how long, in microseconds, a start waits for discovery before it serves with the endpoint
-// list of its configuration.
-const readinessWait policy.Time = 500_000
