--- /dev/null
+++ b/internal/gateway/actions.go
@@ -0,0 +1,78 @@
+package gateway
+
+import (
+	"fmt"
+
+	"sparspread/internal/handover"
+	"sparspread/policy"
+)
+
+// Loop implements policy.Actions. The policy calls them while it decides, so they must not call the policy:
+// what follows from an action is enqueued.
+var _ policy.Actions = (*Loop)(nil)
+
+// Send starts the next attempt of a request, which ends at until or, if that is 0 or later, by the request's
+// deadline.
+func (l *Loop) Send(id uint64, backend uint32, until policy.Time) {
+	r := l.requests[id]
+	if r == nil {
+		panic(fmt.Sprintf("send for request %d, which is not open", id))
+	}
+	if until == 0 || until > r.deadline {
+		until = r.deadline
+	}
+	l.replicate(msgSent, func() ([]byte, error) {
+		return handover.EncodeAttemptSent(handover.AttemptSent{RequestID: id, Backend: backend})
+	})
+	a := &attempt{request: r, number: r.attempts, sentAt: l.now(), expiresAt: until}
+	r.attempts++
+	r.attemptsInFlight++
+	l.backends.startAttempt(l, a, backend)
+}
+
+// Reject gives a request the final reply that nothing ran; after (0: none) advises when to retry.
+func (l *Loop) Reject(id uint64, after policy.Time) {
+	if r := l.requests[id]; r != nil {
+		l.answer(r, busyReply(after))
+	}
+}
+
+// Fail gives a request the final reply that it may or may not have run.
+func (l *Loop) Fail(id uint64) {
+	if r := l.requests[id]; r != nil {
+		l.answer(r, failedReply)
+	}
+}
+
+// SetTimer has the policy called with the token at a time.
+func (l *Loop) SetTimer(at policy.Time, token uint32) { l.schedule(at, policyTimer(token)) }
+
+// policyTimer is a timer that the policy has set: its token.
+type policyTimer uint32
+
+func (t policyTimer) fire(l *Loop) { l.controller.TimerFired(l.now(), uint32(t)) }
+
+// HealthCheck starts a health check of a backend.
+func (l *Loop) HealthCheck(backend uint32) {
+	now := l.now()
+	a := &attempt{sentAt: now, expiresAt: now + l.config.Host.DialTimeout}
+	l.backends.startAttempt(l, a, backend)
+}
+
+// SendGossip sends a gossip message to a peer, but during a handover to another process.
+func (l *Loop) SendGossip(peer int, note []byte) {
+	if l.handover == nil {
+		l.gossip.send(peer, note)
+	}
+}
+
+// IncrementCounter adds to a counter that all gateways share.
+func (l *Loop) IncrementCounter(name uint64, add float64, life policy.Time) {
+	l.counter.count(l, name, add, life)
+}
+
+// WatchEndpoints has discovery report the endpoint list and its changes from now on.
+func (l *Loop) WatchEndpoints() { l.discovery.follow() }
+
+// Log writes a line to the log.
+func (l *Loop) Log(line string) { l.log.Info(line) }
--- /dev/null
+++ b/internal/gateway/backend_pool.go
@@ -0,0 +1,195 @@
+package gateway
+
+import (
+	"slices"
+
+	"sparspread/policy"
+)
+
+const (
+	// quiescencePeriod is for how long a connection is not reused after a reply. A duplicate of the reply
+	// may follow some milliseconds later (0.9 to 3.9 were seen), and would pass for the reply to the next
+	// request.
+	quiescencePeriod = 10 * millisecond
+
+	// idleCloseDivisor is by how much sooner idle connections are closed than their backends close them: a
+	// request that crosses the backend's close would end as a reset.
+	idleCloseDivisor = 2
+)
+
+// isQuiescing reports whether more may still arrive behind the last reply.
+func (c *backendConn) isQuiescing(now policy.Time) bool {
+	return c.hasCarriedReply() && now-c.idleSince < quiescencePeriod
+}
+
+// hasCarriedReply reports whether a reply was handled on the connection.
+func (c *backendConn) hasCarriedReply() bool { return c.bytesUsed > 0 }
+
+// clean reports whether nothing has arrived that no request asked for, such as a duplicate of the last reply
+// or noise. It would be taken for the reply to the next request.
+func (c *backendConn) clean() bool {
+	return c.bytesRead.Load() == c.bytesUsed && c.writer.NoInput()
+}
+
+// assign writes an attempt to an idle connection; without one it waits for a dial.
+func (bs *backends) assign(l *Loop, b *backend, a *attempt) {
+	for c := bs.takeIdle(l, b); c != nil; c = bs.takeIdle(l, b) {
+		if bs.write(l, c, a) {
+			return
+		}
+	}
+	b.waiting = append(b.waiting, a)
+	if a.request != nil {
+		a.request.waitingAttempt = a
+	}
+	bs.awaitQuiescence(l, b)
+	bs.dialForWaiting(l, b)
+}
+
+// takeIdle removes and returns the most recently used idle connection that is not quiescing; nil: there is
+// none. Connections that have been idle for longer than the idle timeout estimate are closed.
+func (bs *backends) takeIdle(l *Loop, b *backend) *backendConn {
+	now := l.now()
+	oldest := now - bs.idleTimeout.current(now)
+	for i := len(b.idle) - 1; i >= 0; i-- {
+		switch c := b.idle[i]; {
+		case c.isQuiescing(now):
+		case c.idleSince < oldest:
+			bs.close(c)
+		default:
+			b.idle = slices.Delete(b.idle, i, i+1)
+			return c
+		}
+	}
+	return nil
+}
+
+// awaitQuiescence has the waiting attempts look for an idle connection again as soon as one has ended its
+// quiescence period: a dial may take longer.
+func (bs *backends) awaitQuiescence(l *Loop, b *backend) {
+	if len(b.waiting) == 0 || b.quiesceTimerSet {
+		return
+	}
+	for _, c := range b.idle {
+		if c.isQuiescing(l.now()) {
+			b.quiesceTimerSet = true
+			l.schedule(c.idleSince+quiescencePeriod, connectionQuiesced{b})
+			return
+		}
+	}
+}
+
+// connectionQuiesced fires when a connection has ended its quiescence period for which attempts may wait.
+type connectionQuiesced struct{ backend *backend }
+
+func (e connectionQuiesced) fire(l *Loop) {
+	bs, b := l.backends, e.backend
+	b.quiesceTimerSet = false
+	for len(b.waiting) > 0 {
+		c := bs.takeIdle(l, b)
+		if c == nil {
+			break
+		}
+		bs.assignToWaiting(l, c)
+	}
+	bs.awaitQuiescence(l, b)
+}
+
+// release makes a connection available: to the attempt that has waited longest if it is new, and after its
+// quiescence period if it has carried a reply.
+func (bs *backends) release(l *Loop, c *backendConn) {
+	b := c.backend
+	if b.state != policy.EndpointReady && len(b.waiting) == 0 || !c.writer.Idle() {
+		// It is not to be used again; or the reply came before the whole request was written, and the next
+		// request would be written into the rest of it.
+		bs.close(c)
+		bs.dialForWaiting(l, b)
+		return
+	}
+	if !c.hasCarriedReply() {
+		bs.assignToWaiting(l, c)
+		return
+	}
+	bs.addIdle(l, c)
+	bs.awaitQuiescence(l, b)
+}
+
+// assignToWaiting writes the attempt that has waited longest to a connection, or keeps the connection idle.
+func (bs *backends) assignToWaiting(l *Loop, c *backendConn) {
+	b := c.backend
+	for len(b.waiting) > 0 {
+		a := b.waiting[0]
+		b.waiting = b.waiting[1:]
+		if !l.mayStillSend(a) {
+			l.endAttempt(a, policy.ResultNotSent)
+			continue
+		}
+		if bs.write(l, c, a) {
+			return
+		}
+		if c.closed {
+			b.waiting = slices.Insert(b.waiting, 0, a)
+			bs.dialForWaiting(l, b)
+			return
+		}
+	}
+	bs.addIdle(l, c)
+}
+
+// mayStillSend reports whether an attempt that has waited for a connection is still wanted.
+func (l *Loop) mayStillSend(a *attempt) bool {
+	r := a.request
+	return r == nil || !r.client.disconnected.Load() && l.controller.MaySend(l.now(), r.id, a.number)
+}
+
+// addIdle keeps a connection for a later attempt.
+func (bs *backends) addIdle(l *Loop, c *backendConn) {
+	c.idleSince = l.now()
+	c.backend.idle = append(c.backend.idle, c)
+}
+
+// evict closes the connection that has been idle longest and reports whether there was one.
+func (bs *backends) evict() bool {
+	var oldest *backendConn
+	for _, b := range bs.byNumber {
+		if len(b.idle) > 0 && (oldest == nil || b.idle[0].idleSince < oldest.idleSince) {
+			oldest = b.idle[0]
+		}
+	}
+	if oldest == nil {
+		return false
+	}
+	bs.close(oldest)
+	return true
+}
+
+// sweep closes connections that have been idle for too long.
+func (bs *backends) sweep(l *Loop) {
+	oldest := l.now() - l.config.Host.IdleClose/idleCloseDivisor
+	for _, b := range bs.byNumber {
+		for len(b.idle) > 0 && b.idle[0].idleSince <= oldest {
+			bs.close(b.idle[0])
+		}
+	}
+}
+
+// closeIdle closes a backend's idle connections.
+func (bs *backends) closeIdle(b *backend) {
+	for len(b.idle) > 0 {
+		bs.close(b.idle[0])
+	}
+}
+
+// close closes a connection that carries no attempt any more, which ends its reader.
+func (bs *backends) close(c *backendConn) {
+	if c.closed {
+		return
+	}
+	c.closed = true
+	close(c.done)
+	bs.open--
+	_ = c.conn.Close() // nothing is left to do about a failed close
+	if i := slices.Index(c.backend.idle, c); i >= 0 {
+		c.backend.idle = slices.Delete(c.backend.idle, i, i+1)
+	}
+}
--- /dev/null
+++ b/internal/gateway/backend_read.go
@@ -0,0 +1,134 @@
+package gateway
+
+import (
+	"errors"
+	"os"
+	"time"
+
+	"sparspread/internal/resp"
+	"sparspread/policy"
+)
+
+// replyTimeout is how soon more must arrive of a reply that has begun: its length may be corrupt and promise
+// more than ever arrives.
+const replyTimeout = time.Second
+
+// Read implements io.Reader for the reader goroutine, with a deadline amid a reply. It counts what arrives.
+func (c *backendConn) Read(b []byte) (int, error) {
+	if c.readTimeout > 0 {
+		c.setReadDeadline(time.Now().Add(c.readTimeout))
+	}
+	n, err := c.conn.Read(b)
+	c.bytesRead.Add(int64(n))
+	return n, err
+}
+
+// setReadDeadline sets by when input has to arrive; zero: no deadline.
+func (c *backendConn) setReadDeadline(deadline time.Time) {
+	_ = c.conn.SetReadDeadline(deadline) // fails only for a closed connection, and then so does the next read
+}
+
+// readReplies posts a backend's replies until the connection ends or the framing is lost. It runs in the
+// connection's reader goroutine, which closing the connection ends.
+func (c *backendConn) readReplies(l *Loop) {
+	in := resp.NewReader(c)
+	for {
+		e := replyReceived{conn: c}
+		if e.err = in.Await(); e.err == nil {
+			c.readTimeout = replyTimeout
+			e.reply, e.err = in.ReadReply()
+			if e.err == nil && e.reply.Large > 0 && !c.streamValue(l, in, &e) {
+				return
+			}
+			c.readTimeout = 0
+			c.setReadDeadline(time.Time{})
+			e.malformed = errors.Is(e.err, resp.ErrProtocol) || errors.Is(e.err, os.ErrDeadlineExceeded)
+		}
+		buffered := in.Buffered()
+		e.bytesUsed, e.more = c.bytesRead.Load()-int64(buffered), buffered > 0
+		l.post(e)
+		if e.err != nil || e.more {
+			return
+		}
+	}
+}
+
+// replyReceived is a reply on a backend's connection, or the connection's end.
+type replyReceived struct {
+	conn      *backendConn
+	reply     resp.Reply
+	err       error
+	malformed bool  // a reply has arrived that can't be parsed
+	bytesUsed int64 // bytes read from the connection up to the end of the reply
+	more      bool  // bytes have arrived behind the reply
+	streamed  bool  // its value went to the client as it was read
+}
+
+func (e replyReceived) handle(l *Loop) {
+	c := e.conn
+	switch {
+	case c.closed:
+	case e.streamed:
+		e.finishStream(l)
+	case c.attempt == nil || e.err != nil && !e.malformed:
+		e.handleEnd(l)
+	default:
+		e.handleReply(l)
+	}
+}
+
+// handleEnd handles the end of a connection, or input that no attempt waits for.
+func (e replyReceived) handleEnd(l *Loop) {
+	c, a := e.conn, e.conn.attempt
+	reused := c.hasCarriedReply()
+	c.bytesUsed = e.bytesUsed
+	c.attempt = nil
+	l.backends.close(c)
+	if a == nil {
+		return
+	}
+	if reused {
+		l.backends.reusedConnectionBroke(l, c, a)
+	}
+	// The request was written, or may have been: it may have run.
+	l.endAttempt(a, policy.ResultReset)
+}
+
+// reusedConnectionBroke takes note that a reused connection ended under an attempt. Those that have been idle
+// for longer are most likely broken too, though nothing shows it, and are closed.
+func (bs *backends) reusedConnectionBroke(l *Loop, c *backendConn, a *attempt) {
+	b, idle := c.backend, a.sentAt-c.idleSince
+	for len(b.idle) > 0 && b.idle[0].idleSince <= c.idleSince && bs.idleTimeout.explains(l.now(), idle) {
+		bs.close(b.idle[0])
+	}
+	if l.now()-a.sentAt < staleReuseWindow {
+		bs.idleTimeout.recordBroken(l.now(), idle)
+	}
+}
+
+// handleReply ends the attempt of a connection with a reply, which may be malformed.
+func (e replyReceived) handleReply(l *Loop) {
+	c, a := e.conn, e.conn.attempt
+	reused := c.hasCarriedReply()
+	c.bytesUsed = e.bytesUsed
+	bodyPending := a.bodyPending() // the rest of the body is not written, or is being written now
+	reply := classifyReply(e.reply, a.request == nil)
+	if e.malformed && reply.value == nil {
+		reply.result = policy.ResultFailed
+	}
+	c.attempt = nil
+	if reused {
+		l.backends.idleTimeout.recordSound(l.now(), a.sentAt-c.idleSince)
+	}
+	if !reply.wellFormed || e.malformed || e.more || bodyPending {
+		// What comes next on this connection may belong to no request. The others to the backend go on.
+		l.backends.close(c)
+		l.backends.dialForWaiting(l, c.backend)
+	}
+	l.endAttemptWithAnswer(a, reply.result, backendAnswer{
+		value: reply.value, cost: l.actualCost(reply.usage), loadReport: l.loadReport(reply.load),
+	})
+	if !c.closed {
+		l.backends.release(l, c)
+	}
+}
--- /dev/null
+++ b/internal/gateway/backend_write.go
@@ -0,0 +1,56 @@
+package gateway
+
+import "sparspread/policy"
+
+// loadReportPull is the setting by which health checks ask for a load report.
+const loadReportPull = "pull"
+
+// The commands of a health check.
+var (
+	pingCommand     = []byte("*1\r\n$4\r\nPING\r\n")
+	infoLoadCommand = []byte("*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n")
+)
+
+// write writes an attempt to an idle connection. It reports whether the attempt is on its way or ended; if
+// not, the connection proved broken, nothing was sent, and the attempt may go on another one.
+func (bs *backends) write(l *Loop, c *backendConn, a *attempt) bool {
+	if c.backend.state != policy.EndpointReady {
+		// The backend began to drain while the attempt waited for its connection.
+		l.endAttempt(a, policy.ResultNotSent)
+		bs.close(c)
+		return true
+	}
+	if !c.clean() {
+		bs.close(c)
+		return false
+	}
+	command := l.attemptCommand(a)
+	n, err := c.writer.TryWrite(command)
+	if err != nil {
+		bs.close(c)
+		return false
+	}
+	if n < len(command) {
+		c.writer.Send(command[n:], len(command))
+	} else if a.request != nil && a.request.body == nil {
+		a.markFullyWritten()
+	}
+	c.attempt, a.conn = a, c
+	if a.request != nil {
+		a.request.waitingAttempt = nil
+		a.request.body.assign(c)
+	}
+	return true
+}
+
+// attemptCommand is what an attempt writes, but for a large body.
+func (l *Loop) attemptCommand(a *attempt) []byte {
+	switch {
+	case a.request != nil:
+		return a.request.forwardedCommand(a.expiresAt - l.now())
+	case l.config.Host.ReportVia == loadReportPull:
+		return infoLoadCommand
+	default:
+		return pingCommand
+	}
+}
--- a/internal/gateway/clients_test.go
+++ b/internal/gateway/clients_test.go
@@ -149,7 +149,7 @@
 	left := make(chan string, 1)
 	r.loop.post(inspect(func(l *Loop) {
 		timers := 0
-		for _, timer := range l.timers {
+		for _, timer := range l.timers.heap {
 			switch timer.callback.(type) {
 			case deadlineGuard, attemptTimeout:
 				timers++
--- a/internal/gateway/command.go
+++ b/internal/gateway/command.go
@@ -12,83 +12,123 @@
 	"sparspread/policy"
 )
 
-// command is a client's request as it was read.
-type command struct {
-	args        [][]byte
-	clientID    uint64 // the id that the client gave
-	timeoutSpan span   // of the value of d in args[3]
-	request     policy.Request
-}
+// The arguments of API.READ and API.WRITE by position. The body may be missing.
+const (
+	commandArg = iota
+	customerArg
+	clientIDArg
+	fieldsArg
+	bodyArg
+	maxArgs
 
-// span is a range of bytes, its end excluded.
-type span struct{ start, end int }
+	minArgs = bodyArg
+)
 
+// The fields in the list of names and values. Those before requiredFieldCount are in every request.
 const (
-	defaultMaxCost = 1e6              // where the settings tell none
-	maxTimeoutMS   = 24 * 3600 * 1000 // ms
+	classField = iota
+	planField
+	timeoutField
+	costField
+	replicasField
+	firstReplicaField
+	keyField
+	retryFlagField
+
+	requiredFieldCount = keyField
+)
+
+// fieldNames are the fields' names in the protocol.
+var fieldNames = [...]string{"c", "t", "d", "units", "spread", "first", "k", "r"}
+
+const (
+	defaultMaxCost = 1e6              // where the settings give none
+	maxTimeoutMS   = 24 * 3600 * 1000 // milliseconds
 	customerLimit  = 1 << 33
-	timeoutSlack   = 1_000_000 // that d may be over the class's limit
+	timeoutSlack   = second // by which a timeout may exceed the limit of its class
+	idDigits       = 16     // hexadecimal digits of a customer and of an id
+
+	// forwardedOverhead is what a forwarded command takes at most beside the bytes of its arguments.
+	forwardedOverhead = 72
+	// timeoutDigits is what a new timeout may take beside the old one.
+	timeoutDigits = 8
 )
 
-var errUnknownClass = errors.New("unknown class")
+// Errors whose text is sent to the client.
+var (
+	errUnknownClass  = errors.New("unknown class")
+	errArgumentCount = errors.New("wrong number of arguments")
+	errBadCustomer   = errors.New("customer: 16 hex digits below 2^33 wanted")
+	errBadClientID   = errors.New("id: 16 hex digits wanted")
+	errTimeoutLimit  = errors.New("field d: longer than the class allows")
+	errMissingKey    = errors.New("field k: missing")
+	errFieldForm     = errors.New("fields: name=value wanted, each once")
+)
+
+// span is a range of bytes, its end excluded.
+type span struct{ start, end int }
 
-// parseCommand reads API.READ or API.WRITE. Every field must be known and right: what
-// is not understood reaches no backend.
+// command is a parsed API.READ or API.WRITE.
+type command struct {
+	args        [][]byte
+	clientID    uint64 // the id that the client gave
+	timeoutSpan span   // of the value of d in args[fieldsArg]
+	request     policy.Request
+}
+
+// parseCommand parses API.READ or API.WRITE. Every field must be known and valid: what is not understood
+// reaches no backend.
 func parseCommand(cfg *config.Config, args [][]byte) (command, error) {
-	if len(args) < 4 || len(args) > 5 {
-		return command{}, errors.New("wrong number of arguments")
+	if len(args) < minArgs || len(args) > maxArgs {
+		return command{}, errArgumentCount
 	}
 	c := command{args: args}
-	customer, ok := parseHex64(args[1])
+	customer, ok := parseHex64(args[customerArg])
 	if !ok || customer >= customerLimit {
-		return c, errors.New("customer: 16 hex digits below 2^33 wanted")
+		return c, errBadCustomer
 	}
-	if c.clientID, ok = parseHex64(args[2]); !ok {
-		return c, errors.New("id: 16 hex digits wanted")
+	if c.clientID, ok = parseHex64(args[clientIDArg]); !ok {
+		return c, errBadClientID
 	}
 	c.request.Customer = customer
-	seen, err := parseFields(cfg, &c)
+	present, err := c.parseFields(cfg)
 	if err != nil {
 		return c, err
 	}
-	for i, name := range fieldNames {
-		if i < requiredFieldCount && seen&(1<<i) == 0 {
-			return c, fmt.Errorf("field %s: missing", name)
+	return c, c.validate(cfg, present)
+}
+
+// validate checks the fields against each other and the class.
+func (c *command) validate(cfg *config.Config, present fieldSet) error {
+	for field, name := range fieldNames[:requiredFieldCount] {
+		if !present.has(field) {
+			return fmt.Errorf("field %s: missing", name)
 		}
 	}
-	if limit := cfg.Host.Limits[c.request.Class]; limit > 0 && c.request.Timeout > limit+timeoutSlack {
-		// Longer than any client waits: it would keep its timers and its request.
-		return c, errors.New("field d: longer than the class allows")
+	class := c.request.Class
+	if limit := cfg.Host.Limits[class]; limit > 0 && c.request.Timeout > limit+timeoutSlack {
+		// Longer than any client waits: it would keep its timers and its memory.
+		return errTimeoutLimit
 	}
-	effect := cfg.Settings.Classes[c.request.Class].Idempotency
-	if effect == policy.IdempotentWithKey && seen&(1<<keyField) == 0 {
-		return c, errors.New("field k: missing")
+	idempotency := cfg.Settings.Classes[class].Idempotency
+	if idempotency == policy.IdempotentWithKey && !present.has(keyField) {
+		return errMissingKey
 	}
-	if reads := bytes.EqualFold(args[0], apiRead); reads != (effect == policy.Idempotent) {
-		return c, fmt.Errorf("class %s does not go by this command", cfg.Host.Classes[c.request.Class])
+	isRead := bytes.EqualFold(c.args[commandArg], apiRead)
+	if isRead != (idempotency == policy.Idempotent) {
+		return fmt.Errorf("class %s does not go by this command", cfg.Host.Classes[class])
 	}
-	return c, nil
+	return nil
 }
 
-// The fields by name, those that every request needs first.
-const (
-	classField = iota
-	planField
-	timeoutField
-	costField
-	replicasField
-	firstReplicaField
-	keyField
-	retryFlagField
-	requiredFieldCount = keyField
-)
+// fieldSet is a set of fields: a bit for each.
+type fieldSet uint
 
-var fieldNames = [...]string{"c", "t", "d", "units", "spread", "first", "k", "r"}
+func (s fieldSet) has(field int) bool { return s&(1<<field) != 0 }
 
-// parseFields reads the list of names and values, and tells which it holds: a bit for
-// each.
-func parseFields(cfg *config.Config, c *command) (seen uint, err error) {
-	list := c.args[3]
+// parseFields parses the list of names and values and returns the fields in it.
+func (c *command) parseFields(cfg *config.Config) (present fieldSet, err error) {
+	list := c.args[fieldsArg]
 	for start := 0; start <= len(list); {
 		end := len(list)
 		if i := bytes.IndexByte(list[start:], ','); i >= 0 {
@@ -98,23 +138,24 @@
 		field := slices.Index(fieldNames[:], string(name))
 		switch {
 		case field < 0:
-			return seen, fmt.Errorf("field %.32q: unknown", name)
-		case !ok || seen&(1<<field) != 0:
-			return seen, errors.New("fields: name=value wanted, each once")
+			return present, fmt.Errorf("field %.32q: unknown", name)
+		case !ok || present.has(field):
+			return present, errFieldForm
 		}
-		if err := parseField(cfg, c, field, string(value)); err != nil {
-			return seen, err
+		if err := c.parseField(cfg, field, string(value)); err != nil {
+			return present, err
 		}
 		if field == timeoutField {
 			c.timeoutSpan = span{start: end - len(value), end: end}
 		}
-		seen |= 1 << field
+		present |= 1 << field
 		start = end + 1
 	}
-	return seen, nil
+	return present, nil
 }
 
-func parseField(cfg *config.Config, c *command, field int, value string) error {
+// parseField parses the value of one field.
+func (c *command) parseField(cfg *config.Config, field int, value string) error {
 	ok := false
 	switch field {
 	case classField:
@@ -127,16 +168,16 @@
 		ok = c.request.Plan >= 0
 	case timeoutField:
 		ms, err := strconv.ParseInt(value, 10, 64)
-		c.request.Timeout = ms * 1000
+		c.request.Timeout = ms * millisecond
 		ok = err == nil && ms > 0 && ms <= maxTimeoutMS
 	case keyField:
 		ok = value != ""
 	case retryFlagField:
 		ok = value == "0" || value == "1"
 	case costField:
-		units, err := strconv.ParseFloat(value, 64)
-		c.request.Cost = units
-		ok = err == nil && units > 0 && units <= maxCost(cfg) // which NaN is not
+		cost, err := strconv.ParseFloat(value, 64)
+		c.request.Cost = cost
+		ok = err == nil && cost > 0 && cost <= maxCost(cfg) // false for NaN
 	case replicasField:
 		n, err := strconv.Atoi(value)
 		c.request.Replicas = n
@@ -160,27 +201,29 @@
 	return defaultMaxCost
 }
 
-func parseHex64(b []byte) (uint64, bool) {
+// parseHex64 parses a number of idDigits hexadecimal digits.
+func parseHex64(b []byte) (n uint64, ok bool) {
 	n, err := strconv.ParseUint(string(b), 16, 64)
-	return n, err == nil && len(b) == 16
+	return n, err == nil && len(b) == idDigits
 }
 
-// forward is the request as a backend gets it: as it came, but for d.
-func (r *request) forward(wait policy.Time) []byte {
-	fields := r.args[3]
-	list := make([]byte, 0, len(fields)+8)
-	list = append(list, fields[:r.timeoutSpan.start]...)
-	list = strconv.AppendInt(list, max(1, wait/1000), 10)
-	list = append(list, fields[r.timeoutSpan.end:]...)
+// forwardedCommand is the request as a backend gets it: as received, but with the timeout that is left. Of a
+// large body it has only the head.
+func (r *request) forwardedCommand(timeout policy.Time) []byte {
+	fields := r.args[fieldsArg]
+	newFields := make([]byte, 0, len(fields)+timeoutDigits)
+	newFields = append(newFields, fields[:r.timeoutSpan.start]...)
+	newFields = strconv.AppendInt(newFields, max(1, timeout/millisecond), 10)
+	newFields = append(newFields, fields[r.timeoutSpan.end:]...)
 
-	n := len(r.args)
+	count := len(r.args)
 	if r.body != nil {
-		n++
+		count++
 	}
-	b := resp.AppendArray(make([]byte, 0, argsSize(r.args)+72), n)
+	b := resp.AppendArray(make([]byte, 0, argsSize(r.args)+forwardedOverhead), count)
 	for i, arg := range r.args {
-		if i == 3 {
-			arg = list
+		if i == fieldsArg {
+			arg = newFields
 		}
 		b = resp.AppendBulk(b, arg)
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"log/slog"
 	"net"
-	"time"
 
 	"sparspread/internal/config"
 	"sparspread/policy"
@@ -47,11 +46,10 @@
 	l := &Loop{
 		log: log, clock: newClock(),
 		events: make(chan event, eventQueueLength), urgentEvents: make(chan event, 16),
-		requests: map[uint64]*request{}, openByClientID: map[uint64]*request{}, timer: time.NewTimer(time.Hour),
+		requests: map[uint64]*request{}, openByClientID: map[uint64]*request{}, timers: newTimerQueue(),
 		counter: newCounter(&cfg), discovery: newDiscovery(&cfg), metrics: &metrics{},
 	}
 	l.applyConfig(&cfg)
-	l.timer.Stop()
 	limitMemory(&cfg, 1)
 	files := budgetDescriptors(usableSockets(&cfg, log), l.counter.on)
 	l.backends = newBackends(&cfg, files.perSide)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -680,7 +680,7 @@
 		r.attemptsInFlight = 2
 		attemptEnded{attempt: &attempt{request: r, backend: 5}, result: policy.ResultReset}.handle(l)
 		l.Fail(r.id)
-		l.nextTraceAt[1] += 3600e6 // however long the test takes
+		l.nextTraceAt[traceFailed] += 3600e6 // however long the test takes
 	}
 	if text := log.String(); strings.Count(text, "msg=trace") != 1 || !strings.Contains(text, "id=id-0") ||
 		!strings.Contains(text, "to 5 at") {
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -1,56 +1,39 @@
 package gateway
 
 import (
-	"container/heap"
-	"fmt"
 	"log/slog"
 	"sync/atomic"
-	"time"
 
 	"sparspread/internal/config"
-	"sparspread/internal/handover"
 	"sparspread/policy"
 )
 
-// deadlineMargin is how long before the client stops waiting a request is ended: the reply has to reach the
-// client, and this process may be descheduled. It is at most the timeout divided by maxMarginDivisor.
-const (
-	deadlineMargin   = 25 * millisecond
-	maxMarginDivisor = 4
-)
-
-// event is something that happened, posted by a socket's goroutine.
+// event is something that happened. The goroutine that saw it posts it to the loop.
 type event interface {
 	handle(l *Loop)
 }
 
-// due is something to be done at a time.
-type timerCallback interface {
-	fire(l *Loop)
-}
-
-// Loop owns the module and the table of open requests. Only its goroutine
-// touches either; all else reaches it as an event.
+// Loop is the gateway's event loop. One goroutine, in run, owns the policy's controller and all that the
+// fields refer to; the others post events. They may use only log, clock, the two channels, queuedBytes and
+// publishedConfig, and what a field's own type allows.
 type Loop struct {
-	config     *config.Config // in force; readers go by shown
+	config     *config.Config // in force; the other goroutines load publishedConfig
 	log        *slog.Logger
 	clock      clock
-	lastTime   policy.Time
+	lastTime   policy.Time // the last result of now
 	controller *policy.Controller
 
-	events        chan event
-	urgentEvents  chan event // discovery's news: ahead of all queued work
-	pending       []event    // what follows from the module's own actions
-	timers        timerHeap
-	timer         *time.Timer
-	timerArmedFor policy.Time
+	events       chan event
+	urgentEvents chan event // handled before all events: endpoint updates, shutdown, handover
+	pending      []event    // enqueued while an event or timer is handled, and handled right after it
+	timers       timerQueue
 
 	requests       map[uint64]*request
-	openByClientID map[uint64]*request // those without a final answer, by the id that the client gave
+	openByClientID map[uint64]*request // those without a final reply, by the id that the client gave
 	nextRequestID  uint64
-	openRequests   int          // requests without a final answer
-	retainedBytes  int          // bytes of requests and of answers that wait their turn
-	queuedBytes    atomic.Int64 // bytes of requests that were read and wait for the loop
+	openRequests   int          // requests without a final reply
+	retainedBytes  int          // bytes of requests and of replies that are not written yet
+	queuedBytes    atomic.Int64 // bytes of input that wait for the loop
 
 	clients            *clients
 	backends           *backends
@@ -67,19 +50,19 @@
 	classMetrics       []*classMetrics // in the order of the classes in force
 	publishedConfig    atomic.Pointer[config.Config]
 	shutdown           shutdownState
-	nextTraceAt        [3]policy.Time // when a refused request, a failed one and one not taken may be traced again
+	nextTraceAt        traceSchedule
 	accepting          bool
 	done               bool
 }
 
-// post hands an event to the loop.
+// post hands an event to the loop. It blocks while the queue is full.
 func (l *Loop) post(e event) { l.events <- e }
 
-// later has an event handled right after the one at hand. Actions use it: they
-// must not call the module while it is deciding.
+// enqueue has an event handled right after the one at hand. Actions use it, as they must not call the policy
+// while it decides.
 func (l *Loop) enqueue(e event) { l.pending = append(l.pending, e) }
 
-// now is the time, never going back.
+// now is the time. It never goes back.
 func (l *Loop) now() policy.Time {
 	l.lastTime = max(l.lastTime, l.clock.now())
 	return l.lastTime
@@ -89,8 +72,8 @@
 func (l *Loop) run() {
 	for !l.done {
 		l.runTimers()
-		// Discovery first: work queued before a drain was told must not be sent
-		// on after its grace.
+		// Urgent events first: requests queued before discovery reported a drain must not be sent to the
+		// backend after its grace period.
 		select {
 		case e := <-l.urgentEvents:
 			l.handle(e)
@@ -102,18 +85,19 @@
 			l.handle(e)
 		case e := <-l.events:
 			l.handle(e)
-		case <-l.timer.C:
-			l.timerArmedFor = 0
+		case <-l.timers.wakeup.C:
+			l.timers.armedFor = 0
 		}
 	}
 }
 
+// handle handles an event and what it enqueues.
 func (l *Loop) handle(e event) {
 	e.handle(l)
 	l.handlePending()
 }
 
-// follow handles what the actions left behind.
+// handlePending handles what was enqueued, and what that enqueues.
 func (l *Loop) handlePending() {
 	for i := 0; i < len(l.pending); i++ {
 		l.pending[i].handle(l)
@@ -121,132 +105,3 @@
 	clear(l.pending)
 	l.pending = l.pending[:0]
 }
-
-// at has something done at a time.
-func (l *Loop) schedule(when policy.Time, d timerCallback) *timer {
-	t := &timer{at: when, callback: d}
-	heap.Push(&l.timers, t)
-	return t
-}
-
-// cancel drops a timer that is not wanted any more: until due it would keep all
-// that it is about.
-func (l *Loop) cancelTimer(t *timer) {
-	if t != nil && t.index >= 0 {
-		heap.Remove(&l.timers, t.index)
-	}
-}
-
-// fire does all that is due and arms the timer for the next.
-func (l *Loop) runTimers() {
-	for len(l.timers) > 0 {
-		next, now := l.timers[0].at, l.now()
-		if next > now {
-			if l.timerArmedFor == 0 || next < l.timerArmedFor {
-				l.timer.Reset(time.Duration(next-now) * time.Microsecond)
-				l.timerArmedFor = next
-			}
-			return
-		}
-		t := heap.Pop(&l.timers).(*timer)
-		t.callback.fire(l)
-		l.handlePending()
-	}
-}
-
-type timer struct {
-	at       policy.Time
-	callback timerCallback
-	index    int // in the heap; -1: in it no more
-}
-
-type timerHeap []*timer
-
-func (h timerHeap) Len() int           { return len(h) }
-func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
-func (h timerHeap) Swap(i, j int) {
-	h[i], h[j] = h[j], h[i]
-	h[i].index, h[j].index = i, j
-}
-
-func (h *timerHeap) Push(x any) {
-	t := x.(*timer)
-	t.index = len(*h)
-	*h = append(*h, t)
-}
-
-func (h *timerHeap) Pop() any {
-	old := *h
-	t := old[len(old)-1]
-	old[len(old)-1] = nil
-	*h = old[:len(old)-1]
-	t.index = -1
-	return t
-}
-
-// alarm is a timer that the module has set.
-type policyTimer uint32
-
-func (t policyTimer) fire(l *Loop) { l.controller.TimerFired(l.now(), uint32(t)) }
-
-// The module's actions.
-
-// Send starts the next attempt of a request.
-func (l *Loop) Send(id uint64, backend uint32, until policy.Time) {
-	r := l.requests[id]
-	if r == nil {
-		panic(fmt.Sprintf("send for request %d, which is not open", id))
-	}
-	if until == 0 || until > r.deadline {
-		until = r.deadline
-	}
-	l.replicate(msgSent, func() ([]byte, error) {
-		return handover.EncodeAttemptSent(handover.AttemptSent{RequestID: id, Backend: backend})
-	})
-	a := &attempt{request: r, number: r.attempts, sentAt: l.now(), expiresAt: until}
-	r.attempts++
-	r.attemptsInFlight++
-	l.backends.startAttempt(l, a, backend)
-}
-
-// Refuse gives the final answer that trying again is harmless.
-func (l *Loop) Reject(id uint64, after policy.Time) {
-	if r := l.requests[id]; r != nil {
-		l.answer(r, busyReply(after))
-	}
-}
-
-// Fail gives the final answer that promises nothing.
-func (l *Loop) Fail(id uint64) {
-	if r := l.requests[id]; r != nil {
-		l.answer(r, failedReply)
-	}
-}
-
-// SetTimer has the module called at the time.
-func (l *Loop) SetTimer(at policy.Time, token uint32) { l.schedule(at, policyTimer(token)) }
-
-// Probe asks a backend whether it lives.
-func (l *Loop) HealthCheck(backend uint32) {
-	now := l.now()
-	a := &attempt{sentAt: now, expiresAt: now + l.config.Host.DialTimeout}
-	l.backends.startAttempt(l, a, backend)
-}
-
-// Tell sends a note to a peer; while another process takes over, none.
-func (l *Loop) SendGossip(peer int, note []byte) {
-	if l.handover == nil {
-		l.gossip.send(peer, note)
-	}
-}
-
-// Count adds to a number that all gateways share.
-func (l *Loop) IncrementCounter(name uint64, add float64, life policy.Time) {
-	l.counter.count(l, name, add, life)
-}
-
-// Follow asks discovery for the list and its changes from now on.
-func (l *Loop) WatchEndpoints() { l.discovery.follow() }
-
-// Log writes a line for the people on call.
-func (l *Loop) Log(line string) { l.log.Info(line) }
--- /dev/null
+++ b/internal/gateway/request_trace.go
@@ -0,0 +1,64 @@
+package gateway
+
+import (
+	"bytes"
+	"fmt"
+	"strings"
+
+	"sparspread/policy"
+)
+
+// traceInterval is the least time between two requests of one kind in the log.
+const traceInterval = 5 * second
+
+// traceKind is a kind of request that ended with an error.
+type traceKind int
+
+const (
+	traceRejected    traceKind = iota // the policy's BUSY
+	traceFailed                       // any other error of a request that the policy decided on
+	traceNotAdmitted                  // an error before the policy's decision
+	traceKindCount
+)
+
+// traceSchedule holds when the next request of each kind may be logged.
+type traceSchedule [traceKindCount]policy.Time
+
+func traceKindOf(r *request, reply []byte) traceKind {
+	switch {
+	case r.id == 0:
+		return traceNotAdmitted
+	case !isBusyReply(reply):
+		return traceFailed
+	}
+	return traceRejected
+}
+
+// traceError logs a request that ended with an error, at most one of each kind in a traceInterval: a line for
+// each would cost more than the request.
+func (l *Loop) traceError(r *request, reply []byte) {
+	now, kind := l.now(), traceKindOf(r, reply)
+	if now < l.nextTraceAt[kind] {
+		return
+	}
+	l.nextTraceAt[kind] = now + traceInterval
+	answer := string(bytes.TrimSpace(reply))
+	if kind == traceNotAdmitted {
+		l.log.Info("rejected", "answer", answer, "conns", len(l.clients.conns))
+		return
+	}
+	l.log.Info("trace", "id", string(r.args[clientIDArg]), "customer", string(r.args[customerArg]),
+		"fields", string(r.args[fieldsArg]), "attempts", r.attempts, "ends", r.describeOutcomes(),
+		"answer", answer, "after_us", now-r.receivedAt, "left_us", r.deadline-now, "open", l.openRequests)
+}
+
+// describeOutcomes lists the attempts of a request that have ended, for the log.
+func (r *request) describeOutcomes() string {
+	var list strings.Builder
+	for _, outcome := range r.outcomes {
+		a := outcome.attempt
+		fmt.Fprintf(&list, " #%d to %d at %d us: result %d after %d us;",
+			a.number, a.backend, a.sentAt-r.receivedAt, outcome.result, outcome.latency)
+	}
+	return list.String()
+}
