--- /dev/null
+++ b/internal/gateway/backend_dial_test.go
@@ -0,0 +1,108 @@
+package gateway
+
+import (
+	"net"
+	"syscall"
+	"testing"
+
+	"sparspread/policy"
+)
+
+// A client disconnects, or its request is answered, while an attempt waits for a dial: the attempt ends at
+// once as not sent, and nothing is written to the connection.
+func TestWaitingAttemptEndsWithItsRequest(t *testing.T) {
+	for name, end := range map[string]func(*testing.T, *Loop, *testClient){
+		"the client disconnects": func(t *testing.T, l *Loop, c *testClient) {
+			t.Helper()
+			_ = c.conn.Close()
+			handleNext(t, l, "the client's disconnect")
+		},
+		"it is answered": func(t *testing.T, l *Loop, _ *testClient) {
+			t.Helper()
+			l.failAll()
+			l.handlePending()
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			l, b := newLoopWithBackend(t)
+			dialing, unblock := blockDials(l)
+			c := connectWithRequest(t, l, "c=once")
+			wait(t, dialing, "the dial")
+			end(t, l, c)
+			if n := len(l.backends.byNumber[1].waiting); n != 0 || len(l.requests) != 0 {
+				t.Errorf("%d attempts wait, %d requests remain", n, len(l.requests))
+			}
+			close(unblock)
+			if e := handleNext(t, l, "the dial's end").(dialEnded); e.err != nil {
+				t.Fatal(e.err)
+			}
+			l.backends.closeIdle(l.backends.byNumber[1])
+			_ = wait(t, b.ended, "the connection's end")
+			if len(b.got) > 0 {
+				t.Error("forwarded")
+			}
+		})
+	}
+}
+
+// The deduplication window ends while a retry waits for a connection: it is not written any more.
+func TestRetryIsNotSentAfterTheDedupWindow(t *testing.T) {
+	l, b := newLoopWithBackend(t)
+	c := connectWithRequest(t, l, "c=order,k=5c0f6e1a2b3d4c59")
+	handleNext(t, l, "the dial's end")
+	call := b.next(t)
+	dialing, unblock := blockDials(l)
+	_ = call.conn.Close()
+	handleNext(t, l, "the reset")
+	wait(t, dialing, "the second dial")
+	l.clock.wall += 31_000_000 // the window is 30 s
+	close(unblock)
+	handleNext(t, l, "the second dial's end")
+	c.want("-BUSY 2000") // all backends drop its repeats: the client may come again
+	if len(b.got) > 0 {
+		t.Error("repeated behind its window")
+	}
+}
+
+// A backend restarts during a dial to it: the connection may lead to the process before, and another is
+// dialed.
+func TestDialOfARestartedBackendIsRepeated(t *testing.T) {
+	l, b := newLoopWithBackend(t)
+	dialing, unblock := blockDials(l)
+	a := newHealthCheck(l)
+	l.backends.startAttempt(l, a, 1)
+	wait(t, dialing, "the dial")
+	restarted := b.endpoint()
+	restarted.UpSinceMS = 1_000_000_000_000
+	l.updateEndpoint(policy.UpdateIncremental, restarted)
+	close(unblock)
+	handleNext(t, l, "the dial's end")
+	_ = wait(t, b.ended, "the end of the first connection")
+	handleNext(t, l, "the second dial's end")
+	if b.next(t); len(b.got) > 0 || a.conn == nil {
+		t.Errorf("%d further commands, connection %v", len(b.got), a.conn)
+	}
+}
+
+// A dial that is reset is repeated once before the attempt fails: nothing was sent, and something listens
+// there.
+func TestResetDialIsRepeatedOnce(t *testing.T) {
+	l, _ := newLoopWithBackend(t)
+	a := newHealthCheck(l)
+	l.backends.startAttempt(l, a, 1)
+	for i, want := range []bool{false, true} {
+		e := wait(t, l.events, "a dial").(dialEnded)
+		if e.err != nil {
+			t.Fatal(e.err)
+		}
+		_ = e.conn.Close()
+		e.conn, e.err = nil, &net.OpError{Op: "dial", Err: syscall.ECONNRESET}
+		e.handle(l)
+		if a.ended != want {
+			t.Fatalf("after %d resets the attempt has ended: %t", i+1, a.ended)
+		}
+	}
+	if got := l.pending[len(l.pending)-1].(attemptEnded).result; got != policy.ResultConnectFailed {
+		t.Errorf("result %d", got)
+	}
+}
--- /dev/null
+++ b/internal/gateway/backend_drain_test.go
@@ -0,0 +1,82 @@
+package gateway
+
+import (
+	"errors"
+	"io"
+	"slices"
+	"strings"
+	"testing"
+
+	"sparspread/policy"
+)
+
+// Nothing new is sent to a backend that drains. Ids are the identity: the same backend may get another
+// address.
+func TestDrainAndChangeOfAddressAreApplied(t *testing.T) {
+	r, old, d := oneBackend(t, nil)
+	c := r.client(t)
+	c.lookup(1, "60000")
+	old.next(t).serve(t, "ok")
+	c.value("ok")
+	other := newBackend(t)
+	d.tell(other.entry("s-00000001", "Ready"))
+	d.settled(t)
+	c.lookup(2, "60000")
+	other.next(t).serve(t, "moved")
+	c.value("moved")
+	d.tell(other.entry("s-00000001", "Terminating"))
+	d.settled(t)
+	c.lookup(3, "60000")
+	if got := c.line(); !strings.HasPrefix(got, "-BUSY") {
+		t.Errorf("answer %q", got)
+	}
+	if len(old.got)+len(other.got) > 0 {
+		t.Error("sent to a backend that drains")
+	}
+}
+
+// A drain that is reported during a dial holds for the waiting attempt too: nothing is written to the
+// connection.
+func TestDrainDuringDialSendsNothing(t *testing.T) {
+	l, b := newLoopWithBackend(t)
+	a := newHealthCheck(l)
+	l.backends.startAttempt(l, a, 1)
+	draining := b.endpoint()
+	draining.Phase = "Terminating"
+	l.updateEndpoint(policy.UpdateIncremental, draining)
+	up := wait(t, l.events, "the dial").(dialEnded)
+	if up.err != nil {
+		t.Fatal(up.err)
+	}
+	up.handle(l)
+	if len(l.pending) != 1 || l.pending[0].(attemptEnded).result != policy.ResultNotSent {
+		t.Errorf("outcomes %+v, want one that was not sent", l.pending)
+	}
+	if err := wait(t, b.ended, "the connection's end"); !errors.Is(err, io.EOF) || len(b.got) > 0 {
+		t.Errorf("the connection ended with %v after %d commands", err, len(b.got))
+	}
+}
+
+// A backend drains while several attempts wait for connections to it: all end at once, so that they can go
+// to others.
+func TestDrainEndsAllWaitingAttempts(t *testing.T) {
+	l, b := newLoopWithBackend(t)
+	_, unblock := blockDials(l)
+	defer close(unblock)
+	for i := range 3 {
+		a := newHealthCheck(l)
+		a.number = i
+		l.backends.startAttempt(l, a, 1)
+	}
+	draining := b.endpoint()
+	draining.Phase = "Terminating"
+	l.updateEndpoint(policy.UpdateIncremental, draining)
+	var got []policy.Result
+	for _, e := range l.pending {
+		got = append(got, e.(attemptEnded).result)
+	}
+	want := []policy.Result{policy.ResultNotSent, policy.ResultNotSent, policy.ResultNotSent}
+	if !slices.Equal(got, want) {
+		t.Errorf("outcomes %v, want %v", got, want)
+	}
+}
--- /dev/null
+++ b/internal/gateway/backend_reply_test.go
@@ -0,0 +1,107 @@
+package gateway
+
+import (
+	"errors"
+	"io"
+	"strings"
+	"testing"
+)
+
+// Bytes behind a reply would be taken for the reply to the next request: the connection is not reused.
+func TestDuplicateReplyAnswersNoOtherRequest(t *testing.T) {
+	const good = "+PONG\r\n"
+	for name, answers := range map[string][]string{
+		"at once": {good + good},
+		"behind":  {good, good}, // read when the first is long taken in
+	} {
+		t.Run(name, func(t *testing.T) {
+			l, b := newLoopWithBackend(t)
+			first := newHealthCheck(l)
+			l.backends.startAttempt(l, first, 1)
+			wait(t, l.events, "the dial").handle(l)
+			used := first.conn
+			call := b.next(t) // a probe: its answer is read like any other
+			call.answer(t, answers[0])
+			wait(t, l.events, "the answer").handle(l)
+			var late event
+			if len(answers) > 1 {
+				call.answer(t, answers[1])
+				late = wait(t, l.events, "what follows") // read, and not taken in yet
+			}
+			second := newHealthCheck(l)
+			l.backends.startAttempt(l, second, 1)
+			if late != nil {
+				late.handle(l)
+			}
+			for again := false; !again; {
+				e := wait(t, l.events, "another dial")
+				_, again = e.(dialEnded)
+				e.handle(l)
+			}
+			if !first.ended || second.ended || second.conn == nil || second.conn == used {
+				t.Errorf("first attempt %+v, second %+v", first, second)
+			}
+		})
+	}
+}
+
+// A malformed reply fails one attempt and closes one connection. The others to the backend stay in use.
+func TestMalformedReplyClosesOneConnection(t *testing.T) {
+	for _, answer := range []string{
+		"?\r\n", ":5\r\n", "+OK\r\n", "$2\r\nno\r\n", "*3\r\n*3\r\n*3\r\n", "*3\r\n$-7\r\n$-1\r\n$-1\r\n",
+		"*1000000000\r\n", "*3\r\n$4\r\nabcdefgh\r\n$-1\r\n$-1\r\n", "*3\r\n$3221225472\r\nxxxx",
+		strings.Repeat("x", 4096), "*3\r\n$100\r\nends here",
+	} {
+		t.Run(answer[:min(len(answer), 12)], func(t *testing.T) {
+			r, b, _ := oneBackend(t, nil)
+			c, other := r.client(t), r.client(t)
+			c.lookup(1, "60000")
+			malformed := b.next(t)
+			other.lookup(2, "60000")
+			fine := b.next(t)
+			fine.serve(t, "fine")
+			other.value("fine")
+			r.awaitQuiescence(t)
+			malformed.answer(t, answer)
+			again := b.next(t)
+			again.serve(t, "again")
+			c.value("again")
+			if again.conn != fine.conn {
+				t.Error("the idle connection was not used")
+			}
+			err := wait(t, b.ended, "the end of the connection")
+			if errors.Is(err, io.ErrUnexpectedEOF) {
+				t.Error(err)
+			}
+		})
+	}
+}
+
+// A load report or usage that can't be parsed leaves the value valid.
+func TestMalformedReportLeavesTheValue(t *testing.T) {
+	r, b, _ := oneBackend(t, nil)
+	c := r.client(t)
+	for id, tail := range []string{"$-1\r\n$3\r\n=,=\r\n", ":12\r\n$-1\r\n", "$x\r\n$-1\r\n", "*9\r\n", "?"} {
+		c.lookup(id, "60000")
+		b.next(t).answer(t, "*3\r\n$4\r\ngood\r\n"+tail+"\r\n")
+		c.value("good")
+	}
+}
+
+// A load report that is incomplete or holds impossible values is ignored.
+func TestLoadReport(t *testing.T) {
+	cfg := configure(t, newFakeDiscovery(t), withSettings(t,
+		`"names":[],"via":"silent"`, `"names":["busy_reqs","pending"],"via":"piggyback"`))
+	l := &Loop{config: &cfg}
+	if got := l.loadReport("pending=2,busy_reqs=7,other=1"); len(got) != 2 || got[0] != 7 || got[1] != 2 {
+		t.Errorf("a good report: %v", got)
+	}
+	for _, text := range []string{
+		"", "=,=", "busy_reqs=7", "busy_reqs=7,pending=", "busy_reqs=NaN,pending=1", "busy_reqs=-1,pending=1",
+		"busy_reqs=1,pending=+Inf", "busy_reqs=1,pending=1e99",
+	} {
+		if got := l.loadReport(text); got != nil {
+			t.Errorf("%q: %v", text, got)
+		}
+	}
+}
--- /dev/null
+++ b/internal/gateway/client_eviction_test.go
@@ -0,0 +1,184 @@
+package gateway
+
+import (
+	"net"
+	"strings"
+	"testing"
+
+	"sparspread/internal/sockwriter"
+	"sparspread/policy"
+)
+
+// addClient adds a connection to a loop that the test runs itself.
+func addClient(t *testing.T, l *Loop, commands int, lastCommandAt policy.Time) *client {
+	t.Helper()
+	conn, err := net.DialTCP("tcp", nil, l.clients.listener.Addr().(*net.TCPAddr))
+	if err != nil {
+		t.Fatal(err)
+	}
+	c := &client{
+		conn: conn, writer: sockwriter.New(conn), done: make(chan struct{}),
+		commands: commands, lastCommandAt: lastCommandAt,
+	}
+	l.clients.conns[c] = true
+	l.clients.slots <- struct{}{}
+	return c
+}
+
+// Connections without a command are evicted first, then those with one.
+func TestEvictionOrder(t *testing.T) {
+	d := newFakeDiscovery(t)
+	l := unstarted(t, d)
+	now := l.now()
+	add := func(commands int, idle policy.Time) *client {
+		t.Helper()
+		return addClient(t, l, commands, now-idle)
+	}
+	recent, idlest := add(9, 1e6), add(9, 60e6)
+	once, onceOld := add(1, 0), add(1, 1e6)
+	busy, newcomer := add(1, 90e6), add(0, -60e6)
+	busy.pipeline = []*request{{answered: true}}
+	old, older := add(0, 10e6), add(0, 20e6)
+	for i, step := range []struct{ requester, want *client }{
+		{nil, older},
+		{nil, old},
+		{nil, onceOld},
+		{nil, idlest},
+		{newcomer, once},
+		{newcomer, recent},
+		{newcomer, nil},
+	} {
+		evicted := l.clients.evict(l, step.requester)
+		if evicted != (step.want != nil) || step.want != nil && !step.want.closed {
+			t.Fatalf("step %d: evicted %t", i, evicted)
+		}
+	}
+	if busy.closed || newcomer.closed || len(l.clients.slots) != 2 {
+		t.Error("one with an open request, or a new one, was evicted")
+	}
+}
+
+// Clients that keep their connection after a request keep no other client out.
+func TestIdleConnectionsAreEvictedForNewOnes(t *testing.T) {
+	r, b := fourBackends(t, 40) // 6 clients, and 4 that may be rejected
+	for id := range 30 {
+		c := r.client(t)
+		c.lookup(id, "60000")
+		b.next(t).serve(t, "ok")
+		c.value("ok")
+	}
+}
+
+// Too many connections without a complete command are evicted first: those without input, the oldest before
+// others. A connection amid its first command is evicted after idle ones.
+func TestUnfinishedConnectionsKeepToTheirPartOfTheLimit(t *testing.T) {
+	l := unstarted(t, newFakeDiscovery(t))
+	l.clients.limit = 8 // six of them for those without a complete command
+	now := l.now()
+	add := func(commands int, age, sinceInput policy.Time) *client {
+		t.Helper()
+		c := addClient(t, l, commands, now-age)
+		if sinceInput >= 0 {
+			c.lastInputAt.Store(now - sinceInput)
+		}
+		return c
+	}
+	const noInput = -1
+	partial, once := add(0, 1.9e6, 0.1e6), add(1, 0.3e6, 0.3e6)
+	regular := add(5, 30e6, 0.1e6) // amid its next command
+	step := func(what string, want *client) {
+		t.Helper()
+		evicted := l.clients.evict(l, nil)
+		if evicted != (want != nil) || want != nil && !want.closed {
+			t.Errorf("%s: evicted %t, or not the one expected", what, evicted)
+		}
+	}
+	step("idle after its reply", once)
+	idle := add(0, 0.4e6, noInput)
+	step("without input", idle)
+	old := add(0, 0.2e6, noInput)
+	for range 5 {
+		add(0, 0.05e6, noInput) // new
+	}
+	older := add(0, 0.25e6, noInput)
+	step("the oldest of too many without input", older)
+	add(0, 0.05e6, noInput)
+	step("and the next", old)
+	step("amid its first command, within the part", partial)
+	step("new ones, or amid a command", nil)
+	if regular.closed {
+		t.Error("evicted amid a command")
+	}
+}
+
+// New connections without input fill the limit: none is closed, and clients with a request are served
+// beside them. Beyond the limit of those one is rejected.
+func TestSilentNewcomersKeepOutNoClientWithARequest(t *testing.T) {
+	l := unstarted(t, newFakeDiscovery(t))
+	l.clients.limit = 4
+	add := func(commands int, pipeline ...*request) *client {
+		t.Helper()
+		c := addClient(t, l, commands, l.now()+60*second) // it is still new when it is looked at
+		c.pipeline = pipeline
+		return c
+	}
+	for range 5 {
+		add(0)
+	}
+	for i := range 5 {
+		c := add(1, &request{})
+		if reply := l.capacityRejection(c, false); (reply != nil) != (i == 4) || c.overLimit != (i == 4) {
+			t.Errorf("client %d: reply %q, over the limit %t", i, reply, c.overLimit)
+		}
+	}
+	if len(l.clients.conns) != 10 {
+		t.Errorf("%d connections, want 10", len(l.clients.conns))
+	}
+}
+
+// A client's disconnect is noticed while its request is open, which then no longer counts.
+func TestDisconnectFreesTheCapacityOfItsRequest(t *testing.T) {
+	r, b, _ := oneBackend(t, withSettings(t, `"max-open":20000`, `"max-open":1`))
+	c := r.client(t)
+	c.lookup(1, "80000000")
+	b.next(t)
+	_ = c.conn.Close()
+	served := make(chan bool, 1)
+	go func() {
+		call := <-b.got
+		_, _ = call.conn.Write([]byte("*1\r\n$2\r\nok\r\n"))
+		served <- true
+	}()
+	again := r.client(t)
+	for id := 2; ; id++ {
+		again.lookup(id, "80000000")
+		if line := again.line(); line == "$2" {
+			again.want("ok")
+			break
+		} else if !strings.HasPrefix(line, "-BUSY") {
+			t.Fatalf("answer %q", line)
+		}
+	}
+	wait(t, served, "the second request")
+}
+
+// Clients beyond the limit replace idle connections; where none is idle they are rejected at once.
+func TestClientsBeyondTheLimitAreRejected(t *testing.T) {
+	r, b := fourBackends(t, 40) // 6 clients
+	idle := r.client(t)
+	idle.send("PING")
+	idle.want("+PONG")
+	for id := range 6 {
+		c := r.client(t)
+		c.lookup(id, "60000")
+		defer b.next(t).serve(t, "ok")
+	}
+	idle.closed()
+	_ = idle.conn.Close()
+	surplus := r.client(t)
+	surplus.lookup(9, "60000")
+	if got := surplus.line(); !strings.HasPrefix(got, "-BUSY ") {
+		t.Errorf("answer %q", got)
+	}
+	surplus.closed()
+}
--- /dev/null
+++ b/internal/gateway/client_read_ahead_test.go
@@ -0,0 +1,83 @@
+package gateway
+
+import (
+	"fmt"
+	"runtime"
+	"strings"
+	"testing"
+)
+
+// Input that was read ahead keeps its order, and its memory is released.
+func TestReadAheadKeepsTheOrder(t *testing.T) {
+	r, b, _ := oneBackend(t, nil)
+	c := r.client(t)
+	c.lookup(1, "60000")
+	call := b.next(t)
+	var text strings.Builder
+	const many = 20 * maxPipelined
+	for i := range many {
+		fmt.Fprintf(&text, "*1\r\n$5\r\nX%04d\r\n*1\r\n$4\r\nPING\r\n", i)
+	}
+	c.raw(text.String())
+	for r.loop.queuedBytes.Load() < maxReadAhead/2 { // until much is read ahead
+		runtime.Gosched()
+	}
+	call.serve(t, "ok")
+	c.value("ok")
+	for i := range many {
+		c.want(fmt.Sprintf("-ERR unknown command \"X%04d\"", i))
+		c.want("+PONG")
+	}
+	if n := r.loop.queuedBytes.Load(); n != 0 {
+		t.Errorf("%d bytes are counted when all is answered", n)
+	}
+}
+
+// The memory of read-ahead input is bounded for each connection and for all.
+func TestReadAheadIsBounded(t *testing.T) {
+	l := unstarted(t, newFakeDiscovery(t))
+	l.clients.resume(l)
+	t.Cleanup(l.clients.pause)
+	far := (&rig{addr: l.clients.listener.Addr().String()}).client(t)
+	near := wait(t, l.events, "the connection").(clientConnected).conn
+	defer func() { _ = near.Close() }()
+	go func() { _, _ = far.conn.Write(make([]byte, 2*maxReadAhead)) }()
+	most := maxQueuedBytes(l.config) / 2
+	l.queuedBytes.Store(most)
+	c := &client{conn: near}
+	if c.readAhead(l, nil); len(c.readAheadInput) != 0 {
+		t.Errorf("%d bytes read where there is no memory", len(c.readAheadInput))
+	}
+	l.queuedBytes.Store(0)
+	c.readAhead(l, nil)
+	length, capacity, counted := len(c.readAheadInput), cap(c.readAheadInput), l.queuedBytes.Load()
+	if length != maxReadAhead || capacity > maxReadAhead+maxReadAhead/4 || counted != maxReadAhead {
+		t.Errorf("%d bytes in %d read, %d counted, want %d", length, capacity, counted, maxReadAhead)
+	}
+}
+
+// A connection is handed over with the input that was read ahead behind a full pipeline.
+func TestReadAheadIsHandedOver(t *testing.T) {
+	cfg, b, _ := twoProcesses(t)
+	first := begin(t, cfg)
+	c := first.client(t)
+	c.book(1, "team")
+	open := b.next(t)
+	// 16 bytes each: a reader's buffer may be empty between two of them with more read ahead.
+	const ping = "*1\r\n$004\r\nPING\r\n"
+	c.raw(strings.Repeat(ping, 2*maxPipelined))
+	c.book(2, "team")
+	for first.loop.queuedBytes.Load() < maxPipelined/2*int64(len(ping)) {
+		runtime.Gosched()
+	}
+	second := begin(t, cfg)
+	takesClients(t, second, 200)
+	open.serve(t, "one")
+	c.value("one")
+	for range 2 * maxPipelined {
+		c.want("+PONG")
+	}
+	b.next(t).serve(t, "two")
+	c.value("two")
+	wantFigures(t, second, "fulfilled.once=1")
+}
--- a/internal/gateway/command_test.go
+++ b/internal/gateway/command_test.go
@@ -8,15 +8,18 @@
 	"sparspread/internal/config"
 )
 
-// A start reads the list last known with the rest, however long it is.
+// BenchmarkParseConfig measures the reading of a configuration with a long list of known endpoints.
 func BenchmarkParseConfig(b *testing.B) {
 	var known []string
 	for i := range 20000 {
-		known = append(known, fmt.Sprintf(`{"id":"s-%08x","host_port":"10.1.%d.%d:6379","locality":"a","flavor":"m2","cell":3,"phase":"Ready","size":1.0,"up_since_ms":0}`,
+		known = append(known, fmt.Sprintf(
+			`{"id":"s-%08x","host_port":"10.1.%d.%d:6379","locality":"a","flavor":"m2","cell":3,`+
+				`"phase":"Ready","size":1.0,"up_since_ms":0}`,
 			i+1, i>>8, i&255))
 	}
 	raw := fmt.Appendf(nil, `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"01",
-		"known":{"revision":1,"complete":true,"members":[%s]},"settings":%s}`, strings.Join(known, ","), settingsText)
+		"known":{"revision":1,"complete":true,"members":[%s]},"settings":%s}`,
+		strings.Join(known, ","), settingsText)
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := config.Parse(raw); err != nil {
@@ -25,9 +28,11 @@
 	}
 }
 
+// BenchmarkParse measures the parsing of a command.
 func BenchmarkParse(b *testing.B) {
 	cfg, err := config.Parse([]byte(fmt.Sprintf(
-		`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"01","settings":%s}`, settingsWith(b, `"balancers":1`, `"balancers":4`))))
+		`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"01","settings":%s}`,
+		settingsWith(b, `"balancers":1`, `"balancers":4`))))
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -42,3 +47,45 @@
 		}
 	}
 }
+
+// A malformed command gets one error, reaches no backend and leaves the framing intact.
+func TestMalformedCommandGetsAnErrorAndReachesNoBackend(t *testing.T) {
+	r, b, _ := oneBackend(t, withSettings(t, `"counter":false`, `"counter":false,"max-units":4`,
+		`"name":"lookup"`, `"name":"lookup","hard-limit-us":60000000`))
+	const id, customer = "0000000000000001", "0000000000000007"
+	good := "c=lookup,t=team,d=60000,units=1,spread=1,first=0"
+	for name, args := range map[string][]string{
+		"unknown command":  {"GET", "x"},
+		"no fields":        {"API.READ", customer, id},
+		"too many":         {"API.READ", customer, id, good, "body", "more"},
+		"customer":         {"API.READ", "7", id, good},
+		"customer's range": {"API.READ", "0000000200000000", id, good},
+		"id":               {"API.READ", customer, "1", good},
+		"class":            {"API.READ", customer, id, strings.Replace(good, "lookup", "nothing", 1)},
+		"plan":             {"API.READ", customer, id, strings.Replace(good, "team", "nothing", 1)},
+		"missing field":    {"API.READ", customer, id, strings.Replace(good, ",d=60000", "", 1)},
+		"unknown field":    {"API.READ", customer, id, good + ",x=1"},
+		"field twice":      {"API.READ", customer, id, good + ",d=1"},
+		"no number":        {"API.READ", customer, id, strings.Replace(good, "60000", "soon", 1)},
+		"units not finite": {"API.READ", customer, id, strings.Replace(good, "units=1", "units=NaN", 1)},
+		"too many units":   {"API.READ", customer, id, strings.Replace(good, "units=1", "units=5", 1)},
+		"set too large":    {"API.READ", customer, id, strings.Replace(good, "spread=1", "spread=2", 1)},
+		"no such gateway":  {"API.READ", customer, id, strings.Replace(good, "first=0", "first=1", 1)},
+		"waits for a day":  {"API.READ", customer, id, strings.Replace(good, "60000", "86400000", 1)},
+		"wrong command":    {"API.WRITE", customer, id, good, "body"},
+		"key missing":      {"API.WRITE", customer, id, strings.Replace(good, "lookup", "order", 1), "body"},
+		"large field":      {"API.READ", customer, id, strings.Repeat("x", 64<<10+1), "body"},
+		"many values":      append([]string{"API.READ", customer, id, good}, make([]string, 40)...),
+	} {
+		c := r.client(t)
+		c.send(args...)
+		if got := c.line(); !strings.HasPrefix(got, "-ERR ") {
+			t.Errorf("%s: %q", name, got)
+		}
+		c.send("PING") // the framing holds
+		c.want("+PONG")
+	}
+	if len(b.got) > 0 {
+		t.Error("a backend was reached")
+	}
+}
--- /dev/null
+++ b/internal/gateway/discovery_watch_test.go
@@ -0,0 +1,132 @@
+package gateway
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"strconv"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"sparspread/internal/discovery"
+	"sparspread/policy"
+)
+
+// An endpoint without a usable address is draining; one that is gone is removed.
+func TestEndpointWithoutUsableAddressIsDraining(t *testing.T) {
+	for _, address := range []string{"", "nowhere", "127.0.0.1", "127.0.0.1:x", "127.0.0.1:99999"} {
+		if m := (discovery.Endpoint{Address: address, Phase: "Ready"}); m.State() != policy.EndpointDraining {
+			t.Errorf("%q: state %d", address, m.State())
+		}
+	}
+	if m := (discovery.Endpoint{Phase: "Gone"}); m.State() != policy.EndpointRemoved {
+		t.Error("an endpoint that is gone is not removed")
+	}
+}
+
+// A watch without an answer hides a drain, which counts as reported 6 s later: it is given up before, and
+// the complete list is read on another connection.
+func TestHungWatchIsGivenUp(t *testing.T) {
+	var held atomic.Bool
+	var d *fakeDiscovery
+	reported := make(chan struct{})
+	second := newBackend(t)
+	hung := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if r.URL.Query().Has("index") && !held.Swap(true) {
+			wait, err := strconv.Atoi(r.URL.Query().Get("wait"))
+			limit := time.Duration(wait)*time.Millisecond + watchSlack
+			if err != nil || limit >= 6*time.Second {
+				t.Errorf("a watch is waited for %v, %v", limit, err)
+			}
+			d.tell(second.entry("s-00000002", "Ready"))
+			close(reported)
+			<-r.Context().Done()
+			return
+		}
+		d.ServeHTTP(w, r)
+	}))
+	t.Cleanup(func() { hung.CloseClientConnections(); hung.Close() })
+	d = newFakeDiscovery(t)
+	r := begin(t, configure(t, d, func(f map[string]any) {
+		f["discovery"] = strings.TrimPrefix(hung.URL, "http://")
+	}))
+	wait(t, reported, "the watch that hangs") // before it the unchanged list would count as the last
+	d.settled(t)
+	c := r.client(t)
+	c.lookup(1, "60000")
+	second.next(t).serve(t, "ok")
+	c.value("ok")
+}
+
+// After a broken watch the next continues from the revision at hand: changes in between are reported
+// without reading the complete list.
+func TestDiscoveryWatchesOnAfterABreak(t *testing.T) {
+	r, _, d := oneBackend(t, nil)
+	d.settled(t)
+	second := newBackend(t)
+	d.CloseClientConnections()
+	removed := strings.Replace(second.entry("s-00000001", "Gone"), "Ready", "Gone", 1)
+	d.tell(second.entry("s-00000002", "Ready"), removed)
+	for want := fmt.Sprintf("index=%d&", 2); ; {
+		query := wait(t, d.calls, "a watch from the change on")
+		if query == "" {
+			t.Fatal("the complete list was requested")
+		}
+		if strings.HasPrefix(query, want) {
+			break
+		}
+	}
+	c := r.client(t)
+	c.lookup(1, "60000")
+	second.next(t).serve(t, "ok")
+	c.value("ok")
+}
+
+// A start watches from the revision of the configured list, at first without waiting.
+func TestDiscoveryStartsFromTheListGiven(t *testing.T) {
+	d := newFakeDiscovery(t)
+	begin(t, configure(t, d, func(f map[string]any) {
+		f["known"] = json.RawMessage(`{"revision":0,"complete":true,"members":[]}`)
+	}))
+	if query := wait(t, d.calls, "the first call"); query != "index=0&wait=0" {
+		t.Errorf("the first call requests %q", query)
+	}
+}
+
+// The complete list is read where discovery does not know the revision at hand, or knows only an older one.
+func TestDiscoveryReadsTheCompleteListWhereItMust(t *testing.T) {
+	for name, answer := range map[string]func(http.ResponseWriter){
+		"unknown": func(w http.ResponseWriter) { w.WriteHeader(http.StatusGone) },
+		"older": func(w http.ResponseWriter) {
+			_, _ = fmt.Fprint(w, `{"revision":3,"complete":false,"members":[]}`)
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			b := newBackend(t)
+			d := newFakeDiscovery(t, b.entry("s-00000001", "Ready"))
+			front := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+				if r.URL.Query().Get("index") == "41" {
+					answer(w)
+					return
+				}
+				d.ServeHTTP(w, r)
+			}))
+			t.Cleanup(func() { front.CloseClientConnections(); front.Close() })
+			r := begin(t, configure(t, d, func(f map[string]any) {
+				f["discovery"] = strings.TrimPrefix(front.URL, "http://")
+				f["known"] = json.RawMessage(`{"revision":41,"complete":true,"members":[]}`)
+			}))
+			if query := wait(t, d.calls, "another call"); query != "" {
+				t.Errorf("the next call requests %q, want the complete list", query)
+			}
+			d.settled(t)
+			c := r.client(t)
+			c.lookup(1, "60000")
+			b.next(t).serve(t, "ok")
+			c.value("ok")
+		})
+	}
+}
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -25,7 +25,7 @@
 func turn(t *testing.T, l *Loop, what string, so func() bool) {
 	t.Helper()
 	for !so() {
-		handle(t, l, what)
+		handleNext(t, l, what)
 	}
 }
 
@@ -69,7 +69,7 @@
 	l.accepting = true
 	l.clients.resume(l)
 	c := (&rig{addr: l.clients.listener.Addr().String()}).client(t)
-	handle(t, l, "the connection")
+	handleNext(t, l, "the connection")
 	c.raw("*4\r\n$8\r\nAPI.R")
 	for client := range l.clients.conns {
 		for client.lastInputAt.Load() == 0 { // until the reader has it
--- /dev/null
+++ b/internal/gateway/fake_discovery_test.go
@@ -0,0 +1,72 @@
+package gateway
+
+import (
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync"
+	"testing"
+)
+
+// fakeDiscovery is a discovery service whose list the test sets.
+type fakeDiscovery struct {
+	*httptest.Server
+	mu       sync.Mutex
+	revision int
+	list     string
+	changed  chan struct{}
+	calls    chan string
+}
+
+// newFakeDiscovery starts a discovery service, which ends with the test.
+func newFakeDiscovery(tb testing.TB, entries ...string) *fakeDiscovery {
+	tb.Helper()
+	d := &fakeDiscovery{changed: make(chan struct{}), calls: make(chan string, 1024)}
+	d.tell(entries...)
+	d.Server = httptest.NewServer(d)
+	tb.Cleanup(func() { d.CloseClientConnections(); d.Close() })
+	return d
+}
+
+// tell replaces the list.
+func (d *fakeDiscovery) tell(entries ...string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.revision++
+	d.list = strings.Join(entries, ",")
+	close(d.changed)
+	d.changed = make(chan struct{})
+}
+
+// settled waits until the gateway watches from the last change on: it has read that change, and handles it
+// before what it reads later.
+func (d *fakeDiscovery) settled(tb testing.TB) {
+	tb.Helper()
+	d.mu.Lock()
+	want := fmt.Sprintf("index=%d&", d.revision)
+	d.mu.Unlock()
+	for !strings.HasPrefix(wait(tb, d.calls, "a watch from the last change on"), want) {
+	}
+}
+
+func (d *fakeDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	select {
+	case d.calls <- r.URL.RawQuery:
+	default:
+	}
+	for {
+		d.mu.Lock()
+		revision, list, changed := d.revision, d.list, d.changed
+		d.mu.Unlock()
+		if index := r.URL.Query().Get("index"); index == "" || index != fmt.Sprint(revision) {
+			_, _ = fmt.Fprintf(w, `{"revision":%d,"complete":%t,"members":[%s]}`, revision, index == "", list)
+			return
+		}
+		select {
+		case <-changed:
+		case <-r.Context().Done():
+			return
+		}
+	}
+}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -12,7 +12,7 @@
 
 const eventQueueLength = 1024 // events that wait for the loop
 
-// Run serves until it is told to stop and all that was taken is answered.
+// Run serves clients until control stops it and all open requests are answered.
 func Run(cfg config.Config, log *slog.Logger, control Control) error {
 	l, err := newLoop(cfg, log)
 	if err != nil {
--- a/internal/gateway/handover_test.go
+++ b/internal/gateway/handover_test.go
@@ -102,7 +102,7 @@
 	wantFigures(t, second, "fulfilled.once=2", "throttled.once=1")
 	wantFigures(t, first, "fulfilled.once=3", "open_requests=0")
 
-	first.stop()
+	first.shutDown()
 	wait(t, first.ended, "the first process to end")
 	late := second.client(t)
 	late.book(7, "team")
@@ -118,7 +118,7 @@
 	for i := range 3 {
 		next := begin(t, cfg)
 		takesClients(t, next, 200)
-		first.stop()
+		first.shutDown()
 		wait(t, first.ended, "the former process to end")
 		first = next
 		c.book(i, "team")
@@ -133,7 +133,7 @@
 	first := begin(t, cfg)
 	second := begin(t, cfg)
 	takesClients(t, second, 200)
-	second.stop()
+	second.shutDown()
 	wait(t, second.ended, "the second process to end")
 	takesClients(t, first, 200)
 	c := first.client(t)
--- a/internal/gateway/request_body_test.go
+++ b/internal/gateway/request_body_test.go
@@ -4,13 +4,11 @@
 	"errors"
 	"fmt"
 	"io"
+	"net"
 	"os"
 	"strings"
 	"testing"
 	"time"
-
-	"sparspread/internal/discovery"
-	"sparspread/policy"
 )
 
 // bodyHead is a command up to its large body.
@@ -20,14 +18,14 @@
 		plan[1], id, len(fields), fields, size)
 }
 
-// A large body goes to its backend while the client still writes it.
-func TestLargeBodyIsPassedOnAsItIsRead(t *testing.T) {
+// A large body goes to its backend while the client is still writing it.
+func TestLargeBodyIsForwardedAsItIsRead(t *testing.T) {
 	r, b, _ := oneBackend(t, withOps)
 	c := r.client(t)
 	_, body := largeHead()
 	for id := range 2 {
 		c.raw(bodyHead(id, "team", len(body)) + body[:5000])
-		if got := wait(t, b.begun, "the body to begin"); got != len(body) {
+		if got := wait(t, b.bodySizes, "the body to begin"); got != len(body) {
 			t.Fatalf("a body of %d bytes, want %d", got, len(body))
 		}
 		wantFigures(t, r, fmt.Sprintf("relayed.once=%d", id))
@@ -42,8 +40,8 @@
 	wantFigures(t, r, "relayed.once=2", "fulfilled.once=2", "open_requests=0")
 }
 
-// The body of a request that is refused is read past.
-func TestLargeBodyOfARefusedRequest(t *testing.T) {
+// The large body of a rejected request is skipped, and the connection is read on.
+func TestLargeBodyOfARejectedRequestIsSkipped(t *testing.T) {
 	r, b, _ := oneBackend(t, nil)
 	c := r.client(t)
 	_, body := largeHead()
@@ -61,21 +59,22 @@
 	c.book(4, "team")
 	b.next(t).serve(t, "ok")
 	c.value("ok")
-	if len(b.begun) > 0 {
+	if len(b.bodySizes) > 0 {
 		t.Error("the body went to a backend")
 	}
 }
 
-// A body that its client breaks off reaches no backend whole, and nobody else hears of it.
-func TestLargeBodyThatBreaksOff(t *testing.T) {
+// A large body that its client does not complete reaches no backend completely, and other clients are
+// served.
+func TestIncompleteLargeBodyEndsOnlyItsOwnRequest(t *testing.T) {
 	r, b, _ := oneBackend(t, withOps)
 	c := r.client(t)
 	_, body := largeHead()
 	c.raw(bodyHead(1, "team", len(body)) + body[:5000])
-	wait(t, b.begun, "the body to begin")
-	c.conn.Close()
+	wait(t, b.bodySizes, "the body to begin")
+	_ = c.conn.Close()
 	if err := wait(t, b.ended, "the backend's connection to end"); err == nil {
-		t.Error("it ended whole")
+		t.Error("it ended without an error")
 	}
 	reached(t, r, "open_requests=0")
 	wantFigures(t, r, "relayed.once=0")
@@ -85,15 +84,18 @@
 	next.value("ok")
 }
 
-// Where the backend breaks off amid a body nothing ran: the client may come again, and its
-// connection serves on.
-func TestBackendBreaksOffAmidABody(t *testing.T) {
+// A backend that closes amid a large body has run nothing: the request is rejected, and the client's
+// connection stays in use.
+func TestBackendClosingAmidABodyRejectsTheRequest(t *testing.T) {
 	r, b, _ := oneBackend(t, nil)
 	c := r.client(t)
 	_, body := largeHead()
 	c.raw(bodyHead(1, "team", len(body)) + body[:5000])
-	wait(t, b.begun, "the body to begin")
-	b.conns.Range(func(conn, _ any) bool { conn.(interface{ Close() error }).Close(); return true })
+	wait(t, b.bodySizes, "the body to begin")
+	b.conns.Range(func(conn, _ any) bool {
+		_ = conn.(net.Conn).Close()
+		return true
+	})
 	if got := c.line(); !isBusyReply([]byte(got)) {
 		t.Errorf("answer %q", got)
 	}
@@ -103,50 +105,55 @@
 	c.value("ok")
 }
 
-// A backend answers, fails or ends before the loop is told that the body's last byte was written: the
-// request may have run, and its client hears of nothing that says otherwise.
-func TestAnswerThatCrossesTheEndOfItsBody(t *testing.T) {
+// A backend replies, fails or closes before the loop handles that the body was written: the request may
+// have run, and its reply does not deny it.
+func TestReplyHandledBeforeTheEndOfItsBody(t *testing.T) {
 	for name, c := range map[string]struct {
-		end  func(*testing.T, *backendCall)
+		end  func(testing.TB, *backendCall)
 		want string
 	}{
-		"value": {func(t *testing.T, call *backendCall) { call.serve(t, "ok") }, "$2"},
-		"error": {func(t *testing.T, call *backendCall) { call.answer(t, "-ERR failed\r\n") }, "-ERR failed"},
-		"end":   {func(t *testing.T, call *backendCall) { call.conn.Close() }, "-ERR failed"},
+		"value": {
+			end:  func(tb testing.TB, call *backendCall) { tb.Helper(); call.serve(tb, "ok") },
+			want: "$2",
+		},
+		"error": {
+			end:  func(tb testing.TB, call *backendCall) { tb.Helper(); call.answer(tb, "-ERR failed\r\n") },
+			want: "-ERR failed",
+		},
+		"end": {
+			end:  func(tb testing.TB, call *backendCall) { tb.Helper(); _ = call.conn.Close() },
+			want: "-ERR failed",
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBackend(t)
-			l := unstarted(t, newFakeDiscovery(t))
-			l.backends.updateEndpoints(l, policy.UpdateComplete, []discovery.Endpoint{
-				{ID: "s-00000001", Address: b.listener.Addr().String(), Phase: "Ready"},
-			})
+			l, b := newLoopWithBackend(t)
 			l.clients.resume(l)
 			t.Cleanup(l.clients.pause)
 			client := (&rig{addr: l.clients.listener.Addr().String()}).client(t)
-			handle(t, l, "the connection")
+			handleNext(t, l, "the connection")
 			_, body := largeHead()
 			client.raw(bodyHead(1, "team", len(body)) + body + "\r\n")
-			handle(t, l, "the request")
-			handle(t, l, "the dial's end")
+			handleNext(t, l, "the request")
+			handleNext(t, l, "the dial's end")
 			c.end(t, b.next(t))
-			var whole, answer event
-			for whole == nil || answer == nil {
+			var written, reply event
+			for written == nil || reply == nil {
 				switch e := wait(t, l.events, "the body's end and the answer").(type) {
 				case bodyWritten:
-					whole = e
+					written = e
 				case replyReceived:
-					answer = e
+					reply = e
 				}
 			}
-			l.handle(answer)
-			l.handle(whole)
+			l.handle(reply)
+			l.handle(written)
 			client.want(c.want)
 		})
 	}
 }
 
-// All of a large body comes but what ends its command: the connection is cut off as for any half command.
-func TestBodyWithoutItsEndIsCutOff(t *testing.T) {
+// A large body without the line end behind it is an incomplete command, and the connection is closed.
+func TestBodyWithoutItsLineEndClosesTheConnection(t *testing.T) {
 	r, _, _ := oneBackend(t, nil)
 	c := r.client(t)
 	_, body := largeHead()
--- /dev/null
+++ b/internal/gateway/request_test.go
@@ -0,0 +1,275 @@
+package gateway
+
+import (
+	"bytes"
+	"fmt"
+	"log/slog"
+	"strings"
+	"testing"
+
+	"sparspread/internal/resp"
+	"sparspread/policy"
+)
+
+// onceFields are the fields of a request that is not idempotent.
+const onceFields = "c=once,t=team,d=60000,units=1,spread=1,first=0"
+
+// A backend gets the client's command with the timeout that is left, and the client gets the backend's
+// value.
+func TestRequestIsForwardedUnchangedButForItsTimeout(t *testing.T) {
+	r, b, _ := oneBackend(t, nil)
+	c := r.client(t)
+	c.send("API.WRITE", "0000000000000007", "9b1f03aa5c7e2d41",
+		"c=order,t=team,d=60000,k=5c0f6e1a2b3d4c59,units=2,spread=1,first=0", "BODY")
+	call := b.next(t)
+	if got := string(call.args[3]); !strings.HasPrefix(got, "c=order,t=team,d=59") ||
+		!strings.HasSuffix(got, ",k=5c0f6e1a2b3d4c59,units=2,spread=1,first=0") {
+		t.Errorf("fields %q", got)
+	}
+	if string(call.args[0]) != "API.WRITE" || string(call.args[1]) != "0000000000000007" ||
+		string(call.args[2]) != "9b1f03aa5c7e2d41" || string(call.args[4]) != "BODY" {
+		t.Errorf("command %q", call.args)
+	}
+	call.serve(t, "value")
+	c.value("value")
+}
+
+// Replies are written in the order of the commands even if backends reply in another, and further commands
+// are read while requests are open.
+func TestPipelinedRepliesKeepTheirOrder(t *testing.T) {
+	r, b, _ := oneBackend(t, nil)
+	c := r.client(t)
+	c.lookup(1, "60000")
+	first := b.next(t)
+	c.lookup(2, "60000")
+	second := b.next(t) // read although the first has no answer
+	c.send("PING")
+	second.serve(t, "second")
+	c.lookup(3, "60000")
+	b.next(t).serve(t, "third") // by now the second is answered at the gateway
+	first.serve(t, "first")
+	c.value("first")
+	c.value("second")
+	c.want("+PONG")
+	c.value("third")
+}
+
+// An idempotent request is retried after each outcome but a value.
+func TestRequestIsRetriedByTheOutcomeOfItsAttempt(t *testing.T) {
+	for _, c := range []struct {
+		name, reply string // empty: the connection ends
+		retried     bool
+	}{
+		{"error", "-ERR failed\r\n", true},
+		{"busy", "-BUSY\r\n", true},
+		{"no value", "*3\r\n$-1\r\n$-1\r\n$-1\r\n", true},
+		{"connection ends", "", true},
+		{"malformed reply", "?\r\n", true},
+		{"value", "*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n", false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			r, b, _ := oneBackend(t, nil)
+			client := r.client(t)
+			client.lookup(1, "60000")
+			call := b.next(t)
+			if c.reply == "" {
+				_ = call.conn.Close()
+			} else {
+				call.answer(t, c.reply)
+			}
+			if c.retried {
+				b.next(t).serve(t, "ok")
+			}
+			client.value("ok")
+		})
+	}
+}
+
+// A request that is not idempotent and may have run is neither retried nor rejected: its failure does not
+// say whether it ran.
+func TestNonIdempotentRequestIsNotRetriedAfterItMayHaveRun(t *testing.T) {
+	for name, end := range map[string]func(*backendCall){
+		"reset": func(c *backendCall) { _ = c.conn.Close() },
+		"error": func(c *backendCall) { _, _ = c.conn.Write([]byte("-ERR failed\r\n")) },
+	} {
+		t.Run(name, func(t *testing.T) {
+			r, b, _ := oneBackend(t, nil)
+			c := r.client(t)
+			c.send("API.WRITE", "0000000000000007", "0000000000000001", onceFields, "x")
+			end(b.next(t))
+			c.want("-ERR failed")
+			if len(b.got) > 0 {
+				t.Error("sent again")
+			}
+		})
+	}
+}
+
+// A request that the backend rejected as busy has not run, so it is retried even if it is not idempotent.
+func TestNonIdempotentRequestIsRetriedAfterBusy(t *testing.T) {
+	r, b, _ := oneBackend(t, nil)
+	c := r.client(t)
+	c.send("API.WRITE", "0000000000000007", "0000000000000001", onceFields, "x")
+	b.next(t).answer(t, "-BUSY\r\n")
+	b.next(t).serve(t, "ok")
+	c.value("ok")
+}
+
+// A backend where nothing listens has run nothing.
+func TestRequestIsRejectedAfterConnectionRefused(t *testing.T) {
+	b := newBackend(t)
+	_ = b.listener.Close()
+	d := newFakeDiscovery(t, b.entry("s-00000001", "Ready"))
+	c := begin(t, configure(t, d, nil)).client(t)
+	c.send("API.WRITE", "0000000000000007", "0000000000000001", onceFields, "x")
+	if got := c.line(); !strings.HasPrefix(got, "-BUSY") {
+		t.Errorf("answer %q: want a rejection", got)
+	}
+}
+
+// A backend that does not reply delays no request past its deadline, and its late reply reaches nobody.
+func TestRequestIsAnsweredByItsDeadline(t *testing.T) {
+	r, b, _ := oneBackend(t, nil)
+	c := r.client(t)
+	c.lookup(1, "300")
+	late := b.next(t)
+	r.advance(t, 300_000)
+	if got := c.line(); !strings.HasPrefix(got, "-BUSY") {
+		t.Errorf("answer %q", got)
+	}
+	_, _ = late.conn.Write([]byte("*3\r\n$4\r\nlate\r\n$-1\r\n$-1\r\n"))
+	c.lookup(2, "60000")
+	b.next(t).serve(t, "second")
+	c.value("second")
+}
+
+// A rejection comes at once and says when to retry.
+func TestRejectionIsPromptWithRetryAfter(t *testing.T) {
+	r, b, _ := oneBackend(t, nil)
+	c := r.client(t)
+	ask := func(id int) {
+		const fields = "c=lookup,t=tiny,d=86400000,units=1,spread=1,first=0"
+		c.send("API.READ", "0000000000000009", fmt.Sprintf("%016x", id), fields)
+	}
+	ask(1)
+	call := b.next(t)
+	call.serve(t, "ok")
+	c.value("ok")
+	ask(2) // the token bucket holds 1 unit: a day's wait would outlast the test
+	if got := c.line(); got != "-BUSY 2000" {
+		t.Errorf("answer %q", got)
+	}
+}
+
+// With settlement the actual cost in the reply counts, not the estimate; costs that no request can have are
+// ignored.
+func TestActualCostOfTheReplyIsSettled(t *testing.T) {
+	for usage, sent := range map[string]bool{
+		"used=3,cost=1": false, "cost=0.25": true, "cost=NaN": true, "cost=9": true,
+	} {
+		r, b, _ := oneBackend(t, withSettings(t, `"settles":false`, `"settles":true,"max-units":8`,
+			`"rate":0.1,`, `"rate":0.0001,`)) // so slow that no wait of the test refills the token bucket
+		c := r.client(t)
+		ask := func(id int) {
+			const fields = "c=lookup,t=tiny,d=86400000,units=0.5,spread=1,first=0"
+			c.send("API.READ", "0000000000000009", fmt.Sprintf("%016x", id), fields)
+		}
+		ask(1) // the token bucket holds 1 unit
+		b.next(t).answer(t, fmt.Sprintf("*3\r\n$2\r\nok\r\n$%d\r\n%s\r\n$-1\r\n", len(usage), usage))
+		c.value("ok")
+		ask(2)
+		if !sent {
+			if got := c.line(); got != "-BUSY 2000" {
+				t.Errorf("%s: answer %q", usage, got)
+			}
+			continue
+		}
+		b.next(t).serve(t, "more")
+		c.value("more")
+	}
+}
+
+// Of several failed requests within the interval one is logged, by its id.
+func TestTraceLogsOneOfSeveralFailedRequests(t *testing.T) {
+	b := newBackend(t)
+	d := newFakeDiscovery(t, b.entry("s-1", "Ready"))
+	cfg := configure(t, d, nil)
+	var log bytes.Buffer
+	l, err := newLoop(cfg, slog.New(slog.NewTextHandler(&log, nil)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = l.clients.listener.Close() })
+	for id := range 2 {
+		args := [][]byte{nil, []byte("7"), fmt.Appendf(nil, "id-%d", id), nil}
+		r := &request{id: uint64(id + 1), client: &client{}, args: args}
+		l.requests[r.id] = r
+		r.attemptsInFlight = 2
+		attemptEnded{attempt: &attempt{request: r, backend: 5}, result: policy.ResultReset}.handle(l)
+		l.Fail(r.id)
+		l.nextTraceAt[traceFailed] += 3600e6 // however long the test takes
+	}
+	if text := log.String(); strings.Count(text, "msg=trace") != 1 || !strings.Contains(text, "id=id-0") ||
+		!strings.Contains(text, "to 5 at") {
+		t.Errorf("log %q, want the trace of the first of two failed requests", text)
+	}
+}
+
+// A body and a value of the largest size that is buffered pass unchanged.
+func TestLargestBufferedValuePassesBothWays(t *testing.T) {
+	r, b, _ := oneBackend(t, nil)
+	c := r.client(t)
+	large := strings.Repeat("v", resp.MaxValue)
+	const fields = "c=lookup,t=team,d=60000,units=1,spread=1,first=0"
+	c.send("API.READ", "0000000000000007", "0000000000000001", fields, large)
+	call := b.next(t)
+	if string(call.args[4]) != large {
+		t.Error("the body changed")
+	}
+	call.serve(t, large)
+	c.value(large)
+}
+
+// A request with the id of an open one of another client gets an error; the open one is served.
+func TestIDOfAnOpenRequestIsRejected(t *testing.T) {
+	r, b, _ := oneBackend(t, nil)
+	c, other := r.client(t), r.client(t)
+	c.lookup(1, "60000")
+	call := b.next(t)
+	other.lookup(1, "60000")
+	if got := other.line(); !strings.HasPrefix(got, "-ERR ") {
+		t.Errorf("answer %q", got)
+	}
+	call.serve(t, "ok")
+	c.value("ok")
+	c.lookup(1, "60000") // it is open no more
+	b.next(t).serve(t, "again")
+	c.value("again")
+}
+
+// A request that has ended keeps no timer and no memory until its deadline.
+func TestEndedRequestsLeaveNoTimers(t *testing.T) {
+	r, b, _ := oneBackend(t, nil)
+	c := r.client(t)
+	const many = 50
+	for id := range many {
+		c.lookup(id, "80000000")
+		b.next(t).serve(t, "ok")
+		c.value("ok")
+	}
+	remaining := make(chan string, 1)
+	r.loop.post(inspect(func(l *Loop) {
+		timers := 0
+		for _, timer := range l.timers.heap {
+			switch timer.callback.(type) {
+			case deadlineGuard, attemptTimeout:
+				timers++
+			}
+		}
+		remaining <- fmt.Sprint(timers, len(l.requests), len(l.openByClientID),
+			l.retainedBytes, l.openRequests)
+	}))
+	if got := wait(t, remaining, "the loop"); got != "0 0 0 0 0" {
+		t.Errorf("timers, requests, ids, bytes, open: %s", got)
+	}
+}
--- a/internal/gateway/scale_test.go
+++ b/internal/gateway/scale_test.go
@@ -10,15 +10,16 @@
 	"sparspread/policy"
 )
 
-// What the network code does alone as the list grows: docs/CAPACITY.md works with these figures.
+// The work of the network code alone as the list grows: docs/CAPACITY.md uses these figures.
 
-// longList is a whole list of so many members in discovery's form.
+// longList is a complete list of n endpoints in discovery's form.
 func longList(n int) []byte {
 	list := discovery.Update{Revision: 7, Complete: true}
 	for i := range n {
 		list.Endpoints = append(list.Endpoints, discovery.Endpoint{
-			ID: fmt.Sprintf("s-%08x", i+1), Address: fmt.Sprintf("127.%d.%d.%d:6379", 1+i>>16, i>>8&255, i&255),
-			Zone: "a", Cell: i % 7, Phase: "Ready", CapacityHint: 1,
+			ID:      fmt.Sprintf("s-%08x", i+1),
+			Address: fmt.Sprintf("127.%d.%d.%d:6379", 1+i>>16, i>>8&255, i&255),
+			Zone:    "a", Cell: i % 7, Phase: "Ready", CapacityHint: 1,
 		})
 	}
 	text, err := json.Marshal(list)
@@ -28,6 +29,7 @@
 	return text
 }
 
+// BenchmarkReadListByMembers measures the decoding of a complete list. docs/CAPACITY.md uses its figures.
 func BenchmarkReadListByMembers(b *testing.B) {
 	for _, n := range []int{46, 830, 8300, 83000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -44,7 +46,7 @@
 	}
 }
 
-// One member has changed: what the loop does with it, module included.
+// BenchmarkChangeByMembers measures the loop's work for one changed endpoint, the policy's included.
 func BenchmarkChangeByMembers(b *testing.B) {
 	for _, n := range []int{46, 830, 8300, 83000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -53,7 +55,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			defer l.clients.listener.Close()
+			defer func() { _ = l.clients.listener.Close() }()
 			var list discovery.Update
 			if err := json.Unmarshal(longList(n), &list); err != nil {
 				b.Fatal(err)
--- /dev/null
+++ b/internal/gateway/test_client_test.go
@@ -0,0 +1,118 @@
+package gateway
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"sparspread/internal/resp"
+)
+
+// testClient is a client's connection.
+type testClient struct {
+	t    testing.TB
+	conn net.Conn
+	in   *bufio.Reader
+}
+
+// client connects a client.
+func (r *rig) client(tb testing.TB) *testClient {
+	tb.Helper()
+	conn, err := net.Dial("tcp", r.addr)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	tb.Cleanup(func() { _ = conn.Close() })
+	_ = conn.SetDeadline(time.Now().Add(2 * patience))
+	return &testClient{tb, conn, bufio.NewReader(conn)}
+}
+
+// raw writes bytes as they are.
+func (c *testClient) raw(text string) {
+	c.t.Helper()
+	if _, err := io.WriteString(c.conn, text); err != nil {
+		c.t.Fatal(err)
+	}
+}
+
+// send writes a command.
+func (c *testClient) send(args ...string) {
+	c.t.Helper()
+	b := resp.AppendArray(nil, len(args))
+	for _, a := range args {
+		b = resp.AppendBulk(b, []byte(a))
+	}
+	c.raw(string(b))
+}
+
+// lookup sends an idempotent request.
+func (c *testClient) lookup(id int, timeoutMS string) {
+	c.t.Helper()
+	fields := "c=lookup,t=team,d=" + timeoutMS + ",units=1,spread=1,first=0"
+	c.send("API.READ", "0000000000000007", fmt.Sprintf("%016x", id), fields)
+}
+
+// line reads a line.
+func (c *testClient) line() string {
+	c.t.Helper()
+	s, err := c.in.ReadString('\n')
+	if err != nil {
+		c.t.Fatal("reading an answer: ", err)
+	}
+	return strings.TrimSuffix(s, "\r\n")
+}
+
+// want reads a line and checks it.
+func (c *testClient) want(line string) {
+	c.t.Helper()
+	if got := c.line(); got != line {
+		c.t.Fatalf("answer %q, want %q", got, line)
+	}
+}
+
+// value reads a bulk string and checks it.
+func (c *testClient) value(want string) {
+	c.t.Helper()
+	c.want(fmt.Sprintf("$%d", len(want)))
+	c.want(want)
+}
+
+// closed waits until the gateway has closed the connection, and checks that nothing came before.
+func (c *testClient) closed() {
+	c.t.Helper()
+	if b, err := io.ReadAll(c.in); err != nil || len(b) > 0 {
+		c.t.Fatalf("end of the connection: %q, %v", b, err)
+	}
+}
+
+// ended waits until the gateway has ended the connection in any way, and checks that nothing came before.
+func (c *testClient) ended() {
+	c.t.Helper()
+	if b, _ := io.ReadAll(c.in); len(b) > 0 {
+		c.t.Fatalf("end of the connection: %q", b)
+	}
+}
+
+// read reads n bytes.
+func (c *testClient) read(n int) string {
+	c.t.Helper()
+	b := make([]byte, n)
+	if _, err := io.ReadFull(c.in, b); err != nil {
+		c.t.Fatal("reading a value: ", err)
+	}
+	return string(b)
+}
+
+// largeValue reads a large value and checks it.
+func (c *testClient) largeValue(value string) {
+	c.t.Helper()
+	c.want(fmt.Sprintf("$%d", len(value)))
+	if got := c.read(len(value)); got != value {
+		c.t.Fatal("the value is another")
+	}
+	c.want("")
+}
--- a/internal/gateway/value_stream_test.go
+++ b/internal/gateway/value_stream_test.go
@@ -1,7 +1,6 @@
 package gateway
 
 import (
-	"encoding/json"
 	"fmt"
 	"io"
 	"strings"
@@ -12,33 +11,14 @@
 
 const largeSize = resp.MaxValue + 1000
 
-// largeHead is the head of an answer with a large value, and the value.
+// largeHead returns the head of a reply with a large value, and the value.
 func largeHead() (head, value string) {
 	return fmt.Sprintf("*3\r\n$%d\r\n", largeSize), strings.Repeat("0123456789", largeSize/10+1)[:largeSize]
 }
 
-// read reads so many bytes.
-func (c *testClient) read(n int) string {
-	c.t.Helper()
-	b := make([]byte, n)
-	if _, err := io.ReadFull(c.in, b); err != nil {
-		c.t.Fatal("reading a value: ", err)
-	}
-	return string(b)
-}
-
-func (c *testClient) largeValue(value string) {
-	c.t.Helper()
-	c.want(fmt.Sprintf("$%d", len(value)))
-	if got := c.read(len(value)); got != value {
-		c.t.Fatal("the value is another")
-	}
-	c.want("")
-}
-
-// The client has the first bytes of a large value while its backend still writes the rest, and
-// both connections serve on after it.
-func TestLargeValueIsPassedOnAsItIsRead(t *testing.T) {
+// The client has the first bytes of a large value while its backend is still writing it, and both
+// connections stay in use.
+func TestLargeValueIsForwardedAsItIsRead(t *testing.T) {
 	r, b, _ := oneBackend(t, withOps)
 	c := r.client(t)
 	c.book(1, "team")
@@ -54,11 +34,11 @@
 	c.read(largeSize - minValuePrefix)
 	c.want("")
 	for id := 2; id < 4; id++ {
-		r.rest(t)
+		r.awaitQuiescence(t)
 		c.book(id, "team")
 		next := b.next(t)
 		if next.conn != call.conn {
-			t.Error("the backend's connection was not kept")
+			t.Error("the backend's connection was not reused")
 		}
 		next.answer(t, head+value+"\r\n$-1\r\n$-1\r\n")
 		c.largeValue(value)
@@ -67,8 +47,9 @@
 	wantFigures(t, r, "open_requests=0", "fulfilled.once=3", "relayed.once=3")
 }
 
-// A value that breaks off has failed: no other attempt is made, and the client can tell.
-func TestLargeValueThatBreaksOff(t *testing.T) {
+// A large value that is not completed has failed: no other attempt is made, and the client's connection is
+// closed amid it.
+func TestIncompleteLargeValueFails(t *testing.T) {
 	r, b, _ := oneBackend(t, withOps)
 	c := r.client(t)
 	c.lookup(1, "60000")
@@ -76,7 +57,7 @@
 	head, value := largeHead()
 	call.answer(t, head+value[:minValuePrefix])
 	c.want(fmt.Sprintf("$%d", largeSize))
-	call.conn.Close()
+	_ = call.conn.Close()
 	if rest, _ := io.ReadAll(c.in); len(rest) != minValuePrefix {
 		t.Errorf("%d bytes of the value", len(rest))
 	}
@@ -87,21 +68,21 @@
 	}
 }
 
-// A length that promises a large value of which hardly anything comes is spoilt: nothing has gone
-// to the client, and what may run again does.
-func TestSpoiltLargeLength(t *testing.T) {
+// A length that announces a large value of which hardly anything arrives is corrupt: nothing goes to the
+// client, and the request is retried.
+func TestCorruptLengthOfALargeValueIsRetried(t *testing.T) {
 	r, b, _ := oneBackend(t, nil)
 	c := r.client(t)
 	c.lookup(1, "60000")
 	call := b.next(t)
 	head, _ := largeHead()
 	call.answer(t, head+"short\r\n$-1\r\n$-1\r\n")
-	call.conn.Close()
+	_ = call.conn.Close()
 	b.next(t).serve(t, "ok")
 	c.value("ok")
 }
 
-// A large value waits for its turn in its client's line, and is given up with the connection.
+// A large value waits for the replies before it, and is given up when the client disconnects.
 func TestLargeValueWaitsForItsTurn(t *testing.T) {
 	r, b := fourBackends(t, 1024)
 	c := r.client(t)
@@ -120,13 +101,13 @@
 	c.book(4, "team")
 	call := b.next(t)
 	call.answer(t, head+value[:minValuePrefix])
-	c.conn.Close()
+	_ = c.conn.Close()
 	for wait(t, b.ended, "the backend's connection to end") == nil {
 	}
 }
 
-// Neither the deadline nor a planned shutdown cuts off what the backend still gives.
-func TestLargeValueOutlastsDeadlineAndDrain(t *testing.T) {
+// Neither the deadline nor a planned shutdown ends the transfer of a large value.
+func TestLargeValueOutlastsDeadlineAndShutdown(t *testing.T) {
 	r, b := fourBackends(t, 1024)
 	c, other := r.client(t), r.client(t)
 	c.lookup(1, "400")
@@ -136,11 +117,11 @@
 	c.want(fmt.Sprintf("$%d", largeSize))
 	other.lookup(2, "500") // ends later than the deadline of the first
 	b.next(t)
-	r.pass(t, 500_000)
+	r.advance(t, 500_000)
 	if got := other.line(); got[0] != '-' {
 		t.Fatalf("answer %q", got)
 	}
-	r.stopFor(t, acceptPeriod)
+	r.shutDownFor(t, acceptPeriod)
 	other.closed()
 	call.answer(t, value[minValuePrefix:]+"\r\n$-1\r\n$-1\r\n")
 	if got := c.read(largeSize); got != value {
@@ -148,16 +129,16 @@
 	}
 	c.want("")
 	c.closed()
-	r.run() // its connections linger
+	r.runClock() // its connections linger
 	wait(t, r.ended, "the gateway to end")
 }
 
-// Units told behind a large value are settled as any.
-func TestLargeValueSettlesItsUnits(t *testing.T) {
+// The cost behind a large value is settled like any other.
+func TestLargeValueSettlesItsCost(t *testing.T) {
 	r, b, _ := oneBackend(t, func(f map[string]any) {
 		withOps(f)
-		text := strings.Replace(settingsText, `"settles":false`, `"settles":true,"max-units":8`, 1)
-		f["settings"] = json.RawMessage(strings.Replace(text, `"rate":0.1,"burst":1`, `"rate":0.0001,"burst":4`, 1))
+		f["settings"] = settingsWith(t, `"settles":false`, `"settles":true,"max-units":8`,
+			`"rate":0.1,"burst":1`, `"rate":0.0001,"burst":4`)
 	})
 	c := r.client(t)
 	c.book(1, "tiny")
@@ -165,8 +146,8 @@
 	b.next(t).answer(t, head+value+"\r\n$14\r\nused=9,cost=4.\r\n$-1\r\n")
 	c.largeValue(value)
 	reached(t, r, "fulfilled.once=1") // settled only after the client has the value
-	c.book(2, "tiny")                 // the bank held 4
+	c.book(2, "tiny")                 // the token bucket held 4
 	if got := c.line(); !isBusyReply([]byte(got)) {
-		t.Errorf("answer %q: the guess was 1, the true units 4", got)
+		t.Errorf("answer %q: the estimate was 1, the actual cost 4", got)
 	}
 }
