--- /dev/null
+++ b/docs/names_test.go
@@ -0,0 +1,192 @@
+// Package docs checks the project's pages against its code.
+package docs
+
+import (
+	"fmt"
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+)
+
+// checkedPages are the pages in which every name of code has to exist.
+var checkedPages = []string{"ARCHITECTURE.md"}
+
+// declarations holds what the packages of the module declare: "package.Name" and "package.Type.Member".
+type declarations struct {
+	names    map[string]bool
+	packages map[string]bool
+}
+
+var (
+	qualifiedName = regexp.MustCompile(`\b([a-z]\w*)\.([A-Za-z]\w*)(?:\.([A-Za-z]\w*))?`)
+	quoted        = regexp.MustCompile("`([^`\n]+)`")
+	repoPath      = regexp.MustCompile(`^\.?[\w-]+(/[\w.-]+)+/?$|^[\w-]+\.(go|md|toml)$`)
+)
+
+func TestPagesNameOnlyWhatExists(t *testing.T) {
+	declared := declaredIn(t, "..")
+	for _, page := range checkedPages {
+		t.Run(page, func(t *testing.T) {
+			raw, err := os.ReadFile(page)
+			if err != nil {
+				t.Fatal(err)
+			}
+			for i, line := range strings.Split(string(raw), "\n") {
+				for _, missing := range declared.missingIn(line) {
+					t.Errorf("%s:%d: %s does not exist", page, i+1, missing)
+				}
+			}
+		})
+	}
+}
+
+func TestMissingNamesAreFound(t *testing.T) {
+	declared := declarations{
+		names:    map[string]bool{"policy.Controller": true, "policy.Controller.Reload": true},
+		packages: map[string]bool{"policy": true},
+	}
+	line := "`policy.Controller.Reload`, policy.Gone, policy.Controller.Gone, limits.sockets, " +
+		"`gone/file.go`, `names_test.go`"
+	want := []string{"policy.Gone", "policy.Controller.Gone", "gone/file.go"}
+	if got := declared.missingIn(line); !slices.Equal(got, want) {
+		t.Errorf("missing %q, want %q", got, want)
+	}
+}
+
+// missingIn returns the names of code and the paths in a line that do not exist.
+func (d declarations) missingIn(line string) []string {
+	var missing []string
+	for _, match := range qualifiedName.FindAllStringSubmatch(line, -1) {
+		pkg, name, member := match[1], match[2], match[3]
+		if !d.packages[pkg] || name == "go" || name == "md" || name == "toml" {
+			continue
+		}
+		full := pkg + "." + name
+		if member != "" {
+			full += "." + member
+		}
+		if !d.names[full] {
+			missing = append(missing, full)
+		}
+	}
+	for _, match := range quoted.FindAllStringSubmatch(line, -1) {
+		if repoPath.MatchString(match[1]) && !pathExists(match[1]) {
+			missing = append(missing, match[1])
+		}
+	}
+	return missing
+}
+
+// pathExists reports whether a path, from the module's root or a file name alone, is in the repository.
+func pathExists(path string) bool {
+	if _, err := os.Stat(filepath.Join("..", path)); err == nil {
+		return true
+	}
+	if strings.Contains(path, "/") {
+		return false
+	}
+	found := false
+	_ = filepath.WalkDir("..", func(file string, entry fs.DirEntry, err error) error {
+		found = found || err == nil && entry.Name() == path
+		return nil
+	})
+	return found
+}
+
+// declaredIn parses the program's files below a folder.
+func declaredIn(t *testing.T, root string) declarations {
+	t.Helper()
+	d := declarations{names: map[string]bool{}, packages: map[string]bool{}}
+	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
+		if err != nil {
+			return err
+		}
+		if filepath.Ext(path) != ".go" || strings.HasSuffix(path, "_test.go") {
+			return nil
+		}
+		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+		if err != nil {
+			return fmt.Errorf("parse %s: %w", path, err)
+		}
+		d.addFile(file)
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return d
+}
+
+func (d declarations) addFile(file *ast.File) {
+	pkg := file.Name.Name
+	d.packages[pkg] = true
+	for _, declaration := range file.Decls {
+		switch declaration := declaration.(type) {
+		case *ast.FuncDecl:
+			name := declaration.Name.Name
+			if declaration.Recv != nil {
+				name = receiverType(declaration.Recv.List[0].Type) + "." + name
+			}
+			d.names[pkg+"."+name] = true
+		case *ast.GenDecl:
+			for _, spec := range declaration.Specs {
+				d.addSpec(pkg, spec)
+			}
+		}
+	}
+}
+
+func (d declarations) addSpec(pkg string, spec ast.Spec) {
+	switch spec := spec.(type) {
+	case *ast.ValueSpec:
+		for _, name := range spec.Names {
+			d.names[pkg+"."+name.Name] = true
+		}
+	case *ast.TypeSpec:
+		typeName := pkg + "." + spec.Name.Name
+		d.names[typeName] = true
+		for _, member := range membersOf(spec.Type) {
+			d.names[typeName+"."+member] = true
+		}
+	}
+}
+
+// membersOf returns the names of a struct's fields or an interface's methods.
+func membersOf(expression ast.Expr) []string {
+	var list *ast.FieldList
+	switch expression := expression.(type) {
+	case *ast.StructType:
+		list = expression.Fields
+	case *ast.InterfaceType:
+		list = expression.Methods
+	default:
+		return nil
+	}
+	var names []string
+	for _, field := range list.List {
+		for _, name := range field.Names {
+			names = append(names, name.Name)
+		}
+	}
+	return names
+}
+
+// receiverType returns the name of a method's receiver type.
+func receiverType(expression ast.Expr) string {
+	switch expression := expression.(type) {
+	case *ast.StarExpr:
+		return receiverType(expression.X)
+	case *ast.IndexExpr:
+		return receiverType(expression.X)
+	case *ast.Ident:
+		return expression.Name
+	}
+	return ""
+}
--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 
-	"sparspread/internal/handover"
 	"sparspread/policy"
 )
 
@@ -21,9 +20,7 @@
 	if until == 0 || until > r.deadline {
 		until = r.deadline
 	}
-	l.replicate(msgSent, func() ([]byte, error) {
-		return handover.EncodeAttemptSent(handover.AttemptSent{RequestID: id, Backend: backend})
-	})
+	l.replicateAttemptSent(id, backend)
 	a := &attempt{request: r, number: r.attempts, sentAt: l.now(), expiresAt: until}
 	r.attempts++
 	r.attemptsInFlight++
@@ -66,13 +63,8 @@
 	}
 }
 
-// IncrementCounter adds to a counter that all gateways share.
-func (l *Loop) IncrementCounter(name uint64, add float64, life policy.Time) {
-	l.counter.count(l, name, add, life)
-}
-
 // WatchEndpoints has discovery report the endpoint list and its changes from now on.
-func (l *Loop) WatchEndpoints() { l.discovery.follow() }
+func (l *Loop) WatchEndpoints() { l.discovery.Watch() }
 
 // Log writes a line to the log.
 func (l *Loop) Log(line string) { l.log.Info(line) }
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -1,7 +1,6 @@
 package gateway
 
 import (
-	"sparspread/internal/handover"
 	"sparspread/internal/resp"
 	"sparspread/policy"
 )
@@ -130,6 +129,6 @@
 
 // reportOutcome tells the policy, and a process that takes over, how an attempt ended.
 func (l *Loop) reportOutcome(outcome policy.Outcome) {
-	l.replicate(msgOutcome, func() ([]byte, error) { return handover.EncodeAttemptEnded(outcome) })
+	l.replicateAttemptEnded(outcome)
 	l.controller.AttemptEnded(l.now(), outcome)
 }
--- a/internal/gateway/backend.go
+++ b/internal/gateway/backend.go
@@ -104,7 +104,7 @@
 	for _, e := range list {
 		b := bs.updateEndpoint(e)
 		endpoints = append(endpoints, policy.Endpoint{
-			ID: b.number, Zone: l.discovery.zone(e.Zone), Cell: e.Cell, State: b.state,
+			ID: b.number, Zone: l.endpoints.zoneNumber(e.Zone), Cell: e.Cell, State: b.state,
 			CapacityHint: e.CapacityHint, StartedAt: e.UpSinceMS * millisecond,
 		})
 	}
--- a/internal/gateway/discovery_watch_test.go
+++ b/internal/gateway/discovery_watch_test.go
@@ -37,7 +37,8 @@
 	hung := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Has("index") && !held.Swap(true) {
 			wait, err := strconv.Atoi(r.URL.Query().Get("wait"))
-			limit := time.Duration(wait)*time.Millisecond + watchSlack
+			const slack = time.Second // for the answer, by the discovery client
+			limit := time.Duration(wait)*time.Millisecond + slack
 			if err != nil || limit >= 6*time.Second {
 				t.Errorf("a watch is waited for %v, %v", limit, err)
 			}
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -5,6 +5,9 @@
 	"sync/atomic"
 
 	"sparspread/internal/config"
+	"sparspread/internal/counter"
+	"sparspread/internal/discovery"
+	"sparspread/internal/handover"
 	"sparspread/policy"
 )
 
@@ -38,14 +41,15 @@
 	clients            *clients
 	backends           *backends
 	gossip             *gossipTransport
-	counter            *counter
-	discovery          *discoveryClient
+	counter            *counter.Client // nil: there is none
+	discovery          *discovery.Client
+	endpoints          endpointList
 	ops                *ops
-	handoverListener   *successorListener // where another process asks to take over; nil: nowhere
-	pendingTakeover    *takeover          // from a process that still serves; nil: none
-	predecessor        *takeover          // the same once it has handed over
+	handoverListener   *handover.Listener // where a successor asks for the handover; nil: nowhere
+	pendingTakeover    *handover.Takeover // from a process that still serves; nil: none
+	predecessor        *handover.Takeover // the same once it has handed over
 	predecessorRunning bool               // it has not ended yet
-	handover           *outgoingHandover  // to another process; nil: none
+	handover           *outgoingHandover  // to a successor; nil: none
 	metrics            *metrics
 	classMetrics       []*classMetrics // in the order of the classes in force
 	publishedConfig    atomic.Pointer[config.Config]
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -4,78 +4,29 @@
 	"context"
 	"encoding/json"
 	"fmt"
-	"io"
 	"net"
-	"net/http"
 	"strings"
 	"syscall"
 	"testing"
 
-	"sparspread/internal/config"
+	"sparspread/internal/discovery"
 	"sparspread/policy"
 )
 
-// discoveryFault is a discovery service that does not answer. It sends to met when it is called.
-type discoveryFault func(t *testing.T, met chan<- string) (address string, dial dialControl)
-
-// dialControl is called before each dial to discovery; nil: the dials are not touched.
-type dialControl func(network, address string, conn syscall.RawConn) error
-
-var discoveryFaults = map[string]discoveryFault{
-	"refuses": func(t *testing.T, met chan<- string) (string, dialControl) {
-		t.Helper()
-		listener := listenLocal(t)
-		_ = listener.Close()
-		return listener.Addr().String(), func(string, string, syscall.RawConn) error {
-			met <- "dial"
-			return nil
-		}
-	},
-	"resets": func(t *testing.T, met chan<- string) (string, dialControl) {
-		t.Helper()
-		return acceptEach(t, func(conn net.Conn) {
-			_ = conn.(*net.TCPConn).SetLinger(0)
-			_ = conn.Close()
-			met <- "reset"
-		}), nil
-	},
-	"is silent": func(t *testing.T, met chan<- string) (string, dialControl) {
-		t.Helper()
-		return acceptEach(t, func(net.Conn) { met <- "call" }), nil
-	},
-	"breaks off amid a list": func(t *testing.T, met chan<- string) (string, dialControl) {
-		t.Helper()
-		return acceptEach(t, func(conn net.Conn) {
-			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n"+
-				"{\"revision\":9,\"members\":[")
-			met <- "half a list"
-		}), nil
-	},
-	"hangs in the dial": func(t *testing.T, met chan<- string) (string, dialControl) {
-		t.Helper()
-		unblock := make(chan struct{})
-		t.Cleanup(func() { close(unblock) })
-		return "127.0.0.1:1", func(string, string, syscall.RawConn) error {
-			met <- "dial"
-			<-unblock
-			return syscall.ECONNREFUSED
-		}
-	},
+// faultyDiscovery is a discovery service that fails in one way.
+type faultyDiscovery struct {
+	address string
+	// control replaces that of the client's dialer; nil: the client dials as ever.
+	control func(network, address string, c syscall.RawConn) error
 }
 
-func listenLocal(t *testing.T) net.Listener {
+// serveFaulty listens and does the same with each connection.
+func serveFaulty(t *testing.T, serve func(net.Conn)) faultyDiscovery {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return listener
-}
-
-// acceptEach listens at the address that it returns and calls handle with each connection.
-func acceptEach(t *testing.T, handle func(net.Conn)) string {
-	t.Helper()
-	listener := listenLocal(t)
 	t.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for {
@@ -84,96 +35,114 @@
 				return
 			}
 			t.Cleanup(func() { _ = conn.Close() })
-			handle(conn)
+			serve(conn)
 		}
 	}()
-	return listener.Addr().String()
+	return faultyDiscovery{address: listener.Addr().String()}
 }
 
-// knownEndpoints is the configuration's list of n endpoints that are ready.
-func knownEndpoints(n int) json.RawMessage {
-	const member = `{"id":"s-%08x","host_port":"127.0.0.1:9","phase":"Ready"}`
-	var members []string
-	for i := range n {
-		members = append(members, fmt.Sprintf(member, i+1))
-	}
-	return json.RawMessage(`{"revision":1,"complete":true,"members":[` + strings.Join(members, ",") + `]}`)
+// discoveryFaults start a faulty service each. It sends to called whenever the client has called it.
+var discoveryFaults = map[string]func(t *testing.T, called chan<- string) faultyDiscovery{
+	"refuses": func(t *testing.T, called chan<- string) faultyDiscovery {
+		t.Helper()
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		_ = listener.Close()
+		control := func(string, string, syscall.RawConn) error {
+			called <- "dial"
+			return nil
+		}
+		return faultyDiscovery{listener.Addr().String(), control}
+	},
+	"resets": func(t *testing.T, called chan<- string) faultyDiscovery {
+		t.Helper()
+		return serveFaulty(t, func(conn net.Conn) {
+			_ = conn.(*net.TCPConn).SetLinger(0)
+			_ = conn.Close()
+			called <- "reset"
+		})
+	},
+	"is silent": func(t *testing.T, called chan<- string) faultyDiscovery {
+		t.Helper()
+		return serveFaulty(t, func(net.Conn) { called <- "call" })
+	},
+	"breaks off amid a list": func(t *testing.T, called chan<- string) faultyDiscovery {
+		t.Helper()
+		return serveFaulty(t, func(conn net.Conn) {
+			const half = "HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n{\"revision\":9,\"members\":["
+			_, _ = fmt.Fprint(conn, half) // a gateway that has gone fails the test elsewhere
+			called <- "half a list"
+		})
+	},
+	"hangs in the dial": func(t *testing.T, called chan<- string) faultyDiscovery {
+		t.Helper()
+		release := make(chan struct{})
+		t.Cleanup(func() { close(release) })
+		control := func(string, string, syscall.RawConn) error {
+			called <- "dial"
+			<-release
+			return syscall.ECONNREFUSED
+		}
+		return faultyDiscovery{"127.0.0.1:1", control}
+	},
 }
 
-// Whatever discovery does, the gateway is ready after readinessWait, with the configured list.
-func TestStartIsReadyWhateverDiscoveryDoes(t *testing.T) {
-	const endpoints = 3000
-	for name, fault := range discoveryFaults {
+// Whatever the discovery service does, a start is over when its wait is: the gateway serves with the list that its
+// configuration contains.
+func TestStartDoesNotDependOnDiscovery(t *testing.T) {
+	for name, start := range discoveryFaults {
 		t.Run(name, func(t *testing.T) {
-			met := make(chan string, 1024)
-			address, control := fault(t, met)
-			cfg := configure(t, newFakeDiscovery(t), func(f map[string]any) {
-				f["discovery"] = address
-				f["known"] = knownEndpoints(endpoints)
-			})
-			l, err := newLoop(cfg, quiet())
-			if err != nil {
-				t.Fatal(err)
-			}
+			called := make(chan string, 1024)
+			faulty := start(t, called)
+			const endpoints = 3000
+			l := newLoopWithKnownList(t, faulty, endpoints)
 			defer func() { _ = l.clients.listener.Close() }()
-			if control != nil {
-				dialer := &net.Dialer{Control: control}
-				l.discovery.client.Transport.(*http.Transport).DialContext = dialer.DialContext
-			}
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			l.start(ctx)
-			wait(t, met, "discovery's first call")
+			wait(t, called, "discovery's first call")
 			if l.runTimers(); l.accepting {
-				t.Fatal("ready before readinessWait")
+				t.Fatal("ready before the wait was over")
 			}
 			l.clock.wall += readinessWait
 			if l.runTimers(); !l.accepting {
-				t.Fatal("not ready after readinessWait")
+				t.Fatal("not ready when the wait was over")
 			}
 			defer l.clients.pause()
-			if got := readyBackends(l); got != endpoints {
-				t.Errorf("%d backends are ready, want %d", got, endpoints)
+			ready := 0
+			for _, b := range l.backends.byNumber {
+				if b.state == policy.EndpointReady {
+					ready++
+				}
+			}
+			if ready != endpoints {
+				t.Errorf("%d backends are ready, want %d", ready, endpoints)
 			}
 		})
 	}
 }
 
-// readyBackends counts the backends that are ready.
-func readyBackends(l *Loop) (n int) {
-	for _, b := range l.backends.byNumber {
-		if b.state == policy.EndpointReady {
-			n++
-		}
+// newLoopWithKnownList makes a gateway whose configuration contains a list and names a faulty service.
+func newLoopWithKnownList(t *testing.T, faulty faultyDiscovery, endpoints int) *Loop {
+	t.Helper()
+	var entries []string
+	for i := range endpoints {
+		entries = append(entries, fmt.Sprintf(`{"id":"s-%08x","host_port":"127.0.0.1:9","phase":"Ready"}`, i+1))
 	}
-	return n
-}
-
-// An invalid configuration gives an error of one line.
-func TestInvalidConfigurationIsRejected(t *testing.T) {
-	good := `{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"01","settings":` +
-		settingsText + `}`
-	if _, err := config.Parse([]byte(good)); err != nil {
+	cfg := configure(t, newFakeDiscovery(t), func(f map[string]any) {
+		f["discovery"] = faulty.address
+		f["known"] = json.RawMessage(`{"revision":1,"complete":true,"members":[` + strings.Join(entries, ",") + `]}`)
+	})
+	l, err := newLoop(cfg, quiet())
+	if err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range [][2]string{
-		{`"seed":"01"`, `"seed":"x"`},
-		{`"listen":"127.0.0.1:0"`, `"listen":""`},
-		{`"discovery":"127.0.0.1:1"`, `"discovery":""`},
-		{`"balancers":1`, `"balancers":"many"`},
-		{`"peers":false`, `"peers":true`},
-		{`"name":"team"`, `"nam":"team"`},
-		{`{"name":"n"`, `{"peers":["nowhere"]`},
-		{`"settings":{`, `"set":{`},
-		{`}`, ``},
-	} {
-		bad := strings.Replace(good, c[0], c[1], 1)
-		if bad == good {
-			t.Fatalf("%s: not there", c[0])
-		}
-		_, err := config.Parse([]byte(bad))
-		if err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v", c[1], err)
-		}
+	if faulty.control != nil {
+		c := discoveryConfig(&cfg)
+		c.DialContext = (&net.Dialer{Control: faulty.control}).DialContext
+		l.discovery = discovery.New(c, quiet(), l.postEndpoints)
 	}
+	return l
 }
--- a/internal/gateway/value_stream.go
+++ b/internal/gateway/value_stream.go
@@ -3,7 +3,6 @@
 import (
 	"time"
 
-	"sparspread/internal/handover"
 	"sparspread/internal/resp"
 	"sparspread/internal/sockwriter"
 	"sparspread/policy"
@@ -171,9 +170,7 @@
 
 // settleCost reports to the policy, and to a process that takes over, by how much a cost was underestimated.
 func (l *Loop) settleCost(customer uint64, extra float64) {
-	l.replicate(msgSettled, func() ([]byte, error) {
-		return handover.EncodeCostSettled(handover.CostSettled{Customer: customer, Extra: extra})
-	})
+	l.replicateCostSettled(customer, extra)
 	l.controller.CostSettled(l.now(), customer, extra)
 }
 
