--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -13,7 +13,7 @@
 // Send starts the next attempt of a request, which ends at until or, if that is 0 or later, by the request's
 // deadline.
 func (l *Loop) Send(id uint64, backend uint32, until policy.Time) {
-	r := l.requests[id]
+	r := l.requests.byID[id]
 	if r == nil {
 		panic(fmt.Sprintf("send for request %d, which is not open", id))
 	}
@@ -29,14 +29,14 @@
 
 // Reject gives a request the final reply that nothing ran; after (0: none) advises when to retry.
 func (l *Loop) Reject(id uint64, after policy.Time) {
-	if r := l.requests[id]; r != nil {
+	if r := l.requests.byID[id]; r != nil {
 		l.answer(r, busyReply(after))
 	}
 }
 
 // Fail gives a request the final reply that it may or may not have run.
 func (l *Loop) Fail(id uint64) {
-	if r := l.requests[id]; r != nil {
+	if r := l.requests.byID[id]; r != nil {
 		l.answer(r, failedReply)
 	}
 }
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -40,7 +40,7 @@
 func (bs *backends) startAttempt(l *Loop, a *attempt, number uint32) {
 	a.backend = number
 	b := bs.byNumber[number]
-	a.timeout = l.schedule(a.expiresAt, attemptTimeout{a})
+	a.timeout = l.schedule(a.expiresAt, attemptTimeout{attempt: a})
 	if b == nil || b.state != policy.EndpointReady || !a.canBeSent() {
 		l.endAttempt(a, policy.ResultNotSent)
 		return
--- a/internal/gateway/backend_dial_test.go
+++ b/internal/gateway/backend_dial_test.go
@@ -29,8 +29,8 @@
 			c := connectWithRequest(t, l, "c=once")
 			wait(t, dialing, "the dial")
 			end(t, l, c)
-			if n := len(l.backends.byNumber[1].waiting); n != 0 || len(l.requests) != 0 {
-				t.Errorf("%d attempts wait, %d requests remain", n, len(l.requests))
+			if n := len(l.backends.byNumber[1].waiting); n != 0 || len(l.requests.byID) != 0 {
+				t.Errorf("%d attempts wait, %d requests remain", n, len(l.requests.byID))
 			}
 			close(unblock)
 			if e := handleNext(t, l, "the dial's end").(dialEnded); e.err != nil {
--- a/internal/gateway/backend_pool.go
+++ b/internal/gateway/backend_pool.go
@@ -73,7 +73,7 @@
 	for _, c := range b.idle {
 		if c.isQuiescing(l.now()) {
 			b.quiesceTimerSet = true
-			l.schedule(c.idleSince+quiescencePeriod, connectionQuiesced{b})
+			l.schedule(c.idleSince+quiescencePeriod, connectionQuiesced{backend: b})
 			return
 		}
 	}
--- a/internal/gateway/client.go
+++ b/internal/gateway/client.go
@@ -27,7 +27,7 @@
 	clock         clock         // the loop's
 	pipelineSlots chan struct{} // one for each request: acquired by the reader, released by the loop
 	done          chan struct{} // closed by the loop with the connection
-	queuedBytes   *atomic.Int64 // Loop.queuedBytes
+	queuedBytes   *atomic.Int64 // memoryUse.queued
 
 	// Shared between the loop and the reader goroutine.
 	ignoreInput  atomic.Bool  // set by the loop: what still arrives is not read as commands
@@ -67,6 +67,13 @@
 	counts       clientCounts
 }
 
+func newClients(budget descriptorBudget) *clients {
+	return &clients{
+		slots: make(chan struct{}, budget.clientSlots), limit: budget.perSide, conns: map[*client]bool{},
+		drainBacklog: make(chan struct{}),
+	}
+}
+
 // clientCounts counts connections and rejections since the last report in the log.
 type clientCounts struct {
 	since    policy.Time
--- a/internal/gateway/client_accept.go
+++ b/internal/gateway/client_accept.go
@@ -113,7 +113,7 @@
 	c := &client{
 		conn: e.conn, writer: sockwriter.New(e.conn), openedAt: e.openedAt, clock: l.clock,
 		pipelineSlots: make(chan struct{}, maxPipelined), done: make(chan struct{}),
-		queuedBytes: &l.queuedBytes, lastCommandAt: now,
+		queuedBytes: &l.memory.queued, lastCommandAt: now,
 		commands: e.commands, inheritedInput: e.inheritedInput,
 	}
 	cs.conns[c] = true
--- a/internal/gateway/client_close.go
+++ b/internal/gateway/client_close.go
@@ -77,7 +77,7 @@
 func (l *Loop) cancelRequest(r *request, now policy.Time) {
 	l.cancelValue(r)
 	l.abortBody(r)
-	l.retainedBytes -= len(r.reply)
+	l.memory.retained -= len(r.reply)
 	if r.answered {
 		return
 	}
--- a/internal/gateway/client_commands.go
+++ b/internal/gateway/client_commands.go
@@ -37,7 +37,7 @@
 	client       *client
 	receivedAt   policy.Time
 	command      command
-	size         int            // bytes that it holds, counted in Loop.queuedBytes
+	size         int            // bytes that it holds, counted in memoryUse.queued
 	reply        []byte         // to be sent without a decision of the policy; nil: none
 	malformed    bool           // it counts as an error of the connection's
 	framingLost  bool           // nothing behind it can be read
@@ -76,8 +76,8 @@
 	if bodySize > 0 {
 		e.body = &body{size: bodySize, destination: make(chan *backendConn, 1)}
 	}
-	if l.queuedBytes.Add(int64(e.size)) > maxQueuedBytes(e.config) {
-		l.queuedBytes.Add(-int64(e.size))
+	if l.memory.queued.Add(int64(e.size)) > maxQueuedBytes(e.config) {
+		l.memory.queued.Add(-int64(e.size))
 		e.command.args, e.args, e.size, e.overMemory = nil, nil, 0, true
 	}
 }
@@ -103,7 +103,7 @@
 
 func (e commandReceived) handle(l *Loop) {
 	c, now := e.client, l.now()
-	l.queuedBytes.Add(-int64(e.size))
+	l.memory.queued.Add(-int64(e.size))
 	if c.closed || c.writeClosed || c.ignoreInput.Load() {
 		// It arrived while the connection was being closed: the client sends it again.
 		e.body.discard()
@@ -128,7 +128,7 @@
 	}
 	r := l.appendRequest(&e)
 	c.lastCommandAt = now
-	if e.reply == nil && l.openByClientID[r.clientID] != nil {
+	if e.reply == nil && l.requests.openByClientID[r.clientID] != nil {
 		// Two open requests of one id can't be told apart behind this gateway.
 		e.reply, e.malformed = errorReply(errIDIsOpen), true
 	}
@@ -158,7 +158,7 @@
 		l.metrics.open.Add(1)
 	}
 	r.client.pipeline = append(r.client.pipeline, r)
-	l.openRequests++
+	l.requests.open++
 	return r
 }
 
@@ -181,14 +181,14 @@
 // admitRequest has the policy decide on a request.
 func (l *Loop) admitRequest(r *request, details policy.Request, receivedAt policy.Time) {
 	now := l.now()
-	l.nextRequestID++
-	r.id = l.nextRequestID
-	l.requests[r.id], l.openByClientID[r.clientID] = r, r
-	l.retainedBytes += argsSize(r.args)
+	l.requests.lastID++
+	r.id = l.requests.lastID
+	l.requests.byID[r.id], l.requests.openByClientID[r.clientID] = r, r
+	l.memory.retained += argsSize(r.args)
 	r.customer, r.estimatedCost = details.Customer, details.Cost
 	margin := min(deadlineMargin, details.Timeout/maxMarginDivisor)
 	r.receivedAt, r.deadline = receivedAt, receivedAt+details.Timeout-margin
-	r.guard = l.schedule(r.deadline+margin/2, deadlineGuard{r})
+	r.guard = l.schedule(r.deadline+margin/2, deadlineGuard{request: r})
 	details.ID, details.Timeout = r.id, max(0, r.deadline-now)
 	l.controller.RequestReceived(now, details)
 }
@@ -224,6 +224,6 @@
 // overCapacity reports whether the open requests are too many, or hold too much memory.
 func (l *Loop) overCapacity() bool {
 	maxOpen := l.config.Host.MaxOpen
-	return maxOpen > 0 && l.openRequests > maxOpen ||
-		l.retainedBytes >= l.config.MemoryMB<<20/retainedMemoryDivisor
+	return maxOpen > 0 && l.requests.open > maxOpen ||
+		l.memory.retained >= l.config.MemoryMB<<20/retainedMemoryDivisor
 }
--- a/internal/gateway/client_disconnect_test.go
+++ b/internal/gateway/client_disconnect_test.go
@@ -92,15 +92,15 @@
 			departure.by(c)
 			awaitQueued(l, 2)
 			var r *request
-			for _, r = range l.requests {
+			for _, r = range l.requests.byID {
 			}
 			handleNext(t, l, "the reset")
 			if n := l.backends.byNumber[1].dialing; n != 0 || r.attempts != 1 {
 				t.Errorf("%d attempts, %d dials for a client that has gone", r.attempts, n)
 			}
 			handleNext(t, l, "the client's end")
-			if len(l.requests) != 0 || l.openRequests != 0 {
-				t.Errorf("%d requests remain, %d open", len(l.requests), l.openRequests)
+			if len(l.requests.byID) != 0 || l.requests.open != 0 {
+				t.Errorf("%d requests remain, %d open", len(l.requests.byID), l.requests.open)
 			}
 		})
 	}
@@ -153,9 +153,9 @@
 				t.Fatalf("forwarded: %d idle connections", n)
 			}
 			handleNext(t, l, "the client's end")
-			if len(l.requests) != 0 || l.openRequests != 0 || l.retainedBytes != 0 {
+			if len(l.requests.byID) != 0 || l.requests.open != 0 || l.memory.retained != 0 {
 				t.Errorf("%d requests remain, %d open, %d bytes",
-					len(l.requests), l.openRequests, l.retainedBytes)
+					len(l.requests.byID), l.requests.open, l.memory.retained)
 			}
 		})
 	}
@@ -198,7 +198,7 @@
 				c := connectWithRequest(t, l, "c=once")
 				wait(t, dialing, "the dial")
 				c.raw(bodyHead(2, "team", len(body)) + text)
-				turn(t, l, name+" the second request", func() bool { return l.openRequests == 2 })
+				turn(t, l, name+" the second request", func() bool { return l.requests.open == 2 })
 				departure.by(c)
 				turn(t, l, "the client's end", func() bool { return len(l.clients.conns) == 0 })
 				wantNothingSent(t, l, b, unblock)
@@ -235,7 +235,7 @@
 			_, body := largeHead()
 			c.raw(bodyHead(2, "team", len(body)) + body + "\r\n")
 			turn(t, l, "the second dial's end", func() bool {
-				return l.openRequests == 2 && l.backends.byNumber[1].dialing == 0
+				return l.requests.open == 2 && l.backends.byNumber[1].dialing == 0
 			})
 			departure.by(c)
 			for len(l.clients.conns) > 0 {
--- a/internal/gateway/client_read.go
+++ b/internal/gateway/client_read.go
@@ -31,7 +31,7 @@
 	for {
 		switch err := c.awaitCommand(in); {
 		case errors.Is(err, errHandingOver):
-			l.post(clientReaderStopped{c})
+			l.post(clientReaderStopped{client: c})
 			return
 		case err != nil:
 			c.disconnect(l)
@@ -52,7 +52,7 @@
 			c.setReadDeadline(time.Time{})
 		}
 		if !c.acquireSlot(l, identified) {
-			l.queuedBytes.Add(-int64(e.size))
+			l.memory.queued.Add(-int64(e.size))
 			return
 		}
 		l.post(e)
--- a/internal/gateway/client_read_ahead.go
+++ b/internal/gateway/client_read_ahead.go
@@ -35,7 +35,7 @@
 // order. The end of the connection is not noticed behind that.
 func (c *client) readAhead(l *Loop, waitOver <-chan struct{}) {
 	maxQueued := maxQueuedBytes(l.publishedConfig.Load()) / 2
-	for len(c.readAheadInput) < maxReadAhead && l.queuedBytes.Load() < maxQueued {
+	for len(c.readAheadInput) < maxReadAhead && l.memory.queued.Load() < maxQueued {
 		err := c.readAheadOnce(l)
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded):
@@ -65,7 +65,7 @@
 	n, err := c.conn.Read(c.readAheadInput[length:min(cap(c.readAheadInput), maxReadAhead)])
 	n = max(n, 0)
 	c.readAheadInput = c.readAheadInput[:length+n]
-	l.queuedBytes.Add(int64(n))
+	l.memory.queued.Add(int64(n))
 	return err
 }
 
@@ -82,6 +82,6 @@
 
 // discardReadAhead drops what was read ahead, when the reader ends.
 func (c *client) discardReadAhead(l *Loop) {
-	l.queuedBytes.Add(-int64(len(c.readAheadInput)))
+	l.memory.queued.Add(-int64(len(c.readAheadInput)))
 	c.readAheadInput = nil
 }
--- a/internal/gateway/client_read_ahead_test.go
+++ b/internal/gateway/client_read_ahead_test.go
@@ -19,7 +19,7 @@
 		fmt.Fprintf(&text, "*1\r\n$5\r\nX%04d\r\n*1\r\n$4\r\nPING\r\n", i)
 	}
 	c.raw(text.String())
-	for r.loop.queuedBytes.Load() < maxReadAhead/2 { // until much is read ahead
+	for r.loop.memory.queued.Load() < maxReadAhead/2 { // until much is read ahead
 		runtime.Gosched()
 	}
 	call.serve(t, "ok")
@@ -28,7 +28,7 @@
 		c.want(fmt.Sprintf("-ERR unknown command \"X%04d\"", i))
 		c.want("+PONG")
 	}
-	if n := r.loop.queuedBytes.Load(); n != 0 {
+	if n := r.loop.memory.queued.Load(); n != 0 {
 		t.Errorf("%d bytes are counted when all is answered", n)
 	}
 }
@@ -43,14 +43,14 @@
 	defer func() { _ = near.Close() }()
 	go func() { _, _ = far.conn.Write(make([]byte, 2*maxReadAhead)) }()
 	most := maxQueuedBytes(l.config) / 2
-	l.queuedBytes.Store(most)
+	l.memory.queued.Store(most)
 	c := &client{conn: near}
 	if c.readAhead(l, nil); len(c.readAheadInput) != 0 {
 		t.Errorf("%d bytes read where there is no memory", len(c.readAheadInput))
 	}
-	l.queuedBytes.Store(0)
+	l.memory.queued.Store(0)
 	c.readAhead(l, nil)
-	length, capacity, counted := len(c.readAheadInput), cap(c.readAheadInput), l.queuedBytes.Load()
+	length, capacity, counted := len(c.readAheadInput), cap(c.readAheadInput), l.memory.queued.Load()
 	if length != maxReadAhead || capacity > maxReadAhead+maxReadAhead/4 || counted != maxReadAhead {
 		t.Errorf("%d bytes in %d read, %d counted, want %d", length, capacity, counted, maxReadAhead)
 	}
@@ -67,7 +67,7 @@
 	const ping = "*1\r\n$004\r\nPING\r\n"
 	c.raw(strings.Repeat(ping, 2*maxPipelined))
 	c.book(2, "team")
-	for first.loop.queuedBytes.Load() < maxPipelined/2*int64(len(ping)) {
+	for first.loop.memory.queued.Load() < maxPipelined/2*int64(len(ping)) {
 		runtime.Gosched()
 	}
 	second := begin(t, cfg)
--- a/internal/gateway/client_reply.go
+++ b/internal/gateway/client_reply.go
@@ -32,7 +32,7 @@
 		} else {
 			replies = append(replies[:len(replies):len(replies)], r.reply...)
 		}
-		l.retainedBytes -= len(r.reply)
+		l.memory.retained -= len(r.reply)
 		r.reply = nil
 		answered++
 		<-c.pipelineSlots
--- a/internal/gateway/endpoints_test.go
+++ b/internal/gateway/endpoints_test.go
@@ -8,8 +8,8 @@
 	"sparspread/policy"
 )
 
-// The list at a new address may be older than what the address before has announced: a backend that was announced as
-// draining stays so until an update as new says otherwise, or it has started anew.
+// The list at a new address may be older than what the address before has announced: a backend that was
+// announced as draining stays so until an update as new says otherwise, or it has started anew.
 func TestOlderUpdateKeepsBackendsDraining(t *testing.T) {
 	l := unstarted(t, newFakeDiscovery(t))
 	const id = "s-00000001"
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -11,7 +11,12 @@
 	"sparspread/policy"
 )
 
-const eventQueueLength = 1024 // events that wait for the loop
+const (
+	eventQueueLength       = 1024 // events that wait for the loop before their senders wait
+	urgentEventQueueLength = 16
+
+	sweepInterval = 100 * millisecond // between two sweeps of idle connections
+)
 
 // Run serves clients until control stops it and all open requests are answered.
 func Run(cfg config.Config, log *slog.Logger, control Control) error {
@@ -23,14 +28,14 @@
 	return nil
 }
 
-// serve runs the loop and all that reads for it.
+// serve starts the goroutines that post events, runs the loop, and ends them.
 func (l *Loop) serve(control Control) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	l.start(ctx)
 	go control.run(ctx, l)
 	l.run()
-	_ = l.clients.listener.Close()
+	_ = l.clients.listener.Close() // may be closed already
 	l.ops.close()
 	l.gossip.close()
 	l.handoverListener.Close(!l.handover.hasGivenOwnership())
@@ -42,12 +47,12 @@
 	}
 }
 
-// newLoop makes a gateway with its sockets. Clients are accepted once it is ready.
+// newLoop makes a gateway and opens its sockets. Clients are accepted once it is ready.
 func newLoop(cfg config.Config, log *slog.Logger) (*Loop, error) {
 	l := &Loop{
 		log: log, clock: newClock(),
-		events: make(chan event, eventQueueLength), urgentEvents: make(chan event, 16),
-		requests: map[uint64]*request{}, openByClientID: map[uint64]*request{}, timers: newTimerQueue(),
+		events: make(chan event, eventQueueLength), urgentEvents: make(chan event, urgentEventQueueLength),
+		requests: newRequestTable(), timers: newTimerQueue(),
 		endpoints: endpointList{zones: cfg.Host.Zones}, metrics: &metrics{},
 	}
 	l.counter = newCounter(&cfg, l.post)
@@ -56,10 +61,7 @@
 	limitMemory(&cfg, 1)
 	files := budgetDescriptors(usableSockets(&cfg, log), l.counter != nil)
 	l.backends = newBackends(&cfg, files.perSide)
-	l.clients = &clients{
-		limit: files.perSide, slots: make(chan struct{}, files.clientSlots), conns: map[*client]bool{},
-		drainBacklog: make(chan struct{}),
-	}
+	l.clients = newClients(files)
 	var err error
 	if l.controller, err = policy.New(cfg.Settings, cfg.Seed, l); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
@@ -78,7 +80,8 @@
 	return l, l.listen()
 }
 
-// start begins with the list as last known and has all sockets read.
+// start applies the configured endpoint list and starts reading from discovery, peers and operators.
+// Clients are accepted after discovery's first list, or readinessWait.
 func (l *Loop) start(ctx context.Context) {
 	l.backends.updateEndpoints(l, policy.UpdateStale, l.config.Known.Endpoints)
 	l.handlePending()
@@ -92,11 +95,9 @@
 	}
 }
 
-// sweep closes, now and then, connections that are of no more use.
+// sweepTimer closes, at intervals, connections that have been idle for too long.
 type sweepTimer struct{}
 
-const sweepInterval = 100_000
-
 func (sweepTimer) fire(l *Loop) {
 	l.clients.sweep(l)
 	l.backends.sweep(l)
@@ -104,8 +105,8 @@
 	l.schedule(l.now()+sweepInterval, sweepTimer{})
 }
 
-// ready has clients accepted from now on: until then nothing answers PING. Where
-// another process still serves, that is once it has handed over.
+// startAccepting has clients accepted: until then nothing answers PING. If another process still serves
+// them, it is asked to hand over first.
 func (l *Loop) startAccepting() {
 	switch {
 	case l.accepting:
@@ -116,6 +117,7 @@
 	}
 }
 
+// accept accepts clients on the listener at hand.
 func (l *Loop) accept() {
 	l.accepting = true
 	l.log.Info("ready", "listen", l.clients.listener.Addr().String(), "backends", len(l.backends.byNumber))
@@ -124,7 +126,7 @@
 	l.ops.ready.Store(!l.shutdown.started)
 }
 
-// readyAnyway ends the wait for discovery, which may be down for long.
+// readinessTimeout ends the wait for discovery, which may be down for long.
 type readinessTimeout struct{}
 
 func (readinessTimeout) fire(l *Loop) { l.startAccepting() }
--- a/internal/gateway/handover_in.go
+++ b/internal/gateway/handover_in.go
@@ -47,7 +47,7 @@
 	if err := l.controller.Import(l.now(), state.Policy); err != nil {
 		l.log.Error("handover: beginning as after a restart", "error", err)
 	}
-	l.nextRequestID = max(l.nextRequestID, state.NextRequestID)
+	l.requests.lastID = max(l.requests.lastID, state.NextRequestID)
 	l.predecessorRunning = true
 	l.backends.limit /= 2
 	limitMemory(l.config, 2)
--- a/internal/gateway/handover_out.go
+++ b/internal/gateway/handover_out.go
@@ -66,7 +66,7 @@
 		return
 	}
 	state, err := handover.EncodeState(&handover.State{
-		NextRequestID: l.nextRequestID,
+		NextRequestID: l.requests.lastID,
 		Endpoints:     l.backends.listedEndpoints(),
 		Policy:        l.controller.Export(l.now()),
 	})
@@ -123,7 +123,7 @@
 	}
 	h.link.SendGo()
 	h.ownershipGiven = true
-	l.log.Info("handed over", "open", l.openRequests, "clients", len(l.clients.conns))
+	l.log.Info("handed over", "open", l.requests.open, "clients", len(l.clients.conns))
 	l.ops.ready.Store(false)
 	l.handoverListener.Close(false) // the successor's socket stands there now
 	_ = l.clients.listener.Close()
@@ -211,7 +211,7 @@
 		l.keepOwnership()
 	}
 	for _, command := range h.heldCommands {
-		l.queuedBytes.Add(int64(command.size)) // which its handling subtracts a second time
+		l.memory.queued.Add(int64(command.size)) // which its handling subtracts a second time
 		command.handle(l)
 	}
 	l.shutdown.endIfIdle(l)
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -17,46 +17,62 @@
 }
 
 // Loop is the gateway's event loop. One goroutine, in run, owns the policy's controller and all that the
-// fields refer to; the others post events. They may use only log, clock, the two channels, queuedBytes and
-// publishedConfig, and what a field's own type allows.
+// fields refer to; the others post events. Beside what a field's own type allows, they may use only log,
+// clock, events, urgentEvents, memory.queued and publishedConfig.
 type Loop struct {
-	config     *config.Config // in force; the other goroutines load publishedConfig
-	log        *slog.Logger
-	clock      clock
-	lastTime   policy.Time // the last result of now
-	controller *policy.Controller
+	log             *slog.Logger
+	clock           clock
+	lastTime        policy.Time // the last result of now
+	controller      *policy.Controller
+	config          *config.Config                // in force
+	publishedConfig atomic.Pointer[config.Config] // the same, for other goroutines
 
 	events       chan event
 	urgentEvents chan event // handled before all events: endpoint updates, shutdown, handover
 	pending      []event    // enqueued while an event or timer is handled, and handled right after it
 	timers       timerQueue
+	done         bool // run returns
+
+	requests requestTable
+	memory   memoryUse
+	clients  *clients
+	backends *backends
+
+	gossip       *gossipTransport
+	counter      *counter.Client // nil: there is none
+	discovery    *discovery.Client
+	endpoints    endpointList
+	ops          *ops
+	metrics      *metrics
+	classMetrics []*classMetrics // in the order of the classes in force
+
+	accepting bool // clients are accepted, or were until a shutdown
+	shutdown  shutdownState
 
-	requests       map[uint64]*request
-	openByClientID map[uint64]*request // those without a final reply, by the id that the client gave
-	nextRequestID  uint64
-	openRequests   int          // requests without a final reply
-	retainedBytes  int          // bytes of requests and of replies that are not written yet
-	queuedBytes    atomic.Int64 // bytes of input that wait for the loop
-
-	clients            *clients
-	backends           *backends
-	gossip             *gossipTransport
-	counter            *counter.Client // nil: there is none
-	discovery          *discovery.Client
-	endpoints          endpointList
-	ops                *ops
 	handoverListener   *handover.Listener // where a successor asks for the handover; nil: nowhere
 	pendingTakeover    *handover.Takeover // from a process that still serves; nil: none
 	predecessor        *handover.Takeover // the same once it has handed over
 	predecessorRunning bool               // it has not ended yet
 	handover           *outgoingHandover  // to a successor; nil: none
-	metrics            *metrics
-	classMetrics       []*classMetrics // in the order of the classes in force
-	publishedConfig    atomic.Pointer[config.Config]
-	shutdown           shutdownState
-	nextTraceAt        traceSchedule
-	accepting          bool
-	done               bool
+}
+
+// requestTable holds the open requests. It belongs to the loop.
+type requestTable struct {
+	byID           map[uint64]*request // until answered, with no attempt in flight
+	openByClientID map[uint64]*request // those without a final reply, by the id that the client gave
+	lastID         uint64              // the highest id given so far
+	open           int                 // requests without a final reply, also those not in byID
+	nextTraceAt    traceSchedule
+}
+
+func newRequestTable() requestTable {
+	return requestTable{byID: map[uint64]*request{}, openByClientID: map[uint64]*request{}}
+}
+
+// memoryUse counts the bytes that are held for clients.
+type memoryUse struct {
+	retained int          // of requests in the table and of replies that are not written yet; the loop's
+	queued   atomic.Int64 // of input that waits for the loop; any goroutine may use it
 }
 
 // post hands an event to the loop. It blocks while the queue is full.
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -203,11 +203,11 @@
 	for id := range 2 {
 		args := [][]byte{nil, []byte("7"), fmt.Appendf(nil, "id-%d", id), nil}
 		r := &request{id: uint64(id + 1), client: &client{}, args: args}
-		l.requests[r.id] = r
+		l.requests.byID[r.id] = r
 		r.attemptsInFlight = 2
 		attemptEnded{attempt: &attempt{request: r, backend: 5}, result: policy.ResultReset}.handle(l)
 		l.Fail(r.id)
-		l.nextTraceAt[traceFailed] += 3600e6 // however long the test takes
+		l.requests.nextTraceAt[traceFailed] += 3600e6 // however long the test takes
 	}
 	if text := log.String(); strings.Count(text, "msg=trace") != 1 || !strings.Contains(text, "id=id-0") ||
 		!strings.Contains(text, "to 5 at") {
@@ -266,8 +266,8 @@
 				timers++
 			}
 		}
-		remaining <- fmt.Sprint(timers, len(l.requests), len(l.openByClientID),
-			l.retainedBytes, l.openRequests)
+		remaining <- fmt.Sprint(timers, len(l.requests.byID), len(l.requests.openByClientID),
+			l.memory.retained, l.requests.open)
 	}))
 	if got := wait(t, remaining, "the loop"); got != "0 0 0 0 0" {
 		t.Errorf("timers, requests, ids, bytes, open: %s", got)
--- a/internal/gateway/request_trace.go
+++ b/internal/gateway/request_trace.go
@@ -38,10 +38,10 @@
 // each would cost more than the request.
 func (l *Loop) traceError(r *request, reply []byte) {
 	now, kind := l.now(), traceKindOf(r, reply)
-	if now < l.nextTraceAt[kind] {
+	if now < l.requests.nextTraceAt[kind] {
 		return
 	}
-	l.nextTraceAt[kind] = now + traceInterval
+	l.requests.nextTraceAt[kind] = now + traceInterval
 	answer := string(bytes.TrimSpace(reply))
 	if kind == traceNotAdmitted {
 		l.log.Info("rejected", "answer", answer, "conns", len(l.clients.conns))
@@ -49,7 +49,7 @@
 	}
 	l.log.Info("trace", "id", string(r.args[clientIDArg]), "customer", string(r.args[customerArg]),
 		"fields", string(r.args[fieldsArg]), "attempts", r.attempts, "ends", r.describeOutcomes(),
-		"answer", answer, "after_us", now-r.receivedAt, "left_us", r.deadline-now, "open", l.openRequests)
+		"answer", answer, "after_us", now-r.receivedAt, "left_us", r.deadline-now, "open", l.requests.open)
 }
 
 // describeOutcomes lists the attempts of a request that have ended, for the log.
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -12,8 +12,8 @@
 )
 
 // request is a command of a client's that has a place in its pipeline. Unless the gateway replies to it at
-// once, it is in Loop.requests until it is answered and none of its attempts is in flight. It belongs to the
-// loop.
+// once, it is in the request table until it is answered and none of its attempts is in flight. It belongs
+// to the loop.
 type request struct {
 	id            uint64 // the gateway's; 0: the policy did not decide on it
 	clientID      uint64 // the id that the client gave
@@ -52,7 +52,7 @@
 		r.metrics.countReply(reply)
 	}
 	r.reply = reply
-	l.retainedBytes += len(reply)
+	l.memory.retained += len(reply)
 	l.markAnswered(r)
 	r.client.flush(l)
 	l.releaseRequest(r)
@@ -61,7 +61,7 @@
 // markAnswered ends all that waits on a request that has its final reply, or needs none any more.
 func (l *Loop) markAnswered(r *request) {
 	r.answered = true
-	l.openRequests--
+	l.requests.open--
 	if r.metrics != nil {
 		l.metrics.open.Add(-1)
 	}
@@ -69,16 +69,16 @@
 	r.guard = nil
 	r.body.discard()
 	l.backends.cancelWaiting(l, r.waitingAttempt)
-	if l.openByClientID[r.clientID] == r {
-		delete(l.openByClientID, r.clientID)
+	if l.requests.openByClientID[r.clientID] == r {
+		delete(l.requests.openByClientID, r.clientID)
 	}
 }
 
 // releaseRequest removes a request that nothing waits for any more.
 func (l *Loop) releaseRequest(r *request) {
-	if r.answered && r.attemptsInFlight == 0 && l.requests[r.id] == r {
-		delete(l.requests, r.id)
-		l.retainedBytes -= argsSize(r.args)
+	if r.answered && r.attemptsInFlight == 0 && l.requests.byID[r.id] == r {
+		delete(l.requests.byID, r.id)
+		l.memory.retained -= argsSize(r.args)
 	}
 }
 
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -56,7 +56,7 @@
 		return
 	}
 	l.shutdown.started = true
-	l.log.Info("stopping", "open", l.openRequests)
+	l.log.Info("stopping", "open", l.requests.open)
 	l.ops.ready.Store(false)
 	if !l.accepting && l.pendingTakeover != nil {
 		l.pendingTakeover.Abandon() // the predecessor goes on
@@ -124,7 +124,7 @@
 
 func (l *Loop) failOpenRequests() {
 	now := l.now()
-	for _, r := range l.requests {
+	for _, r := range l.requests.byID {
 		if !r.answered {
 			l.answer(r, failedReply)
 			l.controller.RequestCancelled(now, r.id)
@@ -138,7 +138,7 @@
 	if len(l.clients.conns) > 0 {
 		return
 	}
-	if s.listenerClosed || s.started && l.handover.hasGivenOwnership() && l.openRequests == 0 {
+	if s.listenerClosed || s.started && l.handover.hasGivenOwnership() && l.requests.open == 0 {
 		l.done = true
 	}
 }
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -46,7 +46,7 @@
 	c := (&rig{addr: l.clients.listener.Addr().String()}).client(t)
 	c.lookup(1, "60000") // in the kernel, as nothing accepts yet
 	later(l, acceptPeriod)
-	turn(t, l, "the request", func() bool { return l.openRequests == 1 })
+	turn(t, l, "the request", func() bool { return l.requests.open == 1 })
 	turn(t, l, "the listener to close", func() bool { return l.shutdown.listenerClosed })
 	later(l, 2*closePeriod) // the backend takes long
 	if l.done {
@@ -54,7 +54,7 @@
 	}
 	turn(t, l, "the dial", func() bool { return len(l.backends.byNumber[1].waiting) == 0 })
 	b.next(t).serve(t, "ok")
-	turn(t, l, "the answer", func() bool { return l.openRequests == 0 })
+	turn(t, l, "the answer", func() bool { return l.requests.open == 0 })
 	c.value("ok")
 	c.closed()
 	closeConn(t, c.conn)
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -89,8 +89,8 @@
 	},
 }
 
-// Whatever the discovery service does, a start is over when its wait is: the gateway serves with the list that its
-// configuration contains.
+// Whatever the discovery service does, a start is over when its wait is: the gateway serves with the list
+// that its configuration contains.
 func TestStartDoesNotDependOnDiscovery(t *testing.T) {
 	for name, start := range discoveryFaults {
 		t.Run(name, func(t *testing.T) {
