--- a/internal/gateway/backend_reply.go
+++ b/internal/gateway/backend_reply.go
@@ -6,6 +6,7 @@
 	"strconv"
 	"strings"
 
+	"sparspread/internal/command"
 	"sparspread/internal/resp"
 	"sparspread/policy"
 )
@@ -77,7 +78,8 @@
 		if name != "cost" {
 			continue
 		}
-		if cost, err := strconv.ParseFloat(value, 64); err == nil && cost > 0 && cost <= maxCost(l.config) {
+		cost, err := strconv.ParseFloat(value, 64)
+		if err == nil && cost > 0 && cost <= command.MaxCost(l.config) {
 			return cost
 		}
 		return 0
--- a/internal/gateway/backend_write.go
+++ b/internal/gateway/backend_write.go
@@ -1,6 +1,9 @@
 package gateway
 
-import "sparspread/policy"
+import (
+	"sparspread/internal/command"
+	"sparspread/policy"
+)
 
 // loadReportPull is the setting by which health checks ask for a load report.
 const loadReportPull = "pull"
@@ -47,10 +50,19 @@
 func (l *Loop) attemptCommand(a *attempt) []byte {
 	switch {
 	case a.request != nil:
-		return a.request.forwardedCommand(a.expiresAt - l.now())
+		return a.request.forwarded(a.expiresAt - l.now())
 	case l.config.Host.ReportVia == loadReportPull:
 		return infoLoadCommand
 	default:
 		return pingCommand
 	}
 }
+
+// forwarded is the request as a backend gets it; of a large body it has only the head.
+func (r *request) forwarded(timeout policy.Time) []byte {
+	bodySize := 0
+	if r.body != nil {
+		bodySize = r.body.size
+	}
+	return command.Forwarded(r.args, r.timeoutSpan, timeout, bodySize)
+}
--- a/internal/gateway/client_commands.go
+++ b/internal/gateway/client_commands.go
@@ -1,11 +1,11 @@
 package gateway
 
 import (
-	"bytes"
 	"errors"
 	"fmt"
 	"os"
 
+	"sparspread/internal/command"
 	"sparspread/internal/config"
 	"sparspread/internal/resp"
 	"sparspread/policy"
@@ -19,13 +19,6 @@
 	retainedMemoryDivisor = 4 // and the part that open requests and unsent replies may take
 )
 
-// The commands of the protocol; any case is accepted.
-var (
-	apiRead  = []byte("API.READ")
-	apiWrite = []byte("API.WRITE")
-	ping     = []byte("PING")
-)
-
 // Errors whose text is sent to the client.
 var (
 	errCommandIncomplete = errors.New("command not whole in time")
@@ -36,16 +29,16 @@
 type commandReceived struct {
 	client       *client
 	receivedAt   policy.Time
-	command      command
-	size         int            // bytes that it holds, counted in memoryUse.queued
-	reply        []byte         // to be sent without a decision of the policy; nil: none
-	malformed    bool           // it counts as an error of the connection's
-	framingLost  bool           // nothing behind it can be read
-	disconnected bool           // the connection has ended instead
-	overMemory   bool           // it was dropped for lack of memory
-	body         *body          // a large one that is still to be read; nil: none
-	args         [][]byte       // as read
-	config       *config.Config // by which it was parsed
+	request      command.Request // without Args: it is none
+	size         int             // bytes that it holds, counted in memoryUse.queued
+	reply        []byte          // to be sent without a decision of the policy; nil: none
+	malformed    bool            // it counts as an error of the connection's
+	framingLost  bool            // nothing behind it can be read
+	disconnected bool            // the connection has ended instead
+	overMemory   bool            // it was dropped for lack of memory
+	body         *body           // a large one that is still to be read; nil: none
+	args         [][]byte        // as read
+	config       *config.Config  // by which it was parsed
 }
 
 // maxQueuedBytes is how many bytes of input may wait for the loop.
@@ -72,32 +65,32 @@
 		return
 	}
 	e.parse(l.publishedConfig.Load(), args)
-	e.size, e.args = argsSize(args), args
+	e.size, e.args = command.Size(args), args
 	if bodySize > 0 {
 		e.body = &body{size: bodySize, destination: make(chan *backendConn, 1)}
 	}
 	if l.memory.queued.Add(int64(e.size)) > maxQueuedBytes(e.config) {
 		l.memory.queued.Add(-int64(e.size))
-		e.command.args, e.args, e.size, e.overMemory = nil, nil, 0, true
+		e.request.Args, e.args, e.size, e.overMemory = nil, nil, 0, true
 	}
 }
 
-// parse sets the command, or the reply to what is none.
+// parse sets the request, or the reply to what is none.
 func (e *commandReceived) parse(cfg *config.Config, args [][]byte) {
 	e.config = cfg
 	switch {
-	case bytes.EqualFold(args[0], apiRead) || bytes.EqualFold(args[0], apiWrite):
-		cmd, err := parseCommand(cfg, args)
+	case command.IsRequest(args[command.NameArg]):
+		request, err := command.Parse(cfg, args)
 		if err != nil {
 			// A client may still use a class that a reload has removed: no error of the connection's.
-			e.reply, e.malformed = errorReply(err), !errors.Is(err, errUnknownClass)
+			e.reply, e.malformed = errorReply(err), !errors.Is(err, command.ErrUnknownClass)
 			return
 		}
-		e.command = cmd
-	case bytes.EqualFold(args[0], ping):
+		e.request = request
+	case command.IsPing(args[command.NameArg]):
 		e.reply = pongReply
 	default:
-		e.reply, e.malformed = errorReply(fmt.Errorf("unknown command %.32q", args[0])), true
+		e.reply, e.malformed = errorReply(fmt.Errorf("unknown command %.32q", args[command.NameArg])), true
 	}
 }
 
@@ -114,10 +107,10 @@
 		l.handover.holdCommand(e) // the process that takes over decides on it
 		return
 	}
-	if e.command.args != nil && e.config != l.config {
+	if e.request.Args != nil && e.config != l.config {
 		// Parsed before a reload: its class may have another number now, or none.
-		args := e.command.args
-		e.command = command{}
+		args := e.request.Args
+		e.request = command.Request{}
 		e.parse(l.config, args)
 	}
 	if c.closeAfterNextCommand {
@@ -141,20 +134,20 @@
 		l.answer(r, e.reply)
 		return
 	}
-	l.admitRequest(r, e.command.request, e.receivedAt)
+	l.admitRequest(r, e.request.Details, e.receivedAt)
 }
 
 // appendRequest makes the request of a command and appends it to its client's pipeline.
 func (l *Loop) appendRequest(e *commandReceived) *request {
 	r := &request{
-		client: e.client, body: e.body, args: e.command.args, timeoutSpan: e.command.timeoutSpan,
-		clientID: e.command.clientID,
+		client: e.client, body: e.body, args: e.request.Args, timeoutSpan: e.request.TimeoutSpan,
+		clientID: e.request.ClientID,
 	}
 	if e.body != nil {
 		e.body.request = r
 	}
 	if r.args != nil {
-		r.metrics = l.classMetrics[e.command.request.Class]
+		r.metrics = l.classMetrics[e.request.Details.Class]
 		l.metrics.open.Add(1)
 	}
 	r.client.pipeline = append(r.client.pipeline, r)
@@ -184,7 +177,7 @@
 	l.requests.lastID++
 	r.id = l.requests.lastID
 	l.requests.byID[r.id], l.requests.openByClientID[r.clientID] = r, r
-	l.memory.retained += argsSize(r.args)
+	l.memory.retained += command.Size(r.args)
 	r.customer, r.estimatedCost = details.Customer, details.Cost
 	margin := min(deadlineMargin, details.Timeout/maxMarginDivisor)
 	r.receivedAt, r.deadline = receivedAt, receivedAt+details.Timeout-margin
--- a/internal/gateway/command_test.go
+++ b/internal/gateway/command_test.go
@@ -5,6 +5,7 @@
 	"strings"
 	"testing"
 
+	"sparspread/internal/command"
 	"sparspread/internal/config"
 )
 
@@ -42,7 +43,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := parseCommand(&cfg, args); err != nil {
+		if _, err := command.Parse(&cfg, args); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/gateway/request_trace.go
+++ b/internal/gateway/request_trace.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"strings"
 
+	"sparspread/internal/command"
 	"sparspread/policy"
 )
 
@@ -47,8 +48,9 @@
 		l.log.Info("rejected", "answer", answer, "conns", len(l.clients.conns))
 		return
 	}
-	l.log.Info("trace", "id", string(r.args[clientIDArg]), "customer", string(r.args[customerArg]),
-		"fields", string(r.args[fieldsArg]), "attempts", r.attempts, "ends", r.describeOutcomes(),
+	l.log.Info("trace", "id", string(r.args[command.ClientIDArg]),
+		"customer", string(r.args[command.CustomerArg]),
+		"fields", string(r.args[command.FieldsArg]), "attempts", r.attempts, "ends", r.describeOutcomes(),
 		"answer", answer, "after_us", now-r.receivedAt, "left_us", r.deadline-now, "open", l.requests.open)
 }
 
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -1,6 +1,7 @@
 package gateway
 
 import (
+	"sparspread/internal/command"
 	"sparspread/policy"
 )
 
@@ -18,8 +19,8 @@
 	id            uint64 // the gateway's; 0: the policy did not decide on it
 	clientID      uint64 // the id that the client gave
 	client        *client
-	args          [][]byte // of the command; nil: not a request to a backend
-	timeoutSpan   span     // of the value of d in args[fieldsArg]
+	args          [][]byte     // of the command; nil: not a request to a backend
+	timeoutSpan   command.Span // of the timeout in args[command.FieldsArg]
 	customer      uint64
 	estimatedCost float64
 	metrics       *classMetrics // of its class; nil: no request to a backend
@@ -78,19 +79,10 @@
 func (l *Loop) releaseRequest(r *request) {
 	if r.answered && r.attemptsInFlight == 0 && l.requests.byID[r.id] == r {
 		delete(l.requests.byID, r.id)
-		l.memory.retained -= argsSize(r.args)
+		l.memory.retained -= command.Size(r.args)
 	}
 }
 
-// argsSize is the number of bytes that the arguments of a command hold.
-func argsSize(args [][]byte) int {
-	n := 0
-	for _, arg := range args {
-		n += len(arg)
-	}
-	return n
-}
-
 // deadlineGuard fails a request that is still open just before its client stops waiting, whatever went wrong:
 // no request may be lost.
 type deadlineGuard struct{ request *request }
@@ -100,7 +92,7 @@
 	if r.answered {
 		return
 	}
-	l.log.Warn("request was open at its deadline", "id", string(r.args[clientIDArg]))
+	l.log.Warn("request was open at its deadline", "id", string(r.args[command.ClientIDArg]))
 	l.answer(r, failedReply)
 	l.controller.RequestCancelled(l.now(), r.id)
 }
--- a/internal/gateway/value_stream.go
+++ b/internal/gateway/value_stream.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"sparspread/internal/command"
 	"sparspread/internal/resp"
 	"sparspread/internal/sockwriter"
 	"sparspread/policy"
@@ -178,7 +179,7 @@
 // amid the value, by which the client can tell.
 func (l *Loop) finishValue(r *request, err error) {
 	if err != nil {
-		l.log.Info("value incomplete", "id", string(r.args[clientIDArg]), "error", err)
+		l.log.Info("value incomplete", "id", string(r.args[command.ClientIDArg]), "error", err)
 		r.metrics.faulted.Add(1)
 		r.client.closeNow(l)
 		return
