--- a/internal/gateway/backend_drain_test.go
+++ b/internal/gateway/backend_drain_test.go
@@ -28,7 +28,7 @@
 	d.settled(t)
 	c.lookup(3, "60000")
 	if got := c.line(); !strings.HasPrefix(got, "-BUSY") {
-		t.Errorf("answer %q", got)
+		t.Errorf("reply %q", got)
 	}
 	if len(old.got)+len(other.got) > 0 {
 		t.Error("sent to a backend that drains")
--- a/internal/gateway/backend_pool_test.go
+++ b/internal/gateway/backend_pool_test.go
@@ -26,10 +26,10 @@
 			_ = second.conn.Close()
 		}
 		_ = first.conn.Close()
-		again := b.next(t)
-		again.serve(t, "first")
+		retry := b.next(t)
+		retry.serve(t, "first")
 		c.value("first")
-		if (again.conn == second.conn) != alive {
+		if (retry.conn == second.conn) != alive {
 			t.Errorf("the idle connection, open %t, was used %t", alive, !alive)
 		}
 	}
@@ -50,15 +50,15 @@
 	other.value("ok")
 	r.awaitQuiescence(t)
 	c.lookup(3, "60000")
-	stale := b.next(t)
-	if stale.conn != first.conn && stale.conn != second.conn {
+	reused := b.next(t)
+	if reused.conn != first.conn && reused.conn != second.conn {
 		t.Fatal("no idle connection was used")
 	}
-	_ = stale.conn.Close()
-	again := b.next(t)
-	again.serve(t, "again")
+	_ = reused.conn.Close()
+	retry := b.next(t)
+	retry.serve(t, "again")
 	c.value("again")
-	if again.conn == first.conn || again.conn == second.conn {
+	if retry.conn == first.conn || retry.conn == second.conn {
 		t.Error("a connection idle for longer was used")
 	}
 }
@@ -109,7 +109,7 @@
 	other := r.client(t)
 	other.lookup(9, "80000000")
 	if got := other.line(); !strings.HasPrefix(got, "-BUSY") {
-		t.Errorf("answer %q", got)
+		t.Errorf("reply %q", got)
 	}
 }
 
@@ -127,7 +127,7 @@
 			call.answer(t, "+PONG\r\n")
 			_, unblock := blockDials(l)
 			defer close(unblock)
-			answered := wait(t, l.events, "the answer")
+			answered := wait(t, l.events, "the reply")
 			answered.handle(l)
 			second := newHealthCheck(l)
 			l.backends.startAttempt(l, second, 1)
--- a/internal/gateway/backend_read.go
+++ b/internal/gateway/backend_read.go
@@ -118,7 +118,7 @@
 	}
 	c.attempt = nil
 	if reused {
-		l.backends.idleTimeout.recordSound(l.now(), a.sentAt-c.idleSince)
+		l.backends.idleTimeout.recordHealthy(l.now(), a.sentAt-c.idleSince)
 	}
 	if !reply.wellFormed || e.malformed || e.more || bodyPending {
 		// What comes next on this connection may belong to no request. The others to the backend go on.
--- a/internal/gateway/backend_reply_test.go
+++ b/internal/gateway/backend_reply_test.go
@@ -10,9 +10,9 @@
 // Bytes behind a reply would be taken for the reply to the next request: the connection is not reused.
 func TestDuplicateReplyAnswersNoOtherRequest(t *testing.T) {
 	const good = "+PONG\r\n"
-	for name, answers := range map[string][]string{
+	for name, replies := range map[string][]string{
 		"at once": {good + good},
-		"behind":  {good, good}, // read when the first is long taken in
+		"behind":  {good, good}, // read after the first was handled
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, b := newLoopWithBackend(t)
@@ -20,22 +20,22 @@
 			l.backends.startAttempt(l, first, 1)
 			wait(t, l.events, "the dial").handle(l)
 			used := first.conn
-			call := b.next(t) // a probe: its answer is read like any other
-			call.answer(t, answers[0])
-			wait(t, l.events, "the answer").handle(l)
+			call := b.next(t) // a health check, whose reply is read like any other
+			call.answer(t, replies[0])
+			wait(t, l.events, "the reply").handle(l)
 			var late event
-			if len(answers) > 1 {
-				call.answer(t, answers[1])
-				late = wait(t, l.events, "what follows") // read, and not taken in yet
+			if len(replies) > 1 {
+				call.answer(t, replies[1])
+				late = wait(t, l.events, "the duplicate") // read, but not handled yet
 			}
 			second := newHealthCheck(l)
 			l.backends.startAttempt(l, second, 1)
 			if late != nil {
 				late.handle(l)
 			}
-			for again := false; !again; {
+			for dialed := false; !dialed; {
 				e := wait(t, l.events, "another dial")
-				_, again = e.(dialEnded)
+				_, dialed = e.(dialEnded)
 				e.handle(l)
 			}
 			if !first.ended || second.ended || second.conn == nil || second.conn == used {
@@ -47,26 +47,26 @@
 
 // A malformed reply fails one attempt and closes one connection. The others to the backend stay in use.
 func TestMalformedReplyClosesOneConnection(t *testing.T) {
-	for _, answer := range []string{
+	for _, reply := range []string{
 		"?\r\n", ":5\r\n", "+OK\r\n", "$2\r\nno\r\n", "*3\r\n*3\r\n*3\r\n", "*3\r\n$-7\r\n$-1\r\n$-1\r\n",
 		"*1000000000\r\n", "*3\r\n$4\r\nabcdefgh\r\n$-1\r\n$-1\r\n", "*3\r\n$3221225472\r\nxxxx",
 		strings.Repeat("x", 4096), "*3\r\n$100\r\nends here",
 	} {
-		t.Run(answer[:min(len(answer), 12)], func(t *testing.T) {
+		t.Run(reply[:min(len(reply), 12)], func(t *testing.T) {
 			r, b, _ := oneBackend(t, nil)
 			c, other := r.client(t), r.client(t)
 			c.lookup(1, "60000")
 			malformed := b.next(t)
 			other.lookup(2, "60000")
-			fine := b.next(t)
-			fine.serve(t, "fine")
+			healthy := b.next(t)
+			healthy.serve(t, "fine")
 			other.value("fine")
 			r.awaitQuiescence(t)
-			malformed.answer(t, answer)
-			again := b.next(t)
-			again.serve(t, "again")
+			malformed.answer(t, reply)
+			retry := b.next(t)
+			retry.serve(t, "again")
 			c.value("again")
-			if again.conn != fine.conn {
+			if retry.conn != healthy.conn {
 				t.Error("the idle connection was not used")
 			}
 			err := wait(t, b.ended, "the end of the connection")
--- a/internal/gateway/backend_write.go
+++ b/internal/gateway/backend_write.go
@@ -23,7 +23,7 @@
 		bs.close(c)
 		return true
 	}
-	if !c.clean() {
+	if !c.hasNoStrayInput() {
 		bs.close(c)
 		return false
 	}
--- a/internal/gateway/client_commands_test.go
+++ b/internal/gateway/client_commands_test.go
@@ -37,7 +37,7 @@
 	idle.closed()
 	for _, c := range []*testClient{partial, slow} {
 		if got := c.line(); !strings.HasPrefix(got, "-ERR ") {
-			t.Errorf("answer %q", got)
+			t.Errorf("reply %q", got)
 		}
 		c.ended()
 	}
@@ -51,7 +51,7 @@
 	c := r.client(t)
 	c.raw("*5\r\n$9\r\nAPI.WRITE\r\n$62914560\r\n")
 	if got := c.line(); !strings.HasPrefix(got, "-ERR ") {
-		t.Errorf("answer %q", got)
+		t.Errorf("reply %q", got)
 	}
 	c.ended()
 }
@@ -63,7 +63,7 @@
 	for range 2 * maxConsecutiveErrors {
 		c.send("NOTHING")
 		if got := c.line(); !strings.HasPrefix(got, "-ERR ") {
-			t.Errorf("answer %q", got)
+			t.Errorf("reply %q", got)
 		}
 		c.send("PING")
 		c.want("+PONG")
@@ -75,7 +75,7 @@
 	go func() { _, _ = io.WriteString(c.conn, flood.String()) }() // may be cut off before its end
 	for range maxConsecutiveErrors {
 		if got := c.line(); !strings.HasPrefix(got, "-ERR ") {
-			t.Errorf("answer %q", got)
+			t.Errorf("reply %q", got)
 		}
 	}
 	c.ended()
--- a/internal/gateway/client_disconnect_test.go
+++ b/internal/gateway/client_disconnect_test.go
@@ -50,7 +50,7 @@
 				return false
 			})
 			departure.by(c)
-			turn(t, l, "the client's end", func() bool { return len(l.clients.conns) == 0 })
+			turn(t, l, "the client's disconnect", func() bool { return len(l.clients.conns) == 0 })
 			wantNothingSent(t, l, b, unblock)
 		})
 	}
@@ -70,7 +70,7 @@
 			handleNext(t, l, "the reset")
 			wait(t, dialing, "the second dial")
 			departure.by(c)
-			handleNext(t, l, "the client's end")
+			handleNext(t, l, "the client's disconnect")
 			wantNothingSent(t, l, b, unblock)
 		})
 	}
@@ -98,7 +98,7 @@
 			if n := l.backends.byNumber[1].dialing; n != 0 || r.attempts != 1 {
 				t.Errorf("%d attempts, %d dials for a client that has gone", r.attempts, n)
 			}
-			handleNext(t, l, "the client's end")
+			handleNext(t, l, "the client's disconnect")
 			if len(l.requests.byID) != 0 || l.requests.open != 0 {
 				t.Errorf("%d requests remain, %d open", len(l.requests.byID), l.requests.open)
 			}
@@ -121,7 +121,7 @@
 			if len(l.backends.byNumber[1].idle) != 1 {
 				t.Fatal("forwarded")
 			}
-			handleNext(t, l, "the client's end")
+			handleNext(t, l, "the client's disconnect")
 			l.backends.closeIdle(l.backends.byNumber[1])
 			_ = wait(t, b.ended, "the connection's end")
 			if len(b.got) > 0 {
@@ -141,7 +141,7 @@
 			close(unblock)
 			handleNext(t, l, "the dial's end")
 			b.next(t).serve(t, "ok")
-			handleNext(t, l, "the answer")
+			handleNext(t, l, "the reply")
 			c.value("ok")
 			later(l, quiescencePeriod)
 			c.book(2, "team")
@@ -152,7 +152,7 @@
 			if n := len(l.backends.byNumber[1].idle); n != 1 {
 				t.Fatalf("forwarded: %d idle connections", n)
 			}
-			handleNext(t, l, "the client's end")
+			handleNext(t, l, "the client's disconnect")
 			if len(l.requests.byID) != 0 || l.requests.open != 0 || l.memory.retained != 0 {
 				t.Errorf("%d requests remain, %d open, %d bytes",
 					len(l.requests.byID), l.requests.open, l.memory.retained)
@@ -171,13 +171,13 @@
 			unblock <- struct{}{}
 			handleNext(t, l, "the dial's end")
 			b.next(t).serve(t, "ok")
-			handleNext(t, l, "the answer")
+			handleNext(t, l, "the reply")
 			c.value("ok")
 			c.book(2, "team")
 			handleNext(t, l, "the second request")
 			wait(t, dialing, "a dial beside the quiescing connection")
 			departure.by(c)
-			turn(t, l, "the client's end", func() bool { return len(l.clients.conns) == 0 })
+			turn(t, l, "the client's disconnect", func() bool { return len(l.clients.conns) == 0 })
 			later(l, quiescencePeriod)
 			if idle := len(l.backends.byNumber[1].idle); idle != 1 {
 				t.Errorf("%d idle connections, want the quiesced one", idle)
@@ -200,7 +200,7 @@
 				c.raw(bodyHead(2, "team", len(body)) + text)
 				turn(t, l, name+" the second request", func() bool { return l.requests.open == 2 })
 				departure.by(c)
-				turn(t, l, "the client's end", func() bool { return len(l.clients.conns) == 0 })
+				turn(t, l, "the client's disconnect", func() bool { return len(l.clients.conns) == 0 })
 				wantNothingSent(t, l, b, unblock)
 			})
 		}
@@ -239,7 +239,7 @@
 			})
 			departure.by(c)
 			for len(l.clients.conns) > 0 {
-				if _, broken := handleNext(t, l, "the client's end").(bodyFailed); broken {
+				if _, broken := handleNext(t, l, "the client's disconnect").(bodyFailed); broken {
 					t.Fatal("the body was given up first")
 				}
 			}
@@ -260,7 +260,7 @@
 				return slices.ContainsFunc(clientList(l), ignored)
 			})
 			departure.by(c)
-			turn(t, l, "the client's end", func() bool { return len(l.clients.conns) == 0 })
+			turn(t, l, "the client's disconnect", func() bool { return len(l.clients.conns) == 0 })
 			wantNothingSent(t, l, b, unblock)
 		})
 	}
--- a/internal/gateway/client_eviction_test.go
+++ b/internal/gateway/client_eviction_test.go
@@ -149,14 +149,14 @@
 		_, _ = call.conn.Write([]byte("*1\r\n$2\r\nok\r\n"))
 		served <- true
 	}()
-	again := r.client(t)
+	next := r.client(t)
 	for id := 2; ; id++ {
-		again.lookup(id, "80000000")
-		if line := again.line(); line == "$2" {
-			again.want("ok")
+		next.lookup(id, "80000000")
+		if line := next.line(); line == "$2" {
+			next.want("ok")
 			break
 		} else if !strings.HasPrefix(line, "-BUSY") {
-			t.Fatalf("answer %q", line)
+			t.Fatalf("reply %q", line)
 		}
 	}
 	wait(t, served, "the second request")
@@ -178,7 +178,7 @@
 	surplus := r.client(t)
 	surplus.lookup(9, "60000")
 	if got := surplus.line(); !strings.HasPrefix(got, "-BUSY ") {
-		t.Errorf("answer %q", got)
+		t.Errorf("reply %q", got)
 	}
 	surplus.closed()
 }
--- a/internal/gateway/client_read_ahead_test.go
+++ b/internal/gateway/client_read_ahead_test.go
@@ -42,8 +42,8 @@
 	near := wait(t, l.events, "the connection").(clientConnected).conn
 	defer func() { _ = near.Close() }()
 	go func() { _, _ = far.conn.Write(make([]byte, 2*maxReadAhead)) }()
-	most := maxQueuedBytes(l.config) / 2
-	l.memory.queued.Store(most)
+	limit := maxQueuedBytes(l.config) / 2
+	l.memory.queued.Store(limit)
 	c := &client{conn: near}
 	if c.readAhead(l, nil); len(c.readAheadInput) != 0 {
 		t.Errorf("%d bytes read where there is no memory", len(c.readAheadInput))
--- a/internal/gateway/idle_timeout.go
+++ b/internal/gateway/idle_timeout.go
@@ -5,12 +5,12 @@
 // idleTimeoutEstimate learns for how long an idle connection can be trusted. A middlebox may drop the state
 // of idle connections without telling either side: the next request then ends as a reset, and may have run.
 type idleTimeoutEstimate struct {
-	upperLimit         policy.Time // the estimate while nothing speaks against it
-	learned            policy.Time // the estimate at learnedAt; 0: upperLimit
-	learnedAt          policy.Time
-	lastBrokenAt       policy.Time // when a reused connection last proved broken; 0: never
-	longestSoundIdle   policy.Time // the longest idle time, of late, after which a connection was sound
-	longestSoundIdleAt policy.Time // when it was seen; 0: never
+	upperLimit           policy.Time // the estimate while nothing speaks against it
+	learned              policy.Time // the estimate at learnedAt; 0: upperLimit
+	learnedAt            policy.Time
+	lastBrokenAt         policy.Time // when a reused connection last proved broken; 0: never
+	longestHealthyIdle   policy.Time // the longest idle time, of late, after which a connection was healthy
+	longestHealthyIdleAt policy.Time // when it was seen; 0: never
 }
 
 const (
@@ -32,18 +32,18 @@
 	return min(estimate, e.upperLimit)
 }
 
-// recordSound records that a connection was sound when it was reused after an idle time.
-func (e *idleTimeoutEstimate) recordSound(now, idle policy.Time) {
-	if idle >= e.longestSoundIdle || now-e.longestSoundIdleAt > idleTimeoutRecovery {
-		e.longestSoundIdle, e.longestSoundIdleAt = idle, now
+// recordHealthy records that a connection was healthy when it was reused after an idle time.
+func (e *idleTimeoutEstimate) recordHealthy(now, idle policy.Time) {
+	if idle >= e.longestHealthyIdle || now-e.longestHealthyIdleAt > idleTimeoutRecovery {
+		e.longestHealthyIdle, e.longestHealthyIdleAt = idle, now
 	}
 }
 
 // explains reports whether an idle time can be why a connection is broken: not if one idle for longer was
-// sound of late. Something else breaks connections then, new ones as well.
+// healthy of late. Something else breaks connections then, new ones as well.
 func (e *idleTimeoutEstimate) explains(now, idle policy.Time) bool {
-	return e.longestSoundIdleAt == 0 || now-e.longestSoundIdleAt > idleTimeoutRecovery ||
-		idle > e.longestSoundIdle
+	return e.longestHealthyIdleAt == 0 || now-e.longestHealthyIdleAt > idleTimeoutRecovery ||
+		idle > e.longestHealthyIdle
 }
 
 // recordBroken records that a connection was broken when it was reused after an idle time. The estimate is
--- a/internal/gateway/request_body_test.go
+++ b/internal/gateway/request_body_test.go
@@ -50,11 +50,11 @@
 	c.value("ok")
 	c.raw(bodyHead(2, "tiny", len(body)) + body + "\r\n")
 	if got := c.line(); !isBusyReply([]byte(got)) {
-		t.Errorf("answer %q", got)
+		t.Errorf("reply %q", got)
 	}
 	c.raw(bodyHead(3, "none", len(body)) + body + "\r\n")
 	if got := c.line(); !strings.HasPrefix(got, "-ERR") {
-		t.Errorf("answer %q", got)
+		t.Errorf("reply %q", got)
 	}
 	c.book(4, "team")
 	b.next(t).serve(t, "ok")
@@ -97,7 +97,7 @@
 		return true
 	})
 	if got := c.line(); !isBusyReply([]byte(got)) {
-		t.Errorf("answer %q", got)
+		t.Errorf("reply %q", got)
 	}
 	c.raw(body[5000:] + "\r\n")
 	c.book(2, "team")
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -123,7 +123,7 @@
 	c := begin(t, configure(t, d, nil)).client(t)
 	c.send("API.WRITE", "0000000000000007", "0000000000000001", onceFields, "x")
 	if got := c.line(); !strings.HasPrefix(got, "-BUSY") {
-		t.Errorf("answer %q: want a rejection", got)
+		t.Errorf("reply %q: want a rejection", got)
 	}
 }
 
@@ -135,7 +135,7 @@
 	late := b.next(t)
 	r.advance(t, 300_000)
 	if got := c.line(); !strings.HasPrefix(got, "-BUSY") {
-		t.Errorf("answer %q", got)
+		t.Errorf("reply %q", got)
 	}
 	_, _ = late.conn.Write([]byte("*3\r\n$4\r\nlate\r\n$-1\r\n$-1\r\n"))
 	c.lookup(2, "60000")
@@ -147,38 +147,38 @@
 func TestRejectionIsPromptWithRetryAfter(t *testing.T) {
 	r, b, _ := oneBackend(t, nil)
 	c := r.client(t)
-	ask := func(id int) {
+	send := func(id int) {
 		const fields = "c=lookup,t=tiny,d=86400000,units=1,spread=1,first=0"
 		c.send("API.READ", "0000000000000009", fmt.Sprintf("%016x", id), fields)
 	}
-	ask(1)
+	send(1)
 	call := b.next(t)
 	call.serve(t, "ok")
 	c.value("ok")
-	ask(2) // the token bucket holds 1 unit: a day's wait would outlast the test
+	send(2) // the token bucket holds 1 unit: a day's wait would outlast the test
 	if got := c.line(); got != "-BUSY 2000" {
-		t.Errorf("answer %q", got)
+		t.Errorf("reply %q", got)
 	}
 }
 
 // With settlement the actual cost in the reply counts, not the estimate; costs that no request can have are
 // ignored.
 func TestActualCostOfTheReplyIsSettled(t *testing.T) {
-	for usage, sent := range map[string]bool{
+	for usage, admitted := range map[string]bool{
 		"used=3,cost=1": false, "cost=0.25": true, "cost=NaN": true, "cost=9": true,
 	} {
 		r, b, _ := oneBackend(t, withSettings(t, `"settles":false`, `"settles":true,"max-units":8`,
 			`"rate":0.1,`, `"rate":0.0001,`)) // so slow that no wait of the test refills the token bucket
 		c := r.client(t)
-		ask := func(id int) {
+		send := func(id int) {
 			const fields = "c=lookup,t=tiny,d=86400000,units=0.5,spread=1,first=0"
 			c.send("API.READ", "0000000000000009", fmt.Sprintf("%016x", id), fields)
 		}
-		ask(1) // the token bucket holds 1 unit
+		send(1) // the token bucket holds 1 unit
 		b.next(t).answer(t, fmt.Sprintf("*3\r\n$2\r\nok\r\n$%d\r\n%s\r\n$-1\r\n", len(usage), usage))
 		c.value("ok")
-		ask(2)
-		if !sent {
+		send(2)
+		if !admitted {
 			if got := c.line(); got != "-BUSY 2000" {
 				t.Errorf("%s: answer %q", usage, got)
 			}
@@ -238,7 +238,7 @@
 	call := b.next(t)
 	other.lookup(1, "60000")
 	if got := other.line(); !strings.HasPrefix(got, "-ERR ") {
-		t.Errorf("answer %q", got)
+		t.Errorf("reply %q", got)
 	}
 	call.serve(t, "ok")
 	c.value("ok")
--- a/internal/gateway/test_client_test.go
+++ b/internal/gateway/test_client_test.go
@@ -61,7 +61,7 @@
 	c.t.Helper()
 	s, err := c.in.ReadString('\n')
 	if err != nil {
-		c.t.Fatal("reading an answer: ", err)
+		c.t.Fatal("reading a reply: ", err)
 	}
 	return strings.TrimSuffix(s, "\r\n")
 }
@@ -70,7 +70,7 @@
 func (c *testClient) want(line string) {
 	c.t.Helper()
 	if got := c.line(); got != line {
-		c.t.Fatalf("answer %q, want %q", got, line)
+		c.t.Fatalf("reply %q, want %q", got, line)
 	}
 }
 
--- a/internal/gateway/value_stream_test.go
+++ b/internal/gateway/value_stream_test.go
@@ -119,7 +119,7 @@
 	b.next(t)
 	r.advance(t, 500_000)
 	if got := other.line(); got[0] != '-' {
-		t.Fatalf("answer %q", got)
+		t.Fatalf("reply %q", got)
 	}
 	r.shutDownFor(t, acceptPeriod)
 	other.closed()
@@ -148,6 +148,6 @@
 	reached(t, r, "fulfilled.once=1") // settled only after the client has the value
 	c.book(2, "tiny")                 // the token bucket held 4
 	if got := c.line(); !isBusyReply([]byte(got)) {
-		t.Errorf("answer %q: the estimate was 1, the actual cost 4", got)
+		t.Errorf("reply %q: the estimate was 1, the actual cost 4", got)
 	}
 }
