--- a/internal/gateway/handover_older_test.go
+++ b/internal/gateway/handover_older_test.go
@@ -349,7 +349,7 @@
 		t.Errorf("input %q, want %q", input, recordedInput)
 	}
 
-	s.rig.run()
+	s.rig.runClock()
 	s.openCall.answer(t, "-ERR failed\r\n")
 	wantOlderMessage(t, link, handovertest.AttemptOver, handovertest.AttemptEnded{
 		ID: openRequestID, Backend: warmBackend, Result: uint8(policy.ResultFailed),
