--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -33,7 +33,7 @@
 	l.run()
 	_ = l.clients.listener.Close()
 	l.ops.close()
-	l.gossip.close()
+	l.gossip.Close()
 	l.handoverListener.close(!l.handover.hasGivenOwnership())
 	if l.predecessor != nil {
 		l.predecessor.abandon()
@@ -70,13 +70,16 @@
 		return nil, err
 	}
 	l.pendingTakeover = dialPredecessor(&cfg, log)
-	if l.gossip, err = newPeers(&cfg, log, l.pendingTakeover != nil); err != nil {
-		return nil, err
-	}
+	l.gossip = newGossip(&cfg, log, l.post)
 	if l.pendingTakeover != nil {
 		l.clients.listener = l.pendingTakeover.listener
 		return l, nil
 	}
+	if cfg.Settings.Gossip {
+		if err := l.gossip.Listen(); err != nil {
+			return nil, err
+		}
+	}
 	return l, l.listen()
 }
 
@@ -98,7 +101,7 @@
 	l.schedule(l.now()+readinessWait, readinessTimeout{})
 	l.schedule(l.now()+sweepInterval, sweepTimer{})
 	go l.discovery.Run(ctx)
-	l.gossip.resume(l)
+	l.gossip.Resume()
 	if l.counter != nil {
 		go l.counter.Run(ctx)
 	}
--- a/internal/gateway/handover.go
+++ b/internal/gateway/handover.go
@@ -90,7 +90,7 @@
 	}
 	_ = os.Chmod(path, 0o600)
 	l.handoverListener = &successorListener{listener: listener}
-	go l.serveHandovers(listener, l.clients.listener, l.gossip.conn)
+	go l.serveHandovers(listener, l.clients.listener, l.gossip.Conn())
 }
 
 // close ends the listening, and removes the socket's file unless another process has put its own
@@ -199,7 +199,7 @@
 	}
 	l.handover = m
 	l.clients.pause()
-	l.gossip.pause()
+	l.gossip.Pause()
 	m.link.parts(msgPart, msgState, state)
 	l.schedule(l.now()+stateTimeout, handoverTimeout{m})
 }
@@ -257,7 +257,7 @@
 	l.ops.ready.Store(false)
 	l.handoverListener.close(false)
 	_ = l.clients.listener.Close()
-	l.gossip.close()
+	l.gossip.Close()
 	l.controller.GiveUpOwnership(l.now())
 	for _, b := range l.backends.byNumber {
 		l.backends.closeIdle(b)
@@ -303,7 +303,7 @@
 		if l.clients.pausing == nil { // else it has been resumed to be shut
 			l.clients.resume(l)
 		}
-		l.gossip.resume(l)
+		l.gossip.Resume()
 		l.controller.AdvertiseAll()
 	} else {
 		l.log.Warn("handover: the new process has ended, this one serves again")
@@ -327,7 +327,7 @@
 func (l *Loop) rebind() {
 	err := l.listen()
 	if err == nil && l.config.Settings.Gossip {
-		if err = l.gossip.listen(l.config); err != nil {
+		if err = l.gossip.Listen(); err != nil {
 			_ = l.clients.listener.Close()
 		}
 	}
@@ -336,7 +336,7 @@
 		l.schedule(l.now()+rebindDelay, rebindTimer{})
 		return
 	}
-	l.gossip.resume(l)
+	l.gossip.Resume()
 	l.accept()
 }
 
@@ -640,19 +640,8 @@
 		limitMemory(l.config, 2)
 	}
 	l.pendingTakeover, l.predecessor = nil, e.i
-	if p := e.i.peers; p != nil && l.config.Settings.Gossip && p.LocalAddr().String() == l.config.PeerListen {
-		l.gossip.conn = p
-	} else {
-		if p != nil {
-			_ = p.Close()
-		}
-		if l.config.Settings.Gossip {
-			if err := l.gossip.listen(l.config); err != nil {
-				l.log.Error("handover: no notes from peers", "error", err)
-			}
-		}
-	}
-	l.gossip.resume(l)
+	l.takeOverGossip(e.i.peers)
+	l.gossip.Resume()
 	l.accept()
 }
 
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -10,6 +10,7 @@
 	"sparspread/internal/config"
 	"sparspread/internal/counter"
 	"sparspread/internal/discovery"
+	"sparspread/internal/gossip"
 	"sparspread/internal/handover"
 	"sparspread/policy"
 )
@@ -68,7 +69,7 @@
 
 	clients            *clients
 	backends           *backends
-	gossip             *gossipTransport
+	gossip             *gossip.Transport
 	counter            *counter.Client // nil: there is none
 	discovery          *discovery.Client
 	endpoints          endpointList
@@ -248,13 +249,6 @@
 	l.backends.startAttempt(l, a, backend)
 }
 
-// Tell sends a note to a peer; while another process takes over, none.
-func (l *Loop) SendGossip(peer int, note []byte) {
-	if l.handover == nil {
-		l.gossip.send(peer, note)
-	}
-}
-
 // Follow asks discovery for the list and its changes from now on.
 func (l *Loop) WatchEndpoints() { l.discovery.Watch() }
 
--- /dev/null
+++ b/internal/gossip/transport_test.go
@@ -0,0 +1,133 @@
+package gossip
+
+import (
+	"log/slog"
+	"net"
+	"net/netip"
+	"testing"
+	"time"
+)
+
+// testTimeout bounds every wait for something that has to happen.
+const testTimeout = 30 * time.Second
+
+type received struct {
+	peer    int
+	message string
+}
+
+func listenUDP(t *testing.T) *net.UDPConn {
+	t.Helper()
+	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = conn.Close() })
+	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
+		t.Fatal(err)
+	}
+	return conn
+}
+
+func addrPort(conn *net.UDPConn) netip.AddrPort { return conn.LocalAddr().(*net.UDPAddr).AddrPort() }
+
+// newTestTransport returns a transport with number 0 beside a peer with number 1, and what it receives.
+func newTestTransport(listenAddress string, peer *net.UDPConn) (*Transport, <-chan received) {
+	messages := make(chan received, 8)
+	config := Config{
+		ListenAddress: listenAddress,
+		Peers:         []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1"), addrPort(peer)},
+	}
+	transport := New(config, slog.New(slog.DiscardHandler), func(peer int, message []byte) {
+		messages <- received{peer, string(message)}
+	})
+	return transport, messages
+}
+
+func listen(t *testing.T, transport *Transport) {
+	t.Helper()
+	if err := transport.Listen(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(transport.Close)
+}
+
+func send(t *testing.T, from *net.UDPConn, to netip.AddrPort, message []byte) {
+	t.Helper()
+	if _, err := from.WriteToUDPAddrPort(message, to); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func expect(t *testing.T, messages <-chan received, want received) {
+	t.Helper()
+	select {
+	case got := <-messages:
+		if got != want {
+			t.Errorf("got %+v, want %+v", got, want)
+		}
+	case <-time.After(testTimeout):
+		t.Fatal("timed out waiting for a message")
+	}
+}
+
+// What is too long, to itself or to an unknown peer is not sent; what is too long or from no peer is dropped.
+func TestOnlyMessagesBetweenPeersWithinTheLimitPass(t *testing.T) {
+	peer, stranger := listenUDP(t), listenUDP(t)
+	transport, messages := newTestTransport("127.0.0.1:0", peer)
+	listen(t, transport)
+	transport.Resume()
+
+	transport.Send(1, make([]byte, MaxMessageBytes+1))
+	transport.Send(0, []byte("to itself"))
+	transport.Send(2, []byte("to nobody"))
+	transport.Send(1, []byte("to the peer"))
+	buffer := make([]byte, 1024)
+	n, sender, err := peer.ReadFromUDPAddrPort(buffer)
+	if got := string(buffer[:n]); err != nil || got != "to the peer" {
+		t.Fatalf("got %q, %v, want %q", got, err, "to the peer")
+	}
+
+	send(t, stranger, sender, []byte("from nobody"))
+	send(t, peer, sender, make([]byte, MaxMessageBytes+1))
+	send(t, peer, sender, []byte("answer"))
+	expect(t, messages, received{1, "answer"})
+}
+
+// What comes during a pause is received after it.
+func TestPauseKeepsMessages(t *testing.T) {
+	peer := listenUDP(t)
+	transport, messages := newTestTransport("127.0.0.1:0", peer)
+	listen(t, transport)
+	transport.Resume()
+	transport.Pause()
+	// A receiver that had not seen the pause yet would receive the message just as well.
+	send(t, peer, addrPort(transport.Conn()), []byte("meanwhile"))
+	transport.Resume()
+	expect(t, messages, received{1, "meanwhile"})
+}
+
+func TestAdoptWantsTheConfiguredAddress(t *testing.T) {
+	peer, own, other := listenUDP(t), listenUDP(t), listenUDP(t)
+	transport, messages := newTestTransport(own.LocalAddr().String(), peer)
+	if transport.Adopt(other) {
+		t.Error("adopted a socket with another address")
+	}
+	if err := other.SetDeadline(time.Time{}); err == nil {
+		t.Error("a socket that was not adopted is still open")
+	}
+	if transport.Conn() != nil {
+		t.Error("it has a socket that it did not adopt")
+	}
+	if !transport.Adopt(own) {
+		t.Fatal("did not adopt the socket with its own address")
+	}
+	transport.Resume()
+	send(t, peer, addrPort(own), []byte("hello"))
+	expect(t, messages, received{1, "hello"})
+	transport.Close()
+	if transport.Conn() != nil {
+		t.Error("it has a socket after Close")
+	}
+	transport.Send(1, []byte("nowhere")) // must not fail
+}
