--- a/internal/gateway/command.go
+++ b/internal/gateway/command.go
@@ -14,12 +14,15 @@
 
 // command is a client's request as it was read.
 type command struct {
-	args         [][]byte
-	clientID     uint64 // the id that the client gave
-	timeoutField [2]int // where the value of d stands in args[3]
-	request      policy.Request
+	args        [][]byte
+	clientID    uint64 // the id that the client gave
+	timeoutSpan span   // of the value of d in args[3]
+	request     policy.Request
 }
 
+// span is a range of bytes, its end excluded.
+type span struct{ start, end int }
+
 const (
 	defaultMaxCost = 1e6              // where the settings tell none
 	maxTimeoutMS   = 24 * 3600 * 1000 // ms
@@ -36,11 +39,11 @@
 		return command{}, errors.New("wrong number of arguments")
 	}
 	c := command{args: args}
-	customer, ok := hex16(args[1])
+	customer, ok := parseHex64(args[1])
 	if !ok || customer >= customerLimit {
 		return c, errors.New("customer: 16 hex digits below 2^33 wanted")
 	}
-	if c.clientID, ok = hex16(args[2]); !ok {
+	if c.clientID, ok = parseHex64(args[2]); !ok {
 		return c, errors.New("id: 16 hex digits wanted")
 	}
 	c.request.Customer = customer
@@ -49,7 +52,7 @@
 		return c, err
 	}
 	for i, name := range fieldNames {
-		if i < needed && seen&(1<<i) == 0 {
+		if i < requiredFieldCount && seen&(1<<i) == 0 {
 			return c, fmt.Errorf("field %s: missing", name)
 		}
 	}
@@ -71,13 +74,13 @@
 const (
 	classField = iota
 	planField
-	timeoutFieldNumber
-	unitsField
-	spreadField
-	firstField
+	timeoutField
+	costField
+	replicasField
+	firstReplicaField
 	keyField
-	retryField
-	needed = keyField
+	retryFlagField
+	requiredFieldCount = keyField
 )
 
 var fieldNames = [...]string{"c", "t", "d", "units", "spread", "first", "k", "r"}
@@ -102,8 +105,8 @@
 		if err := parseField(cfg, c, field, string(value)); err != nil {
 			return seen, err
 		}
-		if field == timeoutFieldNumber {
-			c.timeoutField = [2]int{end - len(value), end}
+		if field == timeoutField {
+			c.timeoutSpan = span{start: end - len(value), end: end}
 		}
 		seen |= 1 << field
 		start = end + 1
@@ -122,23 +125,23 @@
 	case planField:
 		c.request.Plan = slices.Index(cfg.Host.Plans, value)
 		ok = c.request.Plan >= 0
-	case timeoutFieldNumber:
+	case timeoutField:
 		ms, err := strconv.ParseInt(value, 10, 64)
 		c.request.Timeout = ms * 1000
 		ok = err == nil && ms > 0 && ms <= maxTimeoutMS
 	case keyField:
 		ok = value != ""
-	case retryField:
+	case retryFlagField:
 		ok = value == "0" || value == "1"
-	case unitsField:
+	case costField:
 		units, err := strconv.ParseFloat(value, 64)
 		c.request.Cost = units
 		ok = err == nil && units > 0 && units <= maxCost(cfg) // which NaN is not
-	case spreadField:
+	case replicasField:
 		n, err := strconv.Atoi(value)
 		c.request.Replicas = n
 		ok = err == nil && n >= 1 && n <= cfg.Settings.Gateways
-	case firstField:
+	case firstReplicaField:
 		n, err := strconv.Atoi(value)
 		c.request.FirstReplica = n
 		ok = err == nil && n >= 0 && n < cfg.Settings.Gateways
@@ -157,7 +160,7 @@
 	return defaultMaxCost
 }
 
-func hex16(b []byte) (uint64, bool) {
+func parseHex64(b []byte) (uint64, bool) {
 	n, err := strconv.ParseUint(string(b), 16, 64)
 	return n, err == nil && len(b) == 16
 }
@@ -166,9 +169,9 @@
 func (r *request) forward(wait policy.Time) []byte {
 	fields := r.args[3]
 	list := make([]byte, 0, len(fields)+8)
-	list = append(list, fields[:r.timeoutField[0]]...)
+	list = append(list, fields[:r.timeoutSpan.start]...)
 	list = strconv.AppendInt(list, max(1, wait/1000), 10)
-	list = append(list, fields[r.timeoutField[1]:]...)
+	list = append(list, fields[r.timeoutSpan.end:]...)
 
 	n := len(r.args)
 	if r.body != nil {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -4,11 +4,11 @@
 	"context"
 	"fmt"
 	"log/slog"
-	"net"
 	"time"
 
 	"sparspread/internal/config"
 	"sparspread/internal/discovery"
+	"sparspread/internal/handover"
 	"sparspread/policy"
 )
 
@@ -34,12 +34,12 @@
 	_ = l.clients.listener.Close()
 	l.ops.close()
 	l.gossip.Close()
-	l.handoverListener.close(!l.handover.hasGivenOwnership())
+	l.handoverListener.Close(!l.handover.hasGivenOwnership())
 	if l.predecessor != nil {
-		l.predecessor.abandon()
+		l.predecessor.Abandon()
 	}
-	if m := l.handover; m != nil && !m.ended {
-		m.link.finish()
+	if l.handover != nil {
+		l.handover.link.CloseAndWait()
 	}
 }
 
@@ -60,7 +60,7 @@
 	l.backends = newBackends(&cfg, files.perSide)
 	l.clients = &clients{
 		limit: files.perSide, slots: make(chan struct{}, files.clientSlots), conns: map[*client]bool{},
-		shutting: make(chan struct{}),
+		drainBacklog: make(chan struct{}),
 	}
 	var err error
 	if l.controller, err = policy.New(cfg.Settings, cfg.Seed, l); err != nil {
@@ -69,10 +69,10 @@
 	if l.ops, err = newOps(cfg.Ops, l.metrics, files.operators); err != nil {
 		return nil, err
 	}
-	l.pendingTakeover = dialPredecessor(&cfg, log)
+	l.pendingTakeover = handover.Dial(cfg.Listen, log)
 	l.gossip = newGossip(&cfg, log, l.post)
 	if l.pendingTakeover != nil {
-		l.clients.listener = l.pendingTakeover.listener
+		l.clients.listener = l.pendingTakeover.Clients
 		return l, nil
 	}
 	if cfg.Settings.Gossip {
@@ -83,20 +83,10 @@
 	return l, l.listen()
 }
 
-// listen listens for clients.
-func (l *Loop) listen() error {
-	listener, err := reuse.Listen(context.Background(), "tcp", l.config.Listen)
-	if err != nil {
-		return fmt.Errorf("listen: %w", err)
-	}
-	l.clients.listener = listener.(*net.TCPListener)
-	return nil
-}
-
 // start begins with the list as last known and has all sockets read.
 func (l *Loop) start(ctx context.Context) {
 	l.backends.updateEndpoints(l, policy.UpdateStale, l.config.Known.Endpoints)
-	l.handleQueue()
+	l.handlePending()
 	go l.ops.serve()
 	l.schedule(l.now()+readinessWait, readinessTimeout{})
 	l.schedule(l.now()+sweepInterval, sweepTimer{})
@@ -125,7 +115,7 @@
 	switch {
 	case l.accepting:
 	case l.pendingTakeover != nil:
-		l.pendingTakeover.once.Do(func() { go l.pendingTakeover.run(l) })
+		l.pendingTakeover.Start(successorEvents{l})
 	default:
 		l.accept()
 	}
--- a/internal/gateway/gossip.go
+++ b/internal/gateway/gossip.go
@@ -17,9 +17,9 @@
 	})
 }
 
-// takeOverGossip gives the gossip transport the predecessor's socket or, where that is nil or bound to
+// adoptGossipSocket gives the gossip transport the predecessor's socket or, where that is nil or bound to
 // another address, a socket of its own.
-func (l *Loop) takeOverGossip(conn *net.UDPConn) {
+func (l *Loop) adoptGossipSocket(conn *net.UDPConn) {
 	if !l.config.Settings.Gossip {
 		if conn != nil {
 			_ = conn.Close() // it is not used
