--- a/internal/gateway/figures.go
+++ b/internal/gateway/figures.go
@@ -1,8 +1,8 @@
 package gateway
 
 import (
+	"bytes"
 	"fmt"
-	"io"
 	"sync"
 	"sync/atomic"
 )
@@ -56,12 +56,13 @@
 
 const metricPrefix = "edge_relay."
 
-// write writes all figures, a line each.
-func (f *metrics) write(w io.Writer) {
+// page is all metrics, a line each.
+func (f *metrics) page() []byte {
+	var w bytes.Buffer
 	f.mu.Lock()
 	classes := f.classes[:len(f.classes):len(f.classes)]
 	f.mu.Unlock()
-	line := func(name string, n *atomic.Int64) { fmt.Fprintf(w, "%s%s=%d\n", metricPrefix, name, n.Load()) }
+	line := func(name string, n *atomic.Int64) { fmt.Fprintf(&w, "%s%s=%d\n", metricPrefix, name, n.Load()) }
 	for _, c := range classes {
 		line("fulfilled."+c.name, &c.fulfilled)
 		line("throttled."+c.name, &c.throttled)
@@ -73,4 +74,5 @@
 	line("out_of_rotation", &f.outOfRotation)
 	line("cfg_accepted", &f.configsAccepted)
 	line("cfg_invalid", &f.configsRejected)
+	return w.Bytes()
 }
--- a/internal/gateway/figures_test.go
+++ b/internal/gateway/figures_test.go
@@ -24,9 +24,7 @@
 	f.outOfRotation.Store(33)
 	f.configsAccepted.Store(34)
 	f.configsRejected.Store(35)
-	var got bytes.Buffer
-	f.write(&got)
-	if !bytes.Equal(got.Bytes(), want) {
-		t.Errorf("page\n%s, want\n%s", got.Bytes(), want)
+	if got := f.page(); !bytes.Equal(got, want) {
+		t.Errorf("page\n%s, want\n%s", got, want)
 	}
 }
--- a/internal/gateway/files.go
+++ b/internal/gateway/files.go
@@ -8,6 +8,7 @@
 
 	"sparspread/internal/config"
 	"sparspread/internal/counter"
+	"sparspread/internal/ops"
 )
 
 // The descriptors for neither clients nor backends, at most.
@@ -33,7 +34,7 @@
 // all the others leave: a connection that finds no descriptor is one that the gateway can't
 // refuse, and discovery's may be the one.
 func budgetDescriptors(sockets int, withCounter bool) descriptorBudget {
-	f := descriptorBudget{operators: min(opsCallers, max(2, sockets/16))}
+	f := descriptorBudget{operators: min(ops.MaxConnections, max(2, sockets/16))}
 	others := runtimeFiles + ownFiles + discoveryFiles + opsFiles + f.operators
 	if withCounter {
 		others += counterFiles
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -9,6 +9,7 @@
 	"sparspread/internal/config"
 	"sparspread/internal/discovery"
 	"sparspread/internal/handover"
+	"sparspread/internal/ops"
 	"sparspread/policy"
 )
 
@@ -32,7 +33,7 @@
 	go control.run(ctx, l)
 	l.run()
 	_ = l.clients.listener.Close()
-	l.ops.close()
+	l.ops.Close()
 	l.gossip.Close()
 	l.handoverListener.Close(!l.handover.hasGivenOwnership())
 	if l.predecessor != nil {
@@ -66,7 +67,7 @@
 	if l.controller, err = policy.New(cfg.Settings, cfg.Seed, l); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	if l.ops, err = newOps(cfg.Ops, l.metrics, files.operators); err != nil {
+	if l.ops, err = ops.Listen(cfg.Ops, files.operators, l.metrics.page); err != nil {
 		return nil, err
 	}
 	l.pendingTakeover = handover.Dial(cfg.Listen, log)
@@ -87,7 +88,7 @@
 func (l *Loop) start(ctx context.Context) {
 	l.backends.updateEndpoints(l, policy.UpdateStale, l.config.Known.Endpoints)
 	l.handlePending()
-	go l.ops.serve()
+	go l.ops.Serve()
 	l.schedule(l.now()+readinessWait, readinessTimeout{})
 	l.schedule(l.now()+sweepInterval, sweepTimer{})
 	go l.discovery.Run(ctx)
@@ -126,7 +127,7 @@
 	l.log.Info("ready", "listen", l.clients.listener.Addr().String(), "backends", len(l.backends.byNumber))
 	l.clients.resume(l)
 	l.listenForSuccessor()
-	l.ops.ready.Store(!l.shutdown.started)
+	l.ops.SetReady(!l.shutdown.started)
 }
 
 // readyAnyway ends the wait for discovery, which may be down for long.
--- a/internal/gateway/handover_out.go
+++ b/internal/gateway/handover_out.go
@@ -124,7 +124,7 @@
 	h.link.SendGo()
 	h.ownershipGiven = true
 	l.log.Info("handed over", "open", l.openRequests, "clients", len(l.clients.conns))
-	l.ops.ready.Store(false)
+	l.ops.SetReady(false)
 	l.handoverListener.Close(false) // the successor's socket stands there now
 	_ = l.clients.listener.Close()
 	l.gossip.Close()
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -12,6 +12,7 @@
 	"sparspread/internal/discovery"
 	"sparspread/internal/gossip"
 	"sparspread/internal/handover"
+	"sparspread/internal/ops"
 	"sparspread/policy"
 )
 
@@ -61,7 +62,7 @@
 	counter            *counter.Client // nil: there is none
 	discovery          *discovery.Client
 	endpoints          endpointList
-	ops                *ops
+	ops                *ops.Server
 	handoverListener   *handover.Listener // where a successor asks for the handover; nil: nowhere
 	pendingTakeover    *handover.Takeover // from a process that still serves; nil: none
 	predecessor        *handover.Takeover // the same once it has handed over
--- a/internal/gateway/ops_test.go
+++ b/internal/gateway/ops_test.go
@@ -1,11 +1,9 @@
 package gateway
 
 import (
-	"bufio"
 	"encoding/json"
 	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"strings"
 	"testing"
@@ -20,7 +18,7 @@
 // operate makes an operator's call.
 func operate(t testing.TB, r *rig, method, path string) (int, string) {
 	t.Helper()
-	req, err := http.NewRequest(method, "http://"+r.loop.ops.listener.Addr().String()+path, nil)
+	req, err := http.NewRequest(method, "http://"+r.loop.ops.Addr().String()+path, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,25 +78,6 @@
 		"faulted.once=1", "relayed.once=1", "open_requests=0")
 }
 
-func TestOpsCalls(t *testing.T) {
-	r, _, _ := oneBackend(t, withOps)
-	for _, c := range []struct {
-		method, path string
-		want         int
-	}{
-		{"GET", "/ops/readiness", 200},
-		{"GET", "/ops/stats", 200},
-		{"GET", "/ops/backends/down", 404},
-		{"GET", "/", 404},
-		{"POST", "/ops/readiness", 405},
-		{"DELETE", "/ops/stats", 405},
-	} {
-		if got, _ := operate(t, r, c.method, c.path); got != c.want {
-			t.Errorf("%s %s: %d, want %d", c.method, c.path, got, c.want)
-		}
-	}
-}
-
 // Not ready before clients are taken nor once stopping, and answered while the loop stands still.
 func TestReadinessNeedsNoLoop(t *testing.T) {
 	d := newFakeDiscovery(t)
@@ -107,8 +86,8 @@
 		t.Fatal(err)
 	}
 	defer l.clients.listener.Close()
-	defer l.ops.close()
-	go l.ops.serve()
+	defer l.ops.Close()
+	go l.ops.Serve()
 	r := &rig{loop: l} // its loop never runs
 	if got, _ := operate(t, r, "GET", "/ops/readiness"); got != 503 {
 		t.Errorf("before clients are taken: %d", got)
@@ -123,27 +102,6 @@
 	}
 }
 
-// Callers that finish no call hold no place for good, and keep nobody out.
-func TestSilentCallersKeepNobodyOut(t *testing.T) {
-	r, _, _ := oneBackend(t, withOps)
-	var silent []net.Conn
-	for range 2 * opsCallers {
-		conn, err := net.Dial("tcp", r.loop.ops.listener.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer conn.Close()
-		fmt.Fprint(conn, "GET /ops/st")
-		silent = append(silent, conn)
-	}
-	wantFigures(t, r, "open_requests=0")
-	for _, conn := range silent[:opsCallers] {
-		if _, err := bufio.NewReader(conn).ReadByte(); err == nil {
-			t.Error("a caller that finished no call got an answer")
-		}
-	}
-}
-
 // settingsWith is the settings text with changes: an old part and what takes its place.
 func settingsWith(t testing.TB, changes ...string) json.RawMessage {
 	t.Helper()
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -57,7 +57,7 @@
 	}
 	l.shutdown.started = true
 	l.log.Info("stopping", "open", l.openRequests)
-	l.ops.ready.Store(false)
+	l.ops.SetReady(false)
 	if !l.accepting && l.pendingTakeover != nil {
 		l.pendingTakeover.Abandon() // the predecessor goes on
 		l.done = true
--- /dev/null
+++ b/internal/ops/server_test.go
@@ -0,0 +1,140 @@
+package ops
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+)
+
+const (
+	testStats          = "edge_relay.open_requests=3\n"
+	testMaxConnections = 4
+	testTimeout        = 30 * time.Second
+)
+
+// startServer starts a server that ends with the test.
+func startServer(t *testing.T) *Server {
+	t.Helper()
+	s, err := Listen("127.0.0.1:0", testMaxConnections, func() []byte { return []byte(testStats) })
+	if err != nil {
+		t.Fatal(err)
+	}
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		s.Serve()
+	}()
+	t.Cleanup(func() {
+		s.Close()
+		select {
+		case <-ended:
+		case <-time.After(testTimeout):
+			t.Error("Serve did not end with Close")
+		}
+	})
+	return s
+}
+
+// request makes one request on a connection of its own.
+func request(t *testing.T, s *Server, method, path string) (status int, body string) {
+	t.Helper()
+	req, err := http.NewRequest(method, "http://"+s.Addr().String()+path, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	res, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Do(req)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = res.Body.Close() }()
+	text, err := io.ReadAll(res.Body)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return res.StatusCode, string(text)
+}
+
+func TestRequests(t *testing.T) {
+	s := startServer(t)
+	s.SetReady(true)
+	for _, test := range []struct {
+		method, path string
+		want         int
+	}{
+		{"GET", "/ops/readiness", http.StatusOK},
+		{"GET", "/ops/stats", http.StatusOK},
+		{"GET", "/ops/backends/down", http.StatusNotFound},
+		{"GET", "/", http.StatusNotFound},
+		{"POST", "/ops/readiness", http.StatusMethodNotAllowed},
+		{"DELETE", "/ops/stats", http.StatusMethodNotAllowed},
+	} {
+		t.Run(test.method+" "+test.path, func(t *testing.T) {
+			if got, _ := request(t, s, test.method, test.path); got != test.want {
+				t.Errorf("got status %d, want %d", got, test.want)
+			}
+		})
+	}
+	if _, got := request(t, s, "GET", "/ops/stats"); got != testStats {
+		t.Errorf("got stats %q, want %q", got, testStats)
+	}
+}
+
+func TestReadinessIsWhatWasSet(t *testing.T) {
+	s := startServer(t)
+	if status, body := request(t, s, "GET", "/ops/readiness"); status != 503 || body != "no\n" {
+		t.Errorf("at first: got %d %q, want 503 %q", status, body, "no\n")
+	}
+	s.SetReady(true)
+	if status, body := request(t, s, "GET", "/ops/readiness"); status != 200 || body != "yes\n" {
+		t.Errorf("when ready: got %d %q, want 200 %q", status, body, "yes\n")
+	}
+	s.SetReady(false)
+	if status, _ := request(t, s, "GET", "/ops/readiness"); status != 503 {
+		t.Errorf("when no longer ready: got %d, want 503", status)
+	}
+}
+
+// Connections that finish no request lose their place to newer ones.
+func TestUnfinishedRequestsKeepNobodyOut(t *testing.T) {
+	s := startServer(t)
+	var unfinished []net.Conn
+	for range 2 * testMaxConnections {
+		conn, err := net.Dial("tcp", s.Addr().String())
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer func() { _ = conn.Close() }()
+		if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
+			t.Fatal(err)
+		}
+		if _, err := fmt.Fprint(conn, "GET /ops/st"); err != nil {
+			t.Fatal(err)
+		}
+		unfinished = append(unfinished, conn)
+	}
+	if status, body := request(t, s, "GET", "/ops/stats"); status != 200 || body != testStats {
+		t.Errorf("got %d %q, want 200 %q", status, body, testStats)
+	}
+	for i, conn := range unfinished[:testMaxConnections] {
+		if _, err := bufio.NewReader(conn).ReadByte(); err == nil {
+			t.Errorf("connection %d finished no request and got an answer", i)
+		}
+	}
+}
+
+func TestNoAddressMeansNoInterface(t *testing.T) {
+	s, err := Listen("", testMaxConnections, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	s.SetReady(true)
+	s.Serve() // returns at once
+	s.Close()
+	if got := s.Addr(); got != nil {
+		t.Errorf("got address %v, want none", got)
+	}
+}
