--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -56,13 +56,6 @@
 	l.backends.startAttempt(l, a, backend)
 }
 
-// SendGossip sends a gossip message to a peer, but during a handover to another process.
-func (l *Loop) SendGossip(peer int, note []byte) {
-	if l.handover == nil {
-		l.gossip.send(peer, note)
-	}
-}
-
 // WatchEndpoints has discovery report the endpoint list and its changes from now on.
 func (l *Loop) WatchEndpoints() { l.discovery.Watch() }
 
--- a/internal/gateway/handover_out.go
+++ b/internal/gateway/handover_out.go
@@ -37,7 +37,7 @@
 		return
 	}
 	l.handoverListener = listener
-	go listener.Serve(l.clients.listener, l.gossip.conn, predecessorEvents{l})
+	go listener.Serve(l.clients.listener, l.gossip.Conn(), predecessorEvents{l})
 }
 
 // predecessorEvents posts the steps of a handover ahead of queued requests.
@@ -78,7 +78,7 @@
 	h := &outgoingHandover{link: e.link}
 	l.handover = h
 	l.clients.pause()
-	l.gossip.pause()
+	l.gossip.Pause()
 	e.link.SendState(state)
 	l.schedule(l.now()+stateTimeout, stateTimer{h})
 }
@@ -124,10 +124,10 @@
 	h.link.SendGo()
 	h.ownershipGiven = true
 	l.log.Info("handed over", "open", l.requests.open, "clients", len(l.clients.conns))
-	l.ops.ready.Store(false)
+	l.ops.SetReady(false)
 	l.handoverListener.Close(false) // the successor's socket stands there now
 	_ = l.clients.listener.Close()
-	l.gossip.close()
+	l.gossip.Close()
 	l.controller.GiveUpOwnership(l.now())
 	for _, b := range l.backends.byNumber {
 		l.backends.closeIdle(b)
@@ -223,7 +223,7 @@
 	if l.clients.pauseAccept == nil { // otherwise a shutdown has resumed it to empty the backlog
 		l.clients.resume(l)
 	}
-	l.gossip.resume(l)
+	l.gossip.Resume()
 	l.controller.AdvertiseAll()
 }
 
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -7,7 +7,9 @@
 	"sparspread/internal/config"
 	"sparspread/internal/counter"
 	"sparspread/internal/discovery"
+	"sparspread/internal/gossip"
 	"sparspread/internal/handover"
+	"sparspread/internal/ops"
 	"sparspread/policy"
 )
 
@@ -38,11 +40,11 @@
 	clients  *clients
 	backends *backends
 
-	gossip       *gossipTransport
+	gossip       *gossip.Transport
 	counter      *counter.Client // nil: there is none
 	discovery    *discovery.Client
 	endpoints    endpointList
-	ops          *ops
+	ops          *ops.Server
 	metrics      *metrics
 	classMetrics []*classMetrics // in the order of the classes in force
 
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -68,7 +68,7 @@
 	}
 	l.shutdown.phase = phaseAccepting
 	l.log.Info("stopping", "open", l.requests.open)
-	l.ops.ready.Store(false)
+	l.ops.SetReady(false)
 	if !l.accepting && l.pendingTakeover != nil {
 		l.pendingTakeover.Abandon() // the predecessor goes on
 		l.done = true
