--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -11,57 +11,64 @@
 )
 
 func TestReadCommand(t *testing.T) {
-	large := strings.Repeat("x", MaxValue+1)
-	head := "*1\r\n$65537\r\n" + large + "\r\n"
+	const tooLarge = MaxValue + 1
+	largeValue := strings.Repeat("x", tooLarge)
+	largeCommand := "*1\r\n$65537\r\n" + largeValue + "\r\n"
 	for _, c := range []struct {
-		name, in string
-		want     []string
-		err      error
+		name, input string
+		want        []string
+		wantErr     error
 	}{
 		{"two values", "*2\r\n$4\r\nPING\r\n$0\r\n\r\n", []string{"PING", ""}, nil},
 		{"empty array first", "*0\r\n*1\r\n$1\r\na\r\n", []string{"a"}, nil},
 		{"CRLF in a value", "*1\r\n$4\r\na\r\nb\r\n", []string{"a\r\nb"}, nil},
-		{"end", "", nil, io.EOF},
-		{"end within", "*2\r\n$1\r\na\r\n", nil, io.ErrUnexpectedEOF},
+		{"end of input", "", nil, io.EOF},
+		{"end within a command", "*2\r\n$1\r\na\r\n", nil, io.ErrUnexpectedEOF},
 		{"end within a value", "*1\r\n$5\r\na", nil, io.ErrUnexpectedEOF},
-		{"large value", head, nil, ErrTooLarge},
+		{"large value", largeCommand, nil, ErrTooLarge},
 		{"many values", "*17\r\n" + strings.Repeat("$0\r\n\r\n", 17), nil, ErrTooLarge},
 		{"no array", "PING\r\n", nil, ErrProtocol},
 		{"negative length", "*1\r\n$-2\r\nxx", nil, ErrProtocol},
-		{"no number", "*x\r\n", nil, ErrProtocol},
+		{"length is no number", "*x\r\n", nil, ErrProtocol},
 		{"bare LF", "*1\n", nil, ErrProtocol},
-		{"no CRLF", "*1\r\n$1\r\nabc", nil, ErrProtocol},
-		{"no bulk", "*1\r\n+OK\r\n", nil, ErrProtocol},
-		{"endless line", "*" + large, nil, ErrProtocol},
+		{"value without CRLF", "*1\r\n$1\r\nabc", nil, ErrProtocol},
+		{"no bulk string", "*1\r\n+OK\r\n", nil, ErrProtocol},
+		{"line too long", "*" + largeValue, nil, ErrProtocol},
 	} {
-		args, err := NewReader(iotest.OneByteReader(strings.NewReader(c.in))).ReadCommand()
-		var got []string
-		for _, a := range args {
-			got = append(got, string(a))
-		}
-		if !errors.Is(err, c.err) || !reflect.DeepEqual(got, c.want) {
-			t.Errorf("%s: %q, %v", c.name, got, err)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			args, err := NewReader(iotest.OneByteReader(strings.NewReader(c.input))).ReadCommand()
+			var got []string
+			for _, arg := range args {
+				got = append(got, string(arg))
+			}
+			if !errors.Is(err, c.wantErr) || !reflect.DeepEqual(got, c.want) {
+				t.Errorf("got %q, error %v, want %q, error %v", got, err, c.want, c.wantErr)
+			}
+		})
 	}
-	r := NewReader(strings.NewReader(head + "*1\r\n$4\r\nnext\r\n"))
+	r := NewReader(strings.NewReader(largeCommand + "*1\r\n$4\r\nnext\r\n"))
 	if _, err := r.ReadCommand(); !errors.Is(err, ErrTooLarge) {
-		t.Error(err)
+		t.Errorf("large command: error %v, want %v", err, ErrTooLarge)
 	}
 	if args, err := r.ReadCommand(); err != nil || string(args[0]) != "next" {
-		t.Errorf("after a large one: %q, %v", args, err)
+		t.Errorf("after a large command: %q, %v", args, err)
 	}
 }
 
 func TestReadReply(t *testing.T) {
 	for _, c := range []struct {
-		in   string
-		want Reply
-		fine bool
+		input string
+		want  Reply
+		valid bool
 	}{
 		{"+PONG\r\n", Reply{Kind: '+', Text: []byte("PONG")}, true},
 		{"-ERR failed\r\n", Reply{Kind: '-', Text: []byte("ERR failed")}, true},
 		{"$-1\r\n", Reply{Kind: '$', Null: true}, true},
-		{"*2\r\n$1\r\na\r\n$-1\r\n", Reply{Kind: '*', Items: []Reply{{Kind: '$', Text: []byte("a")}, {Kind: '$', Null: true}}}, true},
+		{
+			"*2\r\n$1\r\na\r\n$-1\r\n",
+			Reply{Kind: '*', Items: []Reply{{Kind: '$', Text: []byte("a")}, {Kind: '$', Null: true}}},
+			true,
+		},
 		{"*1\r\n*1\r\n$1\r\na\r\n", Reply{}, false},
 		{"$65537\r\n", Reply{}, false},
 		{"*1000000000\r\n", Reply{}, false},
@@ -70,40 +77,48 @@
 		{"?\r\n", Reply{}, false},
 		{"$5\r\nab", Reply{}, false},
 	} {
-		got, err := NewReader(strings.NewReader(c.in)).ReadReply()
-		if (err == nil) != c.fine || c.fine && !reflect.DeepEqual(got, c.want) {
-			t.Errorf("%q: %+v, %v", c.in, got, err)
+		got, err := NewReader(strings.NewReader(c.input)).ReadReply()
+		if (err == nil) != c.valid || c.valid && !reflect.DeepEqual(got, c.want) {
+			t.Errorf("%q: got %+v, error %v, want %+v, valid %t", c.input, got, err, c.want, c.valid)
 		}
 	}
 }
 
-// What is only announced takes no room: many half commands fit in little memory.
-func TestAnnouncedLengthsTakeNoRoom(t *testing.T) {
-	const runs = 200
+// Peers that announce much and send little must not cost what they announce.
+func TestAnnouncedLengthsAllocateLittle(t *testing.T) {
+	const (
+		commands           = 200
+		maxBytesPerCommand = 16 << 10
+	)
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	for range runs {
-		if _, err := NewReader(strings.NewReader("*16\r\n$65536\r\nab")).ReadCommand(); !errors.Is(err, io.ErrUnexpectedEOF) {
+	for range commands {
+		_, err := NewReader(strings.NewReader("*16\r\n$65536\r\nab")).ReadCommand()
+		if !errors.Is(err, io.ErrUnexpectedEOF) {
 			t.Fatal(err)
 		}
 	}
 	runtime.ReadMemStats(&after)
-	if each := (after.TotalAlloc - before.TotalAlloc) / runs; each > 16<<10 {
-		t.Errorf("%d bytes for a command of which two came", each)
+	if got := (after.TotalAlloc - before.TotalAlloc) / commands; got > maxBytesPerCommand {
+		t.Errorf("%d bytes allocated for a command of which two were sent, want at most %d",
+			got, maxBytesPerCommand)
 	}
-	large := "$65536\r\n" + strings.Repeat("x", MaxValue) + "\r\n"
-	if _, err := NewReader(strings.NewReader("*2\r\n" + large + large)).ReadCommand(); !errors.Is(err, ErrTooLarge) {
-		t.Errorf("a command beyond the limit in all: %v", err)
+	value := "$65536\r\n" + strings.Repeat("x", MaxValue) + "\r\n"
+	_, err := NewReader(strings.NewReader("*2\r\n" + value + value)).ReadCommand()
+	if !errors.Is(err, ErrTooLarge) {
+		t.Errorf("values beyond the limit of a command: error %v, want %v", err, ErrTooLarge)
 	}
 }
 
-// Whatever comes, a reader neither panics nor keeps more than it may.
+// Whatever the input, a reader neither panics nor returns more values than its limit.
 func FuzzReadCommand(f *testing.F) {
-	for _, seed := range []string{"*1\r\n$4\r\nPING\r\n", "*1\r\n$-2\r\nxx", "*3\r\n$1\r\na\r\n", "*\r\n", "*1\r\n$\r\n"} {
+	for _, seed := range []string{
+		"*1\r\n$4\r\nPING\r\n", "*1\r\n$-2\r\nxx", "*3\r\n$1\r\na\r\n", "*\r\n", "*1\r\n$\r\n",
+	} {
 		f.Add(seed)
 	}
-	f.Fuzz(func(t *testing.T, in string) {
-		r := NewReader(strings.NewReader(in))
+	f.Fuzz(func(t *testing.T, input string) {
+		r := NewReader(strings.NewReader(input))
 		for {
 			args, err := r.ReadCommand()
 			if errors.Is(err, ErrTooLarge) {
