--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -10,48 +10,66 @@
 	"sparspread/policy"
 )
 
-func batch(index, count uint32, body string) string {
-	b := binary.LittleEndian.AppendUint32(nil, index)
+// batchWith returns the frame of the batch with index 1 and the given records.
+func batchWith(count uint32, records string) string {
+	b := binary.LittleEndian.AppendUint32(nil, 1)
 	b = binary.LittleEndian.AppendUint32(b, count)
-	b = binary.LittleEndian.AppendUint32(b, uint32(len(body)))
-	return string(binary.LittleEndian.AppendUint64(b, 1e6)) + body
+	b = binary.LittleEndian.AppendUint32(b, uint32(len(records)))
+	return string(binary.LittleEndian.AppendUint64(b, 1e6)) + records
 }
 
-func provision(profile string) string {
+// instanceStarted returns the record that starts instance 1 with the given settings.
+func instanceStarted(settingsText string) string {
 	head := "\x05\x01\x00" + strings.Repeat("\x07", 8)
-	return head + string(binary.LittleEndian.AppendUint32(nil, uint32(len(profile)))) + profile
+	return head + string(binary.LittleEndian.AppendUint32(nil, uint32(len(settingsText)))) + settingsText
 }
 
-const profile = "balancers=1\nrequest-classes.count=1\nrequest-classes.0.promise-us=600000\n" +
-	"tariffs.count=1\ntariffs.0.rate=1\ntariffs.0.burst=5\n"
+const (
+	validSettings = "balancers=1\nrequest-classes.count=1\nrequest-classes.0.promise-us=600000\n" +
+		"tariffs.count=1\ntariffs.0.rate=1\ntariffs.0.burst=5\n"
+	emptyReply = "\x01\x00\x00\x00\x00\x00\x00\x00"
+)
 
-func TestRun(t *testing.T) {
+func TestRunAnswersBatches(t *testing.T) {
 	for _, c := range []struct {
-		name, in string
-		fails    bool
-		holds    string
+		name, input string
+		wantErr     bool
+		wantOutput  string // a part of it
 	}{
-		{"empty batch", batch(1, 0, ""), false, "\x01\x00\x00\x00\x00\x00\x00\x00"},
-		{"served settings", batch(1, 1, provision(profile)), false, "\x01\x00\x00\x00\x00\x00\x00\x00"},
-		{"bad setting", batch(1, 1, provision(profile+"balancers=no\n")), false, "setting balancers"},
-		{"settings not to be served", batch(1, 1, provision(profile+"balancers=0\n")), false, "gateways"},
-		{"event of no instance", batch(1, 1, "\x04\x09\x00\x00\x00\x00\x00"), false, "\x01\x00\x00\x00\x00\x00\x00\x00"},
-		{"cut frame", batch(1, 1, "\x06\x01\x00")[:21], true, ""},
-		{"unknown event", batch(1, 1, "\x63\x01\x00"), true, ""},
+		{"empty batch", batchWith(0, ""), false, emptyReply},
+		{"valid settings", batchWith(1, instanceStarted(validSettings)), false, emptyReply},
+		{
+			"malformed setting", batchWith(1, instanceStarted(validSettings+"balancers=no\n")),
+			false, "setting balancers",
+		},
+		{
+			"settings that cannot be served", batchWith(1, instanceStarted(validSettings+"balancers=0\n")),
+			false, "gateways",
+		},
+		{
+			"event of an instance that does not run", batchWith(1, "\x04\x09\x00\x00\x00\x00\x00"),
+			false, emptyReply,
+		},
+		{"truncated frame", batchWith(1, "\x06\x01\x00")[:21], true, ""},
+		{"unknown event", batchWith(1, "\x63\x01\x00"), true, ""},
 	} {
-		var out bytes.Buffer
-		err := run(strings.NewReader(c.in), &out)
-		if (err != nil) != c.fails || !strings.Contains(out.String(), c.holds) {
-			t.Errorf("%s: %q, %v", c.name, out.String(), err)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			var out bytes.Buffer
+			err := run(strings.NewReader(c.input), &out)
+			if (err != nil) != c.wantErr || !strings.Contains(out.String(), c.wantOutput) {
+				t.Errorf("output %q, error %v, want an output with %q, an error %t",
+					out.String(), err, c.wantOutput, c.wantErr)
+			}
+		})
 	}
 }
 
-func TestPanicIsToldAsBroken(t *testing.T) {
-	h := &host{gateways: map[uint16]*policy.Controller{4: {}}} // one that New did not make
-	h.reply.Reset(1)
-	h.take(1, &simproto.Event{Kind: simproto.TimerFired, Instance: 4})
-	if got := string(h.reply.Bytes()); !strings.Contains(got, "panic") {
-		t.Errorf("%q", got)
+func TestPanicIsReportedAsFailedInstance(t *testing.T) {
+	a := newAdapter()
+	a.controllers[4] = &policy.Controller{} // panics, as policy.New did not make it
+	a.reply.Reset(1)
+	a.handleEvent(1, &simproto.Event{Kind: simproto.TimerFired, Instance: 4})
+	if got := string(a.reply.Bytes()); !strings.Contains(got, "panic") {
+		t.Errorf("reply %q, want one that reports a panic", got)
 	}
 }
