--- a/cmd/gateway/descriptors_test.go
+++ b/cmd/gateway/descriptors_test.go
@@ -1,209 +1,249 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"io"
 	"net"
+	"os/exec"
 	"strings"
 	"sync"
 	"sync/atomic"
 	"testing"
-	"time"
 )
 
-// crowd is idle clients: each that the gateway closes comes again.
-type crowd struct {
-	closed atomic.Int64 // by the gateway
-	stop   chan struct{}
-	gone   sync.WaitGroup
+const outOfDescriptors = "too many open files" // in a log line where a call found none
+
+// withDescriptorLimit has the configuration state a limit on descriptors besides another change.
+func withDescriptorLimit(descriptors int, change configChange) configChange {
+	return func(fields map[string]any) {
+		fields["limits"] = map[string]any{"memory_mb": 192, "sockets": descriptors}
+		change(fields)
+	}
+}
+
+// crowdedGateway is a gateway with more idle clients than it has room for.
+type crowdedGateway struct {
+	process        *gatewayProcess
+	idle           *idleClients
+	maxDescriptors int // that the process held at once when it was looked at
+	resent         atomic.Int64
+	rejected       atomic.Int64
+}
+
+// newCrowdedGateway returns once the gateway has closed as many idle clients as came.
+func newCrowdedGateway(
+	t *testing.T, host string, allowed, configured int, change configChange,
+) *crowdedGateway {
+	t.Helper()
+	g := &crowdedGateway{
+		process: startGateway(t, host, allowed, withDescriptorLimit(configured, change)),
+	}
+	crowd := 2 * allowed
+	g.idle = startIdleClients(t, host+clientPort, crowd)
+	g.process.waitFor(t, "more idle clients than there is room for", func() bool {
+		g.countDescriptors()
+		return g.idle.closedByServer.Load() >= int64(crowd)
+	})
+	return g
 }
 
-func gather(t testing.TB, addr string, size int) *crowd {
-	c := &crowd{stop: make(chan struct{})}
-	var once sync.Once
-	t.Cleanup(func() { once.Do(func() { close(c.stop) }); c.gone.Wait() })
-	for range size {
-		c.gone.Add(1)
-		go func() {
-			defer c.gone.Done()
-			for {
-				conn, err := net.DialTimeout("tcp", addr, patience)
-				ended := make(chan struct{})
-				go func() {
-					defer close(ended)
-					if err == nil {
-						_, _ = io.Copy(io.Discard, conn)
-						c.closed.Add(1)
-					}
-				}()
-				select {
-				case <-ended:
-				case <-c.stop:
-				}
-				if err == nil {
-					conn.Close()
-					<-ended
-				}
-				select {
-				case <-c.stop:
-					return
-				default:
-				}
-				if err != nil {
-					time.Sleep(time.Millisecond) // it is not there yet
-				}
+func (g *crowdedGateway) countDescriptors() {
+	g.maxDescriptors = max(g.maxDescriptors, g.process.openDescriptors())
+}
+
+// requireServed has clients send a request each at once and checks that all are answered.
+func (g *crowdedGateway) requireServed(t *testing.T, clients int) {
+	t.Helper()
+	var running sync.WaitGroup
+	for range clients {
+		running.Go(func() {
+			outcome := g.process.request()
+			g.resent.Add(int64(outcome.sent - 1))
+			g.rejected.Add(int64(outcome.rejections))
+			if outcome.err != nil || outcome.answer != backendAnswer {
+				t.Error(outcome)
 			}
-		}()
+		})
+	}
+	running.Wait()
+	g.countDescriptors()
+}
+
+// requireReachable checks that PING and operators are answered.
+func (g *crowdedGateway) requireReachable(t *testing.T) {
+	t.Helper()
+	if !g.process.answersPing() {
+		t.Error("no answer to PING")
+	}
+	for _, path := range []string{"/ops/readiness", "/ops/stats"} {
+		if status, err := g.process.getOps(path); status != 200 || err != nil {
+			t.Errorf("%s: status %d, error %v", path, status, err)
+		}
 	}
-	return c
 }
 
-// limited states the same limit in the configuration that the process has.
-func limited(files int, more func(map[string]any)) func(map[string]any) {
-	return func(f map[string]any) {
-		f["limits"] = map[string]any{"memory_mb": 192, "sockets": files}
-		more(f)
+// requireDescriptors checks that no call of the process failed for want of a descriptor.
+func (p *gatewayProcess) requireDescriptors(t *testing.T) {
+	t.Helper()
+	if n := strings.Count(p.logText(), outOfDescriptors); n > 0 {
+		t.Errorf("%d calls found no descriptor", n)
 	}
 }
 
-// Idle clients take every place there is while discovery is down, and more than as many again wait. All
-// others are served: discovery is heard at its return and what it tells is kept to, operators and
-// true clients get their answers, and no call for a descriptor ever fails.
-func TestIdleCrowdWhileDiscoveryIsDown(t *testing.T) {
+// While discovery is down idle clients take all the room there is, and as many again try to connect.
+// Everybody else is served: the gateway hears discovery when it returns and follows its list, operators and
+// other clients are answered, and no call fails for want of a descriptor.
+func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	for _, c := range []struct {
-		files  int
-		silent bool
+		descriptors int
+		silent      bool // discovery accepts calls and does not answer; else it refuses them
 	}{{32, true}, {64, false}, {256, true}, {1024, false}} {
-		t.Run(fmt.Sprintf("%d descriptors, silent %t", c.files, c.silent), func(t *testing.T) {
-			t.Parallel() // they mostly wait
-			host := ownHost()
-			drains, fresh := newMember(t), newMember(t)
-			close(drains.serve)
-			close(fresh.serve)
-			discovery := newAgent(t, host)
+		t.Run(fmt.Sprintf("%d descriptors, silent %t", c.descriptors, c.silent), func(t *testing.T) {
+			t.Parallel() // the cases mostly wait
+			host := randomHost()
+			draining, added := newBackend(t), newBackend(t)
+			draining.startAnswering()
+			added.startAnswering()
+			discovery := newDiscoveryServer(t, host)
 			if c.silent {
-				discovery.silent()
-			}
-			p := launch(t, host, c.files, limited(c.files, known(drains.entry("s-00000001", "Ready"))))
-			idle := gather(t, host+":6379", 2*c.files)
-			most := 0
-			watch := func() bool { most = max(most, p.open()); return idle.closed.Load() >= int64(2*c.files) }
-			p.until(t, "a crowd beyond all places", watch)
-			var again, refused atomic.Int64
-			served := func(clients int) {
-				t.Helper()
-				var all sync.WaitGroup
-				for range clients {
-					all.Go(func() {
-						answer, sent, busy, err := p.lookup()
-						again.Add(int64(sent - 1))
-						refused.Add(int64(busy))
-						if err != nil || answer != "$2" {
-							t.Errorf("answer %q, error %v, sent %d times, refused %d times", answer, err, sent, busy)
-						}
-					})
-				}
-				all.Wait()
-				most = max(most, p.open())
-			}
-			others := func() {
-				t.Helper()
-				if !p.pings() {
-					t.Error("no answer to PING")
-				}
-				for _, path := range []string{"/ops/readiness", "/ops/stats"} {
-					if status, err := p.operate(path); status != 200 || err != nil {
-						t.Errorf("%s: %d, %v", path, status, err)
-					}
-				}
-			}
-			served(2)
-			others()
-			discovery.answer(drains.entry("s-00000001", "Terminating") + "," + fresh.entry("s-00000002", "Ready"))
-			discovery.told()
-			before := len(drains.got)
-			for range 5 { // as many at once as may be open within the least share
-				served(2)
-			}
-			others()
-			if n := len(drains.got) - before; n > 0 || len(fresh.got) < 10 {
-				t.Errorf("%d requests went to the backend that drains, %d to the other", n, len(fresh.got))
-			}
-			log := p.logged()
-			if n := strings.Count(log, "too many open files"); n > 0 {
-				t.Errorf("%d calls found no descriptor", n)
-			}
-			if n := refused.Load(); n > 0 {
-				t.Errorf("true clients were turned away %d times", n)
+				discovery.acceptSilently()
 			}
-			t.Logf("at most %d of %d descriptors; %d of the crowd closed; %d requests sent again; %d lines logged",
-				most, c.files, idle.closed.Load(), again.Load(), strings.Count(log, "\n"))
+			known := withKnownEndpoints(draining.entry(1, phaseReady))
+			g := newCrowdedGateway(t, host, c.descriptors, c.descriptors, known)
+			g.requireServed(t, 2)
+			g.requireReachable(t)
+
+			discovery.serve(draining.entry(1, phaseTerminating), added.entry(2, phaseReady))
+			discovery.waitForWatch()
+			before := len(draining.received)
+			for range 5 { // as many at once as the smallest limit leaves room for
+				g.requireServed(t, 2)
+			}
+			g.requireReachable(t)
+			if n := len(draining.received) - before; n > 0 || len(added.received) < 10 {
+				t.Errorf("%d requests reached the draining backend, want 0; %d the added one, want 10",
+					n, len(added.received))
+			}
+			g.process.requireDescriptors(t)
+			if n := g.rejected.Load(); n > 0 {
+				t.Errorf("requests were rejected %d times", n)
+			}
+			t.Logf("at most %d of %d descriptors; %d idle clients closed; %d resent requests; %d log lines",
+				g.maxDescriptors, c.descriptors, g.idle.closedByServer.Load(), g.resent.Load(),
+				strings.Count(g.process.logText(), "\n"))
 		})
 	}
 }
 
-// Every part takes all that it may at once: clients, backends, operators, one at the door, and two
-// addresses of discovery, one of which hangs. The sum stays within the limit, and a new configuration
-// can still be read.
-func TestAllPartsAtOnceKeepToTheLimit(t *testing.T) {
-	for _, files := range []int{32, 64, 256, 1024} {
-		t.Run(fmt.Sprint(files), func(t *testing.T) {
+// openConnection connects, sends a text and keeps the connection until the test ends.
+func openConnection(t *testing.T, network, address, text string) {
+	t.Helper()
+	conn, err := net.DialTimeout(network, address, waitTimeout)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = conn.Close() })
+	_, _ = io.WriteString(conn, text) // the gateway may have closed it
+}
+
+// Every part of the gateway takes all that it may at once: clients, backends, operators, a caller of the
+// handover's socket, and two addresses of discovery, one of which hangs. The sum stays within the limit, and
+// the gateway can still read a new configuration.
+func TestAllPartsAtOnceStayWithinDescriptorLimit(t *testing.T) {
+	for _, descriptors := range []int{32, 64, 256, 1024} {
+		t.Run(fmt.Sprint(descriptors), func(t *testing.T) {
 			t.Parallel()
-			host := ownHost()
-			hangs := newMember(t)
-			var entries []string
-			for i := range files { // many ids: the module lets as many more requests be out
-				entries = append(entries, hangs.entry(fmt.Sprintf("s-%08x", i+1), "Ready"))
-			}
-			discovery := newAgent(t, host)
-			discovery.silent()
-			change := limited(files, known(entries...))
-			p := launch(t, host, files, change)
-			p.until(t, "readiness", p.pings)
-			hold := func(network, addr, text string) net.Conn {
-				t.Helper()
-				conn, err := net.DialTimeout(network, addr, patience)
-				if err != nil {
-					t.Fatal(err)
-				}
-				t.Cleanup(func() { conn.Close() })
-				_, _ = io.WriteString(conn, text)
-				return conn
-			}
-			share := (files - 24) * 2 / 5
-			for range share {
-				hold("tcp", host+":6379", lookupText()+lookupText())
-			}
-			most := 0
-			watch := func(enough int) func() bool {
-				return func() bool { most = max(most, p.open()); return len(hangs.got) >= enough }
-			}
-			p.until(t, "requests at every connection to backends", watch(share))
-			gather(t, host+":6379", files)
-			for range 24 {
-				hold("tcp", host+":6380", "GET /ops/st")
-			}
-			hold("unixpacket", p.door(), "h") // and never goes on
-			stuck := newHang(t, host, 8501)
-			for i, address := range []string{host + ":8501", host + ":8502"} {
-				p.configure(t, func(f map[string]any) { change(f); f["discovery"] = address })
-				p.hangUp(t)
-				p.until(t, "the new configuration", func() bool { watch(0)(); return strings.Count(p.logged(), "msg=reload") == i+1 })
-				if i == 0 {
-					p.until(t, "a dial that hangs", func() bool { watch(0)(); return stuck() })
-				}
-			}
-			close(hangs.serve)
-			if !p.pings() {
-				t.Error("no answer to PING")
-			}
-			if status, err := p.operate("/ops/readiness"); status != 200 || err != nil {
-				t.Errorf("readiness: %d, %v", status, err)
-			}
-			if n := strings.Count(p.logged(), "too many open files"); n > 0 {
-				t.Errorf("%d calls found no descriptor", n)
-			}
-			t.Logf("at most %d of %d descriptors", most, files)
+			useAllPartsAtOnce(t, descriptors)
+		})
+	}
+}
+
+func useAllPartsAtOnce(t *testing.T, descriptors int) {
+	t.Helper()
+	host := randomHost()
+	hanging := newBackend(t)
+	var entries []string
+	for i := range descriptors { // with many backends the concurrency limit allows many attempts at once
+		entries = append(entries, hanging.entry(i+1, phaseReady))
+	}
+	newDiscoveryServer(t, host).acceptSilently()
+	change := withDescriptorLimit(descriptors, withKnownEndpoints(entries...))
+	p := startGateway(t, host, descriptors, change)
+	p.waitFor(t, "readiness", p.answersPing)
+
+	maxDescriptors := 0
+	counting := func(condition func() bool) func() bool {
+		return func() bool {
+			maxDescriptors = max(maxDescriptors, p.openDescriptors())
+			return condition()
+		}
+	}
+	connectionsPerSide := (descriptors - 24) * 2 / 5
+	for range connectionsPerSide {
+		openConnection(t, "tcp", host+clientPort, readCommand()+readCommand())
+	}
+	p.waitFor(t, "requests on every connection to backends", counting(func() bool {
+		return len(hanging.received) >= connectionsPerSide
+	}))
+	startIdleClients(t, host+clientPort, descriptors)
+	for range 24 {
+		openConnection(t, "tcp", host+opsPort, "GET /ops/st") // an incomplete call
+	}
+	openConnection(t, "unixpacket", p.handoverSocket(), "h") // an incomplete message
+
+	const hangingPort, refusingPort = 8501, 8502
+	dialHangs := newHangingAddress(t, host, hangingPort)
+	for reloads, port := range []int{hangingPort, refusingPort} {
+		p.writeConfig(t, func(fields map[string]any) {
+			change(fields)
+			fields["discovery"] = fmt.Sprintf("%s:%d", host, port)
 		})
+		p.reload(t)
+		p.waitFor(t, "the new configuration", counting(func() bool {
+			return strings.Count(p.logText(), "msg=reload") == reloads+1
+		}))
+		if port == hangingPort {
+			p.waitFor(t, "a dial that hangs", counting(dialHangs))
+		}
+	}
+	hanging.startAnswering()
+	if !p.answersPing() {
+		t.Error("no answer to PING")
+	}
+	if status, err := p.getOps("/ops/readiness"); status != 200 || err != nil {
+		t.Errorf("readiness: status %d, error %v", status, err)
+	}
+	p.requireDescriptors(t)
+	t.Logf("at most %d of %d descriptors", maxDescriptors, descriptors)
+}
+
+// A process that may open fewer descriptors than its configuration states serves with those, and logs it.
+func TestLowerLimitOfTheProcessIsServed(t *testing.T) {
+	b := newBackend(t)
+	b.startAnswering()
+	g := newCrowdedGateway(t, randomHost(), 48, 1024, withKnownEndpoints(b.entry(1, phaseReady)))
+	if outcome := g.process.request(); outcome.answer != backendAnswer || outcome.err != nil {
+		t.Error(outcome)
+	}
+	if n := strings.Count(g.process.logText(), "fewer descriptors than configured"); n != 1 {
+		t.Errorf("%d lines report the lower limit, want 1", n)
+	}
+	g.process.requireDescriptors(t)
+}
+
+// A process that may open too few descriptors exits at its start, with one message.
+func TestTooLowLimitOfTheProcessIsAnError(t *testing.T) {
+	for _, descriptors := range []int{6, 31} {
+		p := startGateway(t, randomHost(), descriptors, nil)
+		<-p.exited
+		var exit *exec.ExitError
+		if !errors.As(p.exitError, &exit) || exit.ExitCode() != 1 {
+			t.Errorf("%d descriptors: ended with %v, want exit code 1", descriptors, p.exitError)
+		}
+		log := p.logText()
+		if strings.Count(log, "\n") != 1 || !strings.Contains(log, "at least 32 wanted") {
+			t.Errorf("%d descriptors: logged %q, want one line that names the least limit", descriptors, log)
+		}
 	}
 }
--- a/cmd/gateway/idleclients_test.go
+++ b/cmd/gateway/idleclients_test.go
@@ -1,40 +1,66 @@
 package main
 
 import (
-	"errors"
-	"os/exec"
-	"strings"
+	"io"
+	"net"
+	"sync"
+	"sync/atomic"
 	"testing"
+	"time"
 )
 
-// A process that may open fewer files than the configuration states serves with those, and says so;
-// with too few it ends with one message.
-func TestLimitOfTheProcess(t *testing.T) {
-	host := ownHost()
-	b := newMember(t)
-	close(b.serve)
-	p := launch(t, host, 48, limited(1024, known(b.entry("s-00000001", "Ready"))))
-	idle := gather(t, host+":6379", 96)
-	p.until(t, "a crowd beyond all places", func() bool { return idle.closed.Load() >= 96 })
-	if answer, _, _, err := p.lookup(); answer != "$2" || err != nil {
-		t.Errorf("answer %q, error %v", answer, err)
-	}
-	log := p.logged()
-	if n := strings.Count(log, "fewer descriptors than configured"); n != 1 {
-		t.Errorf("%d lines tell of the lower limit", n)
-	}
-	if n := strings.Count(log, "too many open files"); n > 0 {
-		t.Errorf("%d calls found no descriptor", n)
+// idleClients are clients that connect and send nothing. Each that the gateway closes connects again.
+type idleClients struct {
+	address        string
+	closedByServer atomic.Int64
+	stop           chan struct{}
+}
+
+// startIdleClients starts clients that end with the test.
+func startIdleClients(tb testing.TB, address string, count int) *idleClients {
+	tb.Helper()
+	c := &idleClients{address: address, stop: make(chan struct{})}
+	var running sync.WaitGroup
+	tb.Cleanup(func() {
+		close(c.stop)
+		running.Wait()
+	})
+	for range count {
+		running.Go(c.run)
 	}
-	for _, few := range []int{6, 31} {
-		p := launch(t, ownHost(), few, nil)
-		<-p.ended
-		var exit *exec.ExitError
-		if !errors.As(p.fails, &exit) || exit.ExitCode() != 1 {
-			t.Errorf("%d files: ended with %v", few, p.fails)
+	return c
+}
+
+// run connects again and again until the clients are stopped.
+func (c *idleClients) run() {
+	for {
+		conn, err := net.DialTimeout("tcp", c.address, waitTimeout)
+		if err == nil {
+			c.hold(conn)
+		}
+		select {
+		case <-c.stop:
+			return
+		default:
 		}
-		if log := p.logged(); strings.Count(log, "\n") != 1 || !strings.Contains(log, "at least 32 wanted") {
-			t.Errorf("%d files: logged %q", few, log)
+		if err != nil {
+			time.Sleep(time.Millisecond) // the gateway does not listen yet
 		}
 	}
 }
+
+// hold keeps a connection until the gateway closes it or the clients are stopped.
+func (c *idleClients) hold(conn net.Conn) {
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		_, _ = io.Copy(io.Discard, conn) // however it ends
+		c.closedByServer.Add(1)
+	}()
+	select {
+	case <-ended:
+	case <-c.stop:
+	}
+	_ = conn.Close()
+	<-ended
+}
--- a/cmd/gateway/main_test.go
+++ b/cmd/gateway/main_test.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"syscall"
@@ -8,28 +9,30 @@
 	"time"
 )
 
-// SIGHUP once ended the program, and with it all that it had taken.
-func TestHangUpAsksForReload(t *testing.T) {
-	control := signals()
+// SIGHUP would end a program that does not handle it.
+func TestHangUpSignalAsksForReload(t *testing.T) {
+	control := handleSignals()
 	for range 2 {
 		if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
 		select {
 		case <-control.Reload:
-		case <-time.After(30 * time.Second):
+		case <-time.After(waitTimeout):
 			t.Fatal("no reload")
 		}
 	}
 }
 
-// Each reading takes the file as it is then; one that is broken is an error.
-func TestConfigurationIsReadAnew(t *testing.T) {
+func TestConfigurationIsReadFromItsFileEachTime(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
-	t.Setenv("RELAY_CONFIG", path)
+	t.Setenv(configPathVariable, path)
 	const head = `{"listen":"127.0.0.1:0","seed":"01","settings":{"self-index":0,"balancers":1,
 		"request-classes":[{"name":"c","promise-us":1}],"tariffs":[{"name":"t"}]},"discovery":`
-	for _, c := range []struct{ text, discovery string }{
+	for _, c := range []struct {
+		text          string
+		wantDiscovery string // empty: an error
+	}{
 		{head + `"127.0.0.1:1"}`, "127.0.0.1:1"},
 		{head + `"127.0.0.1:2"}`, "127.0.0.1:2"},
 		{head + `"nowhere"}`, ""},
@@ -38,9 +41,28 @@
 		if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		cfg, err := configuration()
-		if (err == nil) != (c.discovery != "") || err == nil && cfg.Discovery != c.discovery {
-			t.Errorf("discovery %q, error %v, want %q", cfg.Discovery, err, c.discovery)
+		cfg, err := readConfiguration()
+		if (err == nil) != (c.wantDiscovery != "") || err == nil && cfg.Discovery != c.wantDiscovery {
+			t.Errorf("discovery %q, error %v, want %q", cfg.Discovery, err, c.wantDiscovery)
 		}
 	}
 }
+
+func TestConfigurationNeedsItsPath(t *testing.T) {
+	t.Setenv(configPathVariable, "")
+	if _, err := readConfiguration(); !errors.Is(err, errNoConfigPath) {
+		t.Errorf("error %v, want %v", err, errNoConfigPath)
+	}
+}
+
+func TestOpsAddressVariableReplacesTheConfiguredOne(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "config.json")
+	if err := os.WriteFile(path, []byte(`{"ops":"127.0.0.1:1"}`), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	t.Setenv(configPathVariable, path)
+	t.Setenv(opsAddressVariable, "127.0.0.1:2")
+	if cfg, _ := readConfiguration(); cfg.Ops != "127.0.0.1:2" { // the rest of the file is missing
+		t.Errorf("address for operators %q, want that of %s", cfg.Ops, opsAddressVariable)
+	}
+}
--- /dev/null
+++ b/cmd/gateway/signals.go
@@ -0,0 +1,28 @@
+package main
+
+import (
+	"os"
+	"os/signal"
+	"syscall"
+
+	"sparspread/internal/gateway"
+)
+
+// handleSignals has SIGTERM and SIGINT shut the gateway down and SIGHUP reload its configuration. Its
+// goroutines run until the process ends.
+func handleSignals() gateway.Control {
+	shutdown, reload := make(chan struct{}), make(chan struct{}, 1)
+	shutdownSignals, reloadSignals := make(chan os.Signal, 1), make(chan os.Signal, 1)
+	signal.Notify(shutdownSignals, syscall.SIGTERM, syscall.SIGINT)
+	signal.Notify(reloadSignals, syscall.SIGHUP)
+	go func() {
+		<-shutdownSignals
+		close(shutdown)
+	}()
+	go func() {
+		for range reloadSignals {
+			reload <- struct{}{}
+		}
+	}()
+	return gateway.Control{Stop: shutdown, Reload: reload, Read: readConfiguration}
+}
--- /dev/null
+++ b/cmd/gateway/standins_test.go
@@ -0,0 +1,216 @@
+package main
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// newHangingAddress makes an address at which a dial neither succeeds nor fails: the listener's backlog is
+// full. The function that it returns reports whether a dial hangs there.
+func newHangingAddress(tb testing.TB, host string, port int) (dialHangs func() bool) {
+	tb.Helper()
+	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	tb.Cleanup(func() { _ = syscall.Close(fd) })
+	ip := net.ParseIP(host).To4()
+	if err = syscall.Bind(fd, &syscall.SockaddrInet4{Port: port, Addr: [4]byte(ip)}); err == nil {
+		err = syscall.Listen(fd, 0)
+	}
+	if err != nil {
+		tb.Fatal(err)
+	}
+	conn, err := net.DialTimeout("tcp", fmt.Sprintf("%s:%d", host, port), waitTimeout)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	tb.Cleanup(func() { _ = conn.Close() })
+	// A connection to the address in the state SYN_SENT, as the kernel's table writes it.
+	entry := fmt.Sprintf(" %02X%02X%02X%02X:%04X 02 ", ip[3], ip[2], ip[1], ip[0], port)
+	return func() bool {
+		table, err := os.ReadFile("/proc/net/tcp")
+		return err == nil && bytes.Contains(table, []byte(entry))
+	}
+}
+
+// discoveryServer is discovery's side. Calls are refused until acceptSilently or serve.
+type discoveryServer struct {
+	tb       testing.TB
+	address  string
+	watches  chan string // queries of the calls that were served
+	listener net.Listener
+
+	mu      sync.Mutex // guards waiting
+	waiting []net.Conn // calls without an answer
+}
+
+func newDiscoveryServer(tb testing.TB, host string) *discoveryServer {
+	tb.Helper()
+	return &discoveryServer{tb: tb, address: host + discoveryPort, watches: make(chan string, 1024)}
+}
+
+// acceptSilently accepts calls and never answers them.
+func (d *discoveryServer) acceptSilently() {
+	d.tb.Helper()
+	listener, err := net.Listen("tcp", d.address)
+	if err != nil {
+		d.tb.Fatal(err)
+	}
+	d.listener = listener
+	d.tb.Cleanup(func() { _ = listener.Close(); d.closeWaiting() })
+	go func() {
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			d.mu.Lock()
+			d.waiting = append(d.waiting, conn)
+			d.mu.Unlock()
+		}
+	}()
+}
+
+func (d *discoveryServer) closeWaiting() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, conn := range d.waiting {
+		_ = conn.Close()
+	}
+	d.waiting = nil
+}
+
+// serve answers calls from now on with the given entries as revision 2, except for watches from that revision
+// on, which wait.
+func (d *discoveryServer) serve(entries ...string) {
+	d.tb.Helper()
+	if d.listener != nil {
+		_ = d.listener.Close()
+		d.closeWaiting()
+	}
+	listener, err := net.Listen("tcp", d.address)
+	if err != nil {
+		d.tb.Fatal(err)
+	}
+	body := endpointList(2, entries)
+	handler := func(w http.ResponseWriter, r *http.Request) {
+		select {
+		case d.watches <- r.URL.RawQuery:
+		default:
+		}
+		if isWatchFromRevision2(r.URL.RawQuery) {
+			<-r.Context().Done()
+			return
+		}
+		_, _ = w.Write(body) // the caller may have gone
+	}
+	server := &http.Server{Handler: http.HandlerFunc(handler)}
+	d.tb.Cleanup(func() { _ = server.Close() })
+	go func() { _ = server.Serve(listener) }() // until closed
+}
+
+// waitForWatch waits until the gateway watches from revision 2 on: it has applied the list by then.
+func (d *discoveryServer) waitForWatch() {
+	d.tb.Helper()
+	for end := time.After(waitTimeout); ; {
+		select {
+		case query := <-d.watches:
+			if isWatchFromRevision2(query) {
+				return
+			}
+		case <-end:
+			d.tb.Fatal("timed out waiting for a watch from the new list on")
+		}
+	}
+}
+
+func isWatchFromRevision2(query string) bool { return strings.HasPrefix(query, "index=2&") }
+
+// endpointList returns a complete list as discovery writes it.
+func endpointList(revision int, entries []string) json.RawMessage {
+	members := strings.Join(entries, ",")
+	return fmt.Appendf(nil, `{"revision":%d,"complete":true,"members":[%s]}`, revision, members)
+}
+
+// withKnownEndpoints has a configuration hold the list as last known.
+func withKnownEndpoints(entries ...string) configChange {
+	return func(fields map[string]any) { fields["known"] = endpointList(1, entries) }
+}
+
+// The phases of an endpoint in discovery's list.
+const (
+	phaseReady       = "Ready"
+	phaseTerminating = "Terminating"
+)
+
+// commandLines is how many lines a command of four values has.
+const commandLines = 9
+
+// backend answers every command, from startAnswering on.
+type backend struct {
+	address   string
+	received  chan struct{} // one value for each command
+	answering chan struct{} // closed by startAnswering
+}
+
+func newBackend(tb testing.TB) *backend {
+	tb.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		tb.Fatal(err)
+	}
+	tb.Cleanup(func() { _ = listener.Close() })
+	b := &backend{
+		address:  listener.Addr().String(),
+		received: make(chan struct{}, 1<<14), answering: make(chan struct{}),
+	}
+	go func() {
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			go b.serve(conn)
+		}
+	}()
+	return b
+}
+
+func (b *backend) startAnswering() { close(b.answering) }
+
+func (b *backend) serve(conn net.Conn) {
+	defer func() { _ = conn.Close() }()
+	in := bufio.NewReader(conn)
+	for {
+		for range commandLines {
+			if _, err := in.ReadString('\n'); err != nil {
+				return
+			}
+		}
+		b.received <- struct{}{}
+		<-b.answering
+		if _, err := io.WriteString(conn, "*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n"); err != nil {
+			return
+		}
+	}
+}
+
+// entry returns the backend's entry in discovery's list.
+func (b *backend) entry(number int, phase string) string {
+	return fmt.Sprintf(
+		`{"id":"s-%08x","host_port":%q,"locality":"a","cell":1,"phase":%q,"size":1,"up_since_ms":0}`,
+		number, b.address, phase,
+	)
+}
