--- /dev/null
+++ b/cmd/gateway/process_test.go
@@ -0,0 +1,232 @@
+package main
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+)
+
+const (
+	// waitTimeout bounds every wait for an event; no test asserts how fast one is.
+	waitTimeout = 30 * time.Second
+	// testProcessVariable has the test's own program run as a gateway.
+	testProcessVariable = "SPARSPREAD_TEST_PROCESS"
+
+	pingCommand = "*1\r\n$4\r\nPING\r\n"
+	pongReply   = "+PONG\r\n"
+)
+
+// The ports of a gateway and of its discovery at their loopback address.
+const (
+	clientPort    = ":6379"
+	opsPort       = ":6380"
+	gossipPort    = ":7946"
+	discoveryPort = ":8500"
+)
+
+func TestMain(m *testing.M) {
+	if os.Getenv(testProcessVariable) != "" {
+		main()
+		return
+	}
+	os.Exit(m.Run())
+}
+
+// randomHost returns a loopback address of a test's own: two tests hardly ever draw the same one.
+func randomHost() string {
+	return fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(250), rand.IntN(250), 1+rand.IntN(250))
+}
+
+const settingsText = `{"self-index":0,"balancers":1,"az":0,"granularity-us":4000,"localities":["a"],
+ "ceilings":{"peers":true,"probes":false,"second-copies":true,"retry-after":true,"max-attempts":3,
+  "max-retry-after-us":2000000,"max-open":20000,"dial-timeout-us":250000,"idle-close-us":30000000},
+ "family-info":{"counter":false,"settles":false,"counter-timeout-us":50000},
+ "guarantees":{"cold-from":0.15,"cold-us":16000000,"tip-after-us":1000000,"drain-grace-us":500000},
+ "membership-mode":"pushed","weights":"silent","report":{"names":[],"via":"silent"},
+ "request-classes":[{"name":"lookup","promise-us":10000000,"repeat":"retryable","group":"all",
+  "window-us":0,"worth":1}],
+ "tariffs":[{"name":"team","rate":10000,"burst":10000,"value-factor":1}]}`
+
+// configChange changes the configuration of a gateway before it is written.
+type configChange func(fields map[string]any)
+
+// gatewayProcess is a gateway that runs as a process of its own.
+type gatewayProcess struct {
+	host       string // its loopback address
+	command    *exec.Cmd
+	configPath string
+	exited     chan struct{} // closed when the process has ended
+	exitError  error         // set before exited is closed
+
+	mu  sync.Mutex // guards log
+	log bytes.Buffer
+}
+
+// startGateway starts a gateway that may open the given number of descriptors.
+func startGateway(tb testing.TB, host string, descriptors int, change configChange) *gatewayProcess {
+	tb.Helper()
+	dir, err := os.MkdirTemp("", "m") // short, since the path of a Unix socket is limited
+	if err != nil {
+		tb.Fatal(err)
+	}
+	tb.Cleanup(func() { _ = os.RemoveAll(dir) })
+	p := &gatewayProcess{
+		host: host, configPath: filepath.Join(dir, "config.json"), exited: make(chan struct{}),
+	}
+	p.writeConfig(tb, change)
+	script := fmt.Sprintf(`ulimit -n %d && exec "$0"`, descriptors)
+	p.command = exec.Command("/bin/sh", "-c", script, os.Args[0])
+	p.command.Env = append(
+		os.Environ(), testProcessVariable+"=1", "TMPDIR="+dir, configPathVariable+"="+p.configPath,
+	)
+	p.command.Stderr = p
+	if err := p.command.Start(); err != nil {
+		tb.Fatal(err)
+	}
+	go func() {
+		p.exitError = p.command.Wait()
+		close(p.exited)
+	}()
+	tb.Cleanup(func() {
+		_ = p.command.Process.Kill() // it may have ended already
+		<-p.exited
+		if tb.Failed() {
+			tb.Log(p.logText())
+		}
+	})
+	return p
+}
+
+// Write collects the process's log.
+func (p *gatewayProcess) Write(b []byte) (int, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.log.Write(b)
+}
+
+func (p *gatewayProcess) logText() string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.log.String()
+}
+
+// writeConfig writes the configuration; change may be nil.
+func (p *gatewayProcess) writeConfig(tb testing.TB, change configChange) {
+	tb.Helper()
+	fields := map[string]any{
+		"name": "n0", "listen": p.host + clientPort, "discovery": p.host + discoveryPort,
+		"ops":         p.host + opsPort,
+		"peer_listen": p.host + gossipPort, "peers": []string{p.host + gossipPort},
+		"seed": "8c1f30d27a5be964", "settings": json.RawMessage(settingsText),
+	}
+	if change != nil {
+		change(fields)
+	}
+	raw, err := json.Marshal(fields)
+	if err == nil {
+		err = os.WriteFile(p.configPath, raw, 0o600)
+	}
+	if err != nil {
+		tb.Fatal(err)
+	}
+}
+
+// waitFor polls a condition until it holds.
+func (p *gatewayProcess) waitFor(tb testing.TB, what string, condition func() bool) {
+	tb.Helper()
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
+		select {
+		case <-p.exited:
+			tb.Fatalf("the process ended while the test waited for %s: %v", what, p.exitError)
+		default:
+		}
+		if condition() {
+			return
+		}
+	}
+	tb.Fatal("timed out waiting for ", what)
+}
+
+// answersPing reports whether the gateway answers PING on a new connection.
+func (p *gatewayProcess) answersPing() bool {
+	conn, err := net.DialTimeout("tcp", p.host+clientPort, waitTimeout)
+	if err != nil {
+		return false
+	}
+	defer func() { _ = conn.Close() }()
+	_ = conn.SetDeadline(time.Now().Add(waitTimeout))
+	if _, err = io.WriteString(conn, pingCommand); err != nil {
+		return false
+	}
+	line, _ := bufio.NewReader(conn).ReadString('\n')
+	return line == pongReply
+}
+
+// firstPing waits for the first answer to PING after a start.
+func (p *gatewayProcess) firstPing(deadline time.Time) error {
+	for {
+		conn, err := net.DialTimeout("tcp", p.host+clientPort, time.Until(deadline))
+		if err != nil {
+			if time.Now().After(deadline) {
+				return err
+			}
+			time.Sleep(time.Millisecond) // it does not listen yet
+			continue
+		}
+		defer func() { _ = conn.Close() }()
+		_ = conn.SetDeadline(deadline)
+		if _, err = io.WriteString(conn, pingCommand); err != nil {
+			return err
+		}
+		if line, err := bufio.NewReader(conn).ReadString('\n'); line != pongReply {
+			return fmt.Errorf("answer %q: %w", line, err)
+		}
+		return nil
+	}
+}
+
+// getOps calls the interface for operators and returns the status.
+func (p *gatewayProcess) getOps(path string) (int, error) {
+	client := http.Client{Timeout: waitTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
+	response, err := client.Get("http://" + p.host + opsPort + path)
+	if err != nil {
+		return 0, err
+	}
+	defer func() { _ = response.Body.Close() }()
+	_, err = io.Copy(io.Discard, response.Body)
+	return response.StatusCode, err
+}
+
+// openDescriptors counts the descriptors that the process holds.
+func (p *gatewayProcess) openDescriptors() int {
+	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.command.Process.Pid))
+	if err != nil {
+		return 0 // it has ended
+	}
+	return len(entries)
+}
+
+// reload has the process read its configuration again.
+func (p *gatewayProcess) reload(tb testing.TB) {
+	tb.Helper()
+	if err := p.command.Process.Signal(syscall.SIGHUP); err != nil {
+		tb.Fatal(err)
+	}
+}
+
+// handoverSocket is the path at which another process would ask this one to hand over.
+func (p *gatewayProcess) handoverSocket() string {
+	return filepath.Join(filepath.Dir(p.configPath), "mothcleat-"+p.host+clientPort+".sock")
+}
