--- a/internal/gateway/client_accept.go
+++ b/internal/gateway/client_accept.go
@@ -113,11 +113,11 @@
 	c := &client{
 		conn: e.conn, writer: sockwriter.New(e.conn), openedAt: e.openedAt, clock: l.clock,
 		pipelineSlots: make(chan struct{}, maxPipelined), done: make(chan struct{}),
-		queuedBytes: &l.queuedBytes, lastCommandAt: now,
+		queuedBytes: &l.memory.queued, lastCommandAt: now,
 		commands: e.commands, inheritedInput: e.inheritedInput,
 	}
 	cs.conns[c] = true
-	c.closeAfterNextCommand = l.shutdown.closing // accepted from the backlog: one command is answered
+	c.closeAfterNextCommand = l.shutdown.isClosing() // accepted from the backlog: one command is answered
 	if l.handover.hasGivenOwnership() {
 		c.readerStopped, c.handoverInput, c.inheritedInput = true, e.inheritedInput, nil
 		c.handOver(l)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -4,17 +4,22 @@
 	"context"
 	"fmt"
 	"log/slog"
-	"time"
 
 	"sparspread/internal/config"
 	"sparspread/internal/discovery"
 	"sparspread/internal/handover"
+	"sparspread/internal/ops"
 	"sparspread/policy"
 )
 
-const eventQueueLength = 1024 // events that wait for the loop
+const (
+	eventQueueLength       = 1024 // events that wait for the loop before their senders wait
+	urgentEventQueueLength = 16
 
-// Run serves until it is told to stop and all that was taken is answered.
+	sweepInterval = 100 * millisecond // between two sweeps of idle connections
+)
+
+// Run serves clients until control stops it and all open requests are answered.
 func Run(cfg config.Config, log *slog.Logger, control Control) error {
 	l, err := newLoop(cfg, log)
 	if err != nil {
@@ -24,16 +29,16 @@
 	return nil
 }
 
-// serve runs the loop and all that reads for it.
+// serve starts the goroutines that post events, runs the loop, and ends them.
 func (l *Loop) serve(control Control) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	l.start(ctx)
 	go control.run(ctx, l)
 	l.run()
-	_ = l.clients.listener.Close()
-	l.ops.close()
-	l.gossip.close()
+	_ = l.clients.listener.Close() // may be closed already
+	l.ops.Close()
+	l.gossip.Close()
 	l.handoverListener.Close(!l.handover.hasGivenOwnership())
 	if l.predecessor != nil {
 		l.predecessor.Abandon()
@@ -43,62 +48,60 @@
 	}
 }
 
-// newLoop makes a gateway with its sockets. Clients are accepted once it is ready.
+// newLoop makes a gateway and opens its sockets. Clients are accepted once it is ready.
 func newLoop(cfg config.Config, log *slog.Logger) (*Loop, error) {
 	l := &Loop{
 		log: log, clock: newClock(),
-		events: make(chan event, eventQueueLength), urgentEvents: make(chan event, 16),
-		requests: map[uint64]*request{}, openByClientID: map[uint64]*request{}, timer: time.NewTimer(time.Hour),
+		events: make(chan event, eventQueueLength), urgentEvents: make(chan event, urgentEventQueueLength),
+		requests: newRequestTable(), timers: newTimerQueue(),
 		endpoints: endpointList{zones: cfg.Host.Zones}, metrics: &metrics{},
 	}
 	l.counter = newCounter(&cfg, l.post)
 	l.discovery = discovery.New(discoveryConfig(&cfg), log, l.postEndpoints)
 	l.applyConfig(&cfg)
-	l.timer.Stop()
 	limitMemory(&cfg, 1)
 	files := budgetDescriptors(usableSockets(&cfg, log), l.counter != nil)
 	l.backends = newBackends(&cfg, files.perSide)
-	l.clients = &clients{
-		limit: files.perSide, slots: make(chan struct{}, files.clientSlots), conns: map[*client]bool{},
-		drainBacklog: make(chan struct{}),
-	}
+	l.clients = newClients(files)
 	var err error
 	if l.controller, err = policy.New(cfg.Settings, cfg.Seed, l); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	if l.ops, err = newOps(cfg.Ops, l.metrics, files.operators); err != nil {
+	if l.ops, err = ops.Listen(cfg.Ops, files.operators, l.metrics.page); err != nil {
 		return nil, err
 	}
 	l.pendingTakeover = handover.Dial(cfg.Listen, log)
-	if l.gossip, err = newPeers(&cfg, log, l.pendingTakeover != nil); err != nil {
-		return nil, err
-	}
+	l.gossip = newGossip(&cfg, log, l.post)
 	if l.pendingTakeover != nil {
 		l.clients.listener = l.pendingTakeover.Clients
 		return l, nil
 	}
+	if cfg.Settings.Gossip {
+		if err := l.gossip.Listen(); err != nil {
+			return nil, err
+		}
+	}
 	return l, l.listen()
 }
 
-// start begins with the list as last known and has all sockets read.
+// start applies the configured endpoint list and starts reading from discovery, peers and operators.
+// Clients are accepted after discovery's first list, or readinessWait.
 func (l *Loop) start(ctx context.Context) {
 	l.backends.updateEndpoints(l, policy.UpdateStale, l.config.Known.Endpoints)
 	l.handlePending()
-	go l.ops.serve()
+	go l.ops.Serve()
 	l.schedule(l.now()+readinessWait, readinessTimeout{})
 	l.schedule(l.now()+sweepInterval, sweepTimer{})
 	go l.discovery.Run(ctx)
-	l.gossip.resume(l)
+	l.gossip.Resume()
 	if l.counter != nil {
 		go l.counter.Run(ctx)
 	}
 }
 
-// sweep closes, now and then, connections that are of no more use.
+// sweepTimer closes, at intervals, connections that have been idle for too long.
 type sweepTimer struct{}
 
-const sweepInterval = 100_000
-
 func (sweepTimer) fire(l *Loop) {
 	l.clients.sweep(l)
 	l.backends.sweep(l)
@@ -106,8 +109,8 @@
 	l.schedule(l.now()+sweepInterval, sweepTimer{})
 }
 
-// ready has clients accepted from now on: until then nothing answers PING. Where
-// another process still serves, that is once it has handed over.
+// startAccepting has clients accepted: until then nothing answers PING. If another process still serves
+// them, it is asked to hand over first.
 func (l *Loop) startAccepting() {
 	switch {
 	case l.accepting:
@@ -118,15 +121,20 @@
 	}
 }
 
+// accept accepts clients on the listener at hand.
 func (l *Loop) accept() {
 	l.accepting = true
 	l.log.Info("ready", "listen", l.clients.listener.Addr().String(), "backends", len(l.backends.byNumber))
 	l.clients.resume(l)
 	l.listenForSuccessor()
-	l.ops.ready.Store(!l.shutdown.started)
+	l.ops.SetReady(!l.shutdown.hasStarted())
 }
 
-// readyAnyway ends the wait for discovery, which may be down for long.
+// readinessWait is how long, in microseconds, a start waits for discovery before it serves with the endpoint
+// list of its configuration.
+const readinessWait policy.Time = 500_000
+
+// readinessTimeout ends the wait for discovery, which may be down for long.
 type readinessTimeout struct{}
 
 func (readinessTimeout) fire(l *Loop) { l.startAccepting() }
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -41,7 +41,7 @@
 func (l *Loop) rebind() {
 	err := l.listen()
 	if err == nil && l.config.Settings.Gossip {
-		if err = l.gossip.listen(l.config); err != nil {
+		if err = l.gossip.Listen(); err != nil {
 			_ = l.clients.listener.Close()
 		}
 	}
@@ -50,14 +50,14 @@
 		l.schedule(l.now()+rebindDelay, rebindTimer{})
 		return
 	}
-	l.gossip.resume(l)
+	l.gossip.Resume()
 	l.accept()
 }
 
 type rebindTimer struct{}
 
 func (rebindTimer) fire(l *Loop) {
-	if !l.shutdown.started {
+	if !l.shutdown.hasStarted() {
 		l.rebind()
 	}
 }
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"net"
 	"runtime"
+	"slices"
 	"testing"
 
 	"sparspread/internal/config"
@@ -27,7 +28,7 @@
 func turn(t *testing.T, l *Loop, what string, holds func() bool) {
 	t.Helper()
 	for !holds() {
-		handle(t, l, what)
+		handleNext(t, l, what)
 	}
 }
 
@@ -45,7 +46,7 @@
 	c := (&rig{addr: l.clients.listener.Addr().String()}).client(t)
 	c.lookup(1, "60000") // in the kernel, as nothing accepts yet
 	later(l, acceptPeriod)
-	turn(t, l, "the request", func() bool { return l.openRequests == 1 })
+	turn(t, l, "the request", func() bool { return l.requests.open == 1 })
 	turn(t, l, "the listener to close", func() bool { return l.shutdown.listenerClosed })
 	later(l, 2*closePeriod) // the backend takes long
 	if l.done {
@@ -53,7 +54,7 @@
 	}
 	turn(t, l, "the dial", func() bool { return len(l.backends.byNumber[1].waiting) == 0 })
 	b.next(t).serve(t, "ok")
-	turn(t, l, "the answer", func() bool { return l.openRequests == 0 })
+	turn(t, l, "the answer", func() bool { return l.requests.open == 0 })
 	c.value("ok")
 	c.closed()
 	closeConn(t, c.conn)
@@ -71,7 +72,7 @@
 	l.accepting = true
 	l.clients.resume(l)
 	c := (&rig{addr: l.clients.listener.Addr().String()}).client(t)
-	handle(t, l, "the connection")
+	handleNext(t, l, "the connection")
 	c.raw("*4\r\n$8\r\nAPI.R")
 	for conn := range l.clients.conns {
 		for conn.lastInputAt.Load() == 0 { // until the reader has it
@@ -117,3 +118,58 @@
 		t.Error(err)
 	}
 }
+
+// A planned shutdown answers open requests and closes connections after it, and accepts connections for a
+// while.
+func TestShutdownAnswersOpenRequests(t *testing.T) {
+	r, b, _ := oneBackend(t, nil)
+	c, idle := r.client(t), r.client(t)
+	c.lookup(1, "60000")
+	call := b.next(t)
+	r.shutDownFor(t, acceptPeriod)
+	idle.closed()
+	call.serve(t, "ok")
+	c.value("ok")
+	c.closed()
+	_ = c.conn.Close()
+	_ = idle.conn.Close()
+	wait(t, r.ended, "the gateway's end")
+}
+
+// Requests still open shortly before SIGKILL are failed.
+func TestShutdownFailsUnansweredRequests(t *testing.T) {
+	r, b, _ := oneBackend(t, nil)
+	c := r.client(t)
+	c.lookup(1, "80000000")
+	b.next(t)
+	r.shutDownFor(t, maxLongestTimeout+answerMargin)
+	c.want("-ERR failed")
+	c.closed()
+	_ = c.conn.Close()
+	wait(t, r.ended, "the gateway's end")
+}
+
+// A command that has partly arrived when the gateway closes its connections is completed and answered.
+func TestShutdownWaitsForAPartialCommand(t *testing.T) {
+	r, b, _ := oneBackend(t, nil)
+	c, idle := r.client(t), r.client(t)
+	idle.send("PING")
+	idle.want("+PONG")
+	r.advance(t, 1) // what comes from now on came after its connection
+	const command = "*4\r\n$8\r\nAPI.READ\r\n$16\r\n0000000000000007\r\n$16\r\n0000000000000001\r\n" +
+		"$48\r\nc=lookup,t=team,d=60000,units=1,spread=1,first=0\r\n"
+	c.raw(command[:40])
+	r.waitUntil(t, func(l *Loop) bool {
+		return slices.ContainsFunc(clientList(l), func(c *client) bool {
+			return c.commands == 0 && c.isMidCommand()
+		})
+	})
+	r.shutDownFor(t, acceptPeriod)
+	idle.closed() // by now connections are closed
+	c.raw(command[40:])
+	b.next(t).serve(t, "ok")
+	c.value("ok")
+	c.closed()
+	r.runClock() // its connection lingers
+	wait(t, r.ended, "the gateway to end")
+}
