--- a/policy/admission.go
+++ b/policy/admission.go
@@ -32,24 +32,25 @@
 		g.reject(req.ID, rejectOverQuota, g.shortestObjective/2)
 		return
 	}
-	c := g.customerRecord(req.Customer, req.Plan, req.FirstReplica, req.Replicas)
-	g.recordDemand(c, req.Cost)
-	r := &request{Request: req, deadline: now + req.Timeout, customer: c}
+	customer := g.customerRecord(req.Customer, req.Plan, req.FirstReplica, req.Replicas)
+	g.recordDemand(customer, req.Cost)
+	request := &request{Request: req, deadline: now + req.Timeout, customer: customer}
 	if g.atCapacity(g.openCapacity(&req)) {
 		g.reject(req.ID, rejectAtCapacity, g.shortestObjective/2)
 		return
 	}
-	g.admitOrRequestQuota(r)
+	g.admitOrRequestQuota(request)
 }
 
 // admitOrRequestQuota admits a request unless a coordinator other than this gateway decides on it.
-func (g *Controller) admitOrRequestQuota(r *request) {
-	r.coordinator = g.pickCoordinator(r)
-	if g.requiresGrant(r.customer) && g.coordinator(r.customer, r.coordinator) != g.settings.Self {
-		g.requestQuota(r)
+func (g *Controller) admitOrRequestQuota(request *request) {
+	request.coordinator = g.pickCoordinator(request)
+	customer := request.customer
+	if g.requiresGrant(customer) && g.coordinator(customer, request.coordinator) != g.settings.Self {
+		g.requestQuota(request)
 		return
 	}
-	g.admit(r, g.ownUnits(r))
+	g.admit(request, g.ownUnits(request))
 }
 
 // expiredInStall reports whether a request arrived while this gateway was stalled, and so long ago
@@ -65,8 +66,8 @@
 }
 
 // ownUnits is the source of a request's units where no coordinator was asked.
-func (g *Controller) ownUnits(r *request) unitSource {
-	if g.withinQuota(r.customer, r.Cost) {
+func (g *Controller) ownUnits(request *request) unitSource {
+	if g.withinQuota(request.customer, request.Cost) {
 		return unitsFromShare
 	}
 	return unitsMissing
@@ -74,35 +75,37 @@
 
 // admit sends a request to a backend if its quota, or else the shared bucket, covers its cost and
 // its ceiling allows it. It rejects the request otherwise.
-func (g *Controller) admit(r *request, source unitSource) {
-	c, plan := r.customer, &g.settings.Plans[r.Plan]
-	r.borrowed = source == unitsMissing
-	if r.borrowed && !g.mayBorrow(plan, r.Cost) {
-		g.counters.countOverQuota(c, r.Cost)
-		g.reject(r.ID, rejectOverQuota, timeUntil(g.availableUnits(c), g.quotaShare(c)*plan.Rate, r.Cost))
+func (g *Controller) admit(request *request, source unitSource) {
+	customer, plan := request.customer, &g.settings.Plans[request.Plan]
+	request.borrowed = source == unitsMissing
+	if request.borrowed && !g.mayBorrow(plan, request.Cost) {
+		g.counters.countOverQuota(customer, request.Cost)
+		rate := g.quotaShare(customer) * plan.Rate
+		g.reject(request.ID, rejectOverQuota, timeUntil(g.availableUnits(customer), rate, request.Cost))
 		return
 	}
-	r.chargedCeiling = plan.CeilingRate > 0 && source != unitsFromGrant
-	if r.chargedCeiling && c.ceiling.level < r.Cost {
-		g.reject(r.ID, rejectOverCeiling, timeUntil(c.ceiling.level, c.ceiling.rate, r.Cost))
+	request.chargedCeiling = plan.CeilingRate > 0 && source != unitsFromGrant
+	if request.chargedCeiling && customer.ceiling.level < request.Cost {
+		wait := timeUntil(customer.ceiling.level, customer.ceiling.rate, request.Cost)
+		g.reject(request.ID, rejectOverCeiling, wait)
 		return
 	}
-	b := g.chooseBackend(r, nil)
-	if b == nil {
-		g.reject(r.ID, rejectNoBackend, g.shortestObjective/2)
+	backend := g.chooseBackend(request, nil)
+	if backend == nil {
+		g.reject(request.ID, rejectNoBackend, g.shortestObjective/2)
 		return
 	}
-	if r.borrowed {
-		g.shared.level -= r.Cost
+	if request.borrowed {
+		g.shared.level -= request.Cost
 	} else {
-		g.consume(c, r.coordinator, r.Cost)
+		g.consume(customer, request.coordinator, request.Cost)
 	}
-	if r.chargedCeiling {
-		c.ceiling.level -= r.Cost
+	if request.chargedCeiling {
+		customer.ceiling.level -= request.Cost
 	}
 	g.retryBudget.deposit()
-	g.requests[r.ID] = r
-	g.send(r, b)
+	g.requests[request.ID] = request
+	g.send(request, backend)
 }
 
 // openCapacity is the part of the capacity that is open to a request: the more, the higher its
--- a/policy/api.go
+++ b/policy/api.go
@@ -171,9 +171,9 @@
 	// HealthCheck asks a backend whether it is alive.
 	HealthCheck(backend uint32)
 	// SendGossip sends a message of at most 256 bytes to a peer; it may arrive late or never.
-	SendGossip(peer int, note []byte)
+	SendGossip(peer int, message []byte)
 	// IncrementCounter adds to a named counter that all gateways share.
-	IncrementCounter(name uint64, add float64, life Time)
+	IncrementCounter(name uint64, units float64, lifetime Time)
 	// WatchEndpoints asks service discovery for the endpoint list and its changes from now on.
 	WatchEndpoints()
 	// Log writes a line for the operators.
--- a/policy/balancing.go
+++ b/policy/balancing.go
@@ -11,34 +11,33 @@
 	gatewaysPerBackend = 24  // the gateways that prefer a backend, where handshakes have a price
 )
 
-// chooseBackend picks the backend for a request's next attempt: the least loaded healthy one that
-// was not tried yet, or else any other that is ready. Where within is set the attempt must stay in
-// that one's deduplication scope. It returns nil if there is no backend.
-func (g *Controller) chooseBackend(r *request, within *attempt) *backend {
-	if b := g.leastLoaded(r, within, false); b != nil {
-		return b
+// chooseBackend picks the backend for a request's next attempt: the least loaded healthy one not tried
+// yet, else any ready one, else nil; where within is set only from its deduplication scope.
+func (g *Controller) chooseBackend(request *request, within *attempt) *backend {
+	if backend := g.leastLoaded(request, within, false); backend != nil {
+		return backend
 	}
-	return g.leastLoaded(r, within, true)
+	return g.leastLoaded(request, within, true)
 }
 
 // leastLoaded picks the backend with the lowest score; ties are broken at random.
-func (g *Controller) leastLoaded(r *request, within *attempt, allowUnhealthy bool) *backend {
+func (g *Controller) leastLoaded(request *request, within *attempt, allowUnhealthy bool) *backend {
 	var best *backend
 	bestScore, ties := math.Inf(1), 0
-	for _, b := range g.backends {
-		if !b.ready() || !g.slowStartAllows(b) ||
-			within != nil && !g.settings.Classes[r.Class].sameDedupScope(within.backend, b) ||
-			!allowUnhealthy && (g.unhealthy(b) || r.tried(b)) {
+	for _, backend := range g.backends {
+		if !backend.ready() || !g.slowStartAllows(backend) ||
+			within != nil && !g.settings.Classes[request.Class].sameDedupScope(within.backend, backend) ||
+			!allowUnhealthy && (g.unhealthy(backend) || request.tried(backend)) {
 			continue
 		}
-		score := g.loadScore(b) * (1 + g.faultPenalty(b, r))
+		score := g.loadScore(backend) * (1 + g.faultPenalty(backend, request))
 		if score > bestScore {
 			continue
 		} else if score < bestScore {
 			ties = 0
 		}
 		if ties++; g.random.IntN(ties) == 0 {
-			best, bestScore = b, score
+			best, bestScore = backend, score
 		}
 	}
 	return best
@@ -46,25 +45,25 @@
 
 // loadScore compares how long an attempt would wait at each backend. Load reports don't count: they
 // are older than a request takes, and all gateways would follow the same one.
-func (g *Controller) loadScore(b *backend) float64 {
+func (g *Controller) loadScore(backend *backend) float64 {
 	// The share lowers the score of a starting backend, whose bucket limits its attempts anyway.
-	score := float64(b.inFlight+1) * b.slowness(g.now) * g.slowStartShare(b)
-	if b.Zone != g.settings.Zone {
+	score := float64(backend.inFlight+1) * backend.slowness(g.now) * g.slowStartShare(backend)
+	if backend.Zone != g.settings.Zone {
 		score *= 1 + g.settings.CrossZonePrice*priceWeight
 	}
-	if !b.inSubset {
+	if !backend.inSubset {
 		score *= 1 + g.settings.HandshakePrice*priceWeight
 	}
-	if g.settings.UseCapacityHints && b.CapacityHint > 0 {
-		score /= b.CapacityHint
+	if g.settings.UseCapacityHints && backend.CapacityHint > 0 {
+		score /= backend.CapacityHint
 	}
 	return score
 }
 
 // faultPenalty is how much the faults reported of a backend for a request's class and plan raise
 // its score.
-func (g *Controller) faultPenalty(b *backend, r *request) float64 {
-	ofClass, ofPlan := &b.faults[r.Class], &b.faults[g.planSubject(r.Plan)]
+func (g *Controller) faultPenalty(backend *backend, request *request) float64 {
+	ofClass, ofPlan := &backend.faults[request.Class], &backend.faults[g.planSubject(request.Plan)]
 	return g.peerWeight() * (ofClass.value(g.now, faultDecay) + ofPlan.value(g.now, faultDecay))
 }
 
@@ -84,10 +83,10 @@
 // preferred by as many gateways as any other. Otherwise it is all of them.
 func (g *Controller) selectSubset() {
 	zones := map[int][]*backend{}
-	for _, b := range g.backends {
-		b.inSubset = g.settings.HandshakePrice <= 0
-		if b.ready() {
-			zones[b.Zone] = append(zones[b.Zone], b)
+	for _, backend := range g.backends {
+		backend.inSubset = g.settings.HandshakePrice <= 0
+		if backend.ready() {
+			zones[backend.Zone] = append(zones[backend.Zone], backend)
 		}
 	}
 	gateways := g.settings.Gateways
--- a/policy/balancing_test.go
+++ b/policy/balancing_test.go
@@ -64,9 +64,9 @@
 	for range 4 {
 		h.request(0, 1, 1, 1)
 	}
-	for _, b := range h.backends {
-		if b.inFlight != 1 {
-			t.Errorf("backend %d holds %d of 4 requests for 4 backends", b.ID, b.inFlight)
+	for _, backend := range h.backends {
+		if backend.inFlight != 1 {
+			t.Errorf("backend %d holds %d of 4 requests for 4 backends", backend.ID, backend.inFlight)
 		}
 	}
 }
@@ -103,9 +103,9 @@
 		h := newUnstartedHarness(t, settings, uint64(settings.Self), start)
 		h.UpdateEndpoints(start, UpdateComplete, list)
 		byZone := map[int]int{}
-		for _, b := range h.backends {
-			preferring[b.ID] += int(indicator(b.inSubset))
-			byZone[b.Zone] += int(indicator(b.inSubset))
+		for _, backend := range h.backends {
+			preferring[backend.ID] += int(indicator(backend.inSubset))
+			byZone[backend.Zone] += int(indicator(backend.inSubset))
 		}
 		if len(byZone) != subsetZones || byZone[0]*byZone[1]*byZone[2] == 0 {
 			t.Fatalf("gateway %d prefers %v of the zones", settings.Self, byZone)
@@ -145,21 +145,21 @@
 	h.UpdateEndpoints(h.at, UpdateComplete, endpoints(20))
 	choose := func() *backend { return h.chooseBackend(&request{}, nil) }
 	for range 6 {
-		b := choose()
-		if !b.inSubset {
+		backend := choose()
+		if !backend.inSubset {
 			t.Fatal("want a backend of the subset while one is idle")
 		}
-		b.inFlight++
+		backend.inFlight++
 	}
 	if choose().inSubset {
 		t.Error("want an idle backend, though a connection to it has a price, when the subset is busy")
 	}
-	for _, b := range h.backends {
-		if b.inFlight = 0; b.inSubset {
-			b.down, b.nextTrialAt = true, h.at+maxEjectionTime
+	for _, backend := range h.backends {
+		if backend.inFlight = 0; backend.inSubset {
+			backend.down, backend.nextProbeAt = true, h.at+maxEjectionTime
 		}
 	}
-	if b := choose(); b == nil || b.inSubset {
+	if backend := choose(); backend == nil || backend.inSubset {
 		t.Error("want another backend when the whole subset is down")
 	}
 }
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -9,9 +9,9 @@
 // The benchmarks show what a controller alone does as the fleet grows along one axis; docs/CAPACITY.md
 // works with their figures.
 
-func newSilentController(b *testing.B, settings Settings) *Controller {
+func newBenchController(b *testing.B, settings Settings) *Controller {
 	b.Helper()
-	g, err := New(settings, 7, silent{&recorder{}})
+	g, err := New(settings, 7, discardActions{&recorder{}})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -25,7 +25,7 @@
 	settings.Gateways, settings.Gossip, settings.GossipPerSecond = gateways, true, 40
 	settings.HandshakePrice = 0.1
 	settings.Plans[1].Rate, settings.Plans[1].Burst = 1e6, 1e6 // no quota is a limit
-	g := newSilentController(b, settings)
+	g := newBenchController(b, settings)
 	g.UpdateEndpoints(start, UpdateComplete, endpoints(backends))
 	b.ReportAllocs()
 	return g
@@ -38,12 +38,12 @@
 	g.RequestReceived(now, Request{
 		ID: id, Plan: 1, Customer: customer, Cost: 1, Timeout: second, Replicas: replicas,
 	})
-	r := g.requests[id]
-	if r == nil {
+	request := g.requests[id]
+	if request == nil {
 		b.Fatal("a request was not sent")
 	}
 	g.AttemptEnded(now, Outcome{
-		RequestID: id, Backend: r.attempts[0].backend.ID, Latency: 1000, Answered: true,
+		RequestID: id, Backend: request.attempts[0].backend.ID, Latency: 1000, Answered: true,
 	})
 }
 
@@ -53,7 +53,7 @@
 			settings := testSettings()
 			settings.Gateways = c.gateways
 			settings.Plans[1].Rate = 60 // too large for quota requests: each request is decided at once
-			g := newSilentController(b, settings)
+			g := newBenchController(b, settings)
 			g.UpdateEndpoints(start, UpdateStale, endpoints(c.backends))
 			b.ReportAllocs()
 			now := start
@@ -62,9 +62,9 @@
 				g.RequestReceived(now, Request{
 					ID: id, Plan: 1, Customer: id % 200, Cost: 1, Timeout: second, Replicas: c.replicas,
 				})
-				if r := g.requests[id]; r != nil {
+				if request := g.requests[id]; request != nil {
 					g.AttemptEnded(now, Outcome{
-						RequestID: id, Backend: r.attempts[0].backend.ID, Latency: 1000, Answered: true,
+						RequestID: id, Backend: request.attempts[0].backend.ID, Latency: 1000, Answered: true,
 					})
 				}
 			}
@@ -73,7 +73,7 @@
 }
 
 func BenchmarkUpdateEndpoints(b *testing.B) {
-	g := newSilentController(b, testSettings())
+	g := newBenchController(b, testSettings())
 	list := endpoints(32)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -31,10 +31,10 @@
 // Attempts at a backend that is down don't count, those at a slow one count less.
 func (g *Controller) effectiveInFlight() float64 {
 	total := 0.0
-	for _, b := range g.backends {
-		if !b.down && b.inFlight > 0 {
-			onTime := float64(b.inFlight) - float64(b.overdue)*(1-g.load.lateShare.value)
-			total += onTime / math.Max(1, b.slowness(g.now)/2)
+	for _, backend := range g.backends {
+		if !backend.down && backend.inFlight > 0 {
+			onTime := float64(backend.inFlight) - float64(backend.overdue)*(1-g.load.lateShare.value)
+			total += onTime / math.Max(1, backend.slowness(g.now)/2)
 		}
 	}
 	return total
@@ -74,11 +74,11 @@
 		g.markOverdue(class, g.settings.Classes[class].LatencyObjective)
 	}
 	g.healthy, g.warm = 0, 0
-	for _, b := range g.backends {
-		g.detectUnresponsive(b)
-		if b.ready() && !g.unhealthy(b) {
+	for _, backend := range g.backends {
+		g.detectUnresponsive(backend)
+		if backend.ready() && !g.unhealthy(backend) {
 			g.healthy++
-			if b.inSubset && g.slowStartShare(b) == 1 {
+			if backend.inSubset && g.slowStartShare(backend) == 1 {
 				g.warm++
 			}
 		}
@@ -87,15 +87,3 @@
 		g.sendRate.updatedAt = g.now // keeps the last rate: no warm backend is left to measure it
 	}
 }
-
-// markOverdue marks the pending attempts of a class that are older than the given age.
-func (g *Controller) markOverdue(class int, age Time) {
-	attempts := g.withinObjective[class]
-	for ; len(attempts) > 0 && g.now-attempts[0].sentAt > age; attempts = attempts[1:] {
-		if a := attempts[0]; a.pending {
-			a.overdue = true
-			a.backend.overdue++
-		}
-	}
-	g.withinObjective[class] = attempts
-}
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -15,8 +15,8 @@
 		t.Fatalf("%d of 100 attempts sent: the capacity is not bounded", sentOf100)
 	}
 	h.at += 2 * second
-	for _, b := range h.backends {
-		b.unansweredSince = h.at // each has answered others
+	for _, backend := range h.backends {
+		backend.unansweredSince = h.at // each has answered others
 	}
 	if _, sent := h.request(1, 1, 200, 1); !sent {
 		t.Error("overdue attempts still use up the capacity")
@@ -31,8 +31,8 @@
 	for i := range 4 {
 		h.request(0, 1, uint64(i), 1)
 	}
-	for _, b := range h.backends {
-		b.overdue = b.inFlight
+	for _, backend := range h.backends {
+		backend.overdue = backend.inFlight
 	}
 	assertNear(t, "in flight with other answers on time", h.effectiveInFlight(), 0)
 	for range 200 {
--- a/policy/controller.go
+++ b/policy/controller.go
@@ -103,7 +103,7 @@
 		return
 	}
 	if late := now - g.timerDue; late > stallTicks*g.settings.MinEventInterval {
-		g.noteStall(now, late)
+		g.recordStall(now, late)
 	}
 	g.activeTime = g.now - g.stalledTime
 }
@@ -119,14 +119,14 @@
 	g.announceStart()
 }
 
-// noteStall takes account of a stall that has just ended. The latency of the attempts that were
+// recordStall takes account of a stall that has just ended. The latency of the attempts that were
 // pending says nothing about the backends.
-func (g *Controller) noteStall(now, duration Time) {
+func (g *Controller) recordStall(now, duration Time) {
 	g.stalledTime += duration
 	g.timerDue, g.resumedAt = now, now
 	for class := range g.withinObjective {
-		for _, a := range g.withinObjective[class] {
-			a.overlappedStall = true
+		for _, attempt := range g.withinObjective[class] {
+			attempt.overlappedStall = true
 		}
 		g.markOverdue(class, -1)
 	}
--- a/policy/coordinator.go
+++ b/policy/coordinator.go
@@ -2,9 +2,8 @@
 
 import "math"
 
-// A customer's replica set is wide if it has too many gateways for all to report to all. They report
-// to coordinators instead, which hold the quota in even parts. Where the quota is too small for a
-// share of it to hold one request, a gateway asks a coordinator before it admits each request.
+// The gateways of a wide replica set, too many for all to report to all, report to coordinators,
+// which hold the quota in even parts. Where a share of it can't hold one request they ask them first.
 
 const (
 	maxFullMeshPeers     = 4      // gateways of a set that still all report to one another
@@ -22,24 +21,25 @@
 )
 
 // wideReplicaSet reports whether a customer's gateways are too many for all to report to all.
-func (g *Controller) wideReplicaSet(c *customer) bool {
-	return g.settings.Gossip && c.replicas > maxFullMeshPeers
+func (g *Controller) wideReplicaSet(customer *customer) bool {
+	return g.settings.Gossip && customer.replicas > maxFullMeshPeers
 }
 
 // coordinator is the gateway that is the customer's i-th coordinator.
-func (g *Controller) coordinator(c *customer, i int) int {
+func (g *Controller) coordinator(customer *customer, i int) int {
 	const multiplier = 0x9E3779B97F4A7C15 // spreads customers evenly over the set
-	first := int((c.id * multiplier) >> 33)
-	return (c.firstReplica + (first+i*c.replicas/g.coordinatorCount(c))%c.replicas) % g.settings.Gateways
+	first := int((customer.id * multiplier) >> 33)
+	offset := first + i*customer.replicas/g.coordinatorCount(customer)
+	return g.replica(customer, offset%customer.replicas)
 }
 
 // isParticipant reports whether this gateway is of a wide set without being a coordinator of it.
-func (g *Controller) isParticipant(c *customer) bool {
-	if !g.wideReplicaSet(c) {
+func (g *Controller) isParticipant(customer *customer) bool {
+	if !g.wideReplicaSet(customer) {
 		return false
 	}
-	for i := range g.coordinatorCount(c) {
-		if g.coordinator(c, i) == g.settings.Self {
+	for i := range g.coordinatorCount(customer) {
+		if g.coordinator(customer, i) == g.settings.Self {
 			return false
 		}
 	}
@@ -48,58 +48,61 @@
 
 // requiresGrant reports whether a coordinator is asked before each request is admitted: the quota
 // is so small that no share of it holds a request, and the coordinators can receive the requests.
-func (g *Controller) requiresGrant(c *customer) bool {
-	rate := g.settings.Plans[c.plan].Rate / float64(g.coordinatorCount(c))
-	return g.wideReplicaSet(c) && rate*float64(g.receiveTime(1)) < quotaRequestShare*float64(second)
+func (g *Controller) requiresGrant(customer *customer) bool {
+	rate := g.planOf(customer).Rate / float64(g.coordinatorCount(customer))
+	return g.wideReplicaSet(customer) && rate*float64(g.receiveTime(1)) < quotaRequestShare*float64(second)
 }
 
 // coordinatorCount is over how many gateways the quota of a wide set is split: so many that each
 // can receive its quota requests, as long as each part of the burst holds the largest requests.
-func (g *Controller) coordinatorCount(c *customer) int {
-	plan := &g.settings.Plans[c.plan]
+func (g *Controller) coordinatorCount(customer *customer) int {
+	plan := g.planOf(customer)
 	most := 1.0
 	if g.settings.MaxCost > 0 {
 		most = math.Max(1, math.Floor(plan.Burst/(minRequestsPerBurst*g.settings.MaxCost)))
 	}
 	needed := math.Ceil(plan.Rate * float64(g.receiveTime(1)) / (coordinatorLoadShare * float64(second)))
-	return int(math.Max(1, math.Min(math.Min(needed, most), float64(c.replicas))))
+	return int(math.Max(1, math.Min(math.Min(needed, most), float64(customer.replicas))))
 }
 
 // grantsQuota reports whether this gateway is a coordinator that decides on quota requests.
-func (g *Controller) grantsQuota(c *customer) bool { return g.requiresGrant(c) && !g.isParticipant(c) }
+func (g *Controller) grantsQuota(customer *customer) bool {
+	return g.requiresGrant(customer) && !g.isParticipant(customer)
+}
 
 // updateGrant has a coordinator set the fraction of what is requested that it grants: the rate and
 // what the bucket holds beyond the reserve, spent over the demand window, divided by the demand.
 // A changed grant is advertised to the set unless that asks before each request anyway.
-func (g *Controller) updateGrant(c *customer) {
-	rate := g.settings.Plans[c.plan].Rate
-	if !g.wideReplicaSet(c) || g.isParticipant(c) || rate == 0 {
+func (g *Controller) updateGrant(customer *customer) {
+	rate := g.planOf(customer).Rate
+	if !g.wideReplicaSet(customer) || g.isParticipant(customer) || rate == 0 {
 		return
 	}
-	demand := c.demand.value(g.now, c.demandWindow) + c.peerDemand.value(g.now, c.demandWindow)
-	refill := c.bucket.rate * float64(c.demandWindow) / float64(second)
-	units := refill + c.bucket.level - coordinatorReserve*c.bucket.capacity
+	window := customer.demandWindow
+	demand := customer.demand.value(g.now, window) + customer.peerDemand.value(g.now, window)
+	refill := customer.bucket.rate * float64(window) / float64(second)
+	units := refill + customer.bucket.level - coordinatorReserve*customer.bucket.capacity
 	fraction := math.Min(1, math.Max(minGrant, units/math.Max(demand, minDemand)))
-	last := c.advertisedGrant
+	last := customer.advertisedGrant
 	raised, lowered := fraction > last*grantChangeFactor, fraction < last/grantChangeFactor
 	changed := raised || lowered || fraction == 1 && last < 1
-	c.grantFraction = fraction
-	if changed && g.now >= c.nextGrantAt && !g.requiresGrant(c) {
-		c.advertisedGrant, c.nextGrantAt = fraction, g.now+c.demandWindow/grantsPerWindow
-		g.advertiseGrant(c)
+	customer.grantFraction = fraction
+	if changed && g.now >= customer.nextGrantAt && !g.requiresGrant(customer) {
+		customer.advertisedGrant, customer.nextGrantAt = fraction, g.now+customer.demandWindow/grantsPerWindow
+		g.advertiseGrant(customer)
 	}
 }
 
 // answerQuotaRequest grants the units that a gateway wants if the buckets hold them.
-func (g *Controller) answerQuotaRequest(from int, c *customer, usage *peerUsage, e usageEntry) {
-	units := float64(e.wantedHalves) / 2
-	hasCeiling := g.settings.Plans[c.plan].CeilingRate > 0 && g.requiresGrant(c)
-	answer := grant{customer: c.id, fraction: c.grantFraction, quotaRequest: e.quotaRequest}
-	answer.approved = c.bucket.level >= units && (!hasCeiling || c.ceiling.level >= units)
+func (g *Controller) answerQuotaRequest(from int, customer *customer, usage *peerUsage, entry usageEntry) {
+	units := float64(entry.wantedHalves) / 2
+	hasCeiling := g.planOf(customer).CeilingRate > 0 && g.requiresGrant(customer)
+	answer := grant{customer: customer.id, fraction: customer.grantFraction, quotaRequest: entry.quotaRequest}
+	answer.approved = customer.bucket.level >= units && (!hasCeiling || customer.ceiling.level >= units)
 	if answer.approved {
-		c.bucket.level -= units
+		customer.bucket.level -= units
 		if hasCeiling {
-			c.ceiling.level -= units
+			customer.ceiling.level -= units
 		}
 		usage.consumed += packUnits(units)
 	}
@@ -108,19 +111,19 @@
 
 // applyGrant takes a coordinator's grant.
 func (g *Controller) applyGrant(received grant) {
-	c := g.customers[received.customer]
-	if c == nil || !g.wideReplicaSet(c) {
+	customer := g.customers[received.customer]
+	if customer == nil || !g.wideReplicaSet(customer) {
 		return
 	}
-	if g.isParticipant(c) {
-		if c.grantFraction == 1 && received.fraction < 1 {
+	if g.isParticipant(customer) {
+		if customer.grantFraction == 1 && received.fraction < 1 {
 			// Drawn, so that not all participants can admit, or must reject, at once.
-			c.grantedUnits = g.random.Float64() * c.lastRequestCost
+			customer.grantedUnits = g.random.Float64() * customer.lastRequestCost
 		}
-		c.grantFraction = received.fraction
+		customer.grantFraction = received.fraction
 	}
 	if received.quotaRequest > 0 {
-		g.resolveQuotaRequests(c, received)
+		g.resolveQuotaRequests(customer, received)
 	}
 }
 
@@ -130,42 +133,43 @@
 }
 
 // requestQuota asks a coordinator for a request's units and holds the request until it answers.
-func (g *Controller) requestQuota(r *request) {
-	c := r.customer
-	c.quotaRequests++
-	r.quotaRequest = max(1, c.quotaRequests)
-	r.grantDeadline = g.now + min(Time(quotaRequestTimeout*float64(g.shortestObjective)), r.Timeout/2)
-	r.quotaRequestsSent++
+func (g *Controller) requestQuota(request *request) {
+	customer := request.customer
+	customer.quotaRequests++
+	request.quotaRequest = max(1, customer.quotaRequests)
+	timeout := min(Time(quotaRequestTimeout*float64(g.shortestObjective)), request.Timeout/2)
+	request.grantDeadline = g.now + timeout
+	request.quotaRequestsSent++
 	g.counters.quotaRequests++
-	peer, usage := g.coordinator(c, r.coordinator), c.usageUnder(r.coordinator)
-	if r.quotaRequestsSent == 1 {
-		usage.requested += r.Cost
+	peer, usage := g.coordinator(customer, request.coordinator), customer.usageUnder(request.coordinator)
+	if request.quotaRequestsSent == 1 {
+		usage.requested += request.Cost
 	}
-	e := g.usageEntryOf(c, *usage)
-	e.wantedHalves, e.quotaRequest = byte(min(math.MaxUint8, math.Ceil(2*r.Cost))), r.quotaRequest
+	entry := g.usageEntryOf(customer, *usage)
+	entry.wantedHalves = byte(min(math.MaxUint8, math.Ceil(2*request.Cost)))
+	entry.quotaRequest = request.quotaRequest
 	usage.requestedReported = usage.requested
-	g.actions.SendGossip(peer, e.appendTo(g.newMessage()))
-	g.actions.SetTimer(r.grantDeadline, quotaRequestTimer)
-	g.requests[r.ID] = r
-	g.awaitingGrant = append(g.awaitingGrant, r)
+	g.actions.SendGossip(peer, entry.appendTo(g.newMessage()))
+	g.actions.SetTimer(request.grantDeadline, quotaRequestTimer)
+	g.requests[request.ID] = request
+	g.awaitingGrant = append(g.awaitingGrant, request)
 }
 
-// pickCoordinator draws the coordinator that a request asks: not the one that it asked before, and
-// none that was unresponsive of late if there is another. A coordinator draws too, as its part of
-// the quota belongs to the whole set.
-func (g *Controller) pickCoordinator(r *request) int {
-	if !g.requiresGrant(r.customer) {
+// pickCoordinator draws the coordinator that a request asks, also at a coordinator: another one than
+// it asked before, and none that was unresponsive of late if there is another.
+func (g *Controller) pickCoordinator(request *request) int {
+	if !g.requiresGrant(request.customer) {
 		return 0
 	}
-	count := g.coordinatorCount(r.customer)
+	count := g.coordinatorCount(request.customer)
 	first := g.random.IntN(count)
-	if r.quotaRequestsSent > 0 && count > 1 {
-		first = (r.coordinator + 1 + g.random.IntN(count-1)) % count
+	if request.quotaRequestsSent > 0 && count > 1 {
+		first = (request.coordinator + 1 + g.random.IntN(count-1)) % count
 	}
 	for i := range count {
 		candidate := (first + i) % count
-		unresponsiveAt := g.peers[g.coordinator(r.customer, candidate)].unresponsiveAt
-		isOther := r.quotaRequestsSent == 0 || candidate != r.coordinator
+		unresponsiveAt := g.peers[g.coordinator(request.customer, candidate)].unresponsiveAt
+		isOther := request.quotaRequestsSent == 0 || candidate != request.coordinator
 		if isOther && g.now-unresponsiveAt > unresponsiveTime {
 			return candidate
 		}
@@ -175,49 +179,50 @@
 
 // resolveQuotaRequests decides on the requests that an answer is for and on those whose answer is
 // overdue. The latter ask another coordinator once, or else use what the last grant left.
-func (g *Controller) resolveQuotaRequests(c *customer, answer grant) {
+func (g *Controller) resolveQuotaRequests(customer *customer, answer grant) {
 	awaiting := g.awaitingGrant
 	g.awaitingGrant = nil
 	var retries []*request
-	for _, r := range awaiting {
-		answered := r.customer == c && r.quotaRequest == answer.quotaRequest
+	for _, request := range awaiting {
+		answered := request.customer == customer && request.quotaRequest == answer.quotaRequest
 		switch {
-		case g.requests[r.ID] != r: // cancelled meanwhile
+		case g.requests[request.ID] != request: // cancelled meanwhile
 		case answered:
-			g.applyAnswer(r, answer.approved)
-		case g.now < r.grantDeadline:
-			g.awaitingGrant = append(g.awaitingGrant, r)
+			g.applyAnswer(request, answer.approved)
+		case g.now < request.grantDeadline:
+			g.awaitingGrant = append(g.awaitingGrant, request)
 		default:
-			if g.quotaRequestTimedOut(r) {
-				retries = append(retries, r)
+			if g.quotaRequestTimedOut(request) {
+				retries = append(retries, request)
 				continue
 			}
-			delete(g.requests, r.ID)
-			r.customer.addGrantedUnits(r.Cost)
-			g.admit(r, g.ownUnits(r))
+			delete(g.requests, request.ID)
+			request.customer.addGrantedUnits(request.Cost)
+			g.admit(request, g.ownUnits(request))
 		}
 	}
-	for _, r := range retries {
-		delete(g.requests, r.ID)
-		g.admitOrRequestQuota(r)
+	for _, request := range retries {
+		delete(g.requests, request.ID)
+		g.admitOrRequestQuota(request)
 	}
 }
 
 // applyAnswer decides on a request whose quota request was answered.
-func (g *Controller) applyAnswer(r *request, approved bool) {
-	delete(g.requests, r.ID)
+func (g *Controller) applyAnswer(request *request, approved bool) {
+	delete(g.requests, request.ID)
 	source := unitsMissing
 	if approved {
-		r.customer.grantedUnits += r.Cost // consumed at once
+		request.customer.grantedUnits += request.Cost // consumed at once
 		source = unitsFromGrant
 	}
-	g.admit(r, source)
+	g.admit(request, source)
 }
 
 // quotaRequestTimedOut notes that a coordinator did not answer, and reports whether another one
 // should be asked.
-func (g *Controller) quotaRequestTimedOut(r *request) bool {
+func (g *Controller) quotaRequestTimedOut(request *request) bool {
 	g.counters.unanswered++
-	g.peers[g.coordinator(r.customer, r.coordinator)].unresponsiveAt = g.now
-	return r.quotaRequestsSent == 1 && g.requiresGrant(r.customer) && g.coordinatorCount(r.customer) > 1
+	g.peers[g.coordinator(request.customer, request.coordinator)].unresponsiveAt = g.now
+	customer := request.customer
+	return request.quotaRequestsSent == 1 && g.requiresGrant(customer) && g.coordinatorCount(customer) > 1
 }
--- a/policy/coordinator_test.go
+++ b/policy/coordinator_test.go
@@ -149,14 +149,14 @@
 // totals adds up a customer's buckets over its coordinators, and its ceilings over all gateways.
 func (f gatewayFleet) totals(id uint64) (quota, ceiling tokenBucket) {
 	for _, h := range f {
-		c := h.customers[id]
-		if c == nil {
+		customer := h.customers[id]
+		if customer == nil {
 			continue
 		}
-		if h.grantsQuota(c) {
-			quota.rate, quota.capacity = quota.rate+c.bucket.rate, quota.capacity+c.bucket.capacity
+		if h.grantsQuota(customer) {
+			quota.resize(quota.rate+customer.bucket.rate, quota.capacity+customer.bucket.capacity)
 		}
-		ceiling.rate, ceiling.capacity = ceiling.rate+c.ceiling.rate, ceiling.capacity+c.ceiling.capacity
+		ceiling.resize(ceiling.rate+customer.ceiling.rate, ceiling.capacity+customer.ceiling.capacity)
 	}
 	return quota, ceiling
 }
@@ -166,9 +166,9 @@
 	settings := testSettings()
 	settings.Gateways, settings.GossipPerSecond, settings.MaxCost = 12, 40, 8
 	settings.Plans[0] = largePlan()
-	c := &customer{id: 9, plan: 0, replicas: 12}
+	customer := &customer{id: 9, plan: 0, replicas: 12}
 	h := newHarness(t, settings)
-	for h.grantsQuota(c) { // until it is a participant
+	for h.grantsQuota(customer) { // until it is a participant
 		settings.Self++
 		h = newHarness(t, settings)
 	}
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -53,26 +53,30 @@
 	requested   uint16
 }
 
-func (u *peerUsage) update(incarnation uint32, e usageEntry) {
-	*u = peerUsage{known: true, incarnation: incarnation, consumed: e.consumed, requested: e.requested}
+func (u *peerUsage) update(incarnation uint32, entry usageEntry) {
+	u.known, u.incarnation = true, incarnation
+	u.consumed, u.requested = entry.consumed, entry.requested
 }
 
 // customerRecord returns a customer's record with its buckets refilled. It makes a missing one.
-func (g *Controller) customerRecord(id uint64, plan, firstReplica, replicas int) *customer {
-	c := g.customers[id]
-	if c == nil {
-		c = g.newCustomer(id, plan, firstReplica, replicas)
-		idle := &g.shared.idleOverflow[plan]
-		*idle = math.Max(0, *idle-g.settings.Plans[plan].Rate/float64(c.replicas))
-		g.addCustomer(c)
+func (g *Controller) customerRecord(id uint64, planIndex, firstReplica, replicas int) *customer {
+	customer := g.customers[id]
+	if customer == nil {
+		customer = g.newCustomer(id, planIndex, firstReplica, replicas)
+		idle := &g.shared.idleOverflow[planIndex]
+		*idle = math.Max(0, *idle-g.settings.Plans[planIndex].Rate/float64(customer.replicas))
+		g.addCustomer(customer)
 	}
-	g.refillBuckets(c)
-	return c
+	g.refillBuckets(customer)
+	return customer
 }
 
-func (g *Controller) addCustomer(c *customer) {
-	g.customers[c.id] = c
-	g.customerOrder = append(g.customerOrder, c)
+// planOf is the customer's plan.
+func (g *Controller) planOf(customer *customer) *Plan { return &g.settings.Plans[customer.plan] }
+
+func (g *Controller) addCustomer(customer *customer) {
+	g.customers[customer.id] = customer
+	g.customerOrder = append(g.customerOrder, customer)
 }
 
 // usageUnder is what was counted under the customer's coordinator of that index.
@@ -93,16 +97,21 @@
 		c.bucket.level >= c.bucket.capacity && c.ceiling.level >= c.ceiling.capacity
 }
 
+// replica is the gateway at a position in the customer's set.
+func (g *Controller) replica(customer *customer, position int) int {
+	return (customer.firstReplica + position) % g.settings.Gateways
+}
+
 // isReplica reports whether a gateway is of the customer's set.
-func (g *Controller) isReplica(c *customer, gateway int) bool {
+func (g *Controller) isReplica(customer *customer, gateway int) bool {
 	gateways := g.settings.Gateways
-	return (gateway-c.firstReplica+gateways)%gateways < c.replicas
+	return (gateway-customer.firstReplica+gateways)%gateways < customer.replicas
 }
 
 // usageFrom is the record of what a gateway of the customer's set reported.
-func (g *Controller) usageFrom(c *customer, gateway int) *peerUsage {
-	if c.peers == nil {
-		c.peers = make([]peerUsage, c.replicas)
+func (g *Controller) usageFrom(customer *customer, gateway int) *peerUsage {
+	if customer.peers == nil {
+		customer.peers = make([]peerUsage, customer.replicas)
 	}
-	return &c.peers[(gateway-c.firstReplica+g.settings.Gateways)%g.settings.Gateways]
+	return &customer.peers[(gateway-customer.firstReplica+g.settings.Gateways)%g.settings.Gateways]
 }
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -17,11 +17,11 @@
 	faults             []decayingSum // fault reports, by class and then by plan
 	unansweredSince    Time          // active time since when it has had attempts and answered none
 
-	down         bool // ejected until a trial succeeds
+	down         bool // ejected until a health check or an attempt succeeds
 	unresponsive bool // down for silence or resets alone: its process is still running
 	ejectedAt    Time // when it was last ejected
-	ejectionTime Time // how long that ejection lasts before the next trial
-	nextTrialAt  Time
+	ejectionTime Time // how long that ejection lasts
+	nextProbeAt  Time
 
 	slowStartBucket tokenBucket // attempts that it may still get in slow start
 }
@@ -59,8 +59,8 @@
 		return
 	}
 	g.discovery.active = g.discovery.active || kind != UpdateStale
-	for _, b := range g.backends {
-		b.listed = b.listed && kind == UpdateIncremental
+	for _, backend := range g.backends {
+		backend.listed = backend.listed && kind == UpdateIncremental
 	}
 	for _, endpoint := range list {
 		g.updateEndpoint(endpoint)
@@ -71,35 +71,35 @@
 
 // updateEndpoint applies one entry of the list. A backend that has restarted begins a slow start.
 func (g *Controller) updateEndpoint(endpoint Endpoint) {
-	b := g.backendRecord(endpoint)
-	if endpoint.StartedAt > b.StartedAt {
-		b.latencyRatio, b.errorRate, b.slowStartBucket = 0, 0, g.newSlowStartBucket()
+	backend := g.backendRecord(endpoint)
+	if endpoint.StartedAt > backend.StartedAt {
+		backend.latencyRatio, backend.errorRate, backend.slowStartBucket = 0, 0, g.newSlowStartBucket()
 	}
-	endpoint.StartedAt = max(endpoint.StartedAt, b.StartedAt)
-	b.Endpoint, b.listed = endpoint, endpoint.State != EndpointRemoved
+	endpoint.StartedAt = max(endpoint.StartedAt, backend.StartedAt)
+	backend.Endpoint, backend.listed = endpoint, endpoint.State != EndpointRemoved
 }
 
 // backendRecord returns the record of an endpoint. It makes a missing one.
 func (g *Controller) backendRecord(endpoint Endpoint) *backend {
-	b := g.backendsByID[endpoint.ID]
-	if b == nil {
-		b = &backend{
-			Endpoint: endpoint, slowStartBucket: g.newSlowStartBucket(),
-			faults: make([]decayingSum, len(g.settings.Classes)+len(g.settings.Plans)),
-		}
-		g.backendsByID[endpoint.ID] = b
-		g.backends = append(g.backends, b)
+	if known := g.backendsByID[endpoint.ID]; known != nil {
+		return known
+	}
+	added := &backend{
+		Endpoint: endpoint, slowStartBucket: g.newSlowStartBucket(),
+		faults: make([]decayingSum, len(g.settings.Classes)+len(g.settings.Plans)),
 	}
-	return b
+	g.backendsByID[endpoint.ID] = added
+	g.backends = append(g.backends, added)
+	return added
 }
 
 // pruneBackends forgets backends that are not listed and have nothing in flight. One in slow start
 // is kept until it is warm, as a stale list may bring it back as one that started long ago.
 func (g *Controller) pruneBackends() {
-	g.backends = slices.DeleteFunc(g.backends, func(b *backend) bool {
-		gone := !b.listed && b.inFlight == 0 && g.slowStartShare(b) == 1
+	g.backends = slices.DeleteFunc(g.backends, func(backend *backend) bool {
+		gone := !backend.listed && backend.inFlight == 0 && g.slowStartShare(backend) == 1
 		if gone {
-			delete(g.backendsByID, b.ID)
+			delete(g.backendsByID, backend.ID)
 		}
 		return gone
 	})
@@ -108,8 +108,8 @@
 // UnavailableBackends is how many listed backends get no attempts, as they are draining or ejected.
 func (g *Controller) UnavailableBackends() int {
 	count := 0
-	for _, b := range g.backends {
-		if b.listed && (b.State != EndpointReady || b.down || b.errorRate >= ejectionErrorRate) {
+	for _, backend := range g.backends {
+		if backend.listed && (backend.State != EndpointReady || backend.failing()) {
 			count++
 		}
 	}
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -28,7 +28,7 @@
 type peer struct {
 	incarnation    uint32 // of its last message; 0: none received
 	sequence       byte   // of its newest message; 0: none received
-	heardAt        Time   // the active time of its last message
+	lastHeardAt    Time   // the active time of its last message
 	unresponsiveAt Time   // when it last left a quota request unanswered
 	message        []byte // the message for the next round; empty: none
 }
@@ -53,12 +53,12 @@
 			(a.consumed-a.consumedReported)*b.bucket.capacity)
 	})
 	kept := g.gossip.reporting[:0]
-	for _, c := range g.gossip.reporting {
-		g.refillBuckets(c)
-		g.updateGrant(c)
-		g.reportUsage(c)
-		if c.reportsLeft > 0 {
-			kept = append(kept, c)
+	for _, customer := range g.gossip.reporting {
+		g.refillBuckets(customer)
+		g.updateGrant(customer)
+		g.reportUsage(customer)
+		if customer.reportsLeft > 0 {
+			kept = append(kept, customer)
 		}
 	}
 	g.gossip.reporting = kept
@@ -66,50 +66,51 @@
 }
 
 // reportUsage reports one customer's use, unless its time has not come or the messages are full.
-func (g *Controller) reportUsage(c *customer) {
+func (g *Controller) reportUsage(customer *customer) {
 	switch {
-	case g.isParticipant(c) && c.grantFraction < 1 && g.now < c.nextReportAt:
+	case g.isParticipant(customer) && customer.grantFraction < 1 && g.now < customer.nextReportAt:
 	case !g.settings.Gossip:
-		g.countUsage(c)
-	case g.queueUsage(c):
-		c.consumedReported, c.requestedReported = c.consumed, c.requested
-		c.nextReportAt = g.now + g.receiveTime(c.replicas)
-		if c.reportsLeft--; g.wideReplicaSet(c) {
-			c.reportsLeft = 0
+		g.countUsage(customer)
+	case g.queueUsage(customer):
+		customer.consumedReported, customer.requestedReported = customer.consumed, customer.requested
+		customer.nextReportAt = g.now + g.receiveTime(customer.replicas)
+		if customer.reportsLeft--; g.wideReplicaSet(customer) {
+			customer.reportsLeft = 0
 		}
 	}
 }
 
 // countUsage adds a customer's new use to the shared counter.
-func (g *Controller) countUsage(c *customer) {
-	if c.consumed > c.consumedReported {
-		units := c.consumed - c.consumedReported
-		g.actions.IncrementCounter(c.id, units, counterLifetime)
-		c.counterCalls = append(c.counterCalls, units)
+func (g *Controller) countUsage(customer *customer) {
+	if customer.consumed > customer.consumedReported {
+		units := customer.consumed - customer.consumedReported
+		g.actions.IncrementCounter(customer.id, units, counterLifetime)
+		customer.counterCalls = append(customer.counterCalls, units)
 	}
-	c.consumedReported, c.reportsLeft = c.consumed, 0
+	customer.consumedReported, customer.reportsLeft = customer.consumed, 0
 }
 
 // scheduleReport has a customer's use reported in the next rounds.
-func (g *Controller) scheduleReport(c *customer) {
-	if c.replicas == 1 || !g.sharesUsage || g.requiresGrant(c) {
-		c.consumedReported = c.consumed
+func (g *Controller) scheduleReport(customer *customer) {
+	if customer.replicas == 1 || !g.sharesUsage || g.requiresGrant(customer) {
+		customer.consumedReported = customer.consumed
 		return
 	}
-	if c.reportsLeft == 0 {
-		g.gossip.reporting = append(g.gossip.reporting, c)
+	if customer.reportsLeft == 0 {
+		g.gossip.reporting = append(g.gossip.reporting, customer)
 	}
-	c.reportsLeft = usageRepeats
+	customer.reportsLeft = usageRepeats
 }
 
 // usageEntryOf is the entry that reports the given use of a customer.
-func (g *Controller) usageEntryOf(c *customer, usage customerUsage) usageEntry {
-	remaining := c.bucket.level / math.Max(c.bucket.capacity, minDemand)
-	if g.wideReplicaSet(c) {
-		remaining = c.grantFraction
+func (g *Controller) usageEntryOf(customer *customer, usage customerUsage) usageEntry {
+	remaining := customer.bucket.level / math.Max(customer.bucket.capacity, minDemand)
+	if g.wideReplicaSet(customer) {
+		remaining = customer.grantFraction
 	}
 	return usageEntry{
-		customer: c.id, plan: c.plan, firstReplica: c.firstReplica, replicas: c.replicas,
+		customer: customer.id, plan: customer.plan,
+		firstReplica: customer.firstReplica, replicas: customer.replicas,
 		consumed: packUnits(usage.consumed), requested: packUnits(usage.requested),
 		newlyRequested: packUnits(usage.requested - usage.requestedReported), remaining: remaining,
 	}
@@ -117,45 +118,46 @@
 
 // usageReceivers is the row of gateways that a customer's use is reported to: its set, or the first
 // coordinator of a wide one.
-func (g *Controller) usageReceivers(c *customer) (first, count int) {
-	if g.wideReplicaSet(c) {
-		return g.coordinator(c, 0), 1
+func (g *Controller) usageReceivers(customer *customer) (first, count int) {
+	if g.wideReplicaSet(customer) {
+		return g.coordinator(customer, 0), 1
 	}
-	return c.firstReplica, c.replicas
+	return customer.firstReplica, customer.replicas
 }
 
 // queueUsage adds a customer's usage entry to the messages for its receivers, if all have room.
-func (g *Controller) queueUsage(c *customer) bool {
-	first, count := g.usageReceivers(c)
+func (g *Controller) queueUsage(customer *customer) bool {
+	first, count := g.usageReceivers(customer)
 	for i := range count {
 		if len(g.peers[(first+i)%g.settings.Gateways].message)+usageSize > maxMessageSize {
 			return false
 		}
 	}
-	e := g.usageEntryOf(c, c.customerUsage)
+	entry := g.usageEntryOf(customer, customer.customerUsage)
 	for i := range count {
 		if index := (first + i) % g.settings.Gateways; index != g.settings.Self {
-			g.peers[index].message = e.appendTo(g.pendingMessage(index))
+			g.peers[index].message = entry.appendTo(g.pendingMessage(index))
 		}
 	}
 	return true
 }
 
 // queueGrant adds a customer's grant to the message for a peer. A full message is sent first.
-func (g *Controller) queueGrant(index int, c *customer) {
+func (g *Controller) queueGrant(index int, customer *customer) {
 	to := &g.peers[index]
 	if len(to.message)+grantSize > maxMessageSize {
 		g.actions.SendGossip(index, to.message)
 		to.message = nil
 	}
-	to.message = grant{customer: c.id, fraction: c.grantFraction}.appendTo(g.pendingMessage(index))
+	item := grant{customer: customer.id, fraction: customer.grantFraction}
+	to.message = item.appendTo(g.pendingMessage(index))
 }
 
 // advertiseGrant adds a customer's grant to the messages for all other gateways of its set.
-func (g *Controller) advertiseGrant(c *customer) {
-	for i := range c.replicas {
-		if index := (c.firstReplica + i) % g.settings.Gateways; index != g.settings.Self {
-			g.queueGrant(index, c)
+func (g *Controller) advertiseGrant(customer *customer) {
+	for i := range customer.replicas {
+		if index := g.replica(customer, i); index != g.settings.Self {
+			g.queueGrant(index, customer)
 		}
 	}
 }
@@ -208,7 +210,7 @@
 // announceStart tells this gateway's neighbours that it has started and knows of no customer's use.
 func (g *Controller) announceStart() {
 	for index := range g.peers {
-		g.peers[index].heardAt = g.now
+		g.peers[index].lastHeardAt = g.now
 		if g.announcesTo(index) {
 			g.actions.SendGossip(index, g.newMessage())
 		}
@@ -223,9 +225,9 @@
 }
 
 // GossipReceived handles a peer's message. A malformed one is ignored.
-func (g *Controller) GossipReceived(now Time, from int, note []byte) {
+func (g *Controller) GossipReceived(now Time, from int, raw []byte) {
 	g.advanceClock(now)
-	message, ok := decodeGossip(note)
+	message, ok := decodeGossip(raw)
 	if !ok || from < 0 || from >= g.settings.Gateways || from == g.settings.Self {
 		return
 	}
@@ -236,15 +238,15 @@
 		sender.incarnation = message.incarnation
 		g.reportAllTo(from)
 	}
-	for _, e := range message.usage {
-		if e.plan < len(g.settings.Plans) && e.replicas > 0 && e.replicas <= g.settings.Gateways {
-			g.applyUsage(from, message.incarnation, newest, e)
+	for _, entry := range message.usage {
+		if entry.plan < len(g.settings.Plans) && entry.replicas > 0 && entry.replicas <= g.settings.Gateways {
+			g.applyUsage(from, message.incarnation, newest, entry)
 		}
 	}
 	for _, fault := range message.faults {
-		b, subject := g.backendsByID[fault.backend], g.decodeSubject(fault.subject)
-		if b != nil && subject >= 0 {
-			b.faults[subject].add(now, faultDecay, 1)
+		backend, subject := g.backendsByID[fault.backend], g.decodeSubject(fault.subject)
+		if backend != nil && subject >= 0 {
+			backend.faults[subject].add(now, faultDecay, 1)
 		}
 	}
 	for _, received := range message.grants {
@@ -255,11 +257,11 @@
 // recordPeerLoad adds a peer's load view to those of all. However often a peer sends it, it counts
 // as one peer.
 func (g *Controller) recordPeerLoad(from *peer, message *gossipMessage) {
-	weight := math.Min(1, float64(g.activeTime-from.heardAt)/float64(second))
+	weight := math.Min(1, float64(g.activeTime-from.lastHeardAt)/float64(second))
 	g.load.peers.add(g.activeTime, second, weight)
 	g.load.peersInFlight.add(g.activeTime, second, weight*message.inFlight)
 	g.load.peersOnTime.add(g.activeTime, second, weight*message.onTimeRate)
-	from.heardAt = g.activeTime
+	from.lastHeardAt = g.activeTime
 }
 
 // acceptSequence reports whether a message is the peer's newest so far, and notes it if so.
@@ -276,28 +278,29 @@
 // reportAllTo schedules reports of the customers that a gateway which has just started shares and
 // whose buckets are not full.
 func (g *Controller) reportAllTo(gateway int) {
-	for _, c := range g.customerOrder {
-		g.refillBuckets(c)
-		if c.bucket.level < c.bucket.capacity && !g.wideReplicaSet(c) && g.isReplica(c, gateway) {
-			g.scheduleReport(c)
+	for _, customer := range g.customerOrder {
+		g.refillBuckets(customer)
+		isFull := customer.bucket.level >= customer.bucket.capacity
+		if !isFull && !g.wideReplicaSet(customer) && g.isReplica(customer, gateway) {
+			g.scheduleReport(customer)
 		}
 	}
 }
 
 // AdvertiseAll schedules reports of all customers, as messages may have been lost.
 func (g *Controller) AdvertiseAll() {
-	for _, c := range g.customerOrder {
-		g.scheduleReport(c)
+	for _, customer := range g.customerOrder {
+		g.scheduleReport(customer)
 	}
 }
 
 // reportFault notes a fault of a backend with a class or plan and sends it with the next messages.
-func (g *Controller) reportFault(b *backend, subject int) {
-	b.faults[subject].add(g.now, faultDecay, 1)
+func (g *Controller) reportFault(backend *backend, subject int) {
+	backend.faults[subject].add(g.now, faultDecay, 1)
 	if excess := len(g.gossip.faults) + 1 - maxFaultsPerMessage; excess > 0 {
 		g.gossip.faults = g.gossip.faults[excess:]
 	}
-	report := faultReport{backend: b.ID, subject: g.encodeSubject(subject)}
+	report := faultReport{backend: backend.ID, subject: g.encodeSubject(subject)}
 	g.gossip.faults = append(g.gossip.faults, pendingFaultReport{faultReport: report, repeats: faultRepeats})
 }
 
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -116,14 +116,14 @@
 	return slices.DeleteFunc(slices.Clone(actions), func(a action) bool { return a.kind != kind })
 }
 
-// silent is an Actions for benchmarks, which records nothing that happens for each request.
-type silent struct{ Actions }
+// discardActions is an Actions for benchmarks, which records nothing that happens for each request.
+type discardActions struct{ Actions }
 
-func (silent) Send(uint64, uint32, Time) {}
-func (silent) Reject(uint64, Time)       {}
-func (silent) SetTimer(Time, uint32)     {}
-func (silent) SendGossip(int, []byte)    {}
-func (silent) Log(string)                {}
+func (discardActions) Send(uint64, uint32, Time) {}
+func (discardActions) Reject(uint64, Time)       {}
+func (discardActions) SetTimer(Time, uint32)     {}
+func (discardActions) SendGossip(int, []byte)    {}
+func (discardActions) Log(string)                {}
 
 // testSettings have three classes (idempotent, not idempotent, idempotent with a key per cell) and
 // three plans (whose overage does not pay, whose overage pays, the same with a ceiling).
@@ -221,11 +221,11 @@
 // lastAttempt is the last attempt of an open request.
 func (h *harness) lastAttempt(id uint64) *attempt {
 	h.t.Helper()
-	r := h.requests[id]
-	if r == nil || len(r.attempts) == 0 {
+	request := h.requests[id]
+	if request == nil || len(request.attempts) == 0 {
 		h.t.Fatalf("request %d has no attempt", id)
 	}
-	return r.attempts[len(r.attempts)-1]
+	return request.attempts[len(request.attempts)-1]
 }
 
 // end ends the last attempt of a request after a tenth of a second.
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -21,103 +21,105 @@
 
 // unhealthy reports whether a backend gets no attempts. One that is down is tried again by a health
 // check where those are allowed, and else, as after errors, by one attempt at a time.
-func (g *Controller) unhealthy(b *backend) bool {
-	if b.down && g.settings.HealthChecks {
+func (g *Controller) unhealthy(backend *backend) bool {
+	if backend.down && g.settings.HealthChecks {
 		return true
 	}
-	return (b.down || b.errorRate >= ejectionErrorRate) && (g.now < b.nextTrialAt || b.inFlight > 0)
+	return backend.failing() && (g.now < backend.nextProbeAt || backend.inFlight > 0)
 }
 
+// failing reports whether a backend is down or has too many errors.
+func (b *backend) failing() bool { return b.down || b.errorRate >= ejectionErrorRate }
+
 // eject takes a backend out of rotation, for longer each time in a row.
-func (g *Controller) eject(b *backend, why string) {
-	if g.now-b.ejectedAt > 2*maxEjectionTime {
-		b.ejectionTime = 0
+func (g *Controller) eject(backend *backend, why string) {
+	if g.now-backend.ejectedAt > 2*maxEjectionTime {
+		backend.ejectionTime = 0
 	}
-	b.ejectionTime = min(max(minEjectionTime, 2*b.ejectionTime), maxEjectionTime)
-	b.ejectedAt, b.nextTrialAt = g.now, g.now+b.ejectionTime
-	g.actions.Log(fmt.Sprintf("backend %d ejected: %s", b.ID, why))
+	backend.ejectionTime = min(max(minEjectionTime, 2*backend.ejectionTime), maxEjectionTime)
+	backend.ejectedAt, backend.nextProbeAt = g.now, g.now+backend.ejectionTime
+	g.actions.Log(fmt.Sprintf("backend %d ejected: %s", backend.ID, why))
 }
 
-// reinstate takes a backend that was down back into rotation. If no connection could be made its
-// process may have restarted, so it is in slow start whatever discovery says. A backend that was
-// unresponsive, or only reset connections, is still warm.
-func (g *Controller) reinstate(b *backend) {
-	if !b.down {
+// reinstate takes a backend that was down back into rotation. One that could not be connected to may
+// have restarted: it is in slow start, whatever discovery says. Any other is still warm.
+func (g *Controller) reinstate(backend *backend) {
+	if !backend.down {
 		return
 	}
-	b.down, b.latencyRatio, b.unansweredSince = false, 0, g.activeTime
-	if !b.unresponsive {
-		b.StartedAt = max(b.StartedAt, g.now)
-		b.slowStartBucket = g.newSlowStartBucket()
+	backend.down, backend.latencyRatio, backend.unansweredSince = false, 0, g.activeTime
+	if !backend.unresponsive {
+		backend.StartedAt = max(backend.StartedAt, g.now)
+		backend.slowStartBucket = g.newSlowStartBucket()
 	}
-	g.actions.Log(fmt.Sprintf("backend %d reinstated", b.ID))
+	g.actions.Log(fmt.Sprintf("backend %d reinstated", backend.ID))
 }
 
 // detectUnresponsive ejects a backend that answers nothing. Only overdue attempts are evidence, and
 // one alone, which may have been lost, counts half.
-func (g *Controller) detectUnresponsive(b *backend) {
-	evidence := math.Min(1, float64(b.overdue)/2)
-	silence := float64(g.activeTime-b.unansweredSince) * g.slowStartShare(b) * evidence
-	if !b.down && silence > unresponsiveObjectives*float64(g.shortestObjective) {
-		b.down, b.unresponsive = true, true
-		g.eject(b, "unresponsive")
+func (g *Controller) detectUnresponsive(backend *backend) {
+	evidence := math.Min(1, float64(backend.overdue)/2)
+	silence := float64(g.activeTime-backend.unansweredSince) * g.slowStartShare(backend) * evidence
+	if !backend.down && silence > unresponsiveObjectives*float64(g.shortestObjective) {
+		backend.down, backend.unresponsive = true, true
+		g.eject(backend, "unresponsive")
 	}
 }
 
 // recordResult updates a backend's health by how an attempt ended.
-func (g *Controller) recordResult(a *attempt, class int, r Result, latency float64) {
-	b := a.backend
-	switch r {
+func (g *Controller) recordResult(attempt *attempt, class int, result Result, latency float64) {
+	backend := attempt.backend
+	switch result {
 	case ResultOK, ResultTimedOut:
-		if r == ResultOK {
-			g.reinstate(b)
+		if result == ResultOK {
+			g.reinstate(backend)
 		}
-		if !a.overlappedStall {
-			g.recordLatency(b, class, r, latency)
-			g.recordErrorSample(b, false)
+		if !attempt.overlappedStall {
+			g.recordLatency(backend, class, result, latency)
+			g.recordErrorSample(backend, false)
 		}
 	case ResultFailed:
-		g.recordErrorSample(b, true)
+		g.recordErrorSample(backend, true)
 	case ResultConnectFailed, ResultReset:
-		if !g.recordConnectionFailure(b, r) {
-			g.recordErrorSample(b, true)
+		if !g.recordConnectionFailure(backend, result) {
+			g.recordErrorSample(backend, true)
 		}
 	}
 }
 
 // recordLatency learns from the latency of an answer, or of an attempt that timed out without one.
-func (g *Controller) recordLatency(b *backend, class int, r Result, latency float64) {
-	share, usual := g.slowStartShare(b), &g.latency.byClass[class]
-	if r == ResultOK && share == 1 {
+func (g *Controller) recordLatency(backend *backend, class int, result Result, latency float64) {
+	share, usual := g.slowStartShare(backend), &g.latency.byClass[class]
+	if result == ResultOK && share == 1 {
 		g.latency.all.add(latency, fleetSampleWeight)
 		usual.add(latency, fleetSampleWeight)
-	} else if r == ResultOK {
+	} else if result == ResultOK {
 		g.latency.slowStart.add(latency*share, fleetSampleWeight)
 	}
 	if usual.value > 0 {
-		b.recordLatencyRatio(g.now, latency*share/usual.value)
+		backend.recordLatencyRatio(g.now, latency*share/usual.value)
 	}
 }
 
 // recordErrorSample updates a backend's error rate and ejects it for too many errors.
-func (g *Controller) recordErrorSample(b *backend, failed bool) {
-	b.errorRate += sampleWeight * (indicator(failed) - b.errorRate)
-	if failed && b.errorRate >= ejectionErrorRate && g.now >= b.nextTrialAt {
-		g.eject(b, "errors")
+func (g *Controller) recordErrorSample(backend *backend, failed bool) {
+	backend.errorRate += sampleWeight * (indicator(failed) - backend.errorRate)
+	if failed && backend.errorRate >= ejectionErrorRate && g.now >= backend.nextProbeAt {
+		g.eject(backend, "errors")
 	}
 }
 
 // recordConnectionFailure counts a connection that failed or was reset, and reports whether the
 // backend is down. After resets alone its process may still be running, and be warm.
-func (g *Controller) recordConnectionFailure(b *backend, r Result) (down bool) {
-	b.connectionFailures.add(g.now, connectionFailureDecay, 1)
-	if r == ResultReset && b.connectionFailures.sum < maxConnectionFailures {
+func (g *Controller) recordConnectionFailure(backend *backend, result Result) (down bool) {
+	backend.connectionFailures.add(g.now, connectionFailureDecay, 1)
+	if result == ResultReset && backend.connectionFailures.sum < maxConnectionFailures {
 		return false
 	}
-	b.unresponsive = r == ResultReset && (b.unresponsive || !b.down)
-	if !b.down || g.now >= b.nextTrialAt {
-		b.down = true
-		g.eject(b, "connections fail")
+	backend.unresponsive = result == ResultReset && (backend.unresponsive || !backend.down)
+	if !backend.down || g.now >= backend.nextProbeAt {
+		backend.down = true
+		g.eject(backend, "connections fail")
 	}
 	return true
 }
@@ -137,40 +139,40 @@
 
 // reportOutcomeFault tells all gateways of a backend's trouble with one class or plan, which any one
 // of them meets only now and then. They prefer other backends until the report has decayed.
-func (g *Controller) reportOutcomeFault(r *request, a *attempt, result Result) {
+func (g *Controller) reportOutcomeFault(request *request, attempt *attempt, result Result) {
 	switch result {
 	case ResultOverloaded:
-		g.reportFault(a.backend, g.planSubject(r.Plan))
+		g.reportFault(attempt.backend, g.planSubject(request.Plan))
 	case ResultFailed:
-		g.reportFault(a.backend, r.Class)
+		g.reportFault(attempt.backend, request.Class)
 	case ResultTimedOut:
-		if !a.overlappedStall {
-			g.reportFault(a.backend, r.Class)
+		if !attempt.overlappedStall {
+			g.reportFault(attempt.backend, request.Class)
 		}
 	}
 }
 
 // checkEjected starts the health checks that are due.
 func (g *Controller) checkEjected(now Time) {
-	for _, b := range g.backends {
-		if g.settings.HealthChecks && b.down && b.ready() && now >= b.nextTrialAt {
-			b.nextTrialAt = now + maxEjectionTime
-			g.actions.HealthCheck(b.ID)
+	for _, backend := range g.backends {
+		if g.settings.HealthChecks && backend.down && backend.ready() && now >= backend.nextProbeAt {
+			backend.nextProbeAt = now + maxEjectionTime
+			g.actions.HealthCheck(backend.ID)
 		}
 	}
 }
 
 // HealthCheckEnded takes the result of a health check. The load report that came with it is unused.
-func (g *Controller) HealthCheckEnded(now Time, id uint32, r Result, _ []float32) {
+func (g *Controller) HealthCheckEnded(now Time, id uint32, result Result, _ []float32) {
 	g.advanceClock(now)
-	b := g.backendsByID[id]
+	backend := g.backendsByID[id]
 	switch {
-	case b == nil:
-	case r == ResultOK:
-		g.reinstate(b)
-	case b.down:
-		b.unresponsive = b.unresponsive && r != ResultConnectFailed
-		b.ejectionTime = min(2*b.ejectionTime, maxEjectionTime)
-		b.nextTrialAt = now + b.ejectionTime
+	case backend == nil:
+	case result == ResultOK:
+		g.reinstate(backend)
+	case backend.down:
+		backend.unresponsive = backend.unresponsive && result != ResultConnectFailed
+		backend.ejectionTime = min(2*backend.ejectionTime, maxEjectionTime)
+		backend.nextProbeAt = now + backend.ejectionTime
 	}
 }
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -5,15 +5,15 @@
 func TestBrokenBackendIsCheckedAndReinstatedInSlowStart(t *testing.T) {
 	h := newHarness(t, testSettings())
 	id, _ := h.request(0, 1, 9, 1)
-	b := h.lastAttempt(id).backend
+	backend := h.lastAttempt(id).backend
 	h.end(id, ResultConnectFailed, false)
 	h.at += second
 	h.TimerFired(h.at, gossipTimer)
-	if checks := ofKind(h.performed, healthCheckAction); len(checks) != 1 || checks[0].backend != b.ID {
-		t.Fatalf("health checks %+v, want one of backend %d", checks, b.ID)
+	if checks := ofKind(h.performed, healthCheckAction); len(checks) != 1 || checks[0].backend != backend.ID {
+		t.Fatalf("health checks %+v, want one of backend %d", checks, backend.ID)
 	}
-	h.HealthCheckEnded(h.at, b.ID, ResultOK, nil)
-	if h.unhealthy(b) || h.slowStartShare(b) == 1 {
+	h.HealthCheckEnded(h.at, backend.ID, ResultOK, nil)
+	if h.unhealthy(backend) || h.slowStartShare(backend) == 1 {
 		t.Error("a backend that could not be connected to must be reinstated, and in slow start")
 	}
 }
@@ -23,24 +23,24 @@
 func TestSingleResetsEjectNoBackend(t *testing.T) {
 	h := newHarness(t, testSettings())
 	id, _ := h.request(0, 1, 9, 1)
-	b := h.lastAttempt(id).backend
+	backend := h.lastAttempt(id).backend
 	h.end(id, ResultReset, true)
-	if b.down || h.unhealthy(b) {
+	if backend.down || h.unhealthy(backend) {
 		t.Error("ejected after a single reset")
 	}
 	h.at += 10 * second
 	h.TimerFired(h.at, gossipTimer)
-	if h.recordConnectionFailure(b, ResultReset) || b.down {
+	if h.recordConnectionFailure(backend, ResultReset) || backend.down {
 		t.Error("ejected for two resets far apart")
 	}
 	for range 3 {
-		h.recordConnectionFailure(b, ResultReset)
+		h.recordConnectionFailure(backend, ResultReset)
 	}
-	if !b.down {
+	if !backend.down {
 		t.Fatal("not ejected after many resets at once")
 	}
-	h.HealthCheckEnded(h.at, b.ID, ResultOK, nil)
-	if b.down || h.slowStartShare(b) < 1 {
+	h.HealthCheckEnded(h.at, backend.ID, ResultOK, nil)
+	if backend.down || h.slowStartShare(backend) < 1 {
 		t.Error("a backend that only reset connections was reinstated in slow start")
 	}
 }
@@ -49,20 +49,20 @@
 func TestUnresponsiveBackendIsEjected(t *testing.T) {
 	h := newHarness(t, testSettings())
 	stuck, _ := h.request(0, 1, 9, 1)
-	b := h.lastAttempt(stuck).backend
+	backend := h.lastAttempt(stuck).backend
 	for i := range 150 {
 		h.at += second / 100
 		h.TimerFired(h.at, gossipTimer)
-		if id, sent := h.request(0, 1, uint64(i), 1); sent && h.lastAttempt(id).backend != b {
+		if id, sent := h.request(0, 1, uint64(i), 1); sent && h.lastAttempt(id).backend != backend {
 			h.end(id, ResultOK, true)
 		}
 	}
-	if !b.down || !h.unhealthy(b) {
+	if !backend.down || !h.unhealthy(backend) {
 		t.Error("a backend that answered nothing for several objectives is still used")
 	}
 	h.at += second
-	h.HealthCheckEnded(h.at, b.ID, ResultOK, nil)
-	if h.unhealthy(b) || h.slowStartShare(b) != 1 {
+	h.HealthCheckEnded(h.at, backend.ID, ResultOK, nil)
+	if h.unhealthy(backend) || h.slowStartShare(backend) != 1 {
 		t.Error("a backend that was only unresponsive must be reinstated warm")
 	}
 }
@@ -83,12 +83,12 @@
 	if n := h.count(sendAction) - 200; n > 20 {
 		t.Errorf("%d of 200 requests met the backend that fails all", n)
 	}
-	b := h.backendsByID[2]
+	backend := h.backendsByID[2]
 	for range 5 {
-		h.recordResult(&attempt{backend: b}, 0, ResultFailed, 1)
+		h.recordResult(&attempt{backend: backend}, 0, ResultFailed, 1)
 	}
-	if b.errorRate < ejectionErrorRate || h.countLogged("backend 2 ejected: errors") == 0 {
-		t.Errorf("error rate %g, log %+v", b.errorRate, ofKind(h.performed, logAction))
+	if backend.errorRate < ejectionErrorRate || h.countLogged("backend 2 ejected: errors") == 0 {
+		t.Errorf("error rate %g, log %+v", backend.errorRate, ofKind(h.performed, logAction))
 	}
 }
 
@@ -96,14 +96,14 @@
 func TestStallIsNoFaultOfTheBackends(t *testing.T) {
 	h := newHarness(t, testSettings())
 	id, _ := h.request(0, 1, 9, 1)
-	b := h.lastAttempt(id).backend
+	backend := h.lastAttempt(id).backend
 	h.TimerFired(h.at, gossipTimer)
 	h.at += 3 * second
-	if _, sent := h.request(0, 1, 8, 1); !sent || b.down {
+	if _, sent := h.request(0, 1, 8, 1); !sent || backend.down {
 		t.Error("an attempt that was pending in a stall counts as unanswered")
 	}
 	h.endWith(id, Outcome{Result: ResultOK, Latency: 3 * second, Answered: true})
-	if b.latencyRatio != 0 || h.latency.all.value != 0 {
+	if backend.latencyRatio != 0 || h.latency.all.value != 0 {
 		t.Error("the time that an answer waited for this gateway counts as the backend's latency")
 	}
 }
@@ -150,21 +150,21 @@
 
 func TestEjectionsInARowDoubleUpToTheLongest(t *testing.T) {
 	h := newHarness(t, testSettings())
-	b := h.backendsByID[1]
+	backend := h.backendsByID[1]
 	for i, want := range []Time{second / 2, second, 2 * second, 4 * second, 4 * second} {
-		h.eject(b, "test")
-		if got := b.nextTrialAt - h.now; got != want {
+		h.eject(backend, "test")
+		if got := backend.nextProbeAt - h.now; got != want {
 			t.Errorf("ejection %d lasts %d, want %d", i, got, want)
 		}
 	}
 	h.now += 2*maxEjectionTime + 1
-	if h.eject(b, "test"); b.ejectionTime != minEjectionTime {
-		t.Errorf("after long in rotation an ejection lasts %d, want %d", b.ejectionTime, minEjectionTime)
+	if h.eject(backend, "test"); backend.ejectionTime != minEjectionTime {
+		t.Errorf("after long in rotation: %d, want %d", backend.ejectionTime, minEjectionTime)
 	}
 	if got := h.UnavailableBackends(); got != 0 {
 		t.Errorf("%d backends unavailable, want none: none is down or fails", got)
 	}
-	if b.down = true; h.UnavailableBackends() != 1 {
+	if backend.down = true; h.UnavailableBackends() != 1 {
 		t.Errorf("%d backends unavailable, want the one that is down", h.UnavailableBackends())
 	}
 }
--- a/policy/ownership.go
+++ b/policy/ownership.go
@@ -8,10 +8,10 @@
 func (g *Controller) GiveUpOwnership(now Time) {
 	g.advanceClock(now)
 	g.retired = true
-	for _, r := range g.awaitingGrant {
-		if g.requests[r.ID] == r {
-			delete(g.requests, r.ID)
-			g.reject(r.ID, rejectOverQuota, g.shortestObjective/2)
+	for _, request := range g.awaitingGrant {
+		if g.requests[request.ID] == request {
+			delete(g.requests, request.ID)
+			g.reject(request.ID, rejectOverQuota, g.shortestObjective/2)
 		}
 	}
 	g.awaitingGrant = nil
@@ -23,12 +23,12 @@
 	g.advanceClock(now)
 	g.startedAt = g.now
 	g.retired = false
-	for _, c := range g.customerOrder {
-		g.refillBuckets(c)
-		plan, even := &g.settings.Plans[c.plan], float64(c.replicas)
-		c.bucket.level = min(c.bucket.level, plan.Burst/even)
-		c.ceiling.level = min(c.ceiling.level, plan.CeilingSlack/even/2)
-		g.scheduleReport(c)
+	for _, customer := range g.customerOrder {
+		g.refillBuckets(customer)
+		plan, even := g.planOf(customer), float64(customer.replicas)
+		customer.bucket.level = min(customer.bucket.level, plan.Burst/even)
+		customer.ceiling.level = min(customer.ceiling.level, plan.CeilingSlack/even/2)
+		g.scheduleReport(customer)
 	}
 	g.shared.level = 0
 }
@@ -36,34 +36,34 @@
 // PredecessorSent counts another attempt that the former process has sent.
 func (g *Controller) PredecessorSent(now Time, id uint64, backend uint32) {
 	g.advanceClock(now)
-	if r := g.predecessorRequests[id]; r != nil {
-		g.recordSend(r, g.unlistedBackend(backend))
+	if request := g.predecessorRequests[id]; request != nil {
+		g.recordSend(request, g.unlistedBackend(backend))
 	}
 }
 
 // PredecessorAttemptEnded takes the outcome of an attempt of the former process.
-func (g *Controller) PredecessorAttemptEnded(now Time, o Outcome) {
+func (g *Controller) PredecessorAttemptEnded(now Time, outcome Outcome) {
 	g.advanceClock(now)
-	r := g.predecessorRequests[o.RequestID]
-	a := r.pendingAttempt(o.Attempt)
-	if a == nil || o.Result > ResultNotSent {
+	request := g.predecessorRequests[outcome.RequestID]
+	attempt := request.pendingAttempt(outcome.Attempt)
+	if attempt == nil || outcome.Result > ResultNotSent {
 		return
 	}
-	a.pending = false
-	g.settleAttempt(r, a, &o)
-	if o.Answered && !r.hasPending() {
-		delete(g.predecessorRequests, o.RequestID)
+	attempt.pending = false
+	g.settleAttempt(request, attempt, &outcome)
+	if outcome.Answered && !request.hasPending() {
+		delete(g.predecessorRequests, outcome.RequestID)
 	}
 }
 
 // PredecessorExited notes that the former process has ended, and its pending attempts with it.
 func (g *Controller) PredecessorExited(now Time) {
 	g.advanceClock(now)
-	for _, r := range g.predecessorRequests {
-		for _, a := range r.attempts {
-			if a.pending {
-				a.pending = false
-				a.release(r.customer)
+	for _, request := range g.predecessorRequests {
+		for _, attempt := range request.attempts {
+			if attempt.pending {
+				attempt.pending = false
+				attempt.release(request.customer)
 			}
 		}
 	}
--- a/policy/ownership_test.go
+++ b/policy/ownership_test.go
@@ -11,7 +11,7 @@
 	if !sent {
 		t.Fatal("not sent")
 	}
-	backend := h.lastAttempt(id).backend.ID
+	backendID := h.lastAttempt(id).backend.ID
 	next := h.successor(t, namedSettings())
 	h.GiveUpOwnership(h.at)
 	if next.serve(2, 7, 1) {
@@ -26,20 +26,20 @@
 	if next.gossip.incarnation != h.gossip.incarnation {
 		t.Errorf("incarnation %d, want %d", next.gossip.incarnation, h.gossip.incarnation)
 	}
-	b := next.backendsByID[backend]
-	if after.inFlight != 1 || b.inFlight != 1 {
-		t.Errorf("in flight: customer %d, backend %d, want 1", after.inFlight, b.inFlight)
+	backend := next.backendsByID[backendID]
+	if after.inFlight != 1 || backend.inFlight != 1 {
+		t.Errorf("in flight: customer %d, backend %d, want 1", after.inFlight, backend.inFlight)
 	}
 	consumed := after.consumed
 	next.settings.SettlesCost = true
 	next.PredecessorAttemptEnded(next.at, Outcome{
-		RequestID: id, Backend: backend, Result: ResultOK,
+		RequestID: id, Backend: backendID, Result: ResultOK,
 		Latency: second / 10, Answered: true, ActualCost: 3,
 	})
 	assertNear(t, "consumed with the actual cost", after.consumed, consumed+1)
-	if after.inFlight != 0 || b.inFlight != 0 || len(next.predecessorRequests) != 0 {
+	if after.inFlight != 0 || backend.inFlight != 0 || len(next.predecessorRequests) != 0 {
 		t.Errorf("in flight: customer %d, backend %d; %d requests of the predecessor; want none",
-			after.inFlight, b.inFlight, len(next.predecessorRequests))
+			after.inFlight, backend.inFlight, len(next.predecessorRequests))
 	}
 }
 
@@ -51,8 +51,8 @@
 	next.PredecessorSent(next.at, id, 2)
 	next.PredecessorSent(next.at, 999, 2) // of an unknown request
 	inFlight := func() (total int) {
-		for _, b := range next.backends {
-			total += b.inFlight
+		for _, backend := range next.backends {
+			total += backend.inFlight
 		}
 		return total
 	}
@@ -62,9 +62,9 @@
 	next.at += 3 * second
 	next.refreshBackendHealth()
 	next.PredecessorExited(next.at)
-	for _, b := range next.backends {
-		if b.inFlight != 0 || b.overdue != 0 {
-			t.Errorf("backend %d: in flight %d, overdue %d", b.ID, b.inFlight, b.overdue)
+	for _, backend := range next.backends {
+		if backend.inFlight != 0 || backend.overdue != 0 {
+			t.Errorf("backend %d: in flight %d, overdue %d", backend.ID, backend.inFlight, backend.overdue)
 		}
 	}
 	if next.customers[8].inFlight != 0 {
@@ -78,8 +78,9 @@
 	h.serve(2, 7, 1)
 	h.GiveUpOwnership(h.at)
 	h.ResumeOwnership(h.at)
-	c := h.customers[7]
-	if p := h.settings.Plans[2]; c.bucket.level > p.Burst/2 || c.ceiling.level > p.CeilingSlack/4 {
-		t.Errorf("bucket %g, ceiling %g", c.bucket.level, c.ceiling.level)
+	customer := h.customers[7]
+	plan := h.settings.Plans[2]
+	if customer.bucket.level > plan.Burst/2 || customer.ceiling.level > plan.CeilingSlack/4 {
+		t.Errorf("bucket %g, ceiling %g", customer.bucket.level, customer.ceiling.level)
 	}
 }
--- a/policy/quotashare.go
+++ b/policy/quotashare.go
@@ -14,60 +14,62 @@
 
 // newCustomer makes the record of a customer. Its bucket is full: peers report those that are not.
 // The ceiling begins with half of its slack, as the rest may have been used before a restart.
-func (g *Controller) newCustomer(id uint64, plan, firstReplica, replicas int) *customer {
-	gateways, p := g.settings.Gateways, &g.settings.Plans[plan]
+func (g *Controller) newCustomer(id uint64, planIndex, firstReplica, replicas int) *customer {
+	gateways, plan := g.settings.Gateways, &g.settings.Plans[planIndex]
 	replicas = min(max(replicas, 1), gateways)
 	even := float64(replicas)
-	c := &customer{
-		id: id, plan: plan, firstReplica: (firstReplica%gateways + gateways) % gateways, replicas: replicas,
-		demandWindow: g.demandWindow(p, replicas), grantFraction: 1, advertisedGrant: 1,
-		bucket: tokenBucket{level: p.Burst, rate: p.Rate, capacity: p.Burst, updatedAt: g.now},
+	customer := &customer{
+		id: id, plan: planIndex, replicas: replicas,
+		firstReplica: (firstReplica%gateways + gateways) % gateways,
+		demandWindow: g.demandWindow(plan, replicas), grantFraction: 1, advertisedGrant: 1,
+		bucket: tokenBucket{level: plan.Burst, rate: plan.Rate, capacity: plan.Burst, updatedAt: g.now},
 		ceiling: tokenBucket{
-			level: p.CeilingSlack / even / 2, rate: p.CeilingRate / even, capacity: p.CeilingBurst / even,
-			updatedAt: g.startedAt,
+			level: plan.CeilingSlack / even / 2, rate: plan.CeilingRate / even,
+			capacity: plan.CeilingBurst / even, updatedAt: g.startedAt,
 		},
 	}
 	switch {
 	case !g.sharesUsage:
-		c.bucket.level /= even
-	case g.grantsQuota(c):
-		c.bucket.level /= float64(g.coordinatorCount(c))
-		c.ceiling.level *= even / float64(g.coordinatorCount(c))
+		customer.bucket.level /= even
+	case g.grantsQuota(customer):
+		customer.bucket.level /= float64(g.coordinatorCount(customer))
+		customer.ceiling.level *= even / float64(g.coordinatorCount(customer))
 	}
-	return c
+	return customer
 }
 
 // quotaShare is the share of a customer's quota that this gateway may use: its share of the recent
 // demand. Gateways not heard of count as idle.
-func (g *Controller) quotaShare(c *customer) float64 {
-	own := c.demand.value(g.now, c.demandWindow)
+func (g *Controller) quotaShare(customer *customer) float64 {
+	own := customer.demand.value(g.now, customer.demandWindow)
 	switch {
-	case c.replicas == 1:
+	case customer.replicas == 1:
 		return 1
-	case g.sharesUsage && own > 0 && !g.isParticipant(c):
-		return own / (own + c.peerDemand.value(g.now, c.demandWindow))
-	case !g.sharesUsage && c.meteredShare > 0:
-		return c.meteredShare
+	case g.sharesUsage && own > 0 && !g.isParticipant(customer):
+		return own / (own + customer.peerDemand.value(g.now, customer.demandWindow))
+	case !g.sharesUsage && customer.meteredShare > 0:
+		return customer.meteredShare
 	}
-	return 1 / float64(c.replicas)
+	return 1 / float64(customer.replicas)
 }
 
 // availableUnits is what this gateway may grant a customer now: its share of the bucket as of the
 // last gossip round less its use since, or, if more, what the peers are not expected to use before
 // they are heard again: a share of a small burst may be less than one request.
-func (g *Controller) availableUnits(c *customer) float64 {
+func (g *Controller) availableUnits(customer *customer) float64 {
 	switch {
-	case g.isParticipant(c) && c.grantFraction < 1:
-		return c.grantedUnits
-	case !g.sharesUsage || g.wideReplicaSet(c):
-		return c.bucket.level
-	}
-	unreported := c.consumed - c.consumedReported
-	peerDemand := c.peerDemand.value(g.now, c.demandWindow)
-	expected := peerDemand * float64(gossipDelayPeriods*g.gossip.period) / float64(c.demandWindow)
-	level := math.Max(g.quotaShare(c)*(c.bucket.level+unreported)-unreported, c.bucket.level-expected)
+	case g.isParticipant(customer) && customer.grantFraction < 1:
+		return customer.grantedUnits
+	case !g.sharesUsage || g.wideReplicaSet(customer):
+		return customer.bucket.level
+	}
+	unreported := customer.consumed - customer.consumedReported
+	peerDemand := customer.peerDemand.value(g.now, customer.demandWindow)
+	expected := peerDemand * float64(gossipDelayPeriods*g.gossip.period) / float64(customer.demandWindow)
+	share := g.quotaShare(customer)*(customer.bucket.level+unreported) - unreported
+	level := math.Max(share, customer.bucket.level-expected)
 	if g.recentlyStarted() { // an even share, so that a restart grants no second burst
-		level = math.Min(level, c.bucket.capacity/float64(c.replicas)-c.consumed)
+		level = math.Min(level, customer.bucket.capacity/float64(customer.replicas)-customer.consumed)
 	}
 	return level
 }
@@ -78,116 +80,118 @@
 }
 
 // hearsAllReplicas reports whether all other gateways of a customer were heard of late.
-func (g *Controller) hearsAllReplicas(c *customer) bool {
-	for i := range c.replicas {
-		index := (c.firstReplica + i) % g.settings.Gateways
+func (g *Controller) hearsAllReplicas(customer *customer) bool {
+	for i := range customer.replicas {
+		index := g.replica(customer, i)
 		peer := &g.peers[index]
 		if index != g.settings.Self &&
-			(peer.incarnation == 0 || g.activeTime-peer.heardAt > replicaHeardTimeout) {
+			(peer.incarnation == 0 || g.activeTime-peer.lastHeardAt > replicaHeardTimeout) {
 			return false
 		}
 	}
-	return g.sharesUsage && g.settings.Gossip && !g.wideReplicaSet(c)
+	return g.sharesUsage && g.settings.Gossip && !g.wideReplicaSet(customer)
 }
 
 // withinQuota reports whether a customer's quota and its concurrency limit admit the units.
-func (g *Controller) withinQuota(c *customer, units float64) bool {
-	plan := &g.settings.Plans[c.plan]
+func (g *Controller) withinQuota(customer *customer, units float64) bool {
+	plan := g.planOf(customer)
 	if plan.ConcurrencyLimit > 0 {
-		limit := math.Max(1, math.Round(g.quotaShare(c)*float64(plan.ConcurrencyLimit)))
-		if float64(c.inFlight) >= limit {
+		limit := math.Max(1, math.Round(g.quotaShare(customer)*float64(plan.ConcurrencyLimit)))
+		if float64(customer.inFlight) >= limit {
 			return false
 		}
 	}
-	return plan.Rate == 0 || g.availableUnits(c) >= units
+	return plan.Rate == 0 || g.availableUnits(customer) >= units
 }
 
 // recordDemand counts the units of a request before it is decided on. Under a grant each request
 // adds the granted fraction of its units to those that this gateway may use.
-func (g *Controller) recordDemand(c *customer, units float64) {
-	c.demand.add(g.now, c.demandWindow, units)
-	c.meteredDemand.add(g.now, max(1, g.settings.MeterPeriod), units)
-	c.requested, c.lastRequestCost = c.requested+units, units
-	if !g.requiresGrant(c) {
-		c.addGrantedUnits(units)
-	}
-	g.scheduleReport(c)
+func (g *Controller) recordDemand(customer *customer, units float64) {
+	customer.demand.add(g.now, customer.demandWindow, units)
+	customer.meteredDemand.add(g.now, max(1, g.settings.MeterPeriod), units)
+	customer.requested, customer.lastRequestCost = customer.requested+units, units
+	if !g.requiresGrant(customer) {
+		customer.addGrantedUnits(units)
+	}
+	g.scheduleReport(customer)
 }
 
 // applyMeterReading sets the quota share by a reading of the use through all gateways.
-func (g *Controller) applyMeterReading(c *customer, reading int) {
-	rate, period := g.settings.Plans[c.plan].Rate, g.settings.MeterPeriod
+func (g *Controller) applyMeterReading(customer *customer, reading int) {
+	rate, period := g.planOf(customer).Rate, g.settings.MeterPeriod
 	if period == 0 || reading == 0 || rate == 0 {
 		return
 	}
 	all := float64(reading-1) / 100 * rate
-	own := c.meteredDemand.value(g.now, period) * float64(second) / float64(period)
-	c.meteredShare = own / math.Max(all, math.Max(own, minDemand))
+	own := customer.meteredDemand.value(g.now, period) * float64(second) / float64(period)
+	customer.meteredShare = own / math.Max(all, math.Max(own, minDemand))
 }
 
 // applyUsage applies a peer's usage entry to the customer's bucket and answers its quota request.
-func (g *Controller) applyUsage(from int, incarnation uint32, newest bool, e usageEntry) {
-	c := g.customerRecord(e.customer, e.plan, e.firstReplica, e.replicas)
-	if !g.isReplica(c, from) || g.isParticipant(c) {
+func (g *Controller) applyUsage(from int, incarnation uint32, newest bool, entry usageEntry) {
+	customer := g.customerRecord(entry.customer, entry.plan, entry.firstReplica, entry.replicas)
+	if !g.isReplica(customer, from) || g.isParticipant(customer) {
 		return
 	}
-	last := g.usageFrom(c, from)
+	last := g.usageFrom(customer, from)
 	if !last.known || last.incarnation != incarnation {
-		g.applyFirstUsage(c, e)
-	} else if !g.applyUsageIncrease(c, last, &e, newest) {
+		g.applyFirstUsage(customer, entry)
+	} else if !g.applyIncrease(customer, last, &entry, newest) {
 		return
 	}
-	last.update(incarnation, e)
-	g.updateGrant(c)
-	if e.quotaRequest > 0 {
-		g.answerQuotaRequest(from, c, last, e)
-	} else if g.wideReplicaSet(c) && math.Abs(e.remaining-c.grantFraction) > grantTolerance*c.grantFraction {
-		g.queueGrant(from, c)
+	last.update(incarnation, entry)
+	g.updateGrant(customer)
+	difference := math.Abs(entry.remaining - customer.grantFraction)
+	if entry.quotaRequest > 0 {
+		g.answerQuotaRequest(from, customer, last, entry)
+	} else if g.wideReplicaSet(customer) && difference > grantTolerance*customer.grantFraction {
+		g.queueGrant(from, customer)
 	}
 }
 
 // applyFirstUsage applies the first entry of a peer's incarnation. There is no earlier count to
 // subtract: what the peer believes to be left bounds the level.
-func (g *Controller) applyFirstUsage(c *customer, e usageEntry) {
-	remaining := e.remaining*c.bucket.capacity - (c.consumed - c.consumedReported)
-	if g.wideReplicaSet(c) && e.remaining == 1 {
-		remaining = c.bucket.level - unpackUnits(min(e.consumed, e.newlyRequested))
+func (g *Controller) applyFirstUsage(customer *customer, entry usageEntry) {
+	remaining := entry.remaining*customer.bucket.capacity - (customer.consumed - customer.consumedReported)
+	if g.wideReplicaSet(customer) && entry.remaining == 1 {
+		remaining = customer.bucket.level - unpackUnits(min(entry.consumed, entry.newlyRequested))
 	}
-	c.bucket.level = math.Max(0, math.Min(c.bucket.level, remaining))
-	c.peerDemand.add(g.now, c.demandWindow, unpackUnits(e.newlyRequested))
+	customer.bucket.level = math.Max(0, math.Min(customer.bucket.level, remaining))
+	customer.peerDemand.add(g.now, customer.demandWindow, unpackUnits(entry.newlyRequested))
 }
 
-// applyUsageIncrease applies what a peer has consumed and requested since its last entry. It
+// applyIncrease applies what a peer has consumed and requested since its last entry. It
 // returns false for an entry that arrived out of order. Consumed units may also have been returned.
-func (g *Controller) applyUsageIncrease(c *customer, last *peerUsage, e *usageEntry, newest bool) bool {
-	consumed, requested := e.consumed-last.consumed, e.requested-last.requested
+func (g *Controller) applyIncrease(customer *customer, last *peerUsage, entry *usageEntry, newest bool) bool {
+	consumed, requested := entry.consumed-last.consumed, entry.requested-last.requested
 	returned := consumed > maxUsageIncrease
-	if requested > maxUsageIncrease || returned && e.wantedHalves == 0 && (g.wideReplicaSet(c) || !newest) {
+	isWide := g.wideReplicaSet(customer)
+	if requested > maxUsageIncrease || returned && entry.wantedHalves == 0 && (isWide || !newest) {
 		return false
 	}
-	if returned && g.wideReplicaSet(c) {
-		consumed, e.consumed = 0, last.consumed // granted units that it did not use
+	if returned && isWide {
+		consumed, entry.consumed = 0, last.consumed // granted units that it did not use
 	}
-	c.bucket.level = math.Max(0, c.bucket.level-float64(int16(consumed))/countsPerUnit)
-	c.peerDemand.add(g.now, c.demandWindow, unpackUnits(requested))
+	customer.bucket.level = math.Max(0, customer.bucket.level-float64(int16(consumed))/countsPerUnit)
+	customer.peerDemand.add(g.now, customer.demandWindow, unpackUnits(requested))
 	return true
 }
 
 // CounterAnswered takes the total of a customer's use through all gateways, where gateways share a
 // counter instead of gossip. What a failed call may have added counts as used by a peer.
-func (g *Controller) CounterAnswered(now Time, name uint64, r Result, total float64) {
+func (g *Controller) CounterAnswered(now Time, name uint64, result Result, total float64) {
 	g.advanceClock(now)
-	c := g.customers[name]
-	if c == nil || len(c.counterCalls) == 0 {
+	customer := g.customers[name]
+	if customer == nil || len(customer.counterCalls) == 0 {
 		return
 	}
-	own := c.counterCalls[0]
-	if c.counterCalls = c.counterCalls[1:]; r != ResultOK {
+	own := customer.counterCalls[0]
+	if customer.counterCalls = customer.counterCalls[1:]; result != ResultOK {
 		return
 	}
-	g.refillBuckets(c)
-	byPeers := math.Max(0, total-c.counterTotal-own)
-	c.counterTotal = total
-	c.bucket.level = math.Max(0, c.bucket.level-byPeers)
-	c.peerDemand.add(now, c.demandWindow, byPeers)
+	g.refillBuckets(customer)
+	byPeers := math.Max(0, total-customer.counterTotal-own)
+	customer.counterTotal = total
+	customer.bucket.level = math.Max(0, customer.bucket.level-byPeers)
+	customer.peerDemand.add(now, customer.demandWindow, byPeers)
 }
--- a/policy/recorded_play_test.go
+++ b/policy/recorded_play_test.go
@@ -70,15 +70,15 @@
 	}
 	slices.Sort(open)
 	for _, id := range open {
-		r := h.requests[id]
-		if r == nil || len(r.attempts) == 0 || p.draw.IntN(3) == 0 {
+		request := h.requests[id]
+		if request == nil || len(request.attempts) == 0 || p.draw.IntN(3) == 0 {
 			continue
 		}
 		if p.draw.IntN(15) == 0 {
 			h.RequestCancelled(h.at, id)
 			continue
 		}
-		maySend := h.MaySend(h.at, id, len(r.attempts)-1)
+		maySend := h.MaySend(h.at, id, len(request.attempts)-1)
 		p.transcript = append(p.transcript, fmt.Sprintf("%d holds %d %t", gateway, id, maySend))
 		result := Result(max(0, p.draw.IntN(20)-12))
 		h.endWith(id, Outcome{
--- a/policy/recorded_test.go
+++ b/policy/recorded_test.go
@@ -177,12 +177,12 @@
 // slow start or ejected stays so, and an open request is counted until it ends.
 func TestRecordedSnapshotIsImported(t *testing.T) {
 	before := recordedState(t)
-	s := recordedSnapshot(t, "snapshot.gob", before.Export(before.at))
+	snapshot := recordedSnapshot(t, "snapshot.gob", before.Export(before.at))
 	settings := namedSettings()
 	settings.SettlesCost = true
 	h := newHarness(t, settings)
 	h.at, h.nextID = before.at, 100
-	if err := h.Import(h.at, s); err != nil {
+	if err := h.Import(h.at, snapshot); err != nil {
 		t.Fatal(err)
 	}
 	if h.serve(0, 7, 1) {
@@ -208,18 +208,18 @@
 // assertOpenRequestImported checks that request 40 of customer 8 at a backend counts until it ends.
 func assertOpenRequestImported(t *testing.T, h *harness, backendID uint32) {
 	t.Helper()
-	c, b := h.customers[8], h.backendsByID[backendID]
-	if b.inFlight != 1 || c.inFlight != 1 {
-		t.Errorf("in flight: backend %d, customer %d; want 1 of each", b.inFlight, c.inFlight)
+	customer, backend := h.customers[8], h.backendsByID[backendID]
+	if backend.inFlight != 1 || customer.inFlight != 1 {
+		t.Errorf("in flight: backend %d, customer %d; want 1 of each", backend.inFlight, customer.inFlight)
 	}
-	level := c.bucket.level
+	level := customer.bucket.level
 	h.PredecessorAttemptEnded(h.at, Outcome{
 		RequestID: 40, Backend: backendID, Result: ResultOK,
 		Latency: second / 10, Answered: true, ActualCost: 5,
 	})
-	assertNear(t, "bucket after the actual cost", c.bucket.level, level-2)
-	if b.inFlight != 0 || c.inFlight != 0 {
-		t.Errorf("in flight: backend %d, customer %d after the end", b.inFlight, c.inFlight)
+	assertNear(t, "bucket after the actual cost", customer.bucket.level, level-2)
+	if backend.inFlight != 0 || customer.inFlight != 0 {
+		t.Errorf("in flight: backend %d, customer %d after the end", backend.inFlight, customer.inFlight)
 	}
 }
 
--- a/policy/reload.go
+++ b/policy/reload.go
@@ -16,7 +16,7 @@
 		return err
 	}
 	g.advanceClock(now)
-	g.keepFixedSettings(&settings)
+	g.retainFixedSettings(&settings)
 	classes, plans := g.mapClasses(&settings), g.mapPlans(&settings)
 	if err := settings.validate(); err != nil {
 		return err // what must be kept does not fit
@@ -24,23 +24,23 @@
 	g.renumberClasses(&settings, classes)
 	g.renumberPlans(&settings, plans)
 	g.renumberRequests(classes, plans)
-	for _, c := range g.customerOrder {
-		g.refillBuckets(c) // at the old rate
+	for _, customer := range g.customerOrder {
+		g.refillBuckets(customer) // at the old rate
 	}
 	g.settings = settings
 	g.deriveFromSettings()
 	g.selectSubset()
 	g.shared.refill(now)
 	g.shared.rate, g.shared.level = sum(g.shared.idleOverflow), math.Min(g.shared.level, g.shared.capacity)
-	for _, c := range g.customerOrder {
-		g.applyPlan(c, plans[c.plan])
+	for _, customer := range g.customerOrder {
+		g.applyPlan(customer, plans[customer.plan])
 	}
 	return nil
 }
 
-// keepFixedSettings copies what only a restart can change from the settings in force. It also copies
+// retainFixedSettings copies what only a restart can change from the settings in force. It also copies
 // the lists, which are appended to.
-func (g *Controller) keepFixedSettings(settings *Settings) {
+func (g *Controller) retainFixedSettings(settings *Settings) {
 	old := &g.settings
 	settings.Self, settings.Gateways, settings.Zone = old.Self, old.Gateways, old.Zone
 	settings.PollEndpoints, settings.LoadReport = old.PollEndpoints, old.LoadReport
@@ -51,12 +51,13 @@
 
 // applyPlan gives a customer the plan of that index. Its bucket holds no more than before: a larger
 // burst fills at the plan's rate.
-func (g *Controller) applyPlan(c *customer, plan int) {
-	p := &g.settings.Plans[plan]
-	c.plan = plan
-	c.bucket.rate, c.bucket.capacity, c.bucket.level = p.Rate, p.Burst, math.Min(c.bucket.level, p.Burst)
-	g.limitToPart(c)
-	c.demandWindow = g.demandWindow(p, c.replicas)
+func (g *Controller) applyPlan(customer *customer, planIndex int) {
+	plan := &g.settings.Plans[planIndex]
+	customer.plan = planIndex
+	customer.bucket.resize(plan.Rate, plan.Burst)
+	customer.bucket.level = math.Min(customer.bucket.level, plan.Burst)
+	g.limitToCoordinatorShare(customer)
+	customer.demandWindow = g.demandWindow(plan, customer.replicas)
 }
 
 // indexByName is the index of the item of that name; -1: none.
@@ -64,8 +65,8 @@
 	return slices.IndexFunc(items, func(item T) bool { return nameOf(&item) == name })
 }
 
-func className(c *Class) string { return c.Name }
-func planName(p *Plan) string   { return p.Name }
+func className(class *Class) string { return class.Name }
+func planName(plan *Plan) string    { return plan.Name }
 
 // mapClasses returns the new index of each class, -1 where nothing needs it any more. It appends
 // the classes that open requests still need to the new settings.
@@ -91,7 +92,7 @@
 	indices := make([]int, len(g.settings.Plans))
 	for i, plan := range g.settings.Plans {
 		indices[i] = indexByName(settings.Plans, planName, plan.Name)
-		hasPlan := func(c *customer) bool { return c.plan == i }
+		hasPlan := func(customer *customer) bool { return customer.plan == i }
 		if indices[i] < 0 && slices.ContainsFunc(g.customerOrder, hasPlan) {
 			indices[i] = len(settings.Plans)
 			settings.Plans = append(settings.Plans, plan)
@@ -102,21 +103,23 @@
 
 func (g *Controller) hasRequestOf(class int) bool {
 	found := false
-	g.eachRequest(func(r *request) { found = found || r.Class == class })
+	g.eachRequest(func(request *request) { found = found || request.Class == class })
 	return found
 }
 
 // eachRequest calls do for each open request, this process's and the predecessor's.
 func (g *Controller) eachRequest(do func(*request)) {
 	for _, requests := range []map[uint64]*request{g.requests, g.predecessorRequests} {
-		for _, r := range requests {
-			do(r)
+		for _, request := range requests {
+			do(request)
 		}
 	}
 }
 
 func (g *Controller) renumberRequests(classes, plans []int) {
-	g.eachRequest(func(r *request) { r.Class, r.Plan = classes[r.Class], plans[r.Plan] })
+	g.eachRequest(func(request *request) {
+		request.Class, request.Plan = classes[request.Class], plans[request.Plan]
+	})
 }
 
 // renumberClasses moves the state of each class to its new index. What was learnt of a class holds
@@ -136,11 +139,11 @@
 		g.clientTimeouts[i] = make([]movingAverage, count)
 		pickFrom(g.clientTimeouts[i], row, oldIndices)
 	}
-	for _, b := range g.backends {
+	for _, backend := range g.backends {
 		faults := make([]decayingSum, count+len(g.settings.Plans))
-		pickFrom(faults[:count], b.faults, oldIndices)
-		copy(faults[count:], b.faults[len(g.settings.Classes):])
-		b.faults = faults
+		pickFrom(faults[:count], backend.faults, oldIndices)
+		copy(faults[count:], backend.faults[len(g.settings.Classes):])
+		backend.faults = faults
 	}
 	g.latency.byClass, g.withinObjective = latency, withinObjective
 	g.gossip.faults = nil // they name classes by their old index
@@ -180,15 +183,15 @@
 			overflow[plan] += g.shared.idleOverflow[old] * settings.Plans[plan].Rate / oldRate
 		}
 	}
-	for _, b := range g.backends {
+	for _, backend := range g.backends {
 		faults := make([]decayingSum, len(settings.Classes)+len(settings.Plans))
-		copy(faults, b.faults[:len(settings.Classes)])
+		copy(faults, backend.faults[:len(settings.Classes)])
 		for old, plan := range plans {
 			if plan >= 0 {
-				faults[len(settings.Classes)+plan] = b.faults[len(settings.Classes)+old]
+				faults[len(settings.Classes)+plan] = backend.faults[len(settings.Classes)+old]
 			}
 		}
-		b.faults = faults
+		backend.faults = faults
 	}
 	g.clientTimeouts, g.shared.idleOverflow = timeouts, overflow
 }
@@ -200,21 +203,21 @@
 		g.gossip.period = max(g.gossip.period, g.receiveTime(min(g.settings.Gateways-1, maxFullMeshPeers)))
 	}
 	g.shortestObjective = g.settings.Classes[0].LatencyObjective
-	for _, c := range g.settings.Classes {
-		g.shortestObjective = min(g.shortestObjective, c.LatencyObjective)
+	for _, class := range g.settings.Classes {
+		g.shortestObjective = min(g.shortestObjective, class.LatencyObjective)
 	}
 	g.shared.capacity = 0
-	for _, p := range g.settings.Plans {
-		if p.overagePays() {
-			g.shared.capacity = math.Max(g.shared.capacity, p.Burst)
+	for _, plan := range g.settings.Plans {
+		if plan.overagePays() {
+			g.shared.capacity = math.Max(g.shared.capacity, plan.Burst)
 		}
 	}
 }
 
 // demandWindow is the time constant in which the demand of a plan's customers is measured.
-func (g *Controller) demandWindow(p *Plan, replicas int) Time {
-	if p.Rate <= 0 {
+func (g *Controller) demandWindow(plan *Plan, replicas int) Time {
+	if plan.Rate <= 0 {
 		return second
 	}
-	return max(Time(demandWindowFraction*p.Burst/p.Rate*float64(second)), g.receiveTime(replicas))
+	return max(Time(demandWindowFraction*plan.Burst/plan.Rate*float64(second)), g.receiveTime(replicas))
 }
--- a/policy/reload_test.go
+++ b/policy/reload_test.go
@@ -23,14 +23,14 @@
 	if err := h.Reload(h.at, settings); err != nil {
 		t.Fatal(err)
 	}
-	assertOldClassKept(t, h, open)
-	c := h.customers[7]
-	assertNear(t, "level", c.bucket.level, level)
-	if c.plan != 1 || c.bucket.capacity != 32 {
-		t.Errorf("plan %d, capacity %g", c.plan, c.bucket.capacity)
+	assertOldClassRetained(t, h, open)
+	customer := h.customers[7]
+	assertNear(t, "level", customer.bucket.level, level)
+	if customer.plan != 1 || customer.bucket.capacity != 32 {
+		t.Errorf("plan %d, capacity %g", customer.plan, customer.bucket.capacity)
 	}
 	h.end(open, ResultFailed, false)
-	if r := h.requests[open]; r == nil || len(r.attempts) != 2 {
+	if request := h.requests[open]; request == nil || len(request.attempts) != 2 {
 		t.Fatal("the open request was not retried, as its class allows")
 	}
 	h.end(open, ResultFailed, false)
@@ -51,16 +51,16 @@
 	}
 }
 
-// assertOldClassKept checks that an open request has the class that is gone from the settings, and
+// assertOldClassRetained checks that an open request has the class that is gone from the settings, and
 // the new index of its plan.
-func assertOldClassKept(t *testing.T, h *harness, id uint64) {
+func assertOldClassRetained(t *testing.T, h *harness, id uint64) {
 	t.Helper()
-	r := h.requests[id]
-	class := h.settings.Classes[r.Class]
+	request := h.requests[id]
+	class := h.settings.Classes[request.Class]
 	if class.Name != "a" || class.Idempotency != Idempotent {
 		t.Errorf("class of the open request: %+v", class)
 	}
-	if len(h.settings.Classes) != 4 || r.Plan != 0 {
-		t.Errorf("%d classes, plan %d of the open request", len(h.settings.Classes), r.Plan)
+	if len(h.settings.Classes) != 4 || request.Plan != 0 {
+		t.Errorf("%d classes, plan %d of the open request", len(h.settings.Classes), request.Plan)
 	}
 }
--- a/policy/report.go
+++ b/policy/report.go
@@ -34,21 +34,21 @@
 	results       [ResultNotSent + 1]int
 }
 
-func (n *activityCounters) countSend(b *backend) {
+func (n *activityCounters) countSend(backend *backend) {
 	n.sent++
-	if n.lastBackend == b {
+	if n.lastBackend == backend {
 		n.consecutive++
 	}
-	n.lastBackend = b
+	n.lastBackend = backend
 }
 
 // countOverQuota counts a request over quota that a peer could have admitted.
-func (n *activityCounters) countOverQuota(c *customer, units float64) {
-	if c.bucket.level < units {
+func (n *activityCounters) countOverQuota(customer *customer, units float64) {
+	if customer.bucket.level < units {
 		return
 	}
 	n.shareTooSmall++
-	if c.bucket.level >= c.bucket.capacity/2 {
+	if customer.bucket.level >= customer.bucket.capacity/2 {
 		n.halfFull++
 	}
 }
@@ -56,30 +56,30 @@
 // logCounters logs the counters and the load view once in a while: a line for each request would
 // cost more than the request.
 func (g *Controller) logCounters() {
-	n := &g.counters
-	if g.now-n.since < counterLogInterval {
+	counters := &g.counters
+	if g.now-counters.since < counterLogInterval {
 		return
 	}
-	view := g.loadView()
+	view, rejected, results := g.loadView(), &counters.rejected, &counters.results
 	const microsecondsPerMillisecond = 1000
 	g.actions.Log(strings.Join([]string{
-		fmt.Sprintf("sent %d, consecutive to one backend %d", n.sent, n.consecutive),
+		fmt.Sprintf("sent %d, consecutive to one backend %d", counters.sent, counters.consecutive),
 		fmt.Sprintf("rejected: expired %d, at capacity %d, over quota %d, over ceiling %d, "+
 			"no backend %d, never ran %d",
-			n.rejected[rejectExpired], n.rejected[rejectAtCapacity], n.rejected[rejectOverQuota],
-			n.rejected[rejectOverCeiling], n.rejected[rejectNoBackend], n.rejected[rejectNeverRan]),
+			rejected[rejectExpired], rejected[rejectAtCapacity], rejected[rejectOverQuota],
+			rejected[rejectOverCeiling], rejected[rejectNoBackend], rejected[rejectNeverRan]),
 		fmt.Sprintf("over quota by the share alone %d, with half of the bucket left %d",
-			n.shareTooSmall, n.halfFull),
-		fmt.Sprintf("quota requests %d, unanswered %d", n.quotaRequests, n.unanswered),
+			counters.shareTooSmall, counters.halfFull),
+		fmt.Sprintf("quota requests %d, unanswered %d", counters.quotaRequests, counters.unanswered),
 		fmt.Sprintf("results: ok %d, failed %d, overloaded %d, timed out %d, connect failed %d, "+
 			"reset %d, not sent %d",
-			n.results[ResultOK], n.results[ResultFailed], n.results[ResultOverloaded],
-			n.results[ResultTimedOut],
-			n.results[ResultConnectFailed], n.results[ResultReset], n.results[ResultNotSent]),
+			results[ResultOK], results[ResultFailed], results[ResultOverloaded],
+			results[ResultTimedOut],
+			results[ResultConnectFailed], results[ResultReset], results[ResultNotSent]),
 		fmt.Sprintf("in flight %.1f, on time %.1f/s, of %.1f gateways",
 			view.inFlight, view.onTimeRate, view.gateways),
 		fmt.Sprintf("late share %.2f, mean latency %.0f ms, healthy %d of %d", g.load.lateShare.value,
 			g.latency.all.value/microsecondsPerMillisecond, g.healthy, len(g.backends)),
 	}, "; "))
-	*n = activityCounters{since: g.now}
+	*counters = activityCounters{since: g.now}
 }
--- a/policy/report_test.go
+++ b/policy/report_test.go
@@ -22,15 +22,15 @@
 // A request that a peer could have admitted is told from one beyond the quota.
 func TestCountersTellQuotaSharesFromQuotas(t *testing.T) {
 	h := newHarness(t, namedSettings())
-	c := h.customerRecord(7, 0, 0, 2)
+	customer := h.customerRecord(7, 0, 0, 2)
 	for _, want := range []struct {
 		level                   float64
 		shareTooSmall, halfFull int
 	}{{level: 1}, {level: 3, shareTooSmall: 1}, {level: 4, shareTooSmall: 1, halfFull: 1}} {
 		t.Run(fmt.Sprint(want.level), func(t *testing.T) {
-			c.bucket.level = want.level
+			customer.bucket.level = want.level
 			var counters activityCounters
-			counters.countOverQuota(c, 2)
+			counters.countOverQuota(customer, 2)
 			if counters.shareTooSmall != want.shareTooSmall || counters.halfFull != want.halfFull {
 				t.Errorf("got %d and %d, want %+v", counters.shareTooSmall, counters.halfFull, want)
 			}
--- a/policy/request.go
+++ b/policy/request.go
@@ -8,13 +8,13 @@
 	customer *customer
 	deadline Time
 	attempts []*attempt
-	answered bool // the client has its answer, or the start of it
 
-	coordinator       int  // the index of the customer's coordinator that was asked last
-	quotaRequest      byte // the number of that quota request; 0: none
+	coordinator       int // the index of the customer's coordinator that was asked last
 	quotaRequestsSent int
 	grantDeadline     Time // when the request is decided on without an answer
+	quotaRequest      byte // the number of its last quota request; 0: none
 
+	answered       bool // the client has its answer, or the start of it
 	reachedBackend bool // an attempt may have reached a backend
 	borrowed       bool // the shared bucket lent its units
 	chargedCeiling bool // its units were taken from the ceiling of this gateway
@@ -45,51 +45,63 @@
 }
 
 func (r *request) hasPending() bool {
-	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.pending })
+	return slices.ContainsFunc(r.attempts, func(attempt *attempt) bool { return attempt.pending })
 }
 
-func (r *request) tried(b *backend) bool {
-	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.backend == b })
+func (r *request) tried(backend *backend) bool {
+	return slices.ContainsFunc(r.attempts, func(attempt *attempt) bool { return attempt.backend == backend })
 }
 
 // release removes an ended attempt from the load of its backend and its customer.
-func (a *attempt) release(c *customer) {
+func (a *attempt) release(customer *customer) {
 	a.backend.inFlight--
 	if a.overdue {
 		a.backend.overdue--
 	}
-	c.inFlight--
+	customer.inFlight--
 }
 
 // recordSend adds an attempt to a request and to the load of its backend and its customer.
-func (g *Controller) recordSend(r *request, b *backend) {
-	a := &attempt{backend: b, sentAt: g.now, pending: true, mayHaveRun: true}
-	r.attempts = append(r.attempts, a)
-	g.withinObjective[r.Class] = append(g.withinObjective[r.Class], a)
-	if b.inFlight == 0 {
-		b.unansweredSince = g.activeTime
+func (g *Controller) recordSend(request *request, backend *backend) {
+	attempt := &attempt{backend: backend, sentAt: g.now, pending: true, mayHaveRun: true}
+	request.attempts = append(request.attempts, attempt)
+	g.withinObjective[request.Class] = append(g.withinObjective[request.Class], attempt)
+	if backend.inFlight == 0 {
+		backend.unansweredSince = g.activeTime
 	}
-	b.inFlight++
-	r.customer.inFlight++
-	if g.slowStartShare(b) < 1 {
-		b.slowStartBucket.level--
+	backend.inFlight++
+	request.customer.inFlight++
+	if g.slowStartShare(backend) < 1 {
+		backend.slowStartBucket.level--
 	} else if g.warm > 0 {
 		g.sendRate.add(g.now, sendRateDecay, 1/float64(g.warm))
 	}
 }
 
+// markOverdue marks the pending attempts of a class that are older than the given age.
+func (g *Controller) markOverdue(class int, age Time) {
+	attempts := g.withinObjective[class]
+	for ; len(attempts) > 0 && g.now-attempts[0].sentAt > age; attempts = attempts[1:] {
+		if attempt := attempts[0]; attempt.pending {
+			attempt.overdue = true
+			attempt.backend.overdue++
+		}
+	}
+	g.withinObjective[class] = attempts
+}
+
 // ResponseStarted notes that the client gets a streamed answer: no other attempt may follow.
 func (g *Controller) ResponseStarted(now Time, id uint64) {
 	g.advanceClock(now)
-	if r := g.requests[id]; r != nil {
-		r.answered = true
+	if request := g.requests[id]; request != nil {
+		request.answered = true
 	}
 }
 
 // RequestCancelled notes that the client has disconnected or its deadline has passed.
 func (g *Controller) RequestCancelled(now Time, id uint64) {
 	g.ResponseStarted(now, id)
-	if r := g.requests[id]; r != nil && !r.hasPending() {
+	if request := g.requests[id]; request != nil && !request.hasPending() {
 		delete(g.requests, id)
 	}
 }
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -30,19 +30,19 @@
 // attempt while another is pending.
 func (c *Class) retryRule(attempts []*attempt, hedging bool, now, dedupMargin Time) retryRule {
 	rule := retryRule{allowed: true, rejectable: true}
-	for _, a := range attempts {
-		if a.pending && !hedging {
+	for _, attempt := range attempts {
+		if attempt.pending && !hedging {
 			rule.allowed = false
 		}
-		if !a.mayHaveRun || c.Idempotency == Idempotent {
+		if !attempt.mayHaveRun || c.Idempotency == Idempotent {
 			continue
 		}
 		if c.Idempotency == NotIdempotent {
 			return retryRule{}
 		}
 		if rule.within == nil {
-			rule.within = a
-			rule.allowed = rule.allowed && now < a.sentAt+c.DedupWindow-dedupMargin
+			rule.within = attempt
+			rule.allowed = rule.allowed && now < attempt.sentAt+c.DedupWindow-dedupMargin
 			rule.rejectable = c.DedupScope == DedupAll
 		}
 	}
@@ -50,40 +50,40 @@
 }
 
 // ruleFor applies the request's class to the given attempts of it.
-func (g *Controller) ruleFor(r *request, attempts []*attempt, now Time) retryRule {
+func (g *Controller) ruleFor(request *request, attempts []*attempt, now Time) retryRule {
 	margin := dedupMarginEvents * g.settings.MinEventInterval
-	return g.settings.Classes[r.Class].retryRule(attempts, g.settings.Hedging, now, margin)
+	return g.settings.Classes[request.Class].retryRule(attempts, g.settings.Hedging, now, margin)
 }
 
 // retry sends another attempt if the rule, the number of attempts, the budget and the time that is
 // left allow it and there is a backend. It reports whether it did.
-func (g *Controller) retry(r *request, last *attempt, rule retryRule, now Time) bool {
+func (g *Controller) retry(request *request, last *attempt, rule retryRule, now Time) bool {
 	cost := retryBudget(notRunRetryCost)
 	if last.mayHaveRun {
 		cost = ranRetryCost
 	}
-	minTime := g.settings.Classes[r.Class].LatencyObjective / minRetryTime
-	if !rule.allowed || len(r.attempts) >= g.settings.MaxAttempts || g.retryBudget < cost ||
-		r.deadline-now <= minTime {
+	minTime := g.settings.Classes[request.Class].LatencyObjective / minRetryTime
+	if !rule.allowed || len(request.attempts) >= g.settings.MaxAttempts || g.retryBudget < cost ||
+		request.deadline-now <= minTime {
 		return false
 	}
-	b := g.chooseBackend(r, rule.within)
-	if b == nil {
+	backend := g.chooseBackend(request, rule.within)
+	if backend == nil {
 		return false
 	}
 	g.retryBudget -= cost
-	g.send(r, b)
+	g.send(request, backend)
 	return true
 }
 
 // attemptDeadline is when the request's newest attempt is given up for another one, 0 if there is
 // no budget, capacity or time for another.
-func (g *Controller) attemptDeadline(r *request) Time {
-	class, latency := &g.settings.Classes[r.Class], Time(g.latency.byClass[r.Class].value)
+func (g *Controller) attemptDeadline(request *request) Time {
+	class, latency := &g.settings.Classes[request.Class], Time(g.latency.byClass[request.Class].value)
 	deadline := g.now + attemptTimeoutFactor*latency
 	if class.Idempotency == NotIdempotent || g.retryBudget < ranRetryCost ||
-		len(r.attempts) == g.settings.MaxAttempts || g.atCapacity(borrowCapacityShare) ||
-		latency == 0 || deadline+latency > r.attempts[0].sentAt+class.LatencyObjective {
+		len(request.attempts) == g.settings.MaxAttempts || g.atCapacity(borrowCapacityShare) ||
+		latency == 0 || deadline+latency > request.attempts[0].sentAt+class.LatencyObjective {
 		return 0
 	}
 	return deadline
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -38,8 +38,8 @@
 		}
 	}
 	for i := range s.Plans {
-		if p := &s.Plans[i]; p.Rate < 0 || p.CeilingRate < 0 || p.Rate > 0 && p.Burst <= 0 {
-			return settingsError(fmt.Sprintf("plans[%d]", i), "rate %g with burst %g", p.Rate, p.Burst)
+		if plan := &s.Plans[i]; plan.Rate < 0 || plan.CeilingRate < 0 || plan.Rate > 0 && plan.Burst <= 0 {
+			return settingsError(fmt.Sprintf("plans[%d]", i), "rate %g with burst %g", plan.Rate, plan.Burst)
 		}
 	}
 	return nil
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -8,19 +8,19 @@
 )
 
 // slowStartShare is the least part of its capacity that a backend has by now: 1 once it is warm.
-func (g *Controller) slowStartShare(b *backend) float64 {
-	if b.StartedAt == 0 || g.settings.SlowStartTime == 0 {
+func (g *Controller) slowStartShare(backend *backend) float64 {
+	if backend.StartedAt == 0 || g.settings.SlowStartTime == 0 {
 		return 1
 	}
-	age := math.Max(0, float64(g.now-b.StartedAt)/float64(g.settings.SlowStartTime))
+	age := math.Max(0, float64(g.now-backend.StartedAt)/float64(g.settings.SlowStartTime))
 	return math.Min(1, g.settings.SlowStartFloor+(1-g.settings.SlowStartFloor)*age)
 }
 
 // slowStartAllows reports whether a backend may get one more attempt. One in slow start gets its
 // share of what this gateway sends a warm one, saved up for at most half of the overload window, so
 // that all gateways together load it no more than the warm ones.
-func (g *Controller) slowStartAllows(b *backend) bool {
-	share := g.slowStartShare(b)
+func (g *Controller) slowStartAllows(backend *backend) bool {
+	share := g.slowStartShare(backend)
 	if share == 1 || g.retired { // what was saved up belongs to the process that took over
 		return share == 1
 	}
@@ -29,9 +29,9 @@
 	if g.settings.OverloadFactor > 0 { // may be below 1: half a window's worth can come on top
 		margin = overloadMargin * g.settings.OverloadFactor
 	}
-	bucket := &b.slowStartBucket
+	bucket := &backend.slowStartBucket
 	turn := share / math.Max(window, 1) / float64(g.settings.Gateways)
-	bucket.rate = margin * math.Max(g.slowStartRate(b, share), turn)
+	bucket.rate = margin * math.Max(g.slowStartRate(backend, share), turn)
 	// What can't be saved up to one attempt in that time is dropped and comes at its next turn: else
 	// many slow gateways would each hold an attempt for the backend and send them all at once.
 	saved := bucket.rate * window / 2
@@ -47,8 +47,8 @@
 // slowStartRate is how many attempts a second a backend in slow start gets: its share of a warm
 // backend's rate. With no warm backend in the subset it is one core's rate, the least that any
 // backend has, split over the gateways that prefer it.
-func (g *Controller) slowStartRate(b *backend, share float64) float64 {
-	if !b.inSubset {
+func (g *Controller) slowStartRate(backend *backend, share float64) float64 {
+	if !backend.inSubset {
 		return 0 // left to the gateways that prefer it
 	}
 	rate := share * g.sendRate.value(g.now, sendRateDecay) * float64(second) / float64(sendRateDecay)
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -11,9 +11,9 @@
 func (g *Controller) Export(now Time) *Snapshot {
 	g.advanceClock(now)
 	g.retryBudget /= 2
-	s := &Snapshot{
-		Classes: convertAll(g.settings.Classes, func(c Class) string { return c.Name }),
-		Plans:   convertAll(g.settings.Plans, func(p Plan) string { return p.Name }),
+	snapshot := &Snapshot{
+		Classes: convertAll(g.settings.Classes, func(class Class) string { return class.Name }),
+		Plans:   convertAll(g.settings.Plans, func(plan Plan) string { return plan.Name }),
 		Born:    g.startedAt, Still: g.stalledTime, Woke: g.resumedAt, Swept: g.sweptAt,
 		Boot: g.gossip.incarnation, Turn: g.gossip.sequence,
 		Lend: encodeBucket(g.shared.tokenBucket), IdleSpill: g.shared.idleOverflow,
@@ -25,87 +25,92 @@
 		Base: convertAll(g.latency.byClass, encodeAverage), Again: float64(g.retryBudget),
 	}
 	for _, peer := range g.peers {
-		s.Boots = append(s.Boots, peer.incarnation)
-		s.HeardAt = append(s.HeardAt, peer.heardAt)
-		s.Turns = append(s.Turns, peer.sequence)
+		snapshot.Boots = append(snapshot.Boots, peer.incarnation)
+		snapshot.HeardAt = append(snapshot.HeardAt, peer.lastHeardAt)
+		snapshot.Turns = append(snapshot.Turns, peer.sequence)
 	}
 	for _, row := range g.clientTimeouts {
-		s.Grace = append(s.Grace, convertAll(row, encodeAverage))
+		snapshot.Grace = append(snapshot.Grace, convertAll(row, encodeAverage))
 	}
-	for _, c := range g.customerOrder {
-		g.refillBuckets(c)
-		s.Customers = append(s.Customers, encodeCustomer(c))
+	for _, customer := range g.customerOrder {
+		g.refillBuckets(customer)
+		snapshot.Customers = append(snapshot.Customers, encodeCustomer(customer))
 	}
-	s.Backends = convertAll(g.backends, encodeBackend)
-	for _, r := range g.requests {
-		if r.hasPending() {
-			s.Open = append(s.Open, encodeRequest(r))
+	snapshot.Backends = convertAll(g.backends, encodeBackend)
+	for _, request := range g.requests {
+		if request.hasPending() {
+			snapshot.Open = append(snapshot.Open, encodeRequest(request))
 		}
 	}
-	slices.SortFunc(s.Open, func(a, b OpenState) int { return int(int64(a.ID) - int64(b.ID)) })
-	return s
+	slices.SortFunc(snapshot.Open, func(a, b OpenState) int { return int(int64(a.ID) - int64(b.ID)) })
+	return snapshot
 }
 
 // snapshotIndices maps the indices of a snapshot to those of this controller; -1: not in its
 // settings.
 type snapshotIndices struct{ class, plan []int }
 
-func (g *Controller) indicesOf(s *Snapshot) snapshotIndices {
+func (g *Controller) indicesOf(snapshot *Snapshot) snapshotIndices {
 	classIndex := func(name string) int { return indexByName(g.settings.Classes, className, name) }
 	planIndex := func(name string) int { return indexByName(g.settings.Plans, planName, name) }
-	return snapshotIndices{class: convertAll(s.Classes, classIndex), plan: convertAll(s.Plans, planIndex)}
+	return snapshotIndices{
+		class: convertAll(snapshot.Classes, classIndex), plan: convertAll(snapshot.Plans, planIndex),
+	}
 }
 
 // Import takes the state of another process, whose classes and plans it knows by name. The
 // controller must not have decided on anything yet.
-func (g *Controller) Import(now Time, s *Snapshot) error {
-	if err := s.validate(); err != nil {
+func (g *Controller) Import(now Time, snapshot *Snapshot) error {
+	if err := snapshot.validate(); err != nil {
 		return err
 	}
 	g.advanceClock(now)
-	indices := g.indicesOf(s)
-	g.startedAt, g.stalledTime, g.resumedAt, g.activeTime = s.Born, s.Still, s.Woke, g.now-s.Still
-	g.sweptAt = s.Swept
-	g.importGossip(s)
-	g.load.onTime, g.load.peers = decodeSum(s.InTime), decodeSum(s.Peers)
-	g.load.peersInFlight, g.load.peersOnTime = decodeSum(s.PeersHeld), decodeSum(s.PeersInTime)
-	g.load.lateShare, g.sendRate = decodeAverage(s.Late), decodeSum(s.Pace)
-	g.priority, g.retryBudget = decodeAverage(s.Worth), retryBudget(s.Again)
-	g.importLatency(s, indices)
-	g.importSharedBucket(s, indices)
-	for i := range s.Customers {
-		g.importCustomer(&s.Customers[i], indices)
-	}
-	for i := range s.Backends {
-		g.importBackend(&s.Backends[i], indices)
-	}
-	for i := range s.Open {
-		g.importRequest(&s.Open[i], indices)
+	indices := g.indicesOf(snapshot)
+	g.startedAt, g.resumedAt, g.sweptAt = snapshot.Born, snapshot.Woke, snapshot.Swept
+	g.stalledTime, g.activeTime = snapshot.Still, g.now-snapshot.Still
+	g.importGossip(snapshot)
+	g.load.onTime, g.load.peers = decodeSum(snapshot.InTime), decodeSum(snapshot.Peers)
+	g.load.peersInFlight, g.load.peersOnTime = decodeSum(snapshot.PeersHeld), decodeSum(snapshot.PeersInTime)
+	g.load.lateShare, g.sendRate = decodeAverage(snapshot.Late), decodeSum(snapshot.Pace)
+	g.priority, g.retryBudget = decodeAverage(snapshot.Worth), retryBudget(snapshot.Again)
+	g.importLatency(snapshot, indices)
+	g.importSharedBucket(snapshot, indices)
+	for i := range snapshot.Customers {
+		g.importCustomer(&snapshot.Customers[i], indices)
+	}
+	for i := range snapshot.Backends {
+		g.importBackend(&snapshot.Backends[i], indices)
+	}
+	for i := range snapshot.Open {
+		g.importRequest(&snapshot.Open[i], indices)
 	}
 	return nil
 }
 
 // importGossip goes on with the other process's incarnation. What it knew of the peers is of use
 // only if the settings have the same gateways.
-func (g *Controller) importGossip(s *Snapshot) {
-	g.gossip.incarnation, g.gossip.sequence = s.Boot, s.Turn
+func (g *Controller) importGossip(snapshot *Snapshot) {
+	g.gossip.incarnation, g.gossip.sequence = snapshot.Boot, snapshot.Turn
 	gateways := g.settings.Gateways
-	if len(s.Boots) != gateways || len(s.HeardAt) != gateways || len(s.Turns) != gateways {
+	if len(snapshot.Boots) != gateways || len(snapshot.HeardAt) != gateways ||
+		len(snapshot.Turns) != gateways {
 		return
 	}
 	for i := range g.peers {
-		g.peers[i].incarnation, g.peers[i].heardAt, g.peers[i].sequence = s.Boots[i], s.HeardAt[i], s.Turns[i]
+		peer := &g.peers[i]
+		peer.incarnation, peer.sequence = snapshot.Boots[i], snapshot.Turns[i]
+		peer.lastHeardAt = snapshot.HeardAt[i]
 	}
 }
 
-func (g *Controller) importLatency(s *Snapshot, indices snapshotIndices) {
-	g.latency.all, g.latency.slowStart = decodeAverage(s.Mean), decodeAverage(s.ColdMean)
-	for i, state := range s.Base {
+func (g *Controller) importLatency(snapshot *Snapshot, indices snapshotIndices) {
+	g.latency.all, g.latency.slowStart = decodeAverage(snapshot.Mean), decodeAverage(snapshot.ColdMean)
+	for i, state := range snapshot.Base {
 		if class := indices.class[i]; class >= 0 {
 			g.latency.byClass[class] = decodeAverage(state)
 		}
 	}
-	for i, row := range s.Grace {
+	for i, row := range snapshot.Grace {
 		for j, state := range row {
 			if plan, class := indices.plan[i], indices.class[j]; plan >= 0 && class >= 0 {
 				g.clientTimeouts[plan][class] = decodeAverage(state)
@@ -115,48 +120,48 @@
 }
 
 // importSharedBucket takes the shared bucket as far as it fits this controller's capacity.
-func (g *Controller) importSharedBucket(s *Snapshot, indices snapshotIndices) {
+func (g *Controller) importSharedBucket(snapshot *Snapshot, indices snapshotIndices) {
 	capacity := g.shared.capacity
-	g.shared.tokenBucket = decodeBucket(s.Lend)
+	g.shared.tokenBucket = decodeBucket(snapshot.Lend)
 	g.shared.capacity, g.shared.level = capacity, min(g.shared.level, capacity)
-	for i, overflow := range s.IdleSpill {
+	for i, overflow := range snapshot.IdleSpill {
 		if plan := indices.plan[i]; plan >= 0 {
 			g.shared.idleOverflow[plan] = overflow
 		}
 	}
 }
 
-func (g *Controller) importCustomer(s *CustomerState, indices snapshotIndices) {
-	plan := indices.plan[s.Plan]
-	if plan < 0 || s.Spread < 1 || s.Spread > g.settings.Gateways {
+func (g *Controller) importCustomer(state *CustomerState, indices snapshotIndices) {
+	planIndex := indices.plan[state.Plan]
+	if planIndex < 0 || state.Spread < 1 || state.Spread > g.settings.Gateways {
 		return
 	}
-	c, p := decodeCustomer(s), &g.settings.Plans[plan]
-	c.plan, c.demandWindow = plan, g.demandWindow(p, c.replicas)
+	customer, plan := decodeCustomer(state), &g.settings.Plans[planIndex]
+	customer.plan, customer.demandWindow = planIndex, g.demandWindow(plan, customer.replicas)
 	if g.sharesUsage {
-		c.bucket.rate, c.bucket.capacity = p.Rate, p.Burst
+		customer.bucket.resize(plan.Rate, plan.Burst)
 	}
-	g.limitToPart(c)
-	g.addCustomer(c)
-	if c.consumed != c.consumedReported || c.requested != c.requestedReported {
-		g.scheduleReport(c)
+	g.limitToCoordinatorShare(customer)
+	g.addCustomer(customer)
+	if customer.consumed != customer.consumedReported || customer.requested != customer.requestedReported {
+		g.scheduleReport(customer)
 	}
 }
 
-// limitToPart limits a coordinator's bucket to its part of the burst.
-func (g *Controller) limitToPart(c *customer) {
-	if g.grantsQuota(c) {
-		burst := g.settings.Plans[c.plan].Burst
-		c.bucket.level = math.Min(c.bucket.level, burst/float64(g.coordinatorCount(c)))
+// limitToCoordinatorShare limits a coordinator's bucket to its part of the burst.
+func (g *Controller) limitToCoordinatorShare(customer *customer) {
+	if g.grantsQuota(customer) {
+		burst := g.planOf(customer).Burst
+		customer.bucket.level = math.Min(customer.bucket.level, burst/float64(g.coordinatorCount(customer)))
 	}
 }
 
-func (g *Controller) importBackend(s *BackendState, indices snapshotIndices) {
-	b := g.unlistedBackend(s.Backend)
-	s.decodeInto(b)
-	for i, state := range s.Words {
+func (g *Controller) importBackend(state *BackendState, indices snapshotIndices) {
+	backend := g.unlistedBackend(state.Backend)
+	state.decodeInto(backend)
+	for i, faults := range state.Words {
 		if subject := g.importedSubject(i, indices); subject >= 0 {
-			b.faults[subject] = decodeSum(state)
+			backend.faults[subject] = decodeSum(faults)
 		}
 	}
 }
@@ -177,32 +182,34 @@
 	return g.backendRecord(Endpoint{ID: id, State: EndpointRemoved})
 }
 
-func (g *Controller) importRequest(s *OpenState, indices snapshotIndices) {
-	c, class, plan := g.customers[s.Customer], indices.class[s.Class], indices.plan[s.Plan]
-	if c == nil || class < 0 || plan < 0 {
+func (g *Controller) importRequest(state *OpenState, indices snapshotIndices) {
+	customer, class, plan := g.customers[state.Customer], indices.class[state.Class], indices.plan[state.Plan]
+	if customer == nil || class < 0 || plan < 0 {
 		return
 	}
-	r := &request{
-		Request:  Request{ID: s.ID, Class: class, Plan: plan, Customer: s.Customer, Cost: s.Units},
-		customer: c,
-	}
-	for i := range s.Attempts {
-		b := g.unlistedBackend(s.Attempts[i].Backend)
-		a := decodeAttempt(&s.Attempts[i], b)
-		r.attempts = append(r.attempts, a)
-		if !a.pending {
+	request := &request{
+		Request: Request{
+			ID: state.ID, Class: class, Plan: plan, Customer: state.Customer, Cost: state.Units,
+		},
+		customer: customer,
+	}
+	for i := range state.Attempts {
+		backend := g.unlistedBackend(state.Attempts[i].Backend)
+		attempt := decodeAttempt(&state.Attempts[i], backend)
+		request.attempts = append(request.attempts, attempt)
+		if !attempt.pending {
 			continue
 		}
-		b.inFlight++
-		c.inFlight++
-		if a.overdue {
-			b.overdue++
+		backend.inFlight++
+		customer.inFlight++
+		if attempt.overdue {
+			backend.overdue++
 		} else {
-			g.withinObjective[class] = append(g.withinObjective[class], a)
+			g.withinObjective[class] = append(g.withinObjective[class], attempt)
 		}
 	}
 	slices.SortStableFunc(g.withinObjective[class], bySendTime)
-	g.predecessorRequests[r.ID] = r
+	g.predecessorRequests[request.ID] = request
 }
 
 func bySendTime(a, b *attempt) int { return cmp.Compare(a.sentAt, b.sentAt) }
--- a/policy/snapshot_codec.go
+++ b/policy/snapshot_codec.go
@@ -120,28 +120,32 @@
 
 // The positions in the arrays are known to the following functions only.
 
-func encodeBucket(b tokenBucket) [4]float64 {
-	return [4]float64{b.level, b.rate, b.capacity, float64(b.updatedAt)}
+func encodeBucket(bucket tokenBucket) [4]float64 {
+	return [4]float64{bucket.level, bucket.rate, bucket.capacity, float64(bucket.updatedAt)}
 }
 
 func decodeBucket(state [4]float64) tokenBucket {
 	return tokenBucket{level: state[0], rate: state[1], capacity: state[2], updatedAt: Time(state[3])}
 }
 
-func encodeSum(d decayingSum) [2]float64 { return [2]float64{d.sum, float64(d.updatedAt)} }
+func encodeSum(decaying decayingSum) [2]float64 {
+	return [2]float64{decaying.sum, float64(decaying.updatedAt)}
+}
 
 func decodeSum(state [2]float64) decayingSum {
 	return decayingSum{sum: state[0], updatedAt: Time(state[1])}
 }
 
-func encodeAverage(m movingAverage) [2]float64 { return [2]float64{m.value, m.samples} }
+func encodeAverage(average movingAverage) [2]float64 {
+	return [2]float64{average.value, average.samples}
+}
 
 func decodeAverage(state [2]float64) movingAverage {
 	return movingAverage{value: state[0], samples: state[1]}
 }
 
-func encodeUsage(u customerUsage) [3]float64 {
-	return [3]float64{u.consumed, u.requested, u.requestedReported}
+func encodeUsage(usage customerUsage) [3]float64 {
+	return [3]float64{usage.consumed, usage.requested, usage.requestedReported}
 }
 
 func decodeUsageState(state [3]float64) customerUsage {
@@ -157,8 +161,10 @@
 	return converted
 }
 
-func encodePeerUsage(u peerUsage) HeardState {
-	return HeardState{Known: u.known, Boot: u.incarnation, Taken: u.consumed, Asked: u.requested}
+func encodePeerUsage(usage peerUsage) HeardState {
+	return HeardState{
+		Known: usage.known, Boot: usage.incarnation, Taken: usage.consumed, Asked: usage.requested,
+	}
 }
 
 func decodePeerUsage(state HeardState) peerUsage {
@@ -167,86 +173,93 @@
 	}
 }
 
-func encodeCustomer(c *customer) CustomerState {
+func encodeCustomer(customer *customer) CustomerState {
 	return CustomerState{
-		ID: c.id, Plan: c.plan, First: c.firstReplica, Spread: c.replicas,
-		Store: encodeBucket(c.bucket), Ceiling: encodeBucket(c.ceiling),
-		Taken: c.consumed, Told: c.consumedReported, Asked: c.requested, AskedTold: c.requestedReported,
-		LastAsk: c.lastRequestCost, Grant: c.grantFraction, Slice: c.grantedUnits, Granted: c.advertisedGrant,
-		Total: c.counterTotal, Part: c.meteredShare,
-		Use: encodeSum(c.demand), Others: encodeSum(c.peerDemand), Metered: encodeSum(c.meteredDemand),
-		Heard:   convertAll(c.peers, encodePeerUsage),
-		Tallies: convertAll(c.usageByCoordinator, encodeUsage),
-		GrantAt: c.nextGrantAt, TellAt: c.nextReportAt, Asks: c.quotaRequests,
+		ID: customer.id, Plan: customer.plan, First: customer.firstReplica, Spread: customer.replicas,
+		Store: encodeBucket(customer.bucket), Ceiling: encodeBucket(customer.ceiling),
+		Taken: customer.consumed, Told: customer.consumedReported,
+		Asked: customer.requested, AskedTold: customer.requestedReported,
+		LastAsk: customer.lastRequestCost, Grant: customer.grantFraction,
+		Slice: customer.grantedUnits, Granted: customer.advertisedGrant,
+		Total: customer.counterTotal, Part: customer.meteredShare,
+		Use: encodeSum(customer.demand), Others: encodeSum(customer.peerDemand),
+		Metered: encodeSum(customer.meteredDemand),
+		Heard:   convertAll(customer.peers, encodePeerUsage),
+		Tallies: convertAll(customer.usageByCoordinator, encodeUsage),
+		GrantAt: customer.nextGrantAt, TellAt: customer.nextReportAt, Asks: customer.quotaRequests,
 	}
 }
 
 // decodeCustomer converts all but the plan, whose index differs between processes, and what follows
 // from it.
-func decodeCustomer(s *CustomerState) *customer {
-	c := &customer{
-		id: s.ID, firstReplica: s.First, replicas: s.Spread,
-		bucket: decodeBucket(s.Store), ceiling: decodeBucket(s.Ceiling),
+func decodeCustomer(state *CustomerState) *customer {
+	customer := &customer{
+		id: state.ID, firstReplica: state.First, replicas: state.Spread,
+		bucket: decodeBucket(state.Store), ceiling: decodeBucket(state.Ceiling),
 		customerUsage: customerUsage{
-			consumed: s.Taken, requested: s.Asked, requestedReported: s.AskedTold,
+			consumed: state.Taken, requested: state.Asked, requestedReported: state.AskedTold,
 		},
-		consumedReported: s.Told,
-		lastRequestCost:  s.LastAsk, grantFraction: s.Grant,
-		grantedUnits: s.Slice, advertisedGrant: s.Granted,
-		counterTotal: s.Total, meteredShare: s.Part,
-		demand: decodeSum(s.Use), peerDemand: decodeSum(s.Others), meteredDemand: decodeSum(s.Metered),
-		peers:              convertAll(s.Heard, decodePeerUsage),
-		usageByCoordinator: convertAll(s.Tallies, decodeUsageState),
-		nextGrantAt:        s.GrantAt, nextReportAt: s.TellAt, quotaRequests: s.Asks,
+		consumedReported: state.Told,
+		lastRequestCost:  state.LastAsk, grantFraction: state.Grant,
+		grantedUnits: state.Slice, advertisedGrant: state.Granted,
+		counterTotal: state.Total, meteredShare: state.Part,
+		demand: decodeSum(state.Use), peerDemand: decodeSum(state.Others),
+		meteredDemand:      decodeSum(state.Metered),
+		peers:              convertAll(state.Heard, decodePeerUsage),
+		usageByCoordinator: convertAll(state.Tallies, decodeUsageState),
+		nextGrantAt:        state.GrantAt, nextReportAt: state.TellAt, quotaRequests: state.Asks,
 	}
-	if s.Tallies == nil {
-		c.usageByCoordinator = []customerUsage{c.customerUsage}
+	if state.Tallies == nil {
+		customer.usageByCoordinator = []customerUsage{customer.customerUsage}
 	}
-	if len(c.peers) != c.replicas {
-		c.peers = nil
+	if len(customer.peers) != customer.replicas {
+		customer.peers = nil
 	}
-	return c
+	return customer
 }
 
-func encodeBackend(b *backend) BackendState {
+func encodeBackend(backend *backend) BackendState {
 	return BackendState{
-		Backend: b.ID, Started: b.StartedAt, Quiet: b.unansweredSince, SlowAt: b.latencyRatioAt,
-		Left: b.ejectedAt, Wait: b.ejectionTime, TrialAt: b.nextTrialAt,
-		Slow: b.latencyRatio, Errs: b.errorRate, Down: b.down, Silent: b.unresponsive,
-		Breaks: encodeSum(b.connectionFailures), Words: convertAll(b.faults, encodeSum),
-		Cold: encodeBucket(b.slowStartBucket),
+		Backend: backend.ID, Started: backend.StartedAt,
+		Quiet: backend.unansweredSince, SlowAt: backend.latencyRatioAt,
+		Left: backend.ejectedAt, Wait: backend.ejectionTime, TrialAt: backend.nextProbeAt,
+		Slow: backend.latencyRatio, Errs: backend.errorRate, Down: backend.down, Silent: backend.unresponsive,
+		Breaks: encodeSum(backend.connectionFailures), Words: convertAll(backend.faults, encodeSum),
+		Cold: encodeBucket(backend.slowStartBucket),
 	}
 }
 
 // decodeInto sets a backend's state but for its fault reports, whose indices differ between
 // processes.
-func (s *BackendState) decodeInto(b *backend) {
-	b.StartedAt = max(b.StartedAt, s.Started)
-	b.unansweredSince, b.latencyRatio, b.latencyRatioAt = s.Quiet, s.Slow, s.SlowAt
-	b.errorRate, b.connectionFailures = s.Errs, decodeSum(s.Breaks)
-	b.ejectedAt, b.ejectionTime, b.nextTrialAt = s.Left, s.Wait, s.TrialAt
-	b.down, b.unresponsive, b.slowStartBucket = s.Down, s.Silent, decodeBucket(s.Cold)
+func (s *BackendState) decodeInto(backend *backend) {
+	backend.StartedAt = max(backend.StartedAt, s.Started)
+	backend.unansweredSince, backend.latencyRatio, backend.latencyRatioAt = s.Quiet, s.Slow, s.SlowAt
+	backend.errorRate, backend.connectionFailures = s.Errs, decodeSum(s.Breaks)
+	backend.ejectedAt, backend.ejectionTime, backend.nextProbeAt = s.Left, s.Wait, s.TrialAt
+	backend.down, backend.unresponsive, backend.slowStartBucket = s.Down, s.Silent, decodeBucket(s.Cold)
 }
 
-func encodeRequest(r *request) OpenState {
+func encodeRequest(request *request) OpenState {
 	return OpenState{
-		ID: r.ID, Customer: r.Customer, Class: r.Class, Plan: r.Plan, Units: r.Cost,
-		Attempts: convertAll(r.attempts, encodeAttempt),
+		ID: request.ID, Customer: request.Customer,
+		Class: request.Class, Plan: request.Plan, Units: request.Cost,
+		Attempts: convertAll(request.attempts, encodeAttempt),
 	}
 }
 
-func encodeAttempt(a *attempt) AttemptState {
+func encodeAttempt(attempt *attempt) AttemptState {
 	return AttemptState{
-		Backend: a.backend.ID, At: a.sentAt,
-		Pending: a.pending, Late: a.overdue, Blind: a.overlappedStall, MayRun: a.mayHaveRun,
+		Backend: attempt.backend.ID, At: attempt.sentAt,
+		Pending: attempt.pending, Late: attempt.overdue,
+		Blind: attempt.overlappedStall, MayRun: attempt.mayHaveRun,
 	}
 }
 
 // decodeAttempt converts an attempt at the given backend.
-func decodeAttempt(s *AttemptState, b *backend) *attempt {
+func decodeAttempt(state *AttemptState, backend *backend) *attempt {
 	return &attempt{
-		backend: b, sentAt: s.At, pending: s.Pending, overdue: s.Late && s.Pending,
-		overlappedStall: s.Blind, mayHaveRun: s.MayRun,
+		backend: backend, sentAt: state.At, pending: state.Pending, overdue: state.Late && state.Pending,
+		overlappedStall: state.Blind, mayHaveRun: state.MayRun,
 	}
 }
 
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -9,10 +9,10 @@
 )
 
 // encodeSnapshot encodes a snapshot as it is handed over.
-func encodeSnapshot(t *testing.T, s *Snapshot) []byte {
+func encodeSnapshot(t *testing.T, snapshot *Snapshot) []byte {
 	t.Helper()
 	var b bytes.Buffer
-	if err := gob.NewEncoder(&b).Encode(s); err != nil {
+	if err := gob.NewEncoder(&b).Encode(snapshot); err != nil {
 		t.Fatal(err)
 	}
 	return b.Bytes()
@@ -20,20 +20,20 @@
 
 func decodeSnapshot(t *testing.T, raw []byte) *Snapshot {
 	t.Helper()
-	s := &Snapshot{}
-	if err := gob.NewDecoder(bytes.NewReader(raw)).Decode(s); err != nil {
+	snapshot := &Snapshot{}
+	if err := gob.NewDecoder(bytes.NewReader(raw)).Decode(snapshot); err != nil {
 		t.Fatal(err)
 	}
-	return s
+	return snapshot
 }
 
 // successor makes the gateway that takes over from this one, with its snapshot imported.
 func (h *harness) successor(t *testing.T, settings Settings) *harness {
 	t.Helper()
-	s := decodeSnapshot(t, encodeSnapshot(t, h.Export(h.at)))
+	snapshot := decodeSnapshot(t, encodeSnapshot(t, h.Export(h.at)))
 	next := newHarness(t, settings)
 	next.at, next.nextID = max(next.at, h.at), h.nextID
-	if err := next.Import(next.at, s); err != nil {
+	if err := next.Import(next.at, snapshot); err != nil {
 		t.Fatal(err)
 	}
 	return next
@@ -42,7 +42,7 @@
 // An ejected backend stays so; classes are matched by their names.
 func TestHandoverKeepsWhatWasLearnt(t *testing.T) {
 	h := newHarness(t, namedSettings())
-	h.backendsByID[2].down, h.backendsByID[2].nextTrialAt = true, h.at+second
+	h.backendsByID[2].down, h.backendsByID[2].nextProbeAt = true, h.at+second
 	h.latency.byClass[0] = movingAverage{value: 1000, samples: 5}
 	settings := namedSettings()
 	settings.Classes[0], settings.Classes[2] = settings.Classes[2], settings.Classes[0]
@@ -55,14 +55,14 @@
 }
 
 func TestImportRejectsIndicesOutsideTheirLists(t *testing.T) {
-	for name, s := range map[string]*Snapshot{
+	for name, snapshot := range map[string]*Snapshot{
 		"customer": {Customers: []CustomerState{{Plan: 1}}},
 		"open":     {Plans: []string{"p"}, Open: []OpenState{{Class: 0}}},
 		"base":     {Base: [][2]float64{{1, 1}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, namedSettings())
-			if err := h.Import(h.at, s); !errors.Is(err, ErrSnapshotIndex) {
+			if err := h.Import(h.at, snapshot); !errors.Is(err, ErrSnapshotIndex) {
 				t.Errorf("got error %v", err)
 			}
 		})
@@ -81,28 +81,28 @@
 	for !h.grantsQuota(&customer{id: 9, firstReplica: first, replicas: 12}) {
 		first++
 	}
-	c := h.customerRecord(9, 0, first, 12)
-	if n := h.coordinatorCount(c); n < 2 {
+	customer := h.customerRecord(9, 0, first, 12)
+	if n := h.coordinatorCount(customer); n < 2 {
 		t.Fatalf("%d coordinators, want several", n)
 	}
-	*c.usageUnder(1) = customerUsage{consumed: 5, requested: 8, requestedReported: 7}
-	*c.usageUnder(0) = customerUsage{consumed: 2, requested: 3, requestedReported: 3}
-	c.customerUsage = customerUsage{consumed: 7, requested: 11, requestedReported: 10}
+	*customer.usageUnder(1) = customerUsage{consumed: 5, requested: 8, requestedReported: 7}
+	*customer.usageUnder(0) = customerUsage{consumed: 2, requested: 3, requestedReported: 3}
+	customer.customerUsage = customerUsage{consumed: 7, requested: 11, requestedReported: 10}
 	got := h.successor(t, settings).customers[9].usageByCoordinator
-	if !slices.Equal(got, c.usageByCoordinator) {
-		t.Errorf("use by coordinator: got %v, want %v", got, c.usageByCoordinator)
+	if !slices.Equal(got, customer.usageByCoordinator) {
+		t.Errorf("use by coordinator: got %v, want %v", got, customer.usageByCoordinator)
 	}
-	s := h.Export(h.at)
+	snapshot := h.Export(h.at)
 	full := tokenBucket{level: 60, rate: 60, capacity: 60, updatedAt: h.at}
-	for i := range s.Customers {
-		s.Customers[i].Tallies, s.Customers[i].Store = nil, encodeBucket(full)
+	for i := range snapshot.Customers {
+		snapshot.Customers[i].Tallies, snapshot.Customers[i].Store = nil, encodeBucket(full)
 	}
 	next := newHarness(t, settings)
-	if err := next.Import(next.at, s); err != nil {
+	if err := next.Import(next.at, snapshot); err != nil {
 		t.Fatal(err)
 	}
 	imported := next.customers[9]
-	if want := []customerUsage{c.customerUsage}; !slices.Equal(imported.usageByCoordinator, want) {
+	if want := []customerUsage{customer.customerUsage}; !slices.Equal(imported.usageByCoordinator, want) {
 		t.Errorf("from an older process: got %v, want %v", imported.usageByCoordinator, want)
 	}
 	if part := 60 / float64(next.coordinatorCount(imported)); imported.bucket.level > part {
--- a/policy/tokenbucket.go
+++ b/policy/tokenbucket.go
@@ -23,6 +23,9 @@
 	return overflow
 }
 
+// resize sets the rate and the capacity. The level changes with the next refill.
+func (b *tokenBucket) resize(rate, capacity float64) { b.rate, b.capacity = rate, capacity }
+
 // deposit adds units as far as they fit.
 func (b *tokenBucket) deposit(units float64) { b.level = math.Min(b.capacity, b.level+units) }
 
@@ -48,38 +51,38 @@
 func (p *Plan) overagePays() bool { return p.OverageRevenue > p.OverageCost }
 
 // refillBuckets brings a customer's buckets up to now. What overflows goes to the shared bucket.
-func (g *Controller) refillBuckets(c *customer) {
-	share, ceilingShare, plan := g.quotaShare(c), 1/float64(c.replicas), &g.settings.Plans[c.plan]
-	if plan.CeilingRate > 0 && g.hearsAllReplicas(c) {
+func (g *Controller) refillBuckets(customer *customer) {
+	plan, share, ceilingShare := g.planOf(customer), g.quotaShare(customer), 1/float64(customer.replicas)
+	if plan.CeilingRate > 0 && g.hearsAllReplicas(customer) {
 		ceilingShare = evenCeilingShare*ceilingShare + (1-evenCeilingShare)*share
 	}
 	switch {
 	case !g.sharesUsage:
-		c.bucket.rate, c.bucket.capacity = share*plan.Rate, share*plan.Burst
+		customer.bucket.resize(share*plan.Rate, share*plan.Burst)
 		share = 1
-	case g.grantsQuota(c): // the coordinators share all of the ceiling, since every gateway asks them
-		ceilingShare = 1 / float64(g.coordinatorCount(c))
-		c.bucket.rate, c.bucket.capacity = ceilingShare*plan.Rate, ceilingShare*plan.Burst
-	case g.isParticipant(c) && g.requiresGrant(c):
+	case g.grantsQuota(customer): // the coordinators share all of the ceiling, since every gateway asks them
+		ceilingShare = 1 / float64(g.coordinatorCount(customer))
+		customer.bucket.resize(ceilingShare*plan.Rate, ceilingShare*plan.Burst)
+	case g.isParticipant(customer) && g.requiresGrant(customer):
 		ceilingShare = 0
 	}
-	c.ceiling.rate, c.ceiling.capacity = ceilingShare*plan.CeilingRate, ceilingShare*plan.CeilingBurst
-	c.ceiling.refill(g.now)
-	g.shared.deposit(share * c.bucket.refill(g.now))
+	customer.ceiling.resize(ceilingShare*plan.CeilingRate, ceilingShare*plan.CeilingBurst)
+	customer.ceiling.refill(g.now)
+	g.shared.deposit(share * customer.bucket.refill(g.now))
 }
 
 // sweepCustomers refills all buckets and drops the records of idle customers, whose overflow goes
 // on feeding the shared bucket.
 func (g *Controller) sweepCustomers() {
 	kept := g.customerOrder[:0]
-	for _, c := range g.customerOrder {
-		g.refillBuckets(c)
-		g.updateGrant(c)
-		if c.idle(g.now) {
-			g.shared.idleOverflow[c.plan] += g.settings.Plans[c.plan].Rate / float64(c.replicas)
-			delete(g.customers, c.id)
+	for _, customer := range g.customerOrder {
+		g.refillBuckets(customer)
+		g.updateGrant(customer)
+		if customer.idle(g.now) {
+			g.shared.idleOverflow[customer.plan] += g.planOf(customer).Rate / float64(customer.replicas)
+			delete(g.customers, customer.id)
 		} else {
-			kept = append(kept, c)
+			kept = append(kept, customer)
 		}
 	}
 	clear(g.customerOrder[len(kept):])
@@ -89,38 +92,38 @@
 }
 
 // consume takes units that the coordinator of that index granted, 0 if none did.
-func (g *Controller) consume(c *customer, coordinator int, units float64) {
-	c.usageUnder(coordinator).consumed += units
-	if !g.requiresGrant(c) || g.coordinator(c, coordinator) == g.settings.Self {
-		c.bucket.level -= units
+func (g *Controller) consume(customer *customer, coordinator int, units float64) {
+	customer.usageUnder(coordinator).consumed += units
+	if !g.requiresGrant(customer) || g.coordinator(customer, coordinator) == g.settings.Self {
+		customer.bucket.level -= units
 	}
-	c.grantedUnits = math.Max(0, c.grantedUnits-units)
-	c.consumed += units
-	g.scheduleReport(c)
+	customer.grantedUnits = math.Max(0, customer.grantedUnits-units)
+	customer.consumed += units
+	g.scheduleReport(customer)
 }
 
 // refund returns the units of a request that never reached a backend.
-func (g *Controller) refund(r *request) {
-	if r.reachedBackend {
+func (g *Controller) refund(request *request) {
+	if request.reachedBackend {
 		return
 	}
-	g.refillBuckets(r.customer)
-	if r.borrowed {
-		g.shared.deposit(r.Cost)
+	g.refillBuckets(request.customer)
+	if request.borrowed {
+		g.shared.deposit(request.Cost)
 	} else {
-		g.consume(r.customer, r.coordinator, -r.Cost)
+		g.consume(request.customer, request.coordinator, -request.Cost)
 	}
-	if r.chargedCeiling {
-		r.customer.ceiling.deposit(r.Cost)
+	if request.chargedCeiling {
+		request.customer.ceiling.deposit(request.Cost)
 	}
 }
 
 // CostSettled charges a customer for what a request cost beyond its estimate, where that becomes
 // known only after its outcome.
-func (g *Controller) CostSettled(now Time, customer uint64, more float64) {
+func (g *Controller) CostSettled(now Time, id uint64, more float64) {
 	g.advanceClock(now)
-	if c := g.customers[customer]; c != nil && g.settings.SettlesCost {
-		g.refillBuckets(c)
-		g.consume(c, 0, more)
+	if customer := g.customers[id]; customer != nil && g.settings.SettlesCost {
+		g.refillBuckets(customer)
+		g.consume(customer, 0, more)
 	}
 }
