--- a/policy/admission.go
+++ b/policy/admission.go
@@ -54,7 +54,7 @@
 }
 
 // expiredInStall reports whether a request arrived while this gateway was stalled, and so long ago
-// that no answer can meet its objective. Other requests teach how long clients usually wait.
+// that no answer can meet its objective. From other requests it learns how long clients wait.
 func (g *Controller) expiredInStall(req *Request) bool {
 	usual := &g.clientTimeouts[req.Plan][req.Class]
 	if g.now > g.resumedAt {
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -24,7 +24,7 @@
 		(rule.within == nil || class.sameDedupScope(rule.within.backend, attempt.backend))
 }
 
-// AttemptEnded takes an attempt's outcome. Once no attempt is pending and the client has no answer,
+// AttemptEnded handles an attempt's outcome. Once no attempt is pending and the client has no answer,
 // it retries the request or gives the final answer.
 func (g *Controller) AttemptEnded(now Time, outcome Outcome) {
 	g.advanceClock(now)
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -6,9 +6,9 @@
 	fullLatencyShare     = 0.35 // the average latency, in objectives, at which the backends are at capacity
 	minInFlight          = 4.0  // attempts that a backend may always hold: one a core
 	minInFlightWhenLate  = 1.0  // the same once all answers are late: an overloaded backend must drain
-	minOwnInFlight       = 2.0  // attempts that one gateway may hold in any case,
+	minOwnInFlight       = 2.0  // attempts that one gateway may always hold,
 	maxOwnShare          = 2.0  // and beyond these, in even parts of the capacity: arrivals are uneven
-	sufficientAnswerRate = 8.0  // answers a second that tell a gateway as much as all its peers' figures
+	sufficientAnswerRate = 8.0  // answers a second at which own and peers' figures count alike
 )
 
 // loadView is this gateway's own load and that of its peers.
@@ -41,7 +41,7 @@
 }
 
 // atCapacity reports whether the given part of the backends' capacity is in use: of the attempts
-// answered on time within the allowed latency. The least capacity is open whole to any request.
+// answered on time within the allowed latency. All of the least capacity is open to any request.
 func (g *Controller) atCapacity(part float64) bool {
 	g.refreshBackendHealth()
 	view := g.loadView()
--- a/policy/controller.go
+++ b/policy/controller.go
@@ -8,7 +8,7 @@
 	quotaRequestTimer        // a quota request may have timed out
 )
 
-const stallTicks = 8 // a timer that is late by so many least event intervals shows a stall
+const stallTicks = 8 // a timer that is later than this many least event intervals shows a stall
 
 // Controller makes the decisions of one gateway. It is not safe for concurrent use; see the package
 // documentation for what its host must do.
@@ -25,7 +25,7 @@
 	customerOrder []*customer // all of customers, oldest first
 	sweptAt       Time        // when customers were last searched for idle ones
 	shared        sharedBucket
-	sharesUsage   bool // gateways tell each other their customers' use, by gossip or a counter
+	sharesUsage   bool // gateways share their customers' use, by gossip or a counter
 	gossip        gossipState
 	peers         []peer     // by gateway index; this gateway's own entry is unused
 	awaitingGrant []*request // requests that a coordinator was asked about, oldest first
@@ -119,7 +119,7 @@
 	g.announceStart()
 }
 
-// recordStall takes account of a stall that has just ended. The latency of the attempts that were
+// recordStall handles the end of a stall. The latency of the attempts that were
 // pending says nothing about the backends.
 func (g *Controller) recordStall(now, duration Time) {
 	g.stalledTime += duration
--- a/policy/coordinator.go
+++ b/policy/coordinator.go
@@ -53,7 +53,7 @@
 	return g.wideReplicaSet(customer) && rate*float64(g.receiveTime(1)) < quotaRequestShare*float64(second)
 }
 
-// coordinatorCount is over how many gateways the quota of a wide set is split: so many that each
+// coordinatorCount is over how many gateways the quota of a wide set is split: enough that each
 // can receive its quota requests, as long as each part of the burst holds the largest requests.
 func (g *Controller) coordinatorCount(customer *customer) int {
 	plan := g.planOf(customer)
@@ -109,7 +109,7 @@
 	g.actions.SendGossip(from, answer.appendTo(g.newMessage()))
 }
 
-// applyGrant takes a coordinator's grant.
+// applyGrant applies a coordinator's grant.
 func (g *Controller) applyGrant(received grant) {
 	customer := g.customers[received.customer]
 	if customer == nil || !g.wideReplicaSet(customer) {
@@ -156,7 +156,7 @@
 }
 
 // pickCoordinator draws the coordinator that a request asks, also at a coordinator: another one than
-// it asked before, and none that was unresponsive of late if there is another.
+// it asked before, and none that was recently unresponsive if there is another.
 func (g *Controller) pickCoordinator(request *request) int {
 	if !g.requiresGrant(request.customer) {
 		return 0
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -12,14 +12,14 @@
 	lastRequestCost        float64
 	demandWindow           Time // the time constant of demand and peerDemand
 
-	bucket  tokenBucket // the whole quota as far as known; without shared usage this gateway's share
+	bucket  tokenBucket // the whole quota as far as it is known, or this gateway's share if use is not shared
 	ceiling tokenBucket // this gateway's share of the ceiling
 
 	customerUsage                  // in total, since this gateway started
-	consumedReported   float64     // the part of consumed that peers, or the counter, have been told
+	consumedReported   float64     // the part of consumed that was reported to peers or the counter
 	reportsLeft        int         // gossip rounds that are still to report the use
 	peers              []peerUsage // by position in the set; nil: none reported yet
-	demand, peerDemand decayingSum // units requested of late: here, and of the other gateways
+	demand, peerDemand decayingSum // units requested recently: here, and at the other gateways
 
 	// In wide replica sets.
 	grantFraction      float64         // the fraction of requested units that may be granted
@@ -42,7 +42,7 @@
 // customerUsage counts the units of a customer at this gateway.
 type customerUsage struct {
 	consumed, requested float64
-	requestedReported   float64 // the part of requested that peers have been told
+	requestedReported   float64 // the part of requested that was reported to peers
 }
 
 // peerUsage holds the wrapping counts of a customer's use that a peer last reported.
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// UpdateEndpoints takes an update from service discovery. Endpoints that are draining or removed get
+// UpdateEndpoints applies an update from service discovery. Endpoints that are draining or removed get
 // no attempts from now on.
 func (g *Controller) UpdateEndpoints(now Time, kind UpdateKind, list []Endpoint) {
 	g.advanceClock(now)
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -207,7 +207,7 @@
 	return message
 }
 
-// announceStart tells this gateway's neighbours that it has started and knows of no customer's use.
+// announceStart announces to this gateway's neighbours that it has started without any state.
 func (g *Controller) announceStart() {
 	for index := range g.peers {
 		g.peers[index].lastHeardAt = g.now
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -11,7 +11,7 @@
 // start is the time of the first event in most tests.
 const start = 100 * second
 
-// actionKind tells the methods of Actions apart.
+// actionKind identifies a method of Actions.
 type actionKind int
 
 const (
@@ -253,7 +253,7 @@
 	return sent
 }
 
-// gossipPair makes two gateways that have heard of each other.
+// gossipPair makes two gateways that have exchanged messages.
 func gossipPair(t *testing.T) (a, b *harness) {
 	t.Helper()
 	settings := testSettings()
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -137,8 +137,8 @@
 	b.latencyRatioAt = now
 }
 
-// reportOutcomeFault tells all gateways of a backend's trouble with one class or plan, which any one
-// of them meets only now and then. They prefer other backends until the report has decayed.
+// reportOutcomeFault reports a backend's fault with one class or plan to all gateways, as each of
+// them meets it only rarely. They prefer other backends until the report has decayed.
 func (g *Controller) reportOutcomeFault(request *request, attempt *attempt, result Result) {
 	switch result {
 	case ResultOverloaded:
@@ -162,7 +162,7 @@
 	}
 }
 
-// HealthCheckEnded takes the result of a health check. The load report that came with it is unused.
+// HealthCheckEnded handles the result of a health check. The load report that came with it is unused.
 func (g *Controller) HealthCheckEnded(now Time, id uint32, result Result, _ []float32) {
 	g.advanceClock(now)
 	backend := g.backendsByID[id]
--- a/policy/ownership.go
+++ b/policy/ownership.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// PredecessorAttemptEnded takes the outcome of an attempt of the former process.
+// PredecessorAttemptEnded handles the outcome of an attempt of the former process.
 func (g *Controller) PredecessorAttemptEnded(now Time, outcome Outcome) {
 	g.advanceClock(now)
 	request := g.predecessorRequests[outcome.RequestID]
--- a/policy/quotashare.go
+++ b/policy/quotashare.go
@@ -5,7 +5,7 @@
 const (
 	evenCeilingShare    = 0.5 // the part of a ceiling that is split evenly; the rest follows demand
 	gossipDelayPeriods  = 2   // gossip periods until what a peer consumes now is known here
-	settlePeriods       = 4   // gossip periods until a new gateway has heard of all buckets
+	settlePeriods       = 4   // gossip periods until a new gateway has received all levels
 	maxSettleTime       = second / 2
 	minDemand           = 1e-9               // units: keeps ratios of demands finite
 	maxUsageIncrease    = math.MaxUint16 / 2 // a larger step of a wrapping usage count is a step back
@@ -39,7 +39,7 @@
 }
 
 // quotaShare is the share of a customer's quota that this gateway may use: its share of the recent
-// demand. Gateways not heard of count as idle.
+// demand. Gateways without reports count as idle.
 func (g *Controller) quotaShare(customer *customer) float64 {
 	own := customer.demand.value(g.now, customer.demandWindow)
 	switch {
@@ -55,7 +55,7 @@
 
 // availableUnits is what this gateway may grant a customer now: its share of the bucket as of the
 // last gossip round less its use since, or, if more, what the peers are not expected to use before
-// they are heard again: a share of a small burst may be less than one request.
+// they report again: a share of a small burst may be less than one request.
 func (g *Controller) availableUnits(customer *customer) float64 {
 	switch {
 	case g.isParticipant(customer) && customer.grantFraction < 1:
@@ -79,7 +79,7 @@
 	return g.now-g.startedAt < min(maxSettleTime, settlePeriods*g.gossip.period)
 }
 
-// hearsAllReplicas reports whether all other gateways of a customer were heard of late.
+// hearsAllReplicas reports whether all other gateways of a customer have sent messages recently.
 func (g *Controller) hearsAllReplicas(customer *customer) bool {
 	for i := range customer.replicas {
 		index := g.replica(customer, i)
@@ -177,7 +177,7 @@
 	return true
 }
 
-// CounterAnswered takes the total of a customer's use through all gateways, where gateways share a
+// CounterAnswered applies the total of a customer's use through all gateways, where gateways share a
 // counter instead of gossip. What a failed call may have added counts as used by a peer.
 func (g *Controller) CounterAnswered(now Time, name uint64, result Result, total float64) {
 	g.advanceClock(now)
--- a/policy/quotashare_fleet_test.go
+++ b/policy/quotashare_fleet_test.go
@@ -97,8 +97,8 @@
 	h.endWith(id, Outcome{Result: ResultOK, Answered: true})
 }
 
-// Guards against units beyond the quota through the whole fleet: with a replica set that nobody has
-// seen, traffic that shifts, a tenth of all messages lost, and gateways that restart.
+// Guards against units beyond the quota over the whole fleet: with a replica set that is new to all,
+// traffic that shifts, a tenth of all messages lost, and gateways that restart.
 func TestFleetKeepsAQuotaThroughShiftsLossesAndRestarts(t *testing.T) {
 	for _, gateways := range []int{3, 40, 300} {
 		f := newLossyFleet(t, gateways)
--- a/policy/recorded_play_test.go
+++ b/policy/recorded_play_test.go
@@ -136,7 +136,7 @@
 	}
 }
 
-// perform carries out one action. It reports whether a gateway has heard of something by it.
+// perform carries out one action. It reports whether it caused an event at a gateway.
 func (p *recordedPlay) perform(gateway int, a action) bool {
 	h := p.gateways[gateway]
 	switch a.kind {
--- a/policy/report_test.go
+++ b/policy/report_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// A request that a peer could have admitted is told from one beyond the quota.
+// A request that a peer could have admitted is counted apart from one beyond the quota.
 func TestCountersTellQuotaSharesFromQuotas(t *testing.T) {
 	h := newHarness(t, namedSettings())
 	customer := h.customerRecord(7, 0, 0, 2)
--- a/policy/request.go
+++ b/policy/request.go
@@ -26,7 +26,7 @@
 	sentAt          Time
 	pending         bool
 	overdue         bool // pending for longer than the latency objective
-	overlappedStall bool // this gateway was stalled meanwhile: the latency means nothing
+	overlappedStall bool // this gateway was stalled while it was pending: its latency means nothing
 	mayHaveRun      bool // false once an outcome has proved that it did not run
 }
 
--- a/policy/simulation_actors_test.go
+++ b/policy/simulation_actors_test.go
@@ -18,7 +18,7 @@
 
 type receivedRequest struct {
 	at       Time
-	informed bool // its gateway had heard of the start
+	informed bool // its gateway was informed of the start
 }
 
 // serve is how and when a request that arrives now ends.
@@ -59,7 +59,7 @@
 	*Controller
 	simulation *simulation
 	self       int
-	informed   bool           // it has heard of the start
+	informed   bool           // it has received the start
 	decided    bool           // the last request was sent, or rejected with advice
 	attempts   map[uint64]int // by request
 	deadlines  map[uint64]Time
--- a/policy/simulation_test.go
+++ b/policy/simulation_test.go
@@ -157,7 +157,7 @@
 	}
 }
 
-// updateWithStaleLists sends the gateways that have heard of the start lists from before it and
+// updateWithStaleLists sends the informed gateways lists from before it and
 // after it in turn.
 func (s *simulation) updateWithStaleLists(turn int) {
 	for i, n := range s.gateways {
@@ -291,14 +291,14 @@
 // windowLoad is what a starting backend received in one overload window.
 type windowLoad struct {
 	total    float64 // requests
-	informed float64 // those of them by gateways that had heard of the start
+	informed float64 // those of them by informed gateways
 	budget   float64 // requests that it bears, with what chance adds
 }
 
 func (w windowLoad) ratio() float64 { return w.total / w.budget }
 
 // worstWindow is the fullest window of a starting backend in relation to its budget. A window of
-// which a third came from gateways that had not heard of the start counts for nothing. With strict
+// which a third came from uninformed gateways counts for nothing. With strict
 // the backends stay at their least capacity, else it rises evenly: no backend's rises more slowly.
 func (s *simulation) worstWindow(strict bool) windowLoad {
 	worst := windowLoad{budget: 1}
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -51,7 +51,7 @@
 }
 
 // Guards against backends that get nothing until they are warm because each of many gateways sends
-// too little to save up a whole attempt for one (i47ec98).
+// too little to save up one attempt for it (i47ec98).
 func TestBackendsInSlowStartAreUsedByManySlowGateways(t *testing.T) {
 	sent := 0
 	for seed := range uint64(60) {
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// Import takes the state of another process, whose classes and plans it knows by name. The
+// Import imports the state of another process, whose classes and plans it knows by name. The
 // controller must not have decided on anything yet.
 func (g *Controller) Import(now Time, snapshot *Snapshot) error {
 	if err := snapshot.validate(); err != nil {
@@ -119,7 +119,7 @@
 	}
 }
 
-// importSharedBucket takes the shared bucket as far as it fits this controller's capacity.
+// importSharedBucket imports the shared bucket as far as it fits this controller's capacity.
 func (g *Controller) importSharedBucket(snapshot *Snapshot, indices snapshotIndices) {
 	capacity := g.shared.capacity
 	g.shared.tokenBucket = decodeBucket(snapshot.Lend)
--- a/policy/snapshot_codec.go
+++ b/policy/snapshot_codec.go
@@ -8,7 +8,7 @@
 // names differ from those in the rest of the package; the comments say what each field is there.
 // A new field is absent, hence zero, in the snapshot of an older version.
 
-// Snapshot is the state of a controller as plain data, for the process that takes over from it.
+// Snapshot is the state of a controller as plain data, for the process that succeeds it.
 // Classes and plans are given by index in it; their names say which they are.
 type Snapshot struct {
 	Classes, Plans []string // the names, by index
@@ -30,7 +30,7 @@
 	Open      []OpenState // requests with pending attempts
 
 	InTime      [2]float64     // answers within their objective (a sum)
-	Peers       [2]float64     // peers heard (a sum)
+	Peers       [2]float64     // peers that reported (a sum)
 	PeersHeld   [2]float64     // their attempts in flight (a sum)
 	PeersInTime [2]float64     // their rates of answers within the objective (a sum)
 	Pace        [2]float64     // the send rate of warm backends (a sum)
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -69,9 +69,9 @@
 	}
 }
 
-// Guards against coordinators that are told of the same units twice, or never: what a participant
+// Guards against coordinators that get the same units reported twice, or never: what a participant
 // consumed under each of several coordinators is handed over, and an older process, which knew one,
-// told it all.
+// reported all to it.
 func TestHandoverKeepsWhatEachCoordinatorWasTold(t *testing.T) {
 	settings := namedSettings()
 	settings.Gateways, settings.MaxCost = 12, 1
--- a/policy/tokenbucket.go
+++ b/policy/tokenbucket.go
@@ -91,7 +91,7 @@
 	g.shared.rate = sum(g.shared.idleOverflow)
 }
 
-// consume takes units that the coordinator of that index granted, 0 if none did.
+// consume charges units that the coordinator of that index granted, 0 if none did.
 func (g *Controller) consume(customer *customer, coordinator int, units float64) {
 	customer.usageUnder(coordinator).consumed += units
 	if !g.requiresGrant(customer) || g.coordinator(customer, coordinator) == g.settings.Self {
