--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -6,9 +6,9 @@
 	fullLatencyShare     = 0.35 // the average latency, in objectives, at which the backends are at capacity
 	minInFlight          = 4.0  // attempts that a backend may always hold: one a core
 	minInFlightWhenLate  = 1.0  // the same once all answers are late: an overloaded backend must drain
-	minOwnInFlight       = 2.0  // attempts that one gateway may hold in any case,
+	minOwnInFlight       = 2.0  // attempts that one gateway may always hold,
 	maxOwnShare          = 2.0  // and beyond these, in even parts of the capacity: arrivals are uneven
-	sufficientAnswerRate = 8.0  // answers a second that tell a gateway as much as all its peers' figures
+	sufficientAnswerRate = 8.0  // answers a second at which own and peers' figures count alike
 )
 
 // loadView is this gateway's own load and that of its peers.
@@ -31,17 +31,17 @@
 // Attempts at a backend that is down don't count, those at a slow one count less.
 func (g *Controller) effectiveInFlight() float64 {
 	total := 0.0
-	for _, b := range g.backends {
-		if !b.down && b.inFlight > 0 {
-			onTime := float64(b.inFlight) - float64(b.overdue)*(1-g.load.lateShare.value)
-			total += onTime / math.Max(1, b.slowness(g.now)/2)
+	for _, backend := range g.backends {
+		if !backend.down && backend.inFlight > 0 {
+			onTime := float64(backend.inFlight) - float64(backend.overdue)*(1-g.load.lateShare.value)
+			total += onTime / math.Max(1, backend.slowness(g.now)/2)
 		}
 	}
 	return total
 }
 
 // atCapacity reports whether the given part of the backends' capacity is in use: of the attempts
-// answered on time within the allowed latency. The least capacity is open whole to any request.
+// answered on time within the allowed latency. All of the least capacity is open to any request.
 func (g *Controller) atCapacity(part float64) bool {
 	g.refreshBackendHealth()
 	view := g.loadView()
@@ -74,11 +74,11 @@
 		g.markOverdue(class, g.settings.Classes[class].LatencyObjective)
 	}
 	g.healthy, g.warm = 0, 0
-	for _, b := range g.backends {
-		g.detectUnresponsive(b)
-		if b.ready() && !g.unhealthy(b) {
+	for _, backend := range g.backends {
+		g.detectUnresponsive(backend)
+		if backend.ready() && !g.unhealthy(backend) {
 			g.healthy++
-			if b.inSubset && g.slowStartShare(b) == 1 {
+			if backend.inSubset && g.slowStartShare(backend) == 1 {
 				g.warm++
 			}
 		}
@@ -87,15 +87,3 @@
 		g.sendRate.updatedAt = g.now // keeps the last rate: no warm backend is left to measure it
 	}
 }
-
-// markOverdue marks the pending attempts of a class that are older than the given age.
-func (g *Controller) markOverdue(class int, age Time) {
-	attempts := g.withinObjective[class]
-	for ; len(attempts) > 0 && g.now-attempts[0].sentAt > age; attempts = attempts[1:] {
-		if a := attempts[0]; a.pending {
-			a.overdue = true
-			a.backend.overdue++
-		}
-	}
-	g.withinObjective[class] = attempts
-}
