--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -12,6 +12,7 @@
 	"syscall"
 
 	"sparspread/internal/config"
+	"sparspread/internal/descriptors"
 	"sparspread/internal/gateway"
 )
 
@@ -26,7 +27,7 @@
 	// Before all else: a signal that comes early must not end the program.
 	control := signals()
 	// And before any file is opened: with too few descriptors the runtime itself ends, and says less.
-	files, err := gateway.DescriptorLimit()
+	descriptorLimit, err := descriptors.ProcessLimit()
 	if err != nil {
 		return err
 	}
@@ -34,7 +35,7 @@
 	if err != nil {
 		return err
 	}
-	cfg.DescriptorLimit = files
+	cfg.DescriptorLimit = descriptorLimit
 	// One core, and memory well below the limit at which the platform kills.
 	// The heap is small: collecting it less often costs little and saves CPU.
 	runtime.GOMAXPROCS(1)
--- /dev/null
+++ b/internal/gateway/descriptors_test.go
@@ -0,0 +1,45 @@
+package gateway
+
+import (
+	"bytes"
+	"fmt"
+	"log/slog"
+	"strings"
+	"testing"
+
+	"sparspread/internal/descriptors"
+)
+
+// The lower one of the configured number and the process's limit is shared out, and one line of the log
+// says so.
+func TestLowerDescriptorLimitIsSharedOut(t *testing.T) {
+	for _, test := range []struct{ configured, process, want, logged int }{
+		{configured: 1024, process: 0, want: 1024},
+		{configured: 1024, process: 1024, want: 1024},
+		{configured: 256, process: 20000, want: 256},
+		{configured: 1024, process: 256, want: 256, logged: 1},
+	} {
+		t.Run(fmt.Sprintf("%d configured, %d allowed", test.configured, test.process), func(t *testing.T) {
+			var log bytes.Buffer
+			cfg := configure(t, newFakeDiscovery(t), func(f map[string]any) {
+				f["limits"] = map[string]any{"sockets": test.configured}
+			})
+			cfg.DescriptorLimit = test.process
+			l, err := newLoop(cfg, slog.New(slog.NewTextHandler(&log, nil)))
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer func() { _ = l.clients.listener.Close() }()
+			want := descriptors.NewBudget(test.want, false)
+			got := descriptors.Budget{
+				PerSide: l.clients.limit, ClientSlots: cap(l.clients.slots), Operators: want.Operators,
+			}
+			if got != want || l.backends.limit != want.PerSide {
+				t.Errorf("got %+v and %d to backends, want %+v", got, l.backends.limit, want)
+			}
+			if got := strings.Count(log.String(), "fewer descriptors than configured"); got != test.logged {
+				t.Errorf("got %d lines of the lower limit, want %d", got, test.logged)
+			}
+		})
+	}
+}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"sparspread/internal/config"
+	"sparspread/internal/descriptors"
 	"sparspread/internal/discovery"
 	"sparspread/internal/handover"
 	"sparspread/internal/ops"
@@ -57,17 +58,17 @@
 	l.applyConfig(&cfg)
 	l.timer.Stop()
 	limitMemory(&cfg, 1)
-	files := budgetDescriptors(usableSockets(&cfg, log), l.counter != nil)
-	l.backends = newBackends(&cfg, files.perSide)
+	budget := descriptors.NewBudget(descriptors.Usable(&cfg, log), l.counter != nil)
+	l.backends = newBackends(&cfg, budget.PerSide)
 	l.clients = &clients{
-		limit: files.perSide, slots: make(chan struct{}, files.clientSlots), conns: map[*client]bool{},
+		limit: budget.PerSide, slots: make(chan struct{}, budget.ClientSlots), conns: map[*client]bool{},
 		drainBacklog: make(chan struct{}),
 	}
 	var err error
 	if l.controller, err = policy.New(cfg.Settings, cfg.Seed, l); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	if l.ops, err = ops.Listen(cfg.Ops, files.operators, l.metrics.page); err != nil {
+	if l.ops, err = ops.Listen(cfg.Ops, budget.Operators, l.metrics.page); err != nil {
 		return nil, err
 	}
 	l.pendingTakeover = handover.Dial(cfg.Listen, log)
