--- a/internal/gateway/client.go
+++ b/internal/gateway/client.go
@@ -5,6 +5,7 @@
 	"sync/atomic"
 	"time"
 
+	"sparspread/internal/descriptors"
 	"sparspread/internal/resp"
 	"sparspread/internal/sockwriter"
 	"sparspread/policy"
@@ -27,7 +28,7 @@
 	clock         clock         // the loop's
 	pipelineSlots chan struct{} // one for each request: acquired by the reader, released by the loop
 	done          chan struct{} // closed by the loop with the connection
-	queuedBytes   *atomic.Int64 // Loop.queuedBytes
+	queuedBytes   *atomic.Int64 // memoryUse.queued
 
 	// Shared between the loop and the reader goroutine.
 	ignoreInput  atomic.Bool  // set by the loop: what still arrives is not read as commands
@@ -67,6 +68,13 @@
 	counts       clientCounts
 }
 
+func newClients(budget descriptors.Budget) *clients {
+	return &clients{
+		slots: make(chan struct{}, budget.ClientSlots), limit: budget.PerSide, conns: map[*client]bool{},
+		drainBacklog: make(chan struct{}),
+	}
+}
+
 // clientCounts counts connections and rejections since the last report in the log.
 type clientCounts struct {
 	since    policy.Time
--- a/internal/gateway/handover_out.go
+++ b/internal/gateway/handover_out.go
@@ -61,12 +61,12 @@
 // handle sends the state. From here on no command is processed and nothing is granted until the successor has
 // accepted the state.
 func (e takeoverRequested) handle(l *Loop) {
-	if l.handover != nil || l.shutdown.closing || !l.accepting {
+	if l.handover != nil || l.shutdown.isClosing() || !l.accepting {
 		e.link.Close()
 		return
 	}
 	state, err := handover.EncodeState(&handover.State{
-		NextRequestID: l.nextRequestID,
+		NextRequestID: l.requests.lastID,
 		Endpoints:     l.backends.listedEndpoints(),
 		Policy:        l.controller.Export(l.now()),
 	})
@@ -123,7 +123,7 @@
 	}
 	h.link.SendGo()
 	h.ownershipGiven = true
-	l.log.Info("handed over", "open", l.openRequests, "clients", len(l.clients.conns))
+	l.log.Info("handed over", "open", l.requests.open, "clients", len(l.clients.conns))
 	l.ops.SetReady(false)
 	l.handoverListener.Close(false) // the successor's socket stands there now
 	_ = l.clients.listener.Close()
@@ -211,7 +211,7 @@
 		l.keepOwnership()
 	}
 	for _, command := range h.heldCommands {
-		l.queuedBytes.Add(int64(command.size)) // which its handling subtracts a second time
+		l.memory.queued.Add(int64(command.size)) // which its handling subtracts a second time
 		command.handle(l)
 	}
 	l.shutdown.endIfIdle(l)
@@ -233,7 +233,7 @@
 	l.log.Warn("handover: the new process has ended, this one serves again")
 	limitMemory(l.config, 1)
 	l.controller.ResumeOwnership(l.now())
-	if !l.shutdown.started {
+	if !l.shutdown.hasStarted() {
 		l.rebind()
 	}
 	for c := range l.clients.conns {
