--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -8,6 +8,7 @@
 	"sparspread/internal/config"
 	"sparspread/internal/discovery"
 	"sparspread/internal/handover"
+	"sparspread/internal/ops"
 	"sparspread/policy"
 )
 
@@ -36,8 +37,8 @@
 	go control.run(ctx, l)
 	l.run()
 	_ = l.clients.listener.Close() // may be closed already
-	l.ops.close()
-	l.gossip.close()
+	l.ops.Close()
+	l.gossip.Close()
 	l.handoverListener.Close(!l.handover.hasGivenOwnership())
 	if l.predecessor != nil {
 		l.predecessor.Abandon()
@@ -66,17 +67,20 @@
 	if l.controller, err = policy.New(cfg.Settings, cfg.Seed, l); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	if l.ops, err = newOps(cfg.Ops, l.metrics, files.operators); err != nil {
+	if l.ops, err = ops.Listen(cfg.Ops, files.operators, l.metrics.page); err != nil {
 		return nil, err
 	}
 	l.pendingTakeover = handover.Dial(cfg.Listen, log)
-	if l.gossip, err = newPeers(&cfg, log, l.pendingTakeover != nil); err != nil {
-		return nil, err
-	}
+	l.gossip = newGossip(&cfg, log, l.post)
 	if l.pendingTakeover != nil {
 		l.clients.listener = l.pendingTakeover.Clients
 		return l, nil
 	}
+	if cfg.Settings.Gossip {
+		if err := l.gossip.Listen(); err != nil {
+			return nil, err
+		}
+	}
 	return l, l.listen()
 }
 
@@ -85,11 +89,11 @@
 func (l *Loop) start(ctx context.Context) {
 	l.backends.updateEndpoints(l, policy.UpdateStale, l.config.Known.Endpoints)
 	l.handlePending()
-	go l.ops.serve()
+	go l.ops.Serve()
 	l.schedule(l.now()+readinessWait, readinessTimeout{})
 	l.schedule(l.now()+sweepInterval, sweepTimer{})
 	go l.discovery.Run(ctx)
-	l.gossip.resume(l)
+	l.gossip.Resume()
 	if l.counter != nil {
 		go l.counter.Run(ctx)
 	}
@@ -123,9 +127,13 @@
 	l.log.Info("ready", "listen", l.clients.listener.Addr().String(), "backends", len(l.backends.byNumber))
 	l.clients.resume(l)
 	l.listenForSuccessor()
-	l.ops.ready.Store(!l.shutdown.started)
+	l.ops.SetReady(!l.shutdown.hasStarted())
 }
 
+// readinessWait is how long, in microseconds, a start waits for discovery before it serves with the endpoint
+// list of its configuration.
+const readinessWait policy.Time = 500_000
+
 // readinessTimeout ends the wait for discovery, which may be down for long.
 type readinessTimeout struct{}
 
--- a/internal/gateway/handover_in.go
+++ b/internal/gateway/handover_in.go
@@ -26,15 +26,15 @@
 type stateReceived struct{ state *handover.State }
 
 func (e stateReceived) handle(l *Loop) {
-	if l.accepting || l.shutdown.started {
+	if l.accepting || l.shutdown.hasStarted() {
 		return
 	}
 	if e.state != nil {
 		l.importState(e.state)
 	}
 	l.predecessor, l.pendingTakeover = l.pendingTakeover, nil
-	l.adoptGossipSocket()
-	l.gossip.resume(l)
+	l.adoptGossipSocket(l.predecessor.Gossip)
+	l.gossip.Resume()
 	l.accept()
 }
 
@@ -53,25 +53,6 @@
 	limitMemory(l.config, 2)
 }
 
-// adoptGossipSocket uses the predecessor's UDP socket where it is bound as configured, and binds another
-// otherwise.
-func (l *Loop) adoptGossipSocket() {
-	enabled, conn := l.config.Settings.Gossip, l.predecessor.Gossip
-	if enabled && conn != nil && conn.LocalAddr().String() == l.config.PeerListen {
-		l.gossip.conn = conn
-		return
-	}
-	if conn != nil {
-		_ = conn.Close()
-	}
-	if !enabled {
-		return
-	}
-	if err := l.gossip.listen(l.config); err != nil {
-		l.log.Error("handover: no gossip from peers", "error", err)
-	}
-}
-
 // clientHandedOver is a client's connection from the predecessor.
 type clientHandedOver struct{ client handover.Client }
 
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -148,7 +148,7 @@
 func (r *rig) shutDownFor(tb testing.TB, time policy.Time) {
 	tb.Helper()
 	r.once.Do(func() { close(r.stopped) })
-	r.waitUntil(tb, func(l *Loop) bool { return l.shutdown.started })
+	r.waitUntil(tb, func(l *Loop) bool { return l.shutdown.hasStarted() })
 	r.advance(tb, time)
 }
 
@@ -199,6 +199,17 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
+	r := serveLoop(tb, l)
+	c := r.client(tb)
+	c.send("PING")
+	c.want("+PONG")
+	_ = c.conn.Close()
+	return r
+}
+
+// serveLoop runs a gateway's loop until the test ends.
+func serveLoop(tb testing.TB, l *Loop) *rig {
+	tb.Helper()
 	r := &rig{
 		addr: l.clients.listener.Addr().String(), loop: l, clock: useFakeClock(l),
 		stopped: make(chan struct{}), ended: make(chan struct{}),
@@ -215,10 +226,6 @@
 			tb.Error("the gateway did not end")
 		}
 	})
-	c := r.client(tb)
-	c.send("PING")
-	c.want("+PONG")
-	_ = c.conn.Close()
 	return r
 }
 
--- a/policy/stats.go
+++ b/policy/stats.go
@@ -2,62 +2,45 @@
 
 import "math"
 
-// bank is a store of units that fills at a rate up to a cap.
-type bank struct {
-	level, rate, cap float64
-	at               Time
+// decayingSum is a sum whose terms decay exponentially with age. The time constant is passed with
+// each call and must be the same in all of them.
+type decayingSum struct {
+	sum       float64
+	updatedAt Time
 }
 
-// refill brings the level up to now and returns what the full bank spilled.
-func (b *bank) refill(now Time) float64 {
-	b.level += b.rate * float64(now-b.at) / float64(second)
-	b.at = now
-	spill := math.Max(0, b.level-b.cap)
-	b.level = math.Min(b.level, b.cap)
-	return spill
-}
-
-// fading is a sum whose parts fade with age.
-type fading struct {
-	sum float64
-	at  Time
-}
-
-func (f *fading) get(now, window Time) float64 {
-	if now > f.at {
-		f.sum *= math.Exp(-float64(now-f.at) / float64(window))
-		f.at = now
+func (d *decayingSum) value(now, timeConstant Time) float64 {
+	if now > d.updatedAt {
+		d.sum *= math.Exp(-float64(now-d.updatedAt) / float64(timeConstant))
+		d.updatedAt = now
 	}
-	return f.sum
+	return d.sum
 }
 
-func (f *fading) add(now, window Time, x float64) { f.sum = f.get(now, window) + x }
-
-// mean is a mean that follows its samples: of all at first, then with a least weight.
-type mean struct{ v, n float64 }
-
-func (m *mean) add(x, weight float64) {
-	m.n++
-	m.v += math.Max(weight, 1/m.n) * (x - m.v)
+func (d *decayingSum) add(now, timeConstant Time, x float64) {
+	d.sum = d.value(now, timeConstant) + x
 }
 
-// until is the time until a level holds the units.
-func until(level, rate, units float64) Time {
-	return Time((units - level) / math.Max(rate, 1e-3) * float64(second))
+// movingAverage is the plain average of its first samples, and an exponentially weighted one
+// (EWMA) once the given weight of a sample exceeds that of a plain average.
+type movingAverage struct{ value, samples float64 }
+
+func (m *movingAverage) add(x, weight float64) {
+	m.samples++
+	m.value += math.Max(weight, 1/m.samples) * (x - m.value)
 }
 
-func total(xs []float64) float64 {
-	sum := 0.0
-	for _, x := range xs {
-		sum += x
-	}
-	return sum
+// loadEstimate is what this gateway and its peers saw of the backends' load of late. The sums
+// decay within a second.
+type loadEstimate struct {
+	onTime                            decayingSum   // answers within their objective
+	lateShare                         movingAverage // the share of answers after their objective
+	peers, peersInFlight, peersOnTime decayingSum   // peers heard, their attempts, their rates of onTime
 }
 
-// step is 1 if it is so, else 0.
-func step(so bool) float64 {
-	if so {
-		return 1
-	}
-	return 0
+// loadView is the load that all gateways heard of put on the backends.
+type loadView struct {
+	inFlight   float64 // attempts
+	onTimeRate float64 // answers a second within their objective
+	gateways   float64 // how many gateways the figures cover
 }
