--- a/internal/gateway/backend_dial_test.go
+++ b/internal/gateway/backend_dial_test.go
@@ -37,8 +37,8 @@
 				t.Fatal(e.err)
 			}
 			l.backends.closeIdle(l.backends.byNumber[1])
-			_ = wait(t, b.ended, "the connection's end")
-			if len(b.got) > 0 {
+			_ = wait(t, b.closed, "the connection's end")
+			if len(b.calls) > 0 {
 				t.Error("forwarded")
 			}
 		})
@@ -50,7 +50,7 @@
 	l, b := newLoopWithBackend(t)
 	c := connectWithRequest(t, l, "c=order,k=5c0f6e1a2b3d4c59")
 	handleNext(t, l, "the dial's end")
-	call := b.next(t)
+	call := b.nextCall(t)
 	dialing, unblock := blockDials(l)
 	_ = call.conn.Close()
 	handleNext(t, l, "the reset")
@@ -58,8 +58,8 @@
 	l.clock.wall += 31_000_000 // the window is 30 s
 	close(unblock)
 	handleNext(t, l, "the second dial's end")
-	c.want("-BUSY 2000") // all backends drop its repeats: the client may come again
-	if len(b.got) > 0 {
+	c.wantLine("-BUSY 2000") // all backends drop its repeats: the client may come again
+	if len(b.calls) > 0 {
 		t.Error("repeated behind its window")
 	}
 }
@@ -77,10 +77,10 @@
 	l.updateEndpoint(policy.UpdateIncremental, restarted)
 	close(unblock)
 	handleNext(t, l, "the dial's end")
-	_ = wait(t, b.ended, "the end of the first connection")
+	_ = wait(t, b.closed, "the end of the first connection")
 	handleNext(t, l, "the second dial's end")
-	if b.next(t); len(b.got) > 0 || a.conn == nil {
-		t.Errorf("%d further commands, connection %v", len(b.got), a.conn)
+	if b.nextCall(t); len(b.calls) > 0 || a.conn == nil {
+		t.Errorf("%d further commands, connection %v", len(b.calls), a.conn)
 	}
 }
 
--- a/internal/gateway/backend_drain_test.go
+++ b/internal/gateway/backend_drain_test.go
@@ -13,24 +13,24 @@
 // Nothing new is sent to a backend that drains. Ids are the identity: the same backend may get another
 // address.
 func TestDrainAndChangeOfAddressAreApplied(t *testing.T) {
-	r, old, d := oneBackend(t, nil)
+	r, old, d := startWithBackend(t, nil)
 	c := r.client(t)
-	c.lookup(1, "60000")
-	old.next(t).serve(t, "ok")
-	c.value("ok")
+	c.sendLookup(1, "60000")
+	old.nextCall(t).replyValue(t, "ok")
+	c.wantValue("ok")
 	other := newBackend(t)
-	d.tell(other.entry("s-00000001", "Ready"))
-	d.settled(t)
-	c.lookup(2, "60000")
-	other.next(t).serve(t, "moved")
-	c.value("moved")
-	d.tell(other.entry("s-00000001", "Terminating"))
-	d.settled(t)
-	c.lookup(3, "60000")
-	if got := c.line(); !strings.HasPrefix(got, "-BUSY") {
+	d.setEntries(other.listEntry("s-00000001", "Ready"))
+	d.awaitWatch(t)
+	c.sendLookup(2, "60000")
+	other.nextCall(t).replyValue(t, "moved")
+	c.wantValue("moved")
+	d.setEntries(other.listEntry("s-00000001", "Terminating"))
+	d.awaitWatch(t)
+	c.sendLookup(3, "60000")
+	if got := c.readLine(); !strings.HasPrefix(got, "-BUSY") {
 		t.Errorf("reply %q", got)
 	}
-	if len(old.got)+len(other.got) > 0 {
+	if len(old.calls)+len(other.calls) > 0 {
 		t.Error("sent to a backend that drains")
 	}
 }
@@ -52,8 +52,8 @@
 	if len(l.pending) != 1 || l.pending[0].(attemptEnded).result != policy.ResultNotSent {
 		t.Errorf("outcomes %+v, want one that was not sent", l.pending)
 	}
-	if err := wait(t, b.ended, "the connection's end"); !errors.Is(err, io.EOF) || len(b.got) > 0 {
-		t.Errorf("the connection ended with %v after %d commands", err, len(b.got))
+	if err := wait(t, b.closed, "the connection's end"); !errors.Is(err, io.EOF) || len(b.calls) > 0 {
+		t.Errorf("the connection ended with %v after %d commands", err, len(b.calls))
 	}
 }
 
--- a/internal/gateway/backend_pool_test.go
+++ b/internal/gateway/backend_pool_test.go
@@ -13,22 +13,22 @@
 // ended too.
 func TestBrokenConnectionLeavesIdleOnesInUse(t *testing.T) {
 	for _, alive := range []bool{true, false} {
-		r, b, _ := oneBackend(t, nil)
+		r, b, _ := startWithBackend(t, nil)
 		c, other := r.client(t), r.client(t)
-		c.lookup(1, "60000")
-		first := b.next(t)
-		other.lookup(2, "60000")
-		second := b.next(t)
-		second.serve(t, "second")
-		other.value("second") // its connection is idle by now
+		c.sendLookup(1, "60000")
+		first := b.nextCall(t)
+		other.sendLookup(2, "60000")
+		second := b.nextCall(t)
+		second.replyValue(t, "second")
+		other.wantValue("second") // its connection is idle by now
 		r.awaitQuiescence(t)
 		if !alive {
 			_ = second.conn.Close()
 		}
 		_ = first.conn.Close()
-		retry := b.next(t)
-		retry.serve(t, "first")
-		c.value("first")
+		retry := b.nextCall(t)
+		retry.replyValue(t, "first")
+		c.wantValue("first")
 		if (retry.conn == second.conn) != alive {
 			t.Errorf("the idle connection, open %t, was used %t", alive, !alive)
 		}
@@ -37,27 +37,27 @@
 
 // A reused connection that proves broken has those that were idle for longer closed, without trying each.
 func TestBrokenReuseClosesConnectionsIdleForLonger(t *testing.T) {
-	r, b, _ := oneBackend(t, nil)
+	r, b, _ := startWithBackend(t, nil)
 	c, other := r.client(t), r.client(t)
-	c.lookup(1, "60000")
-	first := b.next(t)
-	other.lookup(2, "60000")
-	second := b.next(t)
+	c.sendLookup(1, "60000")
+	first := b.nextCall(t)
+	other.sendLookup(2, "60000")
+	second := b.nextCall(t)
 	for _, call := range []*backendCall{first, second} {
-		call.serve(t, "ok")
+		call.replyValue(t, "ok")
 	}
-	c.value("ok")
-	other.value("ok")
+	c.wantValue("ok")
+	other.wantValue("ok")
 	r.awaitQuiescence(t)
-	c.lookup(3, "60000")
-	reused := b.next(t)
+	c.sendLookup(3, "60000")
+	reused := b.nextCall(t)
 	if reused.conn != first.conn && reused.conn != second.conn {
 		t.Fatal("no idle connection was used")
 	}
 	_ = reused.conn.Close()
-	retry := b.next(t)
-	retry.serve(t, "again")
-	c.value("again")
+	retry := b.nextCall(t)
+	retry.replyValue(t, "again")
+	c.wantValue("again")
 	if retry.conn == first.conn || retry.conn == second.conn {
 		t.Error("a connection idle for longer was used")
 	}
@@ -66,19 +66,19 @@
 // A restarted backend gets a new connection, though the old one was never closed, as when a machine
 // vanishes.
 func TestRestartedBackendGetsNewConnections(t *testing.T) {
-	r, b, d := oneBackend(t, nil)
+	r, b, d := startWithBackend(t, nil)
 	c := r.client(t)
-	c.lookup(1, "60000")
-	first := b.next(t)
-	first.serve(t, "ok")
-	c.value("ok")
-	entry := b.entry("s-00000001", "Ready")
-	d.tell(strings.Replace(entry, `"up_since_ms":0`, `"up_since_ms":1000000000000`, 1))
-	d.settled(t)
-	c.lookup(2, "60000")
-	second := b.next(t)
-	second.serve(t, "ok")
-	c.value("ok")
+	c.sendLookup(1, "60000")
+	first := b.nextCall(t)
+	first.replyValue(t, "ok")
+	c.wantValue("ok")
+	entry := b.listEntry("s-00000001", "Ready")
+	d.setEntries(strings.Replace(entry, `"up_since_ms":0`, `"up_since_ms":1000000000000`, 1))
+	d.awaitWatch(t)
+	c.sendLookup(2, "60000")
+	second := b.nextCall(t)
+	second.replyValue(t, "ok")
+	c.wantValue("ok")
 	if second.conn == first.conn {
 		t.Error("the old connection was used")
 	}
@@ -87,28 +87,28 @@
 // An idle connection is closed before the backend closes it: a request that crossed the backend's close
 // would end as a reset.
 func TestIdleConnectionIsClosedBeforeItsBackendDoes(t *testing.T) {
-	r, b, _ := oneBackend(t, withSettings(t, `"idle-close-us":30000000`, `"idle-close-us":200000`))
+	r, b, _ := startWithBackend(t, withSettings(t, `"idle-close-us":30000000`, `"idle-close-us":200000`))
 	c := r.client(t)
-	c.lookup(1, "60000")
-	b.next(t).serve(t, "ok")
-	c.value("ok")
+	c.sendLookup(1, "60000")
+	b.nextCall(t).replyValue(t, "ok")
+	c.wantValue("ok")
 	r.advance(t, 200_000)
-	if err := wait(t, b.ended, "the idle connection's end"); !errors.Is(err, io.EOF) {
+	if err := wait(t, b.closed, "the idle connection's end"); !errors.Is(err, io.EOF) {
 		t.Error(err)
 	}
 }
 
 // An attempt for which there is no file descriptor ends at once, and its request with it.
 func TestAttemptWithoutADescriptorIsRejectedAtOnce(t *testing.T) {
-	r, b := fourBackends(t, config.MinSockets) // 3 to backends
+	r, b := startWithFourBackends(t, config.MinSockets) // 3 to backends
 	c := r.client(t)
 	for id := range 3 {
-		c.lookup(id, "60000")
-		defer b.next(t).serve(t, "ok")
+		c.sendLookup(id, "60000")
+		defer b.nextCall(t).replyValue(t, "ok")
 	}
 	other := r.client(t)
-	other.lookup(9, "80000000")
-	if got := other.line(); !strings.HasPrefix(got, "-BUSY") {
+	other.sendLookup(9, "80000000")
+	if got := other.readLine(); !strings.HasPrefix(got, "-BUSY") {
 		t.Errorf("reply %q", got)
 	}
 }
@@ -123,8 +123,8 @@
 			l.backends.startAttempt(l, first, 1)
 			wait(t, l.events, "the dial").handle(l)
 			used := first.conn
-			call := b.next(t)
-			call.answer(t, "+PONG\r\n")
+			call := b.nextCall(t)
+			call.reply(t, "+PONG\r\n")
 			_, unblock := blockDials(l)
 			defer close(unblock)
 			answered := wait(t, l.events, "the reply")
@@ -135,10 +135,10 @@
 				t.Fatal("the connection was used at once")
 			}
 			if late {
-				call.answer(t, "+PONG\r\n")
+				call.reply(t, "+PONG\r\n")
 				wait(t, l.events, "the second answer").handle(l)
 			}
-			later(l, quiescencePeriod)
+			advance(l, quiescencePeriod)
 			if got := second.conn == used; got == late {
 				t.Errorf("the connection was used: %t", got)
 			}
--- a/internal/gateway/backend_reply_test.go
+++ b/internal/gateway/backend_reply_test.go
@@ -20,12 +20,12 @@
 			l.backends.startAttempt(l, first, 1)
 			wait(t, l.events, "the dial").handle(l)
 			used := first.conn
-			call := b.next(t) // a health check, whose reply is read like any other
-			call.answer(t, replies[0])
+			call := b.nextCall(t) // a health check, whose reply is read like any other
+			call.reply(t, replies[0])
 			wait(t, l.events, "the reply").handle(l)
 			var late event
 			if len(replies) > 1 {
-				call.answer(t, replies[1])
+				call.reply(t, replies[1])
 				late = wait(t, l.events, "the duplicate") // read, but not handled yet
 			}
 			second := newHealthCheck(l)
@@ -53,23 +53,23 @@
 		strings.Repeat("x", 4096), "*3\r\n$100\r\nends here",
 	} {
 		t.Run(reply[:min(len(reply), 12)], func(t *testing.T) {
-			r, b, _ := oneBackend(t, nil)
+			r, b, _ := startWithBackend(t, nil)
 			c, other := r.client(t), r.client(t)
-			c.lookup(1, "60000")
-			malformed := b.next(t)
-			other.lookup(2, "60000")
-			healthy := b.next(t)
-			healthy.serve(t, "fine")
-			other.value("fine")
+			c.sendLookup(1, "60000")
+			malformed := b.nextCall(t)
+			other.sendLookup(2, "60000")
+			healthy := b.nextCall(t)
+			healthy.replyValue(t, "fine")
+			other.wantValue("fine")
 			r.awaitQuiescence(t)
-			malformed.answer(t, reply)
-			retry := b.next(t)
-			retry.serve(t, "again")
-			c.value("again")
+			malformed.reply(t, reply)
+			retry := b.nextCall(t)
+			retry.replyValue(t, "again")
+			c.wantValue("again")
 			if retry.conn != healthy.conn {
 				t.Error("the idle connection was not used")
 			}
-			err := wait(t, b.ended, "the end of the connection")
+			err := wait(t, b.closed, "the end of the connection")
 			if errors.Is(err, io.ErrUnexpectedEOF) {
 				t.Error(err)
 			}
@@ -79,18 +79,18 @@
 
 // A load report or usage that can't be parsed leaves the value valid.
 func TestMalformedReportLeavesTheValue(t *testing.T) {
-	r, b, _ := oneBackend(t, nil)
+	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
 	for id, tail := range []string{"$-1\r\n$3\r\n=,=\r\n", ":12\r\n$-1\r\n", "$x\r\n$-1\r\n", "*9\r\n", "?"} {
-		c.lookup(id, "60000")
-		b.next(t).answer(t, "*3\r\n$4\r\ngood\r\n"+tail+"\r\n")
-		c.value("good")
+		c.sendLookup(id, "60000")
+		b.nextCall(t).reply(t, "*3\r\n$4\r\ngood\r\n"+tail+"\r\n")
+		c.wantValue("good")
 	}
 }
 
 // A load report that is incomplete or holds impossible values is ignored.
 func TestLoadReport(t *testing.T) {
-	cfg := configure(t, newFakeDiscovery(t), withSettings(t,
+	cfg := newConfig(t, newFakeDiscovery(t), withSettings(t,
 		`"names":[],"via":"silent"`, `"names":["busy_reqs","pending"],"via":"piggyback"`))
 	l := &Loop{config: &cfg}
 	if got := l.loadReport("pending=2,busy_reqs=7,other=1"); len(got) != 2 || got[0] != 7 || got[1] != 2 {
--- a/internal/gateway/client_commands_test.go
+++ b/internal/gateway/client_commands_test.go
@@ -9,64 +9,64 @@
 // Input that loses the framing gets an error, and the connection is closed. The first of these made another
 // parser panic.
 func TestLostFramingClosesTheConnection(t *testing.T) {
-	r, _, _ := oneBackend(t, nil)
+	r, _, _ := startWithBackend(t, nil)
 	for _, text := range []string{
 		"*1\r\n$-2\r\nxx", "GET / HTTP/1.1\r\n", "*1\r\n$99999999999999\r\n", "*-1\r\n", "*1\r\n:1\r\n",
 		"*1\r\n$1\r\nxyz", strings.Repeat("*", 1<<16) + "\n",
 	} {
 		c := r.client(t)
-		c.raw(text)
-		if got := c.line(); !strings.HasPrefix(got, "-ERR ") {
+		c.write(text)
+		if got := c.readLine(); !strings.HasPrefix(got, "-ERR ") {
 			t.Errorf("%.20q: %q", text, got)
 		}
-		c.closed()
+		c.wantClosed()
 	}
 }
 
 // A connection without a complete command in time is closed; one with an open request is not.
 func TestConnectionWithoutACompleteCommandIsClosed(t *testing.T) {
-	r, b, _ := oneBackend(t, nil)
+	r, b, _ := startWithBackend(t, nil)
 	good := r.client(t)
-	good.lookup(1, "60000")
-	call := b.next(t)
+	good.sendLookup(1, "60000")
+	call := b.nextCall(t)
 	idle, partial, slow := r.client(t), r.client(t), r.client(t)
-	partial.raw("*4\r\n$8\r\nAPI.READ\r\n$16\r\n0000")
+	partial.write("*4\r\n$8\r\nAPI.READ\r\n$16\r\n0000")
 	slow.send("PING")
-	slow.want("+PONG")
-	slow.raw("*1\r\n$4\r\nPI")
-	idle.closed()
+	slow.wantLine("+PONG")
+	slow.write("*1\r\n$4\r\nPI")
+	idle.wantClosed()
 	for _, c := range []*testClient{partial, slow} {
-		if got := c.line(); !strings.HasPrefix(got, "-ERR ") {
+		if got := c.readLine(); !strings.HasPrefix(got, "-ERR ") {
 			t.Errorf("reply %q", got)
 		}
-		c.ended()
+		c.wantEnded()
 	}
-	call.serve(t, "ok")
-	good.value("ok")
+	call.replyValue(t, "ok")
+	good.wantValue("ok")
 }
 
 // A value far over the limit gets an error before it is read.
 func TestValueOverTheLimitIsNotRead(t *testing.T) {
-	r, _, _ := oneBackend(t, nil)
+	r, _, _ := startWithBackend(t, nil)
 	c := r.client(t)
-	c.raw("*5\r\n$9\r\nAPI.WRITE\r\n$62914560\r\n")
-	if got := c.line(); !strings.HasPrefix(got, "-ERR ") {
+	c.write("*5\r\n$9\r\nAPI.WRITE\r\n$62914560\r\n")
+	if got := c.readLine(); !strings.HasPrefix(got, "-ERR ") {
 		t.Errorf("reply %q", got)
 	}
-	c.ended()
+	c.wantEnded()
 }
 
 // Malformed commands in a row close the connection; between well-formed ones they do not.
 func TestConsecutiveErrorsCloseTheConnection(t *testing.T) {
-	r, _, _ := oneBackend(t, nil)
+	r, _, _ := startWithBackend(t, nil)
 	c := r.client(t)
 	for range 2 * maxConsecutiveErrors {
 		c.send("NOTHING")
-		if got := c.line(); !strings.HasPrefix(got, "-ERR ") {
+		if got := c.readLine(); !strings.HasPrefix(got, "-ERR ") {
 			t.Errorf("reply %q", got)
 		}
 		c.send("PING")
-		c.want("+PONG")
+		c.wantLine("+PONG")
 	}
 	var flood strings.Builder
 	for range 300 {
@@ -74,9 +74,9 @@
 	}
 	go func() { _, _ = io.WriteString(c.conn, flood.String()) }() // may be cut off before its end
 	for range maxConsecutiveErrors {
-		if got := c.line(); !strings.HasPrefix(got, "-ERR ") {
+		if got := c.readLine(); !strings.HasPrefix(got, "-ERR ") {
 			t.Errorf("reply %q", got)
 		}
 	}
-	c.ended()
+	c.wantEnded()
 }
--- a/internal/gateway/client_disconnect_test.go
+++ b/internal/gateway/client_disconnect_test.go
@@ -41,16 +41,16 @@
 			l, b, dialing, unblock := newLoopWithBlockedDials(t)
 			c := connectWithRequest(t, l, "c=once")
 			wait(t, dialing, "the dial")
-			c.raw(strings.Repeat("*1\r\n$4\r\nPING\r\n", 2*maxPipelined))
-			c.book(2, "team")
-			turn(t, l, "the pipeline to fill", func() bool {
+			c.write(strings.Repeat("*1\r\n$4\r\nPING\r\n", 2*maxPipelined))
+			c.sendOnce(2, "team")
+			handleUntil(t, l, "the pipeline to fill", func() bool {
 				for c := range l.clients.conns {
 					return len(c.pipeline) == maxPipelined
 				}
 				return false
 			})
 			departure.by(c)
-			turn(t, l, "the client's disconnect", func() bool { return len(l.clients.conns) == 0 })
+			handleUntil(t, l, "the client's disconnect", func() bool { return len(l.clients.conns) == 0 })
 			wantNothingSent(t, l, b, unblock)
 		})
 	}
@@ -65,8 +65,8 @@
 			wait(t, dialing, "the dial")
 			unblock <- struct{}{}
 			handleNext(t, l, "the dial's end")
-			_ = b.next(t).conn.Close()
-			_ = wait(t, b.ended, "the first connection's end")
+			_ = b.nextCall(t).conn.Close()
+			_ = wait(t, b.closed, "the first connection's end")
 			handleNext(t, l, "the reset")
 			wait(t, dialing, "the second dial")
 			departure.by(c)
@@ -87,7 +87,7 @@
 			wait(t, dialing, "the dial")
 			unblock <- struct{}{}
 			handleNext(t, l, "the dial's end")
-			_ = b.next(t).conn.Close()
+			_ = b.nextCall(t).conn.Close()
 			awaitQueued(l, 1)
 			departure.by(c)
 			awaitQueued(l, 2)
@@ -123,8 +123,8 @@
 			}
 			handleNext(t, l, "the client's disconnect")
 			l.backends.closeIdle(l.backends.byNumber[1])
-			_ = wait(t, b.ended, "the connection's end")
-			if len(b.got) > 0 {
+			_ = wait(t, b.closed, "the connection's end")
+			if len(b.calls) > 0 {
 				t.Error("forwarded")
 			}
 		})
@@ -140,11 +140,11 @@
 			wait(t, dialing, "the dial")
 			close(unblock)
 			handleNext(t, l, "the dial's end")
-			b.next(t).serve(t, "ok")
+			b.nextCall(t).replyValue(t, "ok")
 			handleNext(t, l, "the reply")
-			c.value("ok")
-			later(l, quiescencePeriod)
-			c.book(2, "team")
+			c.wantValue("ok")
+			advance(l, quiescencePeriod)
+			c.sendOnce(2, "team")
 			awaitQueued(l, 1)
 			departure.by(c)
 			awaitQueued(l, 2)
@@ -170,15 +170,15 @@
 			wait(t, dialing, "the dial")
 			unblock <- struct{}{}
 			handleNext(t, l, "the dial's end")
-			b.next(t).serve(t, "ok")
+			b.nextCall(t).replyValue(t, "ok")
 			handleNext(t, l, "the reply")
-			c.value("ok")
-			c.book(2, "team")
+			c.wantValue("ok")
+			c.sendOnce(2, "team")
 			handleNext(t, l, "the second request")
 			wait(t, dialing, "a dial beside the quiescing connection")
 			departure.by(c)
-			turn(t, l, "the client's disconnect", func() bool { return len(l.clients.conns) == 0 })
-			later(l, quiescencePeriod)
+			handleUntil(t, l, "the client's disconnect", func() bool { return len(l.clients.conns) == 0 })
+			advance(l, quiescencePeriod)
 			if idle := len(l.backends.byNumber[1].idle); idle != 1 {
 				t.Errorf("%d idle connections, want the quiesced one", idle)
 			}
@@ -197,10 +197,10 @@
 				l, b, dialing, unblock := newLoopWithBlockedDials(t)
 				c := connectWithRequest(t, l, "c=once")
 				wait(t, dialing, "the dial")
-				c.raw(bodyHead(2, "team", len(body)) + text)
-				turn(t, l, name+" the second request", func() bool { return l.requests.open == 2 })
+				c.write(bodyHead(2, "team", len(body)) + text)
+				handleUntil(t, l, name+" the second request", func() bool { return l.requests.open == 2 })
 				departure.by(c)
-				turn(t, l, "the client's disconnect", func() bool { return len(l.clients.conns) == 0 })
+				handleUntil(t, l, "the client's disconnect", func() bool { return len(l.clients.conns) == 0 })
 				wantNothingSent(t, l, b, unblock)
 			})
 		}
@@ -226,15 +226,15 @@
 				t.Fatal(err)
 			}
 			defer func() { _ = b.Close() }()
-			l := unstarted(t, newFakeDiscovery(t))
+			l := newTestLoop(t, newFakeDiscovery(t))
 			l.backends.dial.Control = shrinkBuffer(syscall.SO_SNDBUF)
 			e := discovery.Endpoint{ID: "s-00000001", Address: b.Addr().String(), Phase: "Ready"}
 			l.updateEndpoint(policy.UpdateComplete, e)
 			c := connectWithRequest(t, l, "c=once")
 			handleNext(t, l, "the dial's end")
 			_, body := largeHead()
-			c.raw(bodyHead(2, "team", len(body)) + body + "\r\n")
-			turn(t, l, "the second dial's end", func() bool {
+			c.write(bodyHead(2, "team", len(body)) + body + "\r\n")
+			handleUntil(t, l, "the second dial's end", func() bool {
 				return l.requests.open == 2 && l.backends.byNumber[1].dialing == 0
 			})
 			departure.by(c)
@@ -254,13 +254,13 @@
 			l, b, dialing, unblock := newLoopWithBlockedDials(t)
 			c := connectWithRequest(t, l, "c=once")
 			wait(t, dialing, "the dial")
-			c.raw("invalid\r\n")
-			turn(t, l, "the invalid input", func() bool {
+			c.write("invalid\r\n")
+			handleUntil(t, l, "the invalid input", func() bool {
 				ignored := func(c *client) bool { return c.ignoreInput.Load() }
 				return slices.ContainsFunc(clientList(l), ignored)
 			})
 			departure.by(c)
-			turn(t, l, "the client's disconnect", func() bool { return len(l.clients.conns) == 0 })
+			handleUntil(t, l, "the client's disconnect", func() bool { return len(l.clients.conns) == 0 })
 			wantNothingSent(t, l, b, unblock)
 		})
 	}
--- a/internal/gateway/client_eviction_test.go
+++ b/internal/gateway/client_eviction_test.go
@@ -28,7 +28,7 @@
 // Connections without a command are evicted first, then those with one.
 func TestEvictionOrder(t *testing.T) {
 	d := newFakeDiscovery(t)
-	l := unstarted(t, d)
+	l := newTestLoop(t, d)
 	now := l.now()
 	add := func(commands int, idle policy.Time) *client {
 		t.Helper()
@@ -60,19 +60,19 @@
 
 // Clients that keep their connection after a request keep no other client out.
 func TestIdleConnectionsAreEvictedForNewOnes(t *testing.T) {
-	r, b := fourBackends(t, 40) // 6 clients, and 4 that may be rejected
+	r, b := startWithFourBackends(t, 40) // 6 clients, and 4 that may be rejected
 	for id := range 30 {
 		c := r.client(t)
-		c.lookup(id, "60000")
-		b.next(t).serve(t, "ok")
-		c.value("ok")
+		c.sendLookup(id, "60000")
+		b.nextCall(t).replyValue(t, "ok")
+		c.wantValue("ok")
 	}
 }
 
 // Too many connections without a complete command are evicted first: those without input, the oldest before
 // others. A connection amid its first command is evicted after idle ones.
 func TestUnfinishedConnectionsKeepToTheirPartOfTheLimit(t *testing.T) {
-	l := unstarted(t, newFakeDiscovery(t))
+	l := newTestLoop(t, newFakeDiscovery(t))
 	l.clients.limit = 8 // six of them for those without a complete command
 	now := l.now()
 	add := func(commands int, age, sinceInput policy.Time) *client {
@@ -114,7 +114,7 @@
 // New connections without input fill the limit: none is closed, and clients with a request are served
 // beside them. Beyond the limit of those one is rejected.
 func TestSilentNewcomersKeepOutNoClientWithARequest(t *testing.T) {
-	l := unstarted(t, newFakeDiscovery(t))
+	l := newTestLoop(t, newFakeDiscovery(t))
 	l.clients.limit = 4
 	add := func(commands int, pipeline ...*request) *client {
 		t.Helper()
@@ -138,22 +138,22 @@
 
 // A client's disconnect is noticed while its request is open, which then no longer counts.
 func TestDisconnectFreesTheCapacityOfItsRequest(t *testing.T) {
-	r, b, _ := oneBackend(t, withSettings(t, `"max-open":20000`, `"max-open":1`))
+	r, b, _ := startWithBackend(t, withSettings(t, `"max-open":20000`, `"max-open":1`))
 	c := r.client(t)
-	c.lookup(1, "80000000")
-	b.next(t)
+	c.sendLookup(1, "80000000")
+	b.nextCall(t)
 	_ = c.conn.Close()
 	served := make(chan bool, 1)
 	go func() {
-		call := <-b.got
+		call := <-b.calls
 		_, _ = call.conn.Write([]byte("*1\r\n$2\r\nok\r\n"))
 		served <- true
 	}()
 	next := r.client(t)
 	for id := 2; ; id++ {
-		next.lookup(id, "80000000")
-		if line := next.line(); line == "$2" {
-			next.want("ok")
+		next.sendLookup(id, "80000000")
+		if line := next.readLine(); line == "$2" {
+			next.wantLine("ok")
 			break
 		} else if !strings.HasPrefix(line, "-BUSY") {
 			t.Fatalf("reply %q", line)
@@ -164,21 +164,21 @@
 
 // Clients beyond the limit replace idle connections; where none is idle they are rejected at once.
 func TestClientsBeyondTheLimitAreRejected(t *testing.T) {
-	r, b := fourBackends(t, 40) // 6 clients
+	r, b := startWithFourBackends(t, 40) // 6 clients
 	idle := r.client(t)
 	idle.send("PING")
-	idle.want("+PONG")
+	idle.wantLine("+PONG")
 	for id := range 6 {
 		c := r.client(t)
-		c.lookup(id, "60000")
-		defer b.next(t).serve(t, "ok")
+		c.sendLookup(id, "60000")
+		defer b.nextCall(t).replyValue(t, "ok")
 	}
-	idle.closed()
+	idle.wantClosed()
 	_ = idle.conn.Close()
 	surplus := r.client(t)
-	surplus.lookup(9, "60000")
-	if got := surplus.line(); !strings.HasPrefix(got, "-BUSY ") {
+	surplus.sendLookup(9, "60000")
+	if got := surplus.readLine(); !strings.HasPrefix(got, "-BUSY ") {
 		t.Errorf("reply %q", got)
 	}
-	surplus.closed()
+	surplus.wantClosed()
 }
--- a/internal/gateway/client_read_ahead_test.go
+++ b/internal/gateway/client_read_ahead_test.go
@@ -9,24 +9,24 @@
 
 // Input that was read ahead keeps its order, and its memory is released.
 func TestReadAheadKeepsTheOrder(t *testing.T) {
-	r, b, _ := oneBackend(t, nil)
+	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
-	c.lookup(1, "60000")
-	call := b.next(t)
+	c.sendLookup(1, "60000")
+	call := b.nextCall(t)
 	var text strings.Builder
 	const many = 20 * maxPipelined
 	for i := range many {
 		fmt.Fprintf(&text, "*1\r\n$5\r\nX%04d\r\n*1\r\n$4\r\nPING\r\n", i)
 	}
-	c.raw(text.String())
+	c.write(text.String())
 	for r.loop.memory.queued.Load() < maxReadAhead/2 { // until much is read ahead
 		runtime.Gosched()
 	}
-	call.serve(t, "ok")
-	c.value("ok")
+	call.replyValue(t, "ok")
+	c.wantValue("ok")
 	for i := range many {
-		c.want(fmt.Sprintf("-ERR unknown command \"X%04d\"", i))
-		c.want("+PONG")
+		c.wantLine(fmt.Sprintf("-ERR unknown command \"X%04d\"", i))
+		c.wantLine("+PONG")
 	}
 	if n := r.loop.memory.queued.Load(); n != 0 {
 		t.Errorf("%d bytes are counted when all is answered", n)
@@ -35,7 +35,7 @@
 
 // The memory of read-ahead input is bounded for each connection and for all.
 func TestReadAheadIsBounded(t *testing.T) {
-	l := unstarted(t, newFakeDiscovery(t))
+	l := newTestLoop(t, newFakeDiscovery(t))
 	l.clients.resume(l)
 	t.Cleanup(l.clients.pause)
 	far := (&rig{addr: l.clients.listener.Addr().String()}).client(t)
@@ -59,25 +59,25 @@
 // A connection is handed over with the input that was read ahead behind a full pipeline.
 func TestReadAheadIsHandedOver(t *testing.T) {
 	cfg, b, _ := twoProcesses(t)
-	first := begin(t, cfg)
+	first := startGateway(t, cfg)
 	c := first.client(t)
-	c.book(1, "team")
-	open := b.next(t)
+	c.sendOnce(1, "team")
+	open := b.nextCall(t)
 	// 16 bytes each: a reader's buffer may be empty between two of them with more read ahead.
 	const ping = "*1\r\n$004\r\nPING\r\n"
-	c.raw(strings.Repeat(ping, 2*maxPipelined))
-	c.book(2, "team")
+	c.write(strings.Repeat(ping, 2*maxPipelined))
+	c.sendOnce(2, "team")
 	for first.loop.memory.queued.Load() < maxPipelined/2*int64(len(ping)) {
 		runtime.Gosched()
 	}
-	second := begin(t, cfg)
+	second := startGateway(t, cfg)
 	takesClients(t, second, 200)
-	open.serve(t, "one")
-	c.value("one")
+	open.replyValue(t, "one")
+	c.wantValue("one")
 	for range 2 * maxPipelined {
-		c.want("+PONG")
+		c.wantLine("+PONG")
 	}
-	b.next(t).serve(t, "two")
-	c.value("two")
-	wantFigures(t, second, "fulfilled.once=1")
+	b.nextCall(t).replyValue(t, "two")
+	c.wantValue("two")
+	wantMetrics(t, second, "fulfilled.once=1")
 }
--- a/internal/gateway/command_test.go
+++ b/internal/gateway/command_test.go
@@ -51,7 +51,7 @@
 
 // A malformed command gets one error, reaches no backend and leaves the framing intact.
 func TestMalformedCommandGetsAnErrorAndReachesNoBackend(t *testing.T) {
-	r, b, _ := oneBackend(t, withSettings(t, `"counter":false`, `"counter":false,"max-units":4`,
+	r, b, _ := startWithBackend(t, withSettings(t, `"counter":false`, `"counter":false,"max-units":4`,
 		`"name":"lookup"`, `"name":"lookup","hard-limit-us":60000000`))
 	const id, customer = "0000000000000001", "0000000000000007"
 	good := "c=lookup,t=team,d=60000,units=1,spread=1,first=0"
@@ -80,13 +80,13 @@
 	} {
 		c := r.client(t)
 		c.send(args...)
-		if got := c.line(); !strings.HasPrefix(got, "-ERR ") {
+		if got := c.readLine(); !strings.HasPrefix(got, "-ERR ") {
 			t.Errorf("%s: %q", name, got)
 		}
 		c.send("PING") // the framing holds
-		c.want("+PONG")
+		c.wantLine("+PONG")
 	}
-	if len(b.got) > 0 {
+	if len(b.calls) > 0 {
 		t.Error("a backend was reached")
 	}
 }
--- a/internal/gateway/discovery_watch_test.go
+++ b/internal/gateway/discovery_watch_test.go
@@ -42,7 +42,7 @@
 			if err != nil || limit >= 6*time.Second {
 				t.Errorf("a watch is waited for %v, %v", limit, err)
 			}
-			d.tell(second.entry("s-00000002", "Ready"))
+			d.setEntries(second.listEntry("s-00000002", "Ready"))
 			close(reported)
 			<-r.Context().Done()
 			return
@@ -51,26 +51,26 @@
 	}))
 	t.Cleanup(func() { hung.CloseClientConnections(); hung.Close() })
 	d = newFakeDiscovery(t)
-	r := begin(t, configure(t, d, func(f map[string]any) {
+	r := startGateway(t, newConfig(t, d, func(f map[string]any) {
 		f["discovery"] = strings.TrimPrefix(hung.URL, "http://")
 	}))
 	wait(t, reported, "the watch that hangs") // before it the unchanged list would count as the last
-	d.settled(t)
+	d.awaitWatch(t)
 	c := r.client(t)
-	c.lookup(1, "60000")
-	second.next(t).serve(t, "ok")
-	c.value("ok")
+	c.sendLookup(1, "60000")
+	second.nextCall(t).replyValue(t, "ok")
+	c.wantValue("ok")
 }
 
 // After a broken watch the next continues from the revision at hand: changes in between are reported
 // without reading the complete list.
 func TestDiscoveryWatchesOnAfterABreak(t *testing.T) {
-	r, _, d := oneBackend(t, nil)
-	d.settled(t)
+	r, _, d := startWithBackend(t, nil)
+	d.awaitWatch(t)
 	second := newBackend(t)
 	d.CloseClientConnections()
-	removed := strings.Replace(second.entry("s-00000001", "Gone"), "Ready", "Gone", 1)
-	d.tell(second.entry("s-00000002", "Ready"), removed)
+	removed := strings.Replace(second.listEntry("s-00000001", "Gone"), "Ready", "Gone", 1)
+	d.setEntries(second.listEntry("s-00000002", "Ready"), removed)
 	for want := fmt.Sprintf("index=%d&", 2); ; {
 		query := wait(t, d.calls, "a watch from the change on")
 		if query == "" {
@@ -81,15 +81,15 @@
 		}
 	}
 	c := r.client(t)
-	c.lookup(1, "60000")
-	second.next(t).serve(t, "ok")
-	c.value("ok")
+	c.sendLookup(1, "60000")
+	second.nextCall(t).replyValue(t, "ok")
+	c.wantValue("ok")
 }
 
 // A start watches from the revision of the configured list, at first without waiting.
 func TestDiscoveryStartsFromTheListGiven(t *testing.T) {
 	d := newFakeDiscovery(t)
-	begin(t, configure(t, d, func(f map[string]any) {
+	startGateway(t, newConfig(t, d, func(f map[string]any) {
 		f["known"] = json.RawMessage(`{"revision":0,"complete":true,"members":[]}`)
 	}))
 	if query := wait(t, d.calls, "the first call"); query != "index=0&wait=0" {
@@ -107,7 +107,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBackend(t)
-			d := newFakeDiscovery(t, b.entry("s-00000001", "Ready"))
+			d := newFakeDiscovery(t, b.listEntry("s-00000001", "Ready"))
 			front := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				if r.URL.Query().Get("index") == "41" {
 					answer(w)
@@ -116,18 +116,18 @@
 				d.ServeHTTP(w, r)
 			}))
 			t.Cleanup(func() { front.CloseClientConnections(); front.Close() })
-			r := begin(t, configure(t, d, func(f map[string]any) {
+			r := startGateway(t, newConfig(t, d, func(f map[string]any) {
 				f["discovery"] = strings.TrimPrefix(front.URL, "http://")
 				f["known"] = json.RawMessage(`{"revision":41,"complete":true,"members":[]}`)
 			}))
 			if query := wait(t, d.calls, "another call"); query != "" {
 				t.Errorf("the next call requests %q, want the complete list", query)
 			}
-			d.settled(t)
+			d.awaitWatch(t)
 			c := r.client(t)
-			c.lookup(1, "60000")
-			b.next(t).serve(t, "ok")
-			c.value("ok")
+			c.sendLookup(1, "60000")
+			b.nextCall(t).replyValue(t, "ok")
+			c.wantValue("ok")
 		})
 	}
 }
--- a/internal/gateway/endpoints_test.go
+++ b/internal/gateway/endpoints_test.go
@@ -11,7 +11,7 @@
 // The list at a new address may be older than what the address before has announced: a backend that was
 // announced as draining stays so until an update as new says otherwise, or it has started anew.
 func TestOlderUpdateKeepsBackendsDraining(t *testing.T) {
-	l := unstarted(t, newFakeDiscovery(t))
+	l := newTestLoop(t, newFakeDiscovery(t))
 	const id = "s-00000001"
 	for i, step := range []struct {
 		revision uint64
@@ -53,7 +53,7 @@
 		Address: server.Listener.Addr().String(), Seed: 0x8c1f30d27a5be964,
 		DrainGrace: 500 * time.Millisecond, MemoryBytes: 192 << 20,
 	}
-	cfg := configure(t, server, withGrace)
+	cfg := newConfig(t, server, withGrace)
 	got := discoveryConfig(&cfg)
 	assertDiscoveryConfig(t, got, want)
 	if got.KnownRevision != nil {
--- a/internal/gateway/fake_backend_test.go
+++ b/internal/gateway/fake_backend_test.go
@@ -13,8 +13,8 @@
 // fakeBackend records commands, which the test replies to.
 type fakeBackend struct {
 	listener  net.Listener
-	got       chan *backendCall
-	ended     chan error // how each connection ended
+	calls     chan *backendCall
+	closed    chan error // how each connection ended
 	conns     sync.Map   // those that are open
 	bodySizes chan int   // sizes of large bodies whose command has begun to arrive
 }
@@ -25,18 +25,18 @@
 	conn net.Conn
 }
 
-// answer writes a reply as it is.
-func (c *backendCall) answer(tb testing.TB, text string) {
+// reply writes a reply as it is.
+func (c *backendCall) reply(tb testing.TB, text string) {
 	tb.Helper()
 	if _, err := io.WriteString(c.conn, text); err != nil {
 		tb.Error(err)
 	}
 }
 
-// serve replies with a value.
-func (c *backendCall) serve(tb testing.TB, value string) {
+// replyValue replies with a value.
+func (c *backendCall) replyValue(tb testing.TB, value string) {
 	tb.Helper()
-	c.answer(tb, fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(value), value))
+	c.reply(tb, fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(value), value))
 }
 
 // newBackend starts a backend, which ends with the test.
@@ -47,7 +47,7 @@
 		tb.Fatal(err)
 	}
 	b := &fakeBackend{
-		listener: l, got: make(chan *backendCall, 1024), ended: make(chan error, 1024),
+		listener: l, calls: make(chan *backendCall, 1024), closed: make(chan error, 1024),
 		bodySizes: make(chan int, 16),
 	}
 	tb.Cleanup(func() { _ = l.Close() })
@@ -71,10 +71,10 @@
 					}
 					if err != nil {
 						_ = conn.Close()
-						b.ended <- err
+						b.closed <- err
 						return
 					}
-					b.got <- &backendCall{args, conn}
+					b.calls <- &backendCall{args, conn}
 				}
 			}()
 		}
@@ -94,14 +94,14 @@
 	return body, in.ReadEnd()
 }
 
-// entry is the backend's entry in discovery's list.
-func (b *fakeBackend) entry(id, phase string) string {
+// listEntry is the backend's entry in discovery's list.
+func (b *fakeBackend) listEntry(id, phase string) string {
 	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"a","cell":1,"phase":%q,"size":1,"up_since_ms":0}`,
 		id, b.listener.Addr().String(), phase)
 }
 
-// next waits for a command.
-func (b *fakeBackend) next(tb testing.TB) *backendCall {
+// nextCall waits for a command.
+func (b *fakeBackend) nextCall(tb testing.TB) *backendCall {
 	tb.Helper()
-	return wait(tb, b.got, "a command at the backend")
+	return wait(tb, b.calls, "a command at the backend")
 }
--- a/internal/gateway/fake_discovery_test.go
+++ b/internal/gateway/fake_discovery_test.go
@@ -23,14 +23,14 @@
 func newFakeDiscovery(tb testing.TB, entries ...string) *fakeDiscovery {
 	tb.Helper()
 	d := &fakeDiscovery{changed: make(chan struct{}), calls: make(chan string, 1024)}
-	d.tell(entries...)
+	d.setEntries(entries...)
 	d.Server = httptest.NewServer(d)
 	tb.Cleanup(func() { d.CloseClientConnections(); d.Close() })
 	return d
 }
 
-// tell replaces the list.
-func (d *fakeDiscovery) tell(entries ...string) {
+// setEntries replaces the list.
+func (d *fakeDiscovery) setEntries(entries ...string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.revision++
@@ -39,9 +39,9 @@
 	d.changed = make(chan struct{})
 }
 
-// settled waits until the gateway watches from the last change on: it has read that change, and handles it
+// awaitWatch waits until the gateway watches from the last change on: it has read that change, and handles it
 // before what it reads later.
-func (d *fakeDiscovery) settled(tb testing.TB) {
+func (d *fakeDiscovery) awaitWatch(tb testing.TB) {
 	tb.Helper()
 	d.mu.Lock()
 	want := fmt.Sprintf("index=%d&", d.revision)
--- a/internal/gateway/figures_test.go
+++ b/internal/gateway/figures_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// The page of /ops/stats was recorded from the program of commit d086cf6: operators' tools read it by these names.
+// The page of /ops/stats was recorded from the program of commit d086cf6: operators' tools read it by these
+// names.
 func TestStatsPageIsWrittenAsRecorded(t *testing.T) {
 	want, err := os.ReadFile("testdata/stats.txt")
 	if err != nil {
--- a/internal/gateway/files_test.go
+++ b/internal/gateway/files_test.go
@@ -43,7 +43,7 @@
 		{1024, 0, 1024, 0}, {1024, 1024, 1024, 0}, {256, 20000, 256, 0}, {1024, 256, 256, 1},
 	} {
 		var log bytes.Buffer
-		cfg := configure(t, newFakeDiscovery(t), func(f map[string]any) {
+		cfg := newConfig(t, newFakeDiscovery(t), func(f map[string]any) {
 			f["limits"] = map[string]any{"sockets": c.configured}
 		})
 		cfg.DescriptorLimit = c.process
--- a/internal/gateway/handover_older_test.go
+++ b/internal/gateway/handover_older_test.go
@@ -36,10 +36,10 @@
 // one that has just started, and another warm one.
 func recordedEndpoints(t *testing.T, b *fakeBackend, startedAt policy.Time) []string {
 	t.Helper()
-	cold := strings.Replace(b.entry("s-00000003", "Ready"), `"up_since_ms":0`,
+	cold := strings.Replace(b.listEntry("s-00000003", "Ready"), `"up_since_ms":0`,
 		fmt.Sprintf(`"up_since_ms":%d`, startedAt/1000), 1)
-	refusing := strings.Replace(b.entry("s-00000002", "Ready"), b.listener.Addr().String(), unusedAddress(t), 1)
-	return []string{b.entry("s-00000001", "Ready"), b.entry("s-00000004", "Ready"), refusing, cold}
+	refusing := strings.Replace(b.listEntry("s-00000002", "Ready"), b.listener.Addr().String(), unusedAddress(t), 1)
+	return []string{b.listEntry("s-00000001", "Ready"), b.listEntry("s-00000004", "Ready"), refusing, cold}
 }
 
 // unusedAddress returns an address at which nothing listens.
@@ -60,7 +60,7 @@
 	t.Helper()
 	text := strings.Replace(settingsText, `"rate":0.1,`, `"rate":0.0001,`, 1)
 	text = strings.Replace(text, `"settles":false`, `"settles":true,"max-units":8`, 1)
-	return configure(t, d, func(f map[string]any) {
+	return newConfig(t, d, func(f map[string]any) {
 		withOps(f)
 		f["listen"] = listen
 		f["settings"] = json.RawMessage(text)
@@ -190,7 +190,7 @@
 	successors := handovertest.Listen(t, handover.SocketPath(cfg.Listen))
 	started := make(chan *Loop, 1)
 	go func() {
-		l, err := newLoop(cfg, quiet())
+		l, err := newLoop(cfg, discardLog())
 		if err != nil {
 			t.Error(err)
 		}
@@ -235,12 +235,12 @@
 	}
 
 	old.play(handovertest.Client) // with a command that the older process has read
-	b.next(t).serve(t, "from its input")
-	old.clients[0].value("from its input")
+	b.nextCall(t).replyValue(t, "from its input")
+	old.clients[0].wantValue("from its input")
 	old.play(handovertest.Client)
 	spent := old.clients[1]
-	spent.book(5, "tiny")
-	if got := spent.line(); got != "-BUSY 2000" {
+	spent.sendOnce(5, "tiny")
+	if got := spent.readLine(); got != "-BUSY 2000" {
 		t.Errorf("answer %q of a customer whose bucket the older process has emptied, want -BUSY 2000", got)
 	}
 
@@ -248,15 +248,15 @@
 	old.play(handovertest.AttemptOver)
 	old.link.Close()
 	for inspectLoop(t, r, func(l *Loop) bool { return l.predecessorRunning }) {
-		r.turn(t)
+		r.sync(t)
 	}
 	got, want := findCustomer(t, exportedState(t, r), 7), findCustomer(t, recorded, 7)
 	if cost := want.Store[0] - got.Store[0]; cost != 0.5 {
 		t.Errorf("the open request's answer cost %g more than its estimate, want 0.5", cost)
 	}
-	old.clients[2].lookup(6, "60000") // the connection came after its answer
-	b.next(t).serve(t, "ok")
-	old.clients[2].value("ok")
+	old.clients[2].sendLookup(6, "60000") // the connection came after its answer
+	b.nextCall(t).replyValue(t, "ok")
+	old.clients[2].wantValue("ok")
 }
 
 // recordedSituation is a gateway as the older one was when it was asked to hand over.
@@ -274,27 +274,27 @@
 	t.Helper()
 	useShortTempDir(t)
 	b := newBackend(t)
-	d := newFakeDiscovery(t, b.entry("s-00000001", "Ready"))
+	d := newFakeDiscovery(t, b.listEntry("s-00000001", "Ready"))
 	s := &recordedSituation{cfg: configureRecorded(t, d, unusedAddress(t)), backend: b}
-	s.rig = begin(t, s.cfg)
+	s.rig = startGateway(t, s.cfg)
 	s.idle, s.spent, s.open = s.rig.client(t), s.rig.client(t), s.rig.client(t)
-	s.spent.book(1, "tiny")
-	b.next(t).serve(t, "one")
-	s.spent.value("one")
-	s.idle.book(2, "team")
-	b.next(t).serve(t, "two")
-	s.idle.value("two")
-	s.open.lookup(3, "60000")
-	s.openCall = b.next(t)
-
-	d.tell(recordedEndpoints(t, b, inspectLoop(t, s.rig, (*Loop).now))...)
-	d.settled(t)
+	s.spent.sendOnce(1, "tiny")
+	b.nextCall(t).replyValue(t, "one")
+	s.spent.wantValue("one")
+	s.idle.sendOnce(2, "team")
+	b.nextCall(t).replyValue(t, "two")
+	s.idle.wantValue("two")
+	s.open.sendLookup(3, "60000")
+	s.openCall = b.nextCall(t)
+
+	d.setEntries(recordedEndpoints(t, b, inspectLoop(t, s.rig, (*Loop).now))...)
+	d.awaitWatch(t)
 	unavailable := func(l *Loop) int { return l.controller.UnavailableBackends() }
 	for id := 100; inspectLoop(t, s.rig, unavailable) == 0; id++ {
 		c := s.rig.client(t)
-		c.lookup(id, "60000")
-		b.next(t).serve(t, "ok")
-		c.value("ok")
+		c.sendLookup(id, "60000")
+		b.nextCall(t).replyValue(t, "ok")
+		c.wantValue("ok")
 		closeConn(t, c.conn)
 	}
 	return s
@@ -312,9 +312,9 @@
 	if state.Version != 1 || len(state.Members) != 4 || state.Module == nil {
 		t.Fatalf("version %d with %d endpoints and state %v", state.Version, len(state.Members), state.Module)
 	}
-	s.idle.book(4, "team")
+	s.idle.sendOnce(4, "team")
 	for inspectLoop(t, s.rig, func(l *Loop) int { return len(l.handover.heldCommands) }) == 0 {
-		s.rig.turn(t)
+		s.rig.sync(t)
 	}
 	link.Send(handovertest.Accepted, nil)
 	link.Expect(handovertest.Go)
@@ -350,15 +350,15 @@
 	}
 
 	s.rig.runClock()
-	s.openCall.answer(t, "-ERR failed\r\n")
+	s.openCall.reply(t, "-ERR failed\r\n")
 	wantOlderMessage(t, link, handovertest.AttemptOver, handovertest.AttemptEnded{
 		ID: openRequestID, Backend: warmBackend, Result: uint8(policy.ResultFailed),
 	})
 	wantOlderMessage(t, link, handovertest.AttemptAgain, handovertest.AttemptSent{
 		ID: openRequestID, Backend: retryBackend,
 	})
-	s.backend.next(t).answer(t, "*3\r\n$2\r\nok\r\n$15\r\nused=3,cost=1.5\r\n$-1\r\n")
-	s.open.value("ok")
+	s.backend.nextCall(t).reply(t, "*3\r\n$2\r\nok\r\n$15\r\nused=3,cost=1.5\r\n$-1\r\n")
+	s.open.wantValue("ok")
 	wantClient(t, link.Expect(handovertest.Client))
 	wantOlderMessage(t, link, handovertest.AttemptOver, handovertest.AttemptEnded{
 		ID: openRequestID, Attempt: 1, Backend: retryBackend, Result: uint8(policy.ResultOK),
--- a/internal/gateway/handover_test.go
+++ b/internal/gateway/handover_test.go
@@ -19,7 +19,7 @@
 	t.Helper()
 	useShortTempDir(t)
 	b := newBackend(t)
-	d := newFakeDiscovery(t, b.entry("s-00000001", "Ready"))
+	d := newFakeDiscovery(t, b.listEntry("s-00000001", "Ready"))
 	return configureReplaceable(t, d), b, d
 }
 
@@ -51,7 +51,7 @@
 		t.Fatal(err)
 	}
 	slowRefill := strings.Replace(settingsText, `"rate":0.1,`, `"rate":0.0001,`, 1)
-	return configure(t, d, func(f map[string]any) {
+	return newConfig(t, d, func(f map[string]any) {
 		withOps(f)
 		f["listen"] = free.Addr().String()
 		f["settings"] = json.RawMessage(slowRefill)
@@ -67,7 +67,7 @@
 // takesClients waits until a gateway reports a status: 200 where it serves clients, 503 where it does not.
 func takesClients(t *testing.T, r *rig, want int) {
 	t.Helper()
-	for until := time.Now().Add(patience); time.Now().Before(until); {
+	for until := time.Now().Add(testTimeout); time.Now().Before(until); {
 		if got, _ := operate(t, r, "GET", "/ops/readiness"); got == want {
 			return
 		}
@@ -75,8 +75,8 @@
 	t.Fatal("readiness never was ", want)
 }
 
-// book sends a request that is forwarded only once, however long its answer takes.
-func (c *testClient) book(id int, plan string) {
+// sendOnce sends a request that is forwarded only once, however long its answer takes.
+func (c *testClient) sendOnce(id int, plan string) {
 	c.t.Helper()
 	customer := fmt.Sprintf("%016x", plan[1])
 	fields := "c=once,t=" + plan + ",d=86400000,units=1,spread=1,first=0"
@@ -87,72 +87,72 @@
 // bucket is granted from twice.
 func TestSuccessorTakesOverRequestsConnectionsAndBuckets(t *testing.T) {
 	cfg, b, _ := twoProcesses(t)
-	first := begin(t, cfg)
+	first := startGateway(t, cfg)
 	idle, busy, spent := first.client(t), first.client(t), first.client(t)
-	idle.book(1, "team")
-	b.next(t).serve(t, "one")
-	idle.value("one")
-	spent.book(2, "tiny")
-	b.next(t).serve(t, "two")
-	spent.value("two")
-	busy.book(3, "team")
-	open := b.next(t)
-
-	second := begin(t, cfg)
+	idle.sendOnce(1, "team")
+	b.nextCall(t).replyValue(t, "one")
+	idle.wantValue("one")
+	spent.sendOnce(2, "tiny")
+	b.nextCall(t).replyValue(t, "two")
+	spent.wantValue("two")
+	busy.sendOnce(3, "team")
+	open := b.nextCall(t)
+
+	second := startGateway(t, cfg)
 	takesClients(t, second, 200)
 	takesClients(t, first, 503)
-	idle.book(4, "team")
-	b.next(t).serve(t, "four")
-	idle.value("four")
-	spent.book(5, "tiny")
-	if got := spent.line(); got != "-BUSY 2000" {
+	idle.sendOnce(4, "team")
+	b.nextCall(t).replyValue(t, "four")
+	idle.wantValue("four")
+	spent.sendOnce(5, "tiny")
+	if got := spent.readLine(); got != "-BUSY 2000" {
 		t.Errorf("a burst was granted twice: %q", got)
 	}
-	busy.book(6, "team") // behind the one that stayed with the first process
-	open.serve(t, "three")
-	busy.value("three")
-	b.next(t).serve(t, "six")
-	busy.value("six")
-	wantFigures(t, second, "fulfilled.once=2", "throttled.once=1")
-	wantFigures(t, first, "fulfilled.once=3", "open_requests=0")
+	busy.sendOnce(6, "team") // behind the one that stayed with the first process
+	open.replyValue(t, "three")
+	busy.wantValue("three")
+	b.nextCall(t).replyValue(t, "six")
+	busy.wantValue("six")
+	wantMetrics(t, second, "fulfilled.once=2", "throttled.once=1")
+	wantMetrics(t, first, "fulfilled.once=3", "open_requests=0")
 
 	first.shutDown()
 	wait(t, first.ended, "the first process to end")
 	late := second.client(t)
-	late.book(7, "team")
-	b.next(t).serve(t, "seven")
-	late.value("seven")
+	late.sendOnce(7, "team")
+	b.nextCall(t).replyValue(t, "seven")
+	late.wantValue("seven")
 }
 
 // A third process takes over from the second, which listens where the first one did.
 func TestEachSuccessorCanHandOver(t *testing.T) {
 	cfg, b, _ := twoProcesses(t)
-	first := begin(t, cfg)
+	first := startGateway(t, cfg)
 	c := first.client(t)
 	for i := range 3 {
-		next := begin(t, cfg)
+		next := startGateway(t, cfg)
 		takesClients(t, next, 200)
 		first.shutDown()
 		wait(t, first.ended, "the predecessor to end")
 		first = next
-		c.book(i, "team")
-		b.next(t).serve(t, "ok")
-		c.value("ok")
+		c.sendOnce(i, "team")
+		b.nextCall(t).replyValue(t, "ok")
+		c.wantValue("ok")
 	}
 }
 
 func TestPredecessorServesAgainWhenSuccessorEnds(t *testing.T) {
 	cfg, b, _ := twoProcesses(t)
-	first := begin(t, cfg)
-	second := begin(t, cfg)
+	first := startGateway(t, cfg)
+	second := startGateway(t, cfg)
 	takesClients(t, second, 200)
 	second.shutDown()
 	wait(t, second.ended, "the second process to end")
 	takesClients(t, first, 200)
 	c := first.client(t)
-	c.book(1, "team")
-	b.next(t).serve(t, "ok")
-	c.value("ok")
+	c.sendOnce(1, "team")
+	b.nextCall(t).replyValue(t, "ok")
+	c.wantValue("ok")
 	dialHandover(t, cfg)
 }
 
@@ -160,14 +160,14 @@
 // meanwhile are answered.
 func TestInterruptedHandoverChangesNothing(t *testing.T) {
 	cfg, b, _ := twoProcesses(t)
-	first := begin(t, cfg)
+	first := startGateway(t, cfg)
 	c := first.client(t)
 	id := 0
 	serves := func() {
 		id++
-		c.book(id, "team")
-		b.next(t).serve(t, "ok")
-		c.value("ok")
+		c.sendOnce(id, "team")
+		b.nextCall(t).replyValue(t, "ok")
+		c.wantValue("ok")
 	}
 	for _, packet := range []string{"", "x", "\x00", strings.Repeat("h", 63)} { // none asks for the handover
 		conn := dialHandover(t, cfg)
@@ -185,13 +185,13 @@
 	conn.Send(handovertest.Takeover, nil)
 	conn.Expect(handovertest.StateEnd)
 	id++
-	c.book(id, "team") // held until it is known who decides
-	conn.Close()       // without having accepted the state
-	b.next(t).serve(t, "held")
-	c.value("held")
+	c.sendOnce(id, "team") // held until it is known who decides
+	conn.Close()           // without having accepted the state
+	b.nextCall(t).replyValue(t, "held")
+	c.wantValue("held")
 	serves()
 
-	second := begin(t, cfg) // another successor takes over as usual
+	second := startGateway(t, cfg) // another successor takes over as usual
 	takesClients(t, second, 200)
 	serves()
 }
@@ -204,10 +204,10 @@
 	if err := stale.Close(); err != nil {
 		t.Fatal(err)
 	}
-	c := begin(t, cfg).client(t)
-	c.book(1, "team")
-	b.next(t).serve(t, "ok")
-	c.value("ok")
+	c := startGateway(t, cfg).client(t)
+	c.sendOnce(1, "team")
+	b.nextCall(t).replyValue(t, "ok")
+	c.wantValue("ok")
 	dialHandover(t, cfg)
 }
 
@@ -215,16 +215,16 @@
 // second.
 func TestPartlyReadCommandFollowsItsClient(t *testing.T) {
 	cfg, b, _ := twoProcesses(t)
-	first := begin(t, cfg)
+	first := startGateway(t, cfg)
 	c := first.client(t)
 	c.send("PING")
-	c.want("+PONG")
-	c.raw("*4\r\n$8\r\nAPI.READ\r\n$16\r\n00000000")
-	second := begin(t, cfg)
+	c.wantLine("+PONG")
+	c.write("*4\r\n$8\r\nAPI.READ\r\n$16\r\n00000000")
+	second := startGateway(t, cfg)
 	takesClients(t, second, 200)
-	c.raw("00000007\r\n$16\r\n0000000000000001\r\n" +
+	c.write("00000007\r\n$16\r\n0000000000000001\r\n" +
 		"$48\r\nc=lookup,t=team,d=60000,units=1,spread=1,first=0\r\n")
-	b.next(t).serve(t, "ok")
-	c.value("ok")
-	wantFigures(t, second, "fulfilled.lookup=1")
+	b.nextCall(t).replyValue(t, "ok")
+	c.wantValue("ok")
+	wantMetrics(t, second, "fulfilled.lookup=1")
 }
--- a/internal/gateway/loop_rig_test.go
+++ b/internal/gateway/loop_rig_test.go
@@ -53,7 +53,7 @@
 func newLoopWithBackend(t *testing.T) (*Loop, *fakeBackend) {
 	t.Helper()
 	b := newBackend(t)
-	l := unstarted(t, newFakeDiscovery(t))
+	l := newTestLoop(t, newFakeDiscovery(t))
 	l.updateEndpoint(policy.UpdateComplete, b.endpoint())
 	return l, b
 }
@@ -99,10 +99,10 @@
 		t.Errorf("%d attempts wait for a connection", n)
 	}
 	close(unblock)
-	turn(t, l, "the dial's end", func() bool { return l.backends.byNumber[1].dialing == 0 })
+	handleUntil(t, l, "the dial's end", func() bool { return l.backends.byNumber[1].dialing == 0 })
 	l.backends.closeIdle(l.backends.byNumber[1])
-	_ = wait(t, b.ended, "the connection's end")
-	if len(b.got) > 0 {
+	_ = wait(t, b.closed, "the connection's end")
+	if len(b.calls) > 0 {
 		t.Error("forwarded")
 	}
 }
--- a/internal/gateway/ops_test.go
+++ b/internal/gateway/ops_test.go
@@ -34,9 +34,9 @@
 	return res.StatusCode, string(body)
 }
 
-func wantFigures(t testing.TB, r *rig, want ...string) {
+func wantMetrics(t testing.TB, r *rig, want ...string) {
 	t.Helper()
-	r.turn(t) // what a fake has seen already may be counted only after that
+	r.sync(t) // what a fake has seen already may be counted only after that
 	_, body := operate(t, r, "GET", "/ops/stats")
 	for _, line := range want {
 		if !strings.Contains("\n"+body, "\nedge_relay."+line+"\n") {
@@ -45,10 +45,10 @@
 	}
 }
 
-// reached waits until a figure shows.
-func reached(t testing.TB, r *rig, line string) {
+// awaitMetric waits until a figure shows.
+func awaitMetric(t testing.TB, r *rig, line string) {
 	t.Helper()
-	for until := time.Now().Add(patience); time.Now().Before(until); {
+	for until := time.Now().Add(testTimeout); time.Now().Before(until); {
 		if _, body := operate(t, r, "GET", "/ops/stats"); strings.Contains(body, "\nedge_relay."+line+"\n") {
 			return
 		}
@@ -58,30 +58,30 @@
 
 // Each request ends under one outcome of its class, and every class is there from the start.
 func TestFiguresCountEachRequestOnce(t *testing.T) {
-	r, b, _ := oneBackend(t, withOps)
-	wantFigures(t, r, "fulfilled.lookup=0", "throttled.order=0", "faulted.once=0", "relayed.lookup=0",
+	r, b, _ := startWithBackend(t, withOps)
+	wantMetrics(t, r, "fulfilled.lookup=0", "throttled.order=0", "faulted.once=0", "relayed.lookup=0",
 		"open_requests=0", "registry_entries=1", "out_of_rotation=0", "cfg_accepted=0", "cfg_invalid=0")
 	c := r.client(t)
-	c.lookup(1, "60000")
-	call := b.next(t)
-	wantFigures(t, r, "open_requests=1", "relayed.lookup=1")
-	call.serve(t, "ok")
-	c.value("ok")
+	c.sendLookup(1, "60000")
+	call := b.nextCall(t)
+	wantMetrics(t, r, "open_requests=1", "relayed.lookup=1")
+	call.replyValue(t, "ok")
+	c.wantValue("ok")
 	c.send("API.WRITE", "0000000000000007", "0000000000000002", "c=once,t=team,d=60000,units=1,spread=1,first=0", "x")
-	b.next(t).answer(t, "-ERR failed\r\n")
-	c.want("-ERR failed")
+	b.nextCall(t).reply(t, "-ERR failed\r\n")
+	c.wantLine("-ERR failed")
 	c.send("API.READ", "0000000000000008", "0000000000000003", "c=lookup,t=tiny,d=60000,units=8,spread=1,first=0")
-	if got := c.line(); !isBusyReply([]byte(got)) {
+	if got := c.readLine(); !isBusyReply([]byte(got)) {
 		t.Fatalf("answer %q", got)
 	}
-	wantFigures(t, r, "fulfilled.lookup=1", "throttled.lookup=1", "faulted.lookup=0", "relayed.lookup=1",
+	wantMetrics(t, r, "fulfilled.lookup=1", "throttled.lookup=1", "faulted.lookup=0", "relayed.lookup=1",
 		"faulted.once=1", "relayed.once=1", "open_requests=0")
 }
 
 // Not ready before clients are taken nor once stopping, and answered while the loop stands still.
 func TestReadinessNeedsNoLoop(t *testing.T) {
 	d := newFakeDiscovery(t)
-	l, err := newLoop(configure(t, d, withOps), quiet())
+	l, err := newLoop(newConfig(t, d, withOps), discardLog())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -117,55 +117,55 @@
 
 // Classes come and go by their names; an open request keeps its class, and no total falls.
 func TestReloadChangesClasses(t *testing.T) {
-	r, b, d := oneBackend(t, withOps)
+	r, b, d := startWithBackend(t, withOps)
 	c := r.client(t)
-	c.lookup(1, "60000")
-	open := b.next(t)
-	r.reloads(configure(t, d, func(f map[string]any) {
+	c.sendLookup(1, "60000")
+	open := b.nextCall(t)
+	r.reloadWith(newConfig(t, d, func(f map[string]any) {
 		withOps(f)
 		// lookup vanishes while a request of it is open, order becomes the first, strict joins
 		f["settings"] = settingsWith(t, `{"name":"lookup","promise-us":10000000,"repeat":"retryable","group":"all","window-us":0,"worth":1},`, "",
 			`{"name":"once"`, `{"name":"strict","promise-us":10000000,"repeat":"fragile","group":"all","window-us":0,"worth":2},{"name":"once"`)
 	}), nil)
-	reached(t, r, "cfg_accepted=1")
+	awaitMetric(t, r, "cfg_accepted=1")
 	c2 := r.client(t)
 	for range 2 * maxConsecutiveErrors { // which is no fault of the connection's
-		c2.lookup(2, "60000")
-		if got := c2.line(); !strings.HasPrefix(got, "-ERR") {
+		c2.sendLookup(2, "60000")
+		if got := c2.readLine(); !strings.HasPrefix(got, "-ERR") {
 			t.Fatalf("a class that vanished: %q", got)
 		}
 	}
 	c3 := r.client(t)
 	c3.send("API.WRITE", "0000000000000007", "0000000000000003", "c=strict,t=team,d=60000,units=1,spread=1,first=0", "x")
-	b.next(t).serve(t, "new")
-	c3.value("new")
-	open.answer(t, "-ERR failed\r\n") // it may be repeated, as its class said
-	b.next(t).serve(t, "old")
-	c.value("old")
-	wantFigures(t, r, "fulfilled.lookup=1", "relayed.lookup=2", "fulfilled.strict=1", "cfg_accepted=1", "cfg_invalid=0")
+	b.nextCall(t).replyValue(t, "new")
+	c3.wantValue("new")
+	open.reply(t, "-ERR failed\r\n") // it may be repeated, as its class said
+	b.nextCall(t).replyValue(t, "old")
+	c.wantValue("old")
+	wantMetrics(t, r, "fulfilled.lookup=1", "relayed.lookup=2", "fulfilled.strict=1", "cfg_accepted=1", "cfg_invalid=0")
 }
 
 // Of a file with anything wrong nothing is taken, not even discovery's address.
 func TestReloadTakesAllOrNothing(t *testing.T) {
-	r, b, d := oneBackend(t, withOps)
+	r, b, d := startWithBackend(t, withOps)
 	elsewhere := newFakeDiscovery(t)
-	good := configure(t, elsewhere, withOps)
+	good := newConfig(t, elsewhere, withOps)
 	lacking := good
 	lacking.Keys = map[string]config.Present{"name": {}}
-	r.reloads(lacking, nil)
-	short := configure(t, elsewhere, func(f map[string]any) {
+	r.reloadWith(lacking, nil)
+	short := newConfig(t, elsewhere, func(f map[string]any) {
 		withOps(f)
 		f["settings"] = settingsWith(t, `,"max-attempts":3`, "")
 	})
-	r.reloads(short, nil)
-	r.reloads(configure(t, elsewhere, func(f map[string]any) {
+	r.reloadWith(short, nil)
+	r.reloadWith(newConfig(t, elsewhere, func(f map[string]any) {
 		withOps(f)
 		f["settings"] = settingsWith(t, `,"window-us":0,"worth":1`, `,"worth":1`)
 	}), nil)
-	reached(t, r, "cfg_invalid=3")
-	wantFigures(t, r, "cfg_accepted=0")
-	d.tell(b.entry("s-00000001", "Ready"))
-	d.settled(t)
+	awaitMetric(t, r, "cfg_invalid=3")
+	wantMetrics(t, r, "cfg_accepted=0")
+	d.setEntries(b.listEntry("s-00000001", "Ready"))
+	d.awaitWatch(t)
 	if len(elsewhere.calls) > 0 {
 		t.Error("discovery moved with a configuration that was turned down")
 	}
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -17,38 +17,38 @@
 // Discovery moves at once, though a watch is open at the old address; the request and the connection that are
 // open go on.
 func TestReloadMovesDiscovery(t *testing.T) {
-	r, before, old := oneBackend(t, nil)
-	old.settled(t)
+	r, before, old := startWithBackend(t, nil)
+	old.awaitWatch(t)
 	c := r.client(t)
-	c.lookup(1, "60000")
-	call := before.next(t)
+	c.sendLookup(1, "60000")
+	call := before.nextCall(t)
 
 	after := newBackend(t)
-	moved := newFakeDiscovery(t, after.entry("s-00000002", "Ready"))
-	r.reloads(configure(t, moved, nil), nil)
-	moved.settled(t)
-	call.serve(t, "old")
-	c.value("old")
-	c.lookup(2, "60000")
-	after.next(t).serve(t, "new")
-	c.value("new")
-	if len(before.got) > 0 {
+	moved := newFakeDiscovery(t, after.listEntry("s-00000002", "Ready"))
+	r.reloadWith(newConfig(t, moved, nil), nil)
+	moved.awaitWatch(t)
+	call.replyValue(t, "old")
+	c.wantValue("old")
+	c.sendLookup(2, "60000")
+	after.nextCall(t).replyValue(t, "new")
+	c.wantValue("new")
+	if len(before.calls) > 0 {
 		t.Error("a request went where the new list does not lead")
 	}
 }
 
 // A configuration that can't be read leaves the gateway as it was: it goes on watching the endpoint list.
 func TestFailedReloadKeepsTheConfiguration(t *testing.T) {
-	r, _, d := oneBackend(t, nil)
-	r.reloads(config.Config{}, errors.New("no such file"))
-	d.settled(t)
+	r, _, d := startWithBackend(t, nil)
+	r.reloadWith(config.Config{}, errors.New("no such file"))
+	d.awaitWatch(t)
 	second := newBackend(t)
-	d.tell(second.entry("s-00000002", "Ready"), second.entry("s-00000001", "Gone"))
-	d.settled(t)
+	d.setEntries(second.listEntry("s-00000002", "Ready"), second.listEntry("s-00000001", "Gone"))
+	d.awaitWatch(t)
 	c := r.client(t)
-	c.lookup(1, "60000")
-	second.next(t).serve(t, "ok")
-	c.value("ok")
+	c.sendLookup(1, "60000")
+	second.nextCall(t).replyValue(t, "ok")
+	c.wantValue("ok")
 }
 
 // newCounterServer serves a counter that always has the same total, and tells of each call.
@@ -70,17 +70,17 @@
 	first, firstCalls := newCounterServer(t, "1")
 	second, secondCalls := newCounterServer(t, "2")
 	b := newBackend(t)
-	d := newFakeDiscovery(t, b.entry("s-00000001", "Ready"))
+	d := newFakeDiscovery(t, b.listEntry("s-00000001", "Ready"))
 	withCounter := strings.Replace(settingsText, `"counter":false`, `"counter":true`, 1)
 	configWith := func(s *httptest.Server) config.Config {
-		return configure(t, d, func(f map[string]any) {
+		return newConfig(t, d, func(f map[string]any) {
 			f["settings"] = json.RawMessage(withCounter)
 			f["counter"] = strings.TrimPrefix(s.URL, "http://")
 		})
 	}
 	cfg := configWith(first)
-	cfg.Host.CounterTimeout = policy.Time(patience.Microseconds())
-	l, err := newLoop(cfg, quiet())
+	cfg.Host.CounterTimeout = policy.Time(testTimeout.Microseconds())
+	l, err := newLoop(cfg, discardLog())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gateway/request_body_test.go
+++ b/internal/gateway/request_body_test.go
@@ -20,45 +20,45 @@
 
 // A large body goes to its backend while the client is still writing it.
 func TestLargeBodyIsForwardedAsItIsRead(t *testing.T) {
-	r, b, _ := oneBackend(t, withOps)
+	r, b, _ := startWithBackend(t, withOps)
 	c := r.client(t)
 	_, body := largeHead()
 	for id := range 2 {
-		c.raw(bodyHead(id, "team", len(body)) + body[:5000])
+		c.write(bodyHead(id, "team", len(body)) + body[:5000])
 		if got := wait(t, b.bodySizes, "the body to begin"); got != len(body) {
 			t.Fatalf("a body of %d bytes, want %d", got, len(body))
 		}
-		wantFigures(t, r, fmt.Sprintf("relayed.once=%d", id))
-		c.raw(body[5000:] + "\r\n")
-		call := b.next(t)
+		wantMetrics(t, r, fmt.Sprintf("relayed.once=%d", id))
+		c.write(body[5000:] + "\r\n")
+		call := b.nextCall(t)
 		if len(call.args) != 5 || string(call.args[4]) != body {
 			t.Fatal("the body is another")
 		}
-		call.serve(t, "ok")
-		c.value("ok")
+		call.replyValue(t, "ok")
+		c.wantValue("ok")
 	}
-	wantFigures(t, r, "relayed.once=2", "fulfilled.once=2", "open_requests=0")
+	wantMetrics(t, r, "relayed.once=2", "fulfilled.once=2", "open_requests=0")
 }
 
 // The large body of a rejected request is skipped, and the connection is read on.
 func TestLargeBodyOfARejectedRequestIsSkipped(t *testing.T) {
-	r, b, _ := oneBackend(t, nil)
+	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
 	_, body := largeHead()
-	c.book(1, "tiny")
-	b.next(t).serve(t, "ok")
-	c.value("ok")
-	c.raw(bodyHead(2, "tiny", len(body)) + body + "\r\n")
-	if got := c.line(); !isBusyReply([]byte(got)) {
+	c.sendOnce(1, "tiny")
+	b.nextCall(t).replyValue(t, "ok")
+	c.wantValue("ok")
+	c.write(bodyHead(2, "tiny", len(body)) + body + "\r\n")
+	if got := c.readLine(); !isBusyReply([]byte(got)) {
 		t.Errorf("reply %q", got)
 	}
-	c.raw(bodyHead(3, "none", len(body)) + body + "\r\n")
-	if got := c.line(); !strings.HasPrefix(got, "-ERR") {
+	c.write(bodyHead(3, "none", len(body)) + body + "\r\n")
+	if got := c.readLine(); !strings.HasPrefix(got, "-ERR") {
 		t.Errorf("reply %q", got)
 	}
-	c.book(4, "team")
-	b.next(t).serve(t, "ok")
-	c.value("ok")
+	c.sendOnce(4, "team")
+	b.nextCall(t).replyValue(t, "ok")
+	c.wantValue("ok")
 	if len(b.bodySizes) > 0 {
 		t.Error("the body went to a backend")
 	}
@@ -67,42 +67,42 @@
 // A large body that its client does not complete reaches no backend completely, and other clients are
 // served.
 func TestIncompleteLargeBodyEndsOnlyItsOwnRequest(t *testing.T) {
-	r, b, _ := oneBackend(t, withOps)
+	r, b, _ := startWithBackend(t, withOps)
 	c := r.client(t)
 	_, body := largeHead()
-	c.raw(bodyHead(1, "team", len(body)) + body[:5000])
+	c.write(bodyHead(1, "team", len(body)) + body[:5000])
 	wait(t, b.bodySizes, "the body to begin")
 	_ = c.conn.Close()
-	if err := wait(t, b.ended, "the backend's connection to end"); err == nil {
+	if err := wait(t, b.closed, "the backend's connection to end"); err == nil {
 		t.Error("it ended without an error")
 	}
-	reached(t, r, "open_requests=0")
-	wantFigures(t, r, "relayed.once=0")
+	awaitMetric(t, r, "open_requests=0")
+	wantMetrics(t, r, "relayed.once=0")
 	next := r.client(t)
-	next.book(2, "team")
-	b.next(t).serve(t, "ok")
-	next.value("ok")
+	next.sendOnce(2, "team")
+	b.nextCall(t).replyValue(t, "ok")
+	next.wantValue("ok")
 }
 
 // A backend that closes amid a large body has run nothing: the request is rejected, and the client's
 // connection stays in use.
 func TestBackendClosingAmidABodyRejectsTheRequest(t *testing.T) {
-	r, b, _ := oneBackend(t, nil)
+	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
 	_, body := largeHead()
-	c.raw(bodyHead(1, "team", len(body)) + body[:5000])
+	c.write(bodyHead(1, "team", len(body)) + body[:5000])
 	wait(t, b.bodySizes, "the body to begin")
 	b.conns.Range(func(conn, _ any) bool {
 		_ = conn.(net.Conn).Close()
 		return true
 	})
-	if got := c.line(); !isBusyReply([]byte(got)) {
+	if got := c.readLine(); !isBusyReply([]byte(got)) {
 		t.Errorf("reply %q", got)
 	}
-	c.raw(body[5000:] + "\r\n")
-	c.book(2, "team")
-	b.next(t).serve(t, "ok")
-	c.value("ok")
+	c.write(body[5000:] + "\r\n")
+	c.sendOnce(2, "team")
+	b.nextCall(t).replyValue(t, "ok")
+	c.wantValue("ok")
 }
 
 // A backend replies, fails or closes before the loop handles that the body was written: the request may
@@ -113,11 +113,11 @@
 		want string
 	}{
 		"value": {
-			end:  func(tb testing.TB, call *backendCall) { tb.Helper(); call.serve(tb, "ok") },
+			end:  func(tb testing.TB, call *backendCall) { tb.Helper(); call.replyValue(tb, "ok") },
 			want: "$2",
 		},
 		"error": {
-			end:  func(tb testing.TB, call *backendCall) { tb.Helper(); call.answer(tb, "-ERR failed\r\n") },
+			end:  func(tb testing.TB, call *backendCall) { tb.Helper(); call.reply(tb, "-ERR failed\r\n") },
 			want: "-ERR failed",
 		},
 		"end": {
@@ -132,10 +132,10 @@
 			client := (&rig{addr: l.clients.listener.Addr().String()}).client(t)
 			handleNext(t, l, "the connection")
 			_, body := largeHead()
-			client.raw(bodyHead(1, "team", len(body)) + body + "\r\n")
+			client.write(bodyHead(1, "team", len(body)) + body + "\r\n")
 			handleNext(t, l, "the request")
 			handleNext(t, l, "the dial's end")
-			c.end(t, b.next(t))
+			c.end(t, b.nextCall(t))
 			var written, reply event
 			for written == nil || reply == nil {
 				switch e := wait(t, l.events, "the body's end and the answer").(type) {
@@ -147,18 +147,18 @@
 			}
 			l.handle(reply)
 			l.handle(written)
-			client.want(c.want)
+			client.wantLine(c.want)
 		})
 	}
 }
 
 // A large body without the line end behind it is an incomplete command, and the connection is closed.
 func TestBodyWithoutItsLineEndClosesTheConnection(t *testing.T) {
-	r, _, _ := oneBackend(t, nil)
+	r, _, _ := startWithBackend(t, nil)
 	c := r.client(t)
 	_, body := largeHead()
-	c.raw(bodyHead(1, "team", len(body)) + body)
-	_ = c.conn.SetReadDeadline(time.Now().Add(patience))
+	c.write(bodyHead(1, "team", len(body)) + body)
+	_ = c.conn.SetReadDeadline(time.Now().Add(testTimeout))
 	if b, err := io.ReadAll(c.in); errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("after %q it is still open", b)
 	}
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -17,11 +17,11 @@
 // A backend gets the client's command with the timeout that is left, and the client gets the backend's
 // value.
 func TestRequestIsForwardedUnchangedButForItsTimeout(t *testing.T) {
-	r, b, _ := oneBackend(t, nil)
+	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
 	c.send("API.WRITE", "0000000000000007", "9b1f03aa5c7e2d41",
 		"c=order,t=team,d=60000,k=5c0f6e1a2b3d4c59,units=2,spread=1,first=0", "BODY")
-	call := b.next(t)
+	call := b.nextCall(t)
 	if got := string(call.args[3]); !strings.HasPrefix(got, "c=order,t=team,d=59") ||
 		!strings.HasSuffix(got, ",k=5c0f6e1a2b3d4c59,units=2,spread=1,first=0") {
 		t.Errorf("fields %q", got)
@@ -30,28 +30,28 @@
 		string(call.args[2]) != "9b1f03aa5c7e2d41" || string(call.args[4]) != "BODY" {
 		t.Errorf("command %q", call.args)
 	}
-	call.serve(t, "value")
-	c.value("value")
+	call.replyValue(t, "value")
+	c.wantValue("value")
 }
 
 // Replies are written in the order of the commands even if backends reply in another, and further commands
 // are read while requests are open.
 func TestPipelinedRepliesKeepTheirOrder(t *testing.T) {
-	r, b, _ := oneBackend(t, nil)
+	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
-	c.lookup(1, "60000")
-	first := b.next(t)
-	c.lookup(2, "60000")
-	second := b.next(t) // read although the first has no answer
+	c.sendLookup(1, "60000")
+	first := b.nextCall(t)
+	c.sendLookup(2, "60000")
+	second := b.nextCall(t) // read although the first has no answer
 	c.send("PING")
-	second.serve(t, "second")
-	c.lookup(3, "60000")
-	b.next(t).serve(t, "third") // by now the second is answered at the gateway
-	first.serve(t, "first")
-	c.value("first")
-	c.value("second")
-	c.want("+PONG")
-	c.value("third")
+	second.replyValue(t, "second")
+	c.sendLookup(3, "60000")
+	b.nextCall(t).replyValue(t, "third") // by now the second is answered at the gateway
+	first.replyValue(t, "first")
+	c.wantValue("first")
+	c.wantValue("second")
+	c.wantLine("+PONG")
+	c.wantValue("third")
 }
 
 // An idempotent request is retried after each outcome but a value.
@@ -68,19 +68,19 @@
 		{"value", "*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r, b, _ := oneBackend(t, nil)
+			r, b, _ := startWithBackend(t, nil)
 			client := r.client(t)
-			client.lookup(1, "60000")
-			call := b.next(t)
+			client.sendLookup(1, "60000")
+			call := b.nextCall(t)
 			if c.reply == "" {
 				_ = call.conn.Close()
 			} else {
-				call.answer(t, c.reply)
+				call.reply(t, c.reply)
 			}
 			if c.retried {
-				b.next(t).serve(t, "ok")
+				b.nextCall(t).replyValue(t, "ok")
 			}
-			client.value("ok")
+			client.wantValue("ok")
 		})
 	}
 }
@@ -93,12 +93,12 @@
 		"error": func(c *backendCall) { _, _ = c.conn.Write([]byte("-ERR failed\r\n")) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			r, b, _ := oneBackend(t, nil)
+			r, b, _ := startWithBackend(t, nil)
 			c := r.client(t)
 			c.send("API.WRITE", "0000000000000007", "0000000000000001", onceFields, "x")
-			end(b.next(t))
-			c.want("-ERR failed")
-			if len(b.got) > 0 {
+			end(b.nextCall(t))
+			c.wantLine("-ERR failed")
+			if len(b.calls) > 0 {
 				t.Error("sent again")
 			}
 		})
@@ -107,56 +107,56 @@
 
 // A request that the backend rejected as busy has not run, so it is retried even if it is not idempotent.
 func TestNonIdempotentRequestIsRetriedAfterBusy(t *testing.T) {
-	r, b, _ := oneBackend(t, nil)
+	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
 	c.send("API.WRITE", "0000000000000007", "0000000000000001", onceFields, "x")
-	b.next(t).answer(t, "-BUSY\r\n")
-	b.next(t).serve(t, "ok")
-	c.value("ok")
+	b.nextCall(t).reply(t, "-BUSY\r\n")
+	b.nextCall(t).replyValue(t, "ok")
+	c.wantValue("ok")
 }
 
 // A backend where nothing listens has run nothing.
 func TestRequestIsRejectedAfterConnectionRefused(t *testing.T) {
 	b := newBackend(t)
 	_ = b.listener.Close()
-	d := newFakeDiscovery(t, b.entry("s-00000001", "Ready"))
-	c := begin(t, configure(t, d, nil)).client(t)
+	d := newFakeDiscovery(t, b.listEntry("s-00000001", "Ready"))
+	c := startGateway(t, newConfig(t, d, nil)).client(t)
 	c.send("API.WRITE", "0000000000000007", "0000000000000001", onceFields, "x")
-	if got := c.line(); !strings.HasPrefix(got, "-BUSY") {
+	if got := c.readLine(); !strings.HasPrefix(got, "-BUSY") {
 		t.Errorf("reply %q: want a rejection", got)
 	}
 }
 
 // A backend that does not reply delays no request past its deadline, and its late reply reaches nobody.
 func TestRequestIsAnsweredByItsDeadline(t *testing.T) {
-	r, b, _ := oneBackend(t, nil)
+	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
-	c.lookup(1, "300")
-	late := b.next(t)
+	c.sendLookup(1, "300")
+	late := b.nextCall(t)
 	r.advance(t, 300_000)
-	if got := c.line(); !strings.HasPrefix(got, "-BUSY") {
+	if got := c.readLine(); !strings.HasPrefix(got, "-BUSY") {
 		t.Errorf("reply %q", got)
 	}
 	_, _ = late.conn.Write([]byte("*3\r\n$4\r\nlate\r\n$-1\r\n$-1\r\n"))
-	c.lookup(2, "60000")
-	b.next(t).serve(t, "second")
-	c.value("second")
+	c.sendLookup(2, "60000")
+	b.nextCall(t).replyValue(t, "second")
+	c.wantValue("second")
 }
 
 // A rejection comes at once and says when to retry.
 func TestRejectionIsPromptWithRetryAfter(t *testing.T) {
-	r, b, _ := oneBackend(t, nil)
+	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
 	send := func(id int) {
 		const fields = "c=lookup,t=tiny,d=86400000,units=1,spread=1,first=0"
 		c.send("API.READ", "0000000000000009", fmt.Sprintf("%016x", id), fields)
 	}
 	send(1)
-	call := b.next(t)
-	call.serve(t, "ok")
-	c.value("ok")
+	call := b.nextCall(t)
+	call.replyValue(t, "ok")
+	c.wantValue("ok")
 	send(2) // the token bucket holds 1 unit: a day's wait would outlast the test
-	if got := c.line(); got != "-BUSY 2000" {
+	if got := c.readLine(); got != "-BUSY 2000" {
 		t.Errorf("reply %q", got)
 	}
 }
@@ -167,7 +167,7 @@
 	for usage, admitted := range map[string]bool{
 		"used=3,cost=1": false, "cost=0.25": true, "cost=NaN": true, "cost=9": true,
 	} {
-		r, b, _ := oneBackend(t, withSettings(t, `"settles":false`, `"settles":true,"max-units":8`,
+		r, b, _ := startWithBackend(t, withSettings(t, `"settles":false`, `"settles":true,"max-units":8`,
 			`"rate":0.1,`, `"rate":0.0001,`)) // so slow that no wait of the test refills the token bucket
 		c := r.client(t)
 		send := func(id int) {
@@ -175,25 +175,25 @@
 			c.send("API.READ", "0000000000000009", fmt.Sprintf("%016x", id), fields)
 		}
 		send(1) // the token bucket holds 1 unit
-		b.next(t).answer(t, fmt.Sprintf("*3\r\n$2\r\nok\r\n$%d\r\n%s\r\n$-1\r\n", len(usage), usage))
-		c.value("ok")
+		b.nextCall(t).reply(t, fmt.Sprintf("*3\r\n$2\r\nok\r\n$%d\r\n%s\r\n$-1\r\n", len(usage), usage))
+		c.wantValue("ok")
 		send(2)
 		if !admitted {
-			if got := c.line(); got != "-BUSY 2000" {
+			if got := c.readLine(); got != "-BUSY 2000" {
 				t.Errorf("%s: answer %q", usage, got)
 			}
 			continue
 		}
-		b.next(t).serve(t, "more")
-		c.value("more")
+		b.nextCall(t).replyValue(t, "more")
+		c.wantValue("more")
 	}
 }
 
 // Of several failed requests within the interval one is logged, by its id.
 func TestTraceLogsOneOfSeveralFailedRequests(t *testing.T) {
 	b := newBackend(t)
-	d := newFakeDiscovery(t, b.entry("s-1", "Ready"))
-	cfg := configure(t, d, nil)
+	d := newFakeDiscovery(t, b.listEntry("s-1", "Ready"))
+	cfg := newConfig(t, d, nil)
 	var log bytes.Buffer
 	l, err := newLoop(cfg, slog.New(slog.NewTextHandler(&log, nil)))
 	if err != nil {
@@ -217,45 +217,45 @@
 
 // A body and a value of the largest size that is buffered pass unchanged.
 func TestLargestBufferedValuePassesBothWays(t *testing.T) {
-	r, b, _ := oneBackend(t, nil)
+	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
 	large := strings.Repeat("v", resp.MaxValue)
 	const fields = "c=lookup,t=team,d=60000,units=1,spread=1,first=0"
 	c.send("API.READ", "0000000000000007", "0000000000000001", fields, large)
-	call := b.next(t)
+	call := b.nextCall(t)
 	if string(call.args[4]) != large {
 		t.Error("the body changed")
 	}
-	call.serve(t, large)
-	c.value(large)
+	call.replyValue(t, large)
+	c.wantValue(large)
 }
 
 // A request with the id of an open one of another client gets an error; the open one is served.
 func TestIDOfAnOpenRequestIsRejected(t *testing.T) {
-	r, b, _ := oneBackend(t, nil)
+	r, b, _ := startWithBackend(t, nil)
 	c, other := r.client(t), r.client(t)
-	c.lookup(1, "60000")
-	call := b.next(t)
-	other.lookup(1, "60000")
-	if got := other.line(); !strings.HasPrefix(got, "-ERR ") {
+	c.sendLookup(1, "60000")
+	call := b.nextCall(t)
+	other.sendLookup(1, "60000")
+	if got := other.readLine(); !strings.HasPrefix(got, "-ERR ") {
 		t.Errorf("reply %q", got)
 	}
-	call.serve(t, "ok")
-	c.value("ok")
-	c.lookup(1, "60000") // it is open no more
-	b.next(t).serve(t, "again")
-	c.value("again")
+	call.replyValue(t, "ok")
+	c.wantValue("ok")
+	c.sendLookup(1, "60000") // it is open no more
+	b.nextCall(t).replyValue(t, "again")
+	c.wantValue("again")
 }
 
 // A request that has ended keeps no timer and no memory until its deadline.
 func TestEndedRequestsLeaveNoTimers(t *testing.T) {
-	r, b, _ := oneBackend(t, nil)
+	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
 	const many = 50
 	for id := range many {
-		c.lookup(id, "80000000")
-		b.next(t).serve(t, "ok")
-		c.value("ok")
+		c.sendLookup(id, "80000000")
+		b.nextCall(t).replyValue(t, "ok")
+		c.wantValue("ok")
 	}
 	remaining := make(chan string, 1)
 	r.loop.post(inspect(func(l *Loop) {
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -15,8 +15,8 @@
 	"sparspread/policy"
 )
 
-// patience bounds every wait of a test. No test asserts a speed.
-const patience = 30 * time.Second
+// testTimeout bounds every wait of a test. No test asserts a speed.
+const testTimeout = 30 * time.Second
 
 // wait returns the next value of a channel, and fails the test if none comes in time.
 func wait[T any](tb testing.TB, from <-chan T, what string) T {
@@ -24,7 +24,7 @@
 	select {
 	case v := <-from:
 		return v
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		tb.Fatal("timed out waiting for ", what)
 		panic("unreachable")
 	}
@@ -50,19 +50,19 @@
 	return func(file map[string]any) { file["settings"] = settingsWith(tb, changes...) }
 }
 
-// quiet is a log that is discarded.
-func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+// discardLog is a log that is discarded.
+func discardLog() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
 // fakeClock is a loop's clock that stands still, unless the test advances it or starts it.
 type fakeClock struct {
-	moved atomic.Int64
-	runs  atomic.Pointer[time.Time]
+	advanced     atomic.Int64
+	runningSince atomic.Pointer[time.Time]
 }
 
 // since replaces time.Since.
 func (c *fakeClock) since(time.Time) time.Duration {
-	passed := time.Duration(c.moved.Load())
-	if from := c.runs.Load(); from != nil {
+	passed := time.Duration(c.advanced.Load())
+	if from := c.runningSince.Load(); from != nil {
 		passed += time.Since(*from)
 	}
 	return passed
@@ -72,7 +72,7 @@
 func useFakeClock(l *Loop) *fakeClock {
 	h := &fakeClock{}
 	l.clock.since = h.since
-	l.backends.dial.Timeout = patience
+	l.backends.dial.Timeout = testTimeout
 	return h
 }
 
@@ -93,20 +93,20 @@
 	tb.Helper()
 	for step := policy.Time(0); time > 0; time -= step {
 		step = min(time, 4000) // as the settings' granularity
-		r.clock.moved.Add(step * 1000)
-		r.turn(tb)
+		r.clock.advanced.Add(step * 1000)
+		r.sync(tb)
 	}
 }
 
 // runClock lets the clock run from now on.
 func (r *rig) runClock() {
 	now := time.Now()
-	r.clock.runs.CompareAndSwap(nil, &now)
+	r.clock.runningSince.CompareAndSwap(nil, &now)
 	r.loop.post(inspect(func(*Loop) {}))
 }
 
 // turn waits until the loop has handled what was posted before, and the timers that are due.
-func (r *rig) turn(tb testing.TB) {
+func (r *rig) sync(tb testing.TB) {
 	tb.Helper()
 	for range 2 { // timers run between two events
 		r.waitUntil(tb, func(*Loop) bool { return true })
@@ -152,14 +152,14 @@
 	r.advance(tb, time)
 }
 
-// reloads has the gateway load another configuration, or fail to.
-func (r *rig) reloads(cfg config.Config, err error) {
+// reloadWith has the gateway load another configuration, or fail to.
+func (r *rig) reloadWith(cfg config.Config, err error) {
 	r.configs <- func() (config.Config, error) { return cfg, err }
 	r.reload <- struct{}{}
 }
 
-// configure is the configuration of a gateway with a discovery service; change may edit the file's keys.
-func configure(tb testing.TB, d *fakeDiscovery, change func(map[string]any)) config.Config {
+// newConfig is the configuration of a gateway with a discovery service; change may edit the file's keys.
+func newConfig(tb testing.TB, d *fakeDiscovery, change func(map[string]any)) config.Config {
 	tb.Helper()
 	f := map[string]any{
 		"name": "n0", "listen": "127.0.0.1:0", "discovery": strings.TrimPrefix(d.URL, "http://"),
@@ -180,10 +180,10 @@
 	return cfg
 }
 
-// unstarted makes a loop that the test runs itself.
-func unstarted(tb testing.TB, d *fakeDiscovery) *Loop {
+// newTestLoop makes a loop that the test runs itself.
+func newTestLoop(tb testing.TB, d *fakeDiscovery) *Loop {
 	tb.Helper()
-	l, err := newLoop(configure(tb, d, nil), quiet())
+	l, err := newLoop(newConfig(tb, d, nil), discardLog())
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -192,17 +192,17 @@
 	return l
 }
 
-// begin starts a gateway and waits until it is ready. The test's end stops it.
-func begin(tb testing.TB, cfg config.Config) *rig {
+// startGateway starts a gateway and waits until it is ready. The test's end stops it.
+func startGateway(tb testing.TB, cfg config.Config) *rig {
 	tb.Helper()
-	l, err := newLoop(cfg, quiet())
+	l, err := newLoop(cfg, discardLog())
 	if err != nil {
 		tb.Fatal(err)
 	}
 	r := serveLoop(tb, l)
 	c := r.client(tb)
 	c.send("PING")
-	c.want("+PONG")
+	c.wantLine("+PONG")
 	_ = c.conn.Close()
 	return r
 }
@@ -222,32 +222,32 @@
 		r.shutDown()
 		select {
 		case <-r.ended:
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			tb.Error("the gateway did not end")
 		}
 	})
 	return r
 }
 
-// oneBackend starts a gateway with one backend that is ready.
-func oneBackend(t *testing.T, change func(map[string]any)) (*rig, *fakeBackend, *fakeDiscovery) {
+// startWithBackend starts a gateway with one backend that is ready.
+func startWithBackend(t *testing.T, change func(map[string]any)) (*rig, *fakeBackend, *fakeDiscovery) {
 	t.Helper()
 	b := newBackend(t)
-	d := newFakeDiscovery(t, b.entry("s-00000001", "Ready"))
-	return begin(t, configure(t, d, change)), b, d
+	d := newFakeDiscovery(t, b.listEntry("s-00000001", "Ready"))
+	return startGateway(t, newConfig(t, d, change)), b, d
 }
 
-// fourBackends starts a gateway with four backends at one address: the policy allows more requests in
-// flight.
-func fourBackends(t *testing.T, sockets int) (*rig, *fakeBackend) {
+// startWithFourBackends starts a gateway with four backends at one address: the policy allows more requests
+// in flight.
+func startWithFourBackends(t *testing.T, sockets int) (*rig, *fakeBackend) {
 	t.Helper()
 	b := newBackend(t)
 	var entries []string
 	for i := range 4 {
-		entries = append(entries, b.entry(fmt.Sprintf("s-0000000%d", i), "Ready"))
+		entries = append(entries, b.listEntry(fmt.Sprintf("s-0000000%d", i), "Ready"))
 	}
 	d := newFakeDiscovery(t, entries...)
-	return begin(t, configure(t, d, func(f map[string]any) {
+	return startGateway(t, newConfig(t, d, func(f map[string]any) {
 		f["limits"] = map[string]any{"memory_mb": 192, "sockets": sockets}
 	})), b
 }
--- a/internal/gateway/scale_test.go
+++ b/internal/gateway/scale_test.go
@@ -25,8 +25,8 @@
 func BenchmarkChangeByMembers(b *testing.B) {
 	for _, n := range []int{46, 830, 8300, 83000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			cfg := configure(b, newFakeDiscovery(b), nil)
-			l, err := newLoop(cfg, quiet())
+			cfg := newConfig(b, newFakeDiscovery(b), nil)
+			l, err := newLoop(cfg, discardLog())
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -16,7 +16,7 @@
 func newStoppingLoop(t *testing.T) (*Loop, *fakeBackend) {
 	t.Helper()
 	b := newBackend(t)
-	l := unstarted(t, newFakeDiscovery(t))
+	l := newTestLoop(t, newFakeDiscovery(t))
 	l.backends.updateEndpoints(l, policy.UpdateComplete, []discovery.Endpoint{
 		{ID: "s-00000001", Address: b.listener.Addr().String(), Phase: "Ready"},
 	})
@@ -24,16 +24,16 @@
 	return l, b
 }
 
-// turn handles events until a condition holds.
-func turn(t *testing.T, l *Loop, what string, holds func() bool) {
+// handleUntil handles events until a condition holds.
+func handleUntil(t *testing.T, l *Loop, what string, holds func() bool) {
 	t.Helper()
 	for !holds() {
 		handleNext(t, l, what)
 	}
 }
 
-// later lets time pass for a loop that the test runs.
-func later(l *Loop, period policy.Time) {
+// advance lets time pass for a loop that the test runs.
+func advance(l *Loop, period policy.Time) {
 	l.clock.wall += period
 	l.runTimers()
 }
@@ -44,22 +44,22 @@
 	l, b := newStoppingLoop(t)
 	l.accepting = true
 	c := (&rig{addr: l.clients.listener.Addr().String()}).client(t)
-	c.lookup(1, "60000") // in the kernel, as nothing accepts yet
-	later(l, acceptPeriod)
-	turn(t, l, "the request", func() bool { return l.requests.open == 1 })
-	turn(t, l, "the listener to close", func() bool { return l.shutdown.listenerClosed })
-	later(l, 2*closePeriod) // the backend takes long
+	c.sendLookup(1, "60000") // in the kernel, as nothing accepts yet
+	advance(l, acceptPeriod)
+	handleUntil(t, l, "the request", func() bool { return l.requests.open == 1 })
+	handleUntil(t, l, "the listener to close", func() bool { return l.shutdown.listenerClosed })
+	advance(l, 2*closePeriod) // the backend takes long
 	if l.done {
 		t.Fatal("the process ends with an open request")
 	}
-	turn(t, l, "the dial", func() bool { return len(l.backends.byNumber[1].waiting) == 0 })
-	b.next(t).serve(t, "ok")
-	turn(t, l, "the answer", func() bool { return l.requests.open == 0 })
-	c.value("ok")
-	c.closed()
+	handleUntil(t, l, "the dial", func() bool { return len(l.backends.byNumber[1].waiting) == 0 })
+	b.nextCall(t).replyValue(t, "ok")
+	handleUntil(t, l, "the answer", func() bool { return l.requests.open == 0 })
+	c.wantValue("ok")
+	c.wantClosed()
 	closeConn(t, c.conn)
 	// The connection's reader may have stopped after the last command, and then does not see the end.
-	later(l, lingerAfterError)
+	advance(l, lingerAfterError)
 	if !l.done {
 		t.Error("the process goes on after its last client has closed")
 	}
@@ -73,21 +73,21 @@
 	l.clients.resume(l)
 	c := (&rig{addr: l.clients.listener.Addr().String()}).client(t)
 	handleNext(t, l, "the connection")
-	c.raw("*4\r\n$8\r\nAPI.R")
+	c.write("*4\r\n$8\r\nAPI.R")
 	for conn := range l.clients.conns {
 		for conn.lastInputAt.Load() == 0 { // until the reader has it
 			runtime.Gosched()
 		}
 		conn.lastCommandAt = 0 // it was opened earlier
 	}
-	later(l, acceptPeriod)
+	advance(l, acceptPeriod)
 	if l.done || len(l.clients.conns) != 1 {
 		t.Fatalf("done %v with %d connections", l.done, len(l.clients.conns))
 	}
-	later(l, answerWithin(l.config)-acceptPeriod)
-	c.closed()
+	advance(l, answerWithin(l.config)-acceptPeriod)
+	c.wantClosed()
 	closeConn(t, c.conn)
-	turn(t, l, "the end of all", func() bool { return l.done })
+	handleUntil(t, l, "the end of all", func() bool { return l.done })
 }
 
 // However short the timeouts of clients are: connections are accepted as long as they may come, their
@@ -122,15 +122,15 @@
 // A planned shutdown answers open requests and closes connections after it, and accepts connections for a
 // while.
 func TestShutdownAnswersOpenRequests(t *testing.T) {
-	r, b, _ := oneBackend(t, nil)
+	r, b, _ := startWithBackend(t, nil)
 	c, idle := r.client(t), r.client(t)
-	c.lookup(1, "60000")
-	call := b.next(t)
+	c.sendLookup(1, "60000")
+	call := b.nextCall(t)
 	r.shutDownFor(t, acceptPeriod)
-	idle.closed()
-	call.serve(t, "ok")
-	c.value("ok")
-	c.closed()
+	idle.wantClosed()
+	call.replyValue(t, "ok")
+	c.wantValue("ok")
+	c.wantClosed()
 	_ = c.conn.Close()
 	_ = idle.conn.Close()
 	wait(t, r.ended, "the gateway's end")
@@ -138,38 +138,38 @@
 
 // Requests still open shortly before SIGKILL are failed.
 func TestShutdownFailsUnansweredRequests(t *testing.T) {
-	r, b, _ := oneBackend(t, nil)
+	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
-	c.lookup(1, "80000000")
-	b.next(t)
+	c.sendLookup(1, "80000000")
+	b.nextCall(t)
 	r.shutDownFor(t, maxLongestTimeout+answerMargin)
-	c.want("-ERR failed")
-	c.closed()
+	c.wantLine("-ERR failed")
+	c.wantClosed()
 	_ = c.conn.Close()
 	wait(t, r.ended, "the gateway's end")
 }
 
 // A command that has partly arrived when the gateway closes its connections is completed and answered.
 func TestShutdownWaitsForAPartialCommand(t *testing.T) {
-	r, b, _ := oneBackend(t, nil)
+	r, b, _ := startWithBackend(t, nil)
 	c, idle := r.client(t), r.client(t)
 	idle.send("PING")
-	idle.want("+PONG")
+	idle.wantLine("+PONG")
 	r.advance(t, 1) // what comes from now on came after its connection
 	const command = "*4\r\n$8\r\nAPI.READ\r\n$16\r\n0000000000000007\r\n$16\r\n0000000000000001\r\n" +
 		"$48\r\nc=lookup,t=team,d=60000,units=1,spread=1,first=0\r\n"
-	c.raw(command[:40])
+	c.write(command[:40])
 	r.waitUntil(t, func(l *Loop) bool {
 		return slices.ContainsFunc(clientList(l), func(c *client) bool {
 			return c.commands == 0 && c.isMidCommand()
 		})
 	})
 	r.shutDownFor(t, acceptPeriod)
-	idle.closed() // by now connections are closed
-	c.raw(command[40:])
-	b.next(t).serve(t, "ok")
-	c.value("ok")
-	c.closed()
+	idle.wantClosed() // by now connections are closed
+	c.write(command[40:])
+	b.nextCall(t).replyValue(t, "ok")
+	c.wantValue("ok")
+	c.wantClosed()
 	r.runClock() // its connection lingers
 	wait(t, r.ended, "the gateway to end")
 }
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -131,18 +131,18 @@
 	for i := range endpoints {
 		entries = append(entries, fmt.Sprintf(`{"id":"s-%08x","host_port":"127.0.0.1:9","phase":"Ready"}`, i+1))
 	}
-	cfg := configure(t, newFakeDiscovery(t), func(f map[string]any) {
+	cfg := newConfig(t, newFakeDiscovery(t), func(f map[string]any) {
 		f["discovery"] = faulty.address
 		f["known"] = json.RawMessage(`{"revision":1,"complete":true,"members":[` + strings.Join(entries, ",") + `]}`)
 	})
-	l, err := newLoop(cfg, quiet())
+	l, err := newLoop(cfg, discardLog())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if faulty.control != nil {
 		c := discoveryConfig(&cfg)
 		c.DialContext = (&net.Dialer{Control: faulty.control}).DialContext
-		l.discovery = discovery.New(c, quiet(), l.postEndpoints)
+		l.discovery = discovery.New(c, discardLog(), l.postEndpoints)
 	}
 	return l
 }
--- a/internal/gateway/test_client_test.go
+++ b/internal/gateway/test_client_test.go
@@ -27,12 +27,12 @@
 		tb.Fatal(err)
 	}
 	tb.Cleanup(func() { _ = conn.Close() })
-	_ = conn.SetDeadline(time.Now().Add(2 * patience))
+	_ = conn.SetDeadline(time.Now().Add(2 * testTimeout))
 	return &testClient{tb, conn, bufio.NewReader(conn)}
 }
 
-// raw writes bytes as they are.
-func (c *testClient) raw(text string) {
+// write writes bytes as they are.
+func (c *testClient) write(text string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c.conn, text); err != nil {
 		c.t.Fatal(err)
@@ -46,18 +46,18 @@
 	for _, a := range args {
 		b = resp.AppendBulk(b, []byte(a))
 	}
-	c.raw(string(b))
+	c.write(string(b))
 }
 
-// lookup sends an idempotent request.
-func (c *testClient) lookup(id int, timeoutMS string) {
+// sendLookup sends an idempotent request.
+func (c *testClient) sendLookup(id int, timeoutMS string) {
 	c.t.Helper()
 	fields := "c=lookup,t=team,d=" + timeoutMS + ",units=1,spread=1,first=0"
 	c.send("API.READ", "0000000000000007", fmt.Sprintf("%016x", id), fields)
 }
 
-// line reads a line.
-func (c *testClient) line() string {
+// readLine reads a line.
+func (c *testClient) readLine() string {
 	c.t.Helper()
 	s, err := c.in.ReadString('\n')
 	if err != nil {
@@ -66,23 +66,23 @@
 	return strings.TrimSuffix(s, "\r\n")
 }
 
-// want reads a line and checks it.
-func (c *testClient) want(line string) {
+// wantLine reads a line and checks it.
+func (c *testClient) wantLine(line string) {
 	c.t.Helper()
-	if got := c.line(); got != line {
+	if got := c.readLine(); got != line {
 		c.t.Fatalf("reply %q, want %q", got, line)
 	}
 }
 
-// value reads a bulk string and checks it.
-func (c *testClient) value(want string) {
+// wantValue reads a bulk string and checks it.
+func (c *testClient) wantValue(want string) {
 	c.t.Helper()
-	c.want(fmt.Sprintf("$%d", len(want)))
-	c.want(want)
+	c.wantLine(fmt.Sprintf("$%d", len(want)))
+	c.wantLine(want)
 }
 
-// closed waits until the gateway has closed the connection, and checks that nothing came before.
-func (c *testClient) closed() {
+// wantClosed waits until the gateway has closed the connection, and checks that nothing came before.
+func (c *testClient) wantClosed() {
 	c.t.Helper()
 	if b, err := io.ReadAll(c.in); err != nil || len(b) > 0 {
 		c.t.Fatalf("end of the connection: %q, %v", b, err)
@@ -90,7 +90,7 @@
 }
 
 // ended waits until the gateway has ended the connection in any way, and checks that nothing came before.
-func (c *testClient) ended() {
+func (c *testClient) wantEnded() {
 	c.t.Helper()
 	if b, _ := io.ReadAll(c.in); len(b) > 0 {
 		c.t.Fatalf("end of the connection: %q", b)
@@ -107,12 +107,12 @@
 	return string(b)
 }
 
-// largeValue reads a large value and checks it.
-func (c *testClient) largeValue(value string) {
+// wantLargeValue reads a large value and checks it.
+func (c *testClient) wantLargeValue(value string) {
 	c.t.Helper()
-	c.want(fmt.Sprintf("$%d", len(value)))
+	c.wantLine(fmt.Sprintf("$%d", len(value)))
 	if got := c.read(len(value)); got != value {
 		c.t.Fatal("the value is another")
 	}
-	c.want("")
+	c.wantLine("")
 }
