--- /dev/null
+++ b/scale/internal/gatewayproc/calls.go
@@ -0,0 +1,61 @@
+package gatewayproc
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+)
+
+const metricPrefix = "edge_relay." // of the names at /ops/stats
+
+var errNoMetric = errors.New("no such metric")
+
+func (g *Gateway) ping() error {
+	conn, err := net.DialTimeout("tcp", g.ClientAddress, callTimeout)
+	if err != nil {
+		return fmt.Errorf("ping: %w", err)
+	}
+	defer func() { _ = conn.Close() }()
+	if err := conn.SetDeadline(time.Now().Add(callTimeout)); err != nil {
+		return fmt.Errorf("ping: %w", err)
+	}
+	if _, err := io.WriteString(conn, "*1\r\n$4\r\nPING\r\n"); err != nil {
+		return fmt.Errorf("ping: %w", err)
+	}
+	line, err := bufio.NewReader(conn).ReadString('\n')
+	if err != nil || line != "+PONG\r\n" {
+		return fmt.Errorf("ping: answer %q: %w", line, errors.Join(err, errNotReady))
+	}
+	return nil
+}
+
+// Metric returns one of the metrics at /ops/stats.
+func (g *Gateway) Metric(ctx context.Context, name string) (int64, error) {
+	url := "http://" + g.opsAddress + "/ops/stats"
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+	if err != nil {
+		return 0, g.wrap(err)
+	}
+	response, err := g.http.Do(request)
+	if err != nil {
+		return 0, g.wrap(err)
+	}
+	defer func() { _ = response.Body.Close() }()
+	for lines := bufio.NewScanner(response.Body); lines.Scan(); {
+		if value, ok := strings.CutPrefix(lines.Text(), metricPrefix+name+"="); ok {
+			n, err := strconv.ParseInt(value, 10, 64)
+			if err != nil {
+				return 0, g.wrap(err)
+			}
+			return n, nil
+		}
+	}
+	return 0, g.wrap(fmt.Errorf("%s: %w", name, errNoMetric))
+}
--- /dev/null
+++ b/scale/internal/gatewayproc/gateway.go
@@ -0,0 +1,229 @@
+// Package gatewayproc runs real gateways: processes of the gateway's program, each with its configuration,
+// its agents of discovery and the counters of its control traffic.
+package gatewayproc
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/http"
+	"net/netip"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"sparspread/scale/internal/loopback"
+	"sparspread/scale/internal/model"
+	"sparspread/scale/internal/standin"
+)
+
+const (
+	startTimeout = 30 * time.Second
+	stopTimeout  = 6 * time.Second
+	callTimeout  = 2 * time.Second
+	// PollInterval is the time between two looks at a gateway.
+	PollInterval = 2 * time.Millisecond
+
+	socketLimit = 1024 // in the configuration
+	seedBase    = 0x9e3779b97f4a7c15
+	agentHost   = "127.7.0.1"
+)
+
+// Gateway is a gateway's process and what stands beside it. Its methods are called from one goroutine at a
+// time, except for PID, Metric and the fields, which are safe for concurrent use.
+type Gateway struct {
+	Number        int
+	ClientAddress string
+	GossipAddress netip.AddrPort
+	Traffic       *standin.ControlTraffic
+	// Agents are the agent of discovery that the gateway begins with, and the one that it follows after a
+	// reload.
+	Agents [2]*standin.DiscoveryAgent
+	Exited chan struct{} // closed when the process has ended
+
+	dir        string
+	opsAddress string
+	command    *exec.Cmd
+	pid        atomic.Int64 // 0: not started
+	logFile    *os.File
+	http       *http.Client
+}
+
+// Configuration is what a gateway's configuration holds besides its own addresses.
+type Configuration struct {
+	MemoryMB int
+	Peers    []netip.AddrPort
+	Settings json.RawMessage
+	Known    json.RawMessage // the last known list
+	Agent    int             // index of the agent of discovery
+}
+
+// New returns a gateway with free addresses and running agents, which keeps its files below dir. The process
+// is started with Start; Stop is called in any case.
+func New(number int, dir string, catalog *model.Catalog) (*Gateway, error) {
+	g := &Gateway{
+		Number: number, Traffic: &standin.ControlTraffic{}, Exited: make(chan struct{}),
+		dir:  filepath.Join(dir, fmt.Sprintf("n%d", number)),
+		http: &http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}},
+	}
+	if err := os.MkdirAll(g.dir, 0o755); err != nil {
+		return nil, g.wrap(err)
+	}
+	if err := g.reserveAddresses(); err != nil {
+		return nil, g.wrap(err)
+	}
+	var err error
+	for i := range g.Agents {
+		if g.Agents[i], err = standin.NewDiscoveryAgent(catalog, g.Traffic, agentHost); err != nil {
+			return nil, err
+		}
+	}
+	return g, nil
+}
+
+func (g *Gateway) wrap(err error) error { return fmt.Errorf("gateway %d: %w", g.Number, err) }
+
+func (g *Gateway) reserveAddresses() (err error) {
+	host := fmt.Sprintf("127.8.%d.%d", g.Number>>8, g.Number&0xff)
+	if g.ClientAddress, err = loopback.FreeAddress("tcp", host); err != nil {
+		return err
+	}
+	if g.opsAddress, err = loopback.FreeAddress("tcp", host); err != nil {
+		return err
+	}
+	gossipAddress, err := loopback.FreeAddress("udp", host)
+	if err != nil {
+		return err
+	}
+	g.GossipAddress, err = netip.ParseAddrPort(gossipAddress)
+	return err
+}
+
+// Configure writes the configuration.
+func (g *Gateway) Configure(c Configuration) error {
+	peers := make([]string, len(c.Peers))
+	for i, address := range c.Peers {
+		peers[i] = address.String()
+	}
+	body, err := json.Marshal(map[string]any{
+		"name": fmt.Sprintf("n%d", g.Number), "listen": g.ClientAddress, "ops": g.opsAddress,
+		"discovery":   g.Agents[c.Agent].Address(),
+		"seed":        fmt.Sprintf("%016x", seedBase^uint64(g.Number)<<32),
+		"limits":      map[string]any{"cores": 1, "memory_mb": c.MemoryMB, "sockets": socketLimit},
+		"peer_listen": g.GossipAddress.String(), "peers": peers, "known": c.Known, "settings": c.Settings,
+	})
+	if err != nil {
+		return g.wrap(err)
+	}
+	// Renamed into place, so that a gateway never reads half a file.
+	draft := g.configPath() + ".new"
+	if err := os.WriteFile(draft, body, 0o600); err != nil {
+		return g.wrap(err)
+	}
+	if err := os.Rename(draft, g.configPath()); err != nil {
+		return g.wrap(err)
+	}
+	return nil
+}
+
+func (g *Gateway) configPath() string { return filepath.Join(g.dir, "config.json") }
+
+func (g *Gateway) logPath() string { return filepath.Join(g.dir, "log") }
+
+// Start starts the process with its configuration. The process ends with this one, even where that is killed.
+func (g *Gateway) Start(program string) error {
+	var err error
+	if g.logFile, err = os.Create(g.logPath()); err != nil {
+		return g.wrap(err)
+	}
+	g.command = exec.Command(program)
+	g.command.Env = append(os.Environ(), "RELAY_CONFIG="+g.configPath(), "TMPDIR="+g.dir)
+	g.command.Stdout, g.command.Stderr = g.logFile, g.logFile
+	g.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	if err := g.command.Start(); err != nil {
+		return g.wrap(err)
+	}
+	g.pid.Store(int64(g.command.Process.Pid))
+	go func() {
+		defer close(g.Exited)
+		_ = g.command.Wait() // how it ended is in its log
+	}()
+	return nil
+}
+
+// PID returns the process's number, 0 before it was started.
+func (g *Gateway) PID() int { return int(g.pid.Load()) }
+
+// WaitReady waits until the gateway answers PING.
+func (g *Gateway) WaitReady(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
+	defer cancel()
+	for {
+		if g.ping() == nil {
+			return nil
+		}
+		select {
+		case <-g.Exited:
+			return g.wrap(fmt.Errorf("%w: %s", errEndedAtStart, g.lastLogLine()))
+		case <-ctx.Done():
+			return g.wrap(fmt.Errorf("%w: %w", errNotReady, context.Cause(ctx)))
+		case <-time.After(PollInterval):
+		}
+	}
+}
+
+var (
+	errEndedAtStart = errors.New("ended at its start")
+	errNotReady     = errors.New("not ready")
+)
+
+func (g *Gateway) lastLogLine() string {
+	log, err := os.ReadFile(g.logPath())
+	if err != nil {
+		return err.Error()
+	}
+	lines := strings.Split(strings.TrimSpace(string(log)), "\n")
+	return lines[len(lines)-1]
+}
+
+// HasExited reports whether the process has ended.
+func (g *Gateway) HasExited() bool {
+	select {
+	case <-g.Exited:
+		return true
+	default:
+		return false
+	}
+}
+
+// Stop ends the process, by SIGTERM and if need be by SIGKILL, and the agents of discovery.
+func (g *Gateway) Stop() {
+	if g.PID() != 0 {
+		_ = g.command.Process.Signal(syscall.SIGTERM) // it may have ended already
+		select {
+		case <-g.Exited:
+		case <-time.After(stopTimeout):
+			_ = g.command.Process.Kill()
+			<-g.Exited
+		}
+		_ = g.logFile.Close()
+	}
+	for _, agent := range g.Agents {
+		if agent != nil {
+			agent.Close()
+		}
+	}
+}
+
+// Reload has the gateway read its configuration again.
+func (g *Gateway) Reload() error {
+	if err := g.command.Process.Signal(syscall.SIGHUP); err != nil {
+		return g.wrap(err)
+	}
+	return nil
+}
--- /dev/null
+++ b/scale/internal/load/clients.go
@@ -0,0 +1,194 @@
+// Package load generates the clients' requests and measures their answers.
+package load
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"strconv"
+	"sync"
+	"syscall"
+	"time"
+
+	"sparspread/internal/resp"
+	"sparspread/scale/internal/model"
+	"sparspread/scale/internal/results"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+)
+
+// Bounds of the histograms of latency.
+const (
+	maxLatency        = int64(10e6) // microseconds
+	significantDigits = 3
+)
+
+// Clients send the requests of one gateway, or of a backend without one. All methods but Run are safe for
+// concurrent use.
+type Clients struct {
+	demand model.Demand
+	direct bool // the address is a backend's
+	pool   pool
+
+	mu      sync.Mutex // guards all below
+	answers results.Answers
+	added   *hdrhistogram.Histogram // microseconds that requests took beyond the backends' service time
+}
+
+// NewClients returns clients of the gateway at an address.
+func NewClients(address string, demand model.Demand) *Clients {
+	return &Clients{
+		demand: demand, pool: pool{address: address},
+		added: hdrhistogram.New(1, maxLatency, significantDigits),
+	}
+}
+
+// NewDirectClients returns clients that call the backend at an address without a gateway.
+func NewDirectClients(address string, demand model.Demand) *Clients {
+	c := NewClients(address, demand)
+	c.direct = true
+	return c
+}
+
+// Answers returns the counts so far.
+func (c *Clients) Answers() results.Answers {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.answers
+}
+
+// Run sends requests at a rate per second for a time, at moments that do not depend on the answers, and waits
+// until all have ended.
+func (c *Clients) Run(ctx context.Context, rate float64, length time.Duration) {
+	var running sync.WaitGroup
+	end := time.Now().Add(length)
+	for at := time.Now(); ; {
+		at = at.Add(time.Duration(c.demand.Rand.ExpFloat64() / rate * float64(time.Second)))
+		if at.After(end) || !Sleep(ctx, time.Until(at)) {
+			break
+		}
+		id := uint64(c.demand.Gateway)<<48 | c.demand.Rand.Uint64()>>16
+		command := readCommand(c.demand.Draw(), id)
+		running.Go(func() { c.request(id, command) })
+	}
+	running.Wait()
+	c.closeIdle()
+}
+
+func readCommand(customer model.Customer, requestID uint64) []byte {
+	b := resp.AppendArray(nil, 4)
+	b = resp.AppendBulk(b, []byte("API.READ"))
+	b = resp.AppendBulk(b, fmt.Appendf(nil, "%016x", customer.ID))
+	b = resp.AppendBulk(b, fmt.Appendf(nil, "%016x", requestID))
+	return resp.AppendBulk(b, fmt.Appendf(nil, "c=lookup,t=%s,d=%d,units=1,spread=%d,first=%d",
+		customer.Plan().Name, model.ClientTimeout.Milliseconds(), customer.Replicas, customer.FirstReplica))
+}
+
+// request sends one request and counts how it ended.
+func (c *Clients) request(id uint64, command []byte) {
+	conn, reused, err := c.pool.get()
+	if errors.Is(err, errPoolExhausted) {
+		c.count(func(a *results.Answers) { a.NotSent++ })
+		return
+	}
+	c.count(func(a *results.Answers) { a.Sent++ })
+	if err != nil {
+		c.count(func(a *results.Answers) { a.Broken++ })
+		return
+	}
+	started := time.Now()
+	reply, err := conn.roundTrip(command, started)
+	if reused && isConnectionClosed(err) {
+		// The gateway closed the connection while it was idle.
+		c.pool.discard(conn)
+		c.count(func(a *results.Answers) { a.Resent++ })
+		if conn, err = c.pool.dial(); err == nil {
+			started = time.Now()
+			reply, err = conn.roundTrip(command, started)
+		}
+	}
+	latency := time.Since(started)
+	if err != nil {
+		c.pool.discard(conn)
+		c.countError(err)
+		return
+	}
+	c.countReply(id, reply, latency)
+	if !c.pool.put(conn) {
+		c.count(func(a *results.Answers) { a.ExtraBytes++ })
+	}
+}
+
+// isConnectionClosed reports whether an error is how the other side's closing of a connection shows.
+func isConnectionClosed(err error) bool {
+	return errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
+}
+
+func (c *Clients) count(change func(*results.Answers)) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	change(&c.answers)
+}
+
+func (c *Clients) countError(err error) {
+	c.count(func(a *results.Answers) {
+		if errors.Is(err, os.ErrDeadlineExceeded) {
+			a.Unanswered++
+		} else {
+			a.Broken++
+		}
+	})
+}
+
+func (c *Clients) countReply(id uint64, reply resp.Reply, latency time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.direct && reply.Kind == '*' && len(reply.Items) > 0 {
+		reply = reply.Items[0] // a gateway passes the first value on alone
+	}
+	switch {
+	case reply.Kind == '-' && bytes.HasPrefix(reply.Text, []byte("BUSY")):
+		c.answers.Rejected++
+	case reply.Kind != '$' || reply.Null:
+		c.answers.Failed++
+	default:
+		c.countValue(id, reply.Text, latency)
+	}
+}
+
+// countValue counts a value, which has to be the one that a backend made for the request: its ID and the
+// service time in nanoseconds. The caller holds mu.
+func (c *Clients) countValue(id uint64, value []byte, latency time.Duration) {
+	madeFor, serviceTime, _ := bytes.Cut(value, []byte(" "))
+	ns, err := strconv.ParseInt(string(serviceTime), 10, 64)
+	if err != nil || string(madeFor) != fmt.Sprintf("%016x", id) {
+		c.answers.Foreign++
+		return
+	}
+	c.answers.Served++
+	if c.added.RecordValue(max(0, (latency-time.Duration(ns)).Microseconds())) != nil {
+		c.answers.NotMeasured++
+	}
+}
+
+// closeIdle closes the idle connections. Whatever came on one since its last answer is a second answer.
+func (c *Clients) closeIdle() {
+	for range c.pool.closeIdle() {
+		c.count(func(a *results.Answers) { a.ExtraBytes++ })
+	}
+}
+
+// Sleep waits, and reports whether it did so for the whole time: not where the context ended before.
+func Sleep(ctx context.Context, length time.Duration) bool {
+	timer := time.NewTimer(length)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+		return true
+	case <-ctx.Done():
+		return false
+	}
+}
--- /dev/null
+++ b/scale/internal/load/clients_test.go
@@ -0,0 +1,69 @@
+package load
+
+import (
+	"io"
+	"net"
+	"testing"
+
+	"sparspread/internal/resp"
+	"sparspread/scale/internal/model"
+	"sparspread/scale/internal/results"
+)
+
+// answerOnce is a gateway that answers the first command on its first connection with the given text. It then
+// closes the connection, or waits for the client to do so.
+func answerOnce(t *testing.T, answer string, closes bool) (address string) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = listener.Close() })
+	go func() {
+		conn, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		defer func() { _ = conn.Close() }()
+		in := resp.NewReader(conn)
+		if _, err := in.ReadCommand(); err == nil {
+			_, _ = io.WriteString(conn, answer)
+		}
+		if !closes {
+			_, _ = in.ReadCommand()
+		}
+	}()
+	return listener.Addr().String()
+}
+
+// Each answer is counted as what it is, those of gateways that answer twice or make values up too.
+func TestAnswersAreCountedByKind(t *testing.T) {
+	for _, c := range []struct {
+		name, answer string
+		closes       bool
+		count        func(results.Answers) int
+	}{
+		{"two answers", "-BUSY\r\n-BUSY\r\n", false, func(a results.Answers) int { return a.ExtraBytes }},
+		{"answer cut off", "$18\r\n00000", true, func(a results.Answers) int { return a.Broken }},
+		{"value made up", "$5\r\nhello\r\n", false, func(a results.Answers) int { return a.Foreign }},
+		{
+			"value of another request", "$18\r\n0000000000000002 1\r\n", false,
+			func(a results.Answers) int { return a.Foreign },
+		},
+		{"null", "$-1\r\n", false, func(a results.Answers) int { return a.Failed }},
+		{"rejected", "-BUSY 100\r\n", false, func(a results.Answers) int { return a.Rejected }},
+		{
+			"value of a backend", "$18\r\n0000000000000001 1\r\n", false,
+			func(a results.Answers) int { return a.Served },
+		},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			clients := NewClients(answerOnce(t, c.answer, c.closes), model.Demand{})
+			clients.request(1, readCommand(model.Customer{ID: 7, Replicas: 1}, 1))
+			clients.closeIdle()
+			if got := clients.Answers(); c.count(got) != 1 || got.Sent != 1 {
+				t.Errorf("answers %+v", got)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/scale/internal/report/columns.go
@@ -0,0 +1,159 @@
+package report
+
+import "sparspread/scale/internal/results"
+
+// measurement is a cost that may grow with the size. The tables have a row for each.
+type measurement struct {
+	name  string
+	value func(*results.Result) (value float64, ok bool)
+}
+
+// measurements are printed in this order: of the gateways the median processor time and traffic and the
+// maximum of memory, of the changes the slowest. The names are those of the pages that quote the tables, and
+// call simulated gateways hollow.
+var measurements = []measurement{
+	ofPhase("idle CPU %", idlePhase, medianCPU),
+	ofPhase("control CPU %", controlPhase, medianCPU),
+	ofPhase("load CPU %", loadPhase, medianCPU),
+	{"CPU us a request", cpuPerRequest},
+	{"start peak MB", maxOf(func(r *results.Result) []float64 { return r.StartPeakMB })},
+	ofPhase("control peak MB", controlPhase, maxPeak),
+	ofPhase("load peak MB", loadPhase, maxPeak),
+	ofPhase("control in KB/s", controlPhase, medianInKBs),
+	ofPhase("control out KB/s", controlPhase, medianOutKBs),
+	ofPhase("control in msg/s", controlPhase, medianInMessages),
+	ofPhase("control out msg/s", controlPhase, medianOutMessages),
+	ofPhase("load in KB/s", loadPhase, medianInKBs),
+	ofPhase("load out KB/s", loadPhase, medianOutKBs),
+	ofLatency("added p50 ms", addedLatency, p50),
+	ofLatency("added p99 ms", addedLatency, p99),
+	ofLatency("without a gateway p50 ms", baselineLatency, p50),
+	ofLatency("without a gateway p99 ms", baselineLatency, p99),
+	ofPhase("machine busy under load %", loadPhase, machineBusy),
+	{"hollow late under load ms", positive(delayUnderLoad)},
+	{"change ms", maxOf(func(r *results.Result) []float64 { return r.ChangeMS })},
+	ofReload("SIGHUP call ms", func(r *results.ReloadResult) float64 { return r.CalledMS }),
+	ofReload("SIGHUP list ms", func(r *results.ReloadResult) float64 { return r.ListedMS }),
+	ofReload("2 s from SIGHUP in KB/s", func(r *results.ReloadResult) float64 { return r.InKBs.Median }),
+	{"list bytes", positive(func(r *results.Result) float64 { return float64(r.ListBytes) })},
+}
+
+// ofPhase measures a phase, where it was run.
+func ofPhase(
+	name string, phase func(*results.Result) *results.PhaseUsage, value func(*results.PhaseUsage) float64,
+) measurement {
+	return measurement{name, func(r *results.Result) (float64, bool) {
+		usage := phase(r)
+		if usage == nil {
+			return 0, false
+		}
+		return value(usage), true
+	}}
+}
+
+func idlePhase(r *results.Result) *results.PhaseUsage    { return r.Idle }
+func controlPhase(r *results.Result) *results.PhaseUsage { return r.Control }
+func loadPhase(r *results.Result) *results.PhaseUsage    { return r.Load }
+
+func medianCPU(u *results.PhaseUsage) float64 { return u.CPUPercent.Median }
+func maxPeak(u *results.PhaseUsage) float64   { return u.PeakMB.Max }
+
+func medianInKBs(u *results.PhaseUsage) float64       { return u.InKBs.Median }
+func medianOutKBs(u *results.PhaseUsage) float64      { return u.OutKBs.Median }
+func medianInMessages(u *results.PhaseUsage) float64  { return u.InMessages.Median }
+func medianOutMessages(u *results.PhaseUsage) float64 { return u.OutMessages.Median }
+func machineBusy(u *results.PhaseUsage) float64       { return u.MachinePercent }
+
+// ofLatency measures a latency, where requests were served.
+func ofLatency(
+	name string,
+	latency func(*results.Result) *results.AddedLatency,
+	value func(*results.AddedLatency) float64,
+) measurement {
+	return measurement{name, func(r *results.Result) (float64, bool) {
+		l := latency(r)
+		if l == nil {
+			return 0, false
+		}
+		return value(l), true
+	}}
+}
+
+func addedLatency(r *results.Result) *results.AddedLatency    { return r.Added }
+func baselineLatency(r *results.Result) *results.AddedLatency { return r.Baseline }
+
+func p50(l *results.AddedLatency) float64 { return l.P50MS }
+func p99(l *results.AddedLatency) float64 { return l.P99MS }
+
+// ofReload measures the reload, where it got that far.
+func ofReload(name string, value func(*results.ReloadResult) float64) measurement {
+	return measurement{name, func(r *results.Result) (float64, bool) {
+		if r.Reload == nil {
+			return 0, false
+		}
+		return value(r.Reload), value(r.Reload) > 0
+	}}
+}
+
+// maxOf measures the maximum of values, where there are any.
+func maxOf(values func(*results.Result) []float64) func(*results.Result) (float64, bool) {
+	return func(r *results.Result) (float64, bool) {
+		return results.Summarize(values(r)).Max, len(values(r)) > 0
+	}
+}
+
+// positive measures a value that is 0 where it was not measured.
+func positive(value func(*results.Result) float64) func(*results.Result) (float64, bool) {
+	return func(r *results.Result) (float64, bool) { return value(r), value(r) > 0 }
+}
+
+func delayUnderLoad(r *results.Result) float64 { return r.Load.SimulatedDelay() }
+
+// cpuPerRequest measures the gateways' processor time for a request, in microseconds: what the phase with
+// requests used beyond the one without.
+func cpuPerRequest(r *results.Result) (float64, bool) {
+	if r.Load == nil || r.Control == nil || r.Answers.Sent == 0 {
+		return 0, false
+	}
+	percent := r.Load.CPUPercent.Median - r.Control.CPUPercent.Median
+	us := percent / 100 * r.Load.Seconds * 1e6 * float64(r.RealGateways) / float64(r.Answers.Sent)
+	return us, percent > 0
+}
+
+// countRow is a row with the sum of a count over the repeats.
+type countRow struct {
+	name  string
+	count func(*results.Result) int64
+}
+
+// countRows are printed in this order.
+var countRows = []countRow{
+	{"requests sent", func(r *results.Result) int64 { return int64(r.Answers.Sent) }},
+	{"served", func(r *results.Result) int64 { return int64(r.Answers.Served) }},
+	{"refused", func(r *results.Result) int64 { return int64(r.Answers.Rejected) }},
+	{"failed", func(r *results.Result) int64 { return int64(r.Answers.Failed) }},
+	{"unanswered in time", func(r *results.Result) int64 { return int64(r.Answers.Unanswered) }},
+	{"broken off by the gateway", func(r *results.Result) int64 { return int64(r.Answers.Broken) }},
+	{"answered twice or by no backend", func(r *results.Result) int64 {
+		return int64(r.Answers.Foreign + r.Answers.ExtraBytes)
+	}},
+	{"not sent by the clients", func(r *results.Result) int64 { return int64(r.Answers.NotSent) }},
+	{"members changed under way", func(r *results.Result) int64 { return int64(r.MembersChanged) }},
+	{"sent to drained within the grace", func(r *results.Result) int64 { return r.Backends.DrainingInGrace }},
+	{"sent to drained after the grace", func(r *results.Result) int64 {
+		return r.Backends.DrainingAfterGrace
+	}},
+	{"capped customers' requests sent on", func(r *results.Result) int64 { return int64(r.Capped.Taken) }},
+	{"of them beyond the quota", func(r *results.Result) int64 { return int64(r.Capped.BeyondQuota) }},
+	{"of them beyond the ceiling", func(r *results.Result) int64 { return int64(r.Capped.BeyondCeiling) }},
+	{"connections to backends", func(r *results.Result) int64 { return r.Backends.Connections }},
+	{"lists refused", func(r *results.Result) int64 { return int64(r.ListsRejected) }},
+	{"changes lost after SIGHUP", func(r *results.Result) int64 {
+		if r.Reload != nil && r.Reload.ChangeLost {
+			return 1
+		}
+		return 0
+	}},
+	{"gateways that ended", func(r *results.Result) int64 { return int64(r.GatewaysEnded) }},
+	{"notes dropped at hollow gateways", func(r *results.Result) int64 { return r.SimulatedGossipDropped }},
+}
--- /dev/null
+++ b/scale/internal/report/report.go
@@ -0,0 +1,241 @@
+// Package report prints results as tables in Markdown, with the slopes of what grows.
+package report
+
+import (
+	"fmt"
+	"io"
+	"slices"
+	"strings"
+
+	"sparspread/scale/internal/results"
+)
+
+// Print prints a table for each experiment of the results, in the order in which they first come.
+func Print(out io.Writer, all []*results.Result) error {
+	var names []string
+	byName := map[string][]*results.Result{}
+	for _, r := range all {
+		if byName[r.Experiment] == nil {
+			names = append(names, r.Experiment)
+		}
+		byName[r.Experiment] = append(byName[r.Experiment], r)
+	}
+	var b strings.Builder
+	for _, name := range names {
+		newTable(byName[name]).write(&b)
+	}
+	if _, err := io.WriteString(out, b.String()); err != nil {
+		return fmt.Errorf("writing the report: %w", err)
+	}
+	return nil
+}
+
+// table is the report of one experiment.
+type table struct {
+	results []*results.Result
+	sizes   []float64 // from the smallest
+	bySize  map[float64][]*results.Result
+	// extrapolate says that a column is worked out for the target, which did not run.
+	extrapolate bool
+	target      float64
+}
+
+func newTable(all []*results.Result) *table {
+	t := &table{results: all, bySize: map[float64][]*results.Result{}, target: all[0].Target}
+	for _, r := range all {
+		if t.bySize[r.Size] == nil {
+			t.sizes = append(t.sizes, r.Size)
+		}
+		t.bySize[r.Size] = append(t.bySize[r.Size], r)
+	}
+	slices.Sort(t.sizes)
+	t.extrapolate = t.target > 0 && countRun(t.bySize[t.target]) == 0
+	return t
+}
+
+func (t *table) write(b *strings.Builder) {
+	t.writeIntroduction(b)
+	t.writeHead(b)
+	for _, m := range measurements {
+		t.writeMeasurement(b, m)
+	}
+	for _, row := range countRows {
+		t.writeCount(b, row)
+	}
+	b.WriteString("\n")
+	t.writeStops(b)
+	fmt.Fprintf(b, "Not checked: %s.\n\n", strings.Join(t.results[0].NotChecked, ", "))
+}
+
+func (t *table) writeIntroduction(b *strings.Builder) {
+	first := t.results[0]
+	fmt.Fprintf(b, "## %s\n\nAxis: %s. %d real gateways, %s in the settings, known: %s, service %g ms. ",
+		first.Experiment, first.Axis, first.RealGateways, t.tierSizes(), first.Known, first.ServiceMS)
+	fmt.Fprintf(b, "Program %s. Least / median / most of the repeats, one figure where they are the same or "+
+		"there is one. What is worked out goes on from the two largest sizes that ran.\n\n",
+		strings.Join(t.revisions(), ", "))
+}
+
+func (t *table) writeHead(b *strings.Builder) {
+	b.WriteString("| figure |")
+	for _, size := range t.sizes {
+		fmt.Fprintf(b, " %s |", sizeHead(t.bySize[size], size))
+	}
+	if t.extrapolate {
+		fmt.Fprintf(b, " %g, worked out |", t.target)
+	}
+	b.WriteString(" slope | of the last two |\n|---|" + strings.Repeat("---|", len(t.sizes)+2))
+	if t.extrapolate {
+		b.WriteString("---|")
+	}
+	b.WriteString("\n| repeats run |")
+	for _, size := range t.sizes {
+		fmt.Fprintf(b, " %d of %d |", countRun(t.bySize[size]), t.bySize[size][0].Repeats)
+	}
+	if t.extrapolate {
+		b.WriteString(" none |")
+	}
+	b.WriteString(" | |\n")
+}
+
+// tierSizes returns how many gateways the settings name.
+func (t *table) tierSizes() string {
+	smallest, largest := t.results[0].Tier, t.results[0].Tier
+	for _, r := range t.results {
+		smallest, largest = min(smallest, r.Tier), max(largest, r.Tier)
+	}
+	if smallest == largest {
+		return fmt.Sprint(largest)
+	}
+	return fmt.Sprintf("%d to %d", smallest, largest)
+}
+
+func (t *table) revisions() []string {
+	var all []string
+	for _, r := range t.results {
+		if !slices.Contains(all, r.Revision) {
+			all = append(all, r.Revision)
+		}
+	}
+	return all
+}
+
+func sizeHead(ofSize []*results.Result, size float64) string {
+	if label := ofSize[0].Label; label != "" {
+		return fmt.Sprintf("%g (%s)", size, label)
+	}
+	return fmt.Sprintf("%g", size)
+}
+
+// countRun counts the valid results.
+func countRun(ofSize []*results.Result) (n int) {
+	for _, r := range ofSize {
+		if r.Status == results.StatusRun {
+			n++
+		}
+	}
+	return n
+}
+
+// writeMeasurement writes a measurement at each size. What a size gave before it was stopped, or while
+// simulated gateways were late, is marked with a star and counts for no slope.
+func (t *table) writeMeasurement(b *strings.Builder, m measurement) {
+	var sizes, values []float64 // of the valid results
+	fmt.Fprintf(b, "| %s |", m.name)
+	for _, size := range t.sizes {
+		valid, other := measureSize(m, t.bySize[size])
+		for _, value := range valid {
+			sizes, values = append(sizes, size), append(values, value)
+		}
+		mark := ""
+		if len(other) > 0 {
+			mark = "*"
+		}
+		fmt.Fprintf(b, " %s |", formatSummary(append(valid, other...), mark))
+	}
+	all, hasSlope := fitSlope(sizes, values)
+	lastTwo, hasLastTwo := fitLastTwo(sizes, values)
+	if t.extrapolate {
+		fmt.Fprintf(b, " %s |", formatOr(hasLastTwo, func() string {
+			return formatValue(lastTwo.at(t.target))
+		}))
+	}
+	fmt.Fprintf(b, " %s |", formatOr(hasSlope, all.String))
+	fmt.Fprintf(b, " %s |\n", formatOr(hasLastTwo, func() string {
+		return fmt.Sprintf("%.2f", lastTwo.exponent)
+	}))
+}
+
+// measureSize measures the results of a size: those that are valid, and the others.
+func measureSize(m measurement, ofSize []*results.Result) (valid, other []float64) {
+	for _, r := range ofSize {
+		value, ok := m.value(r)
+		switch {
+		case !ok:
+		case r.Status == results.StatusRun:
+			valid = append(valid, value)
+		default:
+			other = append(other, value)
+		}
+	}
+	return valid, other
+}
+
+const notMeasured = "-"
+
+// formatOr returns a text, or the sign for what was not measured.
+func formatOr(measured bool, text func() string) string {
+	if !measured {
+		return notMeasured
+	}
+	return text()
+}
+
+func formatSummary(values []float64, mark string) string {
+	if len(values) == 0 {
+		return notMeasured
+	}
+	s := results.Summarize(values)
+	if s.Min == s.Max {
+		return formatValue(s.Min) + mark
+	}
+	return fmt.Sprintf("%s / %s / %s%s", formatValue(s.Min), formatValue(s.Median), formatValue(s.Max), mark)
+}
+
+// formatValue writes a value with three significant digits, or to the unit.
+func formatValue(v float64) string {
+	if v >= 100 {
+		return fmt.Sprintf("%.0f", v)
+	}
+	return fmt.Sprintf("%.3g", v)
+}
+
+// writeCount writes the sum of a count at each size.
+func (t *table) writeCount(b *strings.Builder, row countRow) {
+	fmt.Fprintf(b, "| %s, sum |", row.name)
+	for _, size := range t.sizes {
+		sum := int64(0)
+		for _, r := range t.bySize[size] {
+			sum += row.count(r)
+		}
+		fmt.Fprintf(b, " %d |", sum)
+	}
+	if t.extrapolate {
+		b.WriteString(" |")
+	}
+	b.WriteString(" | |\n")
+}
+
+// writeStops lists the results that are not valid, and why.
+func (t *table) writeStops(b *strings.Builder) {
+	stopped := false
+	for _, r := range t.results {
+		if r.Status != results.StatusRun {
+			fmt.Fprintf(b, "- %g, repeat %d: %s (*)\n", r.Size, r.Repeat, r.Status)
+			stopped = true
+		}
+	}
+	if stopped {
+		b.WriteString("\n")
+	}
+}
--- /dev/null
+++ b/scale/internal/report/slope.go
@@ -0,0 +1,73 @@
+package report
+
+import (
+	"fmt"
+	"maps"
+	"math"
+	"slices"
+
+	"sparspread/scale/internal/results"
+
+	"gonum.org/v1/gonum/stat"
+)
+
+// slope is how a measurement grows: as the size to the power of exponent, with exp(intercept) at size 1.
+type slope struct {
+	intercept, exponent float64
+	standardError       float64 // of the exponent; NaN where fewer than three points were fitted
+	points              int
+}
+
+// at returns the measurement that the slope gives for a size.
+func (s slope) at(size float64) float64 { return math.Exp(s.intercept + s.exponent*math.Log(size)) }
+
+// String returns the exponent as the tables have it.
+func (s slope) String() string {
+	if math.IsNaN(s.standardError) {
+		return fmt.Sprintf("%.2f (%d points)", s.exponent, s.points)
+	}
+	return fmt.Sprintf("%.2f ± %.2f (%d points)", s.exponent, s.standardError, s.points)
+}
+
+// fitSlope fits a line through the logarithms of the positive values. It needs two sizes.
+func fitSlope(sizes, values []float64) (slope, bool) {
+	var xs, ys []float64
+	for i, value := range values {
+		if value > 0 && sizes[i] > 0 {
+			xs, ys = append(xs, math.Log(sizes[i])), append(ys, math.Log(value))
+		}
+	}
+	if len(xs) == 0 || slices.Min(xs) == slices.Max(xs) {
+		return slope{}, false
+	}
+	s := slope{points: len(xs), standardError: math.NaN()}
+	s.intercept, s.exponent = stat.LinearRegression(xs, ys, nil, false)
+	if n := float64(len(xs)); n > 2 {
+		squaredResiduals := 0.0
+		for i, x := range xs {
+			residual := ys[i] - s.intercept - s.exponent*x
+			squaredResiduals += residual * residual
+		}
+		s.standardError = math.Sqrt(squaredResiduals / (n - 2) / (stat.Variance(xs, nil) * (n - 1)))
+	}
+	return s, true
+}
+
+// fitLastTwo fits the medians of the two largest sizes alone. Most costs have a part that does not grow, so
+// that a fit through all sizes is too flat to extrapolate from.
+func fitLastTwo(sizes, values []float64) (slope, bool) {
+	valuesBySize := map[float64][]float64{}
+	for i, size := range sizes {
+		valuesBySize[size] = append(valuesBySize[size], values[i])
+	}
+	sorted := slices.Sorted(maps.Keys(valuesBySize))
+	if len(sorted) < 2 {
+		return slope{}, false
+	}
+	lastTwo := sorted[len(sorted)-2:]
+	var medians []float64
+	for _, size := range lastTwo {
+		medians = append(medians, results.Summarize(valuesBySize[size]).Median)
+	}
+	return fitSlope(lastTwo, medians)
+}
--- a/scale/recorded_test.go
+++ b/scale/internal/results/recorded_test.go
@@ -1,4 +1,4 @@
-package main
+package results
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// fillNumbered gives every field a value of its own, in the order of declaration.
+// fillNumbered gives each field a value of its own, in the order of declaration.
 func fillNumbered(v reflect.Value, n *int) {
 	switch v.Kind() {
 	case reflect.Pointer:
@@ -38,16 +38,16 @@
 	}
 }
 
-// A result line with every field was recorded from the program of commit d086cf6: results stay readable.
+// The line was recorded with every field set by the program of commit d086cf6: its results stay readable.
 func TestResultLineIsReadAndWrittenAsRecorded(t *testing.T) {
 	raw, err := os.ReadFile("testdata/result.jsonl")
 	if err != nil {
 		t.Fatal(err)
 	}
-	want, n := result{}, 0
+	want, n := Result{}, 0
 	fillNumbered(reflect.ValueOf(&want).Elem(), &n)
-	want.Status = statusRun
-	var got result
+	want.Status = StatusRun
+	var got Result
 	if err := json.Unmarshal(raw, &got); err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/scale/internal/results/summary_test.go
@@ -0,0 +1,12 @@
+package results
+
+import "testing"
+
+func TestSummarize(t *testing.T) {
+	if s := Summarize([]float64{4, 1, 3, 2}); s != (Summary{Min: 1, Median: 2.5, Max: 4}) {
+		t.Errorf("even count: %+v", s)
+	}
+	if s := Summarize([]float64{3, 1, 2}); s != (Summary{Min: 1, Median: 2, Max: 3}) {
+		t.Errorf("odd count: %+v", s)
+	}
+}
--- /dev/null
+++ b/scale/internal/runner/phases.go
@@ -0,0 +1,143 @@
+package runner
+
+import (
+	"context"
+	"runtime"
+	"sync"
+	"time"
+
+	"sparspread/scale/internal/gatewayproc"
+	"sparspread/scale/internal/load"
+	"sparspread/scale/internal/measure"
+	"sparspread/scale/internal/results"
+)
+
+// runPhases measures the gateways idle, with changes of the list, with changes and requests, then times
+// changes and a reload.
+func (s *stage) runPhases(ctx context.Context, result *results.Result) error {
+	var err error
+	idle := func(ctx context.Context) { load.Sleep(ctx, s.Experiment.Idle) }
+	if result.Idle, err = s.measurePhase(ctx, idle); err != nil {
+		return err
+	}
+	if s.simulated != nil {
+		s.simulated.SetDemand(s.Experiment.SimulatedRequests)
+	}
+	changes := func(ctx context.Context) {
+		result.MembersChanged += s.changeBackends(ctx, s.Experiment.Control)
+	}
+	if result.Control, err = s.measurePhase(ctx, changes); err != nil {
+		return err
+	}
+	changesAndRequests := func(ctx context.Context) {
+		var running sync.WaitGroup
+		running.Go(func() { result.MembersChanged += s.changeBackends(ctx, s.Experiment.Load) })
+		for _, c := range s.clients {
+			running.Go(func() { c.Run(ctx, s.point.Requests, s.Experiment.Load) })
+		}
+		running.Wait()
+	}
+	if result.Load, err = s.measurePhase(ctx, changesAndRequests); err != nil {
+		return err
+	}
+	if err := s.timeChanges(ctx, result); err != nil {
+		return err
+	}
+	return s.reloadGateways(ctx, result)
+}
+
+// measurePhase measures what the real gateways use while an activity runs.
+func (s *stage) measurePhase(
+	ctx context.Context, activity func(context.Context),
+) (*results.PhaseUsage, error) {
+	before := make([]usageSample, len(s.gateways))
+	for i, g := range s.gateways {
+		var err error
+		if before[i], err = sampleUsage(g); err != nil {
+			return nil, err
+		}
+		if err := measure.ResetPeakMemory(g.PID()); err != nil {
+			return nil, err
+		}
+	}
+	if s.simulated != nil {
+		s.simulated.TakeMaxDelay() // of the time before
+	}
+	machineBefore, err := measure.MachineCPUTime()
+	if err != nil {
+		return nil, err
+	}
+	started := time.Now()
+	activity(ctx)
+	seconds := time.Since(started).Seconds()
+	machineAfter, err := measure.MachineCPUTime()
+	if err != nil {
+		return nil, err
+	}
+	if ctx.Err() != nil {
+		return nil, context.Cause(ctx)
+	}
+	usage, err := s.summarizeUsage(before, seconds)
+	if err != nil {
+		return nil, err
+	}
+	machine := (machineAfter - machineBefore).Seconds()
+	usage.MachinePercent = 100 * machine / seconds / float64(runtime.NumCPU())
+	if s.simulated != nil {
+		usage.SimulatedDelayMS = results.Milliseconds(s.simulated.TakeMaxDelay())
+	}
+	return usage, nil
+}
+
+// usageSample is what a gateway has used up to a moment.
+type usageSample struct {
+	cpuTime     time.Duration
+	inBytes     int64
+	inMessages  int64
+	outBytes    int64
+	outMessages int64
+}
+
+func sampleUsage(g *gatewayproc.Gateway) (usageSample, error) {
+	cpuTime, err := measure.ProcessCPUTime(g.PID())
+	if err != nil {
+		return usageSample{}, err
+	}
+	in, out := &g.Traffic.In, &g.Traffic.Out
+	return usageSample{
+		cpuTime: cpuTime,
+		inBytes: in.Bytes.Load(), inMessages: in.Messages.Load(),
+		outBytes: out.Bytes.Load(), outMessages: out.Messages.Load(),
+	}, nil
+}
+
+// summarizeUsage summarizes over the gateways what each has used since its sample, and what it holds now.
+func (s *stage) summarizeUsage(before []usageSample, seconds float64) (*results.PhaseUsage, error) {
+	var cpu, held, peak, inKBs, inMessages, outKBs, outMessages []float64
+	for i, g := range s.gateways {
+		after, err := sampleUsage(g)
+		if err != nil {
+			return nil, err
+		}
+		memory, err := measure.ProcessMemory(g.PID())
+		if err != nil {
+			return nil, err
+		}
+		perSecond := func(after, before int64) float64 { return float64(after-before) / seconds }
+		b := before[i]
+		cpu = append(cpu, 100*(after.cpuTime-b.cpuTime).Seconds()/seconds)
+		held = append(held, results.Megabytes(memory.Now))
+		peak = append(peak, results.Megabytes(memory.Peak))
+		inKBs = append(inKBs, perSecond(after.inBytes, b.inBytes)/1000)
+		inMessages = append(inMessages, perSecond(after.inMessages, b.inMessages))
+		outKBs = append(outKBs, perSecond(after.outBytes, b.outBytes)/1000)
+		outMessages = append(outMessages, perSecond(after.outMessages, b.outMessages))
+	}
+	return &results.PhaseUsage{
+		Seconds:    seconds,
+		CPUPercent: results.Summarize(cpu),
+		HeldMB:     results.Summarize(held), PeakMB: results.Summarize(peak),
+		InKBs: results.Summarize(inKBs), InMessages: results.Summarize(inMessages),
+		OutKBs: results.Summarize(outKBs), OutMessages: results.Summarize(outMessages),
+	}, nil
+}
--- /dev/null
+++ b/scale/internal/runner/runner.go
@@ -0,0 +1,169 @@
+// Package runner runs one size of an experiment: it starts the gateways and what stands in for their
+// surroundings, measures them phase by phase, and checks some of the rules.
+package runner
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"math/rand/v2"
+	"os"
+	"sync"
+	"time"
+
+	"sparspread/scale/internal/load"
+	"sparspread/scale/internal/measure"
+	"sparspread/scale/internal/model"
+	"sparspread/scale/internal/results"
+	"sparspread/scale/internal/simulated"
+)
+
+const (
+	maxRunTime          = 4 * time.Minute // of one size
+	memoryCheckInterval = 250 * time.Millisecond
+)
+
+var errMemory = errors.New("half of the machine's memory is in use")
+
+// notChecked are rules that no result says anything about.
+var notChecked = []string{"cold backends within budget"}
+
+// Runner runs the sizes of an experiment.
+type Runner struct {
+	Experiment *model.Experiment
+	Program    string // path of the gateway's program
+	Log        *slog.Logger
+}
+
+// Run runs the size with the given index once; repeat counts from 1. Whatever stops the run is in the
+// result's status.
+func (r *Runner) Run(ctx context.Context, sizeIndex, repeat int) *results.Result {
+	e := r.Experiment
+	point, err := e.PointAt(sizeIndex)
+	result := r.newResult(point, sizeIndex, repeat)
+	log := r.Log.With("experiment", e.Name, "size", result.Size, "repeat", repeat)
+	log.Info("run starts", "real_gateways", result.RealGateways,
+		"simulated_gateways", result.SimulatedGateways, "backends", point.Backends)
+	if err == nil {
+		err = runStage(ctx, newStage(r, point, sizeIndex, repeat), result)
+	}
+	delay := max(
+		result.Idle.SimulatedDelay(), result.Control.SimulatedDelay(), result.Load.SimulatedDelay(),
+	)
+	switch {
+	case err != nil:
+		result.Status = "stopped: " + err.Error()
+	case delay > results.Milliseconds(e.MaxSimulatedDelay):
+		result.Status = fmt.Sprintf("behind: hollow gateways were late by up to %.0f ms, %v at most",
+			delay, e.MaxSimulatedDelay)
+	}
+	log.Info("run ended", "status", result.Status)
+	return result
+}
+
+func (r *Runner) newResult(point model.Point, sizeIndex, repeat int) *results.Result {
+	e := r.Experiment
+	return &results.Result{
+		Experiment: e.Name, Axis: e.Axis, Size: e.Sizes[sizeIndex], Label: e.Label(sizeIndex),
+		Target: e.Target, Repeat: repeat, Repeats: e.Repeats, Status: results.StatusRun,
+		Revision: programRevision(), Started: time.Now().UTC().Format(time.RFC3339),
+		Point: point, RealGateways: e.RealGateways, SimulatedGateways: point.Gateways - e.RealGateways,
+		Tier: e.Tier(point), MemoryMB: e.MemoryMB, Known: e.Known,
+		ServiceMS: results.Milliseconds(e.ServiceTime), NotChecked: notChecked,
+	}
+}
+
+// runStage builds the stage, measures, and takes the stage down again. The result holds what was measured
+// also where an error ends the run.
+func runStage(ctx context.Context, s *stage, result *results.Result) error {
+	ctx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	timeoutCause := fmt.Errorf("longer than %v", maxRunTime)
+	ctx, cancelTimeout := context.WithTimeoutCause(ctx, maxRunTime, timeoutCause)
+	defer cancelTimeout()
+	var err error
+	if s.dir, err = os.MkdirTemp("", "scale"); err != nil {
+		return fmt.Errorf("directory of the run: %w", err)
+	}
+	defer func() { _ = os.RemoveAll(s.dir) }()
+	var background sync.WaitGroup
+	defer background.Wait()
+	defer s.close()
+	defer cancel(nil) // before the stage is closed: nothing works meanwhile
+	if err := s.build(result); err != nil {
+		return err
+	}
+	background.Go(func() { s.watchMemory(ctx, cancel) })
+	go s.backends.Serve(s.catalog) // until closed
+	s.gossip.Start()
+	if s.simulated != nil {
+		background.Go(s.simulated.Run(ctx))
+		if !load.Sleep(ctx, 2*simulated.StartTime) {
+			return context.Cause(ctx)
+		}
+	}
+	if err := s.startGateways(ctx, result); err != nil {
+		return err
+	}
+	err = s.runPhases(ctx, result)
+	s.collectCounts(result)
+	if err != nil && ctx.Err() != nil {
+		return context.Cause(ctx)
+	}
+	return err
+}
+
+// watchMemory cancels the run when this process and the gateways hold too much memory.
+func (s *stage) watchMemory(ctx context.Context, cancel context.CancelCauseFunc) {
+	machine, err := measure.MachineMemory()
+	if err != nil {
+		cancel(err)
+		return
+	}
+	for load.Sleep(ctx, memoryCheckInterval) {
+		own, err := measure.ProcessMemory(os.Getpid())
+		if err != nil {
+			cancel(err)
+			return
+		}
+		held := own.Now
+		for _, g := range s.gateways {
+			if g.PID() == 0 {
+				continue
+			}
+			if used, err := measure.ProcessMemory(g.PID()); err == nil { // else it has ended and holds none
+				held += used.Now
+			}
+		}
+		if held > machine/2 {
+			cancel(errMemory)
+			return
+		}
+	}
+}
+
+// collectCounts puts into the result what the clients and the stand-ins have counted.
+func (s *stage) collectCounts(result *results.Result) {
+	for _, c := range s.clients {
+		result.Answers.Add(c.Answers())
+	}
+	result.Added = load.AddedLatency(s.clients)
+	result.Backends = s.backends.Counts()
+	result.Capped = s.audit.Counts()
+	for _, g := range s.gateways {
+		for _, agent := range g.Agents {
+			result.ListsRejected += agent.Activity().ListsRejected
+		}
+		if g.HasExited() {
+			result.GatewaysEnded++
+		}
+	}
+	if s.simulated != nil {
+		result.SimulatedRequests = s.simulated.Requests()
+		result.SimulatedGossipDropped = s.simulated.GossipDropped()
+	}
+}
+
+// newRand returns a random source with a fixed seed.
+func newRand(seed1, seed2 uint64) *rand.Rand { return rand.New(rand.NewPCG(seed1, seed2)) }
--- /dev/null
+++ b/scale/internal/simulated/gateway.go
@@ -0,0 +1,140 @@
+package simulated
+
+import (
+	"context"
+	"net"
+	"time"
+
+	"sparspread/policy"
+	"sparspread/scale/internal/model"
+	"sparspread/scale/internal/standin"
+)
+
+// gateway is one simulated gateway. It implements policy.Actions for its controller. All but conn belongs to
+// the worker's goroutine.
+type gateway struct {
+	worker        *worker
+	conn          *net.UDPConn // for gossip
+	controller    *policy.Controller
+	demand        model.Demand
+	open          map[uint64]*request
+	lastRequestID uint64
+}
+
+var _ policy.Actions = (*gateway)(nil)
+
+// request is one that the gateway received.
+type request struct {
+	customer model.Customer
+	attempts int // made
+	inFlight int // of them
+}
+
+// receiveRequest has a client's request arrive.
+func (g *gateway) receiveRequest(now policy.Time) {
+	customer := g.demand.Draw()
+	g.lastRequestID++
+	g.open[g.lastRequestID] = &request{customer: customer}
+	planIndex := 0 // in the settings: the team plan, then the capped one
+	if customer.Capped {
+		planIndex = 1
+	}
+	g.worker.tier.requests.Add(1)
+	g.controller.RequestReceived(now, policy.Request{
+		ID: g.lastRequestID, Customer: customer.ID, Plan: planIndex, Cost: 1,
+		Timeout:      model.ClientTimeout.Microseconds(),
+		FirstReplica: customer.FirstReplica, Replicas: customer.Replicas,
+	})
+}
+
+// receive passes gossip on to the worker until the socket is closed. A full queue drops messages, as a
+// network does.
+func (g *gateway) receive(ctx context.Context) {
+	tier := g.worker.tier
+	buf := make([]byte, standin.MaxGossipSize+1)
+	for {
+		size, address, err := g.conn.ReadFromUDPAddrPort(buf)
+		if err != nil {
+			return
+		}
+		sender, ok := tier.byPeer[address]
+		if !ok || size > standin.MaxGossipSize {
+			continue
+		}
+		tier.gossip.CountSent(address, size)
+		message, received := append([]byte(nil), buf[:size]...), tier.now()
+		select {
+		case g.worker.queue <- func() {
+			tier.recordDelay(tier.now() - received)
+			g.controller.GossipReceived(tier.now(), sender, message)
+		}:
+		case <-ctx.Done():
+			return
+		default:
+			tier.gossipDropped.Add(1)
+		}
+	}
+}
+
+// Send has an attempt answered after the service time.
+func (g *gateway) Send(id uint64, backend uint32, _ policy.Time) {
+	r, tier := g.open[id], g.worker.tier
+	attempt := r.attempts
+	if attempt == 0 && r.customer.Capped {
+		tier.audit.RecordAttempt(r.customer.ID, "", time.Now())
+	}
+	r.attempts++
+	r.inFlight++
+	g.worker.at(tier.now()+g.worker.serviceTime, func() {
+		r.inFlight--
+		g.forgetIfIdle(id, r)
+		g.controller.AttemptEnded(tier.now(), policy.Outcome{
+			RequestID: id, Attempt: attempt, Backend: backend, Result: policy.ResultOK,
+			Latency: g.worker.serviceTime, Answered: true,
+		})
+	})
+}
+
+// forgetIfIdle removes a request that is answered once none of its attempts is in flight.
+func (g *gateway) forgetIfIdle(id uint64, r *request) {
+	if r.inFlight == 0 {
+		delete(g.open, id)
+	}
+}
+
+// Reject ends a request.
+func (g *gateway) Reject(id uint64, _ policy.Time) { g.Fail(id) }
+
+// Fail ends a request.
+func (g *gateway) Fail(id uint64) {
+	if r := g.open[id]; r != nil {
+		g.forgetIfIdle(id, r)
+	}
+}
+
+// SetTimer has the controller called at a time.
+func (g *gateway) SetTimer(at policy.Time, token uint32) {
+	g.worker.at(at, func() { g.controller.TimerFired(g.worker.tier.now(), token) })
+}
+
+// SendGossip sends a message to a peer.
+func (g *gateway) SendGossip(peer int, message []byte) {
+	network := g.worker.tier.gossip
+	if relay := network.Relay(peer); relay != nil {
+		relay.Deliver(g.conn, message)
+		return
+	}
+	_, _ = g.conn.WriteToUDPAddrPort(message, network.Peers()[peer]) // gossip may be lost
+}
+
+// HealthCheck does nothing: the settings do not allow health checks.
+func (g *gateway) HealthCheck(uint32) {}
+
+// IncrementCounter does nothing: the settings do not allow the shared counter.
+func (g *gateway) IncrementCounter(uint64, float64, policy.Time) {}
+
+// WatchEndpoints does nothing: changes come through Tier.UpdateEndpoints unasked.
+func (g *gateway) WatchEndpoints() {}
+
+// Log drops the line: nobody is on call for a simulated gateway.
+func (g *gateway) Log(string) {}
--- /dev/null
+++ b/scale/internal/simulated/worker.go
@@ -0,0 +1,129 @@
+package simulated
+
+import (
+	"container/heap"
+	"context"
+	"math/rand/v2"
+	"sync/atomic"
+	"time"
+
+	"sparspread/policy"
+)
+
+const (
+	queueLength  = 1 << 14
+	maxBurst     = 64     // calls from the queue between two timers
+	demandCheck  = 10_000 // microseconds between two looks for demand where there is none
+	microseconds = 1e6    // in a second
+)
+
+// worker owns some of the gateways. All but its queue and its rate belongs to the goroutine of run.
+type worker struct {
+	tier        *Tier
+	gateways    []*gateway
+	queue       chan func() // calls that others make
+	timers      timerHeap
+	serviceTime policy.Time
+	rand        *rand.Rand
+
+	milliRequestsPerSecond atomic.Int64 // at all of its gateways together
+}
+
+func newWorker(t *Tier, index int, serviceTime time.Duration) *worker {
+	return &worker{
+		tier: t, queue: make(chan func(), queueLength), serviceTime: serviceTime.Microseconds(),
+		rand: rand.New(rand.NewPCG(uint64(index), 1)),
+	}
+}
+
+// start gives each gateway the list, at moments spread over StartTime, and then begins the requests.
+func (w *worker) start(endpoints []policy.Endpoint) {
+	now := w.tier.now()
+	count := policy.Time(len(w.gateways))
+	for i, g := range w.gateways {
+		w.at(now+StartTime.Microseconds()*policy.Time(i)/count, func() {
+			g.controller.UpdateEndpoints(w.tier.now(), policy.UpdateComplete, endpoints)
+		})
+	}
+	w.at(now+StartTime.Microseconds(), w.arrive)
+}
+
+// at has a function called at a time.
+func (w *worker) at(when policy.Time, call func()) {
+	heap.Push(&w.timers, timer{when: when, call: call})
+}
+
+// arrive has a request arrive at one of the gateways and draws the time of the next.
+func (w *worker) arrive() {
+	now, rate := w.tier.now(), float64(w.milliRequestsPerSecond.Load())/1000
+	if rate == 0 {
+		w.at(now+demandCheck, w.arrive)
+		return
+	}
+	w.gateways[w.rand.IntN(len(w.gateways))].receiveRequest(now)
+	w.at(now+policy.Time(w.rand.ExpFloat64()/rate*microseconds), w.arrive)
+}
+
+// run makes the calls of timers and of the queue until the context ends.
+func (w *worker) run(ctx context.Context) {
+	wake := time.NewTimer(time.Hour)
+	defer wake.Stop()
+	for {
+		for len(w.timers) > 0 && w.timers[0].when <= w.tier.now() {
+			expired := heap.Pop(&w.timers).(timer)
+			w.tier.recordDelay(w.tier.now() - expired.when)
+			expired.call()
+			w.runQueued() // so that neither keeps the other waiting for long
+			if ctx.Err() != nil {
+				return
+			}
+		}
+		if len(w.timers) > 0 {
+			wake.Reset(time.Duration(w.timers[0].when-w.tier.now()) * time.Microsecond)
+		}
+		select {
+		case call := <-w.queue:
+			call()
+		case <-wake.C:
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// runQueued makes the calls that wait in the queue, up to a bound.
+func (w *worker) runQueued() {
+	for range maxBurst {
+		select {
+		case call := <-w.queue:
+			call()
+		default:
+			return
+		}
+	}
+}
+
+// timer is a call to be made at a time.
+type timer struct {
+	when policy.Time
+	call func()
+}
+
+// timerHeap is a heap.Interface with the earliest timer first.
+type timerHeap []timer
+
+func (h timerHeap) Len() int           { return len(h) }
+func (h timerHeap) Less(i, j int) bool { return h[i].when < h[j].when }
+func (h timerHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+
+// Push appends a timer.
+func (h *timerHeap) Push(x any) { *h = append(*h, x.(timer)) }
+
+// Pop removes the last timer.
+func (h *timerHeap) Pop() any {
+	old := *h
+	last := old[len(old)-1]
+	old[len(old)-1] = timer{}
+	*h = old[:len(old)-1]
+	return last
+}
--- /dev/null
+++ b/scale/internal/standin/audit_test.go
@@ -0,0 +1,34 @@
+package standin
+
+import (
+	"testing"
+	"time"
+
+	"sparspread/scale/internal/results"
+)
+
+// A customer's requests pass its ceiling at two gateways that know nothing of each other.
+func TestRequestsBeyondCeilingAreCounted(t *testing.T) {
+	const capped, modest = 7, 8 // customers
+	audit, now := NewCeilingAudit(), time.Now()
+	for i, want := range []results.CeilingAudit{
+		{Taken: 1},
+		{Taken: 2},
+		{Taken: 3},
+		{Taken: 4},
+		{Taken: 5, BeyondQuota: 1, MinCeiling: -1},
+		{Taken: 6, BeyondQuota: 2, BeyondCeiling: 1, MinCeiling: -2},
+	} {
+		requestID := string(rune('a' + i))
+		audit.RecordAttempt(capped, requestID, now)
+		audit.RecordAttempt(capped, requestID, now) // a retry takes nothing
+		if got := audit.Counts(); got != want {
+			t.Errorf("after %d requests: %+v, want %+v", i+1, got, want)
+		}
+	}
+	audit.RecordAttempt(modest, "", now)
+	audit.RecordAttempt(modest, "", now.Add(time.Minute))
+	if got := audit.Counts(); got.Taken != 8 || got.BeyondQuota != 2 || got.BeyondCeiling != 1 {
+		t.Errorf("after the requests of a customer that asks for little: %+v", got)
+	}
+}
--- /dev/null
+++ b/scale/internal/standin/backends_test.go
@@ -0,0 +1,75 @@
+package standin
+
+import (
+	"net"
+	"strconv"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"sparspread/internal/resp"
+	"sparspread/scale/internal/model"
+)
+
+// shiftedCatalog is a catalog that is asked for a time later than now, in place of waiting.
+type shiftedCatalog struct {
+	*model.Catalog
+	shift atomic.Int64 // a time.Duration
+}
+
+func (c *shiftedCatalog) NotReadyFor(backend int, now time.Time) time.Duration {
+	return c.Catalog.NotReadyFor(backend, now.Add(time.Duration(c.shift.Load())))
+}
+
+// testCommand returns a command as gateways send it.
+func testCommand() []byte {
+	args := []string{
+		"API.READ", "0000000000000007", "0000000000000001",
+		"c=lookup,t=team,d=4000,units=1,spread=1,first=0",
+	}
+	command := resp.AppendArray(nil, len(args))
+	for _, arg := range args {
+		command = resp.AppendBulk(command, []byte(arg))
+	}
+	return command
+}
+
+// A check that never finds a violation proves nothing: commands that are sent to a draining backend are
+// counted, within the grace and after it.
+func TestCommandsToDrainingBackendsAreCounted(t *testing.T) {
+	const drained = 299
+	b, err := NewBackends(time.Millisecond, []int{1}, NewCeilingAudit())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(b.Close)
+	catalog := &shiftedCatalog{Catalog: model.NewCatalog(drained+1, b.Port())}
+	go b.Serve(catalog)
+	conn, err := net.Dial("tcp", net.JoinHostPort(model.BackendAddress(drained), strconv.Itoa(b.Port())))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = conn.Close() })
+	in := resp.NewReader(conn)
+	send := func(wantInGrace, wantAfterGrace int64) {
+		t.Helper()
+		if _, err := conn.Write(testCommand()); err != nil {
+			t.Fatal(err)
+		}
+		if reply, err := in.ReadReply(); err != nil || reply.Kind != '*' {
+			t.Fatalf("reply %+v, error %v", reply, err)
+		}
+		got := b.Counts()
+		if got.DrainingInGrace != wantInGrace || got.DrainingAfterGrace != wantAfterGrace {
+			t.Errorf("%d commands within the grace, %d after it, want %d and %d",
+				got.DrainingInGrace, got.DrainingAfterGrace, wantInGrace, wantAfterGrace)
+		}
+	}
+	catalog.Change([]int{drained}, model.PhaseTerminating)
+	catalog.shift.Store(int64(-time.Hour))
+	send(1, 0)
+	catalog.shift.Store(int64(model.DrainGrace + 2*socketSlack))
+	send(1, 1)
+	catalog.Change([]int{drained}, model.PhaseReady)
+	send(1, 1)
+}
