--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -1,97 +1,90 @@
 package gateway
 
 import (
-	"container/heap"
-	"fmt"
 	"log/slog"
 	"sync/atomic"
-	"time"
 
 	"sparspread/internal/config"
+	"sparspread/internal/counter"
+	"sparspread/internal/discovery"
+	"sparspread/internal/gossip"
 	"sparspread/internal/handover"
+	"sparspread/internal/ops"
 	"sparspread/policy"
 )
 
-// margin is how long before the client stops waiting a request is ended: its
-// answer has to reach the client, and this process may be kept from running.
-const deadlineMargin = 25_000
-
-// clock gives the time in microseconds since 1970 as of the start, monotonic
-// from then on.
-type clock struct {
-	wall  policy.Time
-	start time.Time
-	since func(time.Time) time.Duration // time.Since, but in tests
-}
-
-func newClock() clock {
-	now := time.Now()
-	return clock{now.UnixMicro(), now, time.Since}
-}
-
-func (c clock) now() policy.Time { return c.wall + c.since(c.start).Microseconds() }
-
-// event is something that happened, posted by a socket's goroutine.
+// event is something that happened. The goroutine that saw it posts it to the loop.
 type event interface {
 	handle(l *Loop)
 }
 
-// due is something to be done at a time.
-type timerCallback interface {
-	fire(l *Loop)
-}
-
-// Loop owns the module and the table of open requests. Only its goroutine
-// touches either; all else reaches it as an event.
+// Loop is the gateway's event loop. One goroutine, in run, owns the policy's controller and all that the
+// fields refer to; the others post events. Beside what a field's own type allows, they may use only log,
+// clock, events, urgentEvents, memory.queued and publishedConfig.
 type Loop struct {
-	config     *config.Config // in force; readers go by shown
-	log        *slog.Logger
-	clock      clock
-	lastTime   policy.Time
-	controller *policy.Controller
+	log             *slog.Logger
+	clock           clock
+	lastTime        policy.Time // the last result of now
+	controller      *policy.Controller
+	config          *config.Config                // in force
+	publishedConfig atomic.Pointer[config.Config] // the same, for other goroutines
+
+	events       chan event
+	urgentEvents chan event // handled before all events: endpoint updates, shutdown, handover
+	pending      []event    // enqueued while an event or timer is handled, and handled right after it
+	timers       timerQueue
+	done         bool // run returns
+
+	requests requestTable
+	memory   memoryUse
+	clients  *clients
+	backends *backends
+
+	gossip       *gossip.Transport
+	counter      *counter.Client // nil: there is none
+	discovery    *discovery.Client
+	endpoints    endpointList
+	ops          *ops.Server
+	metrics      *metrics
+	classMetrics []*classMetrics // in the order of the classes in force
+
+	accepting bool // clients are accepted, or were until a shutdown
+	shutdown  shutdownState
+
+	handoverListener   *handover.Listener // where a successor asks for the handover; nil: nowhere
+	pendingTakeover    *handover.Takeover // from a process that still serves; nil: none
+	predecessor        *handover.Takeover // the same once it has handed over
+	predecessorRunning bool               // it has not ended yet
+	handover           *outgoingHandover  // to a successor; nil: none
+}
 
-	events        chan event
-	urgentEvents  chan event // discovery's news: ahead of all queued work
-	followUps     []event    // what follows from the module's own actions
-	timers        timerHeap
-	timer         *time.Timer
-	timerArmedFor policy.Time
+// requestTable holds the open requests. It belongs to the loop.
+type requestTable struct {
+	byID           map[uint64]*request // until answered, with no attempt in flight
+	openByClientID map[uint64]*request // those without a final reply, by the id that the client gave
+	lastID         uint64              // the highest id given so far
+	open           int                 // requests without a final reply, also those not in byID
+	nextTraceAt    traceSchedule
+}
 
-	requests       map[uint64]*request
-	openByClientID map[uint64]*request // those without a final answer, by the id that the client gave
-	nextRequestID  uint64
-	openRequests   int          // requests without a final answer
-	retainedBytes  int          // bytes of requests and of answers that wait their turn
-	queuedBytes    atomic.Int64 // bytes of requests that were read and wait for the loop
+func newRequestTable() requestTable {
+	return requestTable{byID: map[uint64]*request{}, openByClientID: map[uint64]*request{}}
+}
 
-	clients            *clients
-	backends           *backends
-	gossip             *gossipTransport
-	counter            *counter
-	discovery          *discoveryClient
-	ops                *ops
-	handoverListener   *successorListener // where another process asks to take over; nil: nowhere
-	pendingTakeover    *takeover          // from a process that still serves; nil: none
-	predecessor        *takeover          // the same once it has handed over
-	predecessorRunning bool               // it has not ended yet
-	handover           *outgoingHandover  // to another process; nil: none
-	metrics            *metrics
-	classMetrics       []*classMetrics // in the order of the classes in force
-	publishedConfig    atomic.Pointer[config.Config]
-	shutdown           shutdownState
-	nextTraceAt        [3]policy.Time // when a refused request, a failed one and one not taken may be traced again
-	accepting          bool
-	done               bool
+// memoryUse counts the bytes that are held for clients.
+type memoryUse struct {
+	retained int          // of requests in the table and of replies that are not written yet; the loop's
+	queued   atomic.Int64 // of input that waits for the loop; any goroutine may use it
 }
 
-// post hands an event to the loop.
+// post hands an event to the loop. It blocks while the queue is full.
 func (l *Loop) post(e event) { l.events <- e }
 
-// later has an event handled right after the one at hand. Actions use it: they
-// must not call the module while it is deciding.
-func (l *Loop) enqueue(e event) { l.followUps = append(l.followUps, e) }
+// enqueue has an event handled right after the one at hand. Actions use it, as they must not call the policy
+// while it decides.
+func (l *Loop) enqueue(e event) { l.pending = append(l.pending, e) }
 
-// now is the time, never going back.
+// now is the time. It never goes back.
 func (l *Loop) now() policy.Time {
 	l.lastTime = max(l.lastTime, l.clock.now())
 	return l.lastTime
@@ -101,8 +94,8 @@
 func (l *Loop) run() {
 	for !l.done {
 		l.runTimers()
-		// Discovery first: work queued before a drain was told must not be sent
-		// on after its grace.
+		// Urgent events first: requests queued before discovery reported a drain must not be sent to the
+		// backend after its grace period.
 		select {
 		case e := <-l.urgentEvents:
 			l.handle(e)
@@ -114,151 +107,23 @@
 			l.handle(e)
 		case e := <-l.events:
 			l.handle(e)
-		case <-l.timer.C:
-			l.timerArmedFor = 0
+		case <-l.timers.wakeup.C:
+			l.timers.armedFor = 0
 		}
 	}
 }
 
+// handle handles an event and what it enqueues.
 func (l *Loop) handle(e event) {
 	e.handle(l)
-	l.handleQueue()
-}
-
-// follow handles what the actions left behind.
-func (l *Loop) handleQueue() {
-	for i := 0; i < len(l.followUps); i++ {
-		l.followUps[i].handle(l)
-	}
-	clear(l.followUps)
-	l.followUps = l.followUps[:0]
-}
-
-// at has something done at a time.
-func (l *Loop) schedule(when policy.Time, d timerCallback) *timer {
-	t := &timer{at: when, callback: d}
-	heap.Push(&l.timers, t)
-	return t
-}
-
-// cancel drops a timer that is not wanted any more: until due it would keep all
-// that it is about.
-func (l *Loop) cancelTimer(t *timer) {
-	if t != nil && t.index >= 0 {
-		heap.Remove(&l.timers, t.index)
-	}
-}
-
-// fire does all that is due and arms the timer for the next.
-func (l *Loop) runTimers() {
-	for len(l.timers) > 0 {
-		next, now := l.timers[0].at, l.now()
-		if next > now {
-			if l.timerArmedFor == 0 || next < l.timerArmedFor {
-				l.timer.Reset(time.Duration(next-now) * time.Microsecond)
-				l.timerArmedFor = next
-			}
-			return
-		}
-		t := heap.Pop(&l.timers).(*timer)
-		t.callback.fire(l)
-		l.handleQueue()
-	}
-}
-
-type timer struct {
-	at       policy.Time
-	callback timerCallback
-	index    int // in the heap; -1: in it no more
+	l.handlePending()
 }
 
-type timerHeap []*timer
-
-func (h timerHeap) Len() int           { return len(h) }
-func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
-func (h timerHeap) Swap(i, j int) {
-	h[i], h[j] = h[j], h[i]
-	h[i].index, h[j].index = i, j
-}
-
-func (h *timerHeap) Push(x any) {
-	t := x.(*timer)
-	t.index = len(*h)
-	*h = append(*h, t)
-}
-
-func (h *timerHeap) Pop() any {
-	old := *h
-	t := old[len(old)-1]
-	old[len(old)-1] = nil
-	*h = old[:len(old)-1]
-	t.index = -1
-	return t
-}
-
-// alarm is a timer that the module has set.
-type policyTimer uint32
-
-func (a policyTimer) fire(l *Loop) { l.controller.TimerFired(l.now(), uint32(a)) }
-
-// The module's actions.
-
-// Send starts the next attempt of a request.
-func (l *Loop) Send(id uint64, backend uint32, until policy.Time) {
-	r := l.requests[id]
-	if r == nil {
-		panic(fmt.Sprintf("send for request %d, which is not open", id))
-	}
-	if until == 0 || until > r.deadline {
-		until = r.deadline
-	}
-	l.replicate(msgSent, func() ([]byte, error) {
-		return handover.EncodeAttemptSent(handover.AttemptSent{RequestID: id, Backend: backend})
-	})
-	a := &attempt{request: r, number: r.attempts, sentAt: l.now(), expiresAt: until}
-	r.attempts++
-	r.attemptsInFlight++
-	l.backends.startAttempt(l, a, backend)
-}
-
-// Refuse gives the final answer that trying again is harmless.
-func (l *Loop) Reject(id uint64, after policy.Time) {
-	if r := l.requests[id]; r != nil {
-		l.answer(r, busyReply(after))
+// handlePending handles what was enqueued, and what that enqueues.
+func (l *Loop) handlePending() {
+	for i := 0; i < len(l.pending); i++ {
+		l.pending[i].handle(l)
 	}
+	clear(l.pending)
+	l.pending = l.pending[:0]
 }
-
-// Fail gives the final answer that promises nothing.
-func (l *Loop) Fail(id uint64) {
-	if r := l.requests[id]; r != nil {
-		l.answer(r, failedReply)
-	}
-}
-
-// SetTimer has the module called at the time.
-func (l *Loop) SetTimer(at policy.Time, token uint32) { l.schedule(at, policyTimer(token)) }
-
-// Probe asks a backend whether it lives.
-func (l *Loop) HealthCheck(backend uint32) {
-	now := l.now()
-	a := &attempt{sentAt: now, expiresAt: now + l.config.Host.DialTimeout}
-	l.backends.startAttempt(l, a, backend)
-}
-
-// Tell sends a note to a peer; while another process takes over, none.
-func (l *Loop) SendGossip(peer int, note []byte) {
-	if l.handover == nil {
-		l.gossip.send(peer, note)
-	}
-}
-
-// Count adds to a number that all gateways share.
-func (l *Loop) IncrementCounter(name uint64, add float64, life policy.Time) {
-	l.counter.count(l, name, add, life)
-}
-
-// Follow asks discovery for the list and its changes from now on.
-func (l *Loop) WatchEndpoints() { l.discovery.follow() }
-
-// Log writes a line for the people on call.
-func (l *Loop) Log(line string) { l.log.Info(line) }
