--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -33,7 +33,7 @@
 // markFullyWritten counts an attempt that was written to its last byte.
 func (a *attempt) markFullyWritten() {
 	a.fullyWritten = true
-	a.request.metrics.relayed.Add(1)
+	a.request.metrics.Attempts.Add(1)
 }
 
 // startAttempt sends an attempt or health check to a backend.
--- a/internal/gateway/backend.go
+++ b/internal/gateway/backend.go
@@ -118,8 +118,8 @@
 			bs.cleanUp(l, id, b)
 		}
 	}
-	l.metrics.listed.Store(listed)
-	l.metrics.outOfRotation.Store(int64(l.controller.UnavailableBackends()))
+	l.metrics.Endpoints.Store(listed)
+	l.metrics.UnavailableEndpoints.Store(int64(l.controller.UnavailableBackends()))
 }
 
 // updateEndpoint applies one entry of discovery's list.
--- a/internal/gateway/client_commands.go
+++ b/internal/gateway/client_commands.go
@@ -148,7 +148,7 @@
 	}
 	if r.args != nil {
 		r.metrics = l.classMetrics[e.request.Details.Class]
-		l.metrics.open.Add(1)
+		l.metrics.OpenRequests.Add(1)
 	}
 	r.client.pipeline = append(r.client.pipeline, r)
 	l.requests.open++
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -9,6 +9,7 @@
 	"sparspread/internal/descriptors"
 	"sparspread/internal/discovery"
 	"sparspread/internal/handover"
+	"sparspread/internal/metrics"
 	"sparspread/internal/ops"
 	"sparspread/policy"
 )
@@ -55,7 +56,7 @@
 		log: log, clock: newClock(),
 		events: make(chan event, eventQueueLength), urgentEvents: make(chan event, urgentEventQueueLength),
 		requests: newRequestTable(), timers: newTimerQueue(),
-		endpoints: endpointList{zones: cfg.Host.Zones}, metrics: &metrics{},
+		endpoints: endpointList{zones: cfg.Host.Zones}, metrics: &metrics.Metrics{},
 	}
 	l.counter = newCounter(&cfg, l.post)
 	l.discovery = discovery.New(discoveryConfig(&cfg), log, l.postEndpoints)
@@ -68,7 +69,7 @@
 	if l.controller, err = policy.New(cfg.Settings, cfg.Seed, l); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	if l.ops, err = ops.Listen(cfg.Ops, budget.Operators, l.metrics.page); err != nil {
+	if l.ops, err = ops.Listen(cfg.Ops, budget.Operators, l.metrics.Page); err != nil {
 		return nil, err
 	}
 	l.pendingTakeover = handover.Dial(cfg.Listen, log)
@@ -106,7 +107,7 @@
 func (sweepTimer) fire(l *Loop) {
 	l.clients.sweep(l)
 	l.backends.sweep(l)
-	l.metrics.outOfRotation.Store(int64(l.controller.UnavailableBackends()))
+	l.metrics.UnavailableEndpoints.Store(int64(l.controller.UnavailableBackends()))
 	l.schedule(l.now()+sweepInterval, sweepTimer{})
 }
 
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -9,6 +9,7 @@
 	"sparspread/internal/discovery"
 	"sparspread/internal/gossip"
 	"sparspread/internal/handover"
+	"sparspread/internal/metrics"
 	"sparspread/internal/ops"
 	"sparspread/policy"
 )
@@ -45,8 +46,8 @@
 	discovery    *discovery.Client
 	endpoints    endpointList
 	ops          *ops.Server
-	metrics      *metrics
-	classMetrics []*classMetrics // in the order of the classes in force
+	metrics      *metrics.Metrics
+	classMetrics []*metrics.Class // in the order of the classes in force
 
 	accepting bool // clients are accepted, or were until a shutdown
 	shutdown  shutdownState
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -42,7 +42,7 @@
 
 // rejectConfig records a configuration of which nothing is used. It is safe for any goroutine.
 func (l *Loop) rejectConfig(err error) {
-	l.metrics.configsRejected.Add(1)
+	l.metrics.ConfigsRejected.Add(1)
 	l.log.Error("reload: the old configuration stays", "error", err)
 }
 
@@ -61,7 +61,7 @@
 		l.rejectConfig(err)
 		return
 	}
-	l.metrics.configsAccepted.Add(1)
+	l.metrics.ConfigsAccepted.Add(1)
 	cfg := e.cfg
 	l.log.Info("reload", "discovery", cfg.Discovery, "counter", cfg.Counter, "classes", cfg.Host.Classes)
 	if fixed := l.config.ChangedFixed(&cfg); len(fixed) > 0 {
@@ -77,7 +77,7 @@
 
 // applyConfig puts a configuration in force, also for the goroutines that read from clients.
 func (l *Loop) applyConfig(cfg *config.Config) {
-	l.classMetrics = l.metrics.forClasses(cfg.Host.Classes)
+	l.classMetrics = l.metrics.Classes(cfg.Host.Classes)
 	l.config = cfg
 	l.publishedConfig.Store(cfg)
 }
--- a/internal/gateway/replies.go
+++ b/internal/gateway/replies.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"strings"
 
+	"sparspread/internal/metrics"
 	"sparspread/policy"
 )
 
@@ -24,6 +25,18 @@
 
 func isBusyReply(reply []byte) bool { return bytes.HasPrefix(reply, []byte("-BUSY")) }
 
+// countReply counts a request under what its final reply says.
+func countReply(class *metrics.Class, reply []byte) {
+	switch {
+	case reply[0] == '$':
+		class.Served.Add(1)
+	case isBusyReply(reply):
+		class.Throttled.Add(1)
+	default:
+		class.Failed.Add(1)
+	}
+}
+
 // errorReply is an error as the client gets it, in printable ASCII.
 func errorReply(err error) []byte {
 	return fmt.Appendf(nil, "-ERR %s\r\n", strings.Map(printable, err.Error()))
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -2,6 +2,7 @@
 
 import (
 	"sparspread/internal/command"
+	"sparspread/internal/metrics"
 	"sparspread/policy"
 )
 
@@ -23,7 +24,7 @@
 	timeoutSpan   command.Span // of the timeout in args[command.FieldsArg]
 	customer      uint64
 	estimatedCost float64
-	metrics       *classMetrics // of its class; nil: no request to a backend
+	metrics       *metrics.Class // of its class; nil: no request to a backend
 	receivedAt    policy.Time   // when its last byte was read
 	deadline      policy.Time
 	guard         *timer // for deadlineGuard
@@ -50,7 +51,7 @@
 		l.traceError(r, reply)
 	}
 	if r.metrics != nil {
-		r.metrics.countReply(reply)
+		countReply(r.metrics, reply)
 	}
 	r.reply = reply
 	l.memory.retained += len(reply)
@@ -64,7 +65,7 @@
 	r.answered = true
 	l.requests.open--
 	if r.metrics != nil {
-		l.metrics.open.Add(-1)
+		l.metrics.OpenRequests.Add(-1)
 	}
 	l.cancelTimer(r.guard)
 	r.guard = nil
--- a/internal/gateway/value_stream.go
+++ b/internal/gateway/value_stream.go
@@ -180,11 +180,11 @@
 func (l *Loop) finishValue(r *request, err error) {
 	if err != nil {
 		l.log.Info("value incomplete", "id", string(r.args[command.ClientIDArg]), "error", err)
-		r.metrics.faulted.Add(1)
+		r.metrics.Failed.Add(1)
 		r.client.closeNow(l)
 		return
 	}
-	r.metrics.fulfilled.Add(1)
+	r.metrics.Served.Add(1)
 	l.markAnswered(r)
 	r.client.lastCommandAt = l.now()
 	r.client.flush(l)
