--- a/internal/gateway/descriptors_test.go
+++ b/internal/gateway/descriptors_test.go
@@ -21,7 +21,7 @@
 	} {
 		t.Run(fmt.Sprintf("%d configured, %d allowed", test.configured, test.process), func(t *testing.T) {
 			var log bytes.Buffer
-			cfg := configure(t, newFakeDiscovery(t), func(f map[string]any) {
+			cfg := newConfig(t, newFakeDiscovery(t), func(f map[string]any) {
 				f["limits"] = map[string]any{"sockets": test.configured}
 			})
 			cfg.DescriptorLimit = test.process
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics counts what operators are shown. Each count is kept where it happens, so that reading them never
-// waits for the gateway's event loop.
+// Package metrics counts what operators are shown. Each count is kept where it happens, so that reading
+// them never waits for the gateway's event loop.
 package metrics
 
 import (
@@ -33,7 +33,8 @@
 	Attempts  atomic.Int64 // requests written to backends, retries among them
 }
 
-// Classes returns the counters of the named classes in the order of the names. Those of a new class begin at 0.
+// Classes returns the counters of the named classes in the order of the names. Those of a new class begin
+// at 0.
 func (m *Metrics) Classes(names []string) []*Class {
 	m.mu.Lock()
 	defer m.mu.Unlock()
