--- a/internal/gateway/config_test.go
+++ b/internal/gateway/config_test.go
@@ -1,6 +1,8 @@
 package gateway
 
 import (
+	"encoding/json"
+	"fmt"
 	"strings"
 	"testing"
 
@@ -35,3 +37,41 @@
 		}
 	}
 }
+
+// settingsWith returns the settings with changes: pairs of a text that is in them and its replacement.
+func settingsWith(tb testing.TB, changes ...string) json.RawMessage {
+	tb.Helper()
+	text := settingsText
+	for i := 0; i < len(changes); i += 2 {
+		if !strings.Contains(text, changes[i]) {
+			tb.Fatalf("no %q in the settings", changes[i])
+		}
+		text = strings.Replace(text, changes[i], changes[i+1], 1)
+	}
+	return json.RawMessage(text)
+}
+
+func TestConfigurationWantsPositiveNumbers(t *testing.T) {
+	const format = `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"01","settings":%s}`
+	for _, change := range [][2]string{
+		{`"max-attempts":3`, `"max-attempts":0`},
+		{`"max-attempts":3`, `"max-attempts":-1`},
+		{`"max-attempts":3`, `"max-attempts":"some"`},
+		{`"max-attempts":3`, `"max-attempts":null`},
+		{`"promise-us":10000000`, `"promise-us":0`},
+		{`"promise-us":10000000`, `"promise-us":1,"hard-limit-us":0`},
+	} {
+		raw := fmt.Sprintf(format, settingsWith(t, change[0], change[1]))
+		if _, err := config.Parse([]byte(raw)); err == nil {
+			t.Errorf("%s: no error", change[1])
+		}
+	}
+}
+
+func TestWhatIsNoConfigurationIsRejected(t *testing.T) {
+	for _, raw := range []string{"", "{", `{"name":"n0"}`, "null", "[]"} {
+		if _, err := config.Parse([]byte(raw)); err == nil {
+			t.Errorf("%q: no error", raw)
+		}
+	}
+}
--- a/internal/gateway/handover_test.go
+++ b/internal/gateway/handover_test.go
@@ -68,7 +68,7 @@
 func takesClients(t *testing.T, r *rig, want int) {
 	t.Helper()
 	for until := time.Now().Add(testTimeout); time.Now().Before(until); {
-		if got, _ := operate(t, r, "GET", "/ops/readiness"); got == want {
+		if got, _ := operate(t, r, "/ops/readiness"); got == want {
 			return
 		}
 	}
--- /dev/null
+++ b/internal/gateway/reload_settings_test.go
@@ -0,0 +1,71 @@
+package gateway
+
+import (
+	"strings"
+	"testing"
+
+	"sparspread/internal/config"
+)
+
+// Classes are known by their names: an open request keeps its class, and no total falls.
+func TestReloadChangesClasses(t *testing.T) {
+	const (
+		lookupClass = `{"name":"lookup","promise-us":10000000,"repeat":"retryable",` +
+			`"group":"all","window-us":0,"worth":1},`
+		strictClass = `{"name":"strict","promise-us":10000000,"repeat":"fragile",` +
+			`"group":"all","window-us":0,"worth":2},`
+		onceClass   = `{"name":"once"` // the beginning of it
+	)
+	r, b, d := startWithBackend(t, withOps)
+	c := r.client(t)
+	c.sendLookup(1, "60000")
+	open := b.nextCall(t)
+	r.reloadWith(newConfig(t, d, func(f map[string]any) {
+		withOps(f)
+		// Class lookup vanishes while a request of it is open, order becomes the first, strict is new.
+		f["settings"] = settingsWith(t, lookupClass, "", onceClass, strictClass+onceClass)
+	}), nil)
+	awaitMetric(t, r, "cfg_accepted=1")
+	c2 := r.client(t)
+	for range 2 * maxConsecutiveErrors { // the client is not to blame: its connection stays
+		c2.sendLookup(2, "60000")
+		if got := c2.readLine(); !strings.HasPrefix(got, "-ERR") {
+			t.Fatalf("a class that vanished: got reply %q, want an error", got)
+		}
+	}
+	c3 := r.client(t)
+	c3.send("API.WRITE", "0000000000000007", "0000000000000003",
+		"c=strict,t=team,d=60000,units=1,spread=1,first=0", "x")
+	b.nextCall(t).replyValue(t, "new")
+	c3.wantValue("new")
+	open.reply(t, "-ERR failed\r\n") // its class allowed a retry
+	b.nextCall(t).replyValue(t, "old")
+	c.wantValue("old")
+	wantMetrics(t, r, "fulfilled.lookup=1", "relayed.lookup=2", "fulfilled.strict=1",
+		"cfg_accepted=1", "cfg_invalid=0")
+}
+
+// Of a configuration with any error nothing takes effect, not even the address of discovery.
+func TestInvalidReloadChangesNothing(t *testing.T) {
+	r, b, d := startWithBackend(t, withOps)
+	elsewhere := newFakeDiscovery(t)
+	withoutKeys := newConfig(t, elsewhere, withOps)
+	withoutKeys.Keys = map[string]config.Present{"name": {}}
+	r.reloadWith(withoutKeys, nil)
+	for _, change := range [][2]string{
+		{`,"max-attempts":3`, ""},
+		{`,"window-us":0,"worth":1`, `,"worth":1`},
+	} {
+		r.reloadWith(newConfig(t, elsewhere, func(f map[string]any) {
+			withOps(f)
+			f["settings"] = settingsWith(t, change[0], change[1])
+		}), nil)
+	}
+	awaitMetric(t, r, "cfg_invalid=3")
+	wantMetrics(t, r, "cfg_accepted=0")
+	d.setEntries(b.listEntry("s-00000001", "Ready"))
+	d.awaitWatch(t)
+	if len(elsewhere.calls) > 0 {
+		t.Error("discovery moved with a configuration that was rejected")
+	}
+}
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -25,7 +25,7 @@
 	customer      uint64
 	estimatedCost float64
 	metrics       *metrics.Class // of its class; nil: no request to a backend
-	receivedAt    policy.Time   // when its last byte was read
+	receivedAt    policy.Time    // when its last byte was read
 	deadline      policy.Time
 	guard         *timer // for deadlineGuard
 
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -173,3 +173,19 @@
 	r.runClock() // its connection lingers
 	wait(t, r.ended, "the gateway to end")
 }
+
+// All open requests are answered before SIGKILL, which comes by the longest deadline of the settings.
+func TestShutdownGoesByTheLongestDeadline(t *testing.T) {
+	for limit, want := range map[policy.Time]policy.Time{
+		500 * millisecond:  700 * millisecond,
+		2500 * millisecond: 2700 * millisecond,
+		9000 * millisecond: 3200 * millisecond,
+		0:                  3200 * millisecond,
+	} {
+		cfg := config.Config{}
+		cfg.Host.Limits = []policy.Time{limit}
+		if got := answerWithin(&cfg); got != want {
+			t.Errorf("longest deadline %d: answered after %d, want %d", limit, got, want)
+		}
+	}
+}
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -129,11 +129,13 @@
 	t.Helper()
 	var entries []string
 	for i := range endpoints {
-		entries = append(entries, fmt.Sprintf(`{"id":"s-%08x","host_port":"127.0.0.1:9","phase":"Ready"}`, i+1))
+		const format = `{"id":"s-%08x","host_port":"127.0.0.1:9","phase":"Ready"}`
+		entries = append(entries, fmt.Sprintf(format, i+1))
 	}
 	cfg := newConfig(t, newFakeDiscovery(t), func(f map[string]any) {
 		f["discovery"] = faulty.address
-		f["known"] = json.RawMessage(`{"revision":1,"complete":true,"members":[` + strings.Join(entries, ",") + `]}`)
+		list := `{"revision":1,"complete":true,"members":[` + strings.Join(entries, ",") + `]}`
+		f["known"] = json.RawMessage(list)
 	})
 	l, err := newLoop(cfg, discardLog())
 	if err != nil {
