--- a/cmd/gateway/descriptors_test.go
+++ b/cmd/gateway/descriptors_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// crowdedGateway is a gateway with more idle clients than it has room for.
-type crowdedGateway struct {
+// saturatedGateway is a gateway with more idle clients than it has room for.
+type saturatedGateway struct {
 	process        *gatewayProcess
 	idle           *idleClients
 	maxDescriptors int // that the process held at once when it was looked at
@@ -31,29 +31,29 @@
 	rejected       atomic.Int64
 }
 
-// newCrowdedGateway returns once the gateway has closed as many idle clients as came.
-func newCrowdedGateway(
+// newSaturatedGateway returns once the gateway has closed as many idle clients as came.
+func newSaturatedGateway(
 	t *testing.T, host string, allowed, configured int, change configChange,
-) *crowdedGateway {
+) *saturatedGateway {
 	t.Helper()
-	g := &crowdedGateway{
+	g := &saturatedGateway{
 		process: startGateway(t, host, allowed, withDescriptorLimit(configured, change)),
 	}
-	crowd := 2 * allowed
-	g.idle = startIdleClients(t, host+clientPort, crowd)
+	count := 2 * allowed
+	g.idle = startIdleClients(t, host+clientPort, count)
 	g.process.waitFor(t, "more idle clients than there is room for", func() bool {
 		g.countDescriptors()
-		return g.idle.closedByServer.Load() >= int64(crowd)
+		return g.idle.closedByServer.Load() >= int64(count)
 	})
 	return g
 }
 
-func (g *crowdedGateway) countDescriptors() {
+func (g *saturatedGateway) countDescriptors() {
 	g.maxDescriptors = max(g.maxDescriptors, g.process.openDescriptors())
 }
 
 // requireServed has clients send a request each at once and checks that all are answered.
-func (g *crowdedGateway) requireServed(t *testing.T, clients int) {
+func (g *saturatedGateway) requireServed(t *testing.T, clients int) {
 	t.Helper()
 	var running sync.WaitGroup
 	for range clients {
@@ -71,7 +71,7 @@
 }
 
 // requireReachable checks that PING and operators are answered.
-func (g *crowdedGateway) requireReachable(t *testing.T) {
+func (g *saturatedGateway) requireReachable(t *testing.T) {
 	t.Helper()
 	if !g.process.answersPing() {
 		t.Error("no answer to PING")
@@ -96,21 +96,22 @@
 // other clients are answered, and no call fails for want of a descriptor.
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	for _, c := range []struct {
-		descriptors int
-		silent      bool // discovery accepts calls and does not answer; else it refuses them
+		descriptors  int
+		unresponsive bool // discovery accepts calls and does not answer; else it refuses them
 	}{{32, true}, {64, false}, {256, true}, {1024, false}} {
-		t.Run(fmt.Sprintf("%d descriptors, silent %t", c.descriptors, c.silent), func(t *testing.T) {
+		name := fmt.Sprintf("%d descriptors, unresponsive %t", c.descriptors, c.unresponsive)
+		t.Run(name, func(t *testing.T) {
 			t.Parallel() // the cases mostly wait
 			host := randomHost()
 			draining, added := newBackend(t), newBackend(t)
 			draining.startAnswering()
 			added.startAnswering()
 			discovery := newDiscoveryServer(t, host)
-			if c.silent {
-				discovery.acceptSilently()
+			if c.unresponsive {
+				discovery.acceptWithoutAnswer()
 			}
 			known := withKnownEndpoints(draining.entry(1, phaseReady))
-			g := newCrowdedGateway(t, host, c.descriptors, c.descriptors, known)
+			g := newSaturatedGateway(t, host, c.descriptors, c.descriptors, known)
 			g.requireServed(t, 2)
 			g.requireReachable(t)
 
@@ -167,7 +168,7 @@
 	for i := range descriptors { // with many backends the concurrency limit allows many attempts at once
 		entries = append(entries, hanging.entry(i+1, phaseReady))
 	}
-	newDiscoveryServer(t, host).acceptSilently()
+	newDiscoveryServer(t, host).acceptWithoutAnswer()
 	change := withDescriptorLimit(descriptors, withKnownEndpoints(entries...))
 	p := startGateway(t, host, descriptors, change)
 	p.waitFor(t, "readiness", p.answersPing)
@@ -222,7 +223,7 @@
 func TestLowerLimitOfTheProcessIsServed(t *testing.T) {
 	b := newBackend(t)
 	b.startAnswering()
-	g := newCrowdedGateway(t, randomHost(), 48, 1024, withKnownEndpoints(b.entry(1, phaseReady)))
+	g := newSaturatedGateway(t, randomHost(), 48, 1024, withKnownEndpoints(b.entry(1, phaseReady)))
 	if outcome := g.process.request(); outcome.answer != backendAnswer || outcome.err != nil {
 		t.Error(outcome)
 	}
--- a/cmd/gateway/standins_test.go
+++ b/cmd/gateway/standins_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// discoveryServer is discovery's side. Calls are refused until acceptSilently or serve.
+// discoveryServer is discovery's side. Calls are refused until acceptWithoutAnswer or serve.
 type discoveryServer struct {
 	tb       testing.TB
 	address  string
@@ -61,8 +61,8 @@
 	return &discoveryServer{tb: tb, address: host + discoveryPort, watches: make(chan string, 1024)}
 }
 
-// acceptSilently accepts calls and never answers them.
-func (d *discoveryServer) acceptSilently() {
+// acceptWithoutAnswer accepts calls and never answers them.
+func (d *discoveryServer) acceptWithoutAnswer() {
 	d.tb.Helper()
 	listener, err := net.Listen("tcp", d.address)
 	if err != nil {
--- a/cmd/gateway/start_test.go
+++ b/cmd/gateway/start_test.go
@@ -25,7 +25,7 @@
 		hosts[i] = randomHost()
 		switch i % 3 {
 		case 1:
-			newDiscoveryServer(t, hosts[i]).acceptSilently()
+			newDiscoveryServer(t, hosts[i]).acceptWithoutAnswer()
 		case 2:
 			newHangingAddress(t, hosts[i], 8500)
 		}
--- a/scale/commands.go
+++ b/scale/commands.go
@@ -23,7 +23,7 @@
 type runCommand struct {
 	Experiment string `arg:"" type:"existingfile" help:"Experiment file (TOML)."`
 	Out        string `required:"" help:"File that the results are appended to, a JSON object a line."`
-	Repeat     int    `help:"Play this repeat alone, so that others get the machine in between; 0: all."`
+	Repeat     int    `help:"Run this repeat alone, so that others get the machine in between; 0: all."`
 	Gateway    string `default:"bin/gateway" help:"The gateway's program."`
 }
 
@@ -44,7 +44,7 @@
 	if err != nil {
 		return fmt.Errorf("results: %w", err)
 	}
-	defer func() { _ = out.Close() }() // each result was written whole, or its error returned
+	defer func() { _ = out.Close() }() // each result was written already, or its error returned
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	debug.SetGCPercent(gcPercent)
--- a/scale/internal/load/clients.go
+++ b/scale/internal/load/clients.go
@@ -181,7 +181,7 @@
 	}
 }
 
-// Sleep waits, and reports whether it did so for the whole time: not where the context ended before.
+// Sleep waits for a length of time. It returns early and reports false where the context ends before.
 func Sleep(ctx context.Context, length time.Duration) bool {
 	timer := time.NewTimer(length)
 	defer timer.Stop()
--- a/scale/internal/report/columns.go
+++ b/scale/internal/report/columns.go
@@ -12,24 +12,24 @@
 // maximum of memory, of the changes the slowest. The names are those of the pages that quote the tables, and
 // call simulated gateways hollow.
 var measurements = []measurement{
-	ofPhase("idle CPU %", idlePhase, medianCPU),
-	ofPhase("control CPU %", controlPhase, medianCPU),
-	ofPhase("load CPU %", loadPhase, medianCPU),
+	ofPart("idle CPU %", idlePhase, medianCPU),
+	ofPart("control CPU %", controlPhase, medianCPU),
+	ofPart("load CPU %", loadPhase, medianCPU),
 	{"CPU us a request", cpuPerRequest},
 	{"start peak MB", maxOf(func(r *results.Result) []float64 { return r.StartPeakMB })},
-	ofPhase("control peak MB", controlPhase, maxPeak),
-	ofPhase("load peak MB", loadPhase, maxPeak),
-	ofPhase("control in KB/s", controlPhase, medianInKBs),
-	ofPhase("control out KB/s", controlPhase, medianOutKBs),
-	ofPhase("control in msg/s", controlPhase, medianInMessages),
-	ofPhase("control out msg/s", controlPhase, medianOutMessages),
-	ofPhase("load in KB/s", loadPhase, medianInKBs),
-	ofPhase("load out KB/s", loadPhase, medianOutKBs),
-	ofLatency("added p50 ms", addedLatency, p50),
-	ofLatency("added p99 ms", addedLatency, p99),
-	ofLatency("without a gateway p50 ms", baselineLatency, p50),
-	ofLatency("without a gateway p99 ms", baselineLatency, p99),
-	ofPhase("machine busy under load %", loadPhase, machineBusy),
+	ofPart("control peak MB", controlPhase, maxPeak),
+	ofPart("load peak MB", loadPhase, maxPeak),
+	ofPart("control in KB/s", controlPhase, medianInKBs),
+	ofPart("control out KB/s", controlPhase, medianOutKBs),
+	ofPart("control in msg/s", controlPhase, medianInMessages),
+	ofPart("control out msg/s", controlPhase, medianOutMessages),
+	ofPart("load in KB/s", loadPhase, medianInKBs),
+	ofPart("load out KB/s", loadPhase, medianOutKBs),
+	ofPart("added p50 ms", addedLatency, p50),
+	ofPart("added p99 ms", addedLatency, p99),
+	ofPart("without a gateway p50 ms", baselineLatency, p50),
+	ofPart("without a gateway p99 ms", baselineLatency, p99),
+	ofPart("machine busy under load %", loadPhase, machineBusy),
 	{"hollow late under load ms", positive(delayUnderLoad)},
 	{"change ms", maxOf(func(r *results.Result) []float64 { return r.ChangeMS })},
 	ofReload("SIGHUP call ms", func(r *results.ReloadResult) float64 { return r.CalledMS }),
@@ -38,16 +38,16 @@
 	{"list bytes", positive(func(r *results.Result) float64 { return float64(r.ListBytes) })},
 }
 
-// ofPhase measures a phase, where it was run.
-func ofPhase(
-	name string, phase func(*results.Result) *results.PhaseUsage, value func(*results.PhaseUsage) float64,
+// ofPart measures a part of a result, where the run got that far.
+func ofPart[Part any](
+	name string, part func(*results.Result) *Part, value func(*Part) float64,
 ) measurement {
 	return measurement{name, func(r *results.Result) (float64, bool) {
-		usage := phase(r)
-		if usage == nil {
+		p := part(r)
+		if p == nil {
 			return 0, false
 		}
-		return value(usage), true
+		return value(p), true
 	}}
 }
 
@@ -64,35 +64,20 @@
 func medianOutMessages(u *results.PhaseUsage) float64 { return u.OutMessages.Median }
 func machineBusy(u *results.PhaseUsage) float64       { return u.MachinePercent }
 
-// ofLatency measures a latency, where requests were served.
-func ofLatency(
-	name string,
-	latency func(*results.Result) *results.AddedLatency,
-	value func(*results.AddedLatency) float64,
-) measurement {
-	return measurement{name, func(r *results.Result) (float64, bool) {
-		l := latency(r)
-		if l == nil {
-			return 0, false
-		}
-		return value(l), true
-	}}
-}
-
 func addedLatency(r *results.Result) *results.AddedLatency    { return r.Added }
 func baselineLatency(r *results.Result) *results.AddedLatency { return r.Baseline }
 
 func p50(l *results.AddedLatency) float64 { return l.P50MS }
 func p99(l *results.AddedLatency) float64 { return l.P99MS }
 
-// ofReload measures the reload, where it got that far.
+// ofReload measures the reload. What it did not get to is 0.
 func ofReload(name string, value func(*results.ReloadResult) float64) measurement {
-	return measurement{name, func(r *results.Result) (float64, bool) {
+	return measurement{name, positive(func(r *results.Result) float64 {
 		if r.Reload == nil {
-			return 0, false
+			return 0
 		}
-		return value(r.Reload), value(r.Reload) > 0
-	}}
+		return value(r.Reload)
+	})}
 }
 
 // maxOf measures the maximum of values, where there are any.
--- a/scale/internal/results/result.go
+++ b/scale/internal/results/result.go
@@ -56,7 +56,7 @@
 type PhaseUsage struct {
 	Seconds          float64 `json:"seconds"`
 	CPUPercent       Summary `json:"cpu_percent"`
-	HeldMB           Summary `json:"held_mb"` // at the end of the phase
+	ResidentMB       Summary `json:"held_mb"` // at the end of the phase
 	PeakMB           Summary `json:"peak_mb"`
 	InKBs            Summary `json:"in_kb_per_s"` // control traffic, as the three below
 	InMessages       Summary `json:"in_messages_per_s"`
--- a/scale/internal/runner/changes.go
+++ b/scale/internal/runner/changes.go
@@ -51,8 +51,8 @@
 	return changed
 }
 
-// change gives backends another phase: the agents of discovery tell real gateways, the simulated ones are
-// told here.
+// change gives backends another phase. Real gateways receive the change from their agents of discovery,
+// simulated ones from here.
 func (s *stage) change(backends []int, phase model.Phase) {
 	s.catalog.Change(backends, phase)
 	if s.simulated == nil {
--- a/scale/internal/runner/phases.go
+++ b/scale/internal/runner/phases.go
@@ -113,7 +113,7 @@
 
 // summarizeUsage summarizes over the gateways what each has used since its sample, and what it holds now.
 func (s *stage) summarizeUsage(before []usageSample, seconds float64) (*results.PhaseUsage, error) {
-	var cpu, held, peak, inKBs, inMessages, outKBs, outMessages []float64
+	var cpu, resident, peak, inKBs, inMessages, outKBs, outMessages []float64
 	for i, g := range s.gateways {
 		after, err := sampleUsage(g)
 		if err != nil {
@@ -126,7 +126,7 @@
 		perSecond := func(after, before int64) float64 { return float64(after-before) / seconds }
 		b := before[i]
 		cpu = append(cpu, 100*(after.cpuTime-b.cpuTime).Seconds()/seconds)
-		held = append(held, results.Megabytes(memory.Now))
+		resident = append(resident, results.Megabytes(memory.Now))
 		peak = append(peak, results.Megabytes(memory.Peak))
 		inKBs = append(inKBs, perSecond(after.inBytes, b.inBytes)/1000)
 		inMessages = append(inMessages, perSecond(after.inMessages, b.inMessages))
@@ -136,7 +136,7 @@
 	return &results.PhaseUsage{
 		Seconds:    seconds,
 		CPUPercent: results.Summarize(cpu),
-		HeldMB:     results.Summarize(held), PeakMB: results.Summarize(peak),
+		ResidentMB: results.Summarize(resident), PeakMB: results.Summarize(peak),
 		InKBs: results.Summarize(inKBs), InMessages: results.Summarize(inMessages),
 		OutKBs: results.Summarize(outKBs), OutMessages: results.Summarize(outMessages),
 	}, nil
--- a/scale/internal/runner/reload.go
+++ b/scale/internal/runner/reload.go
@@ -34,7 +34,7 @@
 	}
 	started := time.Now()
 	for _, g := range s.gateways {
-		g.Agents[oldAgent].Leave(oldAgentCloses)
+		g.Agents[oldAgent].Drain(oldAgentCloses)
 		if err := g.Reload(); err != nil {
 			return err
 		}
--- a/scale/internal/runner/runner.go
+++ b/scale/internal/runner/runner.go
@@ -127,16 +127,16 @@
 			cancel(err)
 			return
 		}
-		held := own.Now
+		resident := own.Now
 		for _, g := range s.gateways {
 			if g.PID() == 0 {
 				continue
 			}
 			if used, err := measure.ProcessMemory(g.PID()); err == nil { // else it has ended and holds none
-				held += used.Now
+				resident += used.Now
 			}
 		}
-		if held > machine/2 {
+		if resident > machine/2 {
 			cancel(errMemory)
 			return
 		}
--- a/scale/internal/standin/audit.go
+++ b/scale/internal/standin/audit.go
@@ -69,7 +69,7 @@
 	b.ceiling = min(plan.CeilingBurst, b.ceiling+plan.CeilingRate*seconds)
 }
 
-// Reset begins anew, after requests that did not go through a gateway.
+// Reset discards all counts and buckets, after requests that did not go through a gateway.
 func (a *CeilingAudit) Reset() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/scale/internal/standin/backends.go
+++ b/scale/internal/standin/backends.go
@@ -106,7 +106,7 @@
 }
 
 // commandAnswer returns an answer whose value is the request's ID and the time in nanoseconds that the
-// backend took, so that clients can tell it from any other and know what the gateway added.
+// backend took, so that clients recognize it and know what the gateway added.
 func commandAnswer(requestID []byte, took time.Duration) []byte {
 	value := append([]byte(nil), requestID...)
 	value = append(value, ' ')
@@ -143,7 +143,7 @@
 	}
 }
 
-// Reset begins all counts anew.
+// Reset sets all counts to 0.
 func (b *Backends) Reset() {
 	for _, count := range []*atomic.Int64{
 		&b.commands, &b.connections, &b.malformed,
--- a/scale/internal/standin/discovery.go
+++ b/scale/internal/standin/discovery.go
@@ -55,9 +55,9 @@
 // Close ends the agent and its connections.
 func (a *DiscoveryAgent) Close() { _ = a.server.Close() }
 
-// Leave accepts no new connections from now on and closes the open ones after a while, as the protocol has it
+// Drain accepts no new connections from now on and closes the open ones after a while, as the protocol has it
 // for the address that discovery left.
-func (a *DiscoveryAgent) Leave(after time.Duration) {
+func (a *DiscoveryAgent) Drain(after time.Duration) {
 	_ = a.listener.Close()
 	time.AfterFunc(after, a.Close)
 }
--- a/scale/main.go
+++ b/scale/main.go
@@ -12,14 +12,14 @@
 )
 
 var commands struct {
-	Run    runCommand    `cmd:"" help:"Play an experiment and append its results to a file."`
+	Run    runCommand    `cmd:"" help:"Run an experiment and append its results to a file."`
 	Report reportCommand `cmd:"" help:"Print tables of results, with the slopes of what grows."`
 }
 
 func main() {
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
 	call := kong.Parse(&commands, kong.Name("scale"), kong.Bind(log), kong.UsageOnError(),
-		kong.Description("Plays the tier's size on one machine, one axis at a time, "+
+		kong.Description("Runs the tier's size on one machine, one axis at a time, "+
 			"and fits how its costs grow."))
 	call.FatalIfErrorf(call.Run())
 }
--- a/scale/scale_test.go
+++ b/scale/scale_test.go
@@ -107,7 +107,7 @@
 	}
 	phases := map[string]*results.PhaseUsage{"idle": r.Idle, "control": r.Control, "load": r.Load}
 	for name, usage := range phases {
-		if usage.CPUPercent.Min <= 0 || usage.HeldMB.Min <= 0 || usage.PeakMB.Min < usage.HeldMB.Min {
+		if usage.CPUPercent.Min <= 0 || usage.ResidentMB.Min <= 0 || usage.PeakMB.Min < usage.ResidentMB.Min {
 			t.Errorf("size %g: %s: %+v", r.Size, name, usage)
 		}
 	}
