--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -13,6 +13,7 @@
 	"runtime"
 	"runtime/debug"
 
+	"sparspread/internal/descriptors"
 	"sparspread/internal/gateway"
 )
 
@@ -32,7 +33,7 @@
 	control := handleSignals()
 	// Before any file is opened: with too few descriptors the runtime itself would fail, with a message that
 	// explains less.
-	descriptorLimit, err := gateway.DescriptorLimit()
+	descriptorLimit, err := descriptors.ProcessLimit()
 	if err != nil {
 		return err
 	}
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -12,14 +12,14 @@
 	lastRequestCost        float64
 	demandWindow           Time // the time constant of demand and peerDemand
 
-	bucket  tokenBucket // the whole quota as far as known; without shared usage this gateway's share
+	bucket  tokenBucket // the whole quota as far as it is known, or this gateway's share if use is not shared
 	ceiling tokenBucket // this gateway's share of the ceiling
 
 	customerUsage                  // in total, since this gateway started
-	consumedReported   float64     // the part of consumed that peers, or the counter, have been told
+	consumedReported   float64     // the part of consumed that was reported to peers or the counter
 	reportsLeft        int         // gossip rounds that are still to report the use
 	peers              []peerUsage // by position in the set; nil: none reported yet
-	demand, peerDemand decayingSum // units requested of late: here, and of the other gateways
+	demand, peerDemand decayingSum // units requested recently: here, and at the other gateways
 
 	// In wide replica sets.
 	grantFraction      float64         // the fraction of requested units that may be granted
@@ -42,7 +42,7 @@
 // customerUsage counts the units of a customer at this gateway.
 type customerUsage struct {
 	consumed, requested float64
-	requestedReported   float64 // the part of requested that peers have been told
+	requestedReported   float64 // the part of requested that was reported to peers
 }
 
 // peerUsage holds the wrapping counts of a customer's use that a peer last reported.
@@ -53,26 +53,30 @@
 	requested   uint16
 }
 
-func (u *peerUsage) update(incarnation uint32, e usageEntry) {
-	*u = peerUsage{known: true, incarnation: incarnation, consumed: e.consumed, requested: e.requested}
+func (u *peerUsage) update(incarnation uint32, entry usageEntry) {
+	u.known, u.incarnation = true, incarnation
+	u.consumed, u.requested = entry.consumed, entry.requested
 }
 
 // customerRecord returns a customer's record with its buckets refilled. It makes a missing one.
-func (g *Controller) customerRecord(id uint64, plan, firstReplica, replicas int) *customer {
-	c := g.customers[id]
-	if c == nil {
-		c = g.newCustomer(id, plan, firstReplica, replicas)
-		idle := &g.shared.idleOverflow[plan]
-		*idle = math.Max(0, *idle-g.settings.Plans[plan].Rate/float64(c.replicas))
-		g.addCustomer(c)
+func (g *Controller) customerRecord(id uint64, planIndex, firstReplica, replicas int) *customer {
+	customer := g.customers[id]
+	if customer == nil {
+		customer = g.newCustomer(id, planIndex, firstReplica, replicas)
+		idle := &g.shared.idleOverflow[planIndex]
+		*idle = math.Max(0, *idle-g.settings.Plans[planIndex].Rate/float64(customer.replicas))
+		g.addCustomer(customer)
 	}
-	g.refillBuckets(c)
-	return c
+	g.refillBuckets(customer)
+	return customer
 }
 
-func (g *Controller) addCustomer(c *customer) {
-	g.customers[c.id] = c
-	g.customerOrder = append(g.customerOrder, c)
+// planOf is the customer's plan.
+func (g *Controller) planOf(customer *customer) *Plan { return &g.settings.Plans[customer.plan] }
+
+func (g *Controller) addCustomer(customer *customer) {
+	g.customers[customer.id] = customer
+	g.customerOrder = append(g.customerOrder, customer)
 }
 
 // usageUnder is what was counted under the customer's coordinator of that index.
@@ -93,16 +97,21 @@
 		c.bucket.level >= c.bucket.capacity && c.ceiling.level >= c.ceiling.capacity
 }
 
+// replica is the gateway at a position in the customer's set.
+func (g *Controller) replica(customer *customer, position int) int {
+	return (customer.firstReplica + position) % g.settings.Gateways
+}
+
 // isReplica reports whether a gateway is of the customer's set.
-func (g *Controller) isReplica(c *customer, gateway int) bool {
+func (g *Controller) isReplica(customer *customer, gateway int) bool {
 	gateways := g.settings.Gateways
-	return (gateway-c.firstReplica+gateways)%gateways < c.replicas
+	return (gateway-customer.firstReplica+gateways)%gateways < customer.replicas
 }
 
 // usageFrom is the record of what a gateway of the customer's set reported.
-func (g *Controller) usageFrom(c *customer, gateway int) *peerUsage {
-	if c.peers == nil {
-		c.peers = make([]peerUsage, c.replicas)
+func (g *Controller) usageFrom(customer *customer, gateway int) *peerUsage {
+	if customer.peers == nil {
+		customer.peers = make([]peerUsage, customer.replicas)
 	}
-	return &c.peers[(gateway-c.firstReplica+g.settings.Gateways)%g.settings.Gateways]
+	return &customer.peers[(gateway-customer.firstReplica+g.settings.Gateways)%g.settings.Gateways]
 }
--- a/policy/quotashare_fleet_test.go
+++ b/policy/quotashare_fleet_test.go
@@ -80,11 +80,12 @@
 	f.requested += cost
 	h.receive(Request{Customer: 9, Cost: cost, Timeout: 4 * second, Replicas: f.replicas})
 	f.deliver(at)
-	if r := h.requests[id]; r != nil && len(r.attempts) == 0 { // the quota request or its answer was lost
+	// The quota request or its answer may have been lost.
+	if request := h.requests[id]; request != nil && len(request.attempts) == 0 {
 		h.TimerFired(at+second/10, quotaRequestTimer)
 		f.deliver(at)
 	}
-	if r := h.requests[id]; r == nil || len(r.attempts) == 0 {
+	if request := h.requests[id]; request == nil || len(request.attempts) == 0 {
 		return
 	}
 	if f.truth.refill(at); f.truth.level >= cost {
@@ -96,8 +97,8 @@
 	h.endWith(id, Outcome{Result: ResultOK, Answered: true})
 }
 
-// Guards against units beyond the quota through the whole fleet: with a replica set that nobody has
-// seen, traffic that shifts, a tenth of all messages lost, and gateways that restart.
+// Guards against units beyond the quota over the whole fleet: with a replica set that is new to all,
+// traffic that shifts, a tenth of all messages lost, and gateways that restart.
 func TestFleetKeepsAQuotaThroughShiftsLossesAndRestarts(t *testing.T) {
 	for _, gateways := range []int{3, 40, 300} {
 		f := newLossyFleet(t, gateways)
