--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -125,7 +125,7 @@
 		}
 	}
 	class := r.Details.Class
-	if limit := cfg.Host.Limits[class]; limit > 0 && r.Details.Timeout > limit+timeoutSlack {
+	if limit := cfg.Host.ClientTimeouts[class]; limit > 0 && r.Details.Timeout > limit+timeoutSlack {
 		// Longer than any client waits: it would keep its timers and its memory.
 		return errTimeoutLimit
 	}
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -13,7 +13,7 @@
 func testConfig() *config.Config {
 	cfg := &config.Config{}
 	cfg.Host.Classes = []string{"lookup", "order", "once"}
-	cfg.Host.Limits = []policy.Time{1_000_000, 0, 0}
+	cfg.Host.ClientTimeouts = []policy.Time{1_000_000, 0, 0}
 	cfg.Host.Plans = []string{"team"}
 	cfg.Settings.Gateways = 4
 	cfg.Settings.Classes = []policy.Class{
--- a/internal/config/compare.go
+++ b/internal/config/compare.go
@@ -32,7 +32,7 @@
 	kept.Gossip, kept.SharedCounter = from.Gossip, from.SharedCounter
 	kept.LoadReport = from.LoadReport
 
-	c.Host.Report, c.Host.Zones = inForce.Host.Report, inForce.Host.Zones
+	c.Host.ReportNames, c.Host.Zones = inForce.Host.ReportNames, inForce.Host.Zones
 }
 
 // ChangedFixed returns the sorted keys whose values differ in another configuration and only a restart can
--- a/internal/gateway/backend_pool_test.go
+++ b/internal/gateway/backend_pool_test.go
@@ -138,7 +138,7 @@
 				call.answer(t, "+PONG\r\n")
 				wait(t, l.events, "the second answer").handle(l)
 			}
-			later(l, quiescencePeriod)
+			advanceClock(l, quiescencePeriod)
 			if got := second.conn == used; got == late {
 				t.Errorf("the connection was used: %t", got)
 			}
--- a/internal/gateway/backend_reply.go
+++ b/internal/gateway/backend_reply.go
@@ -90,7 +90,7 @@
 // loadReport parses a load report into the order of the settings; nil: it is none. One that is incomplete or
 // holds impossible values must not reach the decisions: it would draw all requests to its backend, or none.
 func (l *Loop) loadReport(text string) []float32 {
-	names := l.config.Host.Report
+	names := l.config.Host.ReportNames
 	if len(l.config.Settings.LoadReport) == 0 || !strings.Contains(text, "=") {
 		return nil
 	}
--- a/internal/gateway/client_disconnect_test.go
+++ b/internal/gateway/client_disconnect_test.go
@@ -42,15 +42,15 @@
 			c := connectWithRequest(t, l, "c=once")
 			wait(t, dialing, "the dial")
 			c.raw(strings.Repeat("*1\r\n$4\r\nPING\r\n", 2*maxPipelined))
-			c.book(2, "team")
-			turn(t, l, "the pipeline to fill", func() bool {
+			c.sendOnce(2, "team")
+			handleUntil(t, l, "the pipeline to fill", func() bool {
 				for c := range l.clients.conns {
 					return len(c.pipeline) == maxPipelined
 				}
 				return false
 			})
 			departure.by(c)
-			turn(t, l, "the client's disconnect", func() bool { return len(l.clients.conns) == 0 })
+			handleUntil(t, l, "the client's disconnect", func() bool { return len(l.clients.conns) == 0 })
 			wantNothingSent(t, l, b, unblock)
 		})
 	}
@@ -143,8 +143,8 @@
 			b.next(t).serve(t, "ok")
 			handleNext(t, l, "the reply")
 			c.value("ok")
-			later(l, quiescencePeriod)
-			c.book(2, "team")
+			advanceClock(l, quiescencePeriod)
+			c.sendOnce(2, "team")
 			awaitQueued(l, 1)
 			departure.by(c)
 			awaitQueued(l, 2)
@@ -173,12 +173,12 @@
 			b.next(t).serve(t, "ok")
 			handleNext(t, l, "the reply")
 			c.value("ok")
-			c.book(2, "team")
+			c.sendOnce(2, "team")
 			handleNext(t, l, "the second request")
 			wait(t, dialing, "a dial beside the quiescing connection")
 			departure.by(c)
-			turn(t, l, "the client's disconnect", func() bool { return len(l.clients.conns) == 0 })
-			later(l, quiescencePeriod)
+			handleUntil(t, l, "the client's disconnect", func() bool { return len(l.clients.conns) == 0 })
+			advanceClock(l, quiescencePeriod)
 			if idle := len(l.backends.byNumber[1].idle); idle != 1 {
 				t.Errorf("%d idle connections, want the quiesced one", idle)
 			}
@@ -198,9 +198,9 @@
 				c := connectWithRequest(t, l, "c=once")
 				wait(t, dialing, "the dial")
 				c.raw(bodyHead(2, "team", len(body)) + text)
-				turn(t, l, name+" the second request", func() bool { return l.requests.open == 2 })
+				handleUntil(t, l, name+" the second request", func() bool { return l.requests.open == 2 })
 				departure.by(c)
-				turn(t, l, "the client's disconnect", func() bool { return len(l.clients.conns) == 0 })
+				handleUntil(t, l, "the client's disconnect", func() bool { return len(l.clients.conns) == 0 })
 				wantNothingSent(t, l, b, unblock)
 			})
 		}
@@ -234,7 +234,7 @@
 			handleNext(t, l, "the dial's end")
 			_, body := largeHead()
 			c.raw(bodyHead(2, "team", len(body)) + body + "\r\n")
-			turn(t, l, "the second dial's end", func() bool {
+			handleUntil(t, l, "the second dial's end", func() bool {
 				return l.requests.open == 2 && l.backends.byNumber[1].dialing == 0
 			})
 			departure.by(c)
@@ -255,12 +255,12 @@
 			c := connectWithRequest(t, l, "c=once")
 			wait(t, dialing, "the dial")
 			c.raw("invalid\r\n")
-			turn(t, l, "the invalid input", func() bool {
+			handleUntil(t, l, "the invalid input", func() bool {
 				ignored := func(c *client) bool { return c.ignoreInput.Load() }
 				return slices.ContainsFunc(clientList(l), ignored)
 			})
 			departure.by(c)
-			turn(t, l, "the client's disconnect", func() bool { return len(l.clients.conns) == 0 })
+			handleUntil(t, l, "the client's disconnect", func() bool { return len(l.clients.conns) == 0 })
 			wantNothingSent(t, l, b, unblock)
 		})
 	}
--- a/internal/gateway/client_read_ahead_test.go
+++ b/internal/gateway/client_read_ahead_test.go
@@ -58,20 +58,20 @@
 
 // A connection is handed over with the input that was read ahead behind a full pipeline.
 func TestReadAheadIsHandedOver(t *testing.T) {
-	cfg, b, _ := twoProcesses(t)
+	cfg, b := replaceableGateway(t)
 	first := begin(t, cfg)
 	c := first.client(t)
-	c.book(1, "team")
+	c.sendOnce(1, "team")
 	open := b.next(t)
 	// 16 bytes each: a reader's buffer may be empty between two of them with more read ahead.
 	const ping = "*1\r\n$004\r\nPING\r\n"
 	c.raw(strings.Repeat(ping, 2*maxPipelined))
-	c.book(2, "team")
+	c.sendOnce(2, "team")
 	for first.loop.memory.queued.Load() < maxPipelined/2*int64(len(ping)) {
 		runtime.Gosched()
 	}
 	second := begin(t, cfg)
-	takesClients(t, second, 200)
+	waitForReadiness(t, second, 200)
 	open.serve(t, "one")
 	c.value("one")
 	for range 2 * maxPipelined {
--- a/internal/gateway/handover_older_test.go
+++ b/internal/gateway/handover_older_test.go
@@ -29,7 +29,7 @@
 	coldBackend    = 3
 	retryBackend   = 4
 	openRequestID  = 3
-	spentCustomer  = 'i' // as book numbers the customers of plan tiny
+	spentCustomer  = 'i' // as sendOnce numbers the customers of plan tiny
 )
 
 // recordedEndpoints lists the backends of the recorded session: one that is warm, one where nothing listens,
@@ -38,7 +38,8 @@
 	t.Helper()
 	cold := strings.Replace(b.entry("s-00000003", "Ready"), `"up_since_ms":0`,
 		fmt.Sprintf(`"up_since_ms":%d`, startedAt/1000), 1)
-	refusing := strings.Replace(b.entry("s-00000002", "Ready"), b.listener.Addr().String(), unusedAddress(t), 1)
+	listening := b.listener.Addr().String()
+	refusing := strings.Replace(b.entry("s-00000002", "Ready"), listening, unusedAddress(t), 1)
 	return []string{b.entry("s-00000001", "Ready"), b.entry("s-00000004", "Ready"), refusing, cold}
 }
 
@@ -215,7 +216,7 @@
 	old.play(handovertest.StateEnd)
 	old.link.Expect(handovertest.Accepted)
 	old.play(handovertest.Go)
-	takesClients(t, r, 200)
+	waitForReadiness(t, r, 200)
 
 	state := exportedState(t, r)
 	if !reflect.DeepEqual(state.Customers, recorded.Customers) {
@@ -239,7 +240,7 @@
 	old.clients[0].value("from its input")
 	old.play(handovertest.Client)
 	spent := old.clients[1]
-	spent.book(5, "tiny")
+	spent.sendOnce(5, "tiny")
 	if got := spent.line(); got != "-BUSY 2000" {
 		t.Errorf("answer %q of a customer whose bucket the older process has emptied, want -BUSY 2000", got)
 	}
@@ -278,10 +279,10 @@
 	s := &recordedSituation{cfg: configureRecorded(t, d, unusedAddress(t)), backend: b}
 	s.rig = begin(t, s.cfg)
 	s.idle, s.spent, s.open = s.rig.client(t), s.rig.client(t), s.rig.client(t)
-	s.spent.book(1, "tiny")
+	s.spent.sendOnce(1, "tiny")
 	b.next(t).serve(t, "one")
 	s.spent.value("one")
-	s.idle.book(2, "team")
+	s.idle.sendOnce(2, "team")
 	b.next(t).serve(t, "two")
 	s.idle.value("two")
 	s.open.lookup(3, "60000")
@@ -312,7 +313,7 @@
 	if state.Version != 1 || len(state.Members) != 4 || state.Module == nil {
 		t.Fatalf("version %d with %d endpoints and state %v", state.Version, len(state.Members), state.Module)
 	}
-	s.idle.book(4, "team")
+	s.idle.sendOnce(4, "team")
 	for inspectLoop(t, s.rig, func(l *Loop) int { return len(l.handover.heldCommands) }) == 0 {
 		s.rig.turn(t)
 	}
--- a/internal/gateway/handover_test.go
+++ b/internal/gateway/handover_test.go
@@ -14,13 +14,13 @@
 	"sparspread/internal/handover/handovertest"
 )
 
-// twoProcesses returns the configuration of a gateway that a second process can take over from.
-func twoProcesses(t *testing.T) (config.Config, *fakeBackend, *fakeDiscovery) {
+// replaceableGateway returns the configuration of a gateway that a second process can take over from.
+func replaceableGateway(t *testing.T) (config.Config, *fakeBackend) {
 	t.Helper()
 	useShortTempDir(t)
 	b := newBackend(t)
 	d := newFakeDiscovery(t, b.entry("s-00000001", "Ready"))
-	return configureReplaceable(t, d), b, d
+	return configureReplaceable(t, d), b
 }
 
 // useShortTempDir gives the test a directory of its own with a short path: the path of a Unix socket has 108
@@ -64,8 +64,9 @@
 	return handovertest.Dial(t, handover.SocketPath(cfg.Listen))
 }
 
-// takesClients waits until a gateway reports a status: 200 where it serves clients, 503 where it does not.
-func takesClients(t *testing.T, r *rig, want int) {
+// waitForReadiness waits until a gateway reports a status: 200 where it serves clients, 503 where it does
+// not.
+func waitForReadiness(t *testing.T, r *rig, want int) {
 	t.Helper()
 	for until := time.Now().Add(patience); time.Now().Before(until); {
 		if got, _ := operate(t, r, "GET", "/ops/readiness"); got == want {
@@ -75,8 +76,8 @@
 	t.Fatal("readiness never was ", want)
 }
 
-// book sends a request that is forwarded only once, however long its answer takes.
-func (c *testClient) book(id int, plan string) {
+// sendOnce sends a request that is forwarded only once, however long its answer takes.
+func (c *testClient) sendOnce(id int, plan string) {
 	c.t.Helper()
 	customer := fmt.Sprintf("%016x", plan[1])
 	fields := "c=once,t=" + plan + ",d=86400000,units=1,spread=1,first=0"
@@ -86,29 +87,29 @@
 // Open requests end where they were sent, connections follow with the input that was read from them, and no
 // bucket is granted from twice.
 func TestSuccessorTakesOverRequestsConnectionsAndBuckets(t *testing.T) {
-	cfg, b, _ := twoProcesses(t)
+	cfg, b := replaceableGateway(t)
 	first := begin(t, cfg)
 	idle, busy, spent := first.client(t), first.client(t), first.client(t)
-	idle.book(1, "team")
+	idle.sendOnce(1, "team")
 	b.next(t).serve(t, "one")
 	idle.value("one")
-	spent.book(2, "tiny")
+	spent.sendOnce(2, "tiny")
 	b.next(t).serve(t, "two")
 	spent.value("two")
-	busy.book(3, "team")
+	busy.sendOnce(3, "team")
 	open := b.next(t)
 
 	second := begin(t, cfg)
-	takesClients(t, second, 200)
-	takesClients(t, first, 503)
-	idle.book(4, "team")
+	waitForReadiness(t, second, 200)
+	waitForReadiness(t, first, 503)
+	idle.sendOnce(4, "team")
 	b.next(t).serve(t, "four")
 	idle.value("four")
-	spent.book(5, "tiny")
+	spent.sendOnce(5, "tiny")
 	if got := spent.line(); got != "-BUSY 2000" {
 		t.Errorf("a burst was granted twice: %q", got)
 	}
-	busy.book(6, "team") // behind the one that stayed with the first process
+	busy.sendOnce(6, "team") // behind the one that stayed with the first process
 	open.serve(t, "three")
 	busy.value("three")
 	b.next(t).serve(t, "six")
@@ -119,38 +120,38 @@
 	first.shutDown()
 	wait(t, first.ended, "the first process to end")
 	late := second.client(t)
-	late.book(7, "team")
+	late.sendOnce(7, "team")
 	b.next(t).serve(t, "seven")
 	late.value("seven")
 }
 
 // A third process takes over from the second, which listens where the first one did.
 func TestEachSuccessorCanHandOver(t *testing.T) {
-	cfg, b, _ := twoProcesses(t)
+	cfg, b := replaceableGateway(t)
 	first := begin(t, cfg)
 	c := first.client(t)
 	for i := range 3 {
 		next := begin(t, cfg)
-		takesClients(t, next, 200)
+		waitForReadiness(t, next, 200)
 		first.shutDown()
 		wait(t, first.ended, "the predecessor to end")
 		first = next
-		c.book(i, "team")
+		c.sendOnce(i, "team")
 		b.next(t).serve(t, "ok")
 		c.value("ok")
 	}
 }
 
 func TestPredecessorServesAgainWhenSuccessorEnds(t *testing.T) {
-	cfg, b, _ := twoProcesses(t)
+	cfg, b := replaceableGateway(t)
 	first := begin(t, cfg)
 	second := begin(t, cfg)
-	takesClients(t, second, 200)
+	waitForReadiness(t, second, 200)
 	second.shutDown()
 	wait(t, second.ended, "the second process to end")
-	takesClients(t, first, 200)
+	waitForReadiness(t, first, 200)
 	c := first.client(t)
-	c.book(1, "team")
+	c.sendOnce(1, "team")
 	b.next(t).serve(t, "ok")
 	c.value("ok")
 	dialHandover(t, cfg)
@@ -159,13 +160,13 @@
 // A handover that breaks off at any step leaves the first process serving, and the commands that came
 // meanwhile are answered.
 func TestInterruptedHandoverChangesNothing(t *testing.T) {
-	cfg, b, _ := twoProcesses(t)
+	cfg, b := replaceableGateway(t)
 	first := begin(t, cfg)
 	c := first.client(t)
 	id := 0
 	serves := func() {
 		id++
-		c.book(id, "team")
+		c.sendOnce(id, "team")
 		b.next(t).serve(t, "ok")
 		c.value("ok")
 	}
@@ -185,27 +186,27 @@
 	conn.Send(handovertest.Takeover, nil)
 	conn.Expect(handovertest.StateEnd)
 	id++
-	c.book(id, "team") // held until it is known who decides
-	conn.Close()       // without having accepted the state
+	c.sendOnce(id, "team") // held until it is known who decides
+	conn.Close()           // without having accepted the state
 	b.next(t).serve(t, "held")
 	c.value("held")
 	serves()
 
 	second := begin(t, cfg) // another successor takes over as usual
-	takesClients(t, second, 200)
+	waitForReadiness(t, second, 200)
 	serves()
 }
 
 // A socket's file that no process listens at keeps no process from starting.
 func TestStaleHandoverSocketIsReplaced(t *testing.T) {
-	cfg, b, _ := twoProcesses(t)
+	cfg, b := replaceableGateway(t)
 	stale := handovertest.Listen(t, handover.SocketPath(cfg.Listen))
 	stale.SetUnlinkOnClose(false)
 	if err := stale.Close(); err != nil {
 		t.Fatal(err)
 	}
 	c := begin(t, cfg).client(t)
-	c.book(1, "team")
+	c.sendOnce(1, "team")
 	b.next(t).serve(t, "ok")
 	c.value("ok")
 	dialHandover(t, cfg)
@@ -214,14 +215,14 @@
 // A command of which the first process has read a part is read to its end there, and decided on by the
 // second.
 func TestPartlyReadCommandFollowsItsClient(t *testing.T) {
-	cfg, b, _ := twoProcesses(t)
+	cfg, b := replaceableGateway(t)
 	first := begin(t, cfg)
 	c := first.client(t)
 	c.send("PING")
 	c.want("+PONG")
 	c.raw("*4\r\n$8\r\nAPI.READ\r\n$16\r\n00000000")
 	second := begin(t, cfg)
-	takesClients(t, second, 200)
+	waitForReadiness(t, second, 200)
 	c.raw("00000007\r\n$16\r\n0000000000000001\r\n" +
 		"$48\r\nc=lookup,t=team,d=60000,units=1,spread=1,first=0\r\n")
 	b.next(t).serve(t, "ok")
--- a/internal/gateway/loop_rig_test.go
+++ b/internal/gateway/loop_rig_test.go
@@ -99,7 +99,7 @@
 		t.Errorf("%d attempts wait for a connection", n)
 	}
 	close(unblock)
-	turn(t, l, "the dial's end", func() bool { return l.backends.byNumber[1].dialing == 0 })
+	handleUntil(t, l, "the dial's end", func() bool { return l.backends.byNumber[1].dialing == 0 })
 	l.backends.closeIdle(l.backends.byNumber[1])
 	_ = wait(t, b.ended, "the connection's end")
 	if len(b.got) > 0 {
--- a/internal/gateway/ops_test.go
+++ b/internal/gateway/ops_test.go
@@ -197,7 +197,7 @@
 func TestDrainGoesByTheDeadlinesInForce(t *testing.T) {
 	for limit, want := range map[int64]int64{500_000: 700_000, 2_500_000: 2_700_000, 9_000_000: 3_200_000, 0: 3_200_000} {
 		cfg := config.Config{}
-		cfg.Host.Limits = []int64{limit}
+		cfg.Host.ClientTimeouts = []int64{limit}
 		if got := answerWithin(&cfg); got != want {
 			t.Errorf("longest deadline %d: answered after %d, want %d", limit, got, want)
 		}
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -79,7 +79,7 @@
 		})
 	}
 	cfg := configWith(first)
-	cfg.Host.CounterTimeout = policy.Time(patience.Microseconds())
+	cfg.Host.CounterTimeout = patience.Microseconds()
 	l, err := newLoop(cfg, quiet())
 	if err != nil {
 		t.Fatal(err)
@@ -94,8 +94,9 @@
 	l.IncrementCounter(1, 1, 1e6)
 	wait(t, secondCalls, "a call at the second counter")
 	for _, total := range []float64{1, 2} {
-		if e := wait(t, l.events, "an answer").(counterAnswered); e.Result != policy.ResultOK || e.Total != total {
-			t.Errorf("answer %+v, want the total %g", e, total)
+		answer := wait(t, l.events, "an answer").(counterAnswered)
+		if answer.Result != policy.ResultOK || answer.Total != total {
+			t.Errorf("answer %+v, want the total %g", answer, total)
 		}
 	}
 }
--- a/internal/gateway/request_body_test.go
+++ b/internal/gateway/request_body_test.go
@@ -45,7 +45,7 @@
 	r, b, _ := oneBackend(t, nil)
 	c := r.client(t)
 	_, body := largeHead()
-	c.book(1, "tiny")
+	c.sendOnce(1, "tiny")
 	b.next(t).serve(t, "ok")
 	c.value("ok")
 	c.raw(bodyHead(2, "tiny", len(body)) + body + "\r\n")
@@ -56,7 +56,7 @@
 	if got := c.line(); !strings.HasPrefix(got, "-ERR") {
 		t.Errorf("reply %q", got)
 	}
-	c.book(4, "team")
+	c.sendOnce(4, "team")
 	b.next(t).serve(t, "ok")
 	c.value("ok")
 	if len(b.bodySizes) > 0 {
@@ -79,7 +79,7 @@
 	reached(t, r, "open_requests=0")
 	wantFigures(t, r, "relayed.once=0")
 	next := r.client(t)
-	next.book(2, "team")
+	next.sendOnce(2, "team")
 	b.next(t).serve(t, "ok")
 	next.value("ok")
 }
@@ -100,7 +100,7 @@
 		t.Errorf("reply %q", got)
 	}
 	c.raw(body[5000:] + "\r\n")
-	c.book(2, "team")
+	c.sendOnce(2, "team")
 	b.next(t).serve(t, "ok")
 	c.value("ok")
 }
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -19,7 +19,7 @@
 // longestTimeout returns the longest client timeout of the settings, as far as the platform waits for it.
 func longestTimeout(c *config.Config) policy.Time {
 	longest := policy.Time(0)
-	for _, limit := range c.Host.Limits {
+	for _, limit := range c.Host.ClientTimeouts {
 		if limit == 0 {
 			limit = maxLongestTimeout
 		}
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -24,16 +24,16 @@
 	return l, b
 }
 
-// turn handles events until a condition holds.
-func turn(t *testing.T, l *Loop, what string, holds func() bool) {
+// handleUntil handles events until a condition holds.
+func handleUntil(t *testing.T, l *Loop, what string, holds func() bool) {
 	t.Helper()
 	for !holds() {
 		handleNext(t, l, what)
 	}
 }
 
-// later lets time pass for a loop that the test runs.
-func later(l *Loop, period policy.Time) {
+// advanceClock lets time pass for a loop that the test runs.
+func advanceClock(l *Loop, period policy.Time) {
 	l.clock.wall += period
 	l.runTimers()
 }
@@ -45,21 +45,21 @@
 	l.accepting = true
 	c := (&rig{addr: l.clients.listener.Addr().String()}).client(t)
 	c.lookup(1, "60000") // in the kernel, as nothing accepts yet
-	later(l, acceptPeriod)
-	turn(t, l, "the request", func() bool { return l.requests.open == 1 })
-	turn(t, l, "the listener to close", func() bool { return l.shutdown.listenerClosed })
-	later(l, 2*closePeriod) // the backend takes long
+	advanceClock(l, acceptPeriod)
+	handleUntil(t, l, "the request", func() bool { return l.requests.open == 1 })
+	handleUntil(t, l, "the listener to close", func() bool { return l.shutdown.listenerClosed })
+	advanceClock(l, 2*closePeriod) // the backend takes long
 	if l.done {
 		t.Fatal("the process ends with an open request")
 	}
-	turn(t, l, "the dial", func() bool { return len(l.backends.byNumber[1].waiting) == 0 })
+	handleUntil(t, l, "the dial", func() bool { return len(l.backends.byNumber[1].waiting) == 0 })
 	b.next(t).serve(t, "ok")
-	turn(t, l, "the answer", func() bool { return l.requests.open == 0 })
+	handleUntil(t, l, "the answer", func() bool { return l.requests.open == 0 })
 	c.value("ok")
 	c.closed()
 	closeConn(t, c.conn)
 	// The connection's reader may have stopped after the last command, and then does not see the end.
-	later(l, lingerAfterError)
+	advanceClock(l, lingerAfterError)
 	if !l.done {
 		t.Error("the process goes on after its last client has closed")
 	}
@@ -80,14 +80,14 @@
 		}
 		conn.lastCommandAt = 0 // it was opened earlier
 	}
-	later(l, acceptPeriod)
+	advanceClock(l, acceptPeriod)
 	if l.done || len(l.clients.conns) != 1 {
 		t.Fatalf("done %v with %d connections", l.done, len(l.clients.conns))
 	}
-	later(l, answerWithin(l.config)-acceptPeriod)
+	advanceClock(l, answerWithin(l.config)-acceptPeriod)
 	c.closed()
 	closeConn(t, c.conn)
-	turn(t, l, "the end of all", func() bool { return l.done })
+	handleUntil(t, l, "the end of all", func() bool { return l.done })
 }
 
 // However short the timeouts of clients are: connections are accepted as long as they may come, their
@@ -97,13 +97,14 @@
 	for _, limit := range []policy.Time{20_000, 50_000, 100_000, 290_000, 400_000, 2_500_000, 9_000_000, 0} {
 		t.Run(fmt.Sprintf("timeout %d us", limit), func(t *testing.T) {
 			cfg := config.Config{}
-			cfg.Host.Limits = []policy.Time{limit}
+			cfg.Host.ClientTimeouts = []policy.Time{limit}
 			longest := limit
 			if limit == 0 || limit > maxLongestTimeout {
 				longest = maxLongestTimeout
 			}
 			answer, exit, kill := answerWithin(&cfg), exitWithin(&cfg), longest+killDelay
-			if answer < acceptPeriod+min(limit, backlogPeriod) || exit < answer+backlogPeriod || exit >= kill {
+			earliest := acceptPeriod + min(limit, backlogPeriod)
+			if answer < earliest || exit < answer+backlogPeriod || exit >= kill {
 				t.Errorf("accepted for %d, answered after %d, ended after %d, SIGKILL after %d",
 					policy.Time(acceptPeriod), answer, exit, kill)
 			}
--- a/internal/gateway/value_stream_test.go
+++ b/internal/gateway/value_stream_test.go
@@ -21,7 +21,7 @@
 func TestLargeValueIsForwardedAsItIsRead(t *testing.T) {
 	r, b, _ := oneBackend(t, withOps)
 	c := r.client(t)
-	c.book(1, "team")
+	c.sendOnce(1, "team")
 	call := b.next(t)
 	head, value := largeHead()
 	call.answer(t, head+value[:minValuePrefix])
@@ -35,7 +35,7 @@
 	c.want("")
 	for id := 2; id < 4; id++ {
 		r.awaitQuiescence(t)
-		c.book(id, "team")
+		c.sendOnce(id, "team")
 		next := b.next(t)
 		if next.conn != call.conn {
 			t.Error("the backend's connection was not reused")
@@ -86,9 +86,9 @@
 func TestLargeValueWaitsForItsTurn(t *testing.T) {
 	r, b := fourBackends(t, 1024)
 	c := r.client(t)
-	c.book(1, "team")
+	c.sendOnce(1, "team")
 	first := b.next(t)
-	c.book(2, "team")
+	c.sendOnce(2, "team")
 	second := b.next(t)
 	head, value := largeHead()
 	second.answer(t, head+value+"\r\n$-1\r\n$-1\r\n")
@@ -96,9 +96,9 @@
 	c.value("one")
 	c.largeValue(value)
 
-	c.book(3, "team")
+	c.sendOnce(3, "team")
 	b.next(t) // never answered
-	c.book(4, "team")
+	c.sendOnce(4, "team")
 	call := b.next(t)
 	call.answer(t, head+value[:minValuePrefix])
 	_ = c.conn.Close()
@@ -141,12 +141,12 @@
 			`"rate":0.1,"burst":1`, `"rate":0.0001,"burst":4`)
 	})
 	c := r.client(t)
-	c.book(1, "tiny")
+	c.sendOnce(1, "tiny")
 	head, value := largeHead()
 	b.next(t).answer(t, head+value+"\r\n$14\r\nused=9,cost=4.\r\n$-1\r\n")
 	c.largeValue(value)
 	reached(t, r, "fulfilled.once=1") // settled only after the client has the value
-	c.book(2, "tiny")                 // the token bucket held 4
+	c.sendOnce(2, "tiny")             // the token bucket held 4
 	if got := c.line(); !isBusyReply([]byte(got)) {
 		t.Errorf("reply %q: the estimate was 1, the actual cost 4", got)
 	}
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -88,7 +88,7 @@
 var classKeys = map[string]fieldSetter{
 	"name":          name(func(p *parser) (*string, *string) { return last(p.host.Classes), &class(p).Name }),
 	"promise-us":    integer(func(p *parser) *policy.Time { return &class(p).LatencyObjective }),
-	"hard-limit-us": integer(func(p *parser) *policy.Time { return last(p.host.Limits) }),
+	"hard-limit-us": integer(func(p *parser) *policy.Time { return last(p.host.ClientTimeouts) }),
 	"window-us":     integer(func(p *parser) *policy.Time { return &class(p).DedupWindow }),
 	"worth":         float(func(p *parser) *float64 { return &class(p).PriorityWeight }),
 	"repeat":        word(idempotency, func(p *parser) *policy.Idempotency { return &class(p).Idempotency }),
@@ -115,8 +115,8 @@
 }
 
 func setReportNames(p *parser, value string) error {
-	p.LoadReport, p.host.Report = nil, strings.Split(value, ",")
-	for _, metric := range p.host.Report {
+	p.LoadReport, p.host.ReportNames = nil, strings.Split(value, ",")
+	for _, metric := range p.host.ReportNames {
 		p.LoadReport = append(p.LoadReport, loadMetrics[metric])
 	}
 	return nil
--- a/internal/settings/parser.go
+++ b/internal/settings/parser.go
@@ -50,7 +50,7 @@
 func (p *parser) addClass() {
 	p.Classes = append(p.Classes, policy.Class{})
 	p.host.Classes = append(p.host.Classes, "")
-	p.host.Limits = append(p.host.Limits, 0)
+	p.host.ClientTimeouts = append(p.host.ClientTimeouts, 0)
 }
 
 func (p *parser) addPlan() {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -12,9 +12,9 @@
 // simulator does these things itself. Lists by class or plan are in the order of the settings.
 type Host struct {
 	Classes, Plans []string        // names
-	Limits         []policy.Time   // of each class: how long a client waits at most; 0: unknown
+	ClientTimeouts []policy.Time   // of each class: how long a client waits at most; 0: unknown
 	Zones          []string        // names, by number
-	Report         []string        // names of the values in a load report
+	ReportNames    []string        // names of the values in a load report
 	ReportVia      string          // how load reports come: "piggyback", "pull" or "silent"
 	MaxOpen        int             // requests open at once; 0: no limit
 	DialTimeout    policy.Time     // for a connection to a backend
