--- a/internal/gateway/client.go
+++ b/internal/gateway/client.go
@@ -5,6 +5,7 @@
 	"sync/atomic"
 	"time"
 
+	"sparspread/internal/descriptors"
 	"sparspread/internal/resp"
 	"sparspread/internal/sockwriter"
 	"sparspread/policy"
@@ -67,9 +68,9 @@
 	counts       clientCounts
 }
 
-func newClients(budget descriptorBudget) *clients {
+func newClients(budget descriptors.Budget) *clients {
 	return &clients{
-		slots: make(chan struct{}, budget.clientSlots), limit: budget.perSide, conns: map[*client]bool{},
+		slots: make(chan struct{}, budget.ClientSlots), limit: budget.PerSide, conns: map[*client]bool{},
 		drainBacklog: make(chan struct{}),
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -6,6 +6,7 @@
 	"log/slog"
 
 	"sparspread/internal/config"
+	"sparspread/internal/descriptors"
 	"sparspread/internal/discovery"
 	"sparspread/internal/handover"
 	"sparspread/internal/ops"
@@ -60,14 +61,14 @@
 	l.discovery = discovery.New(discoveryConfig(&cfg), log, l.postEndpoints)
 	l.applyConfig(&cfg)
 	limitMemory(&cfg, 1)
-	files := budgetDescriptors(usableSockets(&cfg, log), l.counter != nil)
-	l.backends = newBackends(&cfg, files.perSide)
-	l.clients = newClients(files)
+	budget := descriptors.NewBudget(descriptors.Usable(&cfg, log), l.counter != nil)
+	l.backends = newBackends(&cfg, budget.PerSide)
+	l.clients = newClients(budget)
 	var err error
 	if l.controller, err = policy.New(cfg.Settings, cfg.Seed, l); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	if l.ops, err = ops.Listen(cfg.Ops, files.operators, l.metrics.page); err != nil {
+	if l.ops, err = ops.Listen(cfg.Ops, budget.Operators, l.metrics.page); err != nil {
 		return nil, err
 	}
 	l.pendingTakeover = handover.Dial(cfg.Listen, log)
