--- a/internal/gateway/handover_older_test.go
+++ b/internal/gateway/handover_older_test.go
@@ -100,20 +100,21 @@
 
 func findBackend(t *testing.T, s handovertest.Snapshot, number uint32) handovertest.BackendState {
 	t.Helper()
-	i := slices.IndexFunc(s.Backends, func(b handovertest.BackendState) bool { return b.Backend == number })
-	if i < 0 {
-		t.Fatalf("no state of backend %d", number)
-	}
-	return s.Backends[i]
+	return find(t, s.Backends, func(b handovertest.BackendState) bool { return b.Backend == number })
 }
 
 func findCustomer(t *testing.T, s handovertest.Snapshot, id uint64) handovertest.CustomerState {
 	t.Helper()
-	i := slices.IndexFunc(s.Customers, func(c handovertest.CustomerState) bool { return c.ID == id })
+	return find(t, s.Customers, func(c handovertest.CustomerState) bool { return c.ID == id })
+}
+
+func find[T any](t *testing.T, items []T, matches func(T) bool) T {
+	t.Helper()
+	i := slices.IndexFunc(items, matches)
 	if i < 0 {
-		t.Fatalf("no state of customer %x", id)
+		t.Fatalf("none of %+v is the one wanted", items)
 	}
-	return s.Customers[i]
+	return items[i]
 }
 
 // olderPredecessor is the recorded process.
--- a/internal/handover/codec.go
+++ b/internal/handover/codec.go
@@ -1,5 +1,6 @@
 // Package handover carries the state and the clients' connections of a gateway to the next process of the
-// same gateway.
+// same gateway: from its predecessor (Listener, Link) to its successor (Dial, Takeover). It knows nothing of
+// the event loops on both sides, which receive its events through PredecessorEvents and SuccessorEvents.
 package handover
 
 import (
@@ -14,42 +15,42 @@
 	"sparspread/policy"
 )
 
-// This file holds the forms in which two processes talk to each other. They may run different versions, and
-// gob and JSON go by the names of fields: the names of the types and fields that are written are frozen, and
-// the files in testdata, written by the program of commit d086cf6, hold them. All else only converts.
+// This file has the encoded forms of the messages, and only converts. The two processes may run different
+// versions, and gob and JSON match fields by their names: the names of the types and fields that are encoded
+// are frozen. The files in testdata, written by the program of commit d086cf6, hold them.
 
-// stateVersion is the version of the state's form.
+// stateVersion is the version of handoverState.
 const stateVersion = 1
 
-// ErrVersion tells that the other process writes its state in a form that this one does not know.
+// ErrVersion is the cause where the other process encodes its state in a form that this one does not know.
 var ErrVersion = errors.New("handover: unknown version of the state")
 
-// State is all that the next process has to know.
+// State is what the successor has to know.
 type State struct {
 	NextRequestID uint64
-	Endpoints     []discovery.Endpoint // as discovery listed them last
+	Endpoints     []discovery.Endpoint // as discovery last listed them
 	Policy        *policy.Snapshot
 }
 
-// ClientConnection goes along with a client's socket.
+// ClientConnection is what is known of a client's connection, sent with its socket.
 type ClientConnection struct {
-	Requests int // that came on it so far
+	Requests int // well-formed commands received so far
 	OpenedAt time.Time
 }
 
-// AttemptSent is a further attempt of a request that the predecessor sees to.
+// AttemptSent is a further attempt of a request that stayed with the predecessor.
 type AttemptSent struct {
 	RequestID uint64
 	Backend   uint32
 }
 
-// CostSettled is what a request cost beyond its estimate, known only after its outcome.
+// CostSettled is what a request cost beyond its estimate, where that is known only after its outcome.
 type CostSettled struct {
 	Customer uint64
-	Extra    float64
+	Extra    float64 // below 0 where the estimate was too high
 }
 
-// handoverState is the written form of State; its name and those of its fields are frozen.
+// handoverState is the encoded form of State; its name and those of its fields are frozen.
 type handoverState struct {
 	Version int
 	NextID  uint64
@@ -57,7 +58,7 @@
 	Module  *policy.Snapshot
 }
 
-// member is the written form of an endpoint; frozen.
+// member is the encoded form of an endpoint; frozen.
 type member struct {
 	ID       string
 	HostPort string
@@ -68,19 +69,19 @@
 	UpSince  int64
 }
 
-// passedClient is the written form of ClientConnection; frozen.
+// passedClient is the encoded form of ClientConnection; frozen.
 type passedClient struct {
 	Asked  int
 	Opened int64 // microseconds since 1970
 }
 
-// sentElsewhere is the written form of AttemptSent; frozen.
+// sentElsewhere is the encoded form of AttemptSent; frozen.
 type sentElsewhere struct {
 	ID      uint64
 	Backend uint32
 }
 
-// endedElsewhere is the written form of an attempt's outcome; frozen.
+// endedElsewhere is the encoded form of an attempt's outcome; frozen.
 type endedElsewhere struct {
 	ID        uint64
 	Attempt   int
@@ -93,13 +94,13 @@
 	Load      []float32
 }
 
-// settledElsewhere is the written form of CostSettled; frozen.
+// settledElsewhere is the encoded form of CostSettled; frozen.
 type settledElsewhere struct {
 	Customer uint64
 	More     float64
 }
 
-// EncodeState writes the state.
+// EncodeState encodes a state.
 func EncodeState(s *State) ([]byte, error) {
 	form := handoverState{Version: stateVersion, NextID: s.NextRequestID, Module: s.Policy}
 	for _, e := range s.Endpoints {
@@ -119,7 +120,8 @@
 	return b.Bytes(), nil
 }
 
-// DecodeState reads a state that another process has written; ErrVersion where its form is another.
+// DecodeState decodes a state that another process has encoded. The error is ErrVersion where the form is
+// another.
 func DecodeState(b []byte) (*State, error) {
 	var form handoverState
 	if err := gob.NewDecoder(bytes.NewReader(b)).Decode(&form); err != nil {
@@ -138,12 +140,12 @@
 	return s, nil
 }
 
-// EncodeClientConnection writes the message that goes along with a client's socket.
+// EncodeClientConnection encodes the message that is sent with a client's socket.
 func EncodeClientConnection(c ClientConnection) ([]byte, error) {
 	return encodeMessage(passedClient{Asked: c.Requests, Opened: c.OpenedAt.UnixMicro()})
 }
 
-// DecodeClientConnection reads such a message.
+// DecodeClientConnection decodes the message that is sent with a client's socket.
 func DecodeClientConnection(b []byte) (ClientConnection, error) {
 	var form passedClient
 	if err := decodeMessage(b, &form); err != nil {
@@ -152,12 +154,12 @@
 	return ClientConnection{Requests: form.Asked, OpenedAt: time.UnixMicro(form.Opened)}, nil
 }
 
-// EncodeAttemptSent writes the message of a further attempt.
+// EncodeAttemptSent encodes the report of a further attempt.
 func EncodeAttemptSent(a AttemptSent) ([]byte, error) {
 	return encodeMessage(sentElsewhere{ID: a.RequestID, Backend: a.Backend})
 }
 
-// DecodeAttemptSent reads such a message.
+// DecodeAttemptSent decodes the report of a further attempt.
 func DecodeAttemptSent(b []byte) (AttemptSent, error) {
 	var form sentElsewhere
 	if err := decodeMessage(b, &form); err != nil {
@@ -166,7 +168,7 @@
 	return AttemptSent{RequestID: form.ID, Backend: form.Backend}, nil
 }
 
-// EncodeAttemptEnded writes the message of an attempt's end.
+// EncodeAttemptEnded encodes the outcome of an attempt.
 func EncodeAttemptEnded(o policy.Outcome) ([]byte, error) {
 	return encodeMessage(endedElsewhere{
 		ID: o.RequestID, Attempt: o.Attempt, Backend: o.Backend, Result: uint8(o.Result), Took: o.Latency,
@@ -174,7 +176,7 @@
 	})
 }
 
-// DecodeAttemptEnded reads such a message.
+// DecodeAttemptEnded decodes the outcome of an attempt.
 func DecodeAttemptEnded(b []byte) (policy.Outcome, error) {
 	var form endedElsewhere
 	if err := decodeMessage(b, &form); err != nil {
@@ -187,12 +189,12 @@
 	}, nil
 }
 
-// EncodeCostSettled writes the message of a late settlement.
+// EncodeCostSettled encodes the settlement of a cost.
 func EncodeCostSettled(s CostSettled) ([]byte, error) {
 	return encodeMessage(settledElsewhere{Customer: s.Customer, More: s.Extra})
 }
 
-// DecodeCostSettled reads such a message.
+// DecodeCostSettled decodes the settlement of a cost.
 func DecodeCostSettled(b []byte) (CostSettled, error) {
 	var form settledElsewhere
 	if err := decodeMessage(b, &form); err != nil {
--- a/internal/settings/fields.go
+++ b/internal/settings/fields.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// word sets what a word stands for.
+// enum sets the value that a word stands for.
 func word[V any](meanings map[string]V, field func(*parser) *V) fieldSetter {
 	return func(p *parser, value string) error {
 		meaning, ok := meanings[value]
