--- a/internal/settings/fields.go
+++ b/internal/settings/fields.go
@@ -56,11 +56,11 @@
 }
 
 // enum sets the value that a word stands for.
-func word[V any](meanings map[string]V, field func(*parser) *V) fieldSetter {
+func enum[V any](meanings map[string]V, field func(*parser) *V) fieldSetter {
 	return func(p *parser, value string) error {
 		meaning, ok := meanings[value]
 		if !ok {
-			return errUnknownWord
+			return errUnknownValue
 		}
 		*field(p) = meaning
 		return nil
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -52,8 +52,8 @@
 	"granularity-us":  integer(func(p *parser) *policy.Time { return &p.MinEventInterval }),
 	"localities":      setZones,
 	"report.via":      text(func(p *parser) *string { return &p.host.ReportVia }),
-	"membership-mode": word(pollsEndpoints, func(p *parser) *bool { return &p.PollEndpoints }),
-	"weights":         word(hasCapacityHints, func(p *parser) *bool { return &p.UseCapacityHints }),
+	"membership-mode": enum(pollsEndpoints, func(p *parser) *bool { return &p.PollEndpoints }),
+	"weights":         enum(hasCapacityHints, func(p *parser) *bool { return &p.UseCapacityHints }),
 	"report.names":    setReportNames,
 
 	"ceilings.peers":              boolean(func(p *parser) *bool { return &p.Gossip }),
@@ -91,8 +91,8 @@
 	"hard-limit-us": integer(func(p *parser) *policy.Time { return last(p.host.ClientTimeouts) }),
 	"window-us":     integer(func(p *parser) *policy.Time { return &class(p).DedupWindow }),
 	"worth":         float(func(p *parser) *float64 { return &class(p).PriorityWeight }),
-	"repeat":        word(idempotency, func(p *parser) *policy.Idempotency { return &class(p).Idempotency }),
-	"group":         word(dedupScopes, func(p *parser) *policy.DedupScope { return &class(p).DedupScope }),
+	"repeat":        enum(idempotency, func(p *parser) *policy.Idempotency { return &class(p).Idempotency }),
+	"group":         enum(dedupScopes, func(p *parser) *policy.DedupScope { return &class(p).DedupScope }),
 }
 
 // planKeys are the settings of a plan.
--- a/internal/settings/parser.go
+++ b/internal/settings/parser.go
@@ -10,9 +10,9 @@
 )
 
 var (
-	errMissing     = errors.New("missing")
-	errNotPositive = errors.New("a number above 0 wanted")
-	errUnknownWord = errors.New("unknown word")
+	errMissing      = errors.New("missing")
+	errNotPositive  = errors.New("a number above 0 wanted")
+	errUnknownValue = errors.New("unknown word")
 )
 
 // KeyError is a setting whose value can't be used.
