--- a/internal/gateway/handover_out.go
+++ b/internal/gateway/handover_out.go
@@ -71,7 +71,7 @@
 		Policy:        l.controller.Export(l.now()),
 	})
 	if err != nil {
-		l.log.Error("handover", "error", err)
+		l.log.Error("handover: state not encoded", "error", err)
 		e.link.Close()
 		return
 	}
--- a/internal/gateway/handover_replicate.go
+++ b/internal/gateway/handover_replicate.go
@@ -39,6 +39,6 @@
 // warnOfHandover logs a message that could not be encoded: the successor goes on without it.
 func (l *Loop) warnOfHandover(err error) {
 	if err != nil {
-		l.log.Warn("handover", "error", err)
+		l.log.Warn("handover: report not sent", "error", err)
 	}
 }
--- a/internal/handover/codec_test.go
+++ b/internal/handover/codec_test.go
@@ -127,7 +127,7 @@
 	}
 }
 
-func TestFormsHaveTheFieldsOfTheOlderProgram(t *testing.T) {
+func TestEncodedFormsHaveTheFieldsOfTheOlderProgram(t *testing.T) {
 	wantSameFields(t, reflect.TypeFor[handoverState](), reflect.TypeFor[handovertest.State]())
 }
 
@@ -158,7 +158,7 @@
 	}
 }
 
-func TestStateOfAnotherVersionIsRefused(t *testing.T) {
+func TestStateOfUnknownVersionIsRejected(t *testing.T) {
 	raw, err := encodeForm(&handoverState{Version: stateVersion + 1})
 	if err != nil {
 		t.Fatal(err)
@@ -168,7 +168,7 @@
 	}
 	for _, b := range [][]byte{nil, []byte("rubbish"), raw, bytes.Repeat([]byte{0xff}, 100)} {
 		if _, err := DecodeState(b); err == nil {
-			t.Errorf("%.20q passed", b)
+			t.Errorf("%.20q was accepted", b)
 		}
 	}
 }
--- a/internal/handover/predecessor.go
+++ b/internal/handover/predecessor.go
@@ -69,7 +69,7 @@
 			return
 		}
 		if err != nil {
-			p.log.Warn("handover", "error", err)
+			p.log.Warn("handover: accept", "error", err)
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
