--- a/internal/gateway/gossip.go
+++ b/internal/gateway/gossip.go
@@ -11,7 +11,7 @@
 // newGossip makes the transport for gossip. It has no socket yet.
 func newGossip(cfg *config.Config, log *slog.Logger, post func(event)) *gossip.Transport {
 	return gossip.New(gossip.Config{
-		ListenAddress: cfg.PeerListen, ListenConfig: reuse, Peers: cfg.Peers, Self: cfg.Settings.Self,
+		ListenAddress: cfg.PeerListen, ListenConfig: reusePort, Peers: cfg.Peers, Self: cfg.Settings.Self,
 	}, log, func(peer int, message []byte) {
 		post(gossipReceived{peer, message})
 	})
--- a/internal/gateway/handover_out.go
+++ b/internal/gateway/handover_out.go
@@ -11,8 +11,8 @@
 // the state and was told to go on, this process serves; from then on the successor does. Only one of them
 // grants at any time.
 
-// stateTimeout is how long, in microseconds, a successor may take to accept the state.
-const stateTimeout = 1_000_000
+// stateTimeout is how long a successor may take to accept the state.
+const stateTimeout = 1 * second
 
 // outgoingHandover is a handover to a successor.
 type outgoingHandover struct {
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -10,9 +10,9 @@
 // soReusePort is SO_REUSEPORT on Linux; package syscall lacks it on amd64.
 const soReusePort = 0xf
 
-// reuse binds addresses so that a second process of this gateway can bind them too: the last resort where the
-// first process can't hand its sockets over.
-var reuse = net.ListenConfig{Control: func(_, _ string, conn syscall.RawConn) error {
+// reusePort binds addresses so that a second process of this gateway can bind them too: the last resort where
+// the first process can't hand its sockets over.
+var reusePort = net.ListenConfig{Control: func(_, _ string, conn syscall.RawConn) error {
 	var optionErr error
 	controlErr := conn.Control(func(descriptor uintptr) {
 		optionErr = syscall.SetsockoptInt(int(descriptor), syscall.SOL_SOCKET, soReusePort, 1)
@@ -25,7 +25,7 @@
 
 // listen binds the address for clients.
 func (l *Loop) listen() error {
-	listener, err := reuse.Listen(context.Background(), "tcp", l.config.Listen)
+	listener, err := reusePort.Listen(context.Background(), "tcp", l.config.Listen)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
@@ -33,9 +33,8 @@
 	return nil
 }
 
-// rebindDelay is the pause, in microseconds, after a bind that failed: another process may still hold the
-// address.
-const rebindDelay = 100_000
+// rebindDelay is the pause after a bind that failed: another process may still hold the address.
+const rebindDelay = 100 * millisecond
 
 // rebind binds the sockets that a successor had taken, and retries until that succeeds.
 func (l *Loop) rebind() {
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -5,15 +5,15 @@
 	"sparspread/policy"
 )
 
-// The periods of a planned shutdown, in microseconds. They begin with SIGTERM unless said otherwise. The
+// The periods of a planned shutdown. They begin with SIGTERM unless said otherwise. The
 // platform sends SIGKILL 0.7 s after the longest time that a client waits.
 const (
-	acceptPeriod      = 500_000   // new connections go on coming for a while
-	backlogPeriod     = 50_000    // after the accept period, for what came at the last moment
-	maxLongestTimeout = 3_000_000 // the longest client timeout that the platform waits for
-	answerMargin      = 200_000   // beyond the longest timeout, until everything open is answered
-	closePeriod       = 300_000   // after the last answer, for the other side to close
-	killMargin        = 650_000   // beyond the longest timeout: SIGKILL is near
+	acceptPeriod      = 500 * millisecond // new connections go on coming for a while
+	backlogPeriod     = 50 * millisecond  // after the accept period, for what came at the last moment
+	maxLongestTimeout = 3 * second        // the longest client timeout that the platform waits for
+	answerMargin      = 200 * millisecond // beyond the longest timeout, until everything open is answered
+	closePeriod       = 300 * millisecond // after the last answer, for the other side to close
+	killMargin        = 650 * millisecond // beyond the longest timeout: SIGKILL is near
 )
 
 // longestTimeout returns the longest client timeout of the settings, as far as the platform waits for it.
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -106,7 +106,7 @@
 			earliest := acceptPeriod + min(limit, backlogPeriod)
 			if answer < earliest || exit < answer+backlogPeriod || exit >= kill {
 				t.Errorf("accepted for %d, answered after %d, ended after %d, SIGKILL after %d",
-					policy.Time(acceptPeriod), answer, exit, kill)
+					acceptPeriod, answer, exit, kill)
 			}
 		})
 	}
