--- a/internal/gateway/client_read_ahead_test.go
+++ b/internal/gateway/client_read_ahead_test.go
@@ -58,7 +58,7 @@
 
 // A connection is handed over with the input that was read ahead behind a full pipeline.
 func TestReadAheadIsHandedOver(t *testing.T) {
-	cfg, b, _ := twoProcesses(t)
+	cfg, b := replaceableGateway(t)
 	first := startGateway(t, cfg)
 	c := first.client(t)
 	c.sendOnce(1, "team")
@@ -71,7 +71,7 @@
 		runtime.Gosched()
 	}
 	second := startGateway(t, cfg)
-	takesClients(t, second, 200)
+	waitForReadiness(t, second, 200)
 	open.replyValue(t, "one")
 	c.wantValue("one")
 	for range 2 * maxPipelined {
--- a/internal/gateway/handover_older_test.go
+++ b/internal/gateway/handover_older_test.go
@@ -29,7 +29,7 @@
 	coldBackend    = 3
 	retryBackend   = 4
 	openRequestID  = 3
-	spentCustomer  = 'i' // as book numbers the customers of plan tiny
+	spentCustomer  = 'i' // as sendOnce numbers the customers of plan tiny
 )
 
 // recordedEndpoints lists the backends of the recorded session: one that is warm, one where nothing listens,
@@ -38,7 +38,8 @@
 	t.Helper()
 	cold := strings.Replace(b.listEntry("s-00000003", "Ready"), `"up_since_ms":0`,
 		fmt.Sprintf(`"up_since_ms":%d`, startedAt/1000), 1)
-	refusing := strings.Replace(b.listEntry("s-00000002", "Ready"), b.listener.Addr().String(), unusedAddress(t), 1)
+	listening := b.listener.Addr().String()
+	refusing := strings.Replace(b.listEntry("s-00000002", "Ready"), listening, unusedAddress(t), 1)
 	return []string{b.listEntry("s-00000001", "Ready"), b.listEntry("s-00000004", "Ready"), refusing, cold}
 }
 
@@ -99,20 +100,21 @@
 
 func findBackend(t *testing.T, s handovertest.Snapshot, number uint32) handovertest.BackendState {
 	t.Helper()
-	i := slices.IndexFunc(s.Backends, func(b handovertest.BackendState) bool { return b.Backend == number })
-	if i < 0 {
-		t.Fatalf("no state of backend %d", number)
-	}
-	return s.Backends[i]
+	return find(t, s.Backends, func(b handovertest.BackendState) bool { return b.Backend == number })
 }
 
 func findCustomer(t *testing.T, s handovertest.Snapshot, id uint64) handovertest.CustomerState {
 	t.Helper()
-	i := slices.IndexFunc(s.Customers, func(c handovertest.CustomerState) bool { return c.ID == id })
+	return find(t, s.Customers, func(c handovertest.CustomerState) bool { return c.ID == id })
+}
+
+func find[T any](t *testing.T, items []T, matches func(T) bool) T {
+	t.Helper()
+	i := slices.IndexFunc(items, matches)
 	if i < 0 {
-		t.Fatalf("no state of customer %x", id)
+		t.Fatalf("none of %+v is the one wanted", items)
 	}
-	return s.Customers[i]
+	return items[i]
 }
 
 // olderPredecessor is the recorded process.
@@ -215,7 +217,7 @@
 	old.play(handovertest.StateEnd)
 	old.link.Expect(handovertest.Accepted)
 	old.play(handovertest.Go)
-	takesClients(t, r, 200)
+	waitForReadiness(t, r, 200)
 
 	state := exportedState(t, r)
 	if !reflect.DeepEqual(state.Customers, recorded.Customers) {
--- a/internal/gateway/handover_out.go
+++ b/internal/gateway/handover_out.go
@@ -11,8 +11,8 @@
 // the state and was told to go on, this process serves; from then on the successor does. Only one of them
 // grants at any time.
 
-// stateTimeout is how long, in microseconds, a successor may take to accept the state.
-const stateTimeout = 1_000_000
+// stateTimeout is how long a successor may take to accept the state.
+const stateTimeout = 1 * second
 
 // outgoingHandover is a handover to a successor.
 type outgoingHandover struct {
@@ -71,7 +71,7 @@
 		Policy:        l.controller.Export(l.now()),
 	})
 	if err != nil {
-		l.log.Error("handover", "error", err)
+		l.log.Error("handover: state not encoded", "error", err)
 		e.link.Close()
 		return
 	}
@@ -143,42 +143,6 @@
 	l.shutdown.endIfIdle(l)
 }
 
-// replicateAttemptSent reports a further attempt of a request that stayed here.
-func (l *Loop) replicateAttemptSent(requestID uint64, backend uint32) {
-	if link := l.openLink(); link != nil {
-		l.warnOfHandover(link.SendAttemptSent(handover.AttemptSent{RequestID: requestID, Backend: backend}))
-	}
-}
-
-// replicateAttemptEnded reports the outcome of an attempt of such a request.
-func (l *Loop) replicateAttemptEnded(ended policy.Outcome) {
-	if link := l.openLink(); link != nil {
-		l.warnOfHandover(link.SendAttemptEnded(ended))
-	}
-}
-
-// replicateCostSettled reports what such a request cost beyond its estimate.
-func (l *Loop) replicateCostSettled(customer uint64, extra float64) {
-	if link := l.openLink(); link != nil {
-		l.warnOfHandover(link.SendCostSettled(handover.CostSettled{Customer: customer, Extra: extra}))
-	}
-}
-
-// openLink is the link to a successor; nil if there is none.
-func (l *Loop) openLink() *handover.Link {
-	if l.handover == nil || l.handover.link.IsClosed() {
-		return nil
-	}
-	return l.handover.link
-}
-
-// warnOfHandover logs a message that could not be encoded: the successor goes on without it.
-func (l *Loop) warnOfHandover(err error) {
-	if err != nil {
-		l.log.Warn("handover", "error", err)
-	}
-}
-
 // stateTimer ends a handover whose state was not accepted in time.
 type stateTimer struct{ handover *outgoingHandover }
 
--- a/internal/gateway/handover_test.go
+++ b/internal/gateway/handover_test.go
@@ -14,13 +14,13 @@
 	"sparspread/internal/handover/handovertest"
 )
 
-// twoProcesses returns the configuration of a gateway that a second process can take over from.
-func twoProcesses(t *testing.T) (config.Config, *fakeBackend, *fakeDiscovery) {
+// replaceableGateway returns the configuration of a gateway that a second process can take over from.
+func replaceableGateway(t *testing.T) (config.Config, *fakeBackend) {
 	t.Helper()
 	useShortTempDir(t)
 	b := newBackend(t)
 	d := newFakeDiscovery(t, b.listEntry("s-00000001", "Ready"))
-	return configureReplaceable(t, d), b, d
+	return configureReplaceable(t, d), b
 }
 
 // useShortTempDir gives the test a directory of its own with a short path: the path of a Unix socket has 108
@@ -64,8 +64,9 @@
 	return handovertest.Dial(t, handover.SocketPath(cfg.Listen))
 }
 
-// takesClients waits until a gateway reports a status: 200 where it serves clients, 503 where it does not.
-func takesClients(t *testing.T, r *rig, want int) {
+// waitForReadiness waits until a gateway reports a status: 200 where it serves clients, 503 where it does
+// not.
+func waitForReadiness(t *testing.T, r *rig, want int) {
 	t.Helper()
 	for until := time.Now().Add(testTimeout); time.Now().Before(until); {
 		if got, _ := operate(t, r, "/ops/readiness"); got == want {
@@ -86,7 +87,7 @@
 // Open requests end where they were sent, connections follow with the input that was read from them, and no
 // bucket is granted from twice.
 func TestSuccessorTakesOverRequestsConnectionsAndBuckets(t *testing.T) {
-	cfg, b, _ := twoProcesses(t)
+	cfg, b := replaceableGateway(t)
 	first := startGateway(t, cfg)
 	idle, busy, spent := first.client(t), first.client(t), first.client(t)
 	idle.sendOnce(1, "team")
@@ -99,8 +100,8 @@
 	open := b.nextCall(t)
 
 	second := startGateway(t, cfg)
-	takesClients(t, second, 200)
-	takesClients(t, first, 503)
+	waitForReadiness(t, second, 200)
+	waitForReadiness(t, first, 503)
 	idle.sendOnce(4, "team")
 	b.nextCall(t).replyValue(t, "four")
 	idle.wantValue("four")
@@ -126,12 +127,12 @@
 
 // A third process takes over from the second, which listens where the first one did.
 func TestEachSuccessorCanHandOver(t *testing.T) {
-	cfg, b, _ := twoProcesses(t)
+	cfg, b := replaceableGateway(t)
 	first := startGateway(t, cfg)
 	c := first.client(t)
 	for i := range 3 {
 		next := startGateway(t, cfg)
-		takesClients(t, next, 200)
+		waitForReadiness(t, next, 200)
 		first.shutDown()
 		wait(t, first.ended, "the predecessor to end")
 		first = next
@@ -142,13 +143,13 @@
 }
 
 func TestPredecessorServesAgainWhenSuccessorEnds(t *testing.T) {
-	cfg, b, _ := twoProcesses(t)
+	cfg, b := replaceableGateway(t)
 	first := startGateway(t, cfg)
 	second := startGateway(t, cfg)
-	takesClients(t, second, 200)
+	waitForReadiness(t, second, 200)
 	second.shutDown()
 	wait(t, second.ended, "the second process to end")
-	takesClients(t, first, 200)
+	waitForReadiness(t, first, 200)
 	c := first.client(t)
 	c.sendOnce(1, "team")
 	b.nextCall(t).replyValue(t, "ok")
@@ -159,7 +160,7 @@
 // A handover that breaks off at any step leaves the first process serving, and the commands that came
 // meanwhile are answered.
 func TestInterruptedHandoverChangesNothing(t *testing.T) {
-	cfg, b, _ := twoProcesses(t)
+	cfg, b := replaceableGateway(t)
 	first := startGateway(t, cfg)
 	c := first.client(t)
 	id := 0
@@ -192,13 +193,13 @@
 	serves()
 
 	second := startGateway(t, cfg) // another successor takes over as usual
-	takesClients(t, second, 200)
+	waitForReadiness(t, second, 200)
 	serves()
 }
 
 // A socket's file that no process listens at keeps no process from starting.
 func TestStaleHandoverSocketIsReplaced(t *testing.T) {
-	cfg, b, _ := twoProcesses(t)
+	cfg, b := replaceableGateway(t)
 	stale := handovertest.Listen(t, handover.SocketPath(cfg.Listen))
 	stale.SetUnlinkOnClose(false)
 	if err := stale.Close(); err != nil {
@@ -214,14 +215,14 @@
 // A command of which the first process has read a part is read to its end there, and decided on by the
 // second.
 func TestPartlyReadCommandFollowsItsClient(t *testing.T) {
-	cfg, b, _ := twoProcesses(t)
+	cfg, b := replaceableGateway(t)
 	first := startGateway(t, cfg)
 	c := first.client(t)
 	c.send("PING")
 	c.wantLine("+PONG")
 	c.write("*4\r\n$8\r\nAPI.READ\r\n$16\r\n00000000")
 	second := startGateway(t, cfg)
-	takesClients(t, second, 200)
+	waitForReadiness(t, second, 200)
 	c.write("00000007\r\n$16\r\n0000000000000001\r\n" +
 		"$48\r\nc=lookup,t=team,d=60000,units=1,spread=1,first=0\r\n")
 	b.nextCall(t).replyValue(t, "ok")
