--- a/policy/report.go
+++ b/policy/report.go
@@ -1,9 +1,6 @@
 package policy
 
-import (
-	"fmt"
-	"strings"
-)
+import "fmt"
 
 const counterLogInterval = 5 * second // the least time between two lines of counters in the log
 
@@ -62,24 +59,20 @@
 	}
 	view, rejected, results := g.loadView(), &counters.rejected, &counters.results
 	const microsecondsPerMillisecond = 1000
-	g.actions.Log(strings.Join([]string{
-		fmt.Sprintf("sent %d, consecutive to one backend %d", counters.sent, counters.consecutive),
-		fmt.Sprintf("rejected: expired %d, at capacity %d, over quota %d, over ceiling %d, "+
-			"no backend %d, never ran %d",
-			rejected[rejectExpired], rejected[rejectAtCapacity], rejected[rejectOverQuota],
-			rejected[rejectOverCeiling], rejected[rejectNoBackend], rejected[rejectNeverRan]),
-		fmt.Sprintf("over quota by the share alone %d, with half of the bucket left %d",
-			counters.shareTooSmall, counters.halfFull),
-		fmt.Sprintf("quota requests %d, unanswered %d", counters.quotaRequests, counters.unanswered),
-		fmt.Sprintf("results: ok %d, failed %d, overloaded %d, timed out %d, connect failed %d, "+
-			"reset %d, not sent %d",
-			results[ResultOK], results[ResultFailed], results[ResultOverloaded],
-			results[ResultTimedOut],
-			results[ResultConnectFailed], results[ResultReset], results[ResultNotSent]),
-		fmt.Sprintf("in flight %.1f, on time %.1f/s, of %.1f gateways",
-			view.inFlight, view.onTimeRate, view.gateways),
-		fmt.Sprintf("late share %.2f, mean latency %.0f ms, healthy %d of %d", g.load.lateShare.value,
-			g.latency.all.value/microsecondsPerMillisecond, g.healthy, len(g.backends)),
-	}, "; "))
+	g.actions.Log(fmt.Sprintf("sent %d, consecutive to one backend %d; "+
+		"rejected: expired %d, at capacity %d, over quota %d, over ceiling %d, no backend %d, never ran %d; "+
+		"over quota by the share alone %d, with half of the bucket left %d; quota requests %d, unanswered %d; "+
+		"results: ok %d, failed %d, overloaded %d, timed out %d, connect failed %d, reset %d, not sent %d; "+
+		"in flight %.1f, on time %.1f/s, of %.1f gateways; "+
+		"late share %.2f, mean latency %.0f ms, healthy %d of %d",
+		counters.sent, counters.consecutive,
+		rejected[rejectExpired], rejected[rejectAtCapacity], rejected[rejectOverQuota],
+		rejected[rejectOverCeiling], rejected[rejectNoBackend], rejected[rejectNeverRan],
+		counters.shareTooSmall, counters.halfFull, counters.quotaRequests, counters.unanswered,
+		results[ResultOK], results[ResultFailed], results[ResultOverloaded], results[ResultTimedOut],
+		results[ResultConnectFailed], results[ResultReset], results[ResultNotSent],
+		view.inFlight, view.onTimeRate, view.gateways,
+		g.load.lateShare.value, g.latency.all.value/microsecondsPerMillisecond,
+		g.healthy, len(g.backends)))
 	*counters = activityCounters{since: g.now}
 }
