--- a/policy/report.go
+++ b/policy/report.go
@@ -61,7 +61,8 @@
 	const microsecondsPerMillisecond = 1000
 	g.actions.Log(fmt.Sprintf("sent %d, consecutive to one backend %d; "+
 		"rejected: expired %d, at capacity %d, over quota %d, over ceiling %d, no backend %d, never ran %d; "+
-		"over quota by the share alone %d, with half of the bucket left %d; quota requests %d, unanswered %d; "+
+		"over quota by the share alone %d, with half of the bucket left %d; "+
+		"quota requests %d, unanswered %d; "+
 		"results: ok %d, failed %d, overloaded %d, timed out %d, connect failed %d, reset %d, not sent %d; "+
 		"in flight %.1f, on time %.1f/s, of %.1f gateways; "+
 		"late share %.2f, mean latency %.0f ms, healthy %d of %d",
