--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -128,18 +128,18 @@
 	}
 	address, revision := c.config.Address, c.config.KnownRevision
 	for ctx.Err() == nil {
-		address = c.watchUntilMoved(ctx, address, revision)
+		address = c.watchAt(ctx, address, revision)
 		revision = nil // it says nothing about the list at another address
 	}
 }
 
-// watchUntilMoved watches the list at one address until there is a new one, which it returns.
-func (c *Client) watchUntilMoved(ctx context.Context, address string, revision *uint64) string {
+// watchAt watches the list at one address until there is a new one, which it returns.
+func (c *Client) watchAt(ctx context.Context, address string, revision *uint64) string {
 	watchCtx, cancel := context.WithCancel(ctx)
-	ended := make(chan struct{})
+	url, ended := "http://"+address+listPath, make(chan struct{})
 	go func() {
 		defer close(ended)
-		c.watch(watchCtx, ctx, "http://"+address+listPath, revision)
+		c.watch(watchCtx, ctx, url, revision)
 	}()
 	select {
 	case address = <-c.newAddress:
--- a/internal/gateway/reload_settings_test.go
+++ b/internal/gateway/reload_settings_test.go
@@ -14,7 +14,7 @@
 			`"group":"all","window-us":0,"worth":1},`
 		strictClass = `{"name":"strict","promise-us":10000000,"repeat":"fragile",` +
 			`"group":"all","window-us":0,"worth":2},`
-		onceClass   = `{"name":"once"` // the beginning of it
+		onceClass = `{"name":"once"` // the beginning of it
 	)
 	r, b, d := startWithBackend(t, withOps)
 	c := r.client(t)
--- a/internal/httpclient/httpclient.go
+++ b/internal/httpclient/httpclient.go
@@ -12,7 +12,7 @@
 func New(transport *http.Transport) *http.Client {
 	transport.DisableCompression = true
 	transport.MaxResponseHeaderBytes = maxHeaderBytes
-	return &http.Client{Transport: transport, CheckRedirect: refuseRedirect}
+	return &http.Client{Transport: transport, CheckRedirect: rejectRedirect}
 }
 
-func refuseRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+func rejectRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
