--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -58,11 +58,7 @@
 	c.wantValue("ok")
 	c.wantClosed()
 	closeConn(t, c.conn)
-	// The connection's reader may have stopped after the last command, and then does not see the end.
-	advance(l, lingerAfterError)
-	if !l.done {
-		t.Error("the process goes on after its last client has closed")
-	}
+	handleUntil(t, l, "the process to end after its last client has closed", func() bool { return l.done })
 }
 
 // A command is partly written when everything open is answered: its connection ends in an orderly way, so
@@ -97,15 +93,16 @@
 	for _, limit := range []policy.Time{20_000, 50_000, 100_000, 290_000, 400_000, 2_500_000, 9_000_000, 0} {
 		t.Run(fmt.Sprintf("timeout %d us", limit), func(t *testing.T) {
 			cfg := config.Config{}
-			cfg.Host.Limits = []policy.Time{limit}
+			cfg.Host.ClientTimeouts = []policy.Time{limit}
 			longest := limit
 			if limit == 0 || limit > maxLongestTimeout {
 				longest = maxLongestTimeout
 			}
 			answer, exit, kill := answerWithin(&cfg), exitWithin(&cfg), longest+killDelay
-			if answer < acceptPeriod+min(limit, backlogPeriod) || exit < answer+backlogPeriod || exit >= kill {
+			earliest := acceptPeriod + min(limit, backlogPeriod)
+			if answer < earliest || exit < answer+backlogPeriod || exit >= kill {
 				t.Errorf("accepted for %d, answered after %d, ended after %d, SIGKILL after %d",
-					policy.Time(acceptPeriod), answer, exit, kill)
+					acceptPeriod, answer, exit, kill)
 			}
 		})
 	}
@@ -183,7 +180,7 @@
 		0:                  3200 * millisecond,
 	} {
 		cfg := config.Config{}
-		cfg.Host.Limits = []policy.Time{limit}
+		cfg.Host.ClientTimeouts = []policy.Time{limit}
 		if got := answerWithin(&cfg); got != want {
 			t.Errorf("longest deadline %d: answered after %d, want %d", limit, got, want)
 		}
--- a/internal/settings/parser.go
+++ b/internal/settings/parser.go
@@ -10,9 +10,9 @@
 )
 
 var (
-	errMissing     = errors.New("missing")
-	errNotPositive = errors.New("a number above 0 wanted")
-	errUnknownWord = errors.New("unknown word")
+	errMissing      = errors.New("missing")
+	errNotPositive  = errors.New("a number above 0 wanted")
+	errUnknownValue = errors.New("unknown word")
 )
 
 // KeyError is a setting whose value can't be used.
@@ -50,7 +50,7 @@
 func (p *parser) addClass() {
 	p.Classes = append(p.Classes, policy.Class{})
 	p.host.Classes = append(p.host.Classes, "")
-	p.host.Limits = append(p.host.Limits, 0)
+	p.host.ClientTimeouts = append(p.host.ClientTimeouts, 0)
 }
 
 func (p *parser) addPlan() {
