--- a/internal/gateway/backend_read.go
+++ b/internal/gateway/backend_read.go
@@ -37,7 +37,7 @@
 		if e.err = in.Await(); e.err == nil {
 			c.readTimeout = replyTimeout
 			e.reply, e.err = in.ReadReply()
-			if e.err == nil && e.reply.Large > 0 && !c.streamValue(l, in, &e) {
+			if e.err == nil && e.reply.StreamedSize > 0 && !c.streamValue(l, in, &e) {
 				return
 			}
 			c.readTimeout = 0
--- a/internal/gateway/client_commands.go
+++ b/internal/gateway/client_commands.go
@@ -48,7 +48,7 @@
 
 // readFrom reads one command. It runs in the client's reader.
 func (e *commandReceived) readFrom(l *Loop, in *resp.Reader) {
-	args, bodySize, err := in.ReadHead()
+	args, bodySize, err := in.ReadCommandHead()
 	e.receivedAt = l.clock.now()
 	switch {
 	case errors.Is(err, resp.ErrTooLarge):
--- a/internal/gateway/fake_backend_test.go
+++ b/internal/gateway/fake_backend_test.go
@@ -62,7 +62,7 @@
 				defer b.conns.Delete(conn)
 				in := resp.NewReader(conn)
 				for {
-					args, large, err := in.ReadHead()
+					args, large, err := in.ReadCommandHead()
 					if err == nil && large > 0 {
 						b.bodySizes <- large
 						var body []byte
@@ -86,12 +86,12 @@
 func readBody(in *resp.Reader, size int) ([]byte, error) {
 	body := make([]byte, size)
 	for come := 0; come < size; {
-		n, err := in.ReadPart(body[come:])
+		n, err := in.ReadValueBytes(body[come:])
 		if come += n; err != nil {
 			return nil, err
 		}
 	}
-	return body, in.ReadEnd()
+	return body, in.ReadValueEnd()
 }
 
 // listEntry is the backend's entry in discovery's list.
--- a/internal/gateway/request_body.go
+++ b/internal/gateway/request_body.go
@@ -63,7 +63,7 @@
 	}
 	if err == nil {
 		c.setReadDeadline(c.commandDeadline)
-		err = in.ReadEnd()
+		err = in.ReadValueEnd()
 	}
 	switch {
 	case err == nil:
@@ -99,7 +99,7 @@
 	for remaining := size; remaining > 0 && !c.disconnected.Load(); {
 		c.commandDeadline = time.Now().Add(commandTimeout)
 		c.setReadDeadline(c.commandDeadline)
-		n, err := in.ReadPart(buf[:min(remaining, len(buf))])
+		n, err := in.ReadValueBytes(buf[:min(remaining, len(buf))])
 		remaining -= n
 		w.write(buf[:n])
 		if err != nil {
--- a/internal/gateway/value_stream.go
+++ b/internal/gateway/value_stream.go
@@ -19,11 +19,11 @@
 // client delays the reading, and nothing else. It runs in the connection's reader and reports whether the
 // event is still to be posted.
 func (c *backendConn) streamValue(l *Loop, in *resp.Reader, e *replyReceived) bool {
-	size := e.reply.Large
+	size := e.reply.StreamedSize
 	buf := make([]byte, transferBufferSize)
 	buffered := 0
 	for buffered < minValuePrefix {
-		n, err := in.ReadPart(buf[buffered:min(size, transferBufferSize)])
+		n, err := in.ReadValueBytes(buf[buffered:min(size, transferBufferSize)])
 		buffered += n
 		if err != nil {
 			e.reply, e.err = resp.Reply{}, err // its length was corrupt: as good as no reply
@@ -45,7 +45,7 @@
 		// The client has the whole value: what is behind it can make only the connection unusable.
 		c.readTimeout = replyTimeout
 		var err error
-		e.reply, err = in.ReadRest(e.reply)
+		e.reply, err = in.ReadRemainingItems(e.reply)
 		e.malformed = err != nil
 	}
 	return true
@@ -61,7 +61,7 @@
 		return err
 	}
 	for remaining := size - buffered; remaining > 0; {
-		n, err := in.ReadPart(buf[:min(remaining, transferBufferSize)])
+		n, err := in.ReadValueBytes(buf[:min(remaining, transferBufferSize)])
 		remaining -= n
 		if n > 0 {
 			writeErr := destination.WriteBlocking(buf[:n], transferStallTimeout)
@@ -73,7 +73,7 @@
 			return err
 		}
 	}
-	if err := in.ReadEnd(); err != nil {
+	if err := in.ReadValueEnd(); err != nil {
 		return err
 	}
 	return destination.WriteBlocking(crlf, transferStallTimeout)
--- a/internal/resp/command.go
+++ b/internal/resp/command.go
@@ -10,9 +10,10 @@
 	return args, err
 }
 
-// ReadHead reads a command like ReadCommand, except for a last value of more than MaxValue bytes: large is
-// that value's size, 0 where there is none, and the caller reads it with ReadPart and ReadEnd.
-func (r *Reader) ReadHead() (args [][]byte, large int, err error) { return r.readCommand(true) }
+// ReadCommandHead reads a command like ReadCommand, except for a last value of more than MaxValue bytes:
+// streamedSize is that value's size, 0 where there is none, and the caller reads it with ReadValueBytes and
+// ReadValueEnd.
+func (r *Reader) ReadCommandHead() (args [][]byte, streamedSize int, err error) { return r.readCommand(true) }
 
 func (r *Reader) readCommand(streamLast bool) ([][]byte, int, error) {
 	for {
--- a/internal/resp/reader.go
+++ b/internal/resp/reader.go
@@ -30,14 +30,14 @@
 // Buffered returns how many bytes were received behind the messages that were read.
 func (r *Reader) Buffered() int { return r.in.Buffered() }
 
-// ReadPart reads what has been received of a streamed value, at most len(b) bytes.
-func (r *Reader) ReadPart(b []byte) (int, error) {
+// ReadValueBytes reads what has been received of a streamed value, at most len(b) bytes.
+func (r *Reader) ReadValueBytes(b []byte) (int, error) {
 	n, err := r.in.Read(b)
 	return n, unexpectedEOF(err)
 }
 
-// ReadEnd reads the line end behind a streamed value.
-func (r *Reader) ReadEnd() error { return unexpectedEOF(r.readLineEnd()) }
+// ReadValueEnd reads the line end behind a streamed value.
+func (r *Reader) ReadValueEnd() error { return unexpectedEOF(r.readLineEnd()) }
 
 // readLine reads a line and returns it without its end. It is valid until the next read.
 func (r *Reader) readLine() ([]byte, error) {
--- a/internal/resp/reply.go
+++ b/internal/resp/reply.go
@@ -8,11 +8,12 @@
 	Null  bool    // a null string or array
 	Text  []byte  // the value, except of arrays
 	Items []Reply // the values of an array
-	// Large is the size in bytes of the first value of an array where the caller has to read it: with
-	// ReadPart until it is complete, then ReadEnd, then ReadRest. It is 0 where all was read.
-	Large int
+	// StreamedSize is the size in bytes of the first value of an array where the caller has to read it: with
+	// ReadValueBytes until it is complete, then ReadValueEnd, then ReadRemainingItems. It is 0 where all was
+	// read.
+	StreamedSize int
 
-	unreadItems int // values behind the one of size Large
+	unreadItems int // values behind the one of size StreamedSize
 }
 
 // ReadReply reads one reply, which may be an array but no array of arrays. With an error it returns the
@@ -20,8 +21,8 @@
 // to the caller.
 func (r *Reader) ReadReply() (Reply, error) { return r.readReply(true) }
 
-// ReadRest reads the values of an array that follow a streamed one.
-func (r *Reader) ReadRest(reply Reply) (Reply, error) {
+// ReadRemainingItems reads the values of an array that follow a streamed one.
+func (r *Reader) ReadRemainingItems(reply Reply) (Reply, error) {
 	for range reply.unreadItems {
 		item, err := r.readReply(false)
 		if err != nil {
@@ -74,7 +75,7 @@
 		return reply, nil
 	}
 	if size > MaxValue {
-		reply.Large = size
+		reply.StreamedSize = size
 		return reply, nil
 	}
 	if reply.Text, err = r.appendValue(nil, size); err == nil {
@@ -92,8 +93,8 @@
 			return reply, unexpectedEOF(err)
 		}
 		reply.Items = append(reply.Items, item)
-		if i == 0 && item.Large > 0 {
-			reply.Large, reply.unreadItems = item.Large, count-1
+		if i == 0 && item.StreamedSize > 0 {
+			reply.StreamedSize, reply.unreadItems = item.StreamedSize, count-1
 			return reply, nil
 		}
 	}
