--- a/internal/resp/command.go
+++ b/internal/resp/command.go
@@ -13,7 +13,9 @@
 // ReadCommandHead reads a command like ReadCommand, except for a last value of more than MaxValue bytes:
 // streamedSize is that value's size, 0 where there is none, and the caller reads it with ReadValueBytes and
 // ReadValueEnd.
-func (r *Reader) ReadCommandHead() (args [][]byte, streamedSize int, err error) { return r.readCommand(true) }
+func (r *Reader) ReadCommandHead() (args [][]byte, streamedSize int, err error) {
+	return r.readCommand(true)
+}
 
 func (r *Reader) readCommand(streamLast bool) ([][]byte, int, error) {
 	for {
