--- a/internal/handover/handovertest/conn.go
+++ b/internal/gateway/handover_older_conn_test.go
@@ -1,7 +1,4 @@
-// Package handovertest lets a test stand in for an older process of a gateway. It speaks the handover
-// protocol as the program of commit d086cf6 does, by bytes and declarations of its own, and uses nothing of
-// package handover.
-package handovertest
+package gateway
 
 import (
 	"encoding/json"
@@ -13,56 +10,58 @@
 	"time"
 )
 
+// This file stands in for an older process of a gateway. It speaks the handover protocol as the program of
+// commit d086cf6 does, by bytes of its own, and uses nothing of package handover.
+
 // The first byte of each message, as the older program has it.
 const (
-	Hello        = 'h'
-	Sockets      = 'l'
-	Takeover     = 't'
-	StatePart    = 's'
-	StateEnd     = 'S'
-	Accepted     = 'a'
-	Go           = 'g'
-	Input        = 'b'
-	Client       = 'c'
-	AttemptAgain = 'n'
-	AttemptOver  = 'o'
-	Settled      = 'u'
+	olderHello        = 'h'
+	olderSockets      = 'l'
+	olderTakeover     = 't'
+	olderStatePart    = 's'
+	olderStateEnd     = 'S'
+	olderAccepted     = 'a'
+	olderGo           = 'g'
+	olderInput        = 'b'
+	olderClient       = 'c'
+	olderAttemptAgain = 'n'
+	olderAttemptOver  = 'o'
+	olderSettled      = 'u'
 )
 
 const (
-	maxPacketBytes  = 32<<10 + 1
-	maxControlBytes = 128
-	patience        = 30 * time.Second // bounds every wait
+	olderMaxPacket  = 32<<10 + 1
+	olderMaxControl = 128
 )
 
-// Message is one packet.
-type Message struct {
+// olderMessage is one packet.
+type olderMessage struct {
 	Kind  byte
 	Body  []byte
 	Files []*os.File // the sockets it carries
 }
 
-// Conn is the other end of a process's handover link.
-type Conn struct {
+// olderConn is the other end of a process's handover link.
+type olderConn struct {
 	tb   testing.TB
 	conn *net.UnixConn
 }
 
-// Dial connects to the process that listens at a path, once it does.
-func Dial(tb testing.TB, path string) *Conn {
+// dialAsOlder connects to the process that listens at a path, once it does.
+func dialAsOlder(tb testing.TB, path string) *olderConn {
 	tb.Helper()
-	for until := time.Now().Add(patience); time.Now().Before(until); time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(testTimeout); time.Now().Before(until); time.Sleep(time.Millisecond) {
 		conn, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: path, Net: "unixpacket"})
 		if err == nil {
-			return newConn(tb, conn)
+			return newOlderConn(tb, conn)
 		}
 	}
 	tb.Fatalf("no process listens at %s", path)
 	return nil
 }
 
-// Listen opens the socket at which a successor asks for the handover.
-func Listen(tb testing.TB, path string) *net.UnixListener {
+// listenAsOlder opens the socket at which a successor asks for the handover.
+func listenAsOlder(tb testing.TB, path string) *net.UnixListener {
 	tb.Helper()
 	listener, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: path, Net: "unixpacket"})
 	if err != nil {
@@ -72,34 +71,34 @@
 	return listener
 }
 
-// Accept waits for a successor.
-func Accept(tb testing.TB, listener *net.UnixListener) *Conn {
+// acceptAsOlder waits for a successor.
+func acceptAsOlder(tb testing.TB, listener *net.UnixListener) *olderConn {
 	tb.Helper()
-	if err := listener.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := listener.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		tb.Fatal(err)
 	}
 	conn, err := listener.AcceptUnix()
 	if err != nil {
 		tb.Fatal("no successor: ", err)
 	}
-	return newConn(tb, conn)
+	return newOlderConn(tb, conn)
 }
 
-func newConn(tb testing.TB, conn *net.UnixConn) *Conn {
+func newOlderConn(tb testing.TB, conn *net.UnixConn) *olderConn {
 	tb.Helper()
-	c := &Conn{tb: tb, conn: conn}
+	c := &olderConn{tb: tb, conn: conn}
 	tb.Cleanup(c.Close)
-	if err := conn.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		tb.Fatal(err)
 	}
 	return c
 }
 
 // Close ends the link.
-func (c *Conn) Close() { _ = c.conn.Close() }
+func (c *olderConn) Close() { _ = c.conn.Close() }
 
 // Write sends bytes as one packet.
-func (c *Conn) Write(packet []byte) {
+func (c *olderConn) Write(packet []byte) {
 	c.tb.Helper()
 	if _, err := c.conn.Write(packet); err != nil {
 		c.tb.Fatal(err)
@@ -107,7 +106,7 @@
 }
 
 // Send sends a message with sockets.
-func (c *Conn) Send(kind byte, body []byte, sockets ...*os.File) {
+func (c *olderConn) Send(kind byte, body []byte, sockets ...*os.File) {
 	c.tb.Helper()
 	var rights []byte
 	if len(sockets) > 0 {
@@ -123,17 +122,17 @@
 }
 
 // Receive reads a message.
-func (c *Conn) Receive() Message {
+func (c *olderConn) Receive() olderMessage {
 	c.tb.Helper()
-	packet, control := make([]byte, maxPacketBytes), make([]byte, maxControlBytes)
+	packet, control := make([]byte, olderMaxPacket), make([]byte, olderMaxControl)
 	n, controlBytes, _, _, err := c.conn.ReadMsgUnix(packet, control)
 	if err != nil || n == 0 {
 		c.tb.Fatalf("%d bytes of a message, %v", n, err)
 	}
-	return Message{Kind: packet[0], Body: packet[1:n], Files: c.files(control[:controlBytes])}
+	return olderMessage{Kind: packet[0], Body: packet[1:n], Files: c.files(control[:controlBytes])}
 }
 
-func (c *Conn) files(control []byte) (files []*os.File) {
+func (c *olderConn) files(control []byte) (files []*os.File) {
 	c.tb.Helper()
 	messages, err := syscall.ParseSocketControlMessage(control)
 	if err != nil {
@@ -154,7 +153,7 @@
 }
 
 // Expect reads a message of one kind.
-func (c *Conn) Expect(kind byte) Message {
+func (c *olderConn) Expect(kind byte) olderMessage {
 	c.tb.Helper()
 	m := c.Receive()
 	if m.Kind != kind {
@@ -164,41 +163,41 @@
 }
 
 // ExpectState reads all parts of a state.
-func (c *Conn) ExpectState() []byte {
+func (c *olderConn) ExpectState() []byte {
 	c.tb.Helper()
 	var encoded []byte
 	for {
 		m := c.Receive()
 		encoded = append(encoded, m.Body...)
-		if m.Kind == StateEnd {
+		if m.Kind == olderStateEnd {
 			return encoded
 		}
-		if m.Kind != StatePart {
+		if m.Kind != olderStatePart {
 			c.tb.Fatalf("message %q amid the state", m.Kind)
 		}
 	}
 }
 
-// Recording is what an older process sent to its successor.
-type Recording struct {
+// olderRecording is what an older process sent to its successor.
+type olderRecording struct {
 	At       int64 // of its clock, in microseconds since 1970
-	Messages []RecordedMessage
+	Messages []recordedMessage
 }
 
-// RecordedMessage is one message of it, without its sockets.
-type RecordedMessage struct {
+// recordedMessage is one message of it, without its sockets.
+type recordedMessage struct {
 	Kind byte
 	Body []byte
 }
 
-// ReadRecording reads a file of recorded messages.
-func ReadRecording(tb testing.TB, path string) Recording {
+// readOlderRecording reads a file of recorded messages.
+func readOlderRecording(tb testing.TB, path string) olderRecording {
 	tb.Helper()
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		tb.Fatal(err)
 	}
-	var recording Recording
+	var recording olderRecording
 	if err := json.NewDecoder(strings.NewReader(string(raw))).Decode(&recording); err != nil {
 		tb.Fatalf("%s: %v", path, err)
 	}
--- a/internal/gateway/handover_older_test.go
+++ b/internal/gateway/handover_older_test.go
@@ -12,7 +12,7 @@
 
 	"sparspread/internal/config"
 	"sparspread/internal/handover"
-	"sparspread/internal/handover/handovertest"
+	"sparspread/internal/handover/olderform"
 	"sparspread/policy"
 )
 
@@ -77,7 +77,7 @@
 }
 
 // exportedState returns the state of a gateway as the older program reads it.
-func exportedState(t *testing.T, r *rig) handovertest.Snapshot {
+func exportedState(t *testing.T, r *rig) olderform.Snapshot {
 	t.Helper()
 	encoded := inspectLoop(t, r, func(l *Loop) []byte {
 		encoded, err := handover.EncodeState(&handover.State{Policy: l.controller.Export(l.now())})
@@ -89,23 +89,23 @@
 	return *decodeOlderState(t, encoded).Module
 }
 
-func decodeOlderState(t *testing.T, encoded []byte) handovertest.State {
+func decodeOlderState(t *testing.T, encoded []byte) olderform.State {
 	t.Helper()
-	state, err := handovertest.DecodeState(encoded)
+	state, err := olderform.DecodeState(encoded)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return state
 }
 
-func findBackend(t *testing.T, s handovertest.Snapshot, number uint32) handovertest.BackendState {
+func findBackend(t *testing.T, s olderform.Snapshot, number uint32) olderform.BackendState {
 	t.Helper()
-	return find(t, s.Backends, func(b handovertest.BackendState) bool { return b.Backend == number })
+	return find(t, s.Backends, func(b olderform.BackendState) bool { return b.Backend == number })
 }
 
-func findCustomer(t *testing.T, s handovertest.Snapshot, id uint64) handovertest.CustomerState {
+func findCustomer(t *testing.T, s olderform.Snapshot, id uint64) olderform.CustomerState {
 	t.Helper()
-	return find(t, s.Customers, func(c handovertest.CustomerState) bool { return c.ID == id })
+	return find(t, s.Customers, func(c olderform.CustomerState) bool { return c.ID == id })
 }
 
 func find[T any](t *testing.T, items []T, matches func(T) bool) T {
@@ -120,9 +120,9 @@
 // olderPredecessor is the recorded process.
 type olderPredecessor struct {
 	t         *testing.T
-	recording handovertest.Recording
+	recording olderRecording
 	listener  *net.TCPListener
-	link      *handovertest.Conn
+	link      *olderConn
 	clients   []*testClient // whose connections were handed over, in this order
 }
 
@@ -134,9 +134,9 @@
 		p.recording.Messages = p.recording.Messages[1:]
 		var sockets []*os.File
 		switch m.Kind {
-		case handovertest.Sockets:
+		case olderSockets:
 			sockets = append(sockets, socketFile(p.t, p.listener))
-		case handovertest.Client:
+		case olderClient:
 			sockets = append(sockets, p.newClient())
 		}
 		p.link.Send(m.Kind, m.Body, sockets...)
@@ -184,12 +184,12 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = listener.Close() })
-	old := &olderPredecessor{t: t, recording: handovertest.ReadRecording(t, sessionFile), listener: listener}
+	old := &olderPredecessor{t: t, recording: readOlderRecording(t, sessionFile), listener: listener}
 
 	b := newBackend(t)
 	d := newFakeDiscovery(t, recordedEndpoints(t, b, old.recording.At)...)
 	cfg := configureRecorded(t, d, listener.Addr().String())
-	successors := handovertest.Listen(t, handover.SocketPath(cfg.Listen))
+	successors := listenAsOlder(t, handover.SocketPath(cfg.Listen))
 	started := make(chan *Loop, 1)
 	go func() {
 		l, err := newLoop(cfg, discardLog())
@@ -198,25 +198,25 @@
 		}
 		started <- l
 	}()
-	old.link = handovertest.Accept(t, successors)
-	old.link.Expect(handovertest.Hello)
-	old.play(handovertest.Sockets)
+	old.link = acceptAsOlder(t, successors)
+	old.link.Expect(olderHello)
+	old.play(olderSockets)
 	l := wait(t, started, "the gateway")
 	if l == nil {
 		t.FailNow()
 	}
 	l.clock.wall = old.recording.At
 	r := serveLoop(t, l)
-	old.link.Expect(handovertest.Takeover)
+	old.link.Expect(olderTakeover)
 	return old, r, b
 }
 
 func TestOlderPredecessorHandsOver(t *testing.T) {
 	old, r, b := startFromOlder(t)
 	recorded := *decodeOlderState(t, old.recording.Messages[0].Body).Module
-	old.play(handovertest.StateEnd)
-	old.link.Expect(handovertest.Accepted)
-	old.play(handovertest.Go)
+	old.play(olderStateEnd)
+	old.link.Expect(olderAccepted)
+	old.play(olderGo)
 	waitForReadiness(t, r, 200)
 
 	state := exportedState(t, r)
@@ -236,18 +236,18 @@
 		t.Errorf("%d backends unavailable, want the ejected one", n)
 	}
 
-	old.play(handovertest.Client) // with a command that the older process has read
+	old.play(olderClient) // with a command that the older process has read
 	b.nextCall(t).replyValue(t, "from its input")
 	old.clients[0].wantValue("from its input")
-	old.play(handovertest.Client)
+	old.play(olderClient)
 	spent := old.clients[1]
 	spent.sendOnce(5, "tiny")
 	if got := spent.readLine(); got != "-BUSY 2000" {
 		t.Errorf("answer %q of a customer whose bucket the older process has emptied, want -BUSY 2000", got)
 	}
 
-	old.play(handovertest.AttemptAgain)
-	old.play(handovertest.AttemptOver)
+	old.play(olderAttemptAgain)
+	old.play(olderAttemptOver)
 	old.link.Close()
 	for inspectLoop(t, r, func(l *Loop) bool { return l.predecessorRunning }) {
 		r.sync(t)
@@ -303,13 +303,13 @@
 }
 
 // acceptStateAsOlder takes the state as an older successor does, after the gateway has held a command.
-func (s *recordedSituation) acceptStateAsOlder(t *testing.T, link *handovertest.Conn) handovertest.Snapshot {
+func (s *recordedSituation) acceptStateAsOlder(t *testing.T, link *olderConn) olderform.Snapshot {
 	t.Helper()
-	link.Send(handovertest.Hello, nil)
-	if sockets := link.Expect(handovertest.Sockets); len(sockets.Files) != 1 {
+	link.Send(olderHello, nil)
+	if sockets := link.Expect(olderSockets); len(sockets.Files) != 1 {
 		t.Fatalf("%d sockets, want the listener", len(sockets.Files))
 	}
-	link.Send(handovertest.Takeover, nil)
+	link.Send(olderTakeover, nil)
 	state := decodeOlderState(t, link.ExpectState())
 	if state.Version != 1 || len(state.Members) != 4 || state.Module == nil {
 		t.Fatalf("version %d with %d endpoints and state %v", state.Version, len(state.Members), state.Module)
@@ -318,13 +318,13 @@
 	for inspectLoop(t, s.rig, func(l *Loop) int { return len(l.handover.heldCommands) }) == 0 {
 		s.rig.sync(t)
 	}
-	link.Send(handovertest.Accepted, nil)
-	link.Expect(handovertest.Go)
+	link.Send(olderAccepted, nil)
+	link.Expect(olderGo)
 	return *state.Module
 }
 
 func TestOlderSuccessorTakesOver(t *testing.T) {
-	recording := handovertest.ReadRecording(t, sessionFile)
+	recording := readOlderRecording(t, sessionFile)
 	recorded := *decodeOlderState(t, recording.Messages[1].Body).Module
 	s := bringAboutRecorded(t)
 	link := dialHandover(t, s.cfg)
@@ -336,16 +336,16 @@
 	for clients := 0; clients < 2; {
 		m := link.Receive()
 		switch m.Kind {
-		case handovertest.Input:
+		case olderInput:
 			input = append(input, m.Body...)
-		case handovertest.Client:
+		case olderClient:
 			wantClient(t, m)
 			clients++
 		default:
 			t.Fatalf("message %q, want a client", m.Kind)
 		}
 	}
-	isInput := func(m handovertest.RecordedMessage) bool { return m.Kind == handovertest.Input }
+	isInput := func(m recordedMessage) bool { return m.Kind == olderInput }
 	recordedInput := recording.Messages[slices.IndexFunc(recording.Messages, isInput)].Body
 	if string(input) != string(recordedInput) {
 		t.Errorf("input %q, want %q", input, recordedInput)
@@ -353,23 +353,23 @@
 
 	s.rig.runClock()
 	s.openCall.reply(t, "-ERR failed\r\n")
-	wantOlderMessage(t, link, handovertest.AttemptOver, handovertest.AttemptEnded{
+	wantOlderMessage(t, link, olderAttemptOver, olderform.AttemptEnded{
 		ID: openRequestID, Backend: warmBackend, Result: uint8(policy.ResultFailed),
 	})
-	wantOlderMessage(t, link, handovertest.AttemptAgain, handovertest.AttemptSent{
+	wantOlderMessage(t, link, olderAttemptAgain, olderform.AttemptSent{
 		ID: openRequestID, Backend: retryBackend,
 	})
 	s.backend.nextCall(t).reply(t, "*3\r\n$2\r\nok\r\n$15\r\nused=3,cost=1.5\r\n$-1\r\n")
 	s.open.wantValue("ok")
-	wantClient(t, link.Expect(handovertest.Client))
-	wantOlderMessage(t, link, handovertest.AttemptOver, handovertest.AttemptEnded{
+	wantClient(t, link.Expect(olderClient))
+	wantOlderMessage(t, link, olderAttemptOver, olderform.AttemptEnded{
 		ID: openRequestID, Attempt: 1, Backend: retryBackend, Result: uint8(policy.ResultOK),
 		Over: true, TrueUnits: 1.5,
 	})
 }
 
 // wantRecordedState compares what does not depend on the time and on random numbers.
-func wantRecordedState(t *testing.T, got, want handovertest.Snapshot) {
+func wantRecordedState(t *testing.T, got, want olderform.Snapshot) {
 	t.Helper()
 	for _, id := range []uint64{spentCustomer, 7} {
 		got, want := findCustomer(t, got, id), findCustomer(t, want, id)
@@ -393,9 +393,9 @@
 	}
 }
 
-func wantClient(t *testing.T, m handovertest.Message) {
+func wantClient(t *testing.T, m olderMessage) {
 	t.Helper()
-	client, err := handovertest.DecodeMessage[handovertest.ClientConnection](m.Body)
+	client, err := olderform.DecodeMessage[olderform.ClientConnection](m.Body)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -405,13 +405,13 @@
 }
 
 // wantOlderMessage compares a message in its older form; how long an attempt took is not compared.
-func wantOlderMessage[T any](t *testing.T, link *handovertest.Conn, kind byte, want T) {
+func wantOlderMessage[T any](t *testing.T, link *olderConn, kind byte, want T) {
 	t.Helper()
-	got, err := handovertest.DecodeMessage[T](link.Expect(kind).Body)
+	got, err := olderform.DecodeMessage[T](link.Expect(kind).Body)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if ended, ok := any(&got).(*handovertest.AttemptEnded); ok {
+	if ended, ok := any(&got).(*olderform.AttemptEnded); ok {
 		ended.Took = 0
 	}
 	if !reflect.DeepEqual(got, want) {
--- a/internal/gateway/handover_test.go
+++ b/internal/gateway/handover_test.go
@@ -11,7 +11,6 @@
 
 	"sparspread/internal/config"
 	"sparspread/internal/handover"
-	"sparspread/internal/handover/handovertest"
 )
 
 // replaceableGateway returns the configuration of a gateway that a second process can take over from.
@@ -59,9 +58,9 @@
 }
 
 // dialHandover waits until a gateway can be asked to hand over.
-func dialHandover(t *testing.T, cfg config.Config) *handovertest.Conn {
+func dialHandover(t *testing.T, cfg config.Config) *olderConn {
 	t.Helper()
-	return handovertest.Dial(t, handover.SocketPath(cfg.Listen))
+	return dialAsOlder(t, handover.SocketPath(cfg.Listen))
 }
 
 // waitForReadiness waits until a gateway reports a status: 200 where it serves clients, 503 where it does
@@ -179,12 +178,12 @@
 		serves()
 	}
 	conn := dialHandover(t, cfg)
-	conn.Send(handovertest.Hello, nil)
-	if sockets := conn.Expect(handovertest.Sockets); len(sockets.Files) == 0 {
+	conn.Send(olderHello, nil)
+	if sockets := conn.Expect(olderSockets); len(sockets.Files) == 0 {
 		t.Fatal("no sockets")
 	}
-	conn.Send(handovertest.Takeover, nil)
-	conn.Expect(handovertest.StateEnd)
+	conn.Send(olderTakeover, nil)
+	conn.Expect(olderStateEnd)
 	id++
 	c.sendOnce(id, "team") // held until it is known who decides
 	conn.Close()           // without having accepted the state
@@ -200,7 +199,7 @@
 // A socket's file that no process listens at keeps no process from starting.
 func TestStaleHandoverSocketIsReplaced(t *testing.T) {
 	cfg, b := replaceableGateway(t)
-	stale := handovertest.Listen(t, handover.SocketPath(cfg.Listen))
+	stale := listenAsOlder(t, handover.SocketPath(cfg.Listen))
 	stale.SetUnlinkOnClose(false)
 	if err := stale.Close(); err != nil {
 		t.Fatal(err)
--- a/internal/handover/codec_test.go
+++ b/internal/handover/codec_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"sparspread/internal/discovery"
-	"sparspread/internal/handover/handovertest"
+	"sparspread/internal/handover/olderform"
 	"sparspread/policy"
 )
 
@@ -97,9 +97,9 @@
 }
 
 // readOlder reads a state as the older program does.
-func readOlder(t *testing.T, raw []byte) handovertest.State {
+func readOlder(t *testing.T, raw []byte) olderform.State {
 	t.Helper()
-	s, err := handovertest.DecodeState(raw)
+	s, err := olderform.DecodeState(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -108,7 +108,7 @@
 
 func TestOlderProgramReadsWhatIsWritten(t *testing.T) {
 	raw := readRecorded(t, "state.gob")
-	want, n := handovertest.State{}, 0
+	want, n := olderform.State{}, 0
 	fillNumbered(reflect.ValueOf(&want).Elem(), &n)
 	want.Version = 1
 	if got := readOlder(t, raw); !reflect.DeepEqual(got, want) {
@@ -128,7 +128,7 @@
 }
 
 func TestEncodedFormsHaveTheFieldsOfTheOlderProgram(t *testing.T) {
-	wantSameFields(t, reflect.TypeFor[handoverState](), reflect.TypeFor[handovertest.State]())
+	wantSameFields(t, reflect.TypeFor[handoverState](), reflect.TypeFor[olderform.State]())
 }
 
 // wantSameFields compares the names and kinds of all fields, however deep.
--- a/internal/handover/handovertest/forms.go
+++ b/internal/handover/olderform/forms.go
@@ -1,4 +1,5 @@
-package handovertest
+// Package olderform declares the forms of a handover as an older program does, for the tests of both sides.
+package olderform
 
 import (
 	"bytes"
@@ -137,7 +138,7 @@
 func DecodeState(encoded []byte) (State, error) {
 	var s State
 	if err := gob.NewDecoder(bytes.NewReader(encoded)).Decode(&s); err != nil {
-		return State{}, fmt.Errorf("handovertest: decode the state: %w", err)
+		return State{}, fmt.Errorf("olderform: decode the state: %w", err)
 	}
 	return s, nil
 }
@@ -148,7 +149,7 @@
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&form); err != nil {
-		return form, fmt.Errorf("handovertest: decode a message: %w", err)
+		return form, fmt.Errorf("olderform: decode a message: %w", err)
 	}
 	return form, nil
 }
