--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -1,7 +1,9 @@
 package gateway
 
 import (
+	"context"
 	"fmt"
+	"log/slog"
 
 	"sparspread/policy"
 )
@@ -59,5 +61,7 @@
 // WatchEndpoints has discovery report the endpoint list and its changes from now on.
 func (l *Loop) WatchEndpoints() { l.discovery.Watch() }
 
-// Log writes a line to the log.
-func (l *Loop) Log(line string) { l.log.Info(line) }
+// Log writes an event of the policy to the log.
+func (l *Loop) Log(message string, attributes ...slog.Attr) {
+	l.log.LogAttrs(context.Background(), slog.LevelInfo, message, attributes...)
+}
--- a/internal/simproto/reply.go
+++ b/internal/simproto/reply.go
@@ -2,7 +2,9 @@
 
 import (
 	"encoding/binary"
+	"log/slog"
 	"math"
+	"strings"
 
 	"sparspread/policy"
 )
@@ -110,10 +112,16 @@
 	r.buf = append(r.buf, 1)
 }
 
-// Log appends a log line.
-func (r *Reply) Log(line string) {
+// Log appends a log line: the message and the attributes as key=value.
+func (r *Reply) Log(message string, attributes ...slog.Attr) {
+	var line strings.Builder
+	line.WriteString(message)
+	for _, attribute := range attributes {
+		line.WriteByte(' ')
+		line.WriteString(attribute.String())
+	}
 	r.appendHeader(codeLog)
-	r.appendString(line)
+	r.appendString(line.String())
 }
 
 // InstanceFailed appends that the instance failed and is gone.
--- a/policy/api.go
+++ b/policy/api.go
@@ -1,5 +1,7 @@
 package policy
 
+import "log/slog"
+
 // Time is a point in time or a duration, in microseconds.
 type Time = int64
 
@@ -178,6 +180,7 @@
 	IncrementCounter(name uint64, units float64, lifetime Time)
 	// WatchEndpoints asks service discovery for the endpoint list and its changes from now on.
 	WatchEndpoints()
-	// Log writes a line for the operators.
-	Log(line string)
+	// Log records an event for the operators. The message is constant for each kind of event, and so are
+	// the keys of its attributes.
+	Log(message string, attributes ...slog.Attr)
 }
--- a/policy/backendstart.go
+++ b/policy/backendstart.go
@@ -41,11 +41,11 @@
 	if seen {
 		// The start was seen to happen: from here on it is timed by this gateway's own clock. What the stamp
 		// says of its age may be off by as much as a clock was stepped.
-		g.beginSlowStart(backend, g.now, "its start was announced")
+		g.beginSlowStart(backend, g.now, startAnnounced)
 		return
 	}
 	// This gateway has just started itself, and has only the stamp. One from the future is wrong.
-	g.beginSlowStart(backend, min(stamp, g.now), "listed as this gateway started")
+	g.beginSlowStart(backend, min(stamp, g.now), startListed)
 }
 
 // seesStarts reports whether the unknown stamps of a list are starts since the last list that this gateway
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"log/slog"
 
 	"sparspread/policy"
 )
@@ -21,9 +22,9 @@
 	fmt.Printf("request %d is rejected, retry after %d ms\n", id, after/1000)
 }
 
-func (h *host) Fail(id uint64)                    { fmt.Printf("request %d fails\n", id) }
-func (h *host) SetTimer(at policy.Time, _ uint32) { h.timers = append(h.timers, at) }
-func (h *host) Log(line string)                   { fmt.Println(line) }
+func (h *host) Fail(id uint64)                              { fmt.Printf("request %d fails\n", id) }
+func (h *host) SetTimer(at policy.Time, _ uint32)           { h.timers = append(h.timers, at) }
+func (h *host) Log(message string, attributes ...slog.Attr) { fmt.Println(message, attributes) }
 
 func (h *host) HealthCheck(uint32)                            {}
 func (h *host) SendGossip(int, []byte)                        {}
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -1,10 +1,10 @@
 package policy
 
 import (
+	"log/slog"
 	"math"
 	"reflect"
 	"slices"
-	"strings"
 	"testing"
 )
 
@@ -28,16 +28,17 @@
 
 // action is one call of an Actions method. Fields that its kind does not have are zero.
 type action struct {
-	kind    actionKind
-	request uint64
-	backend uint32
-	at      Time // an attempt's deadline, the time to retry after, or a timer's time
-	token   uint32
-	peer    int
-	message []byte
-	counter uint64
-	units   float64
-	line    string
+	kind       actionKind
+	request    uint64
+	backend    uint32
+	at         Time // an attempt's deadline, the time to retry after, or a timer's time
+	token      uint32
+	peer       int
+	message    []byte
+	counter    uint64
+	units      float64
+	event      string // the message of a log event
+	attributes []slog.Attr
 }
 
 // recorder is an Actions that records the calls.
@@ -77,7 +78,9 @@
 
 func (r *recorder) WatchEndpoints() { r.record(action{kind: watchAction}) }
 
-func (r *recorder) Log(line string) { r.record(action{kind: logAction, line: line}) }
+func (r *recorder) Log(message string, attributes ...slog.Attr) {
+	r.record(action{kind: logAction, event: message, attributes: attributes})
+}
 
 // take returns the recorded actions and forgets them.
 func (r *recorder) take() []action {
@@ -95,17 +98,29 @@
 	return len(slices.DeleteFunc(ofKind(r.performed, sendAction), isOther))
 }
 
-// countLogged is the number of log lines that begin with the prefix.
-func (r *recorder) countLogged(prefix string) int {
+// countLogged is the number of log events with the message and the attributes.
+func (r *recorder) countLogged(message string, attributes ...slog.Attr) int {
 	count := 0
 	for _, a := range r.performed {
-		if a.kind == logAction && strings.HasPrefix(a.line, prefix) {
+		if a.kind == logAction && a.event == message && a.hasAttributes(attributes) {
 			count++
 		}
 	}
 	return count
 }
 
+// hasAttributes reports whether a log event has all of the attributes, those of its groups among them.
+func (a action) hasAttributes(wanted []slog.Attr) bool {
+	all := slices.Clone(a.attributes)
+	for i := 0; i < len(all); i++ {
+		if all[i].Value.Kind() == slog.KindGroup {
+			all = append(all, all[i].Value.Group()...)
+		}
+	}
+	isMissing := func(attribute slog.Attr) bool { return !slices.ContainsFunc(all, attribute.Equal) }
+	return !slices.ContainsFunc(wanted, isMissing)
+}
+
 // last is the last action that is no log line.
 func (r *recorder) last() action {
 	for _, a := range slices.Backward(r.performed) {
@@ -127,7 +142,7 @@
 func (discardActions) Reject(uint64, Time)                      {}
 func (discardActions) SetTimer(Time, uint32)                    {}
 func (discardActions) SendGossip(int, []byte)                   {}
-func (discardActions) Log(string)                               {}
+func (discardActions) Log(string, ...slog.Attr)                 {}
 
 // testSettings have three classes (idempotent, not idempotent, idempotent with a key per cell) and
 // three plans (whose overage does not pay, whose overage pays, the same with a ceiling).
--- /dev/null
+++ b/policy/logevent.go
@@ -0,0 +1,86 @@
+package policy
+
+import "log/slog"
+
+// The messages of the events that a controller logs. Messages and keys are stable: operators search for
+// them, and docs/operations.md lists them. A key names its unit where the value has one.
+const (
+	messageSlowStart  = "backend in slow start"
+	messageWarm       = "backend warm"
+	messageEjected    = "backend ejected"
+	messageReinstated = "backend reinstated"
+	messageCounters   = "decision counters"
+)
+
+// The keys that several events share.
+const (
+	backendKey = "backend"
+	reasonKey  = "reason"
+)
+
+// ejectionReason says why a backend was ejected.
+type ejectionReason uint8
+
+const (
+	ejectedUnresponsive      ejectionReason = iota // it answered none of its overdue attempts
+	ejectedErrors                                  // too many of its answers were errors
+	ejectedConnectionsFailed                       // connections to it failed or were reset
+)
+
+// String is the reason as it is logged.
+func (r ejectionReason) String() string {
+	switch r {
+	case ejectedUnresponsive:
+		return "unresponsive"
+	case ejectedErrors:
+		return "errors"
+	case ejectedConnectionsFailed:
+		return "connections_failed"
+	default:
+		return "unknown"
+	}
+}
+
+// slowStartReason says why a backend is taken for one that has started.
+type slowStartReason uint8
+
+const (
+	startAnnounced    slowStartReason = iota // an update of the endpoint list told of the start
+	startListed                              // the list that this gateway got as it started holds it
+	connectionsFailed                        // it could not be connected to, and may have restarted
+)
+
+// String is the reason as it is logged.
+func (r slowStartReason) String() string {
+	switch r {
+	case startAnnounced:
+		return "start_announced"
+	case startListed:
+		return "listed_at_own_start"
+	case connectionsFailed:
+		return "connections_failed"
+	default:
+		return "unknown"
+	}
+}
+
+func backendAttr(id uint32) slog.Attr { return slog.Uint64(backendKey, uint64(id)) }
+
+// logSlowStart logs that a backend of the given age begins a slow start with a share of its capacity.
+func (g *Controller) logSlowStart(id uint32, reason slowStartReason, age Time, share float64) {
+	g.actions.Log(messageSlowStart, backendAttr(id), slog.String(reasonKey, reason.String()),
+		slog.Float64("age_seconds", float64(age)/float64(second)), slog.Float64("capacity_share", share))
+}
+
+// logWarm logs that a backend has ended its slow start, in which this gateway sent it so many attempts.
+func (g *Controller) logWarm(id uint32, attempts int) {
+	g.actions.Log(messageWarm, backendAttr(id), slog.Int("attempts", attempts))
+}
+
+func (g *Controller) logEjected(id uint32, reason ejectionReason) {
+	g.actions.Log(messageEjected, backendAttr(id), slog.String(reasonKey, reason.String()))
+}
+
+func (g *Controller) logReinstated(id uint32) {
+	g.actions.Log(messageReinstated, backendAttr(id))
+}
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -1,9 +1,6 @@
 package policy
 
-import (
-	"fmt"
-	"math"
-)
+import "math"
 
 const (
 	ejectionErrorRate      = 0.25       // the error rate from which on a backend is ejected
@@ -32,13 +29,13 @@
 func (b *backend) failing() bool { return b.down || b.errorRate >= ejectionErrorRate }
 
 // eject takes a backend out of rotation, for longer each time in a row.
-func (g *Controller) eject(backend *backend, why string) {
+func (g *Controller) eject(backend *backend, reason ejectionReason) {
 	if g.now-backend.ejectedAt > 2*maxEjectionTime {
 		backend.ejectionTime = 0
 	}
 	backend.ejectionTime = min(max(minEjectionTime, 2*backend.ejectionTime), maxEjectionTime)
 	backend.ejectedAt, backend.nextProbeAt = g.now, g.now+backend.ejectionTime
-	g.actions.Log(fmt.Sprintf("backend %d ejected: %s", backend.ID, why))
+	g.logEjected(backend.ID, reason)
 }
 
 // reinstate takes a backend that was down back into rotation. One that could not be connected to may
@@ -49,9 +46,9 @@
 	}
 	backend.down, backend.latencyRatio, backend.unansweredSince = false, 0, g.activeTime
 	if !backend.unresponsive {
-		g.beginSlowStart(backend, g.now, "connections had failed")
+		g.beginSlowStart(backend, g.now, connectionsFailed)
 	}
-	g.actions.Log(fmt.Sprintf("backend %d reinstated", backend.ID))
+	g.logReinstated(backend.ID)
 }
 
 // detectUnresponsive ejects a backend that answers nothing. Only overdue attempts are evidence, and
@@ -61,7 +58,7 @@
 	silence := float64(g.activeTime-backend.unansweredSince) * g.slowStartShare(backend) * evidence
 	if !backend.down && silence > unresponsiveObjectives*float64(g.shortestObjective) {
 		backend.down, backend.unresponsive = true, true
-		g.eject(backend, "unresponsive")
+		g.eject(backend, ejectedUnresponsive)
 	}
 }
 
@@ -107,7 +104,7 @@
 func (g *Controller) recordErrorSample(backend *backend, failed bool) {
 	backend.errorRate += sampleWeight * (indicator(failed) - backend.errorRate)
 	if failed && backend.errorRate >= ejectionErrorRate && g.now >= backend.nextProbeAt {
-		g.eject(backend, "errors")
+		g.eject(backend, ejectedErrors)
 	}
 }
 
@@ -122,7 +119,7 @@
 	backend.unresponsive = mayRun && (backend.unresponsive || !backend.down)
 	if !backend.down || g.now >= backend.nextProbeAt {
 		backend.down = true
-		g.eject(backend, "connections fail")
+		g.eject(backend, ejectedConnectionsFailed)
 	}
 	return true
 }
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -1,6 +1,9 @@
 package policy
 
-import "testing"
+import (
+	"log/slog"
+	"testing"
+)
 
 func TestBrokenBackendIsCheckedAndReinstatedInSlowStart(t *testing.T) {
 	h := newHarness(t, testSettings())
@@ -112,7 +115,8 @@
 	for range 5 {
 		h.recordResult(&attempt{backend: backend}, 0, &Outcome{Result: ResultFailed, Latency: 1})
 	}
-	if backend.errorRate < ejectionErrorRate || h.countLogged("backend 2 ejected: errors") == 0 {
+	ejected := h.countLogged(messageEjected, backendAttr(2), slog.String(reasonKey, "errors"))
+	if backend.errorRate < ejectionErrorRate || ejected == 0 {
 		t.Errorf("error rate %g, log %+v", backend.errorRate, ofKind(h.performed, logAction))
 	}
 }
@@ -177,13 +181,13 @@
 	h := newHarness(t, testSettings())
 	backend := h.backendsByID[1]
 	for i, want := range []Time{second / 2, second, 2 * second, 4 * second, 4 * second} {
-		h.eject(backend, "test")
+		h.eject(backend, ejectedErrors)
 		if got := backend.nextProbeAt - h.now; got != want {
 			t.Errorf("ejection %d lasts %d, want %d", i, got, want)
 		}
 	}
 	h.now += 2*maxEjectionTime + 1
-	if h.eject(backend, "test"); backend.ejectionTime != minEjectionTime {
+	if h.eject(backend, ejectedErrors); backend.ejectionTime != minEjectionTime {
 		t.Errorf("after long in rotation: %d, want %d", backend.ejectionTime, minEjectionTime)
 	}
 	if got := h.UnavailableBackends(); got != 0 {
--- a/policy/report.go
+++ b/policy/report.go
@@ -1,6 +1,6 @@
 package policy
 
-import "fmt"
+import "log/slog"
 
 const counterLogInterval = 5 * second // the least time between two lines of counters in the log
 
@@ -61,43 +61,70 @@
 	if g.now-counters.since < counterLogInterval {
 		return
 	}
-	view, rejected, results := g.loadView(), &counters.rejected, &counters.results
-	const microsecondsPerMillisecond = 1000
-	g.actions.Log(fmt.Sprintf("sent %d, consecutive to one backend %d; "+
-		"rejected: expired %d, at capacity %d, over quota %d, over ceiling %d, no backend %d, never ran %d; "+
-		"over quota by the share alone %d, with half of the bucket left %d; "+
-		"quota requests %d, unanswered %d; "+
-		"results: ok %d, failed %d, overloaded %d, timed out %d, connect failed %d, reset %d, not sent %d; "+
-		"in flight %.1f, on time %.1f/s, of %.1f gateways; "+
-		"late share %.2f, mean latency %.0f ms, healthy %d of %d; %s",
-		counters.sent, counters.consecutive,
-		rejected[rejectExpired], rejected[rejectAtCapacity], rejected[rejectOverQuota],
-		rejected[rejectOverCeiling], rejected[rejectNoBackend], rejected[rejectNeverRan],
-		counters.shareTooSmall, counters.halfFull, counters.quotaRequests, counters.unanswered,
-		results[ResultOK], results[ResultFailed], results[ResultOverloaded], results[ResultTimedOut],
-		results[ResultConnectFailed], results[ResultReset], results[ResultNotSent],
-		view.inFlight, view.onTimeRate, view.gateways,
-		g.load.lateShare.value, g.latency.all.value/microsecondsPerMillisecond,
-		g.healthy, len(g.backends), g.describeSlowStart()))
+	g.actions.Log(messageCounters,
+		slog.Int("attempts_sent", counters.sent),
+		slog.Int("consecutive_to_one_backend", counters.consecutive),
+		rejectionAttr(&counters.rejected),
+		slog.Int("over_quota_by_share", counters.shareTooSmall),
+		slog.Int("over_quota_bucket_half_full", counters.halfFull),
+		slog.Int("quota_requests", counters.quotaRequests),
+		slog.Int("quota_requests_unanswered", counters.unanswered),
+		resultsAttr("results", &counters.results),
+		g.loadAttr(),
+		g.slowStartAttr(),
+		resultsAttr("retries_after", &counters.retriesAfter))
 	*counters = activityCounters{since: g.now}
 }
 
-// describeSlowStart says what backends in slow start got and from which rate that derives, and why requests
-// were retried.
-func (g *Controller) describeSlowStart() string {
-	counters, retries := &g.counters, &g.counters.retriesAfter
+// rejectionAttr groups the rejected requests by reason.
+func rejectionAttr(rejected *[rejectReasonCount]int) slog.Attr {
+	return slog.Group("rejected",
+		slog.Int("expired", rejected[rejectExpired]),
+		slog.Int("at_capacity", rejected[rejectAtCapacity]),
+		slog.Int("over_quota", rejected[rejectOverQuota]),
+		slog.Int("over_ceiling", rejected[rejectOverCeiling]),
+		slog.Int("no_backend", rejected[rejectNoBackend]),
+		slog.Int("never_ran", rejected[rejectNeverRan]))
+}
+
+// resultsAttr groups attempts by their result.
+func resultsAttr(key string, counts *[ResultNotSent + 1]int) slog.Attr {
+	return slog.Group(key,
+		slog.Int("ok", counts[ResultOK]),
+		slog.Int("failed", counts[ResultFailed]),
+		slog.Int("overloaded", counts[ResultOverloaded]),
+		slog.Int("timed_out", counts[ResultTimedOut]),
+		slog.Int("connect_failed", counts[ResultConnectFailed]),
+		slog.Int("reset", counts[ResultReset]),
+		slog.Int("not_sent", counts[ResultNotSent]))
+}
+
+// loadAttr groups the load view, of the given number of gateways, and the backends' health.
+func (g *Controller) loadAttr() slog.Attr {
+	const microsecondsPerMillisecond = 1000
+	view := g.loadView()
+	return slog.Group("load",
+		slog.Float64("in_flight", view.inFlight),
+		slog.Float64("on_time_per_second", view.onTimeRate),
+		slog.Float64("gateways", view.gateways),
+		slog.Float64("late_share", g.load.lateShare.value),
+		slog.Float64("mean_latency_milliseconds", g.latency.all.value/microsecondsPerMillisecond),
+		slog.Int("healthy_backends", g.healthy),
+		slog.Int("backends", len(g.backends)))
+}
+
+// slowStartAttr groups what backends in slow start got and the answers of warm ones, from which that derives.
+func (g *Controller) slowStartAttr() slog.Attr {
 	warmingUp := 0
 	for _, backend := range g.backends {
 		if backend.ready() && g.slowStartShare(backend) < 1 {
 			warmingUp++
 		}
 	}
-	return fmt.Sprintf("slow start: backends %d, attempts %d, denied %d, "+
-		"answers of a warm backend %.2f/s, warm %d; "+
-		"retries after: ok %d, failed %d, overloaded %d, timed out %d, connect failed %d, reset %d, "+
-		"not sent %d",
-		warmingUp, counters.slowStartAttempts, counters.slowStartDenied,
-		g.warmAnswerRate(), g.warm,
-		retries[ResultOK], retries[ResultFailed], retries[ResultOverloaded], retries[ResultTimedOut],
-		retries[ResultConnectFailed], retries[ResultReset], retries[ResultNotSent])
+	return slog.Group("slow_start",
+		slog.Int("backends", warmingUp),
+		slog.Int("attempts", g.counters.slowStartAttempts),
+		slog.Int("denied", g.counters.slowStartDenied),
+		slog.Float64("answers_of_warm_per_second", g.warmAnswerRate()),
+		slog.Int("warm_backends", g.warm))
 }
--- a/policy/report_test.go
+++ b/policy/report_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"fmt"
-	"strings"
+	"log/slog"
 	"testing"
 )
 
@@ -13,9 +13,9 @@
 	}
 	h.at += counterLogInterval
 	h.TimerFired(h.at, gossipTimer)
-	lines := ofKind(h.performed, logAction)
-	if h.countLogged("sent 4,") != 1 || !strings.Contains(lines[len(lines)-1].line, "over quota 2,") {
-		t.Errorf("%+v, want one line of counters with 4 sent and 2 rejected over quota", lines)
+	if h.countLogged(messageCounters, slog.Int("attempts_sent", 4), slog.Int("over_quota", 2)) != 1 {
+		t.Errorf("%+v, want one event of counters with 4 sent and 2 rejected over quota",
+			ofKind(h.performed, logAction))
 	}
 }
 
--- a/policy/simulation_actors_test.go
+++ b/policy/simulation_actors_test.go
@@ -1,6 +1,7 @@
 package policy
 
 import (
+	"log/slog"
 	"math"
 	"math/rand/v2"
 	"slices"
@@ -109,7 +110,7 @@
 func (n *simulatedGateway) Fail(uint64)                            {}
 func (n *simulatedGateway) IncrementCounter(uint64, float64, Time) {}
 func (n *simulatedGateway) WatchEndpoints()                        {}
-func (n *simulatedGateway) Log(string)                             {}
+func (n *simulatedGateway) Log(string, ...slog.Attr)               {}
 
 func (n *simulatedGateway) SetTimer(at Time, token uint32) {
 	n.schedule(at, func() { n.TimerFired(n.simulation.now, token) })
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -1,9 +1,6 @@
 package policy
 
-import (
-	"fmt"
-	"math"
-)
+import "math"
 
 const (
 	answerRateDecay = 4 * second // the time constant of the rate of answers of warm backends
@@ -20,14 +17,12 @@
 }
 
 // beginSlowStart notes that a backend has started, or may have.
-func (g *Controller) beginSlowStart(backend *backend, startedAt Time, why string) {
+func (g *Controller) beginSlowStart(backend *backend, startedAt Time, reason slowStartReason) {
 	backend.startedAt, backend.slowStartBucket = startedAt, g.newSlowStartBucket()
 	backend.slowStartAttempts = 0
 	if share := g.slowStartShare(backend); share < 1 {
 		backend.warmingUp = true
-		age := float64(g.now-startedAt) / float64(second)
-		g.actions.Log(fmt.Sprintf("backend %d in slow start: %s, age %.3f s, share %.2f",
-			backend.ID, why, age, share))
+		g.logSlowStart(backend.ID, reason, g.now-startedAt, share)
 	}
 }
 
@@ -36,8 +31,7 @@
 	for _, backend := range g.backends {
 		if backend.warmingUp && g.slowStartShare(backend) == 1 {
 			backend.warmingUp = false
-			g.actions.Log(fmt.Sprintf("backend %d is warm after %d attempts",
-				backend.ID, backend.slowStartAttempts))
+			g.logWarm(backend.ID, backend.slowStartAttempts)
 		}
 	}
 }
--- a/scale/internal/simulated/gateway.go
+++ b/scale/internal/simulated/gateway.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"log/slog"
 	"net"
 	"time"
 
@@ -137,5 +138,5 @@
 // WatchEndpoints does nothing: changes come through Tier.UpdateEndpoints unasked.
 func (g *gateway) WatchEndpoints() {}
 
-// Log drops the line: nobody is on call for a simulated gateway.
-func (g *gateway) Log(string) {}
+// Log drops the event: nobody is on call for a simulated gateway.
+func (g *gateway) Log(string, ...slog.Attr) {}
