--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -30,7 +30,7 @@
 			if retried == first || c.class == 2 && retried.Cell != first.Cell {
 				t.Errorf("retried at backend %d of cell %d", retried.ID, retried.Cell)
 			}
-			for h.requests[id] != nil {
+			for h.requests.byID[id] != nil {
 				h.at += second
 				h.end(id, ResultTimedOut, false)
 			}
@@ -57,7 +57,7 @@
 	}
 	h.RequestCancelled(h.at, id)
 	h.end(id, ResultReset, true)
-	if h.requests[id] != nil || h.count(failAction)+h.count(rejectAction) != 0 {
+	if h.requests.byID[id] != nil || h.count(failAction)+h.count(rejectAction) != 0 {
 		t.Error("a request whose client has disconnected was answered or kept")
 	}
 }
--- a/policy/backendstart.go
+++ b/policy/backendstart.go
@@ -32,54 +32,54 @@
 
 // noteStart begins a slow start if an endpoint's stamp tells of a start that was not known: one that was seen
 // to happen, or one of long ago. Stamps of starts before come back with stale lists and tell nothing.
-func (g *Controller) noteStart(backend *backend, stamp Time, seen bool) {
-	if stamp == 0 || backend.stamps.contains(stamp) {
+func (c *Controller) noteStart(backend *backend, stamp Time, seen bool) {
+	if stamp == 0 || backend.slowStart.stamps.contains(stamp) {
 		return
 	}
-	backend.stamps.add(stamp)
-	backend.latencyRatio, backend.errorRate = 0, 0
+	backend.slowStart.stamps.add(stamp)
+	backend.latency.ratio, backend.health.errorRate = 0, 0
 	if seen {
 		// The start was seen to happen: from here on it is timed by this gateway's own clock. What the stamp
 		// says of its age may be off by as much as a clock was stepped.
-		g.beginSlowStart(backend, g.now, startAnnounced)
+		c.beginSlowStart(backend, c.clock.now, startAnnounced)
 		return
 	}
 	// This gateway has just started itself, and has only the stamp. One from the future is wrong.
-	g.beginSlowStart(backend, min(stamp, g.now), startListed)
+	c.beginSlowStart(backend, min(stamp, c.clock.now), startListed)
 }
 
 // seesStarts reports whether the unknown stamps of a list are starts since the last list that this gateway
 // had. As it starts that is the one which its configuration knows, if any: one of which most stamps are out
 // of date is too old to tell.
-func (g *Controller) seesStarts(kind UpdateKind, list []Endpoint) bool {
-	if g.discovery.listed || kind == UpdateStale {
-		return g.discovery.listed
+func (c *Controller) seesStarts(kind UpdateKind, list []Endpoint) bool {
+	if c.backends.watch.listed || kind == UpdateStale {
+		return c.backends.watch.listed
 	}
 	unknown := 0
 	for _, endpoint := range list {
-		backend := g.backendsByID[endpoint.ID]
-		if endpoint.StartedAt != 0 && (backend == nil || !backend.stamps.contains(endpoint.StartedAt)) {
+		backend := c.backends.byID[endpoint.ID]
+		if endpoint.StartedAt != 0 && (backend == nil || !backend.slowStart.stamps.contains(endpoint.StartedAt)) {
 			unknown++
 		}
 	}
-	return len(g.backends) > 0 && 2*unknown <= len(list)
+	return len(c.backends.inOrder) > 0 && 2*unknown <= len(list)
 }
 
 // restoreDeparted gives a backend that is listed again the start that was known of it.
-func (g *Controller) restoreDeparted(backend *backend) {
-	departed, ok := g.departed[backend.ID]
+func (c *Controller) restoreDeparted(backend *backend) {
+	departed, ok := c.backends.departed[backend.ID]
 	if !ok {
 		return
 	}
-	delete(g.departed, backend.ID)
-	backend.stamps, backend.startedAt = departed.stamps, departed.startedAt
+	delete(c.backends.departed, backend.ID)
+	backend.slowStart.stamps, backend.slowStart.startedAt = departed.stamps, departed.startedAt
 }
 
 // sweepDeparted forgets backends that have not been listed for long.
-func (g *Controller) sweepDeparted() {
-	for id, departed := range g.departed {
-		if g.now-departed.at > departedRetention {
-			delete(g.departed, id)
+func (c *Controller) sweepDeparted() {
+	for id, departed := range c.backends.departed {
+		if c.clock.now-departed.at > departedRetention {
+			delete(c.backends.departed, id)
 		}
 	}
 }
--- a/policy/balancing.go
+++ b/policy/balancing.go
@@ -13,36 +13,36 @@
 
 // chooseBackend picks the backend for a request's next attempt: the least loaded healthy one not tried
 // yet, else any ready one, else nil; where within is set only from its deduplication scope.
-func (g *Controller) chooseBackend(request *request, within *attempt) *backend {
-	if backend := g.leastLoaded(request, within, false); backend != nil {
+func (c *Controller) chooseBackend(request *request, within *attempt) *backend {
+	if backend := c.leastLoaded(request, within, false); backend != nil {
 		return backend
 	}
-	return g.leastLoaded(request, within, true)
+	return c.leastLoaded(request, within, true)
 }
 
 // leastLoaded picks the backend with the lowest score; ties are broken at random.
-func (g *Controller) leastLoaded(request *request, within *attempt, allowUnhealthy bool) *backend {
+func (c *Controller) leastLoaded(request *request, within *attempt, allowUnhealthy bool) *backend {
 	var best *backend
 	bestScore, ties := math.Inf(1), 0
-	for _, backend := range g.backends {
+	for _, backend := range c.backends.inOrder {
 		if !backend.ready() {
 			continue
 		}
-		if !g.slowStartAllows(backend) {
-			g.counters.slowStartDenied++
+		if !c.slowStartAllows(backend) {
+			c.counters.slowStartDenied++
 			continue
 		}
-		if within != nil && !g.settings.Classes[request.Class].sameDedupScope(within.backend, backend) ||
-			!allowUnhealthy && (g.unhealthy(backend) || request.tried(backend)) {
+		if within != nil && !c.settings.Classes[request.Class].sameDedupScope(within.backend, backend) ||
+			!allowUnhealthy && (c.unhealthy(backend) || request.tried(backend)) {
 			continue
 		}
-		score := g.loadScore(backend) * (1 + g.faultPenalty(backend, request))
+		score := c.loadScore(backend) * (1 + c.faultPenalty(backend, request))
 		if score > bestScore {
 			continue
 		} else if score < bestScore {
 			ties = 0
 		}
-		if ties++; g.random.IntN(ties) == 0 {
+		if ties++; c.random.IntN(ties) == 0 {
 			best, bestScore = backend, score
 		}
 	}
@@ -51,16 +51,16 @@
 
 // loadScore compares how long an attempt would wait at each backend. Load reports don't count: they
 // are older than a request takes, and all gateways would follow the same one.
-func (g *Controller) loadScore(backend *backend) float64 {
+func (c *Controller) loadScore(backend *backend) float64 {
 	// The share lowers the score of a starting backend, whose bucket limits its attempts anyway.
-	score := float64(backend.inFlight+1) * backend.slowness(g.now) * g.slowStartShare(backend)
-	if backend.Zone != g.settings.Zone {
-		score *= 1 + g.settings.CrossZonePrice*priceWeight
+	score := float64(backend.load.inFlight+1) * backend.latency.slowness(c.clock.now) * c.slowStartShare(backend)
+	if backend.Zone != c.settings.Zone {
+		score *= 1 + c.settings.CrossZonePrice*priceWeight
 	}
 	if !backend.inSubset {
-		score *= 1 + g.settings.HandshakePrice*priceWeight
+		score *= 1 + c.settings.HandshakePrice*priceWeight
 	}
-	if g.settings.UseCapacityHints && backend.CapacityHint > 0 {
+	if c.settings.UseCapacityHints && backend.CapacityHint > 0 {
 		score /= backend.CapacityHint
 	}
 	return score
@@ -68,9 +68,9 @@
 
 // faultPenalty is how much the faults reported of a backend for a request's class and plan raise
 // its score.
-func (g *Controller) faultPenalty(backend *backend, request *request) float64 {
-	ofClass, ofPlan := &backend.faults[request.Class], &backend.faults[g.planSubject(request.Plan)]
-	return g.peerWeight() * (ofClass.value(g.now, faultDecay) + ofPlan.value(g.now, faultDecay))
+func (c *Controller) faultPenalty(backend *backend, request *request) float64 {
+	ofClass, ofPlan := &backend.faults[request.Class], &backend.faults[c.planSubject(request.Plan)]
+	return c.peerWeight() * (ofClass.value(c.clock.now, faultDecay) + ofPlan.value(c.clock.now, faultDecay))
 }
 
 // sameDedupScope reports whether two backends drop each other's repeats.
@@ -87,16 +87,16 @@
 // selectSubset selects the backends that this gateway prefers. Where handshakes have a price it is
 // an arc of each zone's backends, in an order that all gateways share, so that each backend is
 // preferred by as many gateways as any other. Otherwise it is all of them.
-func (g *Controller) selectSubset() {
+func (c *Controller) selectSubset() {
 	zones := map[int][]*backend{}
-	for _, backend := range g.backends {
-		backend.inSubset = g.settings.HandshakePrice <= 0
+	for _, backend := range c.backends.inOrder {
+		backend.inSubset = c.settings.HandshakePrice <= 0
 		if backend.ready() {
 			zones[backend.Zone] = append(zones[backend.Zone], backend)
 		}
 	}
-	gateways := g.settings.Gateways
-	position := g.settings.Self * arcStep(gateways) % gateways
+	gateways := c.settings.Gateways
+	position := c.settings.Self * arcStep(gateways) % gateways
 	const multiplier = 0x9E3779B1 // spreads consecutive ids
 	for _, zone := range zones {
 		slices.SortFunc(zone, func(a, b *backend) int {
--- a/policy/balancing_test.go
+++ b/policy/balancing_test.go
@@ -64,9 +64,9 @@
 	for range 4 {
 		h.request(0, 1, 1, 1)
 	}
-	for _, backend := range h.backends {
-		if backend.inFlight != 1 {
-			t.Errorf("backend %d holds %d of 4 requests for 4 backends", backend.ID, backend.inFlight)
+	for _, backend := range h.backends.inOrder {
+		if backend.load.inFlight != 1 {
+			t.Errorf("backend %d holds %d of 4 requests for 4 backends", backend.ID, backend.load.inFlight)
 		}
 	}
 }
@@ -103,7 +103,7 @@
 		h := newUnstartedHarness(t, settings, uint64(settings.Self), start)
 		h.UpdateEndpoints(start, UpdateComplete, list)
 		byZone := map[int]int{}
-		for _, backend := range h.backends {
+		for _, backend := range h.backends.inOrder {
 			preferring[backend.ID] += int(indicator(backend.inSubset))
 			byZone[backend.Zone] += int(indicator(backend.inSubset))
 		}
@@ -149,14 +149,14 @@
 		if !backend.inSubset {
 			t.Fatal("want a backend of the subset while one is idle")
 		}
-		backend.inFlight++
+		backend.load.inFlight++
 	}
 	if choose().inSubset {
 		t.Error("want an idle backend, though a connection to it has a price, when the subset is busy")
 	}
-	for _, backend := range h.backends {
-		if backend.inFlight = 0; backend.inSubset {
-			backend.down, backend.nextProbeAt = true, h.at+maxEjectionTime
+	for _, backend := range h.backends.inOrder {
+		if backend.load.inFlight = 0; backend.inSubset {
+			backend.health.down, backend.health.nextProbeAt = true, h.at+maxEjectionTime
 		}
 	}
 	if backend := choose(); backend == nil || backend.inSubset {
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -38,7 +38,7 @@
 	g.RequestReceived(now, Request{
 		ID: id, Plan: 1, Customer: customer, Cost: 1, Timeout: second, Replicas: replicas,
 	})
-	request := g.requests[id]
+	request := g.requests.byID[id]
 	if request == nil {
 		b.Fatal("a request was not sent")
 	}
@@ -62,7 +62,7 @@
 				g.RequestReceived(now, Request{
 					ID: id, Plan: 1, Customer: id % 200, Cost: 1, Timeout: second, Replicas: c.replicas,
 				})
-				if request := g.requests[id]; request != nil {
+				if request := g.requests.byID[id]; request != nil {
 					g.AttemptEnded(now, Outcome{
 						RequestID: id, Backend: request.attempts[0].backend.ID, Latency: 1000, Answered: true,
 					})
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -12,29 +12,29 @@
 )
 
 // loadView is this gateway's own load and that of its peers.
-func (g *Controller) loadView() loadView {
-	now, weight := g.activeTime, g.peerWeight()
+func (c *Controller) loadView() loadView {
+	now, weight := c.clock.activeTime, c.peerWeight()
 	return loadView{
-		inFlight:   g.effectiveInFlight() + weight*g.load.peersInFlight.value(now, second),
-		onTimeRate: g.load.onTime.value(now, second) + weight*g.load.peersOnTime.value(now, second),
-		gateways:   1 + weight*g.load.peers.value(now, second),
+		inFlight:   c.effectiveInFlight() + weight*c.load.peersInFlight.value(now, second),
+		onTimeRate: c.load.onTime.value(now, second) + weight*c.load.peersOnTime.value(now, second),
+		gateways:   1 + weight*c.load.peers.value(now, second),
 	}
 }
 
 // peerWeight is how much the peers' figures count: the less, the more this gateway sees itself.
-func (g *Controller) peerWeight() float64 {
-	return sufficientAnswerRate / (sufficientAnswerRate + g.load.onTime.value(g.activeTime, second))
+func (c *Controller) peerWeight() float64 {
+	return sufficientAnswerRate / (sufficientAnswerRate + c.load.onTime.value(c.clock.activeTime, second))
 }
 
 // effectiveInFlight is how many of this gateway's attempts load the backends. Overdue attempts
 // count as far as answers are late everywhere: they may be lost, and would else block all others.
 // Attempts at a backend that is down don't count, those at a slow one count less.
-func (g *Controller) effectiveInFlight() float64 {
+func (c *Controller) effectiveInFlight() float64 {
 	total := 0.0
-	for _, backend := range g.backends {
-		if !backend.down && backend.inFlight > 0 {
-			onTime := float64(backend.inFlight) - float64(backend.overdue)*(1-g.load.lateShare.value)
-			total += onTime / math.Max(1, backend.slowness(g.now)/2)
+	for _, backend := range c.backends.inOrder {
+		if !backend.health.down && backend.load.inFlight > 0 {
+			onTime := float64(backend.load.inFlight) - float64(backend.load.overdue)*(1-c.load.lateShare.value)
+			total += onTime / math.Max(1, backend.latency.slowness(c.clock.now)/2)
 		}
 	}
 	return total
@@ -42,48 +42,48 @@
 
 // atCapacity reports whether the given part of the backends' capacity is in use: of the attempts
 // answered on time within the allowed latency. All of the least capacity is open to any request.
-func (g *Controller) atCapacity(part float64) bool {
-	g.refreshBackendHealth()
-	view := g.loadView()
-	perBackend := minInFlight - (minInFlight-minInFlightWhenLate)*g.load.lateShare.value
-	least := perBackend * float64(g.healthy) / float64(g.settings.Gateways) * view.gateways
-	capacity := math.Max(least, view.onTimeRate*g.allowedLatency()/float64(second)*fullLatencyShare*part)
+func (c *Controller) atCapacity(part float64) bool {
+	c.refreshBackendHealth()
+	view := c.loadView()
+	perBackend := minInFlight - (minInFlight-minInFlightWhenLate)*c.load.lateShare.value
+	least := perBackend * float64(c.backends.healthy) / float64(c.settings.Gateways) * view.gateways
+	capacity := math.Max(least, view.onTimeRate*c.allowedLatency()/float64(second)*fullLatencyShare*part)
 	ownCapacity := minOwnInFlight + maxOwnShare*capacity/view.gateways
-	return view.inFlight >= capacity || g.effectiveInFlight() >= ownCapacity
+	return view.inFlight >= capacity || c.effectiveInFlight() >= ownCapacity
 }
 
 // allowedLatency is the average latency at which the class with the tightest objective still meets
 // it: load stretches the latency of all classes alike.
-func (g *Controller) allowedLatency() float64 {
+func (c *Controller) allowedLatency() float64 {
 	allowed := math.Inf(1)
-	for class, latency := range g.latency.byClass {
+	for class, latency := range c.latency.byClass {
 		if latency.value > 0 {
-			objective := float64(g.settings.Classes[class].LatencyObjective)
-			allowed = math.Min(allowed, g.latency.all.value/latency.value*objective)
+			objective := float64(c.settings.Classes[class].LatencyObjective)
+			allowed = math.Min(allowed, c.latency.all.value/latency.value*objective)
 		}
 	}
 	if math.IsInf(allowed, 1) {
-		return float64(g.shortestObjective)
+		return float64(c.shortestObjective)
 	}
 	return allowed
 }
 
 // refreshBackendHealth finds overdue attempts and unresponsive backends, and counts the others.
-func (g *Controller) refreshBackendHealth() {
-	for class := range g.withinObjective {
-		g.markOverdue(class, g.settings.Classes[class].LatencyObjective)
+func (c *Controller) refreshBackendHealth() {
+	for class := range c.requests.withinObjective {
+		c.markOverdue(class, c.settings.Classes[class].LatencyObjective)
 	}
-	g.healthy, g.warm = 0, 0
-	for _, backend := range g.backends {
-		g.detectUnresponsive(backend)
-		if backend.ready() && !g.unhealthy(backend) {
-			g.healthy++
+	c.backends.healthy, c.pace.warm = 0, 0
+	for _, backend := range c.backends.inOrder {
+		c.detectUnresponsive(backend)
+		if backend.ready() && !c.unhealthy(backend) {
+			c.backends.healthy++
 		}
-		if g.isWarm(backend) {
-			g.warm++
+		if c.isWarm(backend) {
+			c.pace.warm++
 		}
 	}
-	if g.warm == 0 {
-		g.answerRate.updatedAt = g.now // keeps the last rate: no warm backend is left to measure it
+	if c.pace.warm == 0 {
+		c.pace.answerRate.updatedAt = c.clock.now // keeps the last rate: no warm backend is left to measure it
 	}
 }
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -15,8 +15,8 @@
 		t.Fatalf("%d of 100 attempts sent: the capacity is not bounded", sentOf100)
 	}
 	h.at += 2 * second
-	for _, backend := range h.backends {
-		backend.unansweredSince = h.at // each has answered others
+	for _, backend := range h.backends.inOrder {
+		backend.health.unansweredSince = h.at // each has answered others
 	}
 	if _, sent := h.request(1, 1, 200, 1); !sent {
 		t.Error("overdue attempts still use up the capacity")
@@ -31,8 +31,8 @@
 	for i := range 4 {
 		h.request(0, 1, uint64(i), 1)
 	}
-	for _, backend := range h.backends {
-		backend.overdue = backend.inFlight
+	for _, backend := range h.backends.inOrder {
+		backend.load.overdue = backend.load.inFlight
 	}
 	assertNear(t, "in flight with other answers on time", h.effectiveInFlight(), 0)
 	for range 200 {
@@ -75,7 +75,7 @@
 	assertNear(t, "on time", view.onTimeRate, 40)
 	assertNear(t, "gateways", view.gateways, 2)
 	for range 800 {
-		h.load.onTime.add(h.activeTime, second, 1)
+		h.load.onTime.add(h.clock.activeTime, second, 1)
 	}
 	if view = h.loadView(); view.inFlight > 0.1 || view.gateways > 1.02 {
 		t.Errorf("with many answers of its own: %g in flight by peers, %g gateways",
@@ -109,7 +109,7 @@
 		h.at += second / 100
 		h.TimerFired(h.at, gossipTimer)
 		id, sent := h.request(0, 1, 1, 1)
-		for sent && h.requests[id] != nil {
+		for sent && h.requests.byID[id] != nil {
 			h.end(id, result, answered)
 		}
 	}
--- a/policy/controller.go
+++ b/policy/controller.go
@@ -12,41 +12,37 @@
 
 // Controller makes the decisions of one gateway. It is not safe for concurrent use; see the package
 // documentation for what its host must do.
+//
+// It is the events, the clock, the random source and the wiring: each concern is a type with its own state,
+// which gets what it needs of the others as arguments and returns what is to be done.
 type Controller struct {
 	settings          Settings
 	actions           Actions
 	random            *rand.Rand
 	shortestObjective Time // the tightest latency objective of all classes
-	clock
-
-	retired bool // another process owns the buckets and admits requests
-
-	customers     map[uint64]*customer
-	customerOrder []*customer // all of customers, oldest first
-	sweptAt       Time        // when customers were last searched for idle ones
-	shared        sharedBucket
-	sharesUsage   bool // gateways share their customers' use, by gossip or a counter
-	gossip        gossipState
-	peers         []peer     // by gateway index; this gateway's own entry is unused
-	awaitingGrant []*request // requests that a coordinator was asked about, oldest first
-
-	backends     []*backend
-	backendsByID map[uint32]*backend
-	departed     map[uint32]departedBackend // by ID: no longer listed
-	discovery    discoveryWatch
-	healthy      int         // ready backends that are not ejected, as of the last refresh
-	warm         int         // those of them that are in the subset and not in slow start
-	answerRate   decayingSum // successful answers per warm backend, over answerRateDecay
-
-	requests            map[uint64]*request // with pending attempts or waiting for a grant
-	predecessorRequests map[uint64]*request // those that the former process carries to their end
-	withinObjective     [][]*attempt        // by class, oldest first: attempts not found overdue yet
-	retryBudget         retryBudget
-	load                loadEstimate
-	latency             latencyEstimate
-	priority            movingAverage     // of priorities in relation to the work
-	clientTimeouts      [][]movingAverage // how long clients wait, by plan and class, in microseconds
-	counters            activityCounters  // since the last log line
+	clock             clock
+	retired           bool // another process owns the buckets and admits requests
+
+	// Customers and their quotas.
+	customers   customerTable
+	shared      sharedBucket
+	sharesUsage bool // gateways share their customers' use, by gossip or a counter
+	grants      grantRequests
+	gossip      gossipState
+
+	// Backends.
+	backends backendTable
+	pace     slowStartPace
+	load     loadEstimate
+	latency  latencyEstimate
+	priority movingAverage // of priorities in relation to the work
+
+	// Requests.
+	requests       requestTable
+	retryBudget    retryBudget
+	clientTimeouts [][]movingAverage // how long clients wait, by plan and class, in microseconds
+
+	counters activityCounters // since the last log event
 }
 
 // clock is the time of the current event and what is known of stalls, in which the process did not
@@ -73,92 +69,89 @@
 	if err := settings.validate(); err != nil {
 		return nil, err
 	}
-	g := &Controller{
+	c := &Controller{
 		settings: settings, actions: actions, random: rand.New(rand.NewPCG(seed, seed>>32)),
-		customers:   map[uint64]*customer{},
+		customers:   newCustomerTable(),
 		shared:      sharedBucket{idleOverflow: make([]float64, len(settings.Plans))},
 		sharesUsage: settings.Gateways > 1 && (settings.Gossip || settings.SharedCounter),
-		gossip:      gossipState{incarnation: uint32(seed>>32) ^ uint32(seed)},
-		peers:       make([]peer, settings.Gateways),
-
-		backendsByID: map[uint32]*backend{},
-		departed:     map[uint32]departedBackend{},
-
-		requests:            map[uint64]*request{},
-		predecessorRequests: map[uint64]*request{},
-		withinObjective:     make([][]*attempt, len(settings.Classes)),
-		retryBudget:         maxRetryBudget,
-		latency:             latencyEstimate{byClass: make([]movingAverage, len(settings.Classes))},
+		gossip: gossipState{
+			incarnation: uint32(seed>>32) ^ uint32(seed),
+			peers:       make([]peer, settings.Gateways),
+		},
+		backends:    newBackendTable(),
+		requests:    newRequestTable(len(settings.Classes)),
+		retryBudget: maxRetryBudget,
+		latency:     latencyEstimate{byClass: make([]movingAverage, len(settings.Classes))},
 	}
 	for range settings.Plans {
-		g.clientTimeouts = append(g.clientTimeouts, make([]movingAverage, len(settings.Classes)))
+		c.clientTimeouts = append(c.clientTimeouts, make([]movingAverage, len(settings.Classes)))
 	}
-	g.deriveFromSettings()
-	return g, nil
+	c.deriveFromSettings()
+	return c, nil
 }
 
 // advanceClock brings the controller to the time of an event.
-func (g *Controller) advanceClock(now Time) {
-	g.now = max(g.now, now)
-	if g.startedAt == 0 {
-		g.start(now)
+func (c *Controller) advanceClock(now Time) {
+	c.clock.now = max(c.clock.now, now)
+	if c.clock.startedAt == 0 {
+		c.start(now)
 		return
 	}
-	if late := now - g.timerDue; late > stallTicks*g.settings.MinEventInterval {
-		g.recordStall(now, late)
+	if late := now - c.clock.timerDue; late > stallTicks*c.settings.MinEventInterval {
+		c.recordStall(now, late)
 	}
-	g.activeTime = g.now - g.stalledTime
+	c.clock.activeTime = c.clock.now - c.clock.stalledTime
 }
 
 // start begins the controller's work at its first event.
-func (g *Controller) start(now Time) {
-	g.startedAt, g.activeTime = max(1, now), now
-	g.sweptAt, g.shared.updatedAt, g.counters.since = now, now, now
-	g.scheduleTick()
-	if g.settings.PollEndpoints {
-		g.requestWatch()
+func (c *Controller) start(now Time) {
+	c.clock.startedAt, c.clock.activeTime = max(1, now), now
+	c.customers.sweptAt, c.shared.updatedAt, c.counters.since = now, now, now
+	c.scheduleTick()
+	if c.settings.PollEndpoints {
+		c.requestWatch()
 	}
-	g.announceStart()
+	c.announceStart()
 }
 
 // recordStall handles the end of a stall. The latency of the attempts that were
 // pending says nothing about the backends.
-func (g *Controller) recordStall(now, duration Time) {
-	g.stalledTime += duration
-	g.timerDue, g.resumedAt = now, now
-	for class := range g.withinObjective {
-		for _, attempt := range g.withinObjective[class] {
+func (c *Controller) recordStall(now, duration Time) {
+	c.clock.stalledTime += duration
+	c.clock.timerDue, c.clock.resumedAt = now, now
+	for class := range c.requests.withinObjective {
+		for _, attempt := range c.requests.withinObjective[class] {
 			attempt.overlappedStall = true
 		}
-		g.markOverdue(class, -1)
+		c.markOverdue(class, -1)
 	}
 }
 
 // scheduleTick sets the timer for the next gossip round.
-func (g *Controller) scheduleTick() {
-	g.timerDue = g.now + g.gossip.period
-	g.actions.SetTimer(g.timerDue, gossipTimer)
+func (c *Controller) scheduleTick() {
+	c.clock.timerDue = c.clock.now + c.gossip.period
+	c.actions.SetTimer(c.clock.timerDue, gossipTimer)
 }
 
 // TimerFired handles a timer that was set by SetTimer.
-func (g *Controller) TimerFired(now Time, token uint32) {
-	g.advanceClock(now)
+func (c *Controller) TimerFired(now Time, token uint32) {
+	c.advanceClock(now)
 	if token != gossipTimer {
-		g.resolveQuotaRequests(nil, grant{})
+		c.resolveQuotaRequests(nil, grant{})
 		return
 	}
-	g.scheduleTick()
-	if now-g.sweptAt >= sweepInterval {
-		g.sweptAt = g.now
-		g.logWarmedUp()
-		g.logCounters()
-		g.queueLoadView(loadViewPeers) // peers hear of it also while this gateway sends nothing
-		g.sweepCustomers()
-		g.sweepDeparted()
+	c.scheduleTick()
+	if now-c.customers.sweptAt >= sweepInterval {
+		c.customers.sweptAt = c.clock.now
+		c.logWarmedUp()
+		c.logCounters()
+		c.queueLoadView(loadViewPeers) // peers hear of it also while this gateway sends nothing
+		c.sweepCustomers()
+		c.sweepDeparted()
 	}
-	if !g.retired {
-		g.runGossipRound()
+	if !c.retired {
+		c.runGossipRound()
 	}
-	g.checkEjected(now)
-	g.renewWatch(now)
+	c.checkEjected(now)
+	c.renewWatch(now)
 }
--- a/policy/coordinator.go
+++ b/policy/coordinator.go
@@ -20,26 +20,31 @@
 	unresponsiveTime     = second // for which a coordinator that did not answer is avoided
 )
 
+// grantRequests are the requests that wait for a coordinator's answer.
+type grantRequests struct {
+	awaiting []*request // oldest first
+}
+
 // wideReplicaSet reports whether a customer's gateways are too many for all to report to all.
-func (g *Controller) wideReplicaSet(customer *customer) bool {
-	return g.settings.Gossip && customer.replicas > maxFullMeshPeers
+func (c *Controller) wideReplicaSet(customer *customer) bool {
+	return c.settings.Gossip && customer.replicas > maxFullMeshPeers
 }
 
 // coordinator is the gateway that is the customer's i-th coordinator.
-func (g *Controller) coordinator(customer *customer, i int) int {
+func (c *Controller) coordinator(customer *customer, i int) int {
 	const multiplier = 0x9E3779B97F4A7C15 // spreads customers evenly over the set
 	first := int((customer.id * multiplier) >> 33)
-	offset := first + i*customer.replicas/g.coordinatorCount(customer)
-	return g.replica(customer, offset%customer.replicas)
+	offset := first + i*customer.replicas/c.coordinatorCount(customer)
+	return c.replica(customer, offset%customer.replicas)
 }
 
 // isParticipant reports whether this gateway is of a wide set without being a coordinator of it.
-func (g *Controller) isParticipant(customer *customer) bool {
-	if !g.wideReplicaSet(customer) {
+func (c *Controller) isParticipant(customer *customer) bool {
+	if !c.wideReplicaSet(customer) {
 		return false
 	}
-	for i := range g.coordinatorCount(customer) {
-		if g.coordinator(customer, i) == g.settings.Self {
+	for i := range c.coordinatorCount(customer) {
+		if c.coordinator(customer, i) == c.settings.Self {
 			return false
 		}
 	}
@@ -48,38 +53,38 @@
 
 // requiresGrant reports whether a coordinator is asked before each request is admitted: the quota
 // is so small that no share of it holds a request, and the coordinators can receive the requests.
-func (g *Controller) requiresGrant(customer *customer) bool {
-	rate := g.planOf(customer).Rate / float64(g.coordinatorCount(customer))
-	return g.wideReplicaSet(customer) && rate*float64(g.receiveTime(1)) < quotaRequestShare*float64(second)
+func (c *Controller) requiresGrant(customer *customer) bool {
+	rate := c.planOf(customer).Rate / float64(c.coordinatorCount(customer))
+	return c.wideReplicaSet(customer) && rate*float64(c.receiveTime(1)) < quotaRequestShare*float64(second)
 }
 
 // coordinatorCount is over how many gateways the quota of a wide set is split: enough that each
 // can receive its quota requests, as long as each part of the burst holds the largest requests.
-func (g *Controller) coordinatorCount(customer *customer) int {
-	plan := g.planOf(customer)
+func (c *Controller) coordinatorCount(customer *customer) int {
+	plan := c.planOf(customer)
 	most := 1.0
-	if g.settings.MaxCost > 0 {
-		most = math.Max(1, math.Floor(plan.Burst/(minRequestsPerBurst*g.settings.MaxCost)))
+	if c.settings.MaxCost > 0 {
+		most = math.Max(1, math.Floor(plan.Burst/(minRequestsPerBurst*c.settings.MaxCost)))
 	}
-	needed := math.Ceil(plan.Rate * float64(g.receiveTime(1)) / (coordinatorLoadShare * float64(second)))
+	needed := math.Ceil(plan.Rate * float64(c.receiveTime(1)) / (coordinatorLoadShare * float64(second)))
 	return int(math.Max(1, math.Min(math.Min(needed, most), float64(customer.replicas))))
 }
 
 // grantsQuota reports whether this gateway is a coordinator that decides on quota requests.
-func (g *Controller) grantsQuota(customer *customer) bool {
-	return g.requiresGrant(customer) && !g.isParticipant(customer)
+func (c *Controller) grantsQuota(customer *customer) bool {
+	return c.requiresGrant(customer) && !c.isParticipant(customer)
 }
 
 // updateGrant has a coordinator set the fraction of what is requested that it grants: the rate and
 // what the bucket holds beyond the reserve, spent over the demand window, divided by the demand.
 // A changed grant is advertised to the set unless that asks before each request anyway.
-func (g *Controller) updateGrant(customer *customer) {
-	rate := g.planOf(customer).Rate
-	if !g.wideReplicaSet(customer) || g.isParticipant(customer) || rate == 0 {
+func (c *Controller) updateGrant(customer *customer) {
+	rate := c.planOf(customer).Rate
+	if !c.wideReplicaSet(customer) || c.isParticipant(customer) || rate == 0 {
 		return
 	}
 	window := customer.demandWindow
-	demand := customer.demand.value(g.now, window) + customer.peerDemand.value(g.now, window)
+	demand := customer.demand.value(c.clock.now, window) + customer.peerDemand.value(c.clock.now, window)
 	refill := customer.bucket.rate * float64(window) / float64(second)
 	units := refill + customer.bucket.level - coordinatorReserve*customer.bucket.capacity
 	fraction := math.Min(1, math.Max(minGrant, units/math.Max(demand, minDemand)))
@@ -87,16 +92,16 @@
 	raised, lowered := fraction > last*grantChangeFactor, fraction < last/grantChangeFactor
 	changed := raised || lowered || fraction == 1 && last < 1
 	customer.grantFraction = fraction
-	if changed && g.now >= customer.nextGrantAt && !g.requiresGrant(customer) {
-		customer.advertisedGrant, customer.nextGrantAt = fraction, g.now+customer.demandWindow/grantsPerWindow
-		g.advertiseGrant(customer)
+	if changed && c.clock.now >= customer.nextGrantAt && !c.requiresGrant(customer) {
+		customer.advertisedGrant, customer.nextGrantAt = fraction, c.clock.now+customer.demandWindow/grantsPerWindow
+		c.advertiseGrant(customer)
 	}
 }
 
 // answerQuotaRequest grants the units that a gateway wants if the buckets hold them.
-func (g *Controller) answerQuotaRequest(from int, customer *customer, usage *peerUsage, entry usageEntry) {
+func (c *Controller) answerQuotaRequest(from int, customer *customer, usage *peerUsage, entry usageEntry) {
 	units := float64(entry.wantedHalves) / 2
-	hasCeiling := g.planOf(customer).CeilingRate > 0 && g.requiresGrant(customer)
+	hasCeiling := c.planOf(customer).CeilingRate > 0 && c.requiresGrant(customer)
 	answer := grant{customer: customer.id, fraction: customer.grantFraction, quotaRequest: entry.quotaRequest}
 	answer.approved = customer.bucket.level >= units && (!hasCeiling || customer.ceiling.level >= units)
 	if answer.approved {
@@ -106,24 +111,24 @@
 		}
 		usage.consumed += packUnits(units)
 	}
-	g.actions.SendGossip(from, answer.appendTo(g.newMessage()))
+	c.actions.SendGossip(from, answer.appendTo(c.newMessage()))
 }
 
 // applyGrant applies a coordinator's grant.
-func (g *Controller) applyGrant(received grant) {
-	customer := g.customers[received.customer]
-	if customer == nil || !g.wideReplicaSet(customer) {
+func (c *Controller) applyGrant(received grant) {
+	customer := c.customers.byID[received.customer]
+	if customer == nil || !c.wideReplicaSet(customer) {
 		return
 	}
-	if g.isParticipant(customer) {
+	if c.isParticipant(customer) {
 		if customer.grantFraction == 1 && received.fraction < 1 {
 			// Drawn, so that not all participants can admit, or must reject, at once.
-			customer.grantedUnits = g.random.Float64() * customer.lastRequestCost
+			customer.grantedUnits = c.random.Float64() * customer.lastRequestCost
 		}
 		customer.grantFraction = received.fraction
 	}
 	if received.quotaRequest > 0 {
-		g.resolveQuotaRequests(customer, received)
+		c.resolveQuotaRequests(customer, received)
 	}
 }
 
@@ -133,44 +138,44 @@
 }
 
 // requestQuota asks a coordinator for a request's units and holds the request until it answers.
-func (g *Controller) requestQuota(request *request) {
+func (c *Controller) requestQuota(request *request) {
 	customer := request.customer
 	customer.quotaRequests++
 	request.quotaRequest = max(1, customer.quotaRequests)
-	timeout := min(Time(quotaRequestTimeout*float64(g.shortestObjective)), request.Timeout/2)
-	request.grantDeadline = g.now + timeout
+	timeout := min(Time(quotaRequestTimeout*float64(c.shortestObjective)), request.Timeout/2)
+	request.grantDeadline = c.clock.now + timeout
 	request.quotaRequestsSent++
-	g.counters.quotaRequests++
-	peer, usage := g.coordinator(customer, request.coordinator), customer.usageUnder(request.coordinator)
+	c.counters.quotaRequests++
+	peer, usage := c.coordinator(customer, request.coordinator), customer.usageUnder(request.coordinator)
 	if request.quotaRequestsSent == 1 {
 		usage.requested += request.Cost
 	}
-	entry := g.usageEntryOf(customer, *usage)
+	entry := c.usageEntryOf(customer, *usage)
 	entry.wantedHalves = byte(min(math.MaxUint8, math.Ceil(2*request.Cost)))
 	entry.quotaRequest = request.quotaRequest
 	usage.requestedReported = usage.requested
-	g.actions.SendGossip(peer, entry.appendTo(g.newMessage()))
-	g.actions.SetTimer(request.grantDeadline, quotaRequestTimer)
-	g.requests[request.ID] = request
-	g.awaitingGrant = append(g.awaitingGrant, request)
+	c.actions.SendGossip(peer, entry.appendTo(c.newMessage()))
+	c.actions.SetTimer(request.grantDeadline, quotaRequestTimer)
+	c.requests.byID[request.ID] = request
+	c.grants.awaiting = append(c.grants.awaiting, request)
 }
 
 // pickCoordinator draws the coordinator that a request asks, also at a coordinator: another one than
 // it asked before, and none that was recently unresponsive if there is another.
-func (g *Controller) pickCoordinator(request *request) int {
-	if !g.requiresGrant(request.customer) {
+func (c *Controller) pickCoordinator(request *request) int {
+	if !c.requiresGrant(request.customer) {
 		return 0
 	}
-	count := g.coordinatorCount(request.customer)
-	first := g.random.IntN(count)
+	count := c.coordinatorCount(request.customer)
+	first := c.random.IntN(count)
 	if request.quotaRequestsSent > 0 && count > 1 {
-		first = (request.coordinator + 1 + g.random.IntN(count-1)) % count
+		first = (request.coordinator + 1 + c.random.IntN(count-1)) % count
 	}
 	for i := range count {
 		candidate := (first + i) % count
-		unresponsiveAt := g.peers[g.coordinator(request.customer, candidate)].unresponsiveAt
+		unresponsiveAt := c.gossip.peers[c.coordinator(request.customer, candidate)].unresponsiveAt
 		isOther := request.quotaRequestsSent == 0 || candidate != request.coordinator
-		if isOther && g.now-unresponsiveAt > unresponsiveTime {
+		if isOther && c.clock.now-unresponsiveAt > unresponsiveTime {
 			return candidate
 		}
 	}
@@ -179,50 +184,50 @@
 
 // resolveQuotaRequests decides on the requests that an answer is for and on those whose answer is
 // overdue. The latter ask another coordinator once, or else use what the last grant left.
-func (g *Controller) resolveQuotaRequests(customer *customer, answer grant) {
-	awaiting := g.awaitingGrant
-	g.awaitingGrant = nil
+func (c *Controller) resolveQuotaRequests(customer *customer, answer grant) {
+	awaiting := c.grants.awaiting
+	c.grants.awaiting = nil
 	var retries []*request
 	for _, request := range awaiting {
 		answered := request.customer == customer && request.quotaRequest == answer.quotaRequest
 		switch {
-		case g.requests[request.ID] != request: // cancelled meanwhile
+		case c.requests.byID[request.ID] != request: // cancelled meanwhile
 		case answered:
-			g.applyAnswer(request, answer.approved)
-		case g.now < request.grantDeadline:
-			g.awaitingGrant = append(g.awaitingGrant, request)
+			c.applyAnswer(request, answer.approved)
+		case c.clock.now < request.grantDeadline:
+			c.grants.awaiting = append(c.grants.awaiting, request)
 		default:
-			if g.quotaRequestTimedOut(request) {
+			if c.quotaRequestTimedOut(request) {
 				retries = append(retries, request)
 				continue
 			}
-			delete(g.requests, request.ID)
+			delete(c.requests.byID, request.ID)
 			request.customer.addGrantedUnits(request.Cost)
-			g.admit(request, g.ownUnits(request))
+			c.admit(request, c.ownUnits(request))
 		}
 	}
 	for _, request := range retries {
-		delete(g.requests, request.ID)
-		g.admitOrRequestQuota(request)
+		delete(c.requests.byID, request.ID)
+		c.admitOrRequestQuota(request)
 	}
 }
 
 // applyAnswer decides on a request whose quota request was answered.
-func (g *Controller) applyAnswer(request *request, approved bool) {
-	delete(g.requests, request.ID)
+func (c *Controller) applyAnswer(request *request, approved bool) {
+	delete(c.requests.byID, request.ID)
 	source := unitsMissing
 	if approved {
 		request.customer.grantedUnits += request.Cost // consumed at once
 		source = unitsFromGrant
 	}
-	g.admit(request, source)
+	c.admit(request, source)
 }
 
 // quotaRequestTimedOut notes that a coordinator did not answer, and reports whether another one
 // should be asked.
-func (g *Controller) quotaRequestTimedOut(request *request) bool {
-	g.counters.unanswered++
-	g.peers[g.coordinator(request.customer, request.coordinator)].unresponsiveAt = g.now
+func (c *Controller) quotaRequestTimedOut(request *request) bool {
+	c.counters.unanswered++
+	c.gossip.peers[c.coordinator(request.customer, request.coordinator)].unresponsiveAt = c.clock.now
 	customer := request.customer
-	return request.quotaRequestsSent == 1 && g.requiresGrant(customer) && g.coordinatorCount(customer) > 1
+	return request.quotaRequestsSent == 1 && c.requiresGrant(customer) && c.coordinatorCount(customer) > 1
 }
--- a/policy/coordinator_test.go
+++ b/policy/coordinator_test.go
@@ -149,7 +149,7 @@
 // totals adds up a customer's buckets over its coordinators, and its ceilings over all gateways.
 func (f gatewayFleet) totals(id uint64) (quota, ceiling tokenBucket) {
 	for _, h := range f {
-		customer := h.customers[id]
+		customer := h.customers.byID[id]
 		if customer == nil {
 			continue
 		}
@@ -242,15 +242,15 @@
 			pair := newCoordinatorPair(t)
 			participant := pair.participant
 			id := pair.receive(0, 9)
-			if len(participant.awaitingGrant) != 1 {
-				t.Fatalf("%d requests wait for the coordinator, want 1", len(participant.awaitingGrant))
+			if len(participant.grants.awaiting) != 1 {
+				t.Fatalf("%d requests wait for the coordinator, want 1", len(participant.grants.awaiting))
 			}
 			participant.RequestCancelled(participant.at, id)
 			participant.take()
 			resolve(participant)
-			if len(participant.performed) != 0 || len(participant.awaitingGrant) != 0 {
+			if len(participant.performed) != 0 || len(participant.grants.awaiting) != 0 {
 				t.Errorf("acted for a disconnected client: %+v, %d waiting",
-					participant.performed, len(participant.awaitingGrant))
+					participant.performed, len(participant.grants.awaiting))
 			}
 		})
 	}
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -2,6 +2,17 @@
 
 import "math"
 
+// customerTable holds the records of the customers that have been active of late.
+type customerTable struct {
+	byID    map[uint64]*customer
+	inOrder []*customer // all of byID, oldest first
+	sweptAt Time        // when it was last searched for idle customers
+}
+
+func newCustomerTable() customerTable {
+	return customerTable{byID: map[uint64]*customer{}}
+}
+
 // customer is what this gateway knows of one customer. The customer's requests arrive at a replica
 // set of gateways, which share its quota.
 type customer struct {
@@ -59,24 +70,24 @@
 }
 
 // customerRecord returns a customer's record with its buckets refilled. It makes a missing one.
-func (g *Controller) customerRecord(id uint64, planIndex, firstReplica, replicas int) *customer {
-	customer := g.customers[id]
+func (c *Controller) customerRecord(id uint64, planIndex, firstReplica, replicas int) *customer {
+	customer := c.customers.byID[id]
 	if customer == nil {
-		customer = g.newCustomer(id, planIndex, firstReplica, replicas)
-		idle := &g.shared.idleOverflow[planIndex]
-		*idle = math.Max(0, *idle-g.settings.Plans[planIndex].Rate/float64(customer.replicas))
-		g.addCustomer(customer)
+		customer = c.newCustomer(id, planIndex, firstReplica, replicas)
+		idle := &c.shared.idleOverflow[planIndex]
+		*idle = math.Max(0, *idle-c.settings.Plans[planIndex].Rate/float64(customer.replicas))
+		c.addCustomer(customer)
 	}
-	g.refillBuckets(customer)
+	c.refillBuckets(customer)
 	return customer
 }
 
 // planOf is the customer's plan.
-func (g *Controller) planOf(customer *customer) *Plan { return &g.settings.Plans[customer.plan] }
+func (c *Controller) planOf(customer *customer) *Plan { return &c.settings.Plans[customer.plan] }
 
-func (g *Controller) addCustomer(customer *customer) {
-	g.customers[customer.id] = customer
-	g.customerOrder = append(g.customerOrder, customer)
+func (c *Controller) addCustomer(customer *customer) {
+	c.customers.byID[customer.id] = customer
+	c.customers.inOrder = append(c.customers.inOrder, customer)
 }
 
 // usageUnder is what was counted under the customer's coordinator of that index.
@@ -98,20 +109,20 @@
 }
 
 // replica is the gateway at a position in the customer's set.
-func (g *Controller) replica(customer *customer, position int) int {
-	return (customer.firstReplica + position) % g.settings.Gateways
+func (c *Controller) replica(customer *customer, position int) int {
+	return (customer.firstReplica + position) % c.settings.Gateways
 }
 
 // isReplica reports whether a gateway is of the customer's set.
-func (g *Controller) isReplica(customer *customer, gateway int) bool {
-	gateways := g.settings.Gateways
+func (c *Controller) isReplica(customer *customer, gateway int) bool {
+	gateways := c.settings.Gateways
 	return (gateway-customer.firstReplica+gateways)%gateways < customer.replicas
 }
 
 // usageFrom is the record of what a gateway of the customer's set reported.
-func (g *Controller) usageFrom(customer *customer, gateway int) *peerUsage {
+func (c *Controller) usageFrom(customer *customer, gateway int) *peerUsage {
 	if customer.peers == nil {
 		customer.peers = make([]peerUsage, customer.replicas)
 	}
-	return &customer.peers[(gateway-customer.firstReplica+g.settings.Gateways)%g.settings.Gateways]
+	return &customer.peers[(gateway-customer.firstReplica+c.settings.Gateways)%c.settings.Gateways]
 }
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -2,34 +2,35 @@
 
 import "slices"
 
+// backendTable holds the backends that are listed, have attempts in flight, or are in slow start.
+type backendTable struct {
+	inOrder  []*backend // in the order in which they became known
+	byID     map[uint32]*backend
+	departed map[uint32]departedBackend // by ID: no longer listed
+	watch    discoveryWatch
+	healthy  int // ready backends that are not ejected, as of the last refresh
+}
+
+func newBackendTable() backendTable {
+	return backendTable{byID: map[uint32]*backend{}, departed: map[uint32]departedBackend{}}
+}
+
 // backend is one endpoint as this gateway sees it.
 type backend struct {
 	Endpoint
-	listed   bool // in the current endpoint list
-	inSubset bool // preferred by this gateway
-	inFlight int  // attempts
-	overdue  int  // those of them that are pending for longer than their objective
-
-	latencyRatio       float64 // the latency of its answers in relation to the usual; 0: unknown
-	latencyRatioAt     Time
-	errorRate          float64       // the weighted share of errors among its answers
-	connectionFailures decayingSum   // over connectionFailureDecay
-	faults             []decayingSum // fault reports, by class and then by plan
-	unansweredSince    Time          // active time since when it has had attempts and answered none
-	lastAnswerAt       Time          // when it last answered an attempt, in whatever way; 0: not yet
-
-	down         bool // ejected until a health check or an attempt succeeds
-	unresponsive bool // down for silence or resets alone: its process is still running
-	ejectedAt    Time // when it was last ejected
-	ejectionTime Time // how long that ejection lasts
-	nextProbeAt  Time
+	listed    bool // in the current endpoint list
+	inSubset  bool // preferred by this gateway
+	load      backendLoad
+	health    backendHealth
+	latency   latencyRatio
+	slowStart slowStart
+	faults    []decayingSum // fault reports, by class and then by plan
+}
 
-	startedAt         Time        // by this gateway's clock; 0: long ago
-	stamps            startStamps // of its starts
-	slowStartBucket   tokenBucket // attempts that it may still get in slow start
-	slowStartWaiting  int         // those of them that are held for attempts that wait for a connection
-	slowStartAttempts int         // that it has got since its slow start began
-	warmingUp         bool        // the log says that it is in slow start
+// backendLoad counts the attempts in flight at a backend.
+type backendLoad struct {
+	inFlight int
+	overdue  int // those of them that are pending for longer than their objective
 }
 
 // ready reports whether service discovery lists the backend as ready.
@@ -43,72 +44,72 @@
 }
 
 // requestWatch asks service discovery for the endpoint list and its changes.
-func (g *Controller) requestWatch() {
-	g.discovery.requestedAt = g.now
-	g.actions.WatchEndpoints()
+func (c *Controller) requestWatch() {
+	c.backends.watch.requestedAt = c.clock.now
+	c.actions.WatchEndpoints()
 }
 
 // renewWatch asks again if the watch has failed and its time has come.
-func (g *Controller) renewWatch(now Time) {
+func (c *Controller) renewWatch(now Time) {
 	const requestsPerTerm = 4 // watch requests within the term that the settings give
-	if g.settings.PollEndpoints && !g.discovery.active &&
-		now-g.discovery.requestedAt >= g.settings.PollWithin/requestsPerTerm {
-		g.requestWatch()
+	if c.settings.PollEndpoints && !c.backends.watch.active &&
+		now-c.backends.watch.requestedAt >= c.settings.PollWithin/requestsPerTerm {
+		c.requestWatch()
 	}
 }
 
 // UpdateEndpoints applies an update from service discovery. Endpoints that are draining or removed get
 // no attempts from now on.
-func (g *Controller) UpdateEndpoints(now Time, kind UpdateKind, list []Endpoint) {
-	g.advanceClock(now)
+func (c *Controller) UpdateEndpoints(now Time, kind UpdateKind, list []Endpoint) {
+	c.advanceClock(now)
 	if kind == UpdateUnavailable {
-		g.discovery.active = false
+		c.backends.watch.active = false
 		return
 	}
-	g.discovery.active = g.discovery.active || kind != UpdateStale
-	for _, backend := range g.backends {
+	c.backends.watch.active = c.backends.watch.active || kind != UpdateStale
+	for _, backend := range c.backends.inOrder {
 		backend.listed = backend.listed && kind == UpdateIncremental
 	}
-	seesStarts := g.seesStarts(kind, list)
+	seesStarts := c.seesStarts(kind, list)
 	for _, endpoint := range list {
-		g.updateEndpoint(endpoint, seesStarts)
+		c.updateEndpoint(endpoint, seesStarts)
 	}
-	g.discovery.listed = g.discovery.listed || kind != UpdateStale
-	g.pruneBackends()
-	g.selectSubset()
+	c.backends.watch.listed = c.backends.watch.listed || kind != UpdateStale
+	c.pruneBackends()
+	c.selectSubset()
 }
 
 // updateEndpoint applies one entry of the list. A backend that has restarted begins a slow start.
-func (g *Controller) updateEndpoint(endpoint Endpoint, seesStarts bool) {
-	backend := g.backendRecord(endpoint)
+func (c *Controller) updateEndpoint(endpoint Endpoint, seesStarts bool) {
+	backend := c.backendRecord(endpoint)
 	backend.Endpoint, backend.listed = endpoint, endpoint.State != EndpointRemoved
-	g.noteStart(backend, endpoint.StartedAt, seesStarts)
+	c.noteStart(backend, endpoint.StartedAt, seesStarts)
 }
 
 // backendRecord returns the record of an endpoint. It makes a missing one.
-func (g *Controller) backendRecord(endpoint Endpoint) *backend {
-	if known := g.backendsByID[endpoint.ID]; known != nil {
+func (c *Controller) backendRecord(endpoint Endpoint) *backend {
+	if known := c.backends.byID[endpoint.ID]; known != nil {
 		return known
 	}
 	added := &backend{
-		Endpoint: endpoint, slowStartBucket: g.newSlowStartBucket(),
-		faults: make([]decayingSum, len(g.settings.Classes)+len(g.settings.Plans)),
+		Endpoint: endpoint, slowStart: slowStart{bucket: c.newSlowStartBucket()},
+		faults: make([]decayingSum, len(c.settings.Classes)+len(c.settings.Plans)),
 	}
-	g.restoreDeparted(added)
-	g.backendsByID[endpoint.ID] = added
-	g.backends = append(g.backends, added)
+	c.restoreDeparted(added)
+	c.backends.byID[endpoint.ID] = added
+	c.backends.inOrder = append(c.backends.inOrder, added)
 	return added
 }
 
 // pruneBackends forgets backends that are not listed and have nothing in flight. One in slow start
 // is kept until it is warm, as a stale list may bring it back as one that started long ago.
-func (g *Controller) pruneBackends() {
-	g.backends = slices.DeleteFunc(g.backends, func(backend *backend) bool {
-		gone := !backend.listed && backend.inFlight == 0 && g.slowStartShare(backend) == 1
+func (c *Controller) pruneBackends() {
+	c.backends.inOrder = slices.DeleteFunc(c.backends.inOrder, func(backend *backend) bool {
+		gone := !backend.listed && backend.load.inFlight == 0 && c.slowStartShare(backend) == 1
 		if gone {
-			delete(g.backendsByID, backend.ID)
-			g.departed[backend.ID] = departedBackend{
-				stamps: backend.stamps, startedAt: backend.startedAt, at: g.now,
+			delete(c.backends.byID, backend.ID)
+			c.backends.departed[backend.ID] = departedBackend{
+				stamps: backend.slowStart.stamps, startedAt: backend.slowStart.startedAt, at: c.clock.now,
 			}
 		}
 		return gone
@@ -116,10 +117,10 @@
 }
 
 // UnavailableBackends is how many listed backends get no attempts, as they are draining or ejected.
-func (g *Controller) UnavailableBackends() int {
+func (c *Controller) UnavailableBackends() int {
 	count := 0
-	for _, backend := range g.backends {
-		if backend.listed && (backend.State != EndpointReady || backend.failing()) {
+	for _, backend := range c.backends.inOrder {
+		if backend.listed && (backend.State != EndpointReady || backend.health.failing()) {
 			count++
 		}
 	}
@@ -127,4 +128,4 @@
 }
 
 // planSubject is the index of a plan's fault reports, which follow those of the classes.
-func (g *Controller) planSubject(plan int) int { return len(g.settings.Classes) + plan }
+func (c *Controller) planSubject(plan int) int { return len(c.settings.Classes) + plan }
--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -11,17 +11,17 @@
 	for range 3 {
 		a.serve(1, 9, 4)
 		entry := usageEntry{
-			customer: 9, plan: 1, replicas: 2, consumed: packUnits(a.customers[9].consumed), remaining: 0.5,
+			customer: 9, plan: 1, replicas: 2, consumed: packUnits(a.customers.byID[9].consumed), remaining: 0.5,
 		}
 		messages = append(messages, entry.appendTo(a.newMessage()))
 	}
 	b.GossipReceived(b.at, 0, messages[0])
-	level := b.customers[9].bucket.level
+	level := b.customers.byID[9].bucket.level
 	b.GossipReceived(b.at, 0, messages[2]) // the second one is lost
-	assertNear(t, "level after 8 more units", b.customers[9].bucket.level, level-8)
+	assertNear(t, "level after 8 more units", b.customers.byID[9].bucket.level, level-8)
 	b.GossipReceived(b.at, 0, messages[2])
 	b.GossipReceived(b.at, 0, messages[1])
-	assertNear(t, "level after a repeat and a late message", b.customers[9].bucket.level, level-8)
+	assertNear(t, "level after a repeat and a late message", b.customers.byID[9].bucket.level, level-8)
 }
 
 func TestMalformedMessagesAreIgnored(t *testing.T) {
@@ -37,7 +37,7 @@
 	for _, unknownPeer := range []int{-1, 1, 2} {
 		b.GossipReceived(b.at, unknownPeer, valid)
 	}
-	if len(b.customers) != 0 {
+	if len(b.customers.byID) != 0 {
 		t.Error("a malformed message made a customer's record")
 	}
 }
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -240,7 +240,7 @@
 // lastAttempt is the last attempt of an open request.
 func (h *harness) lastAttempt(id uint64) *attempt {
 	h.t.Helper()
-	request := h.requests[id]
+	request := h.requests.byID[id]
 	if request == nil || len(request.attempts) == 0 {
 		h.t.Fatalf("request %d has no attempt", id)
 	}
@@ -257,7 +257,7 @@
 func (h *harness) endWith(id uint64, outcome Outcome) {
 	h.t.Helper()
 	backend := h.lastAttempt(id).backend.ID
-	outcome.RequestID, outcome.Attempt, outcome.Backend = id, len(h.requests[id].attempts)-1, backend
+	outcome.RequestID, outcome.Attempt, outcome.Backend = id, len(h.requests.byID[id].attempts)-1, backend
 	h.AttemptEnded(h.at, outcome)
 }
 
--- a/policy/logevent.go
+++ b/policy/logevent.go
@@ -67,20 +67,20 @@
 func backendAttr(id uint32) slog.Attr { return slog.Uint64(backendKey, uint64(id)) }
 
 // logSlowStart logs that a backend of the given age begins a slow start with a share of its capacity.
-func (g *Controller) logSlowStart(id uint32, reason slowStartReason, age Time, share float64) {
-	g.actions.Log(messageSlowStart, backendAttr(id), slog.String(reasonKey, reason.String()),
+func logSlowStart(actions Actions, id uint32, reason slowStartReason, age Time, share float64) {
+	actions.Log(messageSlowStart, backendAttr(id), slog.String(reasonKey, reason.String()),
 		slog.Float64("age_seconds", float64(age)/float64(second)), slog.Float64("capacity_share", share))
 }
 
 // logWarm logs that a backend has ended its slow start, in which this gateway sent it so many attempts.
-func (g *Controller) logWarm(id uint32, attempts int) {
-	g.actions.Log(messageWarm, backendAttr(id), slog.Int("attempts", attempts))
+func logWarm(actions Actions, id uint32, attempts int) {
+	actions.Log(messageWarm, backendAttr(id), slog.Int("attempts", attempts))
 }
 
-func (g *Controller) logEjected(id uint32, reason ejectionReason) {
-	g.actions.Log(messageEjected, backendAttr(id), slog.String(reasonKey, reason.String()))
+func logEjected(actions Actions, id uint32, reason ejectionReason) {
+	actions.Log(messageEjected, backendAttr(id), slog.String(reasonKey, reason.String()))
 }
 
-func (g *Controller) logReinstated(id uint32) {
-	g.actions.Log(messageReinstated, backendAttr(id))
+func logReinstated(actions Actions, id uint32) {
+	actions.Log(messageReinstated, backendAttr(id))
 }
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -28,22 +28,22 @@
 	id, _ := h.request(0, 1, 9, 1)
 	backend := h.lastAttempt(id).backend
 	h.end(id, ResultReset, true)
-	if backend.down || h.unhealthy(backend) {
+	if backend.health.down || h.unhealthy(backend) {
 		t.Error("ejected after a single reset")
 	}
 	h.at += 10 * second
 	h.TimerFired(h.at, gossipTimer)
-	if h.recordConnectionFailure(backend, true) || backend.down {
+	if h.recordConnectionFailure(backend, true) || backend.health.down {
 		t.Error("ejected for two resets far apart")
 	}
 	for range 3 {
 		h.recordConnectionFailure(backend, true)
 	}
-	if !backend.down {
+	if !backend.health.down {
 		t.Fatal("not ejected after many resets at once")
 	}
 	h.HealthCheckEnded(h.at, backend.ID, ResultOK, nil)
-	if backend.down || h.slowStartShare(backend) < 1 {
+	if backend.health.down || h.slowStartShare(backend) < 1 {
 		t.Error("a backend that only reset connections was reinstated in slow start")
 	}
 }
@@ -62,13 +62,13 @@
 	h.endWith(late, Outcome{
 		Result: ResultConnectFailed, Latency: second / 5, Answered: true, Unanswered: true,
 	})
-	if backend.down || h.slowStartShare(backend) < 1 {
+	if backend.health.down || h.slowStartShare(backend) < 1 {
 		t.Error("ejected for a connection that failed while others were answered")
 	}
 	refused, _ := h.request(0, 1, 9, 1)
 	h.end(refused, ResultConnectFailed, true)
 	h.HealthCheckEnded(h.at, backend.ID, ResultOK, nil)
-	if backend.down || h.slowStartShare(backend) == 1 {
+	if backend.health.down || h.slowStartShare(backend) == 1 {
 		t.Error("not reinstated in slow start after it refused a connection")
 	}
 }
@@ -85,7 +85,7 @@
 			h.end(id, ResultOK, true)
 		}
 	}
-	if !backend.down || !h.unhealthy(backend) {
+	if !backend.health.down || !h.unhealthy(backend) {
 		t.Error("a backend that answered nothing for several objectives is still used")
 	}
 	h.at += second
@@ -100,7 +100,7 @@
 	for i := range 200 {
 		h.at += second / 100
 		id, sent := h.request(0, 1, uint64(i), 1)
-		for sent && h.requests[id] != nil {
+		for sent && h.requests.byID[id] != nil {
 			if h.lastAttempt(id).backend.ID == 2 {
 				h.end(id, ResultFailed, false)
 			} else {
@@ -111,13 +111,13 @@
 	if n := h.count(sendAction) - 200; n > 20 {
 		t.Errorf("%d of 200 requests met the backend that fails all", n)
 	}
-	backend := h.backendsByID[2]
+	backend := h.backends.byID[2]
 	for range 5 {
 		h.recordResult(&attempt{backend: backend}, 0, &Outcome{Result: ResultFailed, Latency: 1})
 	}
 	ejected := h.countLogged(messageEjected, backendAttr(2), slog.String(reasonKey, "errors"))
-	if backend.errorRate < ejectionErrorRate || ejected == 0 {
-		t.Errorf("error rate %g, log %+v", backend.errorRate, ofKind(h.performed, logAction))
+	if backend.health.errorRate < ejectionErrorRate || ejected == 0 {
+		t.Errorf("error rate %g, log %+v", backend.health.errorRate, ofKind(h.performed, logAction))
 	}
 }
 
@@ -128,11 +128,11 @@
 	backend := h.lastAttempt(id).backend
 	h.TimerFired(h.at, gossipTimer)
 	h.at += 3 * second
-	if _, sent := h.request(0, 1, 8, 1); !sent || backend.down {
+	if _, sent := h.request(0, 1, 8, 1); !sent || backend.health.down {
 		t.Error("an attempt that was pending in a stall counts as unanswered")
 	}
 	h.endWith(id, Outcome{Result: ResultOK, Latency: 3 * second, Answered: true})
-	if backend.latencyRatio != 0 || h.latency.all.value != 0 {
+	if backend.latency.ratio != 0 || h.latency.all.value != 0 {
 		t.Error("the time that an answer waited for this gateway counts as the backend's latency")
 	}
 }
@@ -179,21 +179,21 @@
 
 func TestEjectionsInARowDoubleUpToTheLongest(t *testing.T) {
 	h := newHarness(t, testSettings())
-	backend := h.backendsByID[1]
+	backend := h.backends.byID[1]
 	for i, want := range []Time{second / 2, second, 2 * second, 4 * second, 4 * second} {
 		h.eject(backend, ejectedErrors)
-		if got := backend.nextProbeAt - h.now; got != want {
+		if got := backend.health.nextProbeAt - h.clock.now; got != want {
 			t.Errorf("ejection %d lasts %d, want %d", i, got, want)
 		}
 	}
-	h.now += 2*maxEjectionTime + 1
-	if h.eject(backend, ejectedErrors); backend.ejectionTime != minEjectionTime {
-		t.Errorf("after long in rotation: %d, want %d", backend.ejectionTime, minEjectionTime)
+	h.clock.now += 2*maxEjectionTime + 1
+	if h.eject(backend, ejectedErrors); backend.health.ejectionTime != minEjectionTime {
+		t.Errorf("after long in rotation: %d, want %d", backend.health.ejectionTime, minEjectionTime)
 	}
 	if got := h.UnavailableBackends(); got != 0 {
 		t.Errorf("%d backends unavailable, want none: none is down or fails", got)
 	}
-	if backend.down = true; h.UnavailableBackends() != 1 {
+	if backend.health.down = true; h.UnavailableBackends() != 1 {
 		t.Errorf("%d backends unavailable, want the one that is down", h.UnavailableBackends())
 	}
 }
--- a/policy/ownership.go
+++ b/policy/ownership.go
@@ -5,61 +5,61 @@
 
 // GiveUpOwnership has this controller admit nothing more, as another process owns the buckets from
 // now on. Requests that wait for a coordinator's grant are rejected: its answer goes to the other.
-func (g *Controller) GiveUpOwnership(now Time) {
-	g.advanceClock(now)
-	g.retired = true
-	for _, request := range g.awaitingGrant {
-		if g.requests[request.ID] == request {
-			delete(g.requests, request.ID)
-			g.reject(request.ID, rejectOverQuota, g.shortestObjective/2)
+func (c *Controller) GiveUpOwnership(now Time) {
+	c.advanceClock(now)
+	c.retired = true
+	for _, request := range c.grants.awaiting {
+		if c.requests.byID[request.ID] == request {
+			delete(c.requests.byID, request.ID)
+			c.reject(request.ID, rejectOverQuota, c.shortestObjective/2)
 		}
 	}
-	g.awaitingGrant = nil
+	c.grants.awaiting = nil
 }
 
 // ResumeOwnership has a controller that gave up its buckets own them again, as the other process
 // has ended. What that one admitted is unknown, so no bucket holds more than after a restart.
-func (g *Controller) ResumeOwnership(now Time) {
-	g.advanceClock(now)
-	g.startedAt = g.now
-	g.retired = false
-	for _, customer := range g.customerOrder {
-		g.refillBuckets(customer)
-		plan, even := g.planOf(customer), float64(customer.replicas)
+func (c *Controller) ResumeOwnership(now Time) {
+	c.advanceClock(now)
+	c.clock.startedAt = c.clock.now
+	c.retired = false
+	for _, customer := range c.customers.inOrder {
+		c.refillBuckets(customer)
+		plan, even := c.planOf(customer), float64(customer.replicas)
 		customer.bucket.level = min(customer.bucket.level, plan.Burst/even)
 		customer.ceiling.level = min(customer.ceiling.level, plan.CeilingSlack/even/2)
-		g.scheduleReport(customer)
+		c.scheduleReport(customer)
 	}
-	g.shared.level = 0
+	c.shared.level = 0
 }
 
 // PredecessorSent counts another attempt that the former process has sent.
-func (g *Controller) PredecessorSent(now Time, id uint64, backend uint32) {
-	g.advanceClock(now)
-	if request := g.predecessorRequests[id]; request != nil {
-		g.chargeSlowStart(g.recordSend(request, g.unlistedBackend(backend)), false)
+func (c *Controller) PredecessorSent(now Time, id uint64, backend uint32) {
+	c.advanceClock(now)
+	if request := c.requests.ofPredecessor[id]; request != nil {
+		c.chargeSlowStart(c.recordSend(request, c.unlistedBackend(backend)), false)
 	}
 }
 
 // PredecessorAttemptEnded handles the outcome of an attempt of the former process.
-func (g *Controller) PredecessorAttemptEnded(now Time, outcome Outcome) {
-	g.advanceClock(now)
-	request := g.predecessorRequests[outcome.RequestID]
+func (c *Controller) PredecessorAttemptEnded(now Time, outcome Outcome) {
+	c.advanceClock(now)
+	request := c.requests.ofPredecessor[outcome.RequestID]
 	attempt := request.pendingAttempt(outcome.Attempt)
 	if attempt == nil || outcome.Result > ResultNotSent {
 		return
 	}
 	attempt.pending = false
-	g.settleAttempt(request, attempt, &outcome)
+	c.settleAttempt(request, attempt, &outcome)
 	if outcome.Answered && !request.hasPending() {
-		delete(g.predecessorRequests, outcome.RequestID)
+		delete(c.requests.ofPredecessor, outcome.RequestID)
 	}
 }
 
 // PredecessorExited notes that the former process has ended, and its pending attempts with it.
-func (g *Controller) PredecessorExited(now Time) {
-	g.advanceClock(now)
-	for _, request := range g.predecessorRequests {
+func (c *Controller) PredecessorExited(now Time) {
+	c.advanceClock(now)
+	for _, request := range c.requests.ofPredecessor {
 		for _, attempt := range request.attempts {
 			if attempt.pending {
 				attempt.pending = false
@@ -67,5 +67,5 @@
 			}
 		}
 	}
-	clear(g.predecessorRequests)
+	clear(c.requests.ofPredecessor)
 }
--- a/policy/ownership_test.go
+++ b/policy/ownership_test.go
@@ -20,15 +20,15 @@
 	if h.serve(1, 9, 1) {
 		t.Error("the first process went on granting")
 	}
-	before, after := h.customers[8], next.customers[8]
+	before, after := h.customers.byID[8], next.customers.byID[8]
 	assertNear(t, "bucket", after.bucket.level, before.bucket.level)
 	assertNear(t, "consumed", after.consumed, before.consumed)
 	if next.gossip.incarnation != h.gossip.incarnation {
 		t.Errorf("incarnation %d, want %d", next.gossip.incarnation, h.gossip.incarnation)
 	}
-	backend := next.backendsByID[backendID]
-	if after.inFlight != 1 || backend.inFlight != 1 {
-		t.Errorf("in flight: customer %d, backend %d, want 1", after.inFlight, backend.inFlight)
+	backend := next.backends.byID[backendID]
+	if after.inFlight != 1 || backend.load.inFlight != 1 {
+		t.Errorf("in flight: customer %d, backend %d, want 1", after.inFlight, backend.load.inFlight)
 	}
 	consumed := after.consumed
 	next.settings.SettlesCost = true
@@ -37,9 +37,9 @@
 		Latency: second / 10, Answered: true, ActualCost: 3,
 	})
 	assertNear(t, "consumed with the actual cost", after.consumed, consumed+1)
-	if after.inFlight != 0 || backend.inFlight != 0 || len(next.predecessorRequests) != 0 {
+	if after.inFlight != 0 || backend.load.inFlight != 0 || len(next.requests.ofPredecessor) != 0 {
 		t.Errorf("in flight: customer %d, backend %d; %d requests of the predecessor; want none",
-			after.inFlight, backend.inFlight, len(next.predecessorRequests))
+			after.inFlight, backend.load.inFlight, len(next.requests.ofPredecessor))
 	}
 }
 
@@ -51,24 +51,24 @@
 	next.PredecessorSent(next.at, id, 2)
 	next.PredecessorSent(next.at, 999, 2) // of an unknown request
 	inFlight := func() (total int) {
-		for _, backend := range next.backends {
-			total += backend.inFlight
+		for _, backend := range next.backends.inOrder {
+			total += backend.load.inFlight
 		}
 		return total
 	}
-	if inFlight() != 2 || next.customers[8].inFlight != 2 {
-		t.Errorf("in flight: backends %d, customer %d; want 2", inFlight(), next.customers[8].inFlight)
+	if inFlight() != 2 || next.customers.byID[8].inFlight != 2 {
+		t.Errorf("in flight: backends %d, customer %d; want 2", inFlight(), next.customers.byID[8].inFlight)
 	}
 	next.at += 3 * second
 	next.refreshBackendHealth()
 	next.PredecessorExited(next.at)
-	for _, backend := range next.backends {
-		if backend.inFlight != 0 || backend.overdue != 0 {
-			t.Errorf("backend %d: in flight %d, overdue %d", backend.ID, backend.inFlight, backend.overdue)
+	for _, backend := range next.backends.inOrder {
+		if backend.load.inFlight != 0 || backend.load.overdue != 0 {
+			t.Errorf("backend %d: in flight %d, overdue %d", backend.ID, backend.load.inFlight, backend.load.overdue)
 		}
 	}
-	if next.customers[8].inFlight != 0 {
-		t.Errorf("in flight: customer %d", next.customers[8].inFlight)
+	if next.customers.byID[8].inFlight != 0 {
+		t.Errorf("in flight: customer %d", next.customers.byID[8].inFlight)
 	}
 }
 
@@ -78,7 +78,7 @@
 	h.serve(2, 7, 1)
 	h.GiveUpOwnership(h.at)
 	h.ResumeOwnership(h.at)
-	customer := h.customers[7]
+	customer := h.customers.byID[7]
 	plan := h.settings.Plans[2]
 	if customer.bucket.level > plan.Burst/2 || customer.ceiling.level > plan.CeilingSlack/4 {
 		t.Errorf("bucket %g, ceiling %g", customer.bucket.level, customer.ceiling.level)
--- a/policy/quotashare.go
+++ b/policy/quotashare.go
@@ -14,40 +14,40 @@
 
 // newCustomer makes the record of a customer. Its bucket is full: peers report those that are not.
 // The ceiling begins with half of its slack, as the rest may have been used before a restart.
-func (g *Controller) newCustomer(id uint64, planIndex, firstReplica, replicas int) *customer {
-	gateways, plan := g.settings.Gateways, &g.settings.Plans[planIndex]
+func (c *Controller) newCustomer(id uint64, planIndex, firstReplica, replicas int) *customer {
+	gateways, plan := c.settings.Gateways, &c.settings.Plans[planIndex]
 	replicas = min(max(replicas, 1), gateways)
 	even := float64(replicas)
 	customer := &customer{
 		id: id, plan: planIndex, replicas: replicas,
 		firstReplica: (firstReplica%gateways + gateways) % gateways,
-		demandWindow: g.demandWindow(plan, replicas), grantFraction: 1, advertisedGrant: 1,
-		bucket: tokenBucket{level: plan.Burst, rate: plan.Rate, capacity: plan.Burst, updatedAt: g.now},
+		demandWindow: c.demandWindow(plan, replicas), grantFraction: 1, advertisedGrant: 1,
+		bucket: tokenBucket{level: plan.Burst, rate: plan.Rate, capacity: plan.Burst, updatedAt: c.clock.now},
 		ceiling: tokenBucket{
 			level: plan.CeilingSlack / even / 2, rate: plan.CeilingRate / even,
-			capacity: plan.CeilingBurst / even, updatedAt: g.startedAt,
+			capacity: plan.CeilingBurst / even, updatedAt: c.clock.startedAt,
 		},
 	}
 	switch {
-	case !g.sharesUsage:
+	case !c.sharesUsage:
 		customer.bucket.level /= even
-	case g.grantsQuota(customer):
-		customer.bucket.level /= float64(g.coordinatorCount(customer))
-		customer.ceiling.level *= even / float64(g.coordinatorCount(customer))
+	case c.grantsQuota(customer):
+		customer.bucket.level /= float64(c.coordinatorCount(customer))
+		customer.ceiling.level *= even / float64(c.coordinatorCount(customer))
 	}
 	return customer
 }
 
 // quotaShare is the share of a customer's quota that this gateway may use: its share of the recent
 // demand. Gateways without reports count as idle.
-func (g *Controller) quotaShare(customer *customer) float64 {
-	own := customer.demand.value(g.now, customer.demandWindow)
+func (c *Controller) quotaShare(customer *customer) float64 {
+	own := customer.demand.value(c.clock.now, customer.demandWindow)
 	switch {
 	case customer.replicas == 1:
 		return 1
-	case g.sharesUsage && own > 0 && !g.isParticipant(customer):
-		return own / (own + customer.peerDemand.value(g.now, customer.demandWindow))
-	case !g.sharesUsage && customer.meteredShare > 0:
+	case c.sharesUsage && own > 0 && !c.isParticipant(customer):
+		return own / (own + customer.peerDemand.value(c.clock.now, customer.demandWindow))
+	case !c.sharesUsage && customer.meteredShare > 0:
 		return customer.meteredShare
 	}
 	return 1 / float64(customer.replicas)
@@ -56,116 +56,116 @@
 // availableUnits is what this gateway may grant a customer now: its share of the bucket as of the
 // last gossip round less its use since, or, if more, what the peers are not expected to use before
 // they report again: a share of a small burst may be less than one request.
-func (g *Controller) availableUnits(customer *customer) float64 {
+func (c *Controller) availableUnits(customer *customer) float64 {
 	switch {
-	case g.isParticipant(customer) && customer.grantFraction < 1:
+	case c.isParticipant(customer) && customer.grantFraction < 1:
 		return customer.grantedUnits
-	case !g.sharesUsage || g.wideReplicaSet(customer):
+	case !c.sharesUsage || c.wideReplicaSet(customer):
 		return customer.bucket.level
 	}
 	unreported := customer.consumed - customer.consumedReported
-	peerDemand := customer.peerDemand.value(g.now, customer.demandWindow)
-	expected := peerDemand * float64(gossipDelayPeriods*g.gossip.period) / float64(customer.demandWindow)
-	share := g.quotaShare(customer)*(customer.bucket.level+unreported) - unreported
+	peerDemand := customer.peerDemand.value(c.clock.now, customer.demandWindow)
+	expected := peerDemand * float64(gossipDelayPeriods*c.gossip.period) / float64(customer.demandWindow)
+	share := c.quotaShare(customer)*(customer.bucket.level+unreported) - unreported
 	level := math.Max(share, customer.bucket.level-expected)
-	if g.recentlyStarted() { // an even share, so that a restart grants no second burst
+	if c.recentlyStarted() { // an even share, so that a restart grants no second burst
 		level = math.Min(level, customer.bucket.capacity/float64(customer.replicas)-customer.consumed)
 	}
 	return level
 }
 
 // recentlyStarted reports whether peers may not have reported all buckets yet.
-func (g *Controller) recentlyStarted() bool {
-	return g.now-g.startedAt < min(maxSettleTime, settlePeriods*g.gossip.period)
+func (c *Controller) recentlyStarted() bool {
+	return c.clock.now-c.clock.startedAt < min(maxSettleTime, settlePeriods*c.gossip.period)
 }
 
 // hearsAllReplicas reports whether all other gateways of a customer have sent messages recently.
-func (g *Controller) hearsAllReplicas(customer *customer) bool {
+func (c *Controller) hearsAllReplicas(customer *customer) bool {
 	for i := range customer.replicas {
-		index := g.replica(customer, i)
-		peer := &g.peers[index]
-		if index != g.settings.Self &&
-			(peer.incarnation == 0 || g.activeTime-peer.lastHeardAt > replicaHeardTimeout) {
+		index := c.replica(customer, i)
+		peer := &c.gossip.peers[index]
+		if index != c.settings.Self &&
+			(peer.incarnation == 0 || c.clock.activeTime-peer.lastHeardAt > replicaHeardTimeout) {
 			return false
 		}
 	}
-	return g.sharesUsage && g.settings.Gossip && !g.wideReplicaSet(customer)
+	return c.sharesUsage && c.settings.Gossip && !c.wideReplicaSet(customer)
 }
 
 // withinQuota reports whether a customer's quota and its concurrency limit admit the units.
-func (g *Controller) withinQuota(customer *customer, units float64) bool {
-	plan := g.planOf(customer)
+func (c *Controller) withinQuota(customer *customer, units float64) bool {
+	plan := c.planOf(customer)
 	if plan.ConcurrencyLimit > 0 {
-		limit := math.Max(1, math.Round(g.quotaShare(customer)*float64(plan.ConcurrencyLimit)))
+		limit := math.Max(1, math.Round(c.quotaShare(customer)*float64(plan.ConcurrencyLimit)))
 		if float64(customer.inFlight) >= limit {
 			return false
 		}
 	}
-	return plan.Rate == 0 || g.availableUnits(customer) >= units
+	return plan.Rate == 0 || c.availableUnits(customer) >= units
 }
 
 // recordDemand counts the units of a request before it is decided on. Under a grant each request
 // adds the granted fraction of its units to those that this gateway may use.
-func (g *Controller) recordDemand(customer *customer, units float64) {
-	customer.demand.add(g.now, customer.demandWindow, units)
-	customer.meteredDemand.add(g.now, max(1, g.settings.MeterPeriod), units)
+func (c *Controller) recordDemand(customer *customer, units float64) {
+	customer.demand.add(c.clock.now, customer.demandWindow, units)
+	customer.meteredDemand.add(c.clock.now, max(1, c.settings.MeterPeriod), units)
 	customer.requested, customer.lastRequestCost = customer.requested+units, units
-	if !g.requiresGrant(customer) {
+	if !c.requiresGrant(customer) {
 		customer.addGrantedUnits(units)
 	}
-	g.scheduleReport(customer)
+	c.scheduleReport(customer)
 }
 
 // applyMeterReading sets the quota share by a reading of the use through all gateways.
-func (g *Controller) applyMeterReading(customer *customer, reading int) {
-	rate, period := g.planOf(customer).Rate, g.settings.MeterPeriod
+func (c *Controller) applyMeterReading(customer *customer, reading int) {
+	rate, period := c.planOf(customer).Rate, c.settings.MeterPeriod
 	if period == 0 || reading == 0 || rate == 0 {
 		return
 	}
 	all := float64(reading-1) / 100 * rate
-	own := customer.meteredDemand.value(g.now, period) * float64(second) / float64(period)
+	own := customer.meteredDemand.value(c.clock.now, period) * float64(second) / float64(period)
 	customer.meteredShare = own / math.Max(all, math.Max(own, minDemand))
 }
 
 // applyUsage applies a peer's usage entry to the customer's bucket and answers its quota request.
-func (g *Controller) applyUsage(from int, incarnation uint32, newest bool, entry usageEntry) {
-	customer := g.customerRecord(entry.customer, entry.plan, entry.firstReplica, entry.replicas)
-	if !g.isReplica(customer, from) || g.isParticipant(customer) {
+func (c *Controller) applyUsage(from int, incarnation uint32, newest bool, entry usageEntry) {
+	customer := c.customerRecord(entry.customer, entry.plan, entry.firstReplica, entry.replicas)
+	if !c.isReplica(customer, from) || c.isParticipant(customer) {
 		return
 	}
-	last := g.usageFrom(customer, from)
+	last := c.usageFrom(customer, from)
 	if !last.known || last.incarnation != incarnation {
-		g.applyFirstUsage(customer, entry)
-	} else if !g.applyIncrease(customer, last, &entry, newest) {
+		c.applyFirstUsage(customer, entry)
+	} else if !c.applyIncrease(customer, last, &entry, newest) {
 		return
 	}
 	last.update(incarnation, entry)
-	g.updateGrant(customer)
+	c.updateGrant(customer)
 	difference := math.Abs(entry.remaining - customer.grantFraction)
 	if entry.quotaRequest > 0 {
-		g.answerQuotaRequest(from, customer, last, entry)
-	} else if g.wideReplicaSet(customer) && difference > grantTolerance*customer.grantFraction {
-		g.queueGrant(from, customer)
+		c.answerQuotaRequest(from, customer, last, entry)
+	} else if c.wideReplicaSet(customer) && difference > grantTolerance*customer.grantFraction {
+		c.queueGrant(from, customer)
 	}
 }
 
 // applyFirstUsage applies the first entry of a peer's incarnation. There is no earlier count to
 // subtract: what the peer believes to be left bounds the level.
-func (g *Controller) applyFirstUsage(customer *customer, entry usageEntry) {
+func (c *Controller) applyFirstUsage(customer *customer, entry usageEntry) {
 	remaining := entry.remaining*customer.bucket.capacity - (customer.consumed - customer.consumedReported)
-	if g.wideReplicaSet(customer) && entry.remaining == 1 {
+	if c.wideReplicaSet(customer) && entry.remaining == 1 {
 		remaining = customer.bucket.level - unpackUnits(min(entry.consumed, entry.newlyRequested))
 	}
 	customer.bucket.level = math.Max(0, math.Min(customer.bucket.level, remaining))
-	customer.peerDemand.add(g.now, customer.demandWindow, unpackUnits(entry.newlyRequested))
+	customer.peerDemand.add(c.clock.now, customer.demandWindow, unpackUnits(entry.newlyRequested))
 }
 
 // applyIncrease applies what a peer has consumed and requested since its last entry. It
 // returns false for an entry that arrived out of order. Consumed units may also have been returned.
-func (g *Controller) applyIncrease(customer *customer, last *peerUsage, entry *usageEntry, newest bool) bool {
+func (c *Controller) applyIncrease(customer *customer, last *peerUsage, entry *usageEntry, newest bool) bool {
 	consumed, requested := entry.consumed-last.consumed, entry.requested-last.requested
 	returned := consumed > maxUsageIncrease
-	isWide := g.wideReplicaSet(customer)
+	isWide := c.wideReplicaSet(customer)
 	if requested > maxUsageIncrease || returned && entry.wantedHalves == 0 && (isWide || !newest) {
 		return false
 	}
@@ -173,15 +173,15 @@
 		consumed, entry.consumed = 0, last.consumed // granted units that it did not use
 	}
 	customer.bucket.level = math.Max(0, customer.bucket.level-float64(int16(consumed))/countsPerUnit)
-	customer.peerDemand.add(g.now, customer.demandWindow, unpackUnits(requested))
+	customer.peerDemand.add(c.clock.now, customer.demandWindow, unpackUnits(requested))
 	return true
 }
 
 // CounterAnswered applies the total of a customer's use through all gateways, where gateways share a
 // counter instead of gossip. What a failed call may have added counts as used by a peer.
-func (g *Controller) CounterAnswered(now Time, name uint64, result Result, total float64) {
-	g.advanceClock(now)
-	customer := g.customers[name]
+func (c *Controller) CounterAnswered(now Time, name uint64, result Result, total float64) {
+	c.advanceClock(now)
+	customer := c.customers.byID[name]
 	if customer == nil || len(customer.counterCalls) == 0 {
 		return
 	}
@@ -189,7 +189,7 @@
 	if customer.counterCalls = customer.counterCalls[1:]; result != ResultOK {
 		return
 	}
-	g.refillBuckets(customer)
+	c.refillBuckets(customer)
 	byPeers := math.Max(0, total-customer.counterTotal-own)
 	customer.counterTotal = total
 	customer.bucket.level = math.Max(0, customer.bucket.level-byPeers)
--- a/policy/quotashare_fleet_test.go
+++ b/policy/quotashare_fleet_test.go
@@ -81,11 +81,11 @@
 	h.receive(Request{Customer: 9, Cost: cost, Timeout: 4 * second, Replicas: f.replicas})
 	f.deliver(at)
 	// The quota request or its answer may have been lost.
-	if request := h.requests[id]; request != nil && len(request.attempts) == 0 {
+	if request := h.requests.byID[id]; request != nil && len(request.attempts) == 0 {
 		h.TimerFired(at+second/10, quotaRequestTimer)
 		f.deliver(at)
 	}
-	if request := h.requests[id]; request == nil || len(request.attempts) == 0 {
+	if request := h.requests.byID[id]; request == nil || len(request.attempts) == 0 {
 		return
 	}
 	if f.truth.refill(at); f.truth.level >= cost {
--- a/policy/quotashare_test.go
+++ b/policy/quotashare_test.go
@@ -22,12 +22,12 @@
 		b.serve(1, 9, 1)
 	}
 	gossipRound(b, a)
-	if share := a.quotaShare(a.customers[9]); share < 0.7 || share > 0.8 {
+	if share := a.quotaShare(a.customers.byID[9]); share < 0.7 || share > 0.8 {
 		t.Errorf("share %g, want about three quarters", share)
 	}
 	a.at += 30 * second
 	a.serve(1, 9, 1)
-	if share := a.quotaShare(a.customers[9]); share < 0.99 {
+	if share := a.quotaShare(a.customers.byID[9]); share < 0.99 {
 		t.Errorf("share %g with the peer silent for long, want all", share)
 	}
 }
@@ -58,13 +58,13 @@
 		t.Fatalf("counted %+v, want 2 units of customer 9", got)
 	}
 	h.CounterAnswered(h.at, 9, ResultOK, 2)
-	assertNear(t, "level", h.customers[9].bucket.level, 6)
+	assertNear(t, "level", h.customers.byID[9].bucket.level, 6)
 	h.serve(0, 9, 2)
 	h.TimerFired(h.at, gossipTimer)
 	h.CounterAnswered(h.at, 9, ResultOK, 7)
-	assertNear(t, "level after 3 units by peers", h.customers[9].bucket.level, 1)
+	assertNear(t, "level after 3 units by peers", h.customers.byID[9].bucket.level, 1)
 	h.CounterAnswered(h.at, 9, ResultOK, 100) // no call is pending
-	assertNear(t, "level after a stray answer", h.customers[9].bucket.level, 1)
+	assertNear(t, "level after a stray answer", h.customers.byID[9].bucket.level, 1)
 }
 
 func TestMeterReadingSetsTheQuotaShare(t *testing.T) {
@@ -72,9 +72,9 @@
 	settings.Gossip, settings.MeterPeriod = false, second
 	h := newHarness(t, settings)
 	id, _ := h.request(0, 1, 9, 5)
-	assertNear(t, "share before a reading", h.quotaShare(h.customers[9]), 0.5)
+	assertNear(t, "share before a reading", h.quotaShare(h.customers.byID[9]), 0.5)
 	h.endWith(id, Outcome{Result: ResultOK, Latency: 1, Answered: true, MeterReading: 201})
-	assertNear(t, "share with a quarter of the use", h.quotaShare(h.customers[9]), 0.25)
+	assertNear(t, "share with a quarter of the use", h.quotaShare(h.customers.byID[9]), 0.25)
 }
 
 func TestCeilingHoldsThroughRestartsWithPeersSilent(t *testing.T) {
@@ -165,9 +165,9 @@
 	a.settings.SettlesCost = true
 	id, _ := a.request(0, 1, 9, 8)
 	gossipRound(a, b)
-	level := b.customers[9].bucket.level
+	level := b.customers.byID[9].bucket.level
 	a.endWith(id, Outcome{Result: ResultOK, Latency: 1, Answered: true, ActualCost: 4})
 	gossipRound(a, b)
-	got := b.customers[9].bucket.level
+	got := b.customers.byID[9].bucket.level
 	assertNear(t, "level after 4 of 8 units were returned and 1 refilled", got, level+4+1)
 }
--- a/policy/recorded_play_test.go
+++ b/policy/recorded_play_test.go
@@ -65,12 +65,12 @@
 func (p *recordedPlay) endAttempts(gateway int) {
 	h := p.gateways[gateway]
 	var open []uint64
-	for id := range h.requests {
+	for id := range h.requests.byID {
 		open = append(open, id)
 	}
 	slices.Sort(open)
 	for _, id := range open {
-		request := h.requests[id]
+		request := h.requests.byID[id]
 		if request == nil || len(request.attempts) == 0 || p.draw.IntN(3) == 0 {
 			continue
 		}
--- a/policy/recorded_test.go
+++ b/policy/recorded_test.go
@@ -136,8 +136,8 @@
 	for h.serve(0, 7, 1) { // until nothing is left
 		continue
 	}
-	for !h.backendsByID[2].down {
-		h.recordConnectionFailure(h.backendsByID[2], false)
+	for !h.backends.byID[2].health.down {
+		h.recordConnectionFailure(h.backends.byID[2], false)
 	}
 	h.nextID = 39
 	id, sent := h.request(1, 1, 8, 3)
@@ -192,19 +192,19 @@
 	if h.serve(0, 7, 1) {
 		t.Error("a burst was granted again")
 	}
-	level := func(h *harness, customer uint64) float64 { return h.customers[customer].bucket.level }
+	level := func(h *harness, customer uint64) float64 { return h.customers.byID[customer].bucket.level }
 	assertNear(t, "bucket with an open request", level(h, 8), level(before, 8))
 	assertNear(t, "bucket that a peer reported", level(h, 9), level(before, 9))
-	if !h.backendsByID[2].down || !h.unhealthy(h.backendsByID[2]) {
+	if !h.backends.byID[2].health.down || !h.unhealthy(h.backends.byID[2]) {
 		t.Error("a backend that is down was reinstated")
 	}
-	starting, startingBefore := h.backendsByID[3], before.backendsByID[3]
+	starting, startingBefore := h.backends.byID[3], before.backends.byID[3]
 	got, want := h.slowStartShare(starting), before.slowStartShare(startingBefore)
 	if got == 1 || got != want {
 		t.Errorf("the backend in slow start has a share of %g, want %g", got, want)
 	}
-	if starting.slowStartBucket != startingBefore.slowStartBucket {
-		t.Errorf("slow start bucket %+v, want %+v", starting.slowStartBucket, startingBefore.slowStartBucket)
+	if starting.slowStart.bucket != startingBefore.slowStart.bucket {
+		t.Errorf("slow start bucket %+v, want %+v", starting.slowStart.bucket, startingBefore.slowStart.bucket)
 	}
 	assertOpenRequestImported(t, h, before.lastAttempt(40).backend.ID)
 }
@@ -212,9 +212,9 @@
 // assertOpenRequestImported checks that request 40 of customer 8 at a backend counts until it ends.
 func assertOpenRequestImported(t *testing.T, h *harness, backendID uint32) {
 	t.Helper()
-	customer, backend := h.customers[8], h.backendsByID[backendID]
-	if backend.inFlight != 1 || customer.inFlight != 1 {
-		t.Errorf("in flight: backend %d, customer %d; want 1 of each", backend.inFlight, customer.inFlight)
+	customer, backend := h.customers.byID[8], h.backends.byID[backendID]
+	if backend.load.inFlight != 1 || customer.inFlight != 1 {
+		t.Errorf("in flight: backend %d, customer %d; want 1 of each", backend.load.inFlight, customer.inFlight)
 	}
 	level := customer.bucket.level
 	h.PredecessorAttemptEnded(h.at, Outcome{
@@ -222,8 +222,8 @@
 		Latency: second / 10, Answered: true, ActualCost: 5,
 	})
 	assertNear(t, "bucket after the actual cost", customer.bucket.level, level-2)
-	if backend.inFlight != 0 || customer.inFlight != 0 {
-		t.Errorf("in flight: backend %d, customer %d after the end", backend.inFlight, customer.inFlight)
+	if backend.load.inFlight != 0 || customer.inFlight != 0 {
+		t.Errorf("in flight: backend %d, customer %d after the end", backend.load.inFlight, customer.inFlight)
 	}
 }
 
--- a/policy/reload_test.go
+++ b/policy/reload_test.go
@@ -9,7 +9,7 @@
 	for h.serve(0, 7, 1) { // until the bucket is empty
 		continue
 	}
-	level := h.customers[7].bucket.level
+	level := h.customers.byID[7].bucket.level
 	open, _ := h.request(0, 1, 8, 1) // of class a, which is idempotent
 	settings := namedSettings()
 	settings.Classes = []Class{
@@ -24,22 +24,22 @@
 		t.Fatal(err)
 	}
 	assertOldClassRetained(t, h, open)
-	customer := h.customers[7]
+	customer := h.customers.byID[7]
 	assertNear(t, "level", customer.bucket.level, level)
 	if customer.plan != 1 || customer.bucket.capacity != 32 {
 		t.Errorf("plan %d, capacity %g", customer.plan, customer.bucket.capacity)
 	}
 	h.end(open, ResultFailed, false)
-	if request := h.requests[open]; request == nil || len(request.attempts) != 2 {
+	if request := h.requests.byID[open]; request == nil || len(request.attempts) != 2 {
 		t.Fatal("the open request was not retried, as its class allows")
 	}
 	h.end(open, ResultFailed, false)
-	if h.requests[open] != nil {
+	if h.requests.byID[open] != nil {
 		t.Error("a third attempt where two are allowed")
 	}
 	stricter, _ := h.request(2, 0, 9, 1)
 	h.end(stricter, ResultFailed, false)
-	if h.requests[stricter] != nil {
+	if h.requests.byID[stricter] != nil {
 		t.Error("a new request of the stricter class was retried")
 	}
 	if err := h.Reload(h.at, settings); err != nil || len(h.settings.Classes) != 3 {
@@ -55,7 +55,7 @@
 // the new index of its plan.
 func assertOldClassRetained(t *testing.T, h *harness, id uint64) {
 	t.Helper()
-	request := h.requests[id]
+	request := h.requests.byID[id]
 	class := h.settings.Classes[request.Class]
 	if class.Name != "a" || class.Idempotency != Idempotent {
 		t.Errorf("class of the open request: %+v", class)
--- a/policy/report.go
+++ b/policy/report.go
@@ -56,12 +56,12 @@
 
 // logCounters logs the counters and the load view once in a while: a line for each request would
 // cost more than the request.
-func (g *Controller) logCounters() {
-	counters := &g.counters
-	if g.now-counters.since < counterLogInterval {
+func (c *Controller) logCounters() {
+	counters := &c.counters
+	if c.clock.now-counters.since < counterLogInterval {
 		return
 	}
-	g.actions.Log(messageCounters,
+	c.actions.Log(messageCounters,
 		slog.Int("attempts_sent", counters.sent),
 		slog.Int("consecutive_to_one_backend", counters.consecutive),
 		rejectionAttr(&counters.rejected),
@@ -70,10 +70,10 @@
 		slog.Int("quota_requests", counters.quotaRequests),
 		slog.Int("quota_requests_unanswered", counters.unanswered),
 		resultsAttr("results", &counters.results),
-		g.loadAttr(),
-		g.slowStartAttr(),
+		c.loadAttr(),
+		c.slowStartAttr(),
 		resultsAttr("retries_after", &counters.retriesAfter))
-	*counters = activityCounters{since: g.now}
+	*counters = activityCounters{since: c.clock.now}
 }
 
 // rejectionAttr groups the rejected requests by reason.
@@ -100,31 +100,31 @@
 }
 
 // loadAttr groups the load view, of the given number of gateways, and the backends' health.
-func (g *Controller) loadAttr() slog.Attr {
+func (c *Controller) loadAttr() slog.Attr {
 	const microsecondsPerMillisecond = 1000
-	view := g.loadView()
+	view := c.loadView()
 	return slog.Group("load",
 		slog.Float64("in_flight", view.inFlight),
 		slog.Float64("on_time_per_second", view.onTimeRate),
 		slog.Float64("gateways", view.gateways),
-		slog.Float64("late_share", g.load.lateShare.value),
-		slog.Float64("mean_latency_milliseconds", g.latency.all.value/microsecondsPerMillisecond),
-		slog.Int("healthy_backends", g.healthy),
-		slog.Int("backends", len(g.backends)))
+		slog.Float64("late_share", c.load.lateShare.value),
+		slog.Float64("mean_latency_milliseconds", c.latency.all.value/microsecondsPerMillisecond),
+		slog.Int("healthy_backends", c.backends.healthy),
+		slog.Int("backends", len(c.backends.inOrder)))
 }
 
 // slowStartAttr groups what backends in slow start got and the answers of warm ones, from which that derives.
-func (g *Controller) slowStartAttr() slog.Attr {
+func (c *Controller) slowStartAttr() slog.Attr {
 	warmingUp := 0
-	for _, backend := range g.backends {
-		if backend.ready() && g.slowStartShare(backend) < 1 {
+	for _, backend := range c.backends.inOrder {
+		if backend.ready() && c.slowStartShare(backend) < 1 {
 			warmingUp++
 		}
 	}
 	return slog.Group("slow_start",
 		slog.Int("backends", warmingUp),
-		slog.Int("attempts", g.counters.slowStartAttempts),
-		slog.Int("denied", g.counters.slowStartDenied),
-		slog.Float64("answers_of_warm_per_second", g.warmAnswerRate()),
-		slog.Int("warm_backends", g.warm))
+		slog.Int("attempts", c.counters.slowStartAttempts),
+		slog.Int("denied", c.counters.slowStartDenied),
+		slog.Float64("answers_of_warm_per_second", c.warmAnswerRate()),
+		slog.Int("warm_backends", c.pace.warm))
 }
--- a/policy/request.go
+++ b/policy/request.go
@@ -2,6 +2,21 @@
 
 import "slices"
 
+// requestTable holds the open requests.
+type requestTable struct {
+	byID            map[uint64]*request // with pending attempts or waiting for a grant
+	ofPredecessor   map[uint64]*request // those that the former process carries to their end
+	withinObjective [][]*attempt        // by class, oldest first: attempts not found overdue yet
+}
+
+func newRequestTable(classes int) requestTable {
+	return requestTable{
+		byID:            map[uint64]*request{},
+		ofPredecessor:   map[uint64]*request{},
+		withinObjective: make([][]*attempt, classes),
+	}
+}
+
 // request is a request that was admitted or waits for a coordinator's grant.
 type request struct {
 	Request
@@ -55,50 +70,50 @@
 
 // release removes an ended attempt from the load of its backend and its customer.
 func (a *attempt) release(customer *customer) {
-	a.backend.inFlight--
+	a.backend.load.inFlight--
 	if a.overdue {
-		a.backend.overdue--
+		a.backend.load.overdue--
 	}
 	customer.inFlight--
 }
 
 // recordSend adds an attempt to a request and to the load of its backend and its customer.
-func (g *Controller) recordSend(request *request, backend *backend) *attempt {
-	attempt := &attempt{backend: backend, sentAt: g.now, pending: true, mayHaveRun: true}
+func (c *Controller) recordSend(request *request, backend *backend) *attempt {
+	attempt := &attempt{backend: backend, sentAt: c.clock.now, pending: true, mayHaveRun: true}
 	request.attempts = append(request.attempts, attempt)
-	g.withinObjective[request.Class] = append(g.withinObjective[request.Class], attempt)
-	if backend.inFlight == 0 {
-		backend.unansweredSince = g.activeTime
+	c.requests.withinObjective[request.Class] = append(c.requests.withinObjective[request.Class], attempt)
+	if backend.load.inFlight == 0 {
+		backend.health.unansweredSince = c.clock.activeTime
 	}
-	backend.inFlight++
+	backend.load.inFlight++
 	request.customer.inFlight++
 	return attempt
 }
 
 // markOverdue marks the pending attempts of a class that are older than the given age.
-func (g *Controller) markOverdue(class int, age Time) {
-	attempts := g.withinObjective[class]
-	for ; len(attempts) > 0 && g.now-attempts[0].sentAt > age; attempts = attempts[1:] {
+func (c *Controller) markOverdue(class int, age Time) {
+	attempts := c.requests.withinObjective[class]
+	for ; len(attempts) > 0 && c.clock.now-attempts[0].sentAt > age; attempts = attempts[1:] {
 		if attempt := attempts[0]; attempt.pending {
 			attempt.overdue = true
-			attempt.backend.overdue++
+			attempt.backend.load.overdue++
 		}
 	}
-	g.withinObjective[class] = attempts
+	c.requests.withinObjective[class] = attempts
 }
 
 // ResponseStarted notes that the client gets a streamed answer: no other attempt may follow.
-func (g *Controller) ResponseStarted(now Time, id uint64) {
-	g.advanceClock(now)
-	if request := g.requests[id]; request != nil {
+func (c *Controller) ResponseStarted(now Time, id uint64) {
+	c.advanceClock(now)
+	if request := c.requests.byID[id]; request != nil {
 		request.answered = true
 	}
 }
 
 // RequestCancelled notes that the client has disconnected or its deadline has passed.
-func (g *Controller) RequestCancelled(now Time, id uint64) {
-	g.ResponseStarted(now, id)
-	if request := g.requests[id]; request != nil && !request.hasPending() {
-		delete(g.requests, id)
+func (c *Controller) RequestCancelled(now Time, id uint64) {
+	c.ResponseStarted(now, id)
+	if request := c.requests.byID[id]; request != nil && !request.hasPending() {
+		delete(c.requests.byID, id)
 	}
 }
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -50,14 +50,14 @@
 }
 
 // ruleFor applies the request's class to the given attempts of it.
-func (g *Controller) ruleFor(request *request, attempts []*attempt, now Time) retryRule {
-	margin := dedupMarginEvents * g.settings.MinEventInterval
-	return g.settings.Classes[request.Class].retryRule(attempts, g.settings.Hedging, now, margin)
+func (c *Controller) ruleFor(request *request, attempts []*attempt, now Time) retryRule {
+	margin := dedupMarginEvents * c.settings.MinEventInterval
+	return c.settings.Classes[request.Class].retryRule(attempts, c.settings.Hedging, now, margin)
 }
 
 // retry sends another attempt if the rule, the number of attempts, the budget and the time that is
 // left allow it and there is a backend. It reports whether it did.
-func (g *Controller) retry(
+func (c *Controller) retry(
 	request *request, last *attempt, lastResult Result, rule retryRule, now Time,
 ) bool {
 	cost := retryBudget(notRunRetryCost)
@@ -67,28 +67,28 @@
 	case lastResult == ResultNotSent:
 		cost = 0
 	}
-	minTime := g.settings.Classes[request.Class].LatencyObjective / minRetryTime
-	if !rule.allowed || len(request.attempts) >= g.settings.MaxAttempts || g.retryBudget < cost ||
+	minTime := c.settings.Classes[request.Class].LatencyObjective / minRetryTime
+	if !rule.allowed || len(request.attempts) >= c.settings.MaxAttempts || c.retryBudget < cost ||
 		request.deadline-now <= minTime {
 		return false
 	}
-	backend := g.chooseBackend(request, rule.within)
+	backend := c.chooseBackend(request, rule.within)
 	if backend == nil {
 		return false
 	}
-	g.retryBudget -= cost
-	g.counters.retriesAfter[lastResult]++
-	g.send(request, backend)
+	c.retryBudget -= cost
+	c.counters.retriesAfter[lastResult]++
+	c.send(request, backend)
 	return true
 }
 
 // attemptDeadline is when the request's newest attempt is given up for another one, 0 if there is
 // no budget, capacity or time for another.
-func (g *Controller) attemptDeadline(request *request) Time {
-	class, latency := &g.settings.Classes[request.Class], Time(g.latency.byClass[request.Class].value)
-	deadline := g.now + attemptTimeoutFactor*latency
-	if class.Idempotency == NotIdempotent || g.retryBudget < ranRetryCost ||
-		len(request.attempts) == g.settings.MaxAttempts || g.atCapacity(borrowCapacityShare) ||
+func (c *Controller) attemptDeadline(request *request) Time {
+	class, latency := &c.settings.Classes[request.Class], Time(c.latency.byClass[request.Class].value)
+	deadline := c.clock.now + attemptTimeoutFactor*latency
+	if class.Idempotency == NotIdempotent || c.retryBudget < ranRetryCost ||
+		len(request.attempts) == c.settings.MaxAttempts || c.atCapacity(borrowCapacityShare) ||
 		latency == 0 || deadline+latency > request.attempts[0].sentAt+class.LatencyObjective {
 		return 0
 	}
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -11,7 +11,7 @@
 	h.t.Helper()
 	attempts := map[uint32]int{}
 	var open []uint64
-	for id := range h.requests {
+	for id := range h.requests.byID {
 		open = append(open, id)
 	}
 	slices.Sort(open)
@@ -80,7 +80,7 @@
 // waitingFor are the requests with an attempt that waits for a connection to a backend, oldest first.
 func (h *harness) waitingFor(backend uint32) []uint64 {
 	var ids []uint64
-	for id, request := range h.requests {
+	for id, request := range h.requests.byID {
 		attempt := h.lastAttempt(id)
 		if attempt.pending && attempt.backend.ID == backend && !request.answered {
 			ids = append(ids, id)
@@ -111,10 +111,10 @@
 		}
 	}
 	waiting := h.waitingFor(4)
-	capacity := h.backendsByID[4].slowStartBucket.capacity
+	capacity := h.backends.byID[4].slowStart.bucket.capacity
 	written := 0.0
 	for _, id := range waiting {
-		written += indicator(h.ConfirmSend(h.at, id, len(h.requests[id].attempts)-1))
+		written += indicator(h.ConfirmSend(h.at, id, len(h.requests.byID[id].attempts)-1))
 	}
 	h.noConnection = 0
 	for range 20 { // at the same moment
@@ -138,11 +138,11 @@
 	if h.ConfirmSend(h.at, id, 0) {
 		t.Error("written, though the slow start has saved up no attempt yet")
 	}
-	h.backendsByID[1].slowStartBucket.level = 1
+	h.backends.byID[1].slowStart.bucket.level = 1
 	if !h.ConfirmSend(h.at, id, 0) {
 		t.Fatal("not written, though the slow start has an attempt left")
 	}
-	if level := h.backendsByID[1].slowStartBucket.level; level >= 1 {
+	if level := h.backends.byID[1].slowStart.bucket.level; level >= 1 {
 		t.Errorf("%g attempts left after one was written", level)
 	}
 }
@@ -153,16 +153,16 @@
 		h := newHarness(t, slowStartSettings())
 		h.UpdateEndpoints(h.at, UpdateComplete, endpoints(1))
 		h.UpdateEndpoints(h.at, UpdateIncremental, []Endpoint{{ID: 1, Cell: 1, StartedAt: h.at}})
-		backend := h.backendsByID[1]
-		backend.slowStartBucket.level, h.noConnection = 1, noConnection
+		backend := h.backends.byID[1]
+		backend.slowStart.bucket.level, h.noConnection = 1, noConnection
 		id, sent := h.request(0, 0, 9, 1)
 		if !sent || h.slowStartAllows(backend) {
 			t.Fatalf("sent %t, and another is allowed", sent)
 		}
 		h.end(id, ResultNotSent, true)
-		if !h.slowStartAllows(backend) || backend.slowStartWaiting != 0 {
+		if !h.slowStartAllows(backend) || backend.slowStart.waiting != 0 {
 			t.Errorf("level %g, %d held after the attempt was not sent",
-				backend.slowStartBucket.level, backend.slowStartWaiting)
+				backend.slowStart.bucket.level, backend.slowStart.waiting)
 		}
 	}
 }
@@ -232,11 +232,11 @@
 		h.serve(1, 9, 1)
 	}
 	for i := range list {
-		if h.backendsByID[list[i].ID].inSubset {
+		if h.backends.byID[list[i].ID].inSubset {
 			list[i].StartedAt = h.at
 		}
 	}
-	before := h.answerRate.value(h.at, answerRateDecay)
+	before := h.pace.answerRate.value(h.at, answerRateDecay)
 	h.UpdateEndpoints(h.at, UpdateComplete, list)
 	sent := 0
 	for i := range 100 {
@@ -246,5 +246,5 @@
 	if sent < 50 || before == 0 {
 		t.Fatalf("%d of 100 sent, the rate was %g: want the other backends used", sent, before)
 	}
-	assertNear(t, "answer rate", h.answerRate.value(h.at, answerRateDecay), before)
+	assertNear(t, "answer rate", h.pace.answerRate.value(h.at, answerRateDecay), before)
 }
--- a/policy/snapshot_codec.go
+++ b/policy/snapshot_codec.go
@@ -231,22 +231,22 @@
 
 func encodeBackend(backend *backend) BackendState {
 	return BackendState{
-		Backend: backend.ID, Started: backend.startedAt,
-		Quiet: backend.unansweredSince, SlowAt: backend.latencyRatioAt,
-		Left: backend.ejectedAt, Wait: backend.ejectionTime, TrialAt: backend.nextProbeAt,
-		Slow: backend.latencyRatio, Errs: backend.errorRate, Down: backend.down, Silent: backend.unresponsive,
-		Breaks: encodeSum(backend.connectionFailures), Words: convertAll(backend.faults, encodeSum),
-		Cold: encodeBucket(backend.slowStartBucket),
+		Backend: backend.ID, Started: backend.slowStart.startedAt,
+		Quiet: backend.health.unansweredSince, SlowAt: backend.latency.updatedAt,
+		Left: backend.health.ejectedAt, Wait: backend.health.ejectionTime, TrialAt: backend.health.nextProbeAt,
+		Slow: backend.latency.ratio, Errs: backend.health.errorRate, Down: backend.health.down, Silent: backend.health.unresponsive,
+		Breaks: encodeSum(backend.health.connectionFailures), Words: convertAll(backend.faults, encodeSum),
+		Cold: encodeBucket(backend.slowStart.bucket),
 	}
 }
 
 // decodeInto sets a backend's state but for its start, and for its fault reports, whose indices differ
 // between processes.
 func (s *BackendState) decodeInto(backend *backend) {
-	backend.unansweredSince, backend.latencyRatio, backend.latencyRatioAt = s.Quiet, s.Slow, s.SlowAt
-	backend.errorRate, backend.connectionFailures = s.Errs, decodeSum(s.Breaks)
-	backend.ejectedAt, backend.ejectionTime, backend.nextProbeAt = s.Left, s.Wait, s.TrialAt
-	backend.down, backend.unresponsive, backend.slowStartBucket = s.Down, s.Silent, decodeBucket(s.Cold)
+	backend.health.unansweredSince, backend.latency.ratio, backend.latency.updatedAt = s.Quiet, s.Slow, s.SlowAt
+	backend.health.errorRate, backend.health.connectionFailures = s.Errs, decodeSum(s.Breaks)
+	backend.health.ejectedAt, backend.health.ejectionTime, backend.health.nextProbeAt = s.Left, s.Wait, s.TrialAt
+	backend.health.down, backend.health.unresponsive, backend.slowStart.bucket = s.Down, s.Silent, decodeBucket(s.Cold)
 }
 
 func encodeRequest(request *request) OpenState {
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -42,12 +42,12 @@
 // An ejected backend stays so; classes are matched by their names.
 func TestHandoverKeepsWhatWasLearnt(t *testing.T) {
 	h := newHarness(t, namedSettings())
-	h.backendsByID[2].down, h.backendsByID[2].nextProbeAt = true, h.at+second
+	h.backends.byID[2].health.down, h.backends.byID[2].health.nextProbeAt = true, h.at+second
 	h.latency.byClass[0] = movingAverage{value: 1000, samples: 5}
 	settings := namedSettings()
 	settings.Classes[0], settings.Classes[2] = settings.Classes[2], settings.Classes[0]
 	next := h.successor(t, settings)
-	if !next.backendsByID[2].down || !next.unhealthy(next.backendsByID[2]) {
+	if !next.backends.byID[2].health.down || !next.unhealthy(next.backends.byID[2]) {
 		t.Error("a backend that is down was reinstated by the handover")
 	}
 	assertNear(t, "latency of the class", next.latency.byClass[2].value, 1000)
@@ -88,7 +88,7 @@
 	*customer.usageUnder(1) = customerUsage{consumed: 5, requested: 8, requestedReported: 7}
 	*customer.usageUnder(0) = customerUsage{consumed: 2, requested: 3, requestedReported: 3}
 	customer.customerUsage = customerUsage{consumed: 7, requested: 11, requestedReported: 10}
-	got := h.successor(t, settings).customers[9].usageByCoordinator
+	got := h.successor(t, settings).customers.byID[9].usageByCoordinator
 	if !slices.Equal(got, customer.usageByCoordinator) {
 		t.Errorf("use by coordinator: got %v, want %v", got, customer.usageByCoordinator)
 	}
@@ -101,7 +101,7 @@
 	if err := next.Import(next.at, snapshot); err != nil {
 		t.Fatal(err)
 	}
-	imported := next.customers[9]
+	imported := next.customers.byID[9]
 	if want := []customerUsage{customer.customerUsage}; !slices.Equal(imported.usageByCoordinator, want) {
 		t.Errorf("from an older process: got %v, want %v", imported.usageByCoordinator, want)
 	}
--- a/policy/stepped_clock_test.go
+++ b/policy/stepped_clock_test.go
@@ -35,7 +35,7 @@
 		for life := range Time(3) { // each after another step, the last one back
 			stamp := h.at + step*(1-life)
 			h.UpdateEndpoints(h.at, UpdateIncremental, []Endpoint{{ID: 4, Cell: 1, StartedAt: stamp}})
-			backend := h.backendsByID[4]
+			backend := h.backends.byID[4]
 			assertNear(t, "share at the start", h.slowStartShare(backend), settings.SlowStartFloor)
 			h.at += settings.SlowStartTime / 2
 			h.TimerFired(h.at, gossipTimer)
@@ -57,11 +57,11 @@
 	list[0].StartedAt = steppedStart + 3600*second
 	list[1].StartedAt = steppedStart - 3600*second
 	h.UpdateEndpoints(h.at, UpdateComplete, list)
-	assertNear(t, "share", h.slowStartShare(h.backendsByID[1]), settings.SlowStartFloor)
-	assertNear(t, "share of the old one", h.slowStartShare(h.backendsByID[2]), 1)
+	assertNear(t, "share", h.slowStartShare(h.backends.byID[1]), settings.SlowStartFloor)
+	assertNear(t, "share of the old one", h.slowStartShare(h.backends.byID[2]), 1)
 	h.at += settings.SlowStartTime
 	h.UpdateEndpoints(h.at, UpdateComplete, list)
-	assertNear(t, "share at the end", h.slowStartShare(h.backendsByID[1]), 1)
+	assertNear(t, "share at the end", h.slowStartShare(h.backends.byID[1]), 1)
 }
 
 // A gateway that restarts has the list that it had last: what is not in it has started since, whatever the
@@ -90,7 +90,7 @@
 				if i >= restarted {
 					want = 1
 				}
-				assertNear(t, "share", h.slowStartShare(h.backendsByID[list[i].ID]), want)
+				assertNear(t, "share", h.slowStartShare(h.backends.byID[list[i].ID]), want)
 			}
 		}
 	})
@@ -111,13 +111,13 @@
 			h.UpdateEndpoints(h.at, UpdateComplete, endpoints(3))
 			h.at += second
 			h.UpdateEndpoints(h.at, UpdateIncremental, []Endpoint{{ID: 4, Cell: 1, StartedAt: stamp}})
-			assertNear(t, "share", h.slowStartShare(h.backendsByID[4]), 1)
+			assertNear(t, "share", h.slowStartShare(h.backends.byID[4]), 1)
 		}
 	}
 	h.UpdateEndpoints(h.at, UpdateComplete, endpoints(3))
 	h.at += departedRetention + second
 	h.TimerFired(h.at, gossipTimer)
-	if n := len(h.departed); n != 0 {
+	if n := len(h.backends.departed); n != 0 {
 		t.Errorf("%d backends remembered long after they were listed", n)
 	}
 }
@@ -179,12 +179,12 @@
 			h.serve(0, 7, 1) // a customer, by whose bucket an older snapshot shows its time
 			h.at += settings.SlowStartTime / 4
 			h.TimerFired(h.at, gossipTimer)
-			h.recordConnectionFailure(h.backendsByID[1], false)
+			h.recordConnectionFailure(h.backends.byID[1], false)
 			next := h.handOverStepped(t, settings, step, older)
-			share := h.slowStartShare(h.backendsByID[4])
-			assertNear(t, "share", next.slowStartShare(next.backendsByID[4]), share)
-			ejected, was := next.backendsByID[1], h.backendsByID[1]
-			assertNear(t, "ejection", float64(ejected.nextProbeAt-next.at), float64(was.nextProbeAt-h.at))
+			share := h.slowStartShare(h.backends.byID[4])
+			assertNear(t, "share", next.slowStartShare(next.backends.byID[4]), share)
+			ejected, was := next.backends.byID[1], h.backends.byID[1]
+			assertNear(t, "ejection", float64(ejected.health.nextProbeAt-next.at), float64(was.health.nextProbeAt-h.at))
 		}
 	})
 }
--- a/policy/tokenbucket.go
+++ b/policy/tokenbucket.go
@@ -42,76 +42,76 @@
 }
 
 // mayBorrow reports whether the shared bucket lends a request of the plan its cost.
-func (g *Controller) mayBorrow(plan *Plan, cost float64) bool {
-	g.shared.refill(g.now)
-	return plan.overagePays() && g.shared.level >= cost && !g.atCapacity(borrowCapacityShare)
+func (c *Controller) mayBorrow(plan *Plan, cost float64) bool {
+	c.shared.refill(c.clock.now)
+	return plan.overagePays() && c.shared.level >= cost && !c.atCapacity(borrowCapacityShare)
 }
 
 // overagePays reports whether use beyond the quota earns more than it costs.
 func (p *Plan) overagePays() bool { return p.OverageRevenue > p.OverageCost }
 
 // refillBuckets brings a customer's buckets up to now. What overflows goes to the shared bucket.
-func (g *Controller) refillBuckets(customer *customer) {
-	plan, share, ceilingShare := g.planOf(customer), g.quotaShare(customer), 1/float64(customer.replicas)
-	if plan.CeilingRate > 0 && g.hearsAllReplicas(customer) {
+func (c *Controller) refillBuckets(customer *customer) {
+	plan, share, ceilingShare := c.planOf(customer), c.quotaShare(customer), 1/float64(customer.replicas)
+	if plan.CeilingRate > 0 && c.hearsAllReplicas(customer) {
 		ceilingShare = evenCeilingShare*ceilingShare + (1-evenCeilingShare)*share
 	}
 	switch {
-	case !g.sharesUsage:
+	case !c.sharesUsage:
 		customer.bucket.resize(share*plan.Rate, share*plan.Burst)
 		share = 1
-	case g.grantsQuota(customer): // the coordinators share all of the ceiling, since every gateway asks them
-		ceilingShare = 1 / float64(g.coordinatorCount(customer))
+	case c.grantsQuota(customer): // the coordinators share all of the ceiling, since every gateway asks them
+		ceilingShare = 1 / float64(c.coordinatorCount(customer))
 		customer.bucket.resize(ceilingShare*plan.Rate, ceilingShare*plan.Burst)
-	case g.isParticipant(customer) && g.requiresGrant(customer):
+	case c.isParticipant(customer) && c.requiresGrant(customer):
 		ceilingShare = 0
 	}
 	customer.ceiling.resize(ceilingShare*plan.CeilingRate, ceilingShare*plan.CeilingBurst)
-	customer.ceiling.refill(g.now)
-	g.shared.deposit(share * customer.bucket.refill(g.now))
+	customer.ceiling.refill(c.clock.now)
+	c.shared.deposit(share * customer.bucket.refill(c.clock.now))
 }
 
 // sweepCustomers refills all buckets and drops the records of idle customers, whose overflow goes
 // on feeding the shared bucket.
-func (g *Controller) sweepCustomers() {
-	kept := g.customerOrder[:0]
-	for _, customer := range g.customerOrder {
-		g.refillBuckets(customer)
-		g.updateGrant(customer)
-		if customer.idle(g.now) {
-			g.shared.idleOverflow[customer.plan] += g.planOf(customer).Rate / float64(customer.replicas)
-			delete(g.customers, customer.id)
+func (c *Controller) sweepCustomers() {
+	kept := c.customers.inOrder[:0]
+	for _, customer := range c.customers.inOrder {
+		c.refillBuckets(customer)
+		c.updateGrant(customer)
+		if customer.idle(c.clock.now) {
+			c.shared.idleOverflow[customer.plan] += c.planOf(customer).Rate / float64(customer.replicas)
+			delete(c.customers.byID, customer.id)
 		} else {
 			kept = append(kept, customer)
 		}
 	}
-	clear(g.customerOrder[len(kept):])
-	g.customerOrder = kept
-	g.shared.refill(g.now)
-	g.shared.rate = sum(g.shared.idleOverflow)
+	clear(c.customers.inOrder[len(kept):])
+	c.customers.inOrder = kept
+	c.shared.refill(c.clock.now)
+	c.shared.rate = sum(c.shared.idleOverflow)
 }
 
 // consume charges units that the coordinator of that index granted, 0 if none did.
-func (g *Controller) consume(customer *customer, coordinator int, units float64) {
+func (c *Controller) consume(customer *customer, coordinator int, units float64) {
 	customer.usageUnder(coordinator).consumed += units
-	if !g.requiresGrant(customer) || g.coordinator(customer, coordinator) == g.settings.Self {
+	if !c.requiresGrant(customer) || c.coordinator(customer, coordinator) == c.settings.Self {
 		customer.bucket.level -= units
 	}
 	customer.grantedUnits = math.Max(0, customer.grantedUnits-units)
 	customer.consumed += units
-	g.scheduleReport(customer)
+	c.scheduleReport(customer)
 }
 
 // refund returns the units of a request that never reached a backend.
-func (g *Controller) refund(request *request) {
+func (c *Controller) refund(request *request) {
 	if request.reachedBackend {
 		return
 	}
-	g.refillBuckets(request.customer)
+	c.refillBuckets(request.customer)
 	if request.borrowed {
-		g.shared.deposit(request.Cost)
+		c.shared.deposit(request.Cost)
 	} else {
-		g.consume(request.customer, request.coordinator, -request.Cost)
+		c.consume(request.customer, request.coordinator, -request.Cost)
 	}
 	if request.chargedCeiling {
 		request.customer.ceiling.deposit(request.Cost)
@@ -120,10 +120,10 @@
 
 // CostSettled charges a customer for what a request cost beyond its estimate, where that becomes
 // known only after its outcome.
-func (g *Controller) CostSettled(now Time, id uint64, more float64) {
-	g.advanceClock(now)
-	if customer := g.customers[id]; customer != nil && g.settings.SettlesCost {
-		g.refillBuckets(customer)
-		g.consume(customer, 0, more)
+func (c *Controller) CostSettled(now Time, id uint64, more float64) {
+	c.advanceClock(now)
+	if customer := c.customers.byID[id]; customer != nil && c.settings.SettlesCost {
+		c.refillBuckets(customer)
+		c.consume(customer, 0, more)
 	}
 }
--- a/policy/tokenbucket_test.go
+++ b/policy/tokenbucket_test.go
@@ -57,14 +57,14 @@
 		h.at += second / 50
 		h.TimerFired(h.at, gossipTimer)
 	}
-	if n := len(h.customers); n > 2500 {
+	if n := len(h.customers.byID); n > 2500 {
 		t.Errorf("%d customers are kept of 3000 that came once in a minute", n)
 	}
 	for range 2 {
 		h.at += 60 * second
 		h.TimerFired(h.at, gossipTimer)
 	}
-	if n := len(h.customers) + len(h.customerOrder); n != 0 {
+	if n := len(h.customers.byID) + len(h.customers.inOrder); n != 0 {
 		t.Errorf("%d records of idle customers are kept", n)
 	}
 	// A customer that comes counts as one of those dropped, known or not.
@@ -90,13 +90,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t, testSettings())
 			h.serve(c.plan, 9, 1)
-			customer := h.customers[9]
+			customer := h.customers.byID[9]
 			level, ceiling, consumed := customer.bucket.level, customer.ceiling.level, customer.consumed
 			id, _ := h.request(0, c.plan, 9, 2)
 			for i, result := range c.results {
 				h.end(id, result, result == ResultOK || len(c.results) == 1 && i == 0)
 			}
-			if h.requests[id] != nil {
+			if h.requests.byID[id] != nil {
 				t.Fatal("the request is still open")
 			}
 			assertNear(t, "bucket", customer.bucket.level, level-c.charged)
@@ -130,7 +130,7 @@
 	h := newHarness(t, settings)
 	id, _ := h.request(0, 0, 9, 2)
 	h.endWith(id, Outcome{Result: ResultOK, Latency: 1, Answered: true, ActualCost: 5})
-	assertNear(t, "bucket after 5 actual units", h.customers[9].bucket.level, 8-5)
+	assertNear(t, "bucket after 5 actual units", h.customers.byID[9].bucket.level, 8-5)
 	h.request(0, 0, 8, 1)
 	h.request(0, 0, 8, 1)
 	if _, sent := h.request(0, 0, 8, 1); sent {
