--- a/policy/admission.go
+++ b/policy/admission.go
@@ -57,7 +57,7 @@
 // that no answer can meet its objective. From other requests it learns how long clients wait.
 func (c *Controller) expiredInStall(req *Request) bool {
 	usual := &c.clientTimeouts[req.Plan][req.Class]
-	if c.clock.now > c.clock.resumedAt {
+	if !c.clock.isResuming() {
 		usual.add(float64(req.Timeout), sampleWeight)
 		return false
 	}
--- a/policy/controller.go
+++ b/policy/controller.go
@@ -8,8 +8,6 @@
 	quotaRequestTimer        // a quota request may have timed out
 )
 
-const stallTicks = 8 // a timer that is later than this many least event intervals shows a stall
-
 // Controller makes the decisions of one gateway. It is not safe for concurrent use; see the package
 // documentation for what its host must do.
 //
@@ -45,17 +43,6 @@
 	counters activityCounters // since the last log event
 }
 
-// clock is the time of the current event and what is known of stalls, in which the process did not
-// run and could see no answers.
-type clock struct {
-	now         Time
-	activeTime  Time // now less stalledTime
-	stalledTime Time // the total of all stalls
-	timerDue    Time // when the gossip timer is due
-	resumedAt   Time // the end of the last stall
-	startedAt   Time // 0: no event yet
-}
-
 // latencyEstimate holds average latencies of successful answers, in microseconds.
 type latencyEstimate struct {
 	all       movingAverage
@@ -92,20 +79,17 @@
 
 // advanceClock brings the controller to the time of an event.
 func (c *Controller) advanceClock(now Time) {
-	c.clock.now = max(c.clock.now, now)
-	if c.clock.startedAt == 0 {
+	switch c.clock.advance(now, c.settings.MinEventInterval) {
+	case clockAdvanced:
+	case clockStarted:
 		c.start(now)
-		return
-	}
-	if late := now - c.clock.timerDue; late > stallTicks*c.settings.MinEventInterval {
-		c.recordStall(now, late)
+	case clockResumed:
+		c.excludeStall()
 	}
-	c.clock.activeTime = c.clock.now - c.clock.stalledTime
 }
 
 // start begins the controller's work at its first event.
 func (c *Controller) start(now Time) {
-	c.clock.startedAt, c.clock.activeTime = max(1, now), now
 	c.customers.sweptAt, c.shared.updatedAt, c.counters.since = now, now, now
 	c.scheduleTick()
 	if c.settings.PollEndpoints {
@@ -114,11 +98,9 @@
 	c.announceStart()
 }
 
-// recordStall handles the end of a stall. The latency of the attempts that were
-// pending says nothing about the backends.
-func (c *Controller) recordStall(now, duration Time) {
-	c.clock.stalledTime += duration
-	c.clock.timerDue, c.clock.resumedAt = now, now
+// excludeStall has the latency of the attempts that were pending in a stall count for nothing: it says
+// nothing about the backends.
+func (c *Controller) excludeStall() {
 	for class := range c.requests.withinObjective {
 		for _, attempt := range c.requests.withinObjective[class] {
 			attempt.overlappedStall = true
@@ -129,8 +111,7 @@
 
 // scheduleTick sets the timer for the next gossip round.
 func (c *Controller) scheduleTick() {
-	c.clock.timerDue = c.clock.now + c.gossip.period
-	c.actions.SetTimer(c.clock.timerDue, gossipTimer)
+	c.actions.SetTimer(c.clock.scheduleTimer(c.gossip.period), gossipTimer)
 }
 
 // TimerFired handles a timer that was set by SetTimer.
--- a/policy/ownership.go
+++ b/policy/ownership.go
@@ -21,7 +21,7 @@
 // has ended. What that one admitted is unknown, so no bucket holds more than after a restart.
 func (c *Controller) ResumeOwnership(now Time) {
 	c.advanceClock(now)
-	c.clock.startedAt = c.clock.now
+	c.clock.restart()
 	c.retired = false
 	for _, customer := range c.customers.inOrder {
 		c.refillBuckets(customer)
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -69,8 +69,8 @@
 	c.advanceClock(now)
 	snapshot.rebase(c.clock.now)
 	indices := c.indicesOf(snapshot)
-	c.clock.startedAt, c.clock.resumedAt, c.customers.sweptAt = snapshot.Born, snapshot.Woke, snapshot.Swept
-	c.clock.stalledTime, c.clock.activeTime = snapshot.Still, c.clock.now-snapshot.Still
+	c.clock.restore(snapshot.Born, snapshot.Woke, snapshot.Still)
+	c.customers.sweptAt = snapshot.Swept
 	c.importGossip(snapshot)
 	c.load.onTime, c.load.peers = decodeSum(snapshot.InTime), decodeSum(snapshot.Peers)
 	c.load.peersInFlight, c.load.peersOnTime = decodeSum(snapshot.PeersHeld), decodeSum(snapshot.PeersInTime)
