--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -4,31 +4,31 @@
 	"errors"
 	"fmt"
 	"net"
-)
+	"strconv"
 
-// ErrMissing is the cause where a field that is needed is absent.
-var ErrMissing = errors.New("missing")
+	"sparspread/internal/settings"
+)
 
+// What is wanted of a value.
 var (
-	errNoName     = errors.New("has no name")
-	errSeedFormat = errors.New("16 hex digits wanted")
+	errNoName        = errors.New("has no name")
+	errSeedFormat    = errors.New("16 hex digits wanted")
+	errTooFewSockets = fmt.Errorf("at least %d wanted", MinSockets)
 )
 
-// FieldError is what is wrong with one field of a configuration.
-type FieldError struct {
-	Field string // its path in the file
-	Err   error  // what is wrong with it
+// PeerCountError says that the addresses for gossip do not fit the number of gateways.
+type PeerCountError struct {
+	Addresses  int    // that the configuration lists
+	Gateways   int    // of the tier, each of which has one
+	PeerListen string // this gateway's own; empty: missing
 }
 
-// Error names the field and what is wrong with it.
-func (e *FieldError) Error() string { return fmt.Sprintf("configuration: %s: %v", e.Field, e.Err) }
-
-// Unwrap returns what is wrong with the field.
-func (e *FieldError) Unwrap() error { return e.Err }
-
-func missing(field string) error { return &FieldError{Field: field, Err: ErrMissing} }
+// Error states the counts and the own address.
+func (e *PeerCountError) Error() string {
+	return fmt.Sprintf("%d addresses for %d gateways, peer_listen %q", e.Addresses, e.Gateways, e.PeerListen)
+}
 
-// check reports the first field with which nothing can be served.
+// check reports the first key with which nothing can be served, as a *settings.KeyError.
 func (c *Config) check() error {
 	checks := []func() error{
 		c.checkPresence, c.checkSockets, c.checkPeers, c.checkCounter, c.checkAddresses, c.checkNames,
@@ -41,45 +41,50 @@
 	return nil
 }
 
+// checkPresence demands the addresses without which there is nothing to serve, and nobody to serve.
 func (c *Config) checkPresence() error {
 	if c.Listen == "" {
-		return missing("listen")
+		return settings.MissingKey("listen")
 	}
 	if c.Discovery == "" {
-		return missing("discovery")
+		return settings.MissingKey("discovery")
 	}
 	return nil
 }
 
+// checkSockets demands the descriptors that the smallest gateway needs.
 func (c *Config) checkSockets() error {
 	if c.Sockets >= MinSockets {
 		return nil
 	}
-	return &FieldError{
-		Field: "limits.sockets",
-		Err:   fmt.Errorf("%d, at least %d wanted", c.Sockets, MinSockets),
+	return &settings.KeyError{
+		Key: "limits.sockets", Value: strconv.Itoa(c.Sockets),
+		Err: fmt.Errorf("%d, %w", c.Sockets, errTooFewSockets),
 	}
 }
 
+// checkPeers demands an address for each gateway where they report to each other.
 func (c *Config) checkPeers() error {
 	if !c.Settings.Gossip || c.PeerListen != "" && len(c.Peers) == c.Settings.Gateways {
 		return nil
 	}
-	return &FieldError{
-		Field: "peers",
-		Err: fmt.Errorf("%d addresses for %d gateways, peer_listen %q",
-			len(c.Peers), c.Settings.Gateways, c.PeerListen),
+	return &settings.KeyError{
+		Key: "peers", Value: fmt.Sprint(c.Peers),
+		Err: &PeerCountError{
+			Addresses: len(c.Peers), Gateways: c.Settings.Gateways, PeerListen: c.PeerListen,
+		},
 	}
 }
 
 // checkCounter demands the shared counter where nothing else tells gateways of each other's usage.
 func (c *Config) checkCounter() error {
 	if c.Settings.SharedCounter && !c.Settings.Gossip && c.Counter == "" {
-		return missing("counter")
+		return settings.MissingKey("counter")
 	}
 	return nil
 }
 
+// checkAddresses demands host and port of each service.
 func (c *Config) checkAddresses() error {
 	if err := checkAddress("discovery", c.Discovery); err != nil {
 		return err
@@ -90,9 +95,10 @@
 	return checkAddress("counter", c.Counter)
 }
 
-func checkAddress(field, address string) error {
+// checkAddress demands host and port.
+func checkAddress(key, address string) error {
 	if _, _, err := net.SplitHostPort(address); err != nil {
-		return &FieldError{Field: field, Err: err}
+		return &settings.KeyError{Key: key, Value: address, Err: err}
 	}
 	return nil
 }
@@ -105,10 +111,11 @@
 	return checkNamed("plan", c.Host.Plans)
 }
 
+// checkNamed demands a name of each class or plan.
 func checkNamed(kind string, names []string) error {
 	for i, name := range names {
 		if name == "" {
-			return &FieldError{Field: fmt.Sprintf("%s %d", kind, i), Err: errNoName}
+			return &settings.KeyError{Key: fmt.Sprintf("%s %d", kind, i), Err: errNoName}
 		}
 	}
 	return nil
--- a/internal/config/compare.go
+++ b/internal/config/compare.go
@@ -1,36 +1,41 @@
 package config
 
-import "slices"
+import (
+	"fmt"
+	"slices"
+
+	"sparspread/internal/settings"
+)
 
 // knownKey is the key of the endpoint list as last known. It is no setting: a file may lack it.
 const knownKey = "known"
 
 // CheckKeys reports a key that the configuration in force has and another one lacks: what an operator left
-// out by mistake must not fall back to its default.
+// out by mistake must not fall back to its default. The error is a *settings.KeyError.
 func (c *Config) CheckKeys(other *Config) error {
 	for key := range c.Keys {
 		if _, ok := other.Keys[key]; !ok && key != knownKey {
-			return missing(key)
+			return fmt.Errorf("configuration: %w", settings.MissingKey(key))
 		}
 	}
 	for key := range c.Host.Keys {
 		if !other.Host.Keys[key] {
-			return missing("settings: " + key)
+			return fmt.Errorf("configuration: settings: %w", settings.MissingKey(key))
 		}
 	}
 	return nil
 }
 
-// KeepFixed replaces what only a restart can change by the values of the configuration in force.
-func (c *Config) KeepFixed(inForce *Config) {
+// RetainFixed replaces what only a restart can change by the values of the configuration in force.
+func (c *Config) RetainFixed(inForce *Config) {
 	c.Name, c.Listen, c.Ops = inForce.Name, inForce.Listen, inForce.Ops
 	c.PeerListen, c.Peers = inForce.PeerListen, inForce.Peers
 	c.MemoryMB, c.Sockets, c.Seed = inForce.MemoryMB, inForce.Sockets, inForce.Seed
 
-	kept, from := &c.Settings, &inForce.Settings
-	kept.Self, kept.Gateways, kept.Zone = from.Self, from.Gateways, from.Zone
-	kept.Gossip, kept.SharedCounter = from.Gossip, from.SharedCounter
-	kept.LoadReport = from.LoadReport
+	to, from := &c.Settings, &inForce.Settings
+	to.Self, to.Gateways, to.Zone = from.Self, from.Gateways, from.Zone
+	to.Gossip, to.SharedCounter = from.Gossip, from.SharedCounter
+	to.LoadReport = from.LoadReport
 
 	c.Host.ReportNames, c.Host.Zones = inForce.Host.ReportNames, inForce.Host.Zones
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -25,7 +25,11 @@
 // MinSockets is the smallest number of descriptors that a gateway can work with.
 const MinSockets = 32
 
-const seedBase, seedBits = 16, 64
+// The form of the seed: a hexadecimal number.
+const (
+	seedBase = 16
+	seedBits = 64
+)
 
 // Config is a gateway's configuration. It is not changed once it is in force, so that any goroutine may read
 // it.
@@ -75,11 +79,20 @@
 // UnmarshalJSON accepts any value and keeps nothing of it.
 func (*Present) UnmarshalJSON([]byte) error { return nil }
 
-// Parse reads and checks a configuration. An error that concerns one field is a *FieldError.
+// Parse reads and checks a configuration. An error that concerns one key is a *settings.KeyError.
 func Parse(raw []byte) (Config, error) {
+	c, err := parse(raw)
+	if err != nil {
+		return c, fmt.Errorf("configuration: %w", err)
+	}
+	return c, nil
+}
+
+// parse is Parse without the prefix of its errors.
+func parse(raw []byte) (Config, error) {
 	var f file
 	if err := json.Unmarshal(raw, &f); err != nil {
-		return Config{}, fmt.Errorf("configuration: %w", err)
+		return Config{}, err
 	}
 	c := Config{
 		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery,
@@ -88,7 +101,7 @@
 		Ops:      f.Ops, PeerListen: f.PeerListen, Counter: f.Counter, Known: f.Known,
 	}
 	if err := json.Unmarshal(raw, &c.Keys); err != nil {
-		return c, fmt.Errorf("configuration: %w", err)
+		return c, err
 	}
 	var err error
 	if c.Seed, err = parseSeed(f.Seed); err != nil {
@@ -98,10 +111,10 @@
 		return c, err
 	}
 	if len(f.Settings) == 0 {
-		return c, missing("settings")
+		return c, settings.MissingKey("settings")
 	}
 	if c.Settings, c.Host, err = settings.ParseJSON(f.Settings); err != nil {
-		return c, fmt.Errorf("configuration: %w", err)
+		return c, err
 	}
 	if err := c.check(); err != nil {
 		return c, err
@@ -118,26 +131,29 @@
 	return n
 }
 
+// parseSeed reads the seed of the random numbers.
 func parseSeed(text string) (uint64, error) {
 	seed, err := strconv.ParseUint(text, seedBase, seedBits)
 	if err != nil {
-		return 0, &FieldError{Field: "seed", Err: fmt.Errorf("%q: %w", text, errSeedFormat)}
+		return 0, &settings.KeyError{Key: "seed", Value: text, Err: fmt.Errorf("%q: %w", text, errSeedFormat)}
 	}
 	return seed, nil
 }
 
+// parsePeers reads the addresses of all gateways.
 func parsePeers(addresses []string) ([]netip.AddrPort, error) {
 	var peers []netip.AddrPort
 	for i, text := range addresses {
 		address, err := netip.ParseAddrPort(text)
 		if err != nil {
-			return peers, &FieldError{Field: fmt.Sprintf("peers[%d]", i), Err: err}
+			return peers, &settings.KeyError{Key: fmt.Sprintf("peers[%d]", i), Value: text, Err: err}
 		}
 		peers = append(peers, address)
 	}
 	return peers, nil
 }
 
+// setDefaultTimes replaces the times that are not stated.
 func (c *Config) setDefaultTimes() {
 	c.Host.DialTimeout = positiveOr(c.Host.DialTimeout, defaultDialTimeout)
 	c.Host.IdleClose = positiveOr(c.Host.IdleClose, defaultIdleClose)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -4,15 +4,17 @@
 	"errors"
 	"fmt"
 	"testing"
+
+	"sparspread/internal/settings"
 )
 
 const minimalSettings = `{"self-index":0,"balancers":1,` +
 	`"request-classes":[{"name":"c","promise-us":1}],"tariffs":[{"name":"t"}]}`
 
-func TestParseNamesTheFieldThatIsWrong(t *testing.T) {
+func TestParseNamesTheKeyThatIsWrong(t *testing.T) {
 	for name, tt := range map[string]struct {
-		raw, field, text string
-		missing          bool
+		raw, key, text string
+		missing        bool
 	}{
 		"no listen address": {
 			`{"discovery":"a:1","seed":"01","settings":%s}`, "listen", "configuration: listen: missing", true,
@@ -35,11 +37,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := Parse(fmt.Appendf(nil, tt.raw, minimalSettings))
-			var fieldErr *FieldError
-			if !errors.As(err, &fieldErr) || fieldErr.Field != tt.field || err.Error() != tt.text {
-				t.Errorf("error %v, want field %s and %q", err, tt.field, tt.text)
+			var keyErr *settings.KeyError
+			if !errors.As(err, &keyErr) || keyErr.Key != tt.key || err.Error() != tt.text {
+				t.Errorf("error %v, want key %s and %q", err, tt.key, tt.text)
 			}
-			if errors.Is(err, ErrMissing) != tt.missing {
+			if errors.Is(err, settings.ErrMissing) != tt.missing {
 				t.Errorf("error %v: missing %t, want %t", err, !tt.missing, tt.missing)
 			}
 		})
@@ -67,7 +69,7 @@
 	if got := fmt.Sprint(inForce.ChangedFixed(&changed)); got != "[limits listen name]" {
 		t.Errorf("changed %s, want [limits listen name]", got)
 	}
-	changed.KeepFixed(&inForce)
+	changed.RetainFixed(&inForce)
 	if left := inForce.ChangedFixed(&changed); len(left) > 0 || changed.Seed != 1 {
 		t.Errorf("still changed %v, seed %d", left, changed.Seed)
 	}
@@ -75,3 +77,23 @@
 		t.Errorf("discovery %q, want the new address", changed.Discovery)
 	}
 }
+
+func TestCheckKeysNamesTheAbsentKey(t *testing.T) {
+	inForce := Config{Keys: map[string]Present{"counter": {}, knownKey: {}}}
+	inForce.Host.Keys = map[string]bool{"az": true}
+	withoutCounter, withoutZone := inForce, inForce
+	withoutCounter.Keys = map[string]Present{}
+	withoutZone.Host.Keys = map[string]bool{}
+	for want, changed := range map[string]Config{
+		"configuration: counter: missing":      withoutCounter,
+		"configuration: settings: az: missing": withoutZone,
+	} {
+		err := inForce.CheckKeys(&changed)
+		if !errors.Is(err, settings.ErrMissing) || err.Error() != want {
+			t.Errorf("error %v, want %s", err, want)
+		}
+	}
+	if err := inForce.CheckKeys(&inForce); err != nil {
+		t.Errorf("the same keys: error %v", err)
+	}
+}
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -67,7 +67,7 @@
 	if fixed := l.config.ChangedFixed(&cfg); len(fixed) > 0 {
 		l.log.Warn("reload: what needs a restart stays as it was", "settings", fixed)
 	}
-	cfg.KeepFixed(l.config)
+	cfg.RetainFixed(l.config)
 	l.applyConfig(&cfg)
 	l.discovery.SetAddress(cfg.Discovery)
 	if l.counter != nil && cfg.Counter != "" {
--- a/internal/settings/fields.go
+++ b/internal/settings/fields.go
@@ -17,6 +17,7 @@
 	}
 }
 
+// float sets a number that may have a fraction.
 func float(field func(*parser) *float64) fieldSetter {
 	return func(p *parser, value string) error {
 		f, err := strconv.ParseFloat(value, 64)
@@ -28,6 +29,7 @@
 	}
 }
 
+// boolean sets a switch.
 func boolean(field func(*parser) *bool) fieldSetter {
 	return func(p *parser, value string) error {
 		b, err := strconv.ParseBool(value)
@@ -39,6 +41,7 @@
 	}
 }
 
+// text sets a value as it is written.
 func text(field func(*parser) *string) fieldSetter {
 	return func(p *parser, value string) error {
 		*field(p) = value
@@ -60,7 +63,7 @@
 	return func(p *parser, value string) error {
 		meaning, ok := meanings[value]
 		if !ok {
-			return errUnknownValue
+			return errUnknownWord
 		}
 		*field(p) = meaning
 		return nil
--- a/internal/settings/flatten.go
+++ b/internal/settings/flatten.go
@@ -22,6 +22,7 @@
 	return values, nil
 }
 
+// flattenInto adds the values below one node, whose own key is path.
 func flattenInto(values map[string]string, path string, node any) {
 	switch node := node.(type) {
 	case map[string]any:
@@ -55,6 +56,7 @@
 	}
 }
 
+// joinPath returns the key of a child; the root's path is empty.
 func joinPath(path, key string) string {
 	if path == "" {
 		return key
@@ -62,6 +64,7 @@
 	return path + "." + key
 }
 
+// formatScalar writes a plain value as the simulator does; null is empty.
 func formatScalar(v any) string {
 	if v == nil {
 		return ""
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -109,11 +109,13 @@
 	"beyond-costs":    float(func(p *parser) *float64 { return &plan(p).OverageCost }),
 }
 
+// setZones sets the names of the zones, whose numbers are their places in the list.
 func setZones(p *parser, value string) error {
 	p.host.Zones = strings.Split(value, ",")
 	return nil
 }
 
+// setReportNames sets the names of a load report's values and which of them are used.
 func setReportNames(p *parser, value string) error {
 	p.LoadReport, p.host.ReportNames = nil, strings.Split(value, ",")
 	for _, metric := range p.host.ReportNames {
@@ -125,5 +127,8 @@
 // The item of a list that is being parsed is its last one.
 func last[T any](items []T) *T { return &items[len(items)-1] }
 
+// class is the class that is being parsed.
 func class(p *parser) *policy.Class { return last(p.Classes) }
-func plan(p *parser) *policy.Plan   { return last(p.Plans) }
+
+// plan is the plan that is being parsed.
+func plan(p *parser) *policy.Plan { return last(p.Plans) }
--- a/internal/settings/parser.go
+++ b/internal/settings/parser.go
@@ -1,7 +1,6 @@
 package settings
 
 import (
-	"errors"
 	"fmt"
 	"strconv"
 	"strings"
@@ -9,27 +8,6 @@
 	"sparspread/policy"
 )
 
-var (
-	errMissing      = errors.New("missing")
-	errNotPositive  = errors.New("a number above 0 wanted")
-	errUnknownValue = errors.New("unknown word")
-)
-
-// KeyError is a setting whose value can't be used.
-type KeyError struct {
-	Key   string
-	Value string
-	Err   error
-}
-
-// Error names the key, its value and what is wrong with it.
-func (e *KeyError) Error() string {
-	return fmt.Sprintf("setting %s: value %q: %v", e.Key, e.Value, e.Err)
-}
-
-// Unwrap returns what is wrong with the value.
-func (e *KeyError) Unwrap() error { return e.Err }
-
 // parser fills the settings from values by their full key.
 type parser struct {
 	policy.Settings
@@ -37,6 +15,7 @@
 	values map[string]string
 }
 
+// parse sets every field whose key is present. The error is a *KeyError.
 func (p *parser) parse() error {
 	if err := p.parseTable("", plainKeys); err != nil {
 		return err
@@ -47,12 +26,14 @@
 	return p.parseList(planList, planKeys, p.addPlan)
 }
 
+// addClass adds a class, which the setters of classKeys then fill.
 func (p *parser) addClass() {
 	p.Classes = append(p.Classes, policy.Class{})
 	p.host.Classes = append(p.host.Classes, "")
 	p.host.ClientTimeouts = append(p.host.ClientTimeouts, 0)
 }
 
+// addPlan adds a plan, which the setters of planKeys then fill.
 func (p *parser) addPlan() {
 	p.Plans = append(p.Plans, policy.Plan{ValueFactor: 1})
 	p.host.Plans = append(p.host.Plans, "")
@@ -66,7 +47,7 @@
 			continue
 		}
 		if err := set(p, value); err != nil {
-			return &KeyError{Key: prefix + key, Value: value, Err: err}
+			return badValue(prefix+key, value, err)
 		}
 	}
 	return nil
@@ -93,17 +74,19 @@
 	key := countKey(list)
 	value, ok := p.values[key]
 	if !ok {
-		return 0, fmt.Errorf("setting %s: %w", key, errMissing)
+		return 0, MissingKey(key)
 	}
 	count, err := strconv.Atoi(value)
 	if err != nil || count < 0 || count > len(p.values) {
-		return 0, fmt.Errorf("setting %s: value %q is no count of items", key, value)
+		return 0, &KeyError{Key: key, Value: value, Err: fmt.Errorf("value %q %w", value, errNoCount)}
 	}
 	return count, nil
 }
 
+// countKey is the key of a list's length.
 func countKey(list string) string { return list + ".count" }
 
+// itemKey is the key of a field of a list's item; without a field, the prefix of all its keys.
 func itemKey(list string, item int, field string) string {
 	return fmt.Sprintf("%s.%d.%s", list, item, field)
 }
@@ -117,7 +100,7 @@
 			continue
 		}
 		if n, err := strconv.ParseInt(value, 10, 64); err != nil || n <= 0 {
-			return &KeyError{Key: key, Value: value, Err: errNotPositive}
+			return badValue(key, value, errNotPositive)
 		}
 	}
 	return nil
@@ -154,6 +137,7 @@
 	}
 }
 
+// allItemsHave reports whether a list has items and each has the field.
 func allItemsHave(keys map[string]bool, list string, count int, field string) bool {
 	for i := range count {
 		if !keys[itemKey(list, i, field)] {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -3,6 +3,7 @@
 package settings
 
 import (
+	"fmt"
 	"strings"
 
 	"sparspread/policy"
@@ -36,20 +37,29 @@
 	}
 	p := parser{values: values}
 	err := p.parse()
-	return p.Settings, err
+	return p.Settings, wrapKeyError(err)
 }
 
-// ParseJSON reads the form of a gateway's configuration: the same keys and units, as nested JSON.
+// ParseJSON reads the form of a gateway's configuration: the same keys and units, as nested JSON. An error that
+// concerns one key is a *KeyError.
 func ParseJSON(raw []byte) (policy.Settings, Host, error) {
 	values, err := flatten(raw)
 	if err != nil {
 		return policy.Settings{}, Host{}, err
 	}
 	if err := checkPositive(values); err != nil {
-		return policy.Settings{}, Host{}, err
+		return policy.Settings{}, Host{}, wrapKeyError(err)
 	}
 	p := parser{values: values}
 	err = p.parse()
 	p.host.Keys = presentKeys(values)
-	return p.Settings, p.host, err
+	return p.Settings, p.host, wrapKeyError(err)
+}
+
+// wrapKeyError adds to a *KeyError what its key is a key of.
+func wrapKeyError(err error) error {
+	if err == nil {
+		return nil
+	}
+	return fmt.Errorf("setting %w", err)
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -1,8 +1,8 @@
 package settings
 
 import (
+	"errors"
 	"reflect"
-	"strings"
 	"testing"
 
 	"sparspread/policy"
@@ -23,7 +23,7 @@
 tariffs.0.burst=6
 `
 
-func TestParseTextReadsSettingsAndNamesBadValues(t *testing.T) {
+func TestParseTextReadsSettings(t *testing.T) {
 	got, err := ParseText([]byte(profile))
 	want := policy.Settings{
 		Self: 1, Gateways: 2, PollEndpoints: true, SlowStartFloor: 0.16,
@@ -36,15 +36,33 @@
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("settings %+v, %v; want %+v", got, err, want)
 	}
-	for key, bad := range map[string]string{
-		"balancers":                "balancers=two",
-		"request-classes.0.repeat": "request-classes.0.repeat=perhaps",
-		"request-classes.count":    "request-classes.count=1000000000",
-		"tariffs.0.rate":           "tariffs.0.rate=",
+}
+
+func TestErrorsNameTheKeyAndWhatIsWrong(t *testing.T) {
+	for _, tt := range []struct{ key, value, text string }{
+		{"balancers", "two", `value "two": strconv.ParseInt: parsing "two": invalid syntax`},
+		{"request-classes.0.repeat", "perhaps", `value "perhaps": unknown word`},
+		{"request-classes.count", "1000000000", `value "1000000000" is no count of items`},
+		{"tariffs.0.rate", "", `value "": strconv.ParseFloat: parsing "": invalid syntax`},
 	} {
-		_, err := ParseText([]byte(profile + bad + "\n"))
-		if err == nil || !strings.Contains(err.Error(), key) {
-			t.Errorf("%s: error %v, want one that names %s", bad, err, key)
-		}
+		t.Run(tt.key, func(t *testing.T) {
+			_, err := ParseText([]byte(profile + tt.key + "=" + tt.value + "\n"))
+			var keyErr *KeyError
+			if !errors.As(err, &keyErr) || keyErr.Key != tt.key || keyErr.Value != tt.value {
+				t.Fatalf("error %v, want one of key %s with value %q", err, tt.key, tt.value)
+			}
+			if want := "setting " + tt.key + ": " + tt.text; err.Error() != want {
+				t.Errorf("error %q, want %q", err, want)
+			}
+		})
+	}
+	_, err := ParseText(nil)
+	if want := "setting request-classes.count: missing"; !errors.Is(err, ErrMissing) || err.Error() != want {
+		t.Errorf("no settings: error %v, want %s", err, want)
+	}
+	_, _, err = ParseJSON([]byte(`{"ceilings":{"max-attempts":0}}`))
+	const want = `setting ceilings.max-attempts: value "0": a number above 0 wanted`
+	if !errors.Is(err, errNotPositive) || err.Error() != want {
+		t.Errorf("no attempts: error %v, want %s", err, want)
 	}
 }
