--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -24,6 +24,7 @@
 	return cfg
 }
 
+// arguments returns a command's arguments.
 func arguments(list ...string) (args [][]byte) {
 	for _, arg := range list {
 		args = append(args, []byte(arg))
@@ -91,6 +92,21 @@
 			"class once does not go by this command",
 		},
 		{"no key", testCustomer, testID, replace("lookup", "order"), "field k: missing"},
+		{"empty key", testCustomer, testID, good + ",k=", `field k: bad value ""`},
+		{"unknown class", testCustomer, testID, replace("lookup", "gone"), `field c: unknown class "gone"`},
+		{"unknown plan", testCustomer, testID, replace("team", "gone"), `field t: bad value "gone"`},
+		{"too many replicas", testCustomer, testID, replace("spread=3", "spread=5"), `field spread: bad value "5"`},
+		{"first replica", testCustomer, testID, replace("first=1", "first=4"), `field first: bad value "4"`},
+		{"no timeout", testCustomer, testID, replace("480", "0"), `field d: bad value "0"`},
+		{"retry flag", testCustomer, testID, good + ",r=2", `field r: bad value "2"`},
+		{
+			"long name", testCustomer, testID, good + "," + strings.Repeat("x", 40) + "=1",
+			`field "` + strings.Repeat("x", 32) + `": unknown`,
+		},
+		{
+			"long value", testCustomer, testID, replace("team", strings.Repeat("y", 70)),
+			`field t: bad value "` + strings.Repeat("y", 64) + `"`,
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := Parse(testConfig(), arguments("API.READ", c.customer, c.id, c.fields))
@@ -101,6 +117,17 @@
 	}
 }
 
+func TestFieldErrorHasFieldAndValue(t *testing.T) {
+	_, err := Parse(testConfig(), arguments("API.READ", testCustomer, testID, "units=-1"))
+	var fieldErr *FieldError
+	if !errors.As(err, &fieldErr) || fieldErr.Field != "units" || fieldErr.Value != "-1" {
+		t.Errorf("error %v, want one of field units with value -1", err)
+	}
+	if !errors.Is(err, errBadValue) {
+		t.Errorf("error %v, want %v", err, errBadValue)
+	}
+}
+
 // An unknown class can be told from other errors: a reload may have removed it.
 func TestParseUnknownClass(t *testing.T) {
 	fields := "c=gone,t=team,d=480,units=2,spread=3,first=1"
--- /dev/null
+++ b/internal/command/fields.go
@@ -0,0 +1,137 @@
+package command
+
+import (
+	"bytes"
+	"fmt"
+	"slices"
+	"strconv"
+
+	"sparspread/internal/config"
+	"sparspread/policy"
+)
+
+// The fields in the list of names and values. Those before requiredFieldCount are in every request.
+const (
+	classField = iota
+	planField
+	timeoutField
+	costField
+	replicasField
+	firstReplicaField
+	keyField
+	retryFlagField
+
+	requiredFieldCount = keyField
+)
+
+// fieldNames are the fields' names in the protocol.
+var fieldNames = [...]string{
+	classField:        "c",
+	planField:         "t",
+	timeoutField:      "d",
+	costField:         "units",
+	replicasField:     "spread",
+	firstReplicaField: "first",
+	keyField:          "k",
+	retryFlagField:    "r",
+}
+
+const (
+	defaultMaxCost    = 1e6 // where the settings give none
+	microsecondsPerMS = 1000
+	maxTimeoutMS      = 24 * 3600 * 1000 // milliseconds
+)
+
+// fieldSet is a set of fields: a bit for each.
+type fieldSet uint
+
+// has reports whether a field is in the set.
+func (s fieldSet) has(field int) bool { return s&(1<<field) != 0 }
+
+// parseFields parses the list of names and values and returns the fields in it.
+func (r *Request) parseFields(cfg *config.Config) (present fieldSet, err error) {
+	list := r.Args[FieldsArg]
+	for start := 0; start <= len(list); {
+		end := len(list)
+		if i := bytes.IndexByte(list[start:], ','); i >= 0 {
+			end = start + i
+		}
+		name, value, ok := bytes.Cut(list[start:end], []byte{'='})
+		field := slices.Index(fieldNames[:], string(name))
+		switch {
+		case field < 0:
+			return present, &FieldError{Field: fmt.Sprintf("%.32q", name), Err: errUnknownField}
+		case !ok || present.has(field):
+			return present, errFieldForm
+		}
+		if err := r.parseField(cfg, field, string(value)); err != nil {
+			return present, err
+		}
+		if field == timeoutField {
+			r.TimeoutSpan = Span{Start: end - len(value), End: end}
+		}
+		present |= 1 << field
+		start = end + 1
+	}
+	return present, nil
+}
+
+// parseField parses the value of one field.
+func (r *Request) parseField(cfg *config.Config, field int, value string) error {
+	ok, cause := false, errBadValue
+	switch field {
+	case classField:
+		r.Details.Class, ok = indexOfName(cfg.Host.Classes, value)
+		cause = ErrUnknownClass
+	case planField:
+		r.Details.Plan, ok = indexOfName(cfg.Host.Plans, value)
+	case timeoutField:
+		r.Details.Timeout, ok = parseTimeout(value)
+	case costField:
+		r.Details.Cost, ok = parseCost(value, MaxCost(cfg))
+	case replicasField:
+		r.Details.Replicas, ok = parseInt(value, 1, cfg.Settings.Gateways)
+	case firstReplicaField:
+		r.Details.FirstReplica, ok = parseInt(value, 0, cfg.Settings.Gateways-1)
+	case keyField:
+		ok = value != ""
+	case retryFlagField:
+		ok = value == "0" || value == "1"
+	}
+	if !ok {
+		return &FieldError{Field: fieldNames[field], Value: value, Err: fmt.Errorf("%w %.64q", cause, value)}
+	}
+	return nil
+}
+
+// indexOfName returns the place of a name in a list.
+func indexOfName(names []string, name string) (int, bool) {
+	i := slices.Index(names, name)
+	return i, i >= 0
+}
+
+// parseTimeout parses a number of milliseconds above 0.
+func parseTimeout(value string) (policy.Time, bool) {
+	ms, err := strconv.ParseInt(value, 10, 64)
+	return ms * microsecondsPerMS, err == nil && ms > 0 && ms <= maxTimeoutMS
+}
+
+// parseCost parses a number above 0 and up to highest.
+func parseCost(value string, highest float64) (float64, bool) {
+	cost, err := strconv.ParseFloat(value, 64)
+	return cost, err == nil && cost > 0 && cost <= highest // false for NaN
+}
+
+// parseInt parses a whole number from lowest to highest.
+func parseInt(value string, lowest, highest int) (int, bool) {
+	n, err := strconv.Atoi(value)
+	return n, err == nil && n >= lowest && n <= highest
+}
+
+// MaxCost is the most that a request may cost.
+func MaxCost(cfg *config.Config) float64 {
+	if cfg.Settings.MaxCost > 0 {
+		return cfg.Settings.MaxCost
+	}
+	return defaultMaxCost
+}
