--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -95,7 +95,10 @@
 		{"empty key", testCustomer, testID, good + ",k=", `field k: bad value ""`},
 		{"unknown class", testCustomer, testID, replace("lookup", "gone"), `field c: unknown class "gone"`},
 		{"unknown plan", testCustomer, testID, replace("team", "gone"), `field t: bad value "gone"`},
-		{"too many replicas", testCustomer, testID, replace("spread=3", "spread=5"), `field spread: bad value "5"`},
+		{
+			"too many replicas", testCustomer, testID, replace("spread=3", "spread=5"),
+			`field spread: bad value "5"`,
+		},
 		{"first replica", testCustomer, testID, replace("first=1", "first=4"), `field first: bad value "4"`},
 		{"no timeout", testCustomer, testID, replace("480", "0"), `field d: bad value "0"`},
 		{"retry flag", testCustomer, testID, good + ",r=2", `field r: bad value "2"`},
--- a/internal/command/errors.go
+++ b/internal/command/errors.go
@@ -4,7 +4,8 @@
 
 // The errors of Parse. Their texts are sent to clients and belong to the protocol.
 var (
-	// ErrUnknownClass says that the settings in force have no class of that name: a reload may have removed it.
+	// ErrUnknownClass says that the settings in force have no class of that name: a reload may have removed
+	// it.
 	ErrUnknownClass = errors.New("unknown class")
 
 	errArgumentCount = errors.New("wrong number of arguments")
--- a/internal/handover/codec_test.go
+++ b/internal/handover/codec_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"errors"
-	"fmt"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -12,6 +11,7 @@
 
 	"sparspread/internal/discovery"
 	"sparspread/internal/handover/olderform"
+	"sparspread/internal/testfill"
 	"sparspread/policy"
 )
 
@@ -25,56 +25,13 @@
 	return b
 }
 
-// fillNumbered gives every field a value of its own, in the order of declaration, as the recording program
-// did.
-func fillNumbered(v reflect.Value, n *int) {
-	switch v.Kind() {
-	case reflect.Pointer:
-		v.Set(reflect.New(v.Type().Elem()))
-		fillNumbered(v.Elem(), n)
-	case reflect.Struct:
-		for i := range v.NumField() {
-			fillNumbered(v.Field(i), n)
-		}
-	case reflect.Slice:
-		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
-		fillNumbered(v.Index(0), n)
-		fillNumbered(v.Index(1), n)
-	case reflect.Array:
-		for i := range v.Len() {
-			fillNumbered(v.Index(i), n)
-		}
-	default:
-		*n++
-		fillValue(v, *n)
-	}
-}
-
-func fillValue(v reflect.Value, n int) {
-	switch v.Kind() {
-	case reflect.Bool:
-		v.SetBool(true)
-	case reflect.String:
-		v.SetString(fmt.Sprintf("text-%c%c", 'a'+n%26, 'a'+n/26%26))
-	case reflect.Float32, reflect.Float64:
-		v.SetFloat(float64(n) + 0.5)
-	case reflect.Uint8:
-		v.SetUint(uint64(n % 256))
-	case reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		v.SetUint(uint64(n))
-	default:
-		v.SetInt(int64(n))
-	}
-}
-
 func TestRecordedStateIsReadAndWritten(t *testing.T) {
 	raw := readRecorded(t, "state.gob")
 	got, err := DecodeState(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
-	want, n := handoverState{}, 0
-	fillNumbered(reflect.ValueOf(&want).Elem(), &n)
+	want := testfill.Numbered[handoverState](testfill.Letters)
 	want.Module.Now, want.Module.Stamps = 0, nil // the older program has no such fields
 	if got.NextRequestID != want.NextID {
 		t.Errorf("next request id %d, want %d", got.NextRequestID, want.NextID)
@@ -109,8 +66,7 @@
 
 func TestOlderProgramReadsWhatIsWritten(t *testing.T) {
 	raw := readRecorded(t, "state.gob")
-	want, n := olderform.State{}, 0
-	fillNumbered(reflect.ValueOf(&want).Elem(), &n)
+	want := testfill.Numbered[olderform.State](testfill.Letters)
 	want.Version = 1
 	if got := readOlder(t, raw); !reflect.DeepEqual(got, want) {
 		t.Fatalf("the older program reads of what it has written itself\n%+v, want\n%+v", got, want)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -40,8 +40,8 @@
 	return p.Settings, wrapKeyError(err)
 }
 
-// ParseJSON reads the form of a gateway's configuration: the same keys and units, as nested JSON. An error that
-// concerns one key is a *KeyError.
+// ParseJSON reads the form of a gateway's configuration: the same keys and units, as nested JSON. An error
+// that concerns one key is a *KeyError.
 func ParseJSON(raw []byte) (policy.Settings, Host, error) {
 	values, err := flatten(raw)
 	if err != nil {
--- a/policy/recorded_test.go
+++ b/policy/recorded_test.go
@@ -10,6 +10,8 @@
 	"reflect"
 	"strings"
 	"testing"
+
+	"sparspread/internal/testfill"
 )
 
 // The files in testdata were written by the program of commit d086cf6, with -update. They are what an
@@ -227,46 +229,15 @@
 	}
 }
 
-// fillNumbered gives every field a value of its own, in the order of declaration.
-func fillNumbered(v reflect.Value, n *int) {
-	switch v.Kind() {
-	case reflect.Struct:
-		for i := range v.NumField() {
-			fillNumbered(v.Field(i), n)
-		}
-	case reflect.Slice:
-		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
-		fillNumbered(v.Index(0), n)
-		fillNumbered(v.Index(1), n)
-	case reflect.Array:
-		for i := range v.Len() {
-			fillNumbered(v.Index(i), n)
-		}
-	default:
-		*n++
-		setNumbered(v, *n)
-	}
-}
-
-func setNumbered(v reflect.Value, n int) {
-	switch v.Kind() {
-	case reflect.Bool:
-		v.SetBool(true)
-	case reflect.String:
-		v.SetString(fmt.Sprint("name ", n))
-	case reflect.Float64:
-		v.SetFloat(float64(n) + 0.5)
-	case reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		v.SetUint(uint64(n % 251))
-	default:
-		v.SetInt(int64(n))
-	}
+// recordedStyle is the style in which the fields of the recorded snapshot were filled.
+var recordedStyle = testfill.Style{
+	Text:    func(n int) string { return fmt.Sprint("name ", n) },
+	Modulus: 251,
 }
 
 // Every field of a snapshot has its name and its place: a renamed one would be lost without an error.
 func TestEveryFieldOfASnapshotIsReadAndWritten(t *testing.T) {
-	all, n := Snapshot{}, 0
-	fillNumbered(reflect.ValueOf(&all).Elem(), &n)
+	all := testfill.Numbered[Snapshot](recordedStyle)
 	if got := decodeSnapshot(t, encodeSnapshot(t, &all)); !reflect.DeepEqual(*got, all) {
 		t.Errorf("read\n%+v, want\n%+v", *got, all)
 	}
