--- a/internal/sockwriter/writer.go
+++ b/internal/sockwriter/writer.go
@@ -3,6 +3,7 @@
 package sockwriter
 
 import (
+	"errors"
 	"net"
 	"sync"
 	"syscall"
@@ -47,13 +48,13 @@
 	err = w.raw.Write(func(fd uintptr) bool {
 		for {
 			n, writeErr = syscall.Write(int(fd), b)
-			if writeErr != syscall.EINTR {
+			if !errors.Is(writeErr, syscall.EINTR) {
 				return true
 			}
 		}
 	})
 	n = max(n, 0)
-	if err == nil && writeErr != syscall.EAGAIN {
+	if err == nil && !errors.Is(writeErr, syscall.EAGAIN) {
 		err = writeErr
 	}
 	return n, err
@@ -68,7 +69,7 @@
 	err := w.raw.Control(func(fd uintptr) {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		noInput = err == syscall.EAGAIN || err == syscall.EINTR
+		noInput = errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EINTR)
 	})
 	return err == nil && noInput
 }
--- a/internal/sockwriter/writer_test.go
+++ b/internal/sockwriter/writer_test.go
@@ -5,6 +5,7 @@
 	"errors"
 	"io"
 	"net"
+	"net/netip"
 	"os"
 	"testing"
 	"time"
@@ -21,7 +22,8 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = listener.Close() }()
-	near, err = net.DialTCP("tcp", nil, listener.Addr().(*net.TCPAddr))
+	address := net.TCPAddrFromAddrPort(netip.MustParseAddrPort(listener.Addr().String()))
+	near, err = net.DialTCP("tcp", nil, address)
 	if err != nil {
 		t.Fatal(err)
 	}
