--- a/cmd/gateway/fleet_backends_test.go
+++ b/cmd/gateway/fleet_backends_test.go
@@ -9,6 +9,7 @@
 	"testing"
 	"time"
 
+	"sparspread/internal/porttest"
 	"sparspread/internal/resp"
 )
 
@@ -85,7 +86,7 @@
 	tb.Helper()
 	b := &fleetBackend{
 		tb: tb, number: number, slow: slow, cores: make(chan struct{}, fleetBackendCores),
-		conns: map[net.Conn]struct{}{}, address: "127.0.0.1:0",
+		conns: map[net.Conn]struct{}{}, address: porttest.Reserve(tb),
 	}
 	b.setMode(backendServes)
 	tb.Cleanup(func() { b.setMode(backendRefuses) })
@@ -173,7 +174,7 @@
 		b.tb.Error(err)
 		return
 	}
-	b.listener, b.address = listener, listener.Addr().String()
+	b.listener = listener
 	go b.accept(listener)
 }
 
--- a/internal/counter/counter_test.go
+++ b/internal/counter/counter_test.go
@@ -9,6 +9,7 @@
 	"testing"
 	"time"
 
+	"sparspread/internal/porttest"
 	"sparspread/policy"
 )
 
@@ -126,14 +127,15 @@
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		t.Error("called after the deadline")
 	}))
+	defer server.Close()
 	client, _ := newTestClient(server)
 	_, result := client.post(context.Background(), call{baseURL: client.baseURL, deadline: time.Now()})
 	if result != policy.ResultConnectFailed {
 		t.Errorf("after the deadline: got result %d, want %d", result, policy.ResultConnectFailed)
 	}
-	server.Close()
+	refused := New(Config{Address: porttest.Reserve(t), Timeout: testTimeout}, func(Answer) {})
 	deadline := time.Now().Add(testTimeout)
-	_, result = client.post(context.Background(), call{baseURL: client.baseURL, deadline: deadline})
+	_, result = refused.post(context.Background(), call{baseURL: refused.baseURL, deadline: deadline})
 	if result != policy.ResultConnectFailed {
 		t.Errorf("no listener: got result %d, want %d", result, policy.ResultConnectFailed)
 	}
--- a/internal/gateway/fake_backend_test.go
+++ b/internal/gateway/fake_backend_test.go
@@ -94,10 +94,15 @@
 	return body, in.ReadValueEnd()
 }
 
-// listEntry is the backend's entry in discovery's list.
+// listEntry returns the backend's entry in discovery's list, under an ID and in a phase.
 func (b *fakeBackend) listEntry(id, phase string) string {
-	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"a","cell":1,"phase":%q,"size":1,"up_since_ms":0}`,
-		id, b.listener.Addr().String(), phase)
+	return listEntry(id, b.listener.Addr().String(), phase)
+}
+
+// listEntry returns the entry of discovery's list for a backend that listens at an address.
+func listEntry(id, address, phase string) string {
+	const format = `{"id":%q,"host_port":%q,"locality":"a","cell":1,"phase":%q,"size":1,"up_since_ms":0}`
+	return fmt.Sprintf(format, id, address, phase)
 }
 
 // nextCall waits for a command.
--- a/internal/gateway/handover_test.go
+++ b/internal/gateway/handover_test.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"fmt"
-	"net"
 	"os"
 	"strings"
 	"testing"
@@ -11,6 +10,7 @@
 
 	"sparspread/internal/config"
 	"sparspread/internal/handover"
+	"sparspread/internal/porttest"
 )
 
 // replaceableGateway returns the configuration of a gateway that a second process can take over from.
@@ -42,17 +42,11 @@
 // first. Its buckets refill so slowly that no wait of a test matters.
 func configureReplaceable(t *testing.T, d *fakeDiscovery) config.Config {
 	t.Helper()
-	free, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := free.Close(); err != nil {
-		t.Fatal(err)
-	}
+	address := porttest.Reserve(t)
 	slowRefill := strings.Replace(settingsText, `"rate":0.1,`, `"rate":0.0001,`, 1)
 	return newConfig(t, d, func(f map[string]any) {
 		withOps(f)
-		f["listen"] = free.Addr().String()
+		f["listen"] = address
 		f["settings"] = json.RawMessage(slowRefill)
 	})
 }
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -7,6 +7,7 @@
 	"strings"
 	"testing"
 
+	"sparspread/internal/porttest"
 	"sparspread/internal/resp"
 	"sparspread/policy"
 )
@@ -117,9 +118,7 @@
 
 // A backend where nothing listens has run nothing.
 func TestRequestIsRejectedAfterConnectionRefused(t *testing.T) {
-	b := newBackend(t)
-	_ = b.listener.Close()
-	d := newFakeDiscovery(t, b.listEntry("s-00000001", "Ready"))
+	d := newFakeDiscovery(t, listEntry("s-00000001", porttest.Reserve(t), "Ready"))
 	c := startGateway(t, newConfig(t, d, nil)).client(t)
 	c.send("API.WRITE", "0000000000000007", "0000000000000001", onceFields, "x")
 	if got := c.readLine(); !strings.HasPrefix(got, "-BUSY") {
--- /dev/null
+++ b/internal/porttest/porttest_test.go
@@ -0,0 +1,79 @@
+package porttest
+
+import (
+	"errors"
+	"net"
+	"net/netip"
+	"syscall"
+	"testing"
+
+	"golang.org/x/sys/unix"
+)
+
+// dial connects to an address once and returns the error.
+func dial(t *testing.T, address string) error {
+	t.Helper()
+	conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", address)
+	if err == nil {
+		_ = conn.Close()
+	}
+	return err
+}
+
+func TestReservedAddressRefusesConnectionsUntilTheTestListens(t *testing.T) {
+	address := Reserve(t)
+	for range 3 {
+		if err := dial(t, address); !errors.Is(err, syscall.ECONNREFUSED) {
+			t.Fatalf("nobody listens: error %v, want %v", err, syscall.ECONNREFUSED)
+		}
+		listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", address)
+		if err != nil {
+			t.Fatal("the test can't listen at its own address: ", err)
+		}
+		if err := dial(t, address); err != nil {
+			t.Error("the test listens: ", err)
+		}
+		if err := listener.Close(); err != nil {
+			t.Error(err)
+		}
+	}
+}
+
+// Sockets whose choice of a free port is limited to one port force what else happens by chance: the system
+// gives them no port that is reserved, neither to listen at nor to connect from.
+func TestReservedPortIsGivenToNoOtherSocket(t *testing.T) {
+	reserved := netip.MustParseAddrPort(Reserve(t)).Port()
+	onlyReservedPort := func(_, _ string, conn syscall.RawConn) error {
+		return limitToPort(conn, reserved)
+	}
+	listening := net.ListenConfig{Control: onlyReservedPort}
+	if listener, err := listening.Listen(t.Context(), "tcp", "127.0.0.1:0"); err == nil {
+		t.Errorf("a listener got the port: %v", listener.Addr())
+		_ = listener.Close()
+	} else if !errors.Is(err, syscall.EADDRINUSE) {
+		t.Errorf("listening: error %v, want %v", err, syscall.EADDRINUSE)
+	}
+
+	server, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = server.Close() }()
+	dialing := net.Dialer{Control: onlyReservedPort}
+	if conn, err := dialing.DialContext(t.Context(), "tcp", server.Addr().String()); err == nil {
+		t.Errorf("a connection got the port: %v", conn.LocalAddr())
+		_ = conn.Close()
+	} else if !errors.Is(err, syscall.EADDRNOTAVAIL) {
+		t.Errorf("connecting: error %v, want %v", err, syscall.EADDRNOTAVAIL)
+	}
+}
+
+// limitToPort has the system choose this port, or fail, where a socket asks for any free one (Linux 6.3).
+func limitToPort(conn syscall.RawConn, port uint16) error {
+	onlyPort := int(port)<<16 | int(port) // the highest and the lowest to choose from
+	var optionErr error
+	err := conn.Control(func(socket uintptr) {
+		optionErr = unix.SetsockoptInt(int(socket), unix.IPPROTO_IP, unix.IP_LOCAL_PORT_RANGE, onlyPort)
+	})
+	return errors.Join(err, optionErr)
+}
