--- /dev/null
+++ b/deploy/example/standins/serve.go
@@ -0,0 +1,135 @@
+package main
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"net"
+	"net/http"
+	"strconv"
+	"time"
+
+	"sparspread/internal/config"
+	"sparspread/internal/discovery"
+	"sparspread/internal/resp"
+)
+
+const (
+	backendCount = 2
+	listRevision = 1           // the list never changes
+	maxWatch     = time.Minute // for which a call that waits for changes is left without an answer
+	clientIDArg  = 2           // in a command for a backend
+	valueCount   = 3           // in a backend's answer
+)
+
+// serveCommand is the discovery service and the backends that it lists.
+type serveCommand struct {
+	Config string `arg:"" type:"existingfile" help:"The gateway's configuration."`
+}
+
+// Run serves until the process is killed.
+func (c *serveCommand) Run() error {
+	cfg, err := readConfig(c.Config)
+	if err != nil {
+		return err
+	}
+	ctx := context.Background()
+	list, err := startBackends(ctx, &cfg)
+	if err != nil {
+		return err
+	}
+	body, err := json.Marshal(list)
+	if err != nil {
+		return fmt.Errorf("endpoint list: %w", err)
+	}
+	listener, err := listen(ctx, cfg.Discovery)
+	if err != nil {
+		return err
+	}
+	server := &http.Server{Handler: discoveryHandler(body), ReadHeaderTimeout: maxWatch}
+	return fmt.Errorf("discovery service: %w", server.Serve(listener))
+}
+
+// startBackends starts the backends on free ports beside the discovery service and returns their list.
+func startBackends(ctx context.Context, cfg *config.Config) (discovery.Update, error) {
+	list := discovery.Update{Revision: listRevision, Complete: true}
+	host, _, err := net.SplitHostPort(cfg.Discovery)
+	if err != nil {
+		return list, fmt.Errorf("discovery address: %w", err)
+	}
+	for i := range backendCount {
+		listener, err := listen(ctx, net.JoinHostPort(host, "0"))
+		if err != nil {
+			return list, err
+		}
+		go serveBackend(listener, fmt.Sprintf("backend %d", i))
+		list.Endpoints = append(list.Endpoints, discovery.Endpoint{
+			ID: fmt.Sprintf("s-%08x", i), Address: listener.Addr().String(),
+			Zone: cfg.Host.Zones[0], Phase: "Ready", CapacityHint: 1,
+		})
+	}
+	return list, nil
+}
+
+func listen(ctx context.Context, address string) (net.Listener, error) {
+	var config net.ListenConfig
+	listener, err := config.Listen(ctx, "tcp", address)
+	if err != nil {
+		return nil, fmt.Errorf("listening: %w", err)
+	}
+	return listener, nil
+}
+
+// discoveryHandler answers a call with the list, but leaves one that waits for changes unanswered for as long
+// as it waits, and says then that there are none.
+func discoveryHandler(list []byte) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		query := r.URL.Query()
+		if !query.Has("index") {
+			_, _ = w.Write(list) // the caller may have gone
+			return
+		}
+		waitMS, err := strconv.Atoi(query.Get("wait"))
+		if err != nil {
+			http.Error(w, "wait: milliseconds wanted", http.StatusBadRequest)
+			return
+		}
+		select {
+		case <-time.After(min(maxWatch, time.Duration(waitMS)*time.Millisecond)):
+			_, _ = fmt.Fprintf(w, `{"revision":%d,"complete":false,"members":[]}`, listRevision)
+		case <-r.Context().Done():
+		}
+	}
+}
+
+// serveBackend answers all commands on all connections.
+func serveBackend(listener net.Listener, name string) {
+	for {
+		conn, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		go serveConn(conn, name)
+	}
+}
+
+func serveConn(conn net.Conn, name string) {
+	defer func() { _ = conn.Close() }()
+	in := resp.NewReader(conn)
+	for {
+		args, err := in.ReadCommand()
+		if err != nil || len(args) <= clientIDArg {
+			return
+		}
+		if _, err := conn.Write(backendAnswer(args[clientIDArg], name)); err != nil {
+			return
+		}
+	}
+}
+
+// backendAnswer is an answer with a value, without a report of the load and without a meter.
+func backendAnswer(requestID []byte, name string) []byte {
+	value := fmt.Appendf(nil, "request %s served by %s", requestID, name)
+	answer := resp.AppendBulk(resp.AppendArray(nil, valueCount), value)
+	return append(answer, "$-1\r\n$-1\r\n"...)
+}
--- /dev/null
+++ b/docs/quickstart_test.go
@@ -0,0 +1,180 @@
+package docs
+
+import (
+	"bytes"
+	"cmp"
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+)
+
+const (
+	readmePath        = "../README.md"
+	quickStartHeading = "## Quick start"
+	exampleConfig     = "deploy/example/config.json"
+	exampleHost       = "127.0.0.1"
+
+	// quickStartTimeout bounds the run of the commands; no test asserts how fast it is.
+	quickStartTimeout = 3 * time.Minute
+	// outputTimeout bounds the wait for the output of programs that a failed command leaves behind.
+	outputTimeout = 5 * time.Second
+	// planBurst is the burst of the example's smaller plan, which gets another request in ten seconds, and
+	// quickStartRequests is how many requests the quick start sends at once.
+	planBurst, quickStartRequests = 5, 8
+)
+
+// repoFile finds the files of the repository that a command names. What is below bin/ is built.
+var repoFile = regexp.MustCompile(
+	`(?:^|[\s=])(?:\./)?((?:cmd|deploy|docs|scale|tools|policy|internal)/[\w./-]+)`,
+)
+
+// The quick start does what the page says when it is pasted into a shell: the stand-ins and the gateway
+// start, the burst of the customer's plan is served and what is beyond it is rejected.
+func TestQuickStartWorksWhenPasted(t *testing.T) {
+	commands := strings.Join(indentedCommands(t, quickStartHeading), "\n")
+	dir := t.TempDir()
+	config := writeExampleConfig(t, dir)
+	replaced := replaceAll(t, commands, exampleConfig, config)
+	replaced = replaceAll(t, replaced, "bin/", filepath.Join(dir, "bin")+"/")
+	replaced = replaceAll(t, replaced, "mkdir -p bin ", "mkdir -p "+filepath.Join(dir, "bin")+" ")
+
+	output := runInShell(t, dir, replaced)
+	lines := strings.Split(output, "\n")
+	if !slices.Contains(lines, "PONG") {
+		t.Errorf("no answer to PING in:\n%s", output)
+	}
+	served, rejected := countPrefix(lines, "request "), countPrefix(lines, "BUSY ")
+	if served != planBurst || rejected != quickStartRequests-planBurst {
+		t.Errorf("%d requests served and %d rejected, want %d and %d:\n%s",
+			served, rejected, planBurst, quickStartRequests-planBurst, output)
+	}
+	for _, line := range []string{"msg=ready", "msg=stopping"} {
+		if !strings.Contains(output, line) {
+			t.Errorf("no %q in:\n%s", line, output)
+		}
+	}
+}
+
+// Every file that a command of README.md names exists.
+func TestCommandsNameFilesThatExist(t *testing.T) {
+	commands := indentedCommands(t, "")
+	if len(commands) == 0 {
+		t.Fatal("README.md has no commands")
+	}
+	for _, command := range commands {
+		for _, match := range repoFile.FindAllStringSubmatch(command, -1) {
+			path := strings.TrimSuffix(match[1], "/...")
+			if _, err := os.Stat(filepath.Join("..", path)); err != nil {
+				t.Errorf("%s: %v", command, err)
+			}
+		}
+	}
+}
+
+// The build of the quick start is that of the deployment, with the example's stand-ins beside it.
+func TestQuickStartBuildsAsTheDeploymentDoes(t *testing.T) {
+	raw, err := os.ReadFile("../deploy/balancer.toml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	match := regexp.MustCompile(`(?m)^build = "(.*)"$`).FindSubmatch(raw)
+	if match == nil {
+		t.Fatal("deploy/balancer.toml has no build")
+	}
+	if !slices.Contains(indentedCommands(t, quickStartHeading), string(match[1])) {
+		t.Errorf("no command %q in the quick start", match[1])
+	}
+}
+
+// indentedCommands returns the lines of README.md's indented blocks, without their comments, below a heading
+// and up to the next one; or all of them where no heading is given.
+func indentedCommands(t *testing.T, heading string) []string {
+	t.Helper()
+	raw, err := os.ReadFile(readmePath)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var commands []string
+	within := heading == ""
+	for line := range strings.SplitSeq(string(raw), "\n") {
+		if strings.HasPrefix(line, "## ") && heading != "" {
+			within = line == heading
+		}
+		if command, ok := strings.CutPrefix(line, "    "); ok && within {
+			command, _, _ = strings.Cut(command, "  #")
+			commands = append(commands, strings.TrimRight(command, " "))
+		}
+	}
+	if len(commands) == 0 {
+		t.Fatalf("README.md has no commands below %q", heading)
+	}
+	return commands
+}
+
+// replaceAll replaces a text that has to be there.
+func replaceAll(t *testing.T, text, from, to string) string {
+	t.Helper()
+	if !strings.Contains(text, from) {
+		t.Fatalf("no %q in the quick start:\n%s", from, text)
+	}
+	return strings.ReplaceAll(text, from, to)
+}
+
+// writeExampleConfig writes the example's configuration with a loopback address of the test's own, as its
+// ports may be in use at the usual one.
+func writeExampleConfig(t *testing.T, dir string) string {
+	t.Helper()
+	raw, err := os.ReadFile(filepath.Join("..", exampleConfig))
+	if err != nil {
+		t.Fatal(err)
+	}
+	host := fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(250), rand.IntN(250), 1+rand.IntN(250))
+	path := filepath.Join(dir, "config.json")
+	raw = bytes.ReplaceAll(raw, []byte(exampleHost), []byte(host))
+	if err := os.WriteFile(path, raw, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
+// runInShell runs commands in the repository's root and returns what they and the programs that they start
+// print. A command that fails fails the test, and so does a program that is left running.
+func runInShell(t *testing.T, dir, commands string) string {
+	t.Helper()
+	ctx, cancel := context.WithTimeout(t.Context(), quickStartTimeout)
+	defer cancel()
+	shell := exec.CommandContext(ctx, "bash", "-c", "set -e\n"+commands+"\nwait")
+	shell.Dir = ".."
+	shell.Env = append(os.Environ(), "TMPDIR="+dir)
+	// A group of its own, so that what the shell has started ends with it.
+	shell.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
+	shell.Cancel = func() error { return syscall.Kill(-shell.Process.Pid, syscall.SIGKILL) }
+	shell.WaitDelay = outputTimeout
+	output, err := shell.CombinedOutput()
+	if shell.Process != nil {
+		_ = syscall.Kill(-shell.Process.Pid, syscall.SIGKILL) // nothing is left where all went well
+	}
+	if err != nil {
+		t.Errorf("the quick start: %v", cmp.Or(ctx.Err(), err))
+	}
+	return string(output)
+}
+
+func countPrefix(lines []string, prefix string) int {
+	count := 0
+	for _, line := range lines {
+		if strings.HasPrefix(line, prefix) {
+			count++
+		}
+	}
+	return count
+}
