--- a/policy/controller.go
+++ b/policy/controller.go
@@ -8,6 +8,8 @@
 	quotaRequestTimer        // a quota request may have timed out
 )
 
+const halfSeedBits = 32 // bits of each half of a seed
+
 // Controller makes the decisions of one gateway. It is not safe for concurrent use; see the package
 // documentation for what its host must do.
 //
@@ -57,12 +59,12 @@
 		return nil, err
 	}
 	c := &Controller{
-		settings: settings, actions: actions, random: rand.New(rand.NewPCG(seed, seed>>32)),
+		settings: settings, actions: actions, random: rand.New(rand.NewPCG(seed, seed>>halfSeedBits)),
 		customers:   newCustomerTable(),
 		shared:      sharedBucket{idleOverflow: make([]float64, len(settings.Plans))},
 		sharesUsage: settings.Gateways > 1 && (settings.Gossip || settings.SharedCounter),
 		gossip: gossipState{
-			incarnation: uint32(seed>>32) ^ uint32(seed),
+			incarnation: uint32(seed>>halfSeedBits) ^ uint32(seed),
 			peers:       make([]peer, settings.Gateways),
 		},
 		backends:    newBackendTable(),
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -19,6 +19,24 @@
 
 // validate returns a SettingsError for the first field that can't be served.
 func (s *Settings) validate() error {
+	if err := s.validateCounts(); err != nil {
+		return err
+	}
+	for i := range s.Classes {
+		if objective := s.Classes[i].LatencyObjective; objective <= 0 {
+			return settingsError(fmt.Sprintf("classes[%d].aim", i), "%d, above 0 wanted", objective)
+		}
+	}
+	for i := range s.Plans {
+		if plan := &s.Plans[i]; !plan.isValid() {
+			return settingsError(fmt.Sprintf("plans[%d]", i), "rate %g with burst %g", plan.Rate, plan.Burst)
+		}
+	}
+	return nil
+}
+
+// validateCounts checks the gateways, the attempts, and how many classes and plans there are.
+func (s *Settings) validateCounts() error {
 	switch {
 	case s.Gateways < 1:
 		return settingsError("gateways", "%d, at least 1 wanted", s.Gateways)
@@ -32,15 +50,11 @@
 	case s.MaxAttempts < 0:
 		return settingsError("attempts", "%d, above 0 wanted", s.MaxAttempts)
 	}
-	for i := range s.Classes {
-		if objective := s.Classes[i].LatencyObjective; objective <= 0 {
-			return settingsError(fmt.Sprintf("classes[%d].aim", i), "%d, above 0 wanted", objective)
-		}
-	}
-	for i := range s.Plans {
-		if plan := &s.Plans[i]; plan.Rate < 0 || plan.CeilingRate < 0 || plan.Rate > 0 && plan.Burst <= 0 {
-			return settingsError(fmt.Sprintf("plans[%d]", i), "rate %g with burst %g", plan.Rate, plan.Burst)
-		}
-	}
 	return nil
 }
+
+// isValid reports whether no rate is negative and a quota has a burst.
+func (p *Plan) isValid() bool {
+	hasBurst := p.Rate == 0 || p.Burst > 0
+	return p.Rate >= 0 && p.CeilingRate >= 0 && hasBurst
+}
