--- a/docs/quickstart_test.go
+++ b/docs/quickstart_test.go
@@ -34,7 +34,7 @@
 
 // repoFile finds the files of the repository that a command names. What is below bin/ is built.
 var repoFile = regexp.MustCompile(
-	`(?:^|[\s=])(?:\./)?((?:cmd|deploy|docs|scale|tools|policy|internal)/[\w./-]+)`,
+	`(?:^|[\s=])(?:\./)?((?:\.ci|cmd|deploy|docs|scale|tools|policy|internal)/[\w./-]+)`,
 )
 
 // The quick start does what the page says when it is pasted into a shell: the stand-ins and the gateway
