--- a/internal/handover/codec.go
+++ b/internal/handover/codec.go
@@ -16,8 +16,9 @@
 )
 
 // This file has the encoded forms of the messages, and only converts. The two processes may run different
-// versions, and gob and JSON match fields by their names: the names of the types and fields that are encoded
-// are frozen. The files in testdata, written by the program of commit d086cf6, hold them.
+// versions, and gob and JSON match fields by their names: the names of the fields that are encoded are
+// frozen, and those of the types that gob writes. The files in testdata, written by the program of commit
+// d086cf6, hold them.
 
 // stateVersion is the version of handoverState.
 const stateVersion = 1
@@ -39,8 +40,9 @@
 	Age      time.Duration // since then, when it was sent; 0: the sender's version does not state it
 }
 
-// maxSilentAge is how old a connection can be that has sent no complete command: older ones were closed.
-const maxSilentAge = 5 * time.Second
+// maxAgeWithoutCommand is how old a connection can be that has sent no complete command: older ones were
+// closed.
+const maxAgeWithoutCommand = 5 * time.Second
 
 // OpenedBefore is when the connection was opened, by the clock of now. The wall clocks of the two processes
 // may differ: where the age is not stated, one that can't be is taken for none.
@@ -48,7 +50,7 @@
 	age := c.Age
 	if age == 0 {
 		age = now.Sub(c.OpenedAt)
-		if age < 0 || c.Requests == 0 && age > maxSilentAge {
+		if age < 0 || c.Requests == 0 && age > maxAgeWithoutCommand {
 			age = 0
 		}
 	}
@@ -75,7 +77,7 @@
 	Module  *policy.Snapshot
 }
 
-// member is the encoded form of an endpoint; frozen.
+// member is the encoded form of an endpoint; its name and those of its fields are frozen.
 type member struct {
 	ID       string
 	HostPort string
@@ -86,21 +88,21 @@
 	UpSince  int64
 }
 
-// passedClient is the encoded form of ClientConnection; frozen.
-type passedClient struct {
+// clientConnectionForm is the encoded form of ClientConnection; its field names are frozen.
+type clientConnectionForm struct {
 	Asked  int
 	Opened int64 // microseconds since 1970, by the writer's clock
 	Age    int64 `json:",omitempty"` // microseconds; absent in older versions
 }
 
-// sentElsewhere is the encoded form of AttemptSent; frozen.
-type sentElsewhere struct {
+// attemptSentForm is the encoded form of AttemptSent; its field names are frozen.
+type attemptSentForm struct {
 	ID      uint64
 	Backend uint32
 }
 
-// endedElsewhere is the encoded form of an attempt's outcome; frozen.
-type endedElsewhere struct {
+// attemptEndedForm is the encoded form of an attempt's outcome; its field names are frozen.
+type attemptEndedForm struct {
 	ID        uint64
 	Attempt   int
 	Backend   uint32
@@ -112,8 +114,8 @@
 	Load      []float32
 }
 
-// settledElsewhere is the encoded form of CostSettled; frozen.
-type settledElsewhere struct {
+// costSettledForm is the encoded form of CostSettled; its field names are frozen.
+type costSettledForm struct {
 	Customer uint64
 	More     float64
 }
@@ -130,6 +132,7 @@
 	return encodeForm(&form)
 }
 
+// encodeForm encodes a state that is in its frozen form already.
 func encodeForm(form *handoverState) ([]byte, error) {
 	var b bytes.Buffer
 	if err := gob.NewEncoder(&b).Encode(form); err != nil {
@@ -160,14 +163,14 @@
 
 // EncodeClientConnection encodes the message that is sent with a client's socket.
 func EncodeClientConnection(c ClientConnection) ([]byte, error) {
-	return encodeMessage(passedClient{
+	return encodeMessage(clientConnectionForm{
 		Asked: c.Requests, Opened: c.OpenedAt.UnixMicro(), Age: c.Age.Microseconds(),
 	})
 }
 
 // DecodeClientConnection decodes the message that is sent with a client's socket.
 func DecodeClientConnection(b []byte) (ClientConnection, error) {
-	var form passedClient
+	var form clientConnectionForm
 	if err := decodeMessage(b, &form); err != nil {
 		return ClientConnection{}, err
 	}
@@ -179,12 +182,12 @@
 
 // EncodeAttemptSent encodes the report of a further attempt.
 func EncodeAttemptSent(a AttemptSent) ([]byte, error) {
-	return encodeMessage(sentElsewhere{ID: a.RequestID, Backend: a.Backend})
+	return encodeMessage(attemptSentForm{ID: a.RequestID, Backend: a.Backend})
 }
 
 // DecodeAttemptSent decodes the report of a further attempt.
 func DecodeAttemptSent(b []byte) (AttemptSent, error) {
-	var form sentElsewhere
+	var form attemptSentForm
 	if err := decodeMessage(b, &form); err != nil {
 		return AttemptSent{}, err
 	}
@@ -193,7 +196,7 @@
 
 // EncodeAttemptEnded encodes the outcome of an attempt.
 func EncodeAttemptEnded(o policy.Outcome) ([]byte, error) {
-	return encodeMessage(endedElsewhere{
+	return encodeMessage(attemptEndedForm{
 		ID: o.RequestID, Attempt: o.Attempt, Backend: o.Backend, Result: uint8(o.Result), Took: o.Latency,
 		Over: o.Answered, Metered: o.MeterReading, TrueUnits: o.ActualCost, Load: o.LoadReport,
 	})
@@ -201,7 +204,7 @@
 
 // DecodeAttemptEnded decodes the outcome of an attempt.
 func DecodeAttemptEnded(b []byte) (policy.Outcome, error) {
-	var form endedElsewhere
+	var form attemptEndedForm
 	if err := decodeMessage(b, &form); err != nil {
 		return policy.Outcome{}, err
 	}
@@ -214,18 +217,19 @@
 
 // EncodeCostSettled encodes the settlement of a cost.
 func EncodeCostSettled(s CostSettled) ([]byte, error) {
-	return encodeMessage(settledElsewhere{Customer: s.Customer, More: s.Extra})
+	return encodeMessage(costSettledForm{Customer: s.Customer, More: s.Extra})
 }
 
 // DecodeCostSettled decodes the settlement of a cost.
 func DecodeCostSettled(b []byte) (CostSettled, error) {
-	var form settledElsewhere
+	var form costSettledForm
 	if err := decodeMessage(b, &form); err != nil {
 		return CostSettled{}, err
 	}
 	return CostSettled{Customer: form.Customer, Extra: form.More}, nil
 }
 
+// encodeMessage encodes the frozen form of a message.
 func encodeMessage(form any) ([]byte, error) {
 	b, err := json.Marshal(form)
 	if err != nil {
@@ -234,6 +238,7 @@
 	return b, nil
 }
 
+// decodeMessage decodes the frozen form of a message into form, a pointer.
 func decodeMessage(b []byte, form any) error {
 	if err := json.Unmarshal(b, form); err != nil {
 		return fmt.Errorf("handover: decode a message: %w", err)
--- a/internal/handover/codec_test.go
+++ b/internal/handover/codec_test.go
@@ -122,6 +122,7 @@
 			}
 			wantSameFields(t, got.Field(i).Type, want.Field(i).Type)
 		}
+	default: // a plain value has no fields
 	}
 }
 
@@ -173,59 +174,49 @@
 }
 
 func TestRecordedMessagesAreReadAndWritten(t *testing.T) {
-	for _, c := range []struct {
-		file  string
-		want  any
-		read  func([]byte) (any, error)
-		write func(any) ([]byte, error)
-	}{
-		{
-			"client.json",
-			ClientConnection{Requests: 1, OpenedAt: time.UnixMicro(2)},
-			func(b []byte) (any, error) { return DecodeClientConnection(b) },
-			func(m any) ([]byte, error) { return EncodeClientConnection(m.(ClientConnection)) },
-		},
-		{
-			"attempt-sent.json",
-			AttemptSent{RequestID: 1, Backend: 2},
-			func(b []byte) (any, error) { return DecodeAttemptSent(b) },
-			func(m any) ([]byte, error) { return EncodeAttemptSent(m.(AttemptSent)) },
-		},
-		{
-			"attempt-ended.json",
-			policy.Outcome{
-				RequestID: 1, Attempt: 2, Backend: 3, Result: policy.ResultOverloaded, Latency: 5,
-				Answered: true, MeterReading: 7, ActualCost: 8.5, LoadReport: []float32{9.5, 10.5},
-			},
-			func(b []byte) (any, error) { return DecodeAttemptEnded(b) },
-			func(m any) ([]byte, error) { return EncodeAttemptEnded(m.(policy.Outcome)) },
-		},
-		{
-			"cost-settled.json",
-			CostSettled{Customer: 1, Extra: 2.5},
-			func(b []byte) (any, error) { return DecodeCostSettled(b) },
-			func(m any) ([]byte, error) { return EncodeCostSettled(m.(CostSettled)) },
-		},
-	} {
-		t.Run(c.file, func(t *testing.T) {
-			raw := readRecorded(t, c.file)
-			got, err := c.read(raw)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if !reflect.DeepEqual(got, c.want) {
-				t.Errorf("read %+v, want %+v", got, c.want)
-			}
-			written, err := c.write(got)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if !bytes.Equal(written, raw) {
-				t.Errorf("wrote %s, want %s", written, raw)
-			}
-			if _, err := c.read(raw[:len(raw)-1]); err == nil {
-				t.Error("a message that is cut was read")
-			}
-		})
+	t.Run("client", func(t *testing.T) {
+		want := ClientConnection{Requests: 1, OpenedAt: time.UnixMicro(2)}
+		wantRecorded(t, "client.json", want, DecodeClientConnection, EncodeClientConnection)
+	})
+	t.Run("attempt sent", func(t *testing.T) {
+		want := AttemptSent{RequestID: 1, Backend: 2}
+		wantRecorded(t, "attempt-sent.json", want, DecodeAttemptSent, EncodeAttemptSent)
+	})
+	t.Run("attempt ended", func(t *testing.T) {
+		want := policy.Outcome{
+			RequestID: 1, Attempt: 2, Backend: 3, Result: policy.ResultOverloaded, Latency: 5,
+			Answered: true, MeterReading: 7, ActualCost: 8.5, LoadReport: []float32{9.5, 10.5},
+		}
+		wantRecorded(t, "attempt-ended.json", want, DecodeAttemptEnded, EncodeAttemptEnded)
+	})
+	t.Run("cost settled", func(t *testing.T) {
+		want := CostSettled{Customer: 1, Extra: 2.5}
+		wantRecorded(t, "cost-settled.json", want, DecodeCostSettled, EncodeCostSettled)
+	})
+}
+
+// wantRecorded checks that a recorded message is read as want, written again to the byte, and refused when
+// it is cut.
+func wantRecorded[T any](
+	t *testing.T, file string, want T, decode func([]byte) (T, error), encode func(T) ([]byte, error),
+) {
+	t.Helper()
+	raw := readRecorded(t, file)
+	got, err := decode(raw)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("read %+v, want %+v", got, want)
+	}
+	written, err := encode(got)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(written, raw) {
+		t.Errorf("wrote %s, want %s", written, raw)
+	}
+	if _, err := decode(raw[:len(raw)-1]); err == nil {
+		t.Error("a message that is cut was read")
 	}
 }
--- a/internal/handover/conn.go
+++ b/internal/handover/conn.go
@@ -27,6 +27,7 @@
 	onSent func()          // called when the message is written or can't be; nil: nobody
 }
 
+// newLink returns a link that owns the connection and begins to write what is queued.
 func newLink(conn *net.UnixConn) *Link {
 	link := &Link{
 		conn:    conn,
@@ -56,12 +57,13 @@
 	_ = k.conn.Close()
 }
 
+// send queues a message. It blocks while the queue is full.
 func (k *Link) send(m outgoingMessage) { k.queue <- m }
 
-// sendInParts sends a body of any length. The last part has a kind of its own.
-func (k *Link) sendInParts(part, last kind, body []byte) {
+// sendInChunks sends a body of any length. The last chunk has a kind of its own.
+func (k *Link) sendInChunks(chunk, last kind, body []byte) {
 	for len(body) > maxBodyBytes {
-		k.send(outgoingMessage{kind: part, body: body[:maxBodyBytes]})
+		k.send(outgoingMessage{kind: chunk, body: body[:maxBodyBytes]})
 		body = body[maxBodyBytes:]
 	}
 	k.send(outgoingMessage{kind: last, body: body})
@@ -69,7 +71,7 @@
 
 // SendState sends an encoded state.
 func (k *Link) SendState(encoded []byte) {
-	k.sendInParts(kindStatePart, kindStateEnd, encoded)
+	k.sendInChunks(kindStateChunk, kindStateEnd, encoded)
 }
 
 // SendGo lets the successor decide from now on.
@@ -82,7 +84,7 @@
 	client ClientConnection, input []byte, socket syscall.RawConn, onSent func(),
 ) error {
 	if len(input) > 0 {
-		k.sendInParts(kindInput, kindInput, input)
+		k.sendInChunks(kindInput, kindInput, input)
 	}
 	body, err := EncodeClientConnection(client)
 	k.send(outgoingMessage{kind: kindClient, body: body, socket: socket, onSent: onSent})
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -11,11 +11,11 @@
 	kindHello        kind = 'h' // asks for the sockets
 	kindSockets      kind = 'l' // carries the listening socket and, with gossip, the UDP socket
 	kindTakeover     kind = 't' // the successor is ready: asks for the state
-	kindStatePart    kind = 's' // a part of the state that others follow
-	kindStateEnd     kind = 'S' // the last part of the state
+	kindStateChunk   kind = 's' // a chunk of the state that others follow
+	kindStateEnd     kind = 'S' // the last chunk of the state
 	kindAccepted     kind = 'a' // the successor has decoded the state
 	kindGo           kind = 'g' // the predecessor has given up ownership: the successor decides from here on
-	kindInput        kind = 'b' // a part of the input read from the client whose socket follows
+	kindInput        kind = 'b' // a chunk of the input read from the client whose socket follows
 	kindClient       kind = 'c' // carries a client's socket
 	kindAttemptSent  kind = 'n' // a further attempt of a request that stayed with the predecessor
 	kindAttemptEnded kind = 'o' // the outcome of an attempt of such a request
--- a/internal/handover/predecessor.go
+++ b/internal/handover/predecessor.go
@@ -83,7 +83,7 @@
 func handOver(
 	conn *net.UnixConn, clients *net.TCPListener, gossip *net.UDPConn, events PredecessorEvents,
 ) error {
-	if err := offerSockets(conn, clients, gossip); err != nil {
+	if err := sendSockets(conn, clients, gossip); err != nil {
 		_ = conn.Close()
 		return err
 	}
@@ -92,14 +92,14 @@
 	err := expect(conn, kindAccepted, transferTimeout)
 	if err == nil {
 		events.StateAccepted(link)
-		awaitEnd(conn)
+		awaitExit(conn)
 	}
 	events.SuccessorExited(link)
 	return err
 }
 
-// offerSockets sends the sockets and waits until the successor is ready for the state.
-func offerSockets(conn *net.UnixConn, clients *net.TCPListener, gossip *net.UDPConn) error {
+// sendSockets sends the sockets and waits until the successor is ready for the state.
+func sendSockets(conn *net.UnixConn, clients *net.TCPListener, gossip *net.UDPConn) error {
 	if err := expect(conn, kindHello, replyTimeout); err != nil {
 		return err
 	}
@@ -114,6 +114,7 @@
 	return expect(conn, kindTakeover, readyTimeout)
 }
 
+// rawSockets returns the sockets that the successor is to serve on.
 func rawSockets(clients *net.TCPListener, gossip *net.UDPConn) ([]syscall.RawConn, error) {
 	sockets := make([]syscall.RawConn, 0, maxSockets)
 	raw, err := clients.SyscallConn()
@@ -144,12 +145,12 @@
 	return nil
 }
 
-// awaitEnd waits until the successor ends. It has nothing more to say: any message counts as its end.
-func awaitEnd(conn *net.UnixConn) {
+// awaitExit waits until the successor exits. It has nothing more to say: any message counts as its exit.
+func awaitExit(conn *net.UnixConn) {
 	_ = conn.SetReadDeadline(time.Time{}) // fails only on a closed connection
 	message, err := readMessage(conn, make([]byte, 1+requestBodyBytes))
 	if err != nil {
-		return // the end that was waited for
+		return // the exit that was waited for
 	}
 	closeFiles(message.files)
 }
--- a/internal/handover/socket.go
+++ b/internal/handover/socket.go
@@ -30,6 +30,7 @@
 	return filepath.Join(os.TempDir(), socketPrefix+name+".sock")
 }
 
+// socketAddress is the address of the handover socket at a path.
 func socketAddress(path string) *net.UnixAddr {
 	return &net.UnixAddr{Name: path, Net: socketNetwork}
 }
@@ -51,6 +52,7 @@
 	return openSocket[*net.TCPConn](file, func(f *os.File) (any, error) { return net.FileConn(f) })
 }
 
+// openSocket makes a socket of type T of a received file, which stays open.
 func openSocket[T any](file *os.File, open func(*os.File) (any, error)) (T, error) {
 	var none T
 	opened, err := open(file)
@@ -64,6 +66,7 @@
 	return socket, nil
 }
 
+// closeFiles closes received sockets that are not needed, or of which there is a duplicate.
 func closeFiles(files []*os.File) {
 	for _, f := range files {
 		_ = f.Close() // a duplicate of a descriptor that is open elsewhere
--- a/internal/handover/successor.go
+++ b/internal/handover/successor.go
@@ -78,6 +78,7 @@
 	return nil
 }
 
+// dialOnce connects to the process at a path and receives its sockets.
 func dialOnce(path string, log *slog.Logger) (*Takeover, error) {
 	conn, err := net.DialUnix(socketNetwork, nil, socketAddress(path))
 	if err != nil {
@@ -115,6 +116,7 @@
 	return err
 }
 
+// closeSockets closes the sockets that were received; a takeover that failed has no use for them.
 func (t *Takeover) closeSockets() {
 	if t.Clients != nil {
 		_ = t.Clients.Close()
@@ -154,8 +156,8 @@
 	t.start.Do(func() { go t.run(events) })
 }
 
-// run requests the state and then follows the predecessor until that ends. Where the state can't be had, this
-// process begins without one, on the sockets that it has.
+// run requests the state and then watches the predecessor until that exits. Where the state can't be had,
+// this process begins without one, on the sockets that it has.
 func (t *Takeover) run(events SuccessorEvents) {
 	for attempt := 1; ; attempt++ {
 		state, early, err := t.requestState()
@@ -164,7 +166,7 @@
 			for _, deliver := range early {
 				deliver(events)
 			}
-			t.followPredecessor(events)
+			t.watchPredecessor(events)
 			events.PredecessorExited()
 			return
 		}
@@ -194,7 +196,7 @@
 		switch {
 		case err != nil:
 			return nil, nil, err
-		case messageKind == kindStatePart:
+		case messageKind == kindStateChunk:
 			encoded = append(encoded, body...)
 		case messageKind == kindStateEnd:
 			encoded = append(encoded, body...)
@@ -219,8 +221,8 @@
 	return state, writeMessage(t.conn, kindAccepted, nil)
 }
 
-// followPredecessor delivers what the predecessor sends until it ends.
-func (t *Takeover) followPredecessor(events SuccessorEvents) {
+// watchPredecessor delivers what the predecessor sends until it ends.
+func (t *Takeover) watchPredecessor(events SuccessorEvents) {
 	reader := newMessageReader(t.conn)
 	for {
 		_, _, deliver, err := reader.next()
@@ -241,6 +243,7 @@
 	input  []byte // of the client whose socket follows
 }
 
+// newMessageReader returns a reader that leaves the connection to its owner.
 func newMessageReader(conn *net.UnixConn) *messageReader {
 	return &messageReader{conn: conn, buffer: make([]byte, 1+maxBodyBytes)}
 }
@@ -264,6 +267,8 @@
 		deliver = decodeDelivery(message.body, DecodeAttemptEnded, SuccessorEvents.AttemptEnded)
 	case kindCostSettled:
 		deliver = decodeDelivery(message.body, DecodeCostSettled, SuccessorEvents.CostSettled)
+	case kindHello, kindSockets, kindTakeover, kindStateChunk, kindStateEnd, kindAccepted, kindGo:
+		// The handover's own messages: requestState acts on those that it waits for.
 	}
 	return message.kind, message.body, deliver, nil
 }
@@ -285,6 +290,7 @@
 	return func(events SuccessorEvents) { events.ClientReceived(client) }
 }
 
+// decodeDelivery decodes a report, to be passed on by report; nil if it can't be decoded.
 func decodeDelivery[T any](
 	body []byte, decode func([]byte) (T, error), report func(SuccessorEvents, T),
 ) delivery {
