--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -10,6 +10,7 @@
 	baseBackoff         = 100 * time.Millisecond // at most after the first failure, doubled with each
 	maxUnansweredDelay  = 2 * time.Second        // to which the doubling goes
 	maxBackoffDoublings = 16                     // keeps the shift from overflowing
+	refusedJitter       = 10                     // of a delay, a tenth is random from the second refusal on
 )
 
 // backoff draws the delay after a failed call; previous is how many calls in a row failed before it or,
@@ -30,7 +31,7 @@
 	case errors.Is(err, errRefused):
 		longest = c.maxBackoff
 		if previous > 0 {
-			shortest = longest * 9 / 10
+			shortest = longest - longest/refusedJitter
 		}
 	}
 	return shortest + time.Duration(c.random.Int64N(int64(longest-shortest))) + time.Millisecond
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -30,6 +30,13 @@
 	minEmptyWatch = 50 * time.Millisecond
 )
 
+// With an agent the times of a call are fractions of the grace of a drain, so that a call and the backoff
+// after it end well within that grace.
+const (
+	slackFraction   = 2 // a half, at most, for an answer after the wait
+	backoffFraction = 5 // a fifth, at most, for the backoff
+)
+
 // listPath is the resource on the service that lists the endpoints.
 const listPath = "/catalog/members"
 
@@ -89,10 +96,9 @@
 		// The call after the backoff has its wait, and is over before the delivery limit of the refused one.
 		c.maxBackoff = deliveryLimit - watchWait - maxAnswerSlack - baseBackoff
 	} else if grace := config.DrainGrace; grace > 0 {
-		// The agent answers at once or not at all, and what it has counts as delivered as soon as it has
-		// it: a call and the backoff after it end well within the grace of a drain.
-		c.slack = min(maxAnswerSlack, grace/2)
-		c.maxBackoff = min(baseBackoff, grace/5)
+		// The agent answers at once or not at all, and what it has counts as delivered as soon as it has it.
+		c.slack = min(maxAnswerSlack, grace/slackFraction)
+		c.maxBackoff = min(baseBackoff, grace/backoffFraction)
 	}
 	dial := config.DialContext
 	if dial == nil {
@@ -185,6 +191,7 @@
 	refusals int           // those of them that the service answered
 }
 
+// succeeded records the revision of an update: the next call waits for what changes after it.
 func (w *watcher) succeeded(revision uint64) {
 	w.revision, w.wait = &revision, watchWait
 	w.failures, w.refusals = 0, 0
--- a/internal/discovery/decode.go
+++ b/internal/discovery/decode.go
@@ -8,6 +8,22 @@
 	"strings"
 )
 
+// TokenError says that an update has another JSON token than its form has at that place.
+type TokenError struct {
+	Field string     // whose value it is; empty: the update itself, or the end of a list
+	Got   json.Token // nil: null
+	Want  string
+}
+
+// Error names the field, where there is one, and both tokens.
+func (e *TokenError) Error() string {
+	text := fmt.Sprintf("got %v, want %s", e.Got, e.Want)
+	if e.Field == "" {
+		return text
+	}
+	return e.Field + ": " + text
+}
+
 // Decode reads an update one endpoint at a time, so that the JSON text is never in memory as a whole. It
 // accepts what encoding/json would accept, except null for the update itself; a truncated update is an
 // error.
@@ -42,6 +58,7 @@
 	return decoder.Decode(&skippedValue{})
 }
 
+// decodeEndpoints reads the list of endpoints.
 func (u *Update) decodeEndpoints(decoder *json.Decoder) error {
 	u.Endpoints = nil
 	switch token, err := decoder.Token(); {
@@ -50,7 +67,7 @@
 	case token == nil: // null stands for an empty list
 		return nil
 	case token != json.Delim('['):
-		return fmt.Errorf("members: got %v, want a list", token)
+		return &TokenError{Field: "members", Got: token, Want: "a list"}
 	}
 	for decoder.More() {
 		var endpoint Endpoint
@@ -76,7 +93,7 @@
 	case err != nil:
 		return err
 	case token != want:
-		return fmt.Errorf("got %v, want %v", token, want)
+		return &TokenError{Got: token, Want: want.String()}
 	}
 	return nil
 }
--- a/internal/discovery/decode_test.go
+++ b/internal/discovery/decode_test.go
@@ -3,12 +3,14 @@
 import (
 	"bytes"
 	"encoding/json"
-	"fmt"
+	"errors"
 	"reflect"
+	"strconv"
 	"strings"
 	"testing"
 )
 
+// decode reads an update from its text.
 func decode(text string) (Update, error) {
 	var update Update
 	err := update.Decode(json.NewDecoder(strings.NewReader(text)))
@@ -57,10 +59,25 @@
 	}
 }
 
+func TestDecodeNamesTheUnexpectedToken(t *testing.T) {
+	for text, want := range map[string]string{
+		`[]`:             "got [, want {",
+		`null`:           "got <nil>, want {",
+		`{"members":7}`:  "members: got 7, want a list",
+		`{"members":{}}`: "members: got {, want a list",
+	} {
+		_, err := decode(text)
+		var tokenErr *TokenError
+		if !errors.As(err, &tokenErr) || err.Error() != want {
+			t.Errorf("%s: error %v, want %s", text, err, want)
+		}
+	}
+}
+
 // docs/CAPACITY.md uses the figures of this benchmark.
 func BenchmarkReadListByMembers(b *testing.B) {
 	for _, endpoints := range []int{46, 830, 8300, 83000} {
-		b.Run(fmt.Sprint(endpoints), func(b *testing.B) {
+		b.Run(strconv.Itoa(endpoints), func(b *testing.B) {
 			text := listJSON(b, endpoints)
 			b.ReportAllocs()
 			b.SetBytes(int64(len(text)))
--- a/internal/discovery/delivery_test.go
+++ b/internal/discovery/delivery_test.go
@@ -28,7 +28,7 @@
 		return respond(r, http.StatusOK, strings.NewReader(oneEndpoint[:40]))
 	},
 	"list stalls": func(r *http.Request) (*http.Response, error) {
-		body := io.MultiReader(strings.NewReader(oneEndpoint[:40]), hangingBody{r.Context()})
+		body := io.MultiReader(strings.NewReader(oneEndpoint[:40]), hangingBody(r.Context().Done()))
 		return respond(r, http.StatusOK, body)
 	},
 	"watch silent": func(r *http.Request) (*http.Response, error) {
--- a/internal/discovery/fake_test.go
+++ b/internal/discovery/fake_test.go
@@ -8,6 +8,7 @@
 	"io"
 	"log/slog"
 	"net/http"
+	"strconv"
 	"strings"
 	"sync"
 	"testing"
@@ -114,12 +115,14 @@
 	return func(r *http.Request) (*http.Response, error) { return respond(r, http.StatusOK, body(r)) }
 }
 
+// respond answers a call.
 func respond(r *http.Request, status int, body io.Reader) (*http.Response, error) {
 	return &http.Response{
-		StatusCode: status, Status: fmt.Sprint(status), Request: r, Body: io.NopCloser(body),
+		StatusCode: status, Status: strconv.Itoa(status), Request: r, Body: io.NopCloser(body),
 	}, nil
 }
 
+// refuse answers that the service cannot serve the call now.
 func refuse(r *http.Request) (*http.Response, error) {
 	return respond(r, http.StatusServiceUnavailable, strings.NewReader(""))
 }
@@ -130,19 +133,19 @@
 	return nil, r.Context().Err()
 }
 
-// hangingBody yields nothing until its call is cancelled.
-type hangingBody struct{ call context.Context }
+// hangingBody yields nothing until its call is cancelled, which closes the channel.
+type hangingBody <-chan struct{}
 
 func (b hangingBody) Read([]byte) (int, error) {
-	<-b.call.Done()
-	return 0, b.call.Err()
+	<-b
+	return 0, errCallerGone
 }
 
 // slowBody yields a part each interval until its call is cancelled.
 type slowBody struct {
-	call     context.Context
-	interval time.Duration
-	parts    []string
+	cancelled <-chan struct{}
+	interval  time.Duration
+	parts     []string
 }
 
 func (b *slowBody) Read(buffer []byte) (int, error) {
@@ -151,8 +154,8 @@
 	}
 	select {
 	case <-time.After(b.interval):
-	case <-b.call.Done():
-		return 0, b.call.Err()
+	case <-b.cancelled:
+		return 0, errCallerGone
 	}
 	n := copy(buffer, b.parts[0])
 	if b.parts[0] = b.parts[0][n:]; b.parts[0] == "" {
@@ -189,7 +192,7 @@
 }
 
 func (s *queueingService) RoundTrip(r *http.Request) (*http.Response, error) {
-	if r.URL.Query().Get("index") == fmt.Sprint(testRevision) {
+	if r.URL.Query().Get("index") == strconv.Itoa(testRevision) {
 		return hang(r)
 	}
 	now := time.Now()
--- a/internal/discovery/fetch_test.go
+++ b/internal/discovery/fetch_test.go
@@ -38,7 +38,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				started := time.Now()
 				service := respondWith(func(r *http.Request) io.Reader {
-					body := &slowBody{call: r.Context(), interval: maxAnswerSlack * 9 / 10}
+					body := &slowBody{cancelled: r.Context().Done(), interval: maxAnswerSlack * 9 / 10}
 					for i := range test.parts {
 						from, to := i*len(oneEndpoint)/test.parts, (i+1)*len(oneEndpoint)/test.parts
 						body.parts = append(body.parts, oneEndpoint[from:to])
