--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -3,6 +3,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"math"
@@ -27,6 +28,9 @@
 	maxResponseBody = 256             // bytes
 )
 
+// errNotFinite says that the counter answered with NaN or an infinity.
+var errNotFinite = errors.New("is not finite")
+
 // Config is what a Client has to know of its deployment.
 type Config struct {
 	Address string        // host and port of the counter
@@ -82,6 +86,7 @@
 	return c
 }
 
+// baseURL is the resource of all counters at an address.
 func baseURL(address string) string { return "http://" + address + "/v1/count/" }
 
 // Run makes the calls until the context ends.
@@ -93,6 +98,7 @@
 	running.Wait()
 }
 
+// runQueue makes the calls of one queue, one after another, until the context ends.
 func (c *Client) runQueue(ctx context.Context, queue <-chan call) {
 	for {
 		select {
@@ -183,7 +189,7 @@
 		return 0, err
 	}
 	if math.IsNaN(total) || math.IsInf(total, 0) {
-		return 0, fmt.Errorf("total %g is not finite", total)
+		return 0, fmt.Errorf("total %g %w", total, errNotFinite)
 	}
 	return total, nil
 }
--- a/internal/counter/counter_test.go
+++ b/internal/counter/counter_test.go
@@ -23,8 +23,10 @@
 	return client, answers
 }
 
+// address is where a test server listens.
 func address(server *httptest.Server) string { return strings.TrimPrefix(server.URL, "http://") }
 
+// receive waits for a value that has to come.
 func receive[T any](t *testing.T, from <-chan T, what string) T {
 	t.Helper()
 	select {
@@ -38,7 +40,7 @@
 
 // dropConnection ends a call's connection without a response.
 func dropConnection(w http.ResponseWriter) {
-	conn, _, err := w.(http.Hijacker).Hijack()
+	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		panic(err)
 	}
