--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -16,6 +16,9 @@
 // MaxMessageBytes is the protocol's limit for a message.
 const MaxMessageBytes = 256
 
+// errNoUDPSocket says that the socket options of Config made another kind of socket.
+var errNoUDPSocket = errors.New("no UDP socket")
+
 // Config is what a Transport has to know of its deployment.
 type Config struct {
 	ListenAddress string
@@ -53,7 +56,12 @@
 	if err != nil {
 		return fmt.Errorf("peer_listen: %w", err)
 	}
-	t.conn = conn.(*net.UDPConn)
+	udp, ok := conn.(*net.UDPConn)
+	if !ok {
+		_ = conn.Close() // it is not used
+		return fmt.Errorf("peer_listen: %w", errNoUDPSocket)
+	}
+	t.conn = udp
 	return nil
 }
 
--- a/internal/gossip/transport_test.go
+++ b/internal/gossip/transport_test.go
@@ -11,11 +11,13 @@
 // testTimeout bounds every wait for something that has to happen.
 const testTimeout = 30 * time.Second
 
+// received is a message that a transport has passed on.
 type received struct {
 	peer    int
 	message string
 }
 
+// listenUDP opens a socket on loopback that the test's end closes.
 func listenUDP(t *testing.T) *net.UDPConn {
 	t.Helper()
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -29,7 +31,10 @@
 	return conn
 }
 
-func addrPort(conn *net.UDPConn) netip.AddrPort { return conn.LocalAddr().(*net.UDPAddr).AddrPort() }
+// addrPort is the address of a socket.
+func addrPort(conn *net.UDPConn) netip.AddrPort {
+	return netip.MustParseAddrPort(conn.LocalAddr().String())
+}
 
 // newTestTransport returns a transport with number 0 beside a peer with number 1, and what it receives.
 func newTestTransport(listenAddress string, peer *net.UDPConn) (*Transport, <-chan received) {
@@ -44,6 +49,7 @@
 	return transport, messages
 }
 
+// listen opens a transport's socket, which the test's end closes.
 func listen(t *testing.T, transport *Transport) {
 	t.Helper()
 	if err := transport.Listen(); err != nil {
@@ -52,6 +58,7 @@
 	t.Cleanup(transport.Close)
 }
 
+// send sends a message past the transport under test.
 func send(t *testing.T, from *net.UDPConn, to netip.AddrPort, message []byte) {
 	t.Helper()
 	if _, err := from.WriteToUDPAddrPort(message, to); err != nil {
@@ -59,6 +66,7 @@
 	}
 }
 
+// expect waits for the next message and compares it.
 func expect(t *testing.T, messages <-chan received, want received) {
 	t.Helper()
 	select {
