--- a/internal/ops/server.go
+++ b/internal/ops/server.go
@@ -3,6 +3,7 @@
 package ops
 
 import (
+	"context"
 	"fmt"
 	"net"
 	"net/http"
@@ -41,7 +42,8 @@
 	if address == "" {
 		return s, nil
 	}
-	listener, err := net.Listen("tcp", address)
+	var config net.ListenConfig
+	listener, err := config.Listen(context.Background(), "tcp", address) // does not block
 	if err != nil {
 		return nil, fmt.Errorf("ops: %w", err)
 	}
@@ -85,6 +87,7 @@
 	}
 }
 
+// serveReadiness answers whether the gateway accepts clients, by status and text.
 func (s *Server) serveReadiness(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", contentType)
 	answer := "yes"
@@ -95,6 +98,7 @@
 	_, _ = fmt.Fprintln(w, answer) // fails only when the operator has gone
 }
 
+// serveStats answers with the page of metrics.
 func (s *Server) serveStats(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", contentType)
 	_, _ = w.Write(s.stats()) // fails only when the operator has gone
--- a/internal/ops/server_test.go
+++ b/internal/ops/server_test.go
@@ -42,7 +42,7 @@
 // request makes one request on a connection of its own.
 func request(t *testing.T, s *Server, method, path string) (status int, body string) {
 	t.Helper()
-	req, err := http.NewRequest(method, "http://"+s.Addr().String()+path, nil)
+	req, err := http.NewRequestWithContext(t.Context(), method, "http://"+s.Addr().String()+path, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -102,8 +102,9 @@
 func TestUnfinishedRequestsKeepNobodyOut(t *testing.T) {
 	s := startServer(t)
 	var unfinished []net.Conn
+	var dialer net.Dialer
 	for range 2 * testMaxConnections {
-		conn, err := net.Dial("tcp", s.Addr().String())
+		conn, err := dialer.DialContext(t.Context(), "tcp", s.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
