--- a/internal/descriptors/budget.go
+++ b/internal/descriptors/budget.go
@@ -28,6 +28,13 @@
 	// minRejectSlots is the least number of connections beyond the clients' share that are accepted to be
 	// rejected.
 	minRejectSlots = 4
+	// Of the descriptors that are not spare, clients get at most two fifths, and backends as many.
+	sideParts = 2
+	allParts  = 5
+	// sides are the two that share what all other parts leave: clients and backends.
+	sides = 2
+	// rejectFraction is how many connections that are served go with one that is accepted to be rejected.
+	rejectFraction = 4
 	// minOperators is the least number of operators' connections; one for each operatorShare descriptors are
 	// allowed, up to ops.MaxConnections.
 	minOperators  = 2
@@ -50,10 +57,13 @@
 	if withCounter {
 		others += counterDescriptors
 	}
-	perSide := min((descriptors-spareDescriptors)*2/5, (descriptors-others-minRejectSlots)/2)
+	perSide := min(
+		(descriptors-spareDescriptors)*sideParts/allParts,
+		(descriptors-others-minRejectSlots)/sides,
+	)
 	return Budget{
 		PerSide:     perSide,
-		ClientSlots: perSide + max(minRejectSlots, perSide/4),
+		ClientSlots: perSide + max(minRejectSlots, perSide/rejectFraction),
 		Operators:   operators,
 	}
 }
--- a/internal/descriptors/limit.go
+++ b/internal/descriptors/limit.go
@@ -9,15 +9,18 @@
 	"sparspread/internal/config"
 )
 
+// errTooFewFiles says how many files a gateway has to be able to open.
+var errTooFewFiles = fmt.Errorf("at least %d wanted", config.MinSockets)
+
 // ProcessLimit returns how many descriptors the process may open, and an error if those are too few for a
-// gateway.
+// gateway. A limit that can't be read is none: the configuration's number holds.
 func ProcessLimit() (int, error) {
 	var limit syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
-		return math.MaxInt32, nil // unknown: the configuration's number holds
+	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit) != nil {
+		return math.MaxInt32, nil
 	}
 	if limit.Cur < config.MinSockets {
-		return 0, fmt.Errorf("limit of open files: %d, at least %d wanted", limit.Cur, config.MinSockets)
+		return 0, fmt.Errorf("limit of open files: %d, %w", limit.Cur, errTooFewFiles)
 	}
 	return int(min(limit.Cur, math.MaxInt32)), nil
 }
@@ -29,6 +32,6 @@
 		return cfg.Sockets
 	}
 	log.Warn("fewer descriptors than configured",
-		"limits.sockets", cfg.Sockets, "limit_of_open_files", cfg.DescriptorLimit)
+		slog.Group("limits", "sockets", cfg.Sockets), "limit_of_open_files", cfg.DescriptorLimit)
 	return cfg.DescriptorLimit
 }
