--- a/internal/resp/command.go
+++ b/internal/resp/command.go
@@ -17,6 +17,7 @@
 	return r.readCommand(true)
 }
 
+// readCommand reads a command, and with streamLast leaves a large last value to the caller.
 func (r *Reader) readCommand(streamLast bool) ([][]byte, int, error) {
 	for {
 		head, err := r.readLine()
@@ -36,43 +37,59 @@
 	}
 }
 
+// argBuffer has the values of a command one behind the other.
+type argBuffer struct {
+	values   []byte
+	ends     [MaxArgs]int // of the values
+	tooLarge bool         // the command exceeds a limit: none of its values is kept
+}
+
 // readArgs reads the bulk strings of a command into one buffer, except for a large last one if streamLast.
 func (r *Reader) readArgs(count int, streamLast bool) (args [][]byte, streamedSize int, err error) {
-	tooLarge := count > MaxArgs
-	var ends [MaxArgs]int // of the values, in buf
-	buf := make([]byte, 0, initialCommandSize)
+	b := argBuffer{values: make([]byte, 0, initialCommandSize), tooLarge: count > MaxArgs}
 	for i := range count {
-		mayStream := streamLast && !tooLarge && i > 0 && i == count-1
-		maxSize := maxDiscardedValue
-		if mayStream {
-			maxSize = MaxStreamedValue
-		}
-		size, err := r.readBulkHead(maxSize)
+		mayStream := streamLast && !b.tooLarge && i > 0 && i == count-1
+		size, err := r.readBulkHead(maxArgSize(mayStream))
 		if err != nil {
 			return nil, 0, unexpectedEOF(err)
 		}
 		if mayStream && size > MaxValue {
-			return splitArgs(buf, ends[:i]), size, nil
-		}
-		tooLarge = tooLarge || size > MaxValue || len(buf)+size > MaxCommand
-		if tooLarge {
-			buf = nil
-			_, err = r.in.Discard(size)
-		} else {
-			ends[i] = len(buf) + size
-			buf, err = r.appendValue(buf, size)
+			return splitArgs(b.values, b.ends[:i]), size, nil
 		}
-		if err == nil {
-			err = r.readLineEnd()
-		}
-		if err != nil {
+		if err := r.readArg(&b, i, size); err != nil {
 			return nil, 0, unexpectedEOF(err)
 		}
 	}
-	if tooLarge {
+	if b.tooLarge {
 		return nil, 0, ErrTooLarge
 	}
-	return splitArgs(buf, ends[:count]), 0, nil
+	return splitArgs(b.values, b.ends[:count]), 0, nil
+}
+
+// maxArgSize is the largest size that is read, which is more than what is kept: a command with a value over
+// MaxValue is discarded, or the value streamed.
+func maxArgSize(mayStream bool) int {
+	if mayStream {
+		return MaxStreamedValue
+	}
+	return maxDiscardedValue
+}
+
+// readArg reads the value with the number i, and its line end, into the buffer, or discards it where the
+// command exceeds a limit.
+func (r *Reader) readArg(b *argBuffer, i, size int) (err error) {
+	b.tooLarge = b.tooLarge || size > MaxValue || len(b.values)+size > MaxCommand
+	if b.tooLarge {
+		b.values = nil
+		_, err = r.in.Discard(size)
+	} else {
+		b.ends[i] = len(b.values) + size
+		b.values, err = r.appendValue(b.values, size)
+	}
+	if err != nil {
+		return err
+	}
+	return r.readLineEnd()
 }
 
 // readBulkHead reads the first line of a bulk string and returns the string's size.
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -29,6 +29,7 @@
 // is unknown.
 var ErrProtocol = errors.New("protocol error")
 
+// malformed is the error of input that breaks the protocol.
 func malformed(reason string) error { return fmt.Errorf("%w: %s", ErrProtocol, reason) }
 
 // The first bytes of messages, which name their type.
