--- /dev/null
+++ b/internal/gateway/client_disconnect_rig_test.go
@@ -0,0 +1,172 @@
+package gateway
+
+import (
+	"errors"
+	"maps"
+	"net"
+	"slices"
+	"syscall"
+	"testing"
+
+	"sparspread/internal/discovery"
+	"sparspread/policy"
+)
+
+// departures are the ways in which a client disconnects. After each of them no reply reaches it with
+// certainty.
+var departures = map[string]departure{
+	"closes":           func(c *testClient) error { return c.conn.Close() },
+	"ends its sending": func(c *testClient) error { return c.conn.CloseWrite() },
+	"resets":           func(c *testClient) error { return errors.Join(c.conn.SetLinger(0), c.conn.Close()) },
+}
+
+// departure is a way in which a client disconnects.
+type departure func(*testClient) error
+
+// by has a client disconnect.
+func (d departure) by(c *testClient) {
+	c.t.Helper()
+	if err := d(c); err != nil {
+		c.t.Fatal(err)
+	}
+}
+
+// The classes of the requests that clients send before they disconnect, as fields of a command.
+const (
+	notRetryable    = "c=once"
+	retryableByKey  = "c=order,k=5c0f6e1a2b3d4c59"
+	secondRequestID = 2 // the first one's is that of connectWithRequest
+)
+
+// waitingRequest is a loop that the test runs itself. It has one backend, and one client with a request that
+// waits for a dial to that backend.
+type waitingRequest struct {
+	t         *testing.T
+	loop      *Loop
+	backend   *fakeBackend
+	client    *testClient
+	departure departure
+	dialing   <-chan string // receives the address of each dial
+	unblock   chan struct{} // lets one dial go on with each value, and all once it is closed
+}
+
+// forEachDeparture runs a test for each way in which the client of a waiting request may disconnect. The
+// fields of the request say its class.
+func forEachDeparture(t *testing.T, fields string, test func(*waitingRequest)) {
+	t.Helper()
+	for name, departure := range departures {
+		t.Run(name, func(t *testing.T) { test(newWaitingRequest(t, fields, departure)) })
+	}
+}
+
+// newWaitingRequest has the request sent, and handled up to its dial.
+func newWaitingRequest(t *testing.T, fields string, departure departure) *waitingRequest {
+	t.Helper()
+	l, b, dialing, unblock := newLoopWithBlockedDials(t)
+	c := connectWithRequest(t, l, fields)
+	wait(t, dialing, "the dial")
+	return &waitingRequest{
+		t: t, loop: l, backend: b, client: c, departure: departure, dialing: dialing, unblock: unblock,
+	}
+}
+
+// onlyBackend returns the one backend as the loop sees it.
+func (w *waitingRequest) onlyBackend() *backend { return w.loop.backends.byNumber[1] }
+
+// onlyRequest returns the one request that the loop knows.
+func (w *waitingRequest) onlyRequest() *request {
+	w.t.Helper()
+	requests := slices.Collect(maps.Values(w.loop.requests.byID))
+	if len(requests) != 1 {
+		w.t.Fatalf("%d requests, want 1", len(requests))
+	}
+	return requests[0]
+}
+
+// completeDial lets the blocked dial go on, and no later one.
+func (w *waitingRequest) completeDial() {
+	w.t.Helper()
+	w.unblock <- struct{}{}
+	w.handleNext("the dial's end")
+}
+
+// answerRequest has the backend answer the request that reached it, and its client read the answer.
+func (w *waitingRequest) answerRequest() {
+	w.t.Helper()
+	w.backend.nextCall(w.t).replyValue(w.t, "ok")
+	w.handleNext("the reply")
+	w.client.wantValue("ok")
+}
+
+// handleNext handles the next event.
+func (w *waitingRequest) handleNext(what string) {
+	w.t.Helper()
+	handleNext(w.t, w.loop, what)
+}
+
+// disconnect has the client disconnect. The loop has not handled that when it returns.
+func (w *waitingRequest) disconnect() {
+	w.t.Helper()
+	w.departure.by(w.client)
+}
+
+// disconnectInQueue has the client disconnect behind the one event that is queued, which the loop has not
+// handled when it returns either.
+func (w *waitingRequest) disconnectInQueue() {
+	w.t.Helper()
+	awaitQueued(w.loop, 1)
+	w.disconnect()
+	awaitQueued(w.loop, 2)
+}
+
+// handleDisconnect handles events up to the client's disconnect.
+func (w *waitingRequest) handleDisconnect() {
+	w.t.Helper()
+	handleUntil(w.t, w.loop, "the client's disconnect", func() bool { return len(w.loop.clients.conns) == 0 })
+}
+
+// wantNoOpenRequests checks that nothing of the requests is kept.
+func (w *waitingRequest) wantNoOpenRequests() {
+	w.t.Helper()
+	l := w.loop
+	if len(l.requests.byID) != 0 || l.requests.open != 0 || l.memory.retained != 0 {
+		w.t.Errorf("%d requests remain, %d open, %d bytes", len(l.requests.byID), l.requests.open,
+			l.memory.retained)
+	}
+}
+
+// wantNothingSent checks that no attempt waits, and that nothing is written to a connection that comes up.
+func (w *waitingRequest) wantNothingSent() {
+	w.t.Helper()
+	wantNothingSent(w.t, w.loop, w.backend, w.unblock)
+}
+
+// newLoopWithStalledBackend makes a loop that the test runs itself, with one backend that accepts no
+// connection and reads nothing. The buffers between them are the smallest there are.
+func newLoopWithStalledBackend(t *testing.T) *Loop {
+	t.Helper()
+	listening := net.ListenConfig{Control: withSmallestBuffer(syscall.SO_RCVBUF)}
+	stalled, err := listening.Listen(t.Context(), "tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = stalled.Close() })
+	l := newTestLoop(t, newFakeDiscovery(t))
+	l.backends.dial.Control = withSmallestBuffer(syscall.SO_SNDBUF)
+	l.updateEndpoint(policy.UpdateComplete, discovery.Endpoint{
+		ID: "s-00000001", Address: stalled.Addr().String(), Phase: "Ready",
+	})
+	return l
+}
+
+// withSmallestBuffer sets the size of a socket's buffer, named by its option, to the least that the system
+// allows.
+func withSmallestBuffer(option int) func(network, address string, conn syscall.RawConn) error {
+	return func(_, _ string, conn syscall.RawConn) error {
+		var optionErr error
+		err := conn.Control(func(socket uintptr) {
+			optionErr = syscall.SetsockoptInt(int(socket), syscall.SOL_SOCKET, option, 1)
+		})
+		return errors.Join(err, optionErr)
+	}
+}
--- a/internal/gateway/test_client_test.go
+++ b/internal/gateway/test_client_test.go
@@ -15,14 +15,18 @@
 // testClient is a client's connection.
 type testClient struct {
 	t    testing.TB
-	conn net.Conn
+	conn *net.TCPConn
 	in   *bufio.Reader
 }
 
 // client connects a client.
 func (r *rig) client(tb testing.TB) *testClient {
 	tb.Helper()
-	conn, err := net.Dial("tcp", r.addr)
+	address, err := net.ResolveTCPAddr("tcp", r.addr)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	conn, err := net.DialTCP("tcp", nil, address)
 	if err != nil {
 		tb.Fatal(err)
 	}
