--- a/internal/gateway/backend_pool_test.go
+++ b/internal/gateway/backend_pool_test.go
@@ -15,10 +15,8 @@
 	for _, alive := range []bool{true, false} {
 		r, b, _ := startWithBackend(t, nil)
 		c, other := r.client(t), r.client(t)
-		c.sendLookup(1, "60000")
-		first := b.nextCall(t)
-		other.sendLookup(2, "60000")
-		second := b.nextCall(t)
+		first := c.openLookup(b, 1)
+		second := other.openLookup(b, 2)
 		second.replyValue(t, "second")
 		other.wantValue("second") // its connection is idle by now
 		r.awaitQuiescence(t)
@@ -26,9 +24,7 @@
 			_ = second.conn.Close()
 		}
 		_ = first.conn.Close()
-		retry := b.nextCall(t)
-		retry.replyValue(t, "first")
-		c.wantValue("first")
+		retry := c.wantServed(b, "first")
 		if (retry.conn == second.conn) != alive {
 			t.Errorf("the idle connection, open %t, was used %t", alive, !alive)
 		}
@@ -39,25 +35,20 @@
 func TestBrokenReuseClosesConnectionsIdleForLonger(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c, other := r.client(t), r.client(t)
-	c.sendLookup(1, "60000")
-	first := b.nextCall(t)
-	other.sendLookup(2, "60000")
-	second := b.nextCall(t)
+	first := c.openLookup(b, 1)
+	second := other.openLookup(b, 2)
 	for _, call := range []*backendCall{first, second} {
 		call.replyValue(t, "ok")
 	}
 	c.wantValue("ok")
 	other.wantValue("ok")
 	r.awaitQuiescence(t)
-	c.sendLookup(3, "60000")
-	reused := b.nextCall(t)
+	reused := c.openLookup(b, 3)
 	if reused.conn != first.conn && reused.conn != second.conn {
 		t.Fatal("no idle connection was used")
 	}
 	_ = reused.conn.Close()
-	retry := b.nextCall(t)
-	retry.replyValue(t, "again")
-	c.wantValue("again")
+	retry := c.wantServed(b, "again")
 	if retry.conn == first.conn || retry.conn == second.conn {
 		t.Error("a connection idle for longer was used")
 	}
@@ -69,16 +60,12 @@
 	r, b, d := startWithBackend(t, withSettings(t, `"cold-us":16000000`, `"cold-us":0`))
 	c := r.client(t)
 	c.sendLookup(1, "60000")
-	first := b.nextCall(t)
-	first.replyValue(t, "ok")
-	c.wantValue("ok")
+	first := c.wantServed(b, "ok")
 	entry := b.listEntry("s-00000001", "Ready")
 	d.setEntries(strings.Replace(entry, `"up_since_ms":0`, `"up_since_ms":1000000000000`, 1))
 	d.awaitWatch(t)
 	c.sendLookup(2, "60000")
-	second := b.nextCall(t)
-	second.replyValue(t, "ok")
-	c.wantValue("ok")
+	second := c.wantServed(b, "ok")
 	if second.conn == first.conn {
 		t.Error("the old connection was used")
 	}
@@ -90,8 +77,7 @@
 	r, b, _ := startWithBackend(t, withSettings(t, `"idle-close-us":30000000`, `"idle-close-us":200000`))
 	c := r.client(t)
 	c.sendLookup(1, "60000")
-	b.nextCall(t).replyValue(t, "ok")
-	c.wantValue("ok")
+	c.wantServed(b, "ok")
 	r.advance(t, 200_000)
 	if err := wait(t, b.closed, "the idle connection's end"); !errors.Is(err, io.EOF) {
 		t.Error(err)
@@ -103,8 +89,7 @@
 	r, b := startWithFourBackends(t, config.MinSockets) // 3 to backends
 	c := r.client(t)
 	for id := range 3 {
-		c.sendLookup(id, "60000")
-		defer b.nextCall(t).replyValue(t, "ok")
+		defer c.openLookup(b, id).replyValue(t, "ok")
 	}
 	other := r.client(t)
 	other.sendLookup(9, "80000000")
--- a/internal/gateway/backend_reply_test.go
+++ b/internal/gateway/backend_reply_test.go
@@ -55,17 +55,12 @@
 		t.Run(reply[:min(len(reply), 12)], func(t *testing.T) {
 			r, b, _ := startWithBackend(t, nil)
 			c, other := r.client(t), r.client(t)
-			c.sendLookup(1, "60000")
-			malformed := b.nextCall(t)
+			malformed := c.openLookup(b, 1)
 			other.sendLookup(2, "60000")
-			healthy := b.nextCall(t)
-			healthy.replyValue(t, "fine")
-			other.wantValue("fine")
+			healthy := other.wantServed(b, "fine")
 			r.awaitQuiescence(t)
 			malformed.reply(t, reply)
-			retry := b.nextCall(t)
-			retry.replyValue(t, "again")
-			c.wantValue("again")
+			retry := c.wantServed(b, "again")
 			if retry.conn != healthy.conn {
 				t.Error("the idle connection was not used")
 			}
--- a/internal/gateway/client_commands_test.go
+++ b/internal/gateway/client_commands_test.go
@@ -27,8 +27,7 @@
 func TestConnectionWithoutACompleteCommandIsClosed(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	good := r.client(t)
-	good.sendLookup(1, "60000")
-	call := b.nextCall(t)
+	call := good.openLookup(b, 1)
 	idle, partial, slow := r.client(t), r.client(t), r.client(t)
 	partial.write("*4\r\n$8\r\nAPI.READ\r\n$16\r\n0000")
 	slow.send("PING")
--- a/internal/gateway/client_eviction_test.go
+++ b/internal/gateway/client_eviction_test.go
@@ -64,8 +64,7 @@
 	for id := range 30 {
 		c := r.client(t)
 		c.sendLookup(id, "60000")
-		b.nextCall(t).replyValue(t, "ok")
-		c.wantValue("ok")
+		c.wantServed(b, "ok")
 	}
 }
 
@@ -170,8 +169,7 @@
 	idle.wantLine("+PONG")
 	for id := range 6 {
 		c := r.client(t)
-		c.sendLookup(id, "60000")
-		defer b.nextCall(t).replyValue(t, "ok")
+		defer c.openLookup(b, id).replyValue(t, "ok")
 	}
 	idle.wantClosed()
 	_ = idle.conn.Close()
--- a/internal/gateway/client_read_ahead_test.go
+++ b/internal/gateway/client_read_ahead_test.go
@@ -11,8 +11,7 @@
 func TestReadAheadKeepsTheOrder(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
-	c.sendLookup(1, "60000")
-	call := b.nextCall(t)
+	call := c.openLookup(b, 1)
 	var text strings.Builder
 	const many = 20 * maxPipelined
 	for i := range many {
@@ -77,7 +76,6 @@
 	for range 2 * maxPipelined {
 		c.wantLine("+PONG")
 	}
-	b.nextCall(t).replyValue(t, "two")
-	c.wantValue("two")
+	c.wantServed(b, "two")
 	wantMetrics(t, second, "fulfilled.once=1")
 }
--- a/internal/gateway/discovery_watch_test.go
+++ b/internal/gateway/discovery_watch_test.go
@@ -58,8 +58,7 @@
 	d.awaitWatch(t)
 	c := r.client(t)
 	c.sendLookup(1, "60000")
-	second.nextCall(t).replyValue(t, "ok")
-	c.wantValue("ok")
+	c.wantServed(second, "ok")
 }
 
 // After a broken watch the next continues from the revision at hand: changes in between are reported
@@ -82,8 +81,7 @@
 	}
 	c := r.client(t)
 	c.sendLookup(1, "60000")
-	second.nextCall(t).replyValue(t, "ok")
-	c.wantValue("ok")
+	c.wantServed(second, "ok")
 }
 
 // A start watches from the revision of the configured list, at first without waiting.
@@ -126,8 +124,7 @@
 			d.awaitWatch(t)
 			c := r.client(t)
 			c.sendLookup(1, "60000")
-			b.nextCall(t).replyValue(t, "ok")
-			c.wantValue("ok")
+			c.wantServed(b, "ok")
 		})
 	}
 }
--- a/internal/gateway/handover_test.go
+++ b/internal/gateway/handover_test.go
@@ -84,11 +84,9 @@
 	first := startGateway(t, cfg)
 	idle, busy, spent := first.client(t), first.client(t), first.client(t)
 	idle.sendOnce(1, "team")
-	b.nextCall(t).replyValue(t, "one")
-	idle.wantValue("one")
+	idle.wantServed(b, "one")
 	spent.sendOnce(2, "tiny")
-	b.nextCall(t).replyValue(t, "two")
-	spent.wantValue("two")
+	spent.wantServed(b, "two")
 	busy.sendOnce(3, "team")
 	open := b.nextCall(t)
 
@@ -96,8 +94,7 @@
 	waitForReadiness(t, second, 200)
 	waitForReadiness(t, first, 503)
 	idle.sendOnce(4, "team")
-	b.nextCall(t).replyValue(t, "four")
-	idle.wantValue("four")
+	idle.wantServed(b, "four")
 	spent.sendOnce(5, "tiny")
 	if got := spent.readLine(); got != "-BUSY 2000" {
 		t.Errorf("a burst was granted twice: %q", got)
@@ -105,8 +102,7 @@
 	busy.sendOnce(6, "team") // behind the one that stayed with the first process
 	open.replyValue(t, "three")
 	busy.wantValue("three")
-	b.nextCall(t).replyValue(t, "six")
-	busy.wantValue("six")
+	busy.wantServed(b, "six")
 	wantMetrics(t, second, "fulfilled.once=2", "throttled.once=1")
 	wantMetrics(t, first, "fulfilled.once=3", "open_requests=0")
 
@@ -114,8 +110,7 @@
 	wait(t, first.ended, "the first process to end")
 	late := second.client(t)
 	late.sendOnce(7, "team")
-	b.nextCall(t).replyValue(t, "seven")
-	late.wantValue("seven")
+	late.wantServed(b, "seven")
 }
 
 // A third process takes over from the second, which listens where the first one did.
@@ -130,8 +125,7 @@
 		wait(t, first.ended, "the predecessor to end")
 		first = next
 		c.sendOnce(i, "team")
-		b.nextCall(t).replyValue(t, "ok")
-		c.wantValue("ok")
+		c.wantServed(b, "ok")
 	}
 }
 
@@ -145,8 +139,7 @@
 	waitForReadiness(t, first, 200)
 	c := first.client(t)
 	c.sendOnce(1, "team")
-	b.nextCall(t).replyValue(t, "ok")
-	c.wantValue("ok")
+	c.wantServed(b, "ok")
 	dialHandover(t, cfg)
 }
 
@@ -160,8 +153,7 @@
 	serves := func() {
 		id++
 		c.sendOnce(id, "team")
-		b.nextCall(t).replyValue(t, "ok")
-		c.wantValue("ok")
+		c.wantServed(b, "ok")
 	}
 	for _, packet := range []string{"", "x", "\x00", strings.Repeat("h", 63)} { // none asks for the handover
 		conn := dialHandover(t, cfg)
@@ -181,8 +173,7 @@
 	id++
 	c.sendOnce(id, "team") // held until it is known who decides
 	conn.Close()           // without having accepted the state
-	b.nextCall(t).replyValue(t, "held")
-	c.wantValue("held")
+	c.wantServed(b, "held")
 	serves()
 
 	second := startGateway(t, cfg) // another successor takes over as usual
@@ -200,8 +191,7 @@
 	}
 	c := startGateway(t, cfg).client(t)
 	c.sendOnce(1, "team")
-	b.nextCall(t).replyValue(t, "ok")
-	c.wantValue("ok")
+	c.wantServed(b, "ok")
 	dialHandover(t, cfg)
 }
 
@@ -218,7 +208,6 @@
 	waitForReadiness(t, second, 200)
 	c.write("00000007\r\n$16\r\n0000000000000001\r\n" +
 		"$48\r\nc=lookup,t=team,d=60000,units=1,spread=1,first=0\r\n")
-	b.nextCall(t).replyValue(t, "ok")
-	c.wantValue("ok")
+	c.wantServed(b, "ok")
 	wantMetrics(t, second, "fulfilled.lookup=1")
 }
--- a/internal/gateway/ops_test.go
+++ b/internal/gateway/ops_test.go
@@ -59,8 +59,7 @@
 	wantMetrics(t, r, "fulfilled.lookup=0", "throttled.order=0", "faulted.once=0", "relayed.lookup=0",
 		"open_requests=0", "registry_entries=1", "out_of_rotation=0", "cfg_accepted=0", "cfg_invalid=0")
 	c := r.client(t)
-	c.sendLookup(1, "60000")
-	call := b.nextCall(t)
+	call := c.openLookup(b, 1)
 	wantMetrics(t, r, "open_requests=1", "relayed.lookup=1")
 	call.replyValue(t, "ok")
 	c.wantValue("ok")
--- a/internal/gateway/reload_settings_test.go
+++ b/internal/gateway/reload_settings_test.go
@@ -18,8 +18,7 @@
 	)
 	r, b, d := startWithBackend(t, withOps)
 	c := r.client(t)
-	c.sendLookup(1, "60000")
-	open := b.nextCall(t)
+	open := c.openLookup(b, 1)
 	r.reloadWith(newConfig(t, d, func(f map[string]any) {
 		withOps(f)
 		// Class lookup vanishes while a request of it is open, order becomes the first, strict is new.
@@ -36,11 +35,9 @@
 	c3 := r.client(t)
 	c3.send("API.WRITE", "0000000000000007", "0000000000000003",
 		"c=strict,t=team,d=60000,units=1,spread=1,first=0", "x")
-	b.nextCall(t).replyValue(t, "new")
-	c3.wantValue("new")
+	c3.wantServed(b, "new")
 	open.reply(t, "-ERR failed\r\n") // its class allowed a retry
-	b.nextCall(t).replyValue(t, "old")
-	c.wantValue("old")
+	c.wantServed(b, "old")
 	wantMetrics(t, r, "fulfilled.lookup=1", "relayed.lookup=2", "fulfilled.strict=1",
 		"cfg_accepted=1", "cfg_invalid=0")
 }
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -20,8 +20,7 @@
 	r, before, old := startWithBackend(t, nil)
 	old.awaitWatch(t)
 	c := r.client(t)
-	c.sendLookup(1, "60000")
-	call := before.nextCall(t)
+	call := c.openLookup(before, 1)
 
 	after := newBackend(t)
 	moved := newFakeDiscovery(t, after.listEntry("s-00000002", "Ready"))
@@ -30,8 +29,7 @@
 	call.replyValue(t, "old")
 	c.wantValue("old")
 	c.sendLookup(2, "60000")
-	after.nextCall(t).replyValue(t, "new")
-	c.wantValue("new")
+	c.wantServed(after, "new")
 	if len(before.calls) > 0 {
 		t.Error("a request went where the new list does not lead")
 	}
@@ -47,8 +45,7 @@
 	d.awaitWatch(t)
 	c := r.client(t)
 	c.sendLookup(1, "60000")
-	second.nextCall(t).replyValue(t, "ok")
-	c.wantValue("ok")
+	c.wantServed(second, "ok")
 }
 
 // newCounterServer serves a counter that always has the same total, and tells of each call.
--- a/internal/gateway/request_body_test.go
+++ b/internal/gateway/request_body_test.go
@@ -46,8 +46,7 @@
 	c := r.client(t)
 	_, body := largeHead()
 	c.sendOnce(1, "tiny")
-	b.nextCall(t).replyValue(t, "ok")
-	c.wantValue("ok")
+	c.wantServed(b, "ok")
 	c.write(bodyHead(2, "tiny", len(body)) + body + "\r\n")
 	if got := c.readLine(); !isBusyReply([]byte(got)) {
 		t.Errorf("reply %q", got)
@@ -57,8 +56,7 @@
 		t.Errorf("reply %q", got)
 	}
 	c.sendOnce(4, "team")
-	b.nextCall(t).replyValue(t, "ok")
-	c.wantValue("ok")
+	c.wantServed(b, "ok")
 	if len(b.bodySizes) > 0 {
 		t.Error("the body went to a backend")
 	}
@@ -80,8 +78,7 @@
 	wantMetrics(t, r, "relayed.once=0")
 	next := r.client(t)
 	next.sendOnce(2, "team")
-	b.nextCall(t).replyValue(t, "ok")
-	next.wantValue("ok")
+	next.wantServed(b, "ok")
 }
 
 // A backend that closes amid a large body has run nothing: the request is rejected, and the client's
@@ -101,8 +98,7 @@
 	}
 	c.write(body[5000:] + "\r\n")
 	c.sendOnce(2, "team")
-	b.nextCall(t).replyValue(t, "ok")
-	c.wantValue("ok")
+	c.wantServed(b, "ok")
 }
 
 // A backend replies, fails or closes before the loop handles that the body was written: the request may
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -40,10 +40,8 @@
 func TestPipelinedRepliesKeepTheirOrder(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
-	c.sendLookup(1, "60000")
-	first := b.nextCall(t)
-	c.sendLookup(2, "60000")
-	second := b.nextCall(t) // read although the first has no answer
+	first := c.openLookup(b, 1)
+	second := c.openLookup(b, 2) // read although the first has no answer
 	c.send("PING")
 	second.replyValue(t, "second")
 	c.sendLookup(3, "60000")
@@ -71,8 +69,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			r, b, _ := startWithBackend(t, nil)
 			client := r.client(t)
-			client.sendLookup(1, "60000")
-			call := b.nextCall(t)
+			call := client.openLookup(b, 1)
 			if c.reply == "" {
 				_ = call.conn.Close()
 			} else {
@@ -112,8 +109,7 @@
 	c := r.client(t)
 	c.send("API.WRITE", "0000000000000007", "0000000000000001", onceFields, "x")
 	b.nextCall(t).reply(t, "-BUSY\r\n")
-	b.nextCall(t).replyValue(t, "ok")
-	c.wantValue("ok")
+	c.wantServed(b, "ok")
 }
 
 // A backend where nothing listens has run nothing.
@@ -138,8 +134,7 @@
 	}
 	_, _ = late.conn.Write([]byte("*3\r\n$4\r\nlate\r\n$-1\r\n$-1\r\n"))
 	c.sendLookup(2, "60000")
-	b.nextCall(t).replyValue(t, "second")
-	c.wantValue("second")
+	c.wantServed(b, "second")
 }
 
 // A rejection comes at once and says when to retry.
@@ -151,9 +146,7 @@
 		c.send("API.READ", "0000000000000009", fmt.Sprintf("%016x", id), fields)
 	}
 	send(1)
-	call := b.nextCall(t)
-	call.replyValue(t, "ok")
-	c.wantValue("ok")
+	c.wantServed(b, "ok")
 	send(2) // the token bucket holds 1 unit: a day's wait would outlast the test
 	if got := c.readLine(); got != "-BUSY 2000" {
 		t.Errorf("reply %q", got)
@@ -183,8 +176,7 @@
 			}
 			continue
 		}
-		b.nextCall(t).replyValue(t, "more")
-		c.wantValue("more")
+		c.wantServed(b, "more")
 	}
 }
 
@@ -233,8 +225,7 @@
 func TestIDOfAnOpenRequestIsRejected(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c, other := r.client(t), r.client(t)
-	c.sendLookup(1, "60000")
-	call := b.nextCall(t)
+	call := c.openLookup(b, 1)
 	other.sendLookup(1, "60000")
 	if got := other.readLine(); !strings.HasPrefix(got, "-ERR ") {
 		t.Errorf("reply %q", got)
@@ -242,8 +233,7 @@
 	call.replyValue(t, "ok")
 	c.wantValue("ok")
 	c.sendLookup(1, "60000") // it is open no more
-	b.nextCall(t).replyValue(t, "again")
-	c.wantValue("again")
+	c.wantServed(b, "again")
 }
 
 // A request that has ended keeps no timer and no memory until its deadline.
@@ -253,8 +243,7 @@
 	const many = 50
 	for id := range many {
 		c.sendLookup(id, "80000000")
-		b.nextCall(t).replyValue(t, "ok")
-		c.wantValue("ok")
+		c.wantServed(b, "ok")
 	}
 	remaining := make(chan string, 1)
 	r.loop.post(inspect(func(l *Loop) {
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -121,8 +121,7 @@
 func TestShutdownAnswersOpenRequests(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c, idle := r.client(t), r.client(t)
-	c.sendLookup(1, "60000")
-	call := b.nextCall(t)
+	call := c.openLookup(b, 1)
 	r.shutDownFor(t, acceptPeriod)
 	idle.wantClosed()
 	call.replyValue(t, "ok")
@@ -164,8 +163,7 @@
 	r.shutDownFor(t, acceptPeriod)
 	idle.wantClosed() // by now connections are closed
 	c.write(command[40:])
-	b.nextCall(t).replyValue(t, "ok")
-	c.wantValue("ok")
+	c.wantServed(b, "ok")
 	c.wantClosed()
 	r.runClock() // its connection lingers
 	wait(t, r.ended, "the gateway to end")
--- a/internal/gateway/test_client_test.go
+++ b/internal/gateway/test_client_test.go
@@ -60,6 +60,23 @@
 	c.send("API.READ", "0000000000000007", fmt.Sprintf("%016x", id), fields)
 }
 
+// openLookup sends an idempotent request with a long timeout, and returns it as the backend got it.
+func (c *testClient) openLookup(b *fakeBackend, id int) *backendCall {
+	c.t.Helper()
+	c.sendLookup(id, "60000")
+	return b.nextCall(c.t)
+}
+
+// wantServed has the backend answer the next request that reaches it with a value, checks that the client gets
+// that value, and returns the request as the backend got it.
+func (c *testClient) wantServed(b *fakeBackend, value string) *backendCall {
+	c.t.Helper()
+	call := b.nextCall(c.t)
+	call.replyValue(c.t, value)
+	c.wantValue(value)
+	return call
+}
+
 // readLine reads a line.
 func (c *testClient) readLine() string {
 	c.t.Helper()
--- a/internal/gateway/value_stream_test.go
+++ b/internal/gateway/value_stream_test.go
@@ -52,8 +52,7 @@
 func TestIncompleteLargeValueFails(t *testing.T) {
 	r, b, _ := startWithBackend(t, withOps)
 	c := r.client(t)
-	c.sendLookup(1, "60000")
-	call := b.nextCall(t)
+	call := c.openLookup(b, 1)
 	head, value := largeHead()
 	call.reply(t, head+value[:minValuePrefix])
 	c.wantLine(fmt.Sprintf("$%d", largeSize))
@@ -73,13 +72,11 @@
 func TestCorruptLengthOfALargeValueIsRetried(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
-	c.sendLookup(1, "60000")
-	call := b.nextCall(t)
+	call := c.openLookup(b, 1)
 	head, _ := largeHead()
 	call.reply(t, head+"short\r\n$-1\r\n$-1\r\n")
 	_ = call.conn.Close()
-	b.nextCall(t).replyValue(t, "ok")
-	c.wantValue("ok")
+	c.wantServed(b, "ok")
 }
 
 // A large value waits for the replies before it, and is given up when the client disconnects.
