--- a/docs/names_test.go
+++ b/docs/names_test.go
@@ -56,8 +56,8 @@
 		packages: map[string]bool{"policy": true},
 	}
 	line := "`policy.Controller.Reload`, policy.Gone, policy.Controller.Gone, limits.sockets, " +
-		"policy.json, `gone/file.go`, `names_test.go`"
-	want := []string{"policy.Gone", "policy.Controller.Gone", "gone/file.go"}
+		"policy.json, `gone/file.go`, `names_test.go`, `bin/gone`, `bin/gateway`"
+	want := []string{"policy.Gone", "policy.Controller.Gone", "gone/file.go", "bin/gone"}
 	if got := declared.missingIn(line); !slices.Equal(got, want) {
 		t.Errorf("missing %q, want %q", got, want)
 	}
@@ -92,8 +92,12 @@
 	return slices.Contains([]string{"go", "json", "md", "toml"}, name)
 }
 
-// pathExists reports whether a path, from the module's root or a file name alone, is in the repository.
+// pathExists reports whether a path, from the module's root or a file name alone, is in the repository. That of
+// a program that the build puts into bin is, if the program's source is.
 func pathExists(path string) bool {
+	if program, isBuilt := strings.CutPrefix(path, "bin/"); isBuilt {
+		return pathExists("cmd/"+program) || pathExists("deploy/example/"+program)
+	}
 	if _, err := os.Stat(filepath.Join("..", path)); err == nil {
 		return true
 	}
