--- /dev/null
+++ b/docs/loglines_test.go
@@ -0,0 +1,275 @@
+package docs
+
+import (
+	"fmt"
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+// logPage is the page that lists the log's lines, in the first column of its tables under logColumn.
+const (
+	logPage   = "operations.md"
+	logColumn = "| log line |"
+)
+
+// loggingFolders are where the programs of the deployment log.
+var loggingFolders = []string{"../cmd", "../internal", "../policy"}
+
+// messageArgument is the position of the message among a log method's arguments.
+var messageArgument = map[string]int{
+	"Debug": 0, "Info": 0, "Warn": 0, "Error": 0, "Log": 0, // Log is that of policy.Actions
+	"LogAttrs": 2,
+}
+
+var (
+	firstQuoted = regexp.MustCompile("^\\| `([^`]+)`")
+	snakeCase   = regexp.MustCompile(`^[a-z]+(?:_[a-z]+)+$`)
+	jsonTag     = regexp.MustCompile(`json:"(\w+)`)
+	// phrase is quoted text of several plain words, as log messages are.
+	phrase = regexp.MustCompile(`^[a-z][a-z:,]*(?: [a-z:,]+)+$`)
+	// notLogged are phrases on the page that the process prints as it exits.
+	notLogged = []string{"limit of open files", "too many open files"}
+)
+
+// Each line of the log that the page lists is logged, word by word, and the page lists each that is logged.
+func TestOperationsPageListsTheLogLines(t *testing.T) {
+	logged := sourceIn(t, loggingFolders).messages()
+	listed := listedLogLines(t)
+	for _, message := range listed {
+		if !slices.Contains(logged, message) {
+			t.Errorf("%s: %q is not logged", logPage, message)
+		}
+	}
+	for _, message := range logged {
+		if !slices.Contains(listed, message) {
+			t.Errorf("%s: does not list %q", logPage, message)
+		}
+	}
+	for _, quoted := range quotedOn(t, logPage) {
+		isPhrase := phrase.MatchString(quoted) && !slices.Contains(notLogged, quoted)
+		if isPhrase && !slices.Contains(logged, quoted) {
+			t.Errorf("%s: %q is not logged", logPage, quoted)
+		}
+	}
+}
+
+// The keys of the log, the metrics and the configuration that the page names are in the programs.
+func TestOperationsPageNamesOnlyKeysThatExist(t *testing.T) {
+	source := sourceIn(t, loggingFolders)
+	checked := 0
+	for _, quoted := range quotedOn(t, logPage) {
+		if !snakeCase.MatchString(quoted) {
+			continue
+		}
+		checked++
+		if !source.hasKey(quoted) {
+			t.Errorf("%s: no key %s in the programs", logPage, quoted)
+		}
+	}
+	if checked == 0 {
+		t.Errorf("%s: no keys", logPage)
+	}
+}
+
+func TestLoggedMessagesAreFound(t *testing.T) {
+	const program = `package p
+const message = "of a constant"
+func f(log *slog.Logger, actions Actions, line string) {
+	log.With("key", 1).Info("plain", "peer_key", 2)
+	log.LogAttrs(ctx, slog.LevelInfo, "with attributes")
+	actions.Log(message, attributes...)
+	actions.Log(line)
+	math.Log(2)
+	fail("dial_" + "refused")
+}
+type config struct { Listen string ` + "`json:\"peer_listen\"`" + ` }`
+	file, err := parser.ParseFile(token.NewFileSet(), "p.go", program, parser.SkipObjectResolution)
+	if err != nil {
+		t.Fatal(err)
+	}
+	source := newSource()
+	source.addFile(".", file)
+	want := []string{"of a constant", "plain", "with attributes"}
+	if got := source.messages(); !slices.Equal(got, want) {
+		t.Errorf("messages %q, want %q", got, want)
+	}
+	for key, exists := range map[string]bool{
+		"peer_key": true, "dial_refused": true, "peer_listen": true, "dial_reset": false,
+	} {
+		if source.hasKey(key) != exists {
+			t.Errorf("key %s: found %t, want %t", key, !exists, exists)
+		}
+	}
+}
+
+// source is what programs log and which texts they contain.
+type source struct {
+	constants map[string]string // by folder and name
+	literals  map[string]bool   // all texts, and the JSON names of fields
+	logCalls  []logCall
+}
+
+// logCall is a call of a log method.
+type logCall struct {
+	folder  string
+	message ast.Expr
+}
+
+func newSource() *source { return &source{constants: map[string]string{}, literals: map[string]bool{}} }
+
+// sourceIn parses the programs' files below some folders.
+func sourceIn(t *testing.T, folders []string) *source {
+	t.Helper()
+	s := newSource()
+	for _, folder := range folders {
+		err := filepath.WalkDir(folder, func(path string, _ fs.DirEntry, err error) error {
+			if err != nil || filepath.Ext(path) != ".go" || strings.HasSuffix(path, "_test.go") {
+				return err
+			}
+			file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+			if err != nil {
+				return fmt.Errorf("parse %s: %w", path, err)
+			}
+			s.addFile(filepath.Dir(path), file)
+			return nil
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	return s
+}
+
+func (s *source) addFile(folder string, file *ast.File) {
+	ast.Inspect(file, func(node ast.Node) bool {
+		switch node := node.(type) {
+		case *ast.ValueSpec:
+			s.addConstants(folder, node)
+		case *ast.CallExpr:
+			s.addCall(folder, node)
+		case *ast.BasicLit:
+			s.addLiteral(node)
+		}
+		return true
+	})
+}
+
+func (s *source) addConstants(folder string, spec *ast.ValueSpec) {
+	for i, value := range spec.Values {
+		if text, ok := textOf(value); ok && i < len(spec.Names) {
+			s.constants[folder+"."+spec.Names[i].Name] = text
+		}
+	}
+}
+
+func (s *source) addCall(folder string, call *ast.CallExpr) {
+	selector, ok := call.Fun.(*ast.SelectorExpr)
+	if !ok {
+		return
+	}
+	if i, ok := messageArgument[selector.Sel.Name]; ok && i < len(call.Args) {
+		s.logCalls = append(s.logCalls, logCall{folder, call.Args[i]})
+	}
+}
+
+func (s *source) addLiteral(literal *ast.BasicLit) {
+	text, ok := textOf(literal)
+	if !ok {
+		return
+	}
+	s.literals[text] = true
+	if tag := jsonTag.FindStringSubmatch(text); tag != nil {
+		s.literals[tag[1]] = true
+	}
+}
+
+// textOf returns the value of a text literal.
+func textOf(expression ast.Expr) (string, bool) {
+	literal, ok := expression.(*ast.BasicLit)
+	if !ok || literal.Kind != token.STRING {
+		return "", false
+	}
+	text, err := strconv.Unquote(literal.Value)
+	return text, err == nil
+}
+
+// messages returns the constant messages of the log calls, sorted. A call whose message is no constant passes
+// on the message of another call.
+func (s *source) messages() []string {
+	var messages []string
+	for _, call := range s.logCalls {
+		text, ok := textOf(call.message)
+		if name, isName := call.message.(*ast.Ident); isName {
+			text, ok = s.constants[call.folder+"."+name.Name]
+		}
+		if ok {
+			messages = append(messages, text)
+		}
+	}
+	slices.Sort(messages)
+	return slices.Compact(messages)
+}
+
+// hasKey reports whether a key is in the programs, whole or as a prefix that ends in "_" and the rest.
+func (s *source) hasKey(key string) bool {
+	if s.literals[key] {
+		return true
+	}
+	for i, letter := range key {
+		if letter == '_' && s.literals[key[:i+1]] && s.literals[key[i+1:]] {
+			return true
+		}
+	}
+	return false
+}
+
+// listedLogLines returns the first columns of the page's tables of log lines.
+func listedLogLines(t *testing.T) []string {
+	t.Helper()
+	var lines []string
+	inTable := false
+	for line := range strings.SplitSeq(readPage(t, logPage), "\n") {
+		switch {
+		case strings.HasPrefix(line, logColumn):
+			inTable = true
+		case !strings.HasPrefix(line, "|"):
+			inTable = false
+		case inTable && !strings.HasPrefix(line, "| ---"):
+			match := firstQuoted.FindStringSubmatch(line)
+			if match == nil {
+				t.Errorf("%s: the first column has no quoted message: %s", logPage, line)
+				continue
+			}
+			lines = append(lines, match[1])
+		}
+	}
+	return lines
+}
+
+// quotedOn returns the quoted texts of a page.
+func quotedOn(t *testing.T, page string) []string {
+	t.Helper()
+	var texts []string
+	for _, match := range quoted.FindAllStringSubmatch(readPage(t, page), -1) {
+		texts = append(texts, match[1])
+	}
+	return texts
+}
+
+func readPage(t *testing.T, page string) string {
+	t.Helper()
+	raw, err := os.ReadFile(page)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(raw)
+}
