--- a/policy/admission.go
+++ b/policy/admission.go
@@ -46,7 +46,7 @@
 func (c *Controller) admitOrRequestQuota(request *request) {
 	request.coordinator = c.pickCoordinator(request)
 	customer := request.customer
-	if c.requiresGrant(customer) && c.coordinator(customer, request.coordinator) != c.settings.Self {
+	if c.sharing.asksAnother(&customer.account, request.coordinator) {
 		c.requestQuota(request)
 		return
 	}
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -111,7 +111,7 @@
 		b.Run(strconv.Itoa(gateways), func(b *testing.B) {
 			g, now := newSizedController(b, gateways, 46), start
 			for b.Loop() {
-				now += g.gossip.period
+				now += g.sharing.gossipPeriod
 				g.TimerFired(now, gossipTimer)
 			}
 		})
@@ -140,8 +140,8 @@
 					at := now + Time(customer)*second/Time(customers)
 					serveOne(b, g, at, id+customer, customer)
 				}
-				for range second / g.gossip.period {
-					now += g.gossip.period
+				for range second / g.sharing.gossipPeriod {
+					now += g.sharing.gossipPeriod
 					g.TimerFired(now, gossipTimer)
 				}
 			}
--- a/policy/controller.go
+++ b/policy/controller.go
@@ -24,11 +24,11 @@
 	retired           bool // another process owns the buckets and admits requests
 
 	// Customers and their quotas.
-	customers   customerTable
-	shared      sharedBucket
-	sharesUsage bool // gateways share their customers' use, by gossip or a counter
-	grants      grantRequests
-	gossip      gossipState
+	customers customerTable
+	shared    sharedBucket
+	sharing   quotaSharing
+	grants    grantRequests
+	gossip    gossipState
 
 	// Backends.
 	backends backendTable
@@ -60,9 +60,8 @@
 	}
 	c := &Controller{
 		settings: settings, actions: actions, random: rand.New(rand.NewPCG(seed, seed>>halfSeedBits)),
-		customers:   newCustomerTable(),
-		shared:      sharedBucket{idleOverflow: make([]float64, len(settings.Plans))},
-		sharesUsage: settings.Gateways > 1 && (settings.Gossip || settings.SharedCounter),
+		customers: newCustomerTable(),
+		shared:    sharedBucket{idleOverflow: make([]float64, len(settings.Plans))},
 		gossip: gossipState{
 			incarnation: uint32(seed>>halfSeedBits) ^ uint32(seed),
 			peers:       make([]peer, settings.Gateways),
@@ -113,7 +112,7 @@
 
 // scheduleTick sets the timer for the next gossip round.
 func (c *Controller) scheduleTick() {
-	c.actions.SetTimer(c.clock.scheduleTimer(c.gossip.period), gossipTimer)
+	c.actions.SetTimer(c.clock.scheduleTimer(c.sharing.gossipPeriod), gossipTimer)
 }
 
 // TimerFired handles a timer that was set by SetTimer.
--- a/policy/coordinator_test.go
+++ b/policy/coordinator_test.go
@@ -20,7 +20,7 @@
 	settings.Plans[1].Rate, settings.Plans[1].Burst, settings.Plans[1].OverageRevenue = 20, 40, 0
 	pair := &coordinatorPair{coordinator: newHarness(t, settings), firstReplicas: map[uint64]int{}}
 	for _, id := range []uint64{9, 10} {
-		offset := pair.coordinator.coordinator(&customer{id: id, replicas: 12}, 0)
+		offset := pair.coordinator.sharing.coordinator(&account{id: id, replicas: 12}, 0)
 		pair.firstReplicas[id] = 12 - offset
 	}
 	settings.Self = 5
@@ -105,7 +105,7 @@
 		settings.Plans[0] = plan
 		fleet := newGatewayFleet(t, settings)
 		fleet.deliverAll()
-		coordinators := fleet[0].coordinatorCount(&customer{id: 9, plan: 0, replicas: gateways})
+		coordinators := fleet[0].sharing.coordinatorCount(&account{id: 9, plan: 0, replicas: gateways})
 		if coordinators < 2 || coordinators > 4 {
 			t.Fatalf("%d coordinators, want some that hold two of the largest requests each", coordinators)
 		}
@@ -153,7 +153,7 @@
 		if customer == nil {
 			continue
 		}
-		if h.grantsQuota(customer) {
+		if h.sharing.grantsQuota(&customer.account) {
 			quota.resize(quota.rate+customer.bucket.rate, quota.capacity+customer.bucket.capacity)
 		}
 		ceiling.resize(ceiling.rate+customer.ceiling.rate, ceiling.capacity+customer.ceiling.capacity)
@@ -166,9 +166,9 @@
 	settings := testSettings()
 	settings.Gateways, settings.GossipPerSecond, settings.MaxCost = 12, 40, 8
 	settings.Plans[0] = largePlan()
-	customer := &customer{id: 9, plan: 0, replicas: 12}
+	customer := &account{id: 9, plan: 0, replicas: 12}
 	h := newHarness(t, settings)
-	for h.grantsQuota(customer) { // until it is a participant
+	for h.sharing.grantsQuota(customer) { // until it is a participant
 		settings.Self++
 		h = newHarness(t, settings)
 	}
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -13,15 +13,12 @@
 	return customerTable{byID: map[uint64]*customer{}}
 }
 
-// customer is what this gateway knows of one customer. The customer's requests arrive at a replica
-// set of gateways, which share its quota.
+// customer is what this gateway knows of one customer.
 type customer struct {
-	id                     uint64
-	plan                   int
-	firstReplica, replicas int // the set: replicas gateways in a row from firstReplica
-	inFlight               int // attempts
-	lastRequestCost        float64
-	demandWindow           Time // the time constant of demand and peerDemand
+	account
+	inFlight        int // attempts
+	lastRequestCost float64
+	demandWindow    Time // the time constant of demand and peerDemand
 
 	bucket  tokenBucket // the whole quota as far as it is known, or this gateway's share if use is not shared
 	ceiling tokenBucket // this gateway's share of the ceiling
@@ -82,9 +79,6 @@
 	return customer
 }
 
-// planOf is the customer's plan.
-func (c *Controller) planOf(customer *customer) *Plan { return &c.settings.Plans[customer.plan] }
-
 func (c *Controller) addCustomer(customer *customer) {
 	c.customers.byID[customer.id] = customer
 	c.customers.inOrder = append(c.customers.inOrder, customer)
@@ -108,21 +102,10 @@
 		c.bucket.level >= c.bucket.capacity && c.ceiling.level >= c.ceiling.capacity
 }
 
-// replica is the gateway at a position in the customer's set.
-func (c *Controller) replica(customer *customer, position int) int {
-	return (customer.firstReplica + position) % c.settings.Gateways
-}
-
-// isReplica reports whether a gateway is of the customer's set.
-func (c *Controller) isReplica(customer *customer, gateway int) bool {
-	gateways := c.settings.Gateways
-	return (gateway-customer.firstReplica+gateways)%gateways < customer.replicas
-}
-
 // usageFrom is the record of what a gateway of the customer's set reported.
 func (c *Controller) usageFrom(customer *customer, gateway int) *peerUsage {
 	if customer.peers == nil {
 		customer.peers = make([]peerUsage, customer.replicas)
 	}
-	return &customer.peers[(gateway-customer.firstReplica+c.settings.Gateways)%c.settings.Gateways]
+	return &customer.peers[c.sharing.position(&customer.account, gateway)]
 }
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -7,19 +7,16 @@
 )
 
 const (
-	gossipReceiveShare = 0.5         // the part of a receiver's message limit that gossip may fill
-	minGossipPeriod    = second / 30 // the least time between two rounds
-	usageRepeats       = 2           // rounds that report a change: one more than needed, against loss
-	faultRepeats       = 8           // messages that carry a fault report
-	loadViewPeers      = 6           // random peers that get this gateway's load view at each sweep
-	counterLifetime    = 60 * second // of a name at the shared counter: the longest allowed
+	usageRepeats    = 2           // rounds that report a change: one more than needed, against loss
+	faultRepeats    = 8           // messages that carry a fault report
+	loadViewPeers   = 6           // random peers that get this gateway's load view at each sweep
+	counterLifetime = 60 * second // of a name at the shared counter: the longest allowed
 )
 
 // gossipState is this gateway's side of the gossip between gateways.
 type gossipState struct {
 	incarnation uint32               // distinguishes this start of the gateway from earlier ones
 	sequence    byte                 // of the last message; wraps, never 0
-	period      Time                 // between two rounds
 	reporting   []*customer          // those whose use is to be reported
 	faults      []pendingFaultReport // to be sent with the next messages, oldest first
 	peers       []peer               // by gateway index; this gateway's own entry is unused
@@ -40,12 +37,6 @@
 	repeats int
 }
 
-// receiveTime is the time in which a gateway can receive one message from each of the senders.
-func (c *Controller) receiveTime(senders int) Time {
-	rate := gossipReceiveShare * math.Max(c.settings.GossipPerSecond, 1)
-	return Time(float64(senders) / rate * float64(second))
-}
-
 // runGossipRound reports the customers whose use has changed to peers, or else to the shared
 // counter. Those that consumed the largest part of their burst come first.
 func (c *Controller) runGossipRound() {
@@ -68,14 +59,15 @@
 
 // reportUsage reports one customer's use, unless its time has not come or the messages are full.
 func (c *Controller) reportUsage(customer *customer) {
+	isParticipant := c.sharing.isParticipant(&customer.account)
 	switch {
-	case c.isParticipant(customer) && customer.grantFraction < 1 && c.clock.now < customer.nextReportAt:
+	case isParticipant && customer.grantFraction < 1 && c.clock.now < customer.nextReportAt:
 	case !c.settings.Gossip:
 		c.countUsage(customer)
 	case c.queueUsage(customer):
 		customer.consumedReported, customer.requestedReported = customer.consumed, customer.requested
-		customer.nextReportAt = c.clock.now + c.receiveTime(customer.replicas)
-		if customer.reportsLeft--; c.wideReplicaSet(customer) {
+		customer.nextReportAt = c.clock.now + c.sharing.receiveTime(customer.replicas)
+		if customer.reportsLeft--; c.sharing.isWide(&customer.account) {
 			customer.reportsLeft = 0
 		}
 	}
@@ -93,7 +85,7 @@
 
 // scheduleReport has a customer's use reported in the next rounds.
 func (c *Controller) scheduleReport(customer *customer) {
-	if customer.replicas == 1 || !c.sharesUsage || c.requiresGrant(customer) {
+	if !c.sharing.reportsUsage(&customer.account) {
 		customer.consumedReported = customer.consumed
 		return
 	}
@@ -106,7 +98,7 @@
 // usageEntryOf is the entry that reports the given use of a customer.
 func (c *Controller) usageEntryOf(customer *customer, usage customerUsage) usageEntry {
 	remaining := customer.bucket.level / math.Max(customer.bucket.capacity, minDemand)
-	if c.wideReplicaSet(customer) {
+	if c.sharing.isWide(&customer.account) {
 		remaining = customer.grantFraction
 	}
 	return usageEntry{
@@ -117,18 +109,9 @@
 	}
 }
 
-// usageReceivers is the row of gateways that a customer's use is reported to: its set, or the first
-// coordinator of a wide one.
-func (c *Controller) usageReceivers(customer *customer) (first, count int) {
-	if c.wideReplicaSet(customer) {
-		return c.coordinator(customer, 0), 1
-	}
-	return customer.firstReplica, customer.replicas
-}
-
 // queueUsage adds a customer's usage entry to the messages for its receivers, if all have room.
 func (c *Controller) queueUsage(customer *customer) bool {
-	first, count := c.usageReceivers(customer)
+	first, count := c.sharing.reportReceivers(&customer.account)
 	for i := range count {
 		if len(c.gossip.peers[(first+i)%c.settings.Gateways].message)+usageSize > maxMessageSize {
 			return false
@@ -157,7 +140,7 @@
 // advertiseGrant adds a customer's grant to the messages for all other gateways of its set.
 func (c *Controller) advertiseGrant(customer *customer) {
 	for i := range customer.replicas {
-		if index := c.replica(customer, i); index != c.settings.Self {
+		if index := c.sharing.replica(&customer.account, i); index != c.settings.Self {
 			c.queueGrant(index, customer)
 		}
 	}
@@ -212,19 +195,12 @@
 func (c *Controller) announceStart() {
 	for index := range c.gossip.peers {
 		c.gossip.peers[index].lastHeardAt = c.clock.now
-		if c.announcesTo(index) {
+		if c.sharing.announcesTo(index) {
 			c.actions.SendGossip(index, c.newMessage())
 		}
 	}
 }
 
-// announcesTo reports whether a gateway is one of the neighbours that hear of this one's start.
-func (c *Controller) announcesTo(index int) bool {
-	gateways := c.settings.Gateways
-	distance := (index - c.settings.Self + gateways) % gateways
-	return c.settings.Gossip && distance > 0 && distance <= maxFullMeshPeers
-}
-
 // GossipReceived handles a peer's message. A malformed one is ignored.
 func (c *Controller) GossipReceived(now Time, from int, raw []byte) {
 	c.advanceClock(now)
@@ -282,7 +258,7 @@
 	for _, customer := range c.customers.inOrder {
 		c.refillBuckets(customer)
 		isFull := customer.bucket.level >= customer.bucket.capacity
-		if !isFull && !c.wideReplicaSet(customer) && c.isReplica(customer, gateway) {
+		if !isFull && !c.sharing.isWide(&customer.account) && c.sharing.isReplica(&customer.account, gateway) {
 			c.scheduleReport(customer)
 		}
 	}
--- a/policy/ownership.go
+++ b/policy/ownership.go
@@ -25,7 +25,7 @@
 	c.retired = false
 	for _, customer := range c.customers.inOrder {
 		c.refillBuckets(customer)
-		plan, even := c.planOf(customer), float64(customer.replicas)
+		plan, even := c.sharing.plan(&customer.account), float64(customer.replicas)
 		customer.bucket.level = min(customer.bucket.level, plan.Burst/even)
 		customer.ceiling.level = min(customer.ceiling.level, plan.CeilingSlack/even/2)
 		c.scheduleReport(customer)
--- a/policy/quotashare.go
+++ b/policy/quotashare.go
@@ -15,13 +15,11 @@
 // newCustomer makes the record of a customer. Its bucket is full: peers report those that are not.
 // The ceiling begins with half of its slack, as the rest may have been used before a restart.
 func (c *Controller) newCustomer(id uint64, planIndex, firstReplica, replicas int) *customer {
-	gateways, plan := c.settings.Gateways, &c.settings.Plans[planIndex]
-	replicas = min(max(replicas, 1), gateways)
-	even := float64(replicas)
+	account := c.sharing.newAccount(id, planIndex, firstReplica, replicas)
+	plan, even := c.sharing.plan(&account), float64(account.replicas)
 	customer := &customer{
-		id: id, plan: planIndex, replicas: replicas,
-		firstReplica: (firstReplica%gateways + gateways) % gateways,
-		demandWindow: c.demandWindow(plan, replicas), grantFraction: 1, advertisedGrant: 1,
+		account:      account,
+		demandWindow: c.sharing.demandWindow(&account), grantFraction: 1, advertisedGrant: 1,
 		bucket: tokenBucket{level: plan.Burst, rate: plan.Rate, capacity: plan.Burst, updatedAt: c.clock.now},
 		ceiling: tokenBucket{
 			level: plan.CeilingSlack / even / 2, rate: plan.CeilingRate / even,
@@ -29,11 +27,11 @@
 		},
 	}
 	switch {
-	case !c.sharesUsage:
+	case !c.sharing.sharesUsage:
 		customer.bucket.level /= even
-	case c.grantsQuota(customer):
-		customer.bucket.level /= float64(c.coordinatorCount(customer))
-		customer.ceiling.level *= even / float64(c.coordinatorCount(customer))
+	case c.sharing.grantsQuota(&customer.account):
+		customer.bucket.level /= float64(c.sharing.coordinatorCount(&customer.account))
+		customer.ceiling.level *= even / float64(c.sharing.coordinatorCount(&customer.account))
 	}
 	return customer
 }
@@ -45,9 +43,9 @@
 	switch {
 	case customer.replicas == 1:
 		return 1
-	case c.sharesUsage && own > 0 && !c.isParticipant(customer):
+	case c.sharing.sharesUsage && own > 0 && !c.sharing.isParticipant(&customer.account):
 		return own / (own + customer.peerDemand.value(c.clock.now, customer.demandWindow))
-	case !c.sharesUsage && customer.meteredShare > 0:
+	case !c.sharing.sharesUsage && customer.meteredShare > 0:
 		return customer.meteredShare
 	}
 	return 1 / float64(customer.replicas)
@@ -58,14 +56,14 @@
 // they report again: a share of a small burst may be less than one request.
 func (c *Controller) availableUnits(customer *customer) float64 {
 	switch {
-	case c.isParticipant(customer) && customer.grantFraction < 1:
+	case c.sharing.isParticipant(&customer.account) && customer.grantFraction < 1:
 		return customer.grantedUnits
-	case !c.sharesUsage || c.wideReplicaSet(customer):
+	case !c.sharing.sharesUsage || c.sharing.isWide(&customer.account):
 		return customer.bucket.level
 	}
 	unreported := customer.consumed - customer.consumedReported
 	peerDemand := customer.peerDemand.value(c.clock.now, customer.demandWindow)
-	expected := peerDemand * float64(gossipDelayPeriods*c.gossip.period) / float64(customer.demandWindow)
+	expected := peerDemand * float64(gossipDelayPeriods*c.sharing.gossipPeriod) / float64(customer.demandWindow)
 	share := c.quotaShare(customer)*(customer.bucket.level+unreported) - unreported
 	level := math.Max(share, customer.bucket.level-expected)
 	if c.recentlyStarted() { // an even share, so that a restart grants no second burst
@@ -76,25 +74,25 @@
 
 // recentlyStarted reports whether peers may not have reported all buckets yet.
 func (c *Controller) recentlyStarted() bool {
-	return c.clock.now-c.clock.startedAt < min(maxSettleTime, settlePeriods*c.gossip.period)
+	return c.clock.now-c.clock.startedAt < min(maxSettleTime, settlePeriods*c.sharing.gossipPeriod)
 }
 
 // hearsAllReplicas reports whether all other gateways of a customer have sent messages recently.
 func (c *Controller) hearsAllReplicas(customer *customer) bool {
 	for i := range customer.replicas {
-		index := c.replica(customer, i)
+		index := c.sharing.replica(&customer.account, i)
 		peer := &c.gossip.peers[index]
 		if index != c.settings.Self &&
 			(peer.incarnation == 0 || c.clock.activeTime-peer.lastHeardAt > replicaHeardTimeout) {
 			return false
 		}
 	}
-	return c.sharesUsage && c.settings.Gossip && !c.wideReplicaSet(customer)
+	return c.sharing.isFullMesh(&customer.account)
 }
 
 // withinQuota reports whether a customer's quota and its concurrency limit admit the units.
 func (c *Controller) withinQuota(customer *customer, units float64) bool {
-	plan := c.planOf(customer)
+	plan := c.sharing.plan(&customer.account)
 	if plan.ConcurrencyLimit > 0 {
 		limit := math.Max(1, math.Round(c.quotaShare(customer)*float64(plan.ConcurrencyLimit)))
 		if float64(customer.inFlight) >= limit {
@@ -110,7 +108,7 @@
 	customer.demand.add(c.clock.now, customer.demandWindow, units)
 	customer.meteredDemand.add(c.clock.now, max(1, c.settings.MeterPeriod), units)
 	customer.requested, customer.lastRequestCost = customer.requested+units, units
-	if !c.requiresGrant(customer) {
+	if !c.sharing.requiresGrant(&customer.account) {
 		customer.addGrantedUnits(units)
 	}
 	c.scheduleReport(customer)
@@ -118,7 +116,7 @@
 
 // applyMeterReading sets the quota share by a reading of the use through all gateways.
 func (c *Controller) applyMeterReading(customer *customer, reading int) {
-	rate, period := c.planOf(customer).Rate, c.settings.MeterPeriod
+	rate, period := c.sharing.plan(&customer.account).Rate, c.settings.MeterPeriod
 	if period == 0 || reading == 0 || rate == 0 {
 		return
 	}
@@ -130,7 +128,7 @@
 // applyUsage applies a peer's usage entry to the customer's bucket and answers its quota request.
 func (c *Controller) applyUsage(from int, incarnation uint32, newest bool, entry usageEntry) {
 	customer := c.customerRecord(entry.customer, entry.plan, entry.firstReplica, entry.replicas)
-	if !c.isReplica(customer, from) || c.isParticipant(customer) {
+	if !c.sharing.isReplica(&customer.account, from) || c.sharing.isParticipant(&customer.account) {
 		return
 	}
 	last := c.usageFrom(customer, from)
@@ -144,7 +142,7 @@
 	difference := math.Abs(entry.remaining - customer.grantFraction)
 	if entry.quotaRequest > 0 {
 		c.answerQuotaRequest(from, customer, last, entry)
-	} else if c.wideReplicaSet(customer) && difference > grantTolerance*customer.grantFraction {
+	} else if c.sharing.isWide(&customer.account) && difference > grantTolerance*customer.grantFraction {
 		c.queueGrant(from, customer)
 	}
 }
@@ -153,7 +151,7 @@
 // subtract: what the peer believes to be left bounds the level.
 func (c *Controller) applyFirstUsage(customer *customer, entry usageEntry) {
 	remaining := entry.remaining*customer.bucket.capacity - (customer.consumed - customer.consumedReported)
-	if c.wideReplicaSet(customer) && entry.remaining == 1 {
+	if c.sharing.isWide(&customer.account) && entry.remaining == 1 {
 		remaining = customer.bucket.level - unpackUnits(min(entry.consumed, entry.newlyRequested))
 	}
 	customer.bucket.level = math.Max(0, math.Min(customer.bucket.level, remaining))
@@ -165,7 +163,7 @@
 func (c *Controller) applyIncrease(customer *customer, last *peerUsage, entry *usageEntry, newest bool) bool {
 	consumed, requested := entry.consumed-last.consumed, entry.requested-last.requested
 	returned := consumed > maxUsageIncrease
-	isWide := c.wideReplicaSet(customer)
+	isWide := c.sharing.isWide(&customer.account)
 	if requested > maxUsageIncrease || returned && entry.wantedHalves == 0 && (isWide || !newest) {
 		return false
 	}
--- a/policy/reload.go
+++ b/policy/reload.go
@@ -5,8 +5,6 @@
 	"slices"
 )
 
-const demandWindowFraction = 0.5 // the demand window, in times in which a plan's burst refills
-
 // Reload puts other settings in force. Classes and plans are matched by name, as their indices may
 // change. A class that is gone or has changed stays after the new ones, as it was, while requests of
 // it are open; so does a plan that is gone while customers have it. Only a restart can change the
@@ -57,7 +55,7 @@
 	customer.bucket.resize(plan.Rate, plan.Burst)
 	customer.bucket.level = math.Min(customer.bucket.level, plan.Burst)
 	c.limitToCoordinatorShare(customer)
-	customer.demandWindow = c.demandWindow(plan, customer.replicas)
+	customer.demandWindow = c.sharing.demandWindow(&customer.account)
 }
 
 // indexByName is the index of the item of that name; -1: none.
@@ -198,10 +196,7 @@
 
 // deriveFromSettings computes what follows from the settings alone.
 func (c *Controller) deriveFromSettings() {
-	c.gossip.period = minGossipPeriod
-	if c.settings.GossipPerSecond > 0 {
-		c.gossip.period = max(c.gossip.period, c.receiveTime(min(c.settings.Gateways-1, maxFullMeshPeers)))
-	}
+	c.sharing = newQuotaSharing(&c.settings)
 	c.shortestObjective = c.settings.Classes[0].LatencyObjective
 	for _, class := range c.settings.Classes {
 		c.shortestObjective = min(c.shortestObjective, class.LatencyObjective)
@@ -213,11 +208,3 @@
 		}
 	}
 }
-
-// demandWindow is the time constant in which the demand of a plan's customers is measured.
-func (c *Controller) demandWindow(plan *Plan, replicas int) Time {
-	if plan.Rate <= 0 {
-		return second
-	}
-	return max(Time(demandWindowFraction*plan.Burst/plan.Rate*float64(second)), c.receiveTime(replicas))
-}
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -145,8 +145,9 @@
 		return
 	}
 	customer, plan := decodeCustomer(state), &c.settings.Plans[planIndex]
-	customer.plan, customer.demandWindow = planIndex, c.demandWindow(plan, customer.replicas)
-	if c.sharesUsage {
+	customer.plan = planIndex
+	customer.demandWindow = c.sharing.demandWindow(&customer.account)
+	if c.sharing.sharesUsage {
 		customer.bucket.resize(plan.Rate, plan.Burst)
 	}
 	c.limitToCoordinatorShare(customer)
@@ -158,9 +159,9 @@
 
 // limitToCoordinatorShare limits a coordinator's bucket to its part of the burst.
 func (c *Controller) limitToCoordinatorShare(customer *customer) {
-	if c.grantsQuota(customer) {
-		burst := c.planOf(customer).Burst
-		customer.bucket.level = math.Min(customer.bucket.level, burst/float64(c.coordinatorCount(customer)))
+	if account := &customer.account; c.sharing.grantsQuota(account) {
+		part := c.sharing.plan(account).Burst / float64(c.sharing.coordinatorCount(account))
+		customer.bucket.level = math.Min(customer.bucket.level, part)
 	}
 }
 
--- a/policy/snapshot_codec.go
+++ b/policy/snapshot_codec.go
@@ -205,8 +205,8 @@
 // from it.
 func decodeCustomer(state *CustomerState) *customer {
 	customer := &customer{
-		id: state.ID, firstReplica: state.First, replicas: state.Spread,
-		bucket: decodeBucket(state.Store), ceiling: decodeBucket(state.Ceiling),
+		account: account{id: state.ID, firstReplica: state.First, replicas: state.Spread},
+		bucket:  decodeBucket(state.Store), ceiling: decodeBucket(state.Ceiling),
 		customerUsage: customerUsage{
 			consumed: state.Taken, requested: state.Asked, requestedReported: state.AskedTold,
 		},
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -78,11 +78,11 @@
 	settings.Plans[0].Rate, settings.Plans[0].Burst = 60, 60
 	h := newHarness(t, settings)
 	first := 0
-	for !h.grantsQuota(&customer{id: 9, firstReplica: first, replicas: 12}) {
+	for !h.sharing.grantsQuota(&account{id: 9, firstReplica: first, replicas: 12}) {
 		first++
 	}
 	customer := h.customerRecord(9, 0, first, 12)
-	if n := h.coordinatorCount(customer); n < 2 {
+	if n := h.sharing.coordinatorCount(&customer.account); n < 2 {
 		t.Fatalf("%d coordinators, want several", n)
 	}
 	*customer.usageUnder(1) = customerUsage{consumed: 5, requested: 8, requestedReported: 7}
@@ -105,7 +105,7 @@
 	if want := []customerUsage{customer.customerUsage}; !slices.Equal(imported.usageByCoordinator, want) {
 		t.Errorf("from an older process: got %v, want %v", imported.usageByCoordinator, want)
 	}
-	if part := 60 / float64(next.coordinatorCount(imported)); imported.bucket.level > part {
+	if part := 60 / float64(next.sharing.coordinatorCount(&imported.account)); imported.bucket.level > part {
 		t.Errorf("a coordinator holds %g of a burst, want its part of %g", imported.bucket.level, part)
 	}
 }
--- a/policy/tokenbucket.go
+++ b/policy/tokenbucket.go
@@ -52,18 +52,20 @@
 
 // refillBuckets brings a customer's buckets up to now. What overflows goes to the shared bucket.
 func (c *Controller) refillBuckets(customer *customer) {
-	plan, share, ceilingShare := c.planOf(customer), c.quotaShare(customer), 1/float64(customer.replicas)
+	plan, share := c.sharing.plan(&customer.account), c.quotaShare(customer)
+	ceilingShare := 1 / float64(customer.replicas)
 	if plan.CeilingRate > 0 && c.hearsAllReplicas(customer) {
 		ceilingShare = evenCeilingShare*ceilingShare + (1-evenCeilingShare)*share
 	}
 	switch {
-	case !c.sharesUsage:
+	case !c.sharing.sharesUsage:
 		customer.bucket.resize(share*plan.Rate, share*plan.Burst)
 		share = 1
-	case c.grantsQuota(customer): // the coordinators share all of the ceiling, since every gateway asks them
-		ceilingShare = 1 / float64(c.coordinatorCount(customer))
+	case c.sharing.grantsQuota(&customer.account):
+		// The coordinators share all of the ceiling, since every gateway asks them.
+		ceilingShare = 1 / float64(c.sharing.coordinatorCount(&customer.account))
 		customer.bucket.resize(ceilingShare*plan.Rate, ceilingShare*plan.Burst)
-	case c.isParticipant(customer) && c.requiresGrant(customer):
+	case c.sharing.isParticipant(&customer.account) && c.sharing.requiresGrant(&customer.account):
 		ceilingShare = 0
 	}
 	customer.ceiling.resize(ceilingShare*plan.CeilingRate, ceilingShare*plan.CeilingBurst)
@@ -79,7 +81,7 @@
 		c.refillBuckets(customer)
 		c.updateGrant(customer)
 		if customer.idle(c.clock.now) {
-			c.shared.idleOverflow[customer.plan] += c.planOf(customer).Rate / float64(customer.replicas)
+			c.shared.idleOverflow[customer.plan] += c.sharing.plan(&customer.account).Rate / float64(customer.replicas)
 			delete(c.customers.byID, customer.id)
 		} else {
 			kept = append(kept, customer)
@@ -94,7 +96,7 @@
 // consume charges units that the coordinator of that index granted, 0 if none did.
 func (c *Controller) consume(customer *customer, coordinator int, units float64) {
 	customer.usageUnder(coordinator).consumed += units
-	if !c.requiresGrant(customer) || c.coordinator(customer, coordinator) == c.settings.Self {
+	if !c.sharing.asksAnother(&customer.account, coordinator) {
 		customer.bucket.level -= units
 	}
 	customer.grantedUnits = math.Max(0, customer.grantedUnits-units)
