--- a/policy/quotasharing.go
+++ b/policy/quotasharing.go
@@ -7,7 +7,7 @@
 	minGossipPeriod      = second / 30 // the least time between two rounds
 	demandWindowFraction = 0.5         // the demand window, in times in which a plan's burst refills
 	maxFullMeshPeers     = 4           // gateways of a set that still all report to one another
-	quotaRequestShare    = 1.0         // the part of a receiver's gossip that one coordinator's requests may fill
+	quotaRequestShare    = 1.0         // the part of a receiver's gossip that requests to a coordinator may fill
 	coordinatorLoadShare = 0.4         // the part from which on they are spread over several coordinators
 	minRequestsPerBurst  = 2           // the largest requests that a coordinator's part of a burst must hold
 )
