--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -28,6 +28,7 @@
 	}
 }
 
+// run reads the configuration and serves until a shutdown. It returns an error if the gateway cannot start.
 func run() error {
 	// First of all: a signal that arrives early must not end the program.
 	control := handleSignals()
--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -15,6 +15,7 @@
 	reply       simproto.Reply
 }
 
+// newAdapter returns an adapter without instances.
 func newAdapter() *adapter {
 	return &adapter{controllers: map[uint16]*policy.Controller{}}
 }
@@ -64,6 +65,7 @@
 	a.controllers[event.Instance] = controller
 }
 
+// newController makes the controller of an instance from its settings.
 func (a *adapter) newController(event *simproto.Event) (*policy.Controller, error) {
 	parsed, err := settings.ParseText(event.Settings)
 	if err != nil {
@@ -93,5 +95,7 @@
 		controller.GossipReceived(now, event.Sender, event.Gossip)
 	case simproto.CounterAnswered:
 		controller.CounterAnswered(now, event.CounterName, event.Result, event.CounterTotal)
+	case simproto.InstanceStarted, simproto.InstanceStopped:
+		// Events of the adapter itself: handleEvent has handled them.
 	}
 }
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -15,6 +15,7 @@
 	"sparspread/internal/simproto"
 )
 
+// ioBufferSize is the size in bytes of the buffers for input and output.
 const ioBufferSize = 1 << 16
 
 func main() {
@@ -48,6 +49,7 @@
 	}
 }
 
+// writeReply writes a frame and flushes it: the simulator waits for each reply.
 func writeReply(w *bufio.Writer, reply []byte) error {
 	if _, err := w.Write(reply); err != nil {
 		return err
--- a/internal/simproto/codes.go
+++ b/internal/simproto/codes.go
@@ -58,6 +58,7 @@
 	endpointSize  = 22  // bytes of one entry of an endpoint list
 )
 
+// resultByCode are the results by their codes.
 var resultByCode = map[uint8]policy.Result{
 	1: policy.ResultOK,
 	2: policy.ResultFailed,
@@ -69,6 +70,7 @@
 	8: policy.ResultNotSent,
 }
 
+// updateKindByCode are the kinds of updates by the codes of list modes.
 var updateKindByCode = map[uint8]policy.UpdateKind{
 	0: policy.UpdateComplete,
 	1: policy.UpdateStale,
@@ -76,6 +78,7 @@
 	3: policy.UpdateUnavailable,
 }
 
+// endpointStateByCode are the states of endpoints by the codes of readiness.
 var endpointStateByCode = map[uint8]policy.EndpointState{
 	0: policy.EndpointRemoved,
 	1: policy.EndpointReady,
--- a/internal/simproto/event.go
+++ b/internal/simproto/event.go
@@ -42,37 +42,37 @@
 	CounterTotal float64
 }
 
-// readEvent reads the fields of an event whose kind and instance are set.
-func (r *recordReader) readEvent(e *Event) {
-	switch e.Kind {
-	case InstanceStarted:
+// fieldReaders read the fields of an event, by its kind.
+var fieldReaders = [...]func(r *recordReader, e *Event){
+	InstanceStarted: func(r *recordReader, e *Event) {
 		e.Seed = r.uint64()
 		e.Settings = r.bytes(int(r.uint32()))
-	case InstanceStopped: // has no fields
-	case EndpointsUpdated:
-		r.readEndpointsUpdated(e)
-	case RequestReceived:
-		r.readRequest(&e.Request)
-	case ResponseStarted:
-		r.readResponseStarted(&e.Outcome)
-	case AttemptEnded:
-		r.readAttemptEnded(&e.Outcome)
-	case RequestCancelled:
-		e.Outcome.RequestID = r.uint64()
-	case TimerFired:
-		e.TimerToken = r.uint32()
-	case HealthCheckEnded:
-		r.readHealthCheckEnded(e)
-	case GossipReceived:
+	},
+	InstanceStopped:  func(*recordReader, *Event) {}, // has no fields
+	EndpointsUpdated: (*recordReader).readEndpointsUpdated,
+	RequestReceived:  func(r *recordReader, e *Event) { r.readRequest(&e.Request) },
+	ResponseStarted:  func(r *recordReader, e *Event) { r.readResponseStarted(&e.Outcome) },
+	AttemptEnded:     func(r *recordReader, e *Event) { r.readAttemptEnded(&e.Outcome) },
+	RequestCancelled: func(r *recordReader, e *Event) { e.Outcome.RequestID = r.uint64() },
+	TimerFired:       func(r *recordReader, e *Event) { e.TimerToken = r.uint32() },
+	HealthCheckEnded: (*recordReader).readHealthCheckEnded,
+	GossipReceived: func(r *recordReader, e *Event) {
 		e.Sender = int(r.uint16())
 		e.Gossip = r.bytes(int(r.uint16()))
-	case CounterAnswered:
-		r.readCounterAnswered(e)
-	default:
+	},
+	CounterAnswered: (*recordReader).readCounterAnswered,
+}
+
+// readEvent reads the fields of an event whose kind and instance are set.
+func (r *recordReader) readEvent(e *Event) {
+	if int(e.Kind) >= len(fieldReaders) || fieldReaders[e.Kind] == nil {
 		r.fail(fmt.Errorf("%w: event %d", ErrUnknownCode, e.Kind))
+		return
 	}
+	fieldReaders[e.Kind](r, e)
 }
 
+// readEndpointsUpdated reads an update of the endpoint list.
 func (r *recordReader) readEndpointsUpdated(e *Event) {
 	e.UpdateKind = readCode(r, updateKindByCode, "list mode")
 	r.uint64() // version of the list
@@ -85,6 +85,7 @@
 	}
 }
 
+// readEndpoint reads one entry of an endpoint list.
 func (r *recordReader) readEndpoint() policy.Endpoint {
 	endpoint := policy.Endpoint{ID: r.uint32(), Zone: int(r.uint16())}
 	r.uint8() // kind of machine: no decision depends on it
@@ -95,6 +96,7 @@
 	return endpoint
 }
 
+// readRequest reads a request as it was received.
 func (r *recordReader) readRequest(request *policy.Request) {
 	request.ID = r.uint64()
 	r.uint8() // flags for a client's retry and for a write: no decision depends on them
@@ -107,6 +109,7 @@
 	request.Customer = r.uint64()
 }
 
+// readResponseStarted reads which attempt of a request is being answered.
 func (r *recordReader) readResponseStarted(outcome *policy.Outcome) {
 	outcome.RequestID = r.uint64()
 	outcome.Backend = r.uint32()
@@ -114,6 +117,7 @@
 	outcome.Latency = policy.Time(r.uint32())
 }
 
+// readAttemptEnded reads the outcome of an attempt.
 func (r *recordReader) readAttemptEnded(outcome *policy.Outcome) {
 	outcome.RequestID = r.uint64()
 	outcome.Attempt = int(r.uint16())
@@ -126,6 +130,7 @@
 	outcome.LoadReport = r.loadReport()
 }
 
+// readHealthCheckEnded reads the outcome of a health check.
 func (r *recordReader) readHealthCheckEnded(e *Event) {
 	e.Backend = r.uint32()
 	e.Result = r.result()
@@ -133,6 +138,7 @@
 	e.LoadReport = r.loadReport()
 }
 
+// readCounterAnswered reads the answer to a call of the shared counter.
 func (r *recordReader) readCounterAnswered(e *Event) {
 	e.CounterTotal = r.float32()
 	e.Result = r.result()
--- a/internal/simproto/record.go
+++ b/internal/simproto/record.go
@@ -8,7 +8,13 @@
 	"sparspread/policy"
 )
 
-const float32Size = 4
+// The sizes of numbers in bytes.
+const (
+	uint16Size  = 2
+	uint32Size  = 4
+	uint64Size  = 8
+	float32Size = 4
+)
 
 // recordReader reads fields from the records of a batch. Its methods return zero values from the first error
 // on, which stays in err.
@@ -18,6 +24,7 @@
 	err    error
 }
 
+// remaining is how many bytes are left to read.
 func (r *recordReader) remaining() int { return len(r.data) - r.offset }
 
 // fail keeps the first error.
@@ -49,21 +56,21 @@
 }
 
 func (r *recordReader) uint16() uint16 {
-	if b := r.bytes(2); b != nil {
+	if b := r.bytes(uint16Size); b != nil {
 		return binary.LittleEndian.Uint16(b)
 	}
 	return 0
 }
 
 func (r *recordReader) uint32() uint32 {
-	if b := r.bytes(4); b != nil {
+	if b := r.bytes(uint32Size); b != nil {
 		return binary.LittleEndian.Uint32(b)
 	}
 	return 0
 }
 
 func (r *recordReader) uint64() uint64 {
-	if b := r.bytes(8); b != nil {
+	if b := r.bytes(uint64Size); b != nil {
 		return binary.LittleEndian.Uint64(b)
 	}
 	return 0
@@ -85,6 +92,7 @@
 	return report
 }
 
+// result reads the code of an attempt's or a call's result.
 func (r *recordReader) result() policy.Result { return readCode(r, resultByCode, "result") }
 
 // readCode reads a code and returns what it stands for; name says what it is a code of, for the error.
--- a/internal/simproto/reply.go
+++ b/internal/simproto/reply.go
@@ -35,6 +35,7 @@
 	return r.buf
 }
 
+// appendHeader begins the record of an action.
 func (r *Reply) appendHeader(code uint8) {
 	r.buf = append(r.buf, code)
 	r.appendUint16(r.instance)
--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/simproto_test.go
@@ -172,6 +172,7 @@
 		want   error
 	}{
 		{"unknown event", 1, "63 0000", ErrUnknownCode},
+		{"kind 0", 1, "00 0000", ErrUnknownCode},
 		{"unknown result", 1, "02 0100 09000000 63 01000000 00", ErrUnknownCode},
 		{"bytes after the last record", 1, "06 0100 00", ErrTrailingBytes},
 		{"endpoint list too long", 1, "08 0300 01 2900000000000000 ffffffff 0000", ErrTruncated},
