--- a/cmd/gateway/descriptors_test.go
+++ b/cmd/gateway/descriptors_test.go
@@ -4,8 +4,8 @@
 	"errors"
 	"fmt"
 	"io"
-	"net"
 	"os/exec"
+	"strconv"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -48,6 +48,7 @@
 	return g
 }
 
+// countDescriptors looks at how many descriptors the process holds now.
 func (g *saturatedGateway) countDescriptors() {
 	g.maxDescriptors = max(g.maxDescriptors, g.process.openDescriptors())
 }
@@ -140,7 +141,7 @@
 // openConnection connects, sends a text and keeps the connection until the test ends.
 func openConnection(t *testing.T, network, address, text string) {
 	t.Helper()
-	conn, err := net.DialTimeout(network, address, waitTimeout)
+	conn, err := dial(network, address, waitTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -153,13 +154,14 @@
 // the gateway can still read a new configuration.
 func TestAllPartsAtOnceStayWithinDescriptorLimit(t *testing.T) {
 	for _, descriptors := range []int{32, 64, 256, 1024} {
-		t.Run(fmt.Sprint(descriptors), func(t *testing.T) {
+		t.Run(strconv.Itoa(descriptors), func(t *testing.T) {
 			t.Parallel()
 			useAllPartsAtOnce(t, descriptors)
 		})
 	}
 }
 
+// useAllPartsAtOnce has every part of a gateway with a limit take all that it may.
 func useAllPartsAtOnce(t *testing.T, descriptors int) {
 	t.Helper()
 	host := randomHost()
--- a/cmd/gateway/fleet_backends_test.go
+++ b/cmd/gateway/fleet_backends_test.go
@@ -61,9 +61,9 @@
 
 	mu        sync.Mutex // guards all below
 	mode      backendMode
-	listener  net.Listener     // nil: refuses
+	listener  *net.TCPListener // nil: refuses
 	hanging   *hangingListener // while it is unreachable
-	conns     map[net.Conn]struct{}
+	conns     map[*net.TCPConn]struct{}
 	startedAt time.Time // zero: long ago
 	waiting   int       // commands without a core
 	arrivals  []arrival
@@ -82,11 +82,12 @@
 	return min(1, s.floor+(1-s.floor)*age.Seconds()/s.duration.Seconds())
 }
 
+// newFleetBackend starts a warm backend that ends with the test.
 func newFleetBackend(tb testing.TB, number int, slow slowStart) *fleetBackend {
 	tb.Helper()
 	b := &fleetBackend{
 		tb: tb, number: number, slow: slow, cores: make(chan struct{}, fleetBackendCores),
-		conns: map[net.Conn]struct{}{}, address: porttest.Reserve(tb),
+		conns: map[*net.TCPConn]struct{}{}, address: porttest.Reserve(tb),
 	}
 	b.setMode(backendServes)
 	tb.Cleanup(func() { b.setMode(backendRefuses) })
@@ -120,7 +121,7 @@
 		b.hanging = nil
 	}
 	for conn := range b.conns {
-		_ = conn.(*net.TCPConn).SetLinger(0) // it is closed in any case
+		_ = conn.SetLinger(0) // it is closed in any case
 		_ = conn.Close()
 	}
 	clear(b.conns)
@@ -132,6 +133,7 @@
 	queued     []net.Conn
 }
 
+// listenHanging makes a listener whose only place is taken. It reports what fails to the test.
 func listenHanging(tb testing.TB, address string) *hangingListener {
 	tb.Helper()
 	addr := netip.MustParseAddrPort(address)
@@ -148,7 +150,7 @@
 	if err != nil {
 		tb.Error(err)
 	}
-	conn, err := net.Dial("tcp", address) // the only one that the queue has a place for
+	conn, err := dial("tcp", address, waitTimeout) // the only one that the queue has a place for
 	if err != nil {
 		tb.Error(err)
 		return &hangingListener{descriptor: descriptor}
@@ -156,7 +158,11 @@
 	return &hangingListener{descriptor: descriptor, queued: []net.Conn{conn}}
 }
 
+// close refuses what waits for the listener. There may be none.
 func (h *hangingListener) close() {
+	if h == nil {
+		return
+	}
 	_ = syscall.Close(h.descriptor)
 	for _, conn := range h.queued {
 		_ = conn.Close()
@@ -169,30 +175,22 @@
 		b.hanging.close()
 		b.hanging = nil
 	}
-	listener, err := net.Listen("tcp", b.address)
+	listener, err := listenTCP(b.address)
 	if err != nil {
 		b.tb.Error(err)
 		return
 	}
 	b.listener = listener
-	go b.accept(listener)
-}
-
-func (b *fleetBackend) accept(listener net.Listener) {
-	for {
-		conn, err := listener.Accept()
-		if err != nil {
-			return
-		}
+	go acceptEach(listener, func(conn *net.TCPConn) {
 		b.mu.Lock()
+		defer b.mu.Unlock()
 		if b.listener == listener {
 			b.conns[conn] = struct{}{}
 			go b.serve(conn)
 		} else {
 			_ = conn.Close() // it came while the listener was being closed
 		}
-		b.mu.Unlock()
-	}
+	})
 }
 
 // restart begins a new life of the backend: its connections end, and it has the least of its capacity.
@@ -212,7 +210,7 @@
 }
 
 // serve answers the commands of a connection.
-func (b *fleetBackend) serve(conn net.Conn) {
+func (b *fleetBackend) serve(conn *net.TCPConn) {
 	defer func() {
 		_ = conn.Close()
 		b.mu.Lock()
--- a/cmd/gateway/fleet_clients_test.go
+++ b/cmd/gateway/fleet_clients_test.go
@@ -76,7 +76,7 @@
 	default:
 	}
 	if errors.Is(err, net.ErrClosed) || errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) {
-		if conn, err = net.DialTimeout("tcp", f.hosts[gateway]+clientPort, clientTimeout); err == nil {
+		if conn, err = dial("tcp", f.hosts[gateway]+clientPort, clientTimeout); err == nil {
 			line, err = roundTrip(conn, f.command(gateway, sequence))
 		}
 	}
--- a/cmd/gateway/fleet_test.go
+++ b/cmd/gateway/fleet_test.go
@@ -4,7 +4,6 @@
 	"encoding/json"
 	"fmt"
 	"math/rand/v2"
-	"net"
 	"net/http"
 	"strings"
 	"sync"
@@ -49,10 +48,7 @@
 		tb: tb, settings: settings, catalog: &fleetCatalog{},
 		removed: map[int]bool{}, stop: make(chan struct{}),
 	}
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		tb.Fatal(err)
-	}
+	listener := listenUntilEnd(tb, "127.0.0.1:0")
 	f.address = listener.Addr().String()
 	server := &http.Server{Handler: f.catalog}
 	go func() { _ = server.Serve(listener) }() // until closed
@@ -102,8 +98,9 @@
 			"tip-after-us": slow.window.Microseconds(), "overload-factor": slow.overloadFactor,
 			"drain-grace-us": 500000,
 		}
-		settings["ceilings"].(map[string]any)["dial-timeout-us"] = f.settings.dialTimeout.Microseconds()
-		class := settings["request-classes"].([]any)[0].(map[string]any)
+		ceilings := as[map[string]any](f.tb, settings["ceilings"])
+		ceilings["dial-timeout-us"] = f.settings.dialTimeout.Microseconds()
+		class := as[map[string]any](f.tb, as[[]any](f.tb, settings["request-classes"])[0])
 		class["promise-us"] = 500000
 		if f.settings.runOnce {
 			class["repeat"] = "fragile"
@@ -112,6 +109,16 @@
 	}
 }
 
+// as returns a value of decoded JSON as a T, which it has to be.
+func as[T any](tb testing.TB, value any) T {
+	tb.Helper()
+	typed, ok := value.(T)
+	if !ok {
+		tb.Fatalf("got a %T, want a %T", value, typed)
+	}
+	return typed
+}
+
 // keepList has gateways that start from now on know the list as it is now.
 func (f *fleet) keepList() {
 	f.catalog.mu.Lock()
@@ -140,9 +147,11 @@
 	f.catalog.update(entries)
 }
 
-// starting are the backends that start amid the run, warm the others.
+// starting are the backends that start amid the run.
 func (f *fleet) starting() []*fleetBackend { return f.backends[:startingBackends] }
-func (f *fleet) warm() []*fleetBackend     { return f.backends[startingBackends:] }
+
+// warm are the backends that are warm all the time.
+func (f *fleet) warm() []*fleetBackend { return f.backends[startingBackends:] }
 
 // restartBackends replaces the processes of the starting backends at once, and discovery tells of it.
 func (f *fleet) restartBackends() {
--- a/cmd/gateway/idleclients_test.go
+++ b/cmd/gateway/idleclients_test.go
@@ -34,7 +34,7 @@
 // run connects again and again until the clients are stopped.
 func (c *idleClients) run() {
 	for {
-		conn, err := net.DialTimeout("tcp", c.address, waitTimeout)
+		conn, err := dial("tcp", c.address, waitTimeout)
 		if err == nil {
 			c.hold(conn)
 		}
--- a/cmd/gateway/process_test.go
+++ b/cmd/gateway/process_test.go
@@ -4,11 +4,11 @@
 	"bufio"
 	"bytes"
 	"cmp"
+	"context"
 	"encoding/json"
 	"fmt"
 	"io"
 	"math/rand/v2"
-	"net"
 	"net/http"
 	"os"
 	"os/exec"
@@ -39,6 +39,7 @@
 	discoveryPort = ":8500"
 )
 
+// TestMain runs the gateway in place of the tests in processes that startGateway has started.
 func TestMain(m *testing.M) {
 	if os.Getenv(testProcessVariable) != "" {
 		main()
@@ -81,7 +82,7 @@
 // startGateway starts a gateway that may open the given number of descriptors.
 func startGateway(tb testing.TB, host string, descriptors int, change configChange) *gatewayProcess {
 	tb.Helper()
-	dir, err := os.MkdirTemp("", "m") // short, since the path of a Unix socket is limited
+	dir, err := makeShortDir()
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -94,6 +95,10 @@
 	return p
 }
 
+// makeShortDir makes a directory with a short path, unlike testing.T.TempDir: that of a Unix socket in it is
+// limited.
+func makeShortDir() (string, error) { return os.MkdirTemp("", "m") }
+
 // startSuccessor starts a second process of a gateway beside the first, waits until it has taken over, and
 // has the first one shut down.
 func startSuccessor(tb testing.TB, first *gatewayProcess, change configChange) *gatewayProcess {
@@ -122,7 +127,8 @@
 	tb.Helper()
 	dir := filepath.Dir(p.configPath)
 	script := fmt.Sprintf(`ulimit -n %d && exec "$0"`, descriptors)
-	p.command = exec.Command("/bin/sh", "-c", script, os.Args[0])
+	// The cleanup kills it: the test's context ends before other cleanups need the process.
+	p.command = exec.CommandContext(context.Background(), "/bin/sh", "-c", script, os.Args[0])
 	p.command.Env = append(
 		os.Environ(), testProcessVariable+"=1", "TMPDIR="+dir, configPathVariable+"="+p.configPath,
 	)
@@ -150,6 +156,7 @@
 	return p.log.Write(b)
 }
 
+// logText is what the process has logged so far.
 func (p *gatewayProcess) logText() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -195,7 +202,7 @@
 
 // answersPing reports whether the gateway answers PING on a new connection.
 func (p *gatewayProcess) answersPing() bool {
-	conn, err := net.DialTimeout("tcp", p.host+clientPort, waitTimeout)
+	conn, err := dial("tcp", p.host+clientPort, waitTimeout)
 	if err != nil {
 		return false
 	}
@@ -211,7 +218,7 @@
 // firstPing waits for the first answer to PING after a start.
 func (p *gatewayProcess) firstPing(deadline time.Time) error {
 	for {
-		conn, err := net.DialTimeout("tcp", p.host+clientPort, time.Until(deadline))
+		conn, err := dial("tcp", p.host+clientPort, time.Until(deadline))
 		if err != nil {
 			if time.Now().After(deadline) {
 				return err
@@ -234,7 +241,12 @@
 // getOps calls the interface for operators and returns the status.
 func (p *gatewayProcess) getOps(path string) (int, error) {
 	client := http.Client{Timeout: waitTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
-	response, err := client.Get("http://" + cmp.Or(p.opsHost, p.host) + opsPort + path)
+	url := "http://" + cmp.Or(p.opsHost, p.host) + opsPort + path
+	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, url, nil)
+	if err != nil {
+		return 0, err
+	}
+	response, err := client.Do(request)
 	if err != nil {
 		return 0, err
 	}
--- a/cmd/gateway/requests_test.go
+++ b/cmd/gateway/requests_test.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"fmt"
 	"io"
-	"net"
 	"strings"
 	"sync/atomic"
 	"time"
@@ -21,6 +20,7 @@
 	err        error
 }
 
+// String describes the outcome for a test's message.
 func (o requestOutcome) String() string {
 	return fmt.Sprintf("answer %q, error %v, sent %d times, rejected %d times",
 		o.answer, o.err, o.sent, o.rejections)
@@ -45,8 +45,9 @@
 	return o
 }
 
+// requestOnce sends a request on a connection of its own and returns the first line of the answer.
 func (p *gatewayProcess) requestOnce() (string, error) {
-	conn, err := net.DialTimeout("tcp", p.host+clientPort, waitTimeout)
+	conn, err := dial("tcp", p.host+clientPort, waitTimeout)
 	if err != nil {
 		return "", err
 	}
--- a/cmd/gateway/slowstart_fleet_test.go
+++ b/cmd/gateway/slowstart_fleet_test.go
@@ -51,6 +51,7 @@
 	budget   float64
 }
 
+// ratio is the part of its budget that the backend received; above 1 it was overloaded.
 func (w overloadWindow) ratio() float64 { return float64(w.received) / w.budget }
 
 // worstWindow is the fullest window of the backend in relation to its budget.
@@ -71,6 +72,7 @@
 	return worst
 }
 
+// play starts a fleet, has it meet the fault and checks what the starting backends received.
 func (r *slowStartRun) play(t *testing.T) {
 	t.Helper()
 	settings := fleetSettings{
@@ -114,6 +116,7 @@
 // pressed has clients ask for more than the backends can serve.
 func pressed(s *fleetSettings) { s.load = 1.3 }
 
+// fragile has backends that start with little of their capacity and bear little more.
 func fragile(s *fleetSettings) { s.slow = fragileSlowStart }
 
 // slowDials has dials last long, of requests that are not given up early.
@@ -129,6 +132,7 @@
 	}
 }
 
+// withClockStep has discovery's clock ahead of the gateways' when backends start.
 func withClockStep(step time.Duration) func(f *fleet) {
 	return func(f *fleet) {
 		f.clockStep = step
@@ -206,6 +210,7 @@
 	}
 }
 
+// fragileAndSlowDials is both.
 func fragileAndSlowDials(s *fleetSettings) {
 	fragile(s)
 	slowDials(s)
--- a/cmd/gateway/standins_test.go
+++ b/cmd/gateway/standins_test.go
@@ -11,7 +11,6 @@
 	"os"
 	"strings"
 	"sync"
-	"syscall"
 	"testing"
 	"time"
 )
@@ -20,23 +19,9 @@
 // full. The function that it returns reports whether a dial hangs there.
 func newHangingAddress(tb testing.TB, host string, port int) (dialHangs func() bool) {
 	tb.Helper()
-	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
-	if err != nil {
-		tb.Fatal(err)
-	}
-	tb.Cleanup(func() { _ = syscall.Close(fd) })
+	hanging := listenHanging(tb, fmt.Sprintf("%s:%d", host, port))
+	tb.Cleanup(hanging.close)
 	ip := net.ParseIP(host).To4()
-	if err = syscall.Bind(fd, &syscall.SockaddrInet4{Port: port, Addr: [4]byte(ip)}); err == nil {
-		err = syscall.Listen(fd, 0)
-	}
-	if err != nil {
-		tb.Fatal(err)
-	}
-	conn, err := net.DialTimeout("tcp", fmt.Sprintf("%s:%d", host, port), waitTimeout)
-	if err != nil {
-		tb.Fatal(err)
-	}
-	tb.Cleanup(func() { _ = conn.Close() })
 	// A connection to the address in the state SYN_SENT, as the kernel's table writes it.
 	entry := fmt.Sprintf(" %02X%02X%02X%02X:%04X 02 ", ip[3], ip[2], ip[1], ip[0], port)
 	return func() bool {
@@ -49,13 +34,14 @@
 type discoveryServer struct {
 	tb       testing.TB
 	address  string
-	watches  chan string // queries of the calls that were served
-	listener net.Listener
+	watches  chan string      // queries of the calls that were served
+	listener *net.TCPListener // nil: calls are refused
 
 	mu      sync.Mutex // guards waiting
 	waiting []net.Conn // calls without an answer
 }
 
+// newDiscoveryServer returns the discovery of the gateway at a host.
 func newDiscoveryServer(tb testing.TB, host string) *discoveryServer {
 	tb.Helper()
 	return &discoveryServer{tb: tb, address: host + discoveryPort, watches: make(chan string, 1024)}
@@ -64,25 +50,16 @@
 // acceptWithoutAnswer accepts calls and never answers them.
 func (d *discoveryServer) acceptWithoutAnswer() {
 	d.tb.Helper()
-	listener, err := net.Listen("tcp", d.address)
-	if err != nil {
-		d.tb.Fatal(err)
-	}
-	d.listener = listener
-	d.tb.Cleanup(func() { _ = listener.Close(); d.closeWaiting() })
-	go func() {
-		for {
-			conn, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			d.mu.Lock()
-			d.waiting = append(d.waiting, conn)
-			d.mu.Unlock()
-		}
-	}()
+	d.tb.Cleanup(d.closeWaiting) // runs after the listener was closed
+	d.listener = listenUntilEnd(d.tb, d.address)
+	go acceptEach(d.listener, func(conn *net.TCPConn) {
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		d.waiting = append(d.waiting, conn)
+	})
 }
 
+// closeWaiting ends the calls that have no answer.
 func (d *discoveryServer) closeWaiting() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -100,10 +77,7 @@
 		_ = d.listener.Close()
 		d.closeWaiting()
 	}
-	listener, err := net.Listen("tcp", d.address)
-	if err != nil {
-		d.tb.Fatal(err)
-	}
+	listener := listenUntilEnd(d.tb, d.address)
 	body := endpointList(2, entries)
 	handler := func(w http.ResponseWriter, r *http.Request) {
 		select {
@@ -136,6 +110,7 @@
 	}
 }
 
+// isWatchFromRevision2 reports whether a call waits for what comes after the list of serve.
 func isWatchFromRevision2(query string) bool { return strings.HasPrefix(query, "index=2&") }
 
 // endpointList returns a complete list as discovery writes it.
@@ -165,31 +140,22 @@
 	answering chan struct{} // closed by startAnswering
 }
 
+// newBackend starts a backend that ends with the test.
 func newBackend(tb testing.TB) *backend {
 	tb.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		tb.Fatal(err)
-	}
-	tb.Cleanup(func() { _ = listener.Close() })
+	listener := listenUntilEnd(tb, "127.0.0.1:0")
 	b := &backend{
 		address:  listener.Addr().String(),
 		received: make(chan struct{}, 1<<14), answering: make(chan struct{}),
 	}
-	go func() {
-		for {
-			conn, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			go b.serve(conn)
-		}
-	}()
+	go acceptEach(listener, func(conn *net.TCPConn) { go b.serve(conn) })
 	return b
 }
 
+// startAnswering has the backend answer, also the commands that wait. It is called once.
 func (b *backend) startAnswering() { close(b.answering) }
 
+// serve answers the commands of a connection.
 func (b *backend) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	in := bufio.NewReader(conn)
