--- a/docs/names_test.go
+++ b/docs/names_test.go
@@ -21,14 +21,25 @@
 	"ARCHITECTURE.md", "design.md", "CAPACITY.md", "operations.md", "open-points.md",
 }
 
-// declarations holds what the packages of the module declare: "package.Name" and "package.Type.Member".
+// declarations holds what the packages of the module declare.
 type declarations struct {
-	names    map[string]bool
-	packages map[string]bool
+	names       map[string]bool // "package.Name" and "package.Type.Member"
+	unqualified map[string]bool // the same without package and type
+	packages    map[string]bool
+	tests       map[string]bool // tests and benchmarks, by name
+}
+
+func newDeclarations() declarations {
+	return declarations{
+		names: map[string]bool{}, unqualified: map[string]bool{},
+		packages: map[string]bool{}, tests: map[string]bool{},
+	}
 }
 
 var (
 	qualifiedName = regexp.MustCompile(`\b([a-z]\w*)\.([A-Za-z]\w*)(?:\.([A-Za-z]\w*))?`)
+	camelCase     = regexp.MustCompile(`^[a-z]+[A-Z]\w*$`)
+	testName      = regexp.MustCompile(`\b(?:Test|Benchmark)[A-Z]\w+`)
 	quoted        = regexp.MustCompile("`([^`\n]+)`")
 	repoPath      = regexp.MustCompile(`^\.?[\w-]+(/[\w.-]+)+/?$|^[\w-]+\.(go|md|toml)$`)
 )
@@ -51,13 +62,16 @@
 }
 
 func TestMissingNamesAreFound(t *testing.T) {
-	declared := declarations{
-		names:    map[string]bool{"policy.Controller": true, "policy.Controller.Reload": true},
-		packages: map[string]bool{"policy": true},
-	}
+	declared := newDeclarations()
+	declared.packages["policy"] = true
+	declared.add("policy", "Controller", "Reload")
+	declared.tests["TestHere"] = true
 	line := "`policy.Controller.Reload`, policy.Gone, policy.Controller.Gone, limits.sockets, " +
-		"policy.json, `gone/file.go`, `names_test.go`, `bin/gone`, `bin/gateway`"
-	want := []string{"policy.Gone", "policy.Controller.Gone", "gone/file.go", "bin/gone"}
+		"policy.json, `gone/file.go`, `names_test.go`, `bin/gone`, `bin/gateway`, " +
+		"`goneFunction`, TestHere, TestGone"
+	want := []string{
+		"policy.Gone", "policy.Controller.Gone", "gone/file.go", "bin/gone", "goneFunction", "TestGone",
+	}
 	if got := declared.missingIn(line); !slices.Equal(got, want) {
 		t.Errorf("missing %q, want %q", got, want)
 	}
@@ -80,13 +94,26 @@
 		}
 	}
 	for _, match := range quoted.FindAllStringSubmatch(line, -1) {
-		if repoPath.MatchString(match[1]) && !pathExists(match[1]) {
+		if d.isMissing(match[1]) {
 			missing = append(missing, match[1])
 		}
 	}
+	for _, name := range testName.FindAllString(line, -1) {
+		if !d.tests[name] {
+			missing = append(missing, name)
+		}
+	}
 	return missing
 }
 
+// isMissing reports whether a quoted text is a path or a name in camel case that does not exist.
+func (d declarations) isMissing(quoted string) bool {
+	if repoPath.MatchString(quoted) {
+		return !pathExists(quoted)
+	}
+	return camelCase.MatchString(quoted) && !d.unqualified[quoted]
+}
+
 // isFileExtension reports whether a dot separates a file's name from its extension.
 func isFileExtension(name string) bool {
 	return slices.Contains([]string{"go", "json", "md", "toml"}, name)
@@ -112,22 +139,23 @@
 	return found
 }
 
-// declaredIn parses the program's files below a folder.
+// declaredIn parses the files below a folder.
 func declaredIn(t *testing.T, root string) declarations {
 	t.Helper()
-	d := declarations{names: map[string]bool{}, packages: map[string]bool{}}
-	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
-		if err != nil {
+	d := newDeclarations()
+	err := filepath.WalkDir(root, func(path string, _ fs.DirEntry, err error) error {
+		if err != nil || filepath.Ext(path) != ".go" {
 			return err
 		}
-		if filepath.Ext(path) != ".go" || strings.HasSuffix(path, "_test.go") {
-			return nil
-		}
 		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
 		if err != nil {
 			return fmt.Errorf("parse %s: %w", path, err)
 		}
-		d.addFile(file)
+		if strings.HasSuffix(path, "_test.go") {
+			d.addTests(file)
+		} else {
+			d.addFile(file)
+		}
 		return nil
 	})
 	if err != nil {
@@ -136,17 +164,35 @@
 	return d
 }
 
+// add adds a name of a package, and members of it where it is a type.
+func (d declarations) add(pkg, name string, members ...string) {
+	d.names[pkg+"."+name], d.unqualified[name] = true, true
+	for _, member := range members {
+		d.names[pkg+"."+name+"."+member], d.unqualified[member] = true, true
+	}
+}
+
+// addTests adds the tests and benchmarks of a file.
+func (d declarations) addTests(file *ast.File) {
+	for _, declaration := range file.Decls {
+		function, ok := declaration.(*ast.FuncDecl)
+		if ok && testName.MatchString(function.Name.Name) {
+			d.tests[function.Name.Name] = true
+		}
+	}
+}
+
 func (d declarations) addFile(file *ast.File) {
 	pkg := file.Name.Name
 	d.packages[pkg] = true
 	for _, declaration := range file.Decls {
 		switch declaration := declaration.(type) {
 		case *ast.FuncDecl:
-			name := declaration.Name.Name
-			if declaration.Recv != nil {
-				name = receiverType(declaration.Recv.List[0].Type) + "." + name
+			if declaration.Recv == nil {
+				d.add(pkg, declaration.Name.Name)
+			} else {
+				d.add(pkg, receiverType(declaration.Recv.List[0].Type), declaration.Name.Name)
 			}
-			d.names[pkg+"."+name] = true
 		case *ast.GenDecl:
 			for _, spec := range declaration.Specs {
 				d.addSpec(pkg, spec)
@@ -159,14 +205,10 @@
 	switch spec := spec.(type) {
 	case *ast.ValueSpec:
 		for _, name := range spec.Names {
-			d.names[pkg+"."+name.Name] = true
+			d.add(pkg, name.Name)
 		}
 	case *ast.TypeSpec:
-		typeName := pkg + "." + spec.Name.Name
-		d.names[typeName] = true
-		for _, member := range membersOf(spec.Type) {
-			d.names[typeName+"."+member] = true
-		}
+		d.add(pkg, spec.Name.Name, membersOf(spec.Type)...)
 	}
 }
 
