--- a/docs/names_test.go
+++ b/docs/names_test.go
@@ -119,8 +119,8 @@
 	return slices.Contains([]string{"go", "json", "md", "toml"}, name)
 }
 
-// pathExists reports whether a path, from the module's root or a file name alone, is in the repository. That of
-// a program that the build puts into bin is, if the program's source is.
+// pathExists reports whether a path, from the module's root or a file name alone, is in the repository. That
+// of a program that the build puts into bin is, if the program's source is.
 func pathExists(path string) bool {
 	if program, isBuilt := strings.CutPrefix(path, "bin/"); isBuilt {
 		return pathExists("cmd/"+program) || pathExists("deploy/example/"+program)
