--- a/scale/commands.go
+++ b/scale/commands.go
@@ -19,6 +19,9 @@
 // whose collection must not delay them.
 const gcPercent = 200
 
+// resultsMode is the mode of a new file of results: all may read them.
+const resultsMode = 0o644
+
 // runCommand runs an experiment.
 type runCommand struct {
 	Experiment string `arg:"" type:"existingfile" help:"Experiment file (TOML)."`
@@ -34,13 +37,13 @@
 	if err != nil {
 		return err
 	}
-	if c.Repeat < 0 || c.Repeat > experiment.Repeats {
-		return fmt.Errorf("repeat: %d, 0 to %d wanted", c.Repeat, experiment.Repeats)
+	if err := model.CheckRange("repeat", c.Repeat, 0, experiment.Repeats); err != nil {
+		return err
 	}
 	if _, err := os.Stat(c.Gateway); err != nil {
 		return fmt.Errorf("the gateway's program: %w", err)
 	}
-	out, err := os.OpenFile(c.Out, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
+	out, err := os.OpenFile(c.Out, os.O_APPEND|os.O_CREATE|os.O_WRONLY, resultsMode)
 	if err != nil {
 		return fmt.Errorf("results: %w", err)
 	}
--- a/scale/internal/model/catalog.go
+++ b/scale/internal/model/catalog.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"encoding/binary"
 	"fmt"
 	"sort"
 	"sync"
@@ -61,21 +62,32 @@
 
 // BackendAddress returns the loopback address of a backend, which no other backend has.
 func BackendAddress(backend int) string {
-	return fmt.Sprintf("127.%d.%d.%d", firstAddressByte+backend>>16, backend>>8&0xff, backend&0xff)
+	low := uint16(backend)
+	return fmt.Sprintf("127.%d.%d.%d", firstAddressByte+backend>>lowBits, low>>byteBits, byte(low))
 }
 
 // BackendAt returns the backend with an address of four bytes.
-func BackendAt(ip []byte) int { return int(ip[1]-firstAddressByte)<<16 | int(ip[2])<<8 | int(ip[3]) }
+func BackendAt(ip []byte) int {
+	return int(ip[1]-firstAddressByte)<<lowBits | int(binary.BigEndian.Uint16(ip[2:]))
+}
 
-// firstAddressByte is the second byte of the first backend's address: those below are for gateways.
-const firstAddressByte = 16
+const (
+	// firstAddressByte is the second byte of the first backend's address: those below are for gateways.
+	firstAddressByte = 16
+	// lowBits is how many bits of a backend's index are in the last two bytes of its address.
+	lowBits  = 16
+	byteBits = 8
+)
 
+// zoneName is the name of a zone in discovery's list and in the settings.
 func zoneName(zone int) string {
 	return fmt.Sprintf("r%d-z%d", zone/zonesPerArea+1, zone%zonesPerArea+1)
 }
 
+// zoneOf is the number of a backend's zone.
 func zoneOf(backend int) int { return backend % zones }
 
+// cellOf is the number of a backend's cell, all of which is in one zone.
 func cellOf(backend int) int { return zoneOf(backend) + zones*(backend/(cellSize*zones)) }
 
 // revision returns the newest revision. The caller holds mu.
@@ -161,6 +173,7 @@
 		return policy.EndpointDraining
 	case PhaseGone:
 		return policy.EndpointRemoved
+	case PhaseReady:
 	}
 	return policy.EndpointReady
 }
@@ -180,6 +193,7 @@
 	empty bool
 }
 
+// newListWriter begins a list.
 func newListWriter(revision uint64, complete bool) *listWriter {
 	list := &listWriter{empty: true}
 	fmt.Fprintf(&list.body, `{"revision":%d,"complete":%t,"members":[`, revision, complete)
@@ -194,6 +208,7 @@
 	l.empty = false
 }
 
+// finish ends the list and returns it.
 func (l *listWriter) finish() []byte {
 	l.body.WriteString("]}")
 	return l.body.Bytes()
--- a/scale/internal/model/customers.go
+++ b/scale/internal/model/customers.go
@@ -13,12 +13,22 @@
 // capped plan's buckets are so large that an even share of them still holds a request where some gateways of
 // a replica set are silent.
 var (
-	TeamPlan   = Plan{Name: "team", Rate: 60, Burst: 97}
+	TeamPlan   = Plan{Name: "team", Rate: teamRate, Burst: teamBurst}
 	CappedPlan = Plan{
-		Name: "capped", Rate: 0.6, Burst: 4, CeilingRate: 0.8, CeilingBurst: 4, CeilingSlack: 1,
+		Name: "capped", Rate: cappedRate, Burst: cappedBurst,
+		CeilingRate: cappedCeilingRate, CeilingBurst: cappedBurst, CeilingSlack: 1,
 	}
 )
 
+// What the plans grant, in units and units per second.
+const (
+	teamRate          = 60
+	teamBurst         = 97
+	cappedRate        = 0.6
+	cappedCeilingRate = 0.8
+	cappedBurst       = 4
+)
+
 const (
 	// cappedShare is the part of the requests that customers of the capped plan send.
 	cappedShare = 0.2
--- a/scale/internal/model/experiment.go
+++ b/scale/internal/model/experiment.go
@@ -1,8 +1,11 @@
 package model
 
 import (
+	"cmp"
 	"fmt"
 	"math"
+	"slices"
+	"strconv"
 	"time"
 
 	"github.com/BurntSushi/toml"
@@ -60,14 +63,36 @@
 	maxRepeats       = 10
 	maxRealGateways  = 24
 	maxGateways      = 8_000 // each simulated one holds a socket
+	minBackends      = 2
 	maxBackends      = 120_000
 	maxRequests      = 2_000.0
 	maxServiceTime   = time.Second
 	maxPhase         = time.Minute
 	maxSteps         = 20
 	maxReplicaCounts = 10
+
+	backendsPerChange = 2 // at least, for a change a second
+)
+
+// What an experiment has where its file does not state it.
+const (
+	defaultRepeats           = 1
+	defaultRealGateways      = 4
+	defaultSimulatedRequests = 1 // a second
+	defaultServiceTime       = 10 * time.Millisecond
+	defaultMemoryMB          = 256
+	defaultSteps             = 3
+	defaultIdle              = 3 * time.Second
+	defaultControl           = 5 * time.Second
+	defaultLoad              = 5 * time.Second
 )
 
+// defaultReplicaCounts are the sizes of replica sets where an experiment states none.
+var defaultReplicaCounts = []int{2, 3, 4}
+
+// defaultBase is the tier of today: what an experiment does not state of its base.
+var defaultBase = Point{Backends: 46, Gateways: 4, Changes: 1, Requests: 86}
+
 // quotaRequestTimeout is how long a real gateway waits for a coordinator's answer under the settings:
 // simulated gateways that are later than that no longer stand for real ones.
 const quotaRequestTimeout = 100 * time.Millisecond
@@ -75,17 +100,18 @@
 // ReadExperiment reads and checks an experiment file. Its errors name the key that is wrong.
 func ReadExperiment(path string) (*Experiment, error) {
 	e := &Experiment{
-		Repeats: 1, RealGateways: 4, Known: KnownList, ReplicaCounts: []int{2, 3, 4}, SimulatedRequests: 1,
-		MaxSimulatedDelay: quotaRequestTimeout, ServiceTime: 10 * time.Millisecond, MemoryMB: 256, Steps: 3,
-		Idle: 3 * time.Second, Control: 5 * time.Second, Load: 5 * time.Second,
-		Base: Point{Backends: 46, Gateways: 4, Changes: 1, Requests: 86},
+		Repeats: defaultRepeats, RealGateways: defaultRealGateways, Known: KnownList,
+		ReplicaCounts: slices.Clone(defaultReplicaCounts), SimulatedRequests: defaultSimulatedRequests,
+		MaxSimulatedDelay: quotaRequestTimeout, ServiceTime: defaultServiceTime, MemoryMB: defaultMemoryMB,
+		Idle: defaultIdle, Control: defaultControl, Load: defaultLoad, Steps: defaultSteps,
+		Base: defaultBase,
 	}
 	meta, err := toml.DecodeFile(path, e)
 	if err != nil {
 		return nil, fmt.Errorf("experiment %s: %w", path, err)
 	}
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
-		return nil, fmt.Errorf("experiment %s: %s: no such key", path, unknown[0])
+		return nil, fmt.Errorf("experiment %s: %s: %w", path, unknown[0], errUnknownKey)
 	}
 	if err := e.check(); err != nil {
 		return nil, fmt.Errorf("experiment %s: %w", path, err)
@@ -93,14 +119,9 @@
 	return e, nil
 }
 
+// check returns a *KeyError for the first key with which nothing can be run.
 func (e *Experiment) check() error {
-	if err := e.checkSeries(); err != nil {
-		return err
-	}
-	if err := e.checkParameters(); err != nil {
-		return err
-	}
-	if err := e.checkPhases(); err != nil {
+	if err := cmp.Or(e.checkSeries(), e.checkParameters(), e.checkPhases()); err != nil {
 		return err
 	}
 	for i := range e.Sizes {
@@ -117,73 +138,95 @@
 
 // checkSeries checks what the runs are.
 func (e *Experiment) checkSeries() error {
-	switch {
-	case e.Name == "":
-		return fmt.Errorf("name: missing")
-	case len(e.Sizes) == 0 || len(e.Sizes) > maxSizes:
-		return fmt.Errorf("sizes: %d, 1 to %d wanted", len(e.Sizes), maxSizes)
-	case len(e.Labels) > 0 && len(e.Labels) != len(e.Sizes):
-		return fmt.Errorf("labels: %d for %d sizes", len(e.Labels), len(e.Sizes))
-	case e.Repeats < 1 || e.Repeats > maxRepeats:
-		return fmt.Errorf("repeats: %d, 1 to %d wanted", e.Repeats, maxRepeats)
+	if e.Name == "" {
+		return fmt.Errorf("name: %w", errMissing)
 	}
-	return nil
+	if err := CheckRange("sizes", len(e.Sizes), 1, maxSizes); err != nil {
+		return err
+	}
+	if len(e.Labels) > 0 && len(e.Labels) != len(e.Sizes) {
+		value := fmt.Sprintf("%d for %d sizes", len(e.Labels), len(e.Sizes))
+		return keyError("labels", value, "one for each or none")
+	}
+	return CheckRange("repeats", e.Repeats, 1, maxRepeats)
 }
 
 // checkParameters checks what all runs have in common.
 func (e *Experiment) checkParameters() error {
-	switch {
-	case e.RealGateways < 1 || e.RealGateways > maxRealGateways:
-		return fmt.Errorf("real: %d, 1 to %d wanted", e.RealGateways, maxRealGateways)
-	case e.Known != KnownList && e.Known != KnownEmpty:
-		return fmt.Errorf("known: %q, %s or %s wanted", e.Known, KnownList, KnownEmpty)
-	case len(e.ReplicaCounts) == 0 || len(e.ReplicaCounts) > maxReplicaCounts:
-		return fmt.Errorf("spreads: %d, 1 to %d wanted", len(e.ReplicaCounts), maxReplicaCounts)
-	case e.SimulatedRequests < 0 || e.SimulatedRequests > maxRequests:
-		return fmt.Errorf("hollow_requests: %g, 0 to %g wanted", e.SimulatedRequests, maxRequests)
-	case e.ServiceTime <= 0 || e.ServiceTime > maxServiceTime:
-		return fmt.Errorf("service: %v, above 0 and up to %v wanted", e.ServiceTime, maxServiceTime)
-	case e.MemoryMB < 1:
-		return fmt.Errorf("memory_mb: %d, above 0 wanted", e.MemoryMB)
-	case e.Steps < 0 || e.Steps > maxSteps:
-		return fmt.Errorf("steps: %d, 0 to %d wanted", e.Steps, maxSteps)
+	return cmp.Or(
+		CheckRange("real", e.RealGateways, 1, maxRealGateways),
+		e.checkKnown(),
+		CheckRange("spreads", len(e.ReplicaCounts), 1, maxReplicaCounts),
+		CheckRange("hollow_requests", e.SimulatedRequests, 0, maxRequests),
+		checkPositive("service", e.ServiceTime, maxServiceTime),
+		e.checkMemory(),
+		CheckRange("steps", e.Steps, 0, maxSteps),
+	)
+}
+
+// checkKnown checks the word for the last known list.
+func (e *Experiment) checkKnown() error {
+	if e.Known == KnownList || e.Known == KnownEmpty {
+		return nil
 	}
-	return nil
+	return keyError("known", strconv.Quote(e.Known), KnownList+" or "+KnownEmpty)
 }
 
-func (e *Experiment) checkPhases() error {
-	for _, phase := range []struct {
-		key    string
-		length time.Duration
-	}{{"idle", e.Idle}, {"control", e.Control}, {"load", e.Load}, {"hollow_late", e.MaxSimulatedDelay}} {
-		if phase.length <= 0 || phase.length > maxPhase {
-			return fmt.Errorf("%s: %v, above 0 and up to %v wanted", phase.key, phase.length, maxPhase)
-		}
+// checkMemory checks the memory limit. The machine bounds it, which the run watches.
+func (e *Experiment) checkMemory() error {
+	if e.MemoryMB >= 1 {
+		return nil
 	}
-	return nil
+	return keyError("memory_mb", e.MemoryMB, "above 0")
+}
+
+// checkPhases checks the lengths of the phases and the delay that is allowed in them.
+func (e *Experiment) checkPhases() error {
+	return cmp.Or(
+		checkPositive("idle", e.Idle, maxPhase),
+		checkPositive("control", e.Control, maxPhase),
+		checkPositive("load", e.Load, maxPhase),
+		checkPositive("hollow_late", e.MaxSimulatedDelay, maxPhase),
+	)
 }
 
+// checkPoint checks the sizes of one run.
 func (e *Experiment) checkPoint(p Point) error {
 	tier := e.Tier(p)
-	switch {
-	case p.Backends < 2 || p.Backends > maxBackends:
-		return fmt.Errorf("backends: %d, 2 to %d wanted", p.Backends, maxBackends)
-	case p.Gateways < e.RealGateways || p.Gateways > maxGateways || p.Gateways > tier:
-		return fmt.Errorf("gateways: %d, at least the real %d and up to the tier's %d and %d wanted",
-			p.Gateways, e.RealGateways, tier, maxGateways)
-	case p.Changes <= 0 || p.Changes > float64(p.Backends)/2:
-		return fmt.Errorf("changes: %g, above 0 and up to half of %d backends wanted", p.Changes, p.Backends)
-	case p.Requests <= 0 || p.Requests > maxRequests:
-		return fmt.Errorf("requests: %g, above 0 and up to %g wanted", p.Requests, maxRequests)
+	if err := cmp.Or(
+		CheckRange("backends", p.Backends, minBackends, maxBackends),
+		e.checkGateways(p, tier),
+		checkChanges(p),
+		checkPositive("requests", p.Requests, maxRequests),
+	); err != nil {
+		return err
 	}
 	for _, count := range e.ReplicaCounts {
 		if count < 1 || count > tier {
-			return fmt.Errorf("spreads: %d, 1 to the tier's %d wanted", count, tier)
+			return keyError("spreads", count, fmt.Sprintf("1 to the tier's %d", tier))
 		}
 	}
 	return nil
 }
 
+// checkGateways checks the number of live gateways, the real ones among them.
+func (e *Experiment) checkGateways(p Point, tier int) error {
+	if p.Gateways >= e.RealGateways && p.Gateways <= maxGateways && p.Gateways <= tier {
+		return nil
+	}
+	wanted := fmt.Sprintf("at least the real %d and up to the tier's %d and %d",
+		e.RealGateways, tier, maxGateways)
+	return keyError("gateways", p.Gateways, wanted)
+}
+
+// checkChanges checks the rate of changes: the backends that change at a time have to be ready before.
+func checkChanges(p Point) error {
+	if p.Changes > 0 && p.Changes <= float64(p.Backends)/backendsPerChange {
+		return nil
+	}
+	return keyError("changes", p.Changes, fmt.Sprintf("above 0 and up to half of %d backends", p.Backends))
+}
+
 // Tier returns how many gateways the settings name at a point.
 func (e *Experiment) Tier(p Point) int {
 	if e.TierSize > 0 {
@@ -197,7 +240,7 @@
 	p, size := e.Base, e.Sizes[i]
 	isWhole := size == math.Trunc(size)
 	if (e.Axis == AxisBackends || e.Axis == AxisGateways) && !isWhole {
-		return p, fmt.Errorf("sizes[%d]: %g, a whole number wanted", i, size)
+		return p, keyError(fmt.Sprintf("sizes[%d]", i), size, "a whole number")
 	}
 	switch e.Axis {
 	case AxisBackends:
@@ -209,8 +252,8 @@
 	case AxisRequests:
 		p.Requests = size
 	default:
-		return p, fmt.Errorf("axis: %q, %s, %s, %s or %s wanted",
-			e.Axis, AxisBackends, AxisGateways, AxisChanges, AxisRequests)
+		wanted := fmt.Sprintf("%s, %s, %s or %s", AxisBackends, AxisGateways, AxisChanges, AxisRequests)
+		return p, keyError("axis", strconv.Quote(e.Axis), wanted)
 	}
 	return p, nil
 }
--- a/scale/internal/model/settings.go
+++ b/scale/internal/model/settings.go
@@ -16,6 +16,33 @@
 	DrainGrace = 500 * time.Millisecond
 )
 
+// The settings of the tier, beside the above.
+const (
+	minEventInterval = 2 * time.Millisecond
+
+	maxAttempts     = 5
+	maxRetryAfter   = 500 * time.Millisecond
+	maxOpenRequests = 20_000
+	dialTimeout     = 250 * time.Millisecond
+	idleClose       = 15 * time.Second
+
+	gossipPerSecond = 40 // messages
+	maxCost         = 8  // units
+
+	slowStartFloor = 0.27 // of a backend's capacity, at its start
+	slowStartTime  = 16 * time.Second
+	overloadFactor = 2.5
+	overloadWindow = 3 * time.Second
+
+	crossZonePrice = 0.0091
+	handshakePrice = 0.02
+
+	latencyObjective = time.Second
+	dedupWindow      = 5 * time.Second
+	lookupWeight     = 3
+	orderWeight      = 5
+)
+
 // settingsGroup is an object of the settings, by the keys of a real site.
 type settingsGroup map[string]any
 
@@ -26,27 +53,29 @@
 		zoneNames[i] = zoneName(i)
 	}
 	body, err := json.Marshal(settingsGroup{
-		"self-index": gateway, "balancers": tier, "az": gateway % zones, "granularity-us": 2000,
-		"localities": zoneNames,
+		"self-index": gateway, "balancers": tier, "az": gateway % zones, "localities": zoneNames,
+		"granularity-us": minEventInterval.Microseconds(),
 		"ceilings": settingsGroup{
-			"peers": true, "probes": false, "second-copies": true, "retry-after": true, "max-attempts": 5,
-			"max-retry-after-us": 500_000, "max-open": 20_000, "dial-timeout-us": 250_000,
-			"idle-close-us": 15_000_000,
+			"peers": true, "probes": false, "second-copies": true, "retry-after": true,
+			"max-attempts": maxAttempts, "max-retry-after-us": maxRetryAfter.Microseconds(),
+			"max-open": maxOpenRequests, "dial-timeout-us": dialTimeout.Microseconds(),
+			"idle-close-us": idleClose.Microseconds(),
 		},
 		"family-info": settingsGroup{
-			"counter": false, "settles": false, "counter-timeout-us": 0, "mail-per-s": 40, "max-units": 8,
-			"meter-period-us": 0,
+			"counter": false, "settles": false, "counter-timeout-us": 0, "meter-period-us": 0,
+			"mail-per-s": gossipPerSecond, "max-units": maxCost,
 		},
 		"guarantees": settingsGroup{
-			"cold-from": 0.27, "cold-us": 16_000_000, "overload-factor": 2.5, "tip-after-us": 3_000_000,
+			"cold-from": slowStartFloor, "cold-us": slowStartTime.Microseconds(),
+			"overload-factor": overloadFactor, "tip-after-us": overloadWindow.Microseconds(),
 			"drain-grace-us": DrainGrace.Microseconds(),
 		},
-		"prices":          settingsGroup{"cross-zone": 0.0091, "handshake": 0.02},
+		"prices":          settingsGroup{"cross-zone": crossZonePrice, "handshake": handshakePrice},
 		"membership-mode": "pushed", "weights": "nominal",
 		"report": settingsGroup{"names": []string{}, "via": "silent"},
 		"request-classes": []settingsGroup{
-			classSettings("lookup", "retryable", 3),
-			classSettings("order", "dedup", 5),
+			classSettings("lookup", "retryable", lookupWeight),
+			classSettings("order", "dedup", orderWeight),
 		},
 		"tariffs": []settingsGroup{TeamPlan.settings(), CappedPlan.settings()},
 	})
@@ -65,13 +94,16 @@
 	return parsed, nil
 }
 
+// classSettings are the settings of a class of requests.
 func classSettings(name, idempotency string, priorityWeight float64) settingsGroup {
 	return settingsGroup{
-		"name": name, "promise-us": 1_000_000, "hard-limit-us": ClientTimeout.Microseconds(),
-		"repeat": idempotency, "group": "all", "window-us": 5_000_000, "worth": priorityWeight,
+		"name": name, "promise-us": latencyObjective.Microseconds(),
+		"hard-limit-us": ClientTimeout.Microseconds(), "repeat": idempotency, "group": "all",
+		"window-us": dedupWindow.Microseconds(), "worth": priorityWeight,
 	}
 }
 
+// settings are the settings of a plan.
 func (p Plan) settings() settingsGroup {
 	return settingsGroup{
 		"name": p.Name, "rate": p.Rate, "burst": p.Burst, "max-out": 0, "value-factor": 1,
--- a/scale/main.go
+++ b/scale/main.go
@@ -11,6 +11,7 @@
 	"github.com/alecthomas/kong"
 )
 
+// commands are the subcommands of the command line.
 var commands struct {
 	Run    runCommand    `cmd:"" help:"Run an experiment and append its results to a file."`
 	Report reportCommand `cmd:"" help:"Print tables of results, with the slopes of what grows."`
