--- a/scale/internal/model/experiment_test.go
+++ b/scale/internal/model/experiment_test.go
@@ -17,20 +17,35 @@
 	for _, c := range []struct{ name, old, new, want string }{
 		{"syntax", `name = "small"`, `name = `, "expected value"},
 		{"unknown key", "repeats = 1", "repeats = 1\nrepeat = 2", "repeat: no such key"},
-		{"unknown axis", `axis = "gateways"`, `axis = "sideways"`, `axis: "sideways", backends, gateways, changes or requests wanted`},
+		{
+			"unknown axis", `axis = "gateways"`, `axis = "sideways"`,
+			`axis: "sideways", backends, gateways, changes or requests wanted`,
+		},
 		{"no sizes", "sizes = [2, 6]", "sizes = []", "sizes: 0, 1 to 10 wanted"},
 		{
 			"fewer gateways than real", "sizes = [2, 6]", "sizes = [1, 6]",
 			"sizes[0]: gateways: 1, at least the real 2 and up to the tier's 1 and 8000 wanted",
 		},
 		{"half a gateway", "sizes = [2, 6]", "sizes = [2.5, 6]", "sizes[0]: 2.5, a whole number wanted"},
-		{"fewer labels than sizes", "repeats = 1", "repeats = 1\nlabels = [\"a\"]", "labels: 1 for 2 sizes, one for each or none wanted"},
+		{
+			"fewer labels than sizes", "repeats = 1", "repeats = 1\nlabels = [\"a\"]",
+			"labels: 1 for 2 sizes, one for each or none wanted",
+		},
 		{"no repeats", "repeats = 1", "repeats = 0", "repeats: 0, 1 to 10 wanted"},
 		{"phase without length", `idle = "300ms"`, `idle = "0s"`, "idle: 0s, above 0 and up to 1m0s wanted"},
 		{"phase too long", `idle = "300ms"`, `idle = "10h"`, "idle: 10h0m0s, above 0 and up to 1m0s wanted"},
-		{"replica set larger than the tier", "spreads = [1, 2]", "spreads = [3]", "spreads: 3, 1 to the tier's 2 wanted"},
-		{"unknown known list", "repeats = 1", "repeats = 1\nknown = \"some\"", `known: "some", list or empty wanted`},
-		{"more changes than backends", "changes = 2.0", "changes = 20.0", "changes: 20, above 0 and up to half of 12 backends wanted"},
+		{
+			"replica set larger than the tier", "spreads = [1, 2]", "spreads = [3]",
+			"spreads: 3, 1 to the tier's 2 wanted",
+		},
+		{
+			"unknown known list", "repeats = 1", "repeats = 1\nknown = \"some\"",
+			`known: "some", list or empty wanted`,
+		},
+		{
+			"more changes than backends", "changes = 2.0", "changes = 20.0",
+			"changes: 20, above 0 and up to half of 12 backends wanted",
+		},
 		{"too many backends", "backends = 12", "backends = 1000000", "backends: 1000000, 2 to 120000 wanted"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
