--- a/internal/gateway/backend_drain_test.go
+++ b/internal/gateway/backend_drain_test.go
@@ -4,7 +4,6 @@
 	"errors"
 	"io"
 	"slices"
-	"strings"
 	"testing"
 
 	"sparspread/policy"
@@ -25,9 +24,7 @@
 	d.setEntries(other.listEntry("s-00000001", "Terminating"))
 	d.awaitWatch(t)
 	c.sendLookup(3, "60000")
-	if got := c.readLine(); !strings.HasPrefix(got, "-BUSY") {
-		t.Errorf("reply %q", got)
-	}
+	c.wantRejected()
 	if len(old.calls)+len(other.calls) > 0 {
 		t.Error("sent to a backend that drains")
 	}
--- a/internal/gateway/backend_pool_test.go
+++ b/internal/gateway/backend_pool_test.go
@@ -12,22 +12,24 @@
 // A connection that breaks under a request says nothing of the others: an idle one is used, unless it has
 // ended too.
 func TestBrokenConnectionLeavesIdleOnesInUse(t *testing.T) {
-	for _, alive := range []bool{true, false} {
-		r, b, _ := startWithBackend(t, nil)
-		c, other := r.client(t), r.client(t)
-		first := c.openLookup(b, 1)
-		second := other.openLookup(b, 2)
-		second.replyValue(t, "second")
-		other.wantValue("second") // its connection is idle by now
-		r.awaitQuiescence(t)
-		if !alive {
-			_ = second.conn.Close()
-		}
-		_ = first.conn.Close()
-		retry := c.wantServed(b, "first")
-		if (retry.conn == second.conn) != alive {
-			t.Errorf("the idle connection, open %t, was used %t", alive, !alive)
-		}
+	for name, alive := range map[string]bool{"idle one open": true, "idle one closed": false} {
+		t.Run(name, func(t *testing.T) {
+			r, b, _ := startWithBackend(t, nil)
+			c, other := r.client(t), r.client(t)
+			first := c.openLookup(b, 1)
+			second := other.openLookup(b, 2)
+			second.replyValue(t, "second")
+			other.wantValue("second") // its connection is idle by now
+			r.awaitQuiescence(t)
+			if !alive {
+				_ = second.conn.Close()
+			}
+			_ = first.conn.Close()
+			retry := c.wantServed(b, "first")
+			if (retry.conn == second.conn) != alive {
+				t.Errorf("the idle connection, open %t, was used %t", alive, !alive)
+			}
+		})
 	}
 }
 
@@ -93,9 +95,7 @@
 	}
 	other := r.client(t)
 	other.sendLookup(9, "80000000")
-	if got := other.readLine(); !strings.HasPrefix(got, "-BUSY") {
-		t.Errorf("reply %q", got)
-	}
+	other.wantRejected()
 }
 
 // A duplicate reply may follow some milliseconds behind the first. The connection is not reused until the
--- a/internal/gateway/client_commands_test.go
+++ b/internal/gateway/client_commands_test.go
@@ -10,16 +10,21 @@
 // parser panic.
 func TestLostFramingClosesTheConnection(t *testing.T) {
 	r, _, _ := startWithBackend(t, nil)
-	for _, text := range []string{
-		"*1\r\n$-2\r\nxx", "GET / HTTP/1.1\r\n", "*1\r\n$99999999999999\r\n", "*-1\r\n", "*1\r\n:1\r\n",
-		"*1\r\n$1\r\nxyz", strings.Repeat("*", 1<<16) + "\n",
+	for _, input := range []struct{ name, text string }{
+		{"negative length", "*1\r\n$-2\r\nxx"},
+		{"another protocol", "GET / HTTP/1.1\r\n"},
+		{"huge length", "*1\r\n$99999999999999\r\n"},
+		{"negative count", "*-1\r\n"},
+		{"value of another type", "*1\r\n:1\r\n"},
+		{"no line end behind a value", "*1\r\n$1\r\nxyz"},
+		{"endless line", strings.Repeat("*", 1<<16) + "\n"},
 	} {
-		c := r.client(t)
-		c.write(text)
-		if got := c.readLine(); !strings.HasPrefix(got, "-ERR ") {
-			t.Errorf("%.20q: %q", text, got)
-		}
-		c.wantClosed()
+		t.Run(input.name, func(t *testing.T) {
+			c := r.client(t)
+			c.write(input.text)
+			c.wantError()
+			c.wantClosed()
+		})
 	}
 }
 
@@ -35,9 +40,7 @@
 	slow.write("*1\r\n$4\r\nPI")
 	idle.wantClosed()
 	for _, c := range []*testClient{partial, slow} {
-		if got := c.readLine(); !strings.HasPrefix(got, "-ERR ") {
-			t.Errorf("reply %q", got)
-		}
+		c.wantError()
 		c.wantEnded()
 	}
 	call.replyValue(t, "ok")
@@ -49,9 +52,7 @@
 	r, _, _ := startWithBackend(t, nil)
 	c := r.client(t)
 	c.write("*5\r\n$9\r\nAPI.WRITE\r\n$62914560\r\n")
-	if got := c.readLine(); !strings.HasPrefix(got, "-ERR ") {
-		t.Errorf("reply %q", got)
-	}
+	c.wantError()
 	c.wantEnded()
 }
 
@@ -61,9 +62,7 @@
 	c := r.client(t)
 	for range 2 * maxConsecutiveErrors {
 		c.send("NOTHING")
-		if got := c.readLine(); !strings.HasPrefix(got, "-ERR ") {
-			t.Errorf("reply %q", got)
-		}
+		c.wantError()
 		c.send("PING")
 		c.wantLine("+PONG")
 	}
@@ -73,9 +72,7 @@
 	}
 	go func() { _, _ = io.WriteString(c.conn, flood.String()) }() // may be cut off before its end
 	for range maxConsecutiveErrors {
-		if got := c.readLine(); !strings.HasPrefix(got, "-ERR ") {
-			t.Errorf("reply %q", got)
-		}
+		c.wantError()
 	}
 	c.wantEnded()
 }
--- a/internal/gateway/client_disconnect_test.go
+++ b/internal/gateway/client_disconnect_test.go
@@ -112,7 +112,7 @@
 func TestDisconnectBehindAWaitingBodyIsNoticed(t *testing.T) {
 	_, body := largeHead()
 	for name, text := range map[string]string{
-		"amid the body": body[:5000], "behind the body": body + "\r\n",
+		"amid the body": body[:bodyPrefix], "behind the body": body + "\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			forEachDeparture(t, notRetryable, func(w *waitingRequest) {
--- a/internal/gateway/command_test.go
+++ b/internal/gateway/command_test.go
@@ -78,13 +78,13 @@
 		"large field":      {"API.READ", customer, id, strings.Repeat("x", 64<<10+1), "body"},
 		"many values":      append([]string{"API.READ", customer, id, good}, make([]string, 40)...),
 	} {
-		c := r.client(t)
-		c.send(args...)
-		if got := c.readLine(); !strings.HasPrefix(got, "-ERR ") {
-			t.Errorf("%s: %q", name, got)
-		}
-		c.send("PING") // the framing holds
-		c.wantLine("+PONG")
+		t.Run(name, func(t *testing.T) {
+			c := r.client(t)
+			c.send(args...)
+			c.wantError()
+			c.send("PING") // the framing holds
+			c.wantLine("+PONG")
+		})
 	}
 	if len(b.calls) > 0 {
 		t.Error("a backend was reached")
--- a/internal/gateway/ops_test.go
+++ b/internal/gateway/ops_test.go
@@ -69,9 +69,7 @@
 	c.wantLine("-ERR failed")
 	c.send("API.READ", "0000000000000008", "0000000000000003",
 		"c=lookup,t=tiny,d=60000,units=8,spread=1,first=0")
-	if got := c.readLine(); !isBusyReply([]byte(got)) {
-		t.Fatalf("got reply %q, want BUSY", got)
-	}
+	c.wantRejected()
 	wantMetrics(t, r, "fulfilled.lookup=1", "throttled.lookup=1", "faulted.lookup=0", "relayed.lookup=1",
 		"faulted.once=1", "relayed.once=1", "open_requests=0")
 }
--- a/internal/gateway/request_body_test.go
+++ b/internal/gateway/request_body_test.go
@@ -6,7 +6,6 @@
 	"io"
 	"net"
 	"os"
-	"strings"
 	"testing"
 	"time"
 )
@@ -18,18 +17,30 @@
 		plan[1], id, len(fields), fields, size)
 }
 
+// bodyPrefix is how much of a large body beginBody writes, in bytes.
+const bodyPrefix = 5000
+
+// beginBody has a client write a request up to the first bytes of its large body, waits until the backend reads
+// that body, and returns the rest of the command.
+func (c *testClient) beginBody(b *fakeBackend, id int) (rest string) {
+	c.t.Helper()
+	_, body := largeHead()
+	c.write(bodyHead(id, "team", len(body)) + body[:bodyPrefix])
+	if got := wait(c.t, b.bodySizes, "the body to begin"); got != len(body) {
+		c.t.Fatalf("a body of %d bytes, want %d", got, len(body))
+	}
+	return body[bodyPrefix:] + "\r\n"
+}
+
 // A large body goes to its backend while the client is still writing it.
 func TestLargeBodyIsForwardedAsItIsRead(t *testing.T) {
 	r, b, _ := startWithBackend(t, withOps)
 	c := r.client(t)
 	_, body := largeHead()
 	for id := range 2 {
-		c.write(bodyHead(id, "team", len(body)) + body[:5000])
-		if got := wait(t, b.bodySizes, "the body to begin"); got != len(body) {
-			t.Fatalf("a body of %d bytes, want %d", got, len(body))
-		}
+		rest := c.beginBody(b, id)
 		wantMetrics(t, r, fmt.Sprintf("relayed.once=%d", id))
-		c.write(body[5000:] + "\r\n")
+		c.write(rest)
 		call := b.nextCall(t)
 		if len(call.args) != 5 || string(call.args[4]) != body {
 			t.Fatal("the body is another")
@@ -48,13 +59,9 @@
 	c.sendOnce(1, "tiny")
 	c.wantServed(b, "ok")
 	c.write(bodyHead(2, "tiny", len(body)) + body + "\r\n")
-	if got := c.readLine(); !isBusyReply([]byte(got)) {
-		t.Errorf("reply %q", got)
-	}
+	c.wantRejected()
 	c.write(bodyHead(3, "none", len(body)) + body + "\r\n")
-	if got := c.readLine(); !strings.HasPrefix(got, "-ERR") {
-		t.Errorf("reply %q", got)
-	}
+	c.wantError()
 	c.sendOnce(4, "team")
 	c.wantServed(b, "ok")
 	if len(b.bodySizes) > 0 {
@@ -67,9 +74,7 @@
 func TestIncompleteLargeBodyEndsOnlyItsOwnRequest(t *testing.T) {
 	r, b, _ := startWithBackend(t, withOps)
 	c := r.client(t)
-	_, body := largeHead()
-	c.write(bodyHead(1, "team", len(body)) + body[:5000])
-	wait(t, b.bodySizes, "the body to begin")
+	c.beginBody(b, 1)
 	_ = c.conn.Close()
 	if err := wait(t, b.closed, "the backend's connection to end"); err == nil {
 		t.Error("it ended without an error")
@@ -86,17 +91,13 @@
 func TestBackendClosingAmidABodyRejectsTheRequest(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
-	_, body := largeHead()
-	c.write(bodyHead(1, "team", len(body)) + body[:5000])
-	wait(t, b.bodySizes, "the body to begin")
+	rest := c.beginBody(b, 1)
 	b.conns.Range(func(conn, _ any) bool {
 		_ = conn.(net.Conn).Close()
 		return true
 	})
-	if got := c.readLine(); !isBusyReply([]byte(got)) {
-		t.Errorf("reply %q", got)
-	}
-	c.write(body[5000:] + "\r\n")
+	c.wantRejected()
+	c.write(rest)
 	c.sendOnce(2, "team")
 	c.wantServed(b, "ok")
 }
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -117,9 +117,7 @@
 	d := newFakeDiscovery(t, listEntry("s-00000001", porttest.Reserve(t), "Ready"))
 	c := startGateway(t, newConfig(t, d, nil)).client(t)
 	c.send("API.WRITE", "0000000000000007", "0000000000000001", onceFields, "x")
-	if got := c.readLine(); !strings.HasPrefix(got, "-BUSY") {
-		t.Errorf("reply %q: want a rejection", got)
-	}
+	c.wantRejected()
 }
 
 // A backend that does not reply delays no request past its deadline, and its late reply reaches nobody.
@@ -129,9 +127,7 @@
 	c.sendLookup(1, "300")
 	late := b.nextCall(t)
 	r.advance(t, 300_000)
-	if got := c.readLine(); !strings.HasPrefix(got, "-BUSY") {
-		t.Errorf("reply %q", got)
-	}
+	c.wantRejected()
 	_, _ = late.conn.Write([]byte("*3\r\n$4\r\nlate\r\n$-1\r\n$-1\r\n"))
 	c.sendLookup(2, "60000")
 	c.wantServed(b, "second")
@@ -148,9 +144,7 @@
 	send(1)
 	c.wantServed(b, "ok")
 	send(2) // the token bucket holds 1 unit: a day's wait would outlast the test
-	if got := c.readLine(); got != "-BUSY 2000" {
-		t.Errorf("reply %q", got)
-	}
+	c.wantLine("-BUSY 2000")
 }
 
 // With settlement the actual cost in the reply counts, not the estimate; costs that no request can have are
@@ -159,24 +153,25 @@
 	for usage, admitted := range map[string]bool{
 		"used=3,cost=1": false, "cost=0.25": true, "cost=NaN": true, "cost=9": true,
 	} {
-		r, b, _ := startWithBackend(t, withSettings(t, `"settles":false`, `"settles":true,"max-units":8`,
-			`"rate":0.1,`, `"rate":0.0001,`)) // so slow that no wait of the test refills the token bucket
-		c := r.client(t)
-		send := func(id int) {
-			const fields = "c=lookup,t=tiny,d=86400000,units=0.5,spread=1,first=0"
-			c.send("API.READ", "0000000000000009", fmt.Sprintf("%016x", id), fields)
-		}
-		send(1) // the token bucket holds 1 unit
-		b.nextCall(t).reply(t, fmt.Sprintf("*3\r\n$2\r\nok\r\n$%d\r\n%s\r\n$-1\r\n", len(usage), usage))
-		c.wantValue("ok")
-		send(2)
-		if !admitted {
-			if got := c.readLine(); got != "-BUSY 2000" {
-				t.Errorf("%s: answer %q", usage, got)
+		t.Run(usage, func(t *testing.T) {
+			r, b, _ := startWithBackend(t, withSettings(t, `"settles":false`, `"settles":true,"max-units":8`,
+				`"rate":0.1,`, `"rate":0.0001,`)) // so slow that no wait of the test refills the token bucket
+			c := r.client(t)
+			send := func(id int) {
+				const fields = "c=lookup,t=tiny,d=86400000,units=0.5,spread=1,first=0"
+				c.send("API.READ", "0000000000000009", fmt.Sprintf("%016x", id), fields)
 			}
-			continue
-		}
-		c.wantServed(b, "more")
+			send(1) // the token bucket holds 1 unit
+			call := b.nextCall(t)
+			call.reply(t, fmt.Sprintf("*3\r\n$2\r\nok\r\n$%d\r\n%s\r\n$-1\r\n", len(usage), usage))
+			c.wantValue("ok")
+			send(2)
+			if admitted {
+				c.wantServed(b, "more")
+			} else {
+				c.wantLine("-BUSY 2000")
+			}
+		})
 	}
 }
 
@@ -227,9 +222,7 @@
 	c, other := r.client(t), r.client(t)
 	call := c.openLookup(b, 1)
 	other.sendLookup(1, "60000")
-	if got := other.readLine(); !strings.HasPrefix(got, "-ERR ") {
-		t.Errorf("reply %q", got)
-	}
+	other.wantError()
 	call.replyValue(t, "ok")
 	c.wantValue("ok")
 	c.sendLookup(1, "60000") // it is open no more
--- a/internal/gateway/test_client_test.go
+++ b/internal/gateway/test_client_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"io"
 	"net"
+	"regexp"
 	"strings"
 	"testing"
 	"time"
@@ -95,6 +96,33 @@
 	}
 }
 
+// Replies of the gateway's own: a rejection, with or without a time to wait in milliseconds, and an error, which
+// says what is wrong.
+var (
+	rejection = regexp.MustCompile(`^-BUSY( [1-9][0-9]*)?$`)
+	anyError  = regexp.MustCompile(`^-ERR .+$`)
+)
+
+// wantRejected reads a line and checks that it rejects a request.
+func (c *testClient) wantRejected() {
+	c.t.Helper()
+	c.wantMatch(rejection)
+}
+
+// wantError reads a line and checks that it is an error that says something.
+func (c *testClient) wantError() {
+	c.t.Helper()
+	c.wantMatch(anyError)
+}
+
+// wantMatch reads a line and checks its form.
+func (c *testClient) wantMatch(form *regexp.Regexp) {
+	c.t.Helper()
+	if got := c.readLine(); !form.MatchString(got) {
+		c.t.Fatalf("reply %q, want one that matches %s", got, form)
+	}
+}
+
 // wantValue reads a bulk string and checks it.
 func (c *testClient) wantValue(want string) {
 	c.t.Helper()
--- a/internal/gateway/value_stream_test.go
+++ b/internal/gateway/value_stream_test.go
@@ -9,13 +9,46 @@
 	"sparspread/internal/resp"
 )
 
+// largeSize is the size of a value that is too large to be buffered whole, in bytes.
 const largeSize = resp.MaxValue + 1000
 
+// largeValueEnd is what follows a value in a reply without a load report and usage.
+const largeValueEnd = "\r\n$-1\r\n$-1\r\n"
+
 // largeHead returns the head of a reply with a large value, and the value.
 func largeHead() (head, value string) {
 	return fmt.Sprintf("*3\r\n$%d\r\n", largeSize), strings.Repeat("0123456789", largeSize/10+1)[:largeSize]
 }
 
+// replyLargeValue replies with a large value, and returns the value.
+func (c *backendCall) replyLargeValue(tb testing.TB) (value string) {
+	tb.Helper()
+	head, value := largeHead()
+	c.reply(tb, head+value+largeValueEnd)
+	return value
+}
+
+// beginLargeValue writes a reply with a large value up to the first bytes that are forwarded, and returns the
+// whole value.
+func (c *backendCall) beginLargeValue(tb testing.TB) (value string) {
+	tb.Helper()
+	head, value := largeHead()
+	c.reply(tb, head+value[:minValuePrefix])
+	return value
+}
+
+// endLargeValue writes the rest of the reply that beginLargeValue has begun.
+func (c *backendCall) endLargeValue(tb testing.TB, value string) {
+	tb.Helper()
+	c.reply(tb, value[minValuePrefix:]+largeValueEnd)
+}
+
+// wantLargeHead reads the announcement of a large value and checks its size.
+func (c *testClient) wantLargeHead() {
+	c.t.Helper()
+	c.wantLine(fmt.Sprintf("$%d", largeSize))
+}
+
 // The client has the first bytes of a large value while its backend is still writing it, and both
 // connections stay in use.
 func TestLargeValueIsForwardedAsItIsRead(t *testing.T) {
@@ -23,15 +56,16 @@
 	c := r.client(t)
 	c.sendOnce(1, "team")
 	call := b.nextCall(t)
-	head, value := largeHead()
-	call.reply(t, head+value[:minValuePrefix])
-	c.wantLine(fmt.Sprintf("$%d", largeSize))
+	value := call.beginLargeValue(t)
+	c.wantLargeHead()
 	if got := c.read(minValuePrefix); got != value[:minValuePrefix] {
 		t.Error("the value begins otherwise")
 	}
 	wantMetrics(t, r, "open_requests=1", "fulfilled.once=0")
-	call.reply(t, value[minValuePrefix:]+"\r\n$-1\r\n$-1\r\n")
-	c.read(largeSize - minValuePrefix)
+	call.endLargeValue(t, value)
+	if got := c.read(largeSize - minValuePrefix); got != value[minValuePrefix:] {
+		t.Error("the value goes on otherwise")
+	}
 	c.wantLine("")
 	for id := 2; id < 4; id++ {
 		r.awaitQuiescence(t)
@@ -40,8 +74,7 @@
 		if next.conn != call.conn {
 			t.Error("the backend's connection was not reused")
 		}
-		next.reply(t, head+value+"\r\n$-1\r\n$-1\r\n")
-		c.wantLargeValue(value)
+		c.wantLargeValue(next.replyLargeValue(t))
 	}
 	awaitMetric(t, r, "fulfilled.once=3") // counted after the client has the value
 	wantMetrics(t, r, "open_requests=0", "fulfilled.once=3", "relayed.once=3")
@@ -53,9 +86,8 @@
 	r, b, _ := startWithBackend(t, withOps)
 	c := r.client(t)
 	call := c.openLookup(b, 1)
-	head, value := largeHead()
-	call.reply(t, head+value[:minValuePrefix])
-	c.wantLine(fmt.Sprintf("$%d", largeSize))
+	call.beginLargeValue(t)
+	c.wantLargeHead()
 	_ = call.conn.Close()
 	if rest, _ := io.ReadAll(c.in); len(rest) != minValuePrefix {
 		t.Errorf("%d bytes of the value", len(rest))
@@ -74,7 +106,7 @@
 	c := r.client(t)
 	call := c.openLookup(b, 1)
 	head, _ := largeHead()
-	call.reply(t, head+"short\r\n$-1\r\n$-1\r\n")
+	call.reply(t, head+"short"+largeValueEnd)
 	_ = call.conn.Close()
 	c.wantServed(b, "ok")
 }
@@ -87,8 +119,7 @@
 	first := b.nextCall(t)
 	c.sendOnce(2, "team")
 	second := b.nextCall(t)
-	head, value := largeHead()
-	second.reply(t, head+value+"\r\n$-1\r\n$-1\r\n")
+	value := second.replyLargeValue(t)
 	first.replyValue(t, "one")
 	c.wantValue("one")
 	c.wantLargeValue(value)
@@ -97,7 +128,7 @@
 	b.nextCall(t) // never answered
 	c.sendOnce(4, "team")
 	call := b.nextCall(t)
-	call.reply(t, head+value[:minValuePrefix])
+	call.beginLargeValue(t)
 	_ = c.conn.Close()
 	for wait(t, b.closed, "the backend's connection to end") == nil {
 	}
@@ -109,9 +140,8 @@
 	c, other := r.client(t), r.client(t)
 	c.sendLookup(1, "400")
 	call := b.nextCall(t)
-	head, value := largeHead()
-	call.reply(t, head+value[:minValuePrefix])
-	c.wantLine(fmt.Sprintf("$%d", largeSize))
+	value := call.beginLargeValue(t)
+	c.wantLargeHead()
 	other.sendLookup(2, "500") // ends later than the deadline of the first
 	b.nextCall(t)
 	r.advance(t, 500_000)
@@ -120,7 +150,7 @@
 	}
 	r.shutDownFor(t, acceptPeriod)
 	other.wantClosed()
-	call.reply(t, value[minValuePrefix:]+"\r\n$-1\r\n$-1\r\n")
+	call.endLargeValue(t, value)
 	if got := c.read(largeSize); got != value {
 		t.Error("the value is another")
 	}
