--- a/policy/admission.go
+++ b/policy/admission.go
@@ -1,12 +1,6 @@
 package policy
 
-import "math"
-
-const (
-	baseCapacityShare   = 0.5   // the part of the capacity that is open to requests of any priority
-	maxRelativePriority = 1.5   // the most that a priority counts, in averages of it
-	minPriority         = 1e-12 // keeps relative priorities finite
-)
+const borrowCapacityShare = 0.8 // the share of the capacity up to which the shared bucket lends
 
 // unitSource says which quota covers the cost of a request.
 type unitSource uint8
@@ -32,8 +26,8 @@
 		c.reject(req.ID, rejectOverQuota, c.shortestObjective/2)
 		return
 	}
-	customer := c.customerRecord(req.Customer, req.Plan, req.FirstReplica, req.Replicas)
-	c.recordDemand(customer, req.Cost)
+	customer := c.customerRecord(c.sharing.newAccount(req.Customer, req.Plan, req.FirstReplica, req.Replicas))
+	c.customers.recordDemand(c.clock.now, &c.sharing, customer, req.Cost)
 	request := &request{Request: req, deadline: now + req.Timeout, customer: customer}
 	if c.atCapacity(c.openCapacity(&req)) {
 		c.reject(req.ID, rejectAtCapacity, c.shortestObjective/2)
@@ -44,9 +38,9 @@
 
 // admitOrRequestQuota admits a request unless a coordinator other than this gateway decides on it.
 func (c *Controller) admitOrRequestQuota(request *request) {
-	request.coordinator = c.pickCoordinator(request)
-	customer := request.customer
-	if c.sharing.asksAnother(&customer.account, request.coordinator) {
+	account := &request.customer.account
+	request.coordinator = c.grants.pickCoordinator(c.clock.now, &c.sharing, account, request, c.random)
+	if c.sharing.asksAnother(account, request.coordinator) {
 		c.requestQuota(request)
 		return
 	}
@@ -56,18 +50,18 @@
 // expiredInStall reports whether a request arrived while this gateway was stalled, and so long ago
 // that no answer can meet its objective. From other requests it learns how long clients wait.
 func (c *Controller) expiredInStall(req *Request) bool {
-	usual := &c.clientTimeouts[req.Plan][req.Class]
 	if !c.clock.isResuming() {
-		usual.add(float64(req.Timeout), sampleWeight)
+		c.clientTimeouts.record(req)
 		return false
 	}
-	waited := usual.value - float64(req.Timeout)
+	waited := c.clientTimeouts.waited(req)
 	return waited+c.latency.byClass[req.Class].value > float64(c.settings.Classes[req.Class].LatencyObjective)
 }
 
 // ownUnits is the source of a request's units where no coordinator was asked.
 func (c *Controller) ownUnits(request *request) unitSource {
-	if c.withinQuota(request.customer, request.Cost) {
+	settling := c.clock.age() < c.sharing.settleTime()
+	if request.customer.withinQuota(c.clock.now, &c.sharing, settling, request.Cost) {
 		return unitsFromShare
 	}
 	return unitsMissing
@@ -79,9 +73,7 @@
 	customer, plan := request.customer, &c.settings.Plans[request.Plan]
 	request.borrowed = source == unitsMissing
 	if request.borrowed && !c.mayBorrow(plan, request.Cost) {
-		c.counters.countOverQuota(customer, request.Cost)
-		rate := c.quotaShare(customer) * plan.Rate
-		c.reject(request.ID, rejectOverQuota, timeUntil(c.availableUnits(customer), rate, request.Cost))
+		c.rejectOverQuota(request)
 		return
 	}
 	request.chargedCeiling = plan.CeilingRate > 0 && source != unitsFromGrant
@@ -96,9 +88,9 @@
 		return
 	}
 	if request.borrowed {
-		c.shared.level -= request.Cost
+		c.shared.lend(request.Cost)
 	} else {
-		c.consume(customer, request.coordinator, request.Cost)
+		c.customers.consume(&c.sharing, customer, request.coordinator, request.Cost)
 	}
 	if request.chargedCeiling {
 		customer.ceiling.level -= request.Cost
@@ -108,6 +100,20 @@
 	c.send(request, backend)
 }
 
+// mayBorrow reports whether the shared bucket lends a request of the plan its cost.
+func (c *Controller) mayBorrow(plan *Plan, cost float64) bool {
+	return c.shared.mayLend(c.clock.now, plan, cost) && !c.atCapacity(borrowCapacityShare)
+}
+
+// rejectOverQuota rejects a request until its customer's bucket here will hold its cost.
+func (c *Controller) rejectOverQuota(request *request) {
+	customer, now := request.customer, c.clock.now
+	c.counters.countOverQuota(&customer.bucket, request.Cost)
+	rate := customer.quotaShare(now, &c.sharing) * c.settings.Plans[request.Plan].Rate
+	available := customer.availableUnits(now, &c.sharing, c.clock.age() < c.sharing.settleTime())
+	c.reject(request.ID, rejectOverQuota, timeUntil(available, rate, request.Cost))
+}
+
 // openCapacity is the part of the capacity that is open to a request: the more, the higher its
 // priority in relation to the work that it asks for.
 func (c *Controller) openCapacity(req *Request) float64 {
@@ -116,10 +122,7 @@
 		return 1
 	}
 	weight := c.settings.Classes[req.Class].PriorityWeight
-	priority := weight * c.settings.Plans[req.Plan].ValueFactor * req.Cost / latency
-	c.priority.add(priority, fleetSampleWeight)
-	relative := math.Min(maxRelativePriority, priority/math.Max(c.priority.value, minPriority))
-	return baseCapacityShare + (1-baseCapacityShare)*relative
+	return c.priority.openCapacity(weight * c.settings.Plans[req.Plan].ValueFactor * req.Cost / latency)
 }
 
 // reject rejects a request. The advice when to retry stays within what the settings allow.
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -78,9 +78,10 @@
 	}
 	c.recordResult(attempt, request.Class, outcome)
 	c.reportOutcomeFault(request, attempt, outcome.Result)
-	c.applyMeterReading(request.customer, outcome.MeterReading)
+	request.customer.readMeter(c.clock.now, &c.sharing, outcome.MeterReading)
 	if c.settings.SettlesCost && outcome.Result == ResultOK && outcome.ActualCost > 0 {
 		c.refillBuckets(request.customer)
-		c.consume(request.customer, request.coordinator, outcome.ActualCost-request.Cost)
+		more := outcome.ActualCost - request.Cost
+		c.customers.consume(&c.sharing, request.customer, request.coordinator, more)
 	}
 }
--- a/policy/controller.go
+++ b/policy/controller.go
@@ -35,12 +35,12 @@
 	pace     slowStartPace
 	load     loadEstimate
 	latency  latencyEstimate
-	priority movingAverage // of priorities in relation to the work
+	priority priorityAverage
 
 	// Requests.
 	requests       requestTable
 	retryBudget    retryBudget
-	clientTimeouts [][]movingAverage // how long clients wait, by plan and class, in microseconds
+	clientTimeouts clientTimeouts
 
 	counters activityCounters // since the last log event
 }
@@ -60,19 +60,15 @@
 	}
 	c := &Controller{
 		settings: settings, actions: actions, random: rand.New(rand.NewPCG(seed, seed>>halfSeedBits)),
-		customers: newCustomerTable(),
-		shared:    sharedBucket{idleOverflow: make([]float64, len(settings.Plans))},
-		gossip: gossipState{
-			incarnation: uint32(seed>>halfSeedBits) ^ uint32(seed),
-			peers:       make([]peer, settings.Gateways),
-		},
-		backends:    newBackendTable(),
-		requests:    newRequestTable(len(settings.Classes)),
-		retryBudget: maxRetryBudget,
-		latency:     latencyEstimate{byClass: make([]movingAverage, len(settings.Classes))},
-	}
-	for range settings.Plans {
-		c.clientTimeouts = append(c.clientTimeouts, make([]movingAverage, len(settings.Classes)))
+		customers:      newCustomerTable(),
+		shared:         newSharedBucket(len(settings.Plans)),
+		grants:         newGrantRequests(settings.Gateways),
+		gossip:         newGossipState(uint32(seed>>halfSeedBits)^uint32(seed), settings.Gateways),
+		backends:       newBackendTable(),
+		requests:       newRequestTable(len(settings.Classes)),
+		retryBudget:    maxRetryBudget,
+		clientTimeouts: newClientTimeouts(len(settings.Plans), len(settings.Classes)),
+		latency:        latencyEstimate{byClass: make([]movingAverage, len(settings.Classes))},
 	}
 	c.deriveFromSettings()
 	return c, nil
@@ -123,8 +119,7 @@
 		return
 	}
 	c.scheduleTick()
-	if now-c.customers.sweptAt >= sweepInterval {
-		c.customers.sweptAt = c.clock.now
+	if c.customers.sweepIsDue(now) {
 		c.logWarmedUp()
 		c.logCounters()
 		c.queueLoadView(loadViewPeers) // peers hear of it also while this gateway sends nothing
--- /dev/null
+++ b/policy/controller_gossip.go
@@ -0,0 +1,180 @@
+package policy
+
+const loadViewPeers = 6 // random peers that get this gateway's load view at each sweep
+
+// runGossipRound reports the customers whose use has changed to peers, or else to the shared counter.
+func (c *Controller) runGossipRound() {
+	c.customers.sortReporting()
+	for _, customer := range c.customers.reporting {
+		c.refillBuckets(customer)
+		c.updateGrant(customer)
+		c.reportUsage(customer)
+	}
+	c.customers.dropReported()
+	for index := range c.gossip.peers {
+		if message := c.gossip.takeMessage(index); len(message) > 0 {
+			c.actions.SendGossip(index, message)
+		}
+	}
+}
+
+// reportUsage reports one customer's use, unless its time has not come or the messages are full.
+func (c *Controller) reportUsage(customer *customer) {
+	switch {
+	case !customer.reportIsDue(c.clock.now, &c.sharing):
+	case !c.sharing.gossip:
+		if units := customer.countUsage(); units > 0 {
+			c.actions.IncrementCounter(customer.id, units, counterLifetime)
+		}
+	case c.queueUsage(customer):
+		customer.reported(c.clock.now, &c.sharing)
+	}
+}
+
+// queueUsage adds a customer's usage entry to the messages for its receivers, if all have room.
+func (c *Controller) queueUsage(customer *customer) bool {
+	first, count := c.sharing.reportReceivers(&customer.account)
+	for i := range count {
+		if !c.gossip.hasRoom((first+i)%c.sharing.gateways, usageSize) {
+			return false
+		}
+	}
+	entry := customer.usageEntry(&c.sharing, customer.usage.customerUsage)
+	for i := range count {
+		if index := (first + i) % c.sharing.gateways; index != c.sharing.self {
+			c.prepareMessage(index)
+			c.gossip.addUsage(index, &entry)
+		}
+	}
+	return true
+}
+
+// queueGrant adds a customer's grant to the message for a peer. A full message is sent first.
+func (c *Controller) queueGrant(index int, customer *customer) {
+	if !c.gossip.hasRoom(index, grantSize) {
+		c.actions.SendGossip(index, c.gossip.takeMessage(index))
+	}
+	c.prepareMessage(index)
+	c.gossip.addGrant(index, grant{customer: customer.id, fraction: customer.grant.fraction})
+}
+
+// queueLoadView has messages with this gateway's load view go to some random peers.
+func (c *Controller) queueLoadView(count int) {
+	for range count {
+		if index := c.random.IntN(c.sharing.gateways); c.sharing.gossip && index != c.sharing.self {
+			c.prepareMessage(index)
+		}
+	}
+}
+
+// prepareMessage begins a message for a peer unless one is in preparation. The load view is taken at this
+// moment only, as reading a decaying sum rounds it.
+func (c *Controller) prepareMessage(index int) {
+	if !c.gossip.hasMessage(index) {
+		c.gossip.begin(index, c.loadView())
+	}
+}
+
+// announceStart announces to this gateway's neighbours that it has started without any state.
+func (c *Controller) announceStart() {
+	c.gossip.start(c.clock.now)
+	for index := range c.sharing.gateways {
+		if c.sharing.announcesTo(index) {
+			c.actions.SendGossip(index, c.gossip.newMessage(c.loadView()))
+		}
+	}
+}
+
+// GossipReceived handles a peer's message. A malformed one is ignored.
+func (c *Controller) GossipReceived(now Time, from int, raw []byte) {
+	c.advanceClock(now)
+	message, ok := decodeGossip(raw)
+	if !ok || !hasIndex(c.gossip.peers, from) || from == c.sharing.self {
+		return
+	}
+	received := c.gossip.receive(from, c.clock.activeTime, &message)
+	c.recordPeerLoad(received.weight, &message)
+	if received.restarted {
+		c.reportAllTo(from)
+	}
+	sender := usageSender{gateway: from, incarnation: message.incarnation, newest: received.newest}
+	for i := range message.usage {
+		c.applyUsage(sender, &message.usage[i])
+	}
+	for _, fault := range message.faults {
+		backend := c.backends.byID[fault.backend]
+		subject := decodeSubject(fault.subject, len(c.settings.Classes), len(c.settings.Plans))
+		if backend != nil && subject >= 0 {
+			backend.faults[subject].add(now, faultDecay, 1)
+		}
+	}
+	for _, received := range message.grants {
+		c.applyGrant(received)
+	}
+}
+
+// recordPeerLoad adds a peer's load view to those of all, with a weight below 1 for a peer that sent one
+// shortly before.
+func (c *Controller) recordPeerLoad(weight float64, message *gossipMessage) {
+	c.load.peers.add(c.clock.activeTime, second, weight)
+	c.load.peersInFlight.add(c.clock.activeTime, second, weight*message.inFlight)
+	c.load.peersOnTime.add(c.clock.activeTime, second, weight*message.onTimeRate)
+}
+
+// applyUsage applies a peer's usage entry, and answers its quota request or corrects its grant.
+func (c *Controller) applyUsage(sender usageSender, entry *usageEntry) {
+	if entry.plan >= len(c.settings.Plans) || entry.replicas < 1 || entry.replicas > c.sharing.gateways {
+		return
+	}
+	account := c.sharing.newAccount(entry.customer, entry.plan, entry.firstReplica, entry.replicas)
+	customer := c.customerRecord(account)
+	if !customer.applyUsage(c.clock.now, &c.sharing, sender, entry) {
+		return
+	}
+	c.updateGrant(customer)
+	switch {
+	case entry.quotaRequest > 0:
+		answer := customer.answerQuotaRequest(&c.sharing, sender.gateway, entry)
+		c.actions.SendGossip(sender.gateway, answer.appendTo(c.gossip.newMessage(c.loadView())))
+	case c.sharing.isWide(&customer.account) && customer.grant.isOff(entry.remaining):
+		c.queueGrant(sender.gateway, customer)
+	}
+}
+
+// applyGrant applies a coordinator's grant, and what it answers of a quota request.
+func (c *Controller) applyGrant(received grant) {
+	customer := c.customers.byID[received.customer]
+	if customer == nil || !c.sharing.isWide(&customer.account) {
+		return
+	}
+	customer.receiveGrant(&c.sharing, received.fraction, c.random)
+	if received.quotaRequest > 0 {
+		c.resolveQuotaRequests(customer, received)
+	}
+}
+
+// reportAllTo schedules reports of the customers that a gateway which has just started shares and
+// whose buckets are not full.
+func (c *Controller) reportAllTo(gateway int) {
+	for _, customer := range c.customers.inOrder {
+		c.refillBuckets(customer)
+		account, isFull := &customer.account, customer.bucket.level >= customer.bucket.capacity
+		if !isFull && !c.sharing.isWide(account) && c.sharing.isReplica(account, gateway) {
+			c.customers.scheduleReport(&c.sharing, customer)
+		}
+	}
+}
+
+// AdvertiseAll schedules reports of all customers, as messages may have been lost.
+func (c *Controller) AdvertiseAll() {
+	for _, customer := range c.customers.inOrder {
+		c.customers.scheduleReport(&c.sharing, customer)
+	}
+}
+
+// reportFault notes a fault of a backend with a class or plan and sends it with the next messages.
+func (c *Controller) reportFault(backend *backend, subject int) {
+	backend.faults[subject].add(c.clock.now, faultDecay, 1)
+	encoded := encodeSubject(subject, len(c.settings.Classes))
+	c.gossip.addFault(faultReport{backend: backend.ID, subject: encoded})
+}
--- /dev/null
+++ b/policy/controller_quota.go
@@ -0,0 +1,128 @@
+package policy
+
+// customerRecord returns an account's record with its buckets refilled. It makes a missing one.
+func (c *Controller) customerRecord(account account) *customer {
+	customer := c.customers.byID[account.id]
+	if customer == nil {
+		customer = newCustomer(c.clock.now, c.clock.startedAt, &c.sharing, account)
+		c.shared.removeIdle(&account, c.sharing.plan(&account))
+		c.customers.add(customer)
+	}
+	c.refillBuckets(customer)
+	return customer
+}
+
+// refillBuckets brings a customer's buckets up to now. What overflows goes to the shared bucket.
+func (c *Controller) refillBuckets(customer *customer) {
+	account := &customer.account
+	allHeard := c.sharing.plan(account).CeilingRate > 0 && c.sharing.isFullMesh(account) &&
+		c.gossip.hearsAll(&c.sharing, account, c.clock.activeTime)
+	c.shared.deposit(customer.refill(c.clock.now, &c.sharing, allHeard))
+}
+
+// sweepCustomers refills all buckets and drops the records of idle customers, whose overflow goes
+// on feeding the shared bucket.
+func (c *Controller) sweepCustomers() {
+	for _, customer := range c.customers.inOrder {
+		c.refillBuckets(customer)
+		c.updateGrant(customer)
+	}
+	for _, account := range c.customers.removeIdle(c.clock.now) {
+		c.shared.addIdle(&account, c.sharing.plan(&account))
+	}
+	c.shared.updateRate(c.clock.now)
+}
+
+// updateGrant has a coordinator set a customer's grant, and advertise it to the set if it has changed.
+func (c *Controller) updateGrant(customer *customer) {
+	if !customer.updateGrant(c.clock.now, &c.sharing) {
+		return
+	}
+	for i := range customer.replicas {
+		if index := c.sharing.replica(&customer.account, i); index != c.sharing.self {
+			c.queueGrant(index, customer)
+		}
+	}
+}
+
+// refund returns the units of a request that never reached a backend.
+func (c *Controller) refund(request *request) {
+	if request.reachedBackend {
+		return
+	}
+	c.refillBuckets(request.customer)
+	if request.borrowed {
+		c.shared.deposit(request.Cost)
+	} else {
+		c.customers.consume(&c.sharing, request.customer, request.coordinator, -request.Cost)
+	}
+	if request.chargedCeiling {
+		request.customer.ceiling.deposit(request.Cost)
+	}
+}
+
+// CostSettled charges a customer for what a request cost beyond its estimate, where that becomes
+// known only after its outcome.
+func (c *Controller) CostSettled(now Time, id uint64, more float64) {
+	c.advanceClock(now)
+	if customer := c.customers.byID[id]; customer != nil && c.settings.SettlesCost {
+		c.refillBuckets(customer)
+		c.customers.consume(&c.sharing, customer, 0, more)
+	}
+}
+
+// CounterAnswered applies the total of a customer's use through all gateways, where gateways share a
+// counter instead of gossip.
+func (c *Controller) CounterAnswered(now Time, name uint64, result Result, total float64) {
+	c.advanceClock(now)
+	customer := c.customers.byID[name]
+	if customer == nil {
+		return
+	}
+	if byPeers, ok := customer.counter.answered(result, total); ok {
+		c.refillBuckets(customer)
+		customer.consumedByPeers(byPeers)
+		customer.demand.addPeers(now, byPeers)
+	}
+}
+
+// requestQuota asks a coordinator for a request's units and holds the request until it answers.
+func (c *Controller) requestQuota(request *request) {
+	customer := request.customer
+	request.quotaRequest = customer.grant.nextRequest()
+	timeout := min(Time(quotaRequestTimeout*float64(c.shortestObjective)), request.Timeout/2)
+	request.grantDeadline = c.clock.now + timeout
+	isRepeated := request.quotaRequestsSent > 0
+	request.quotaRequestsSent++
+	c.counters.quotaRequests++
+	entry := customer.quotaRequest(&c.sharing, request, isRepeated)
+	peer := c.sharing.coordinator(&customer.account, request.coordinator)
+	c.actions.SendGossip(peer, entry.appendTo(c.gossip.newMessage(c.loadView())))
+	c.actions.SetTimer(request.grantDeadline, quotaRequestTimer)
+	c.requests.byID[request.ID] = request
+	c.grants.add(request)
+}
+
+// resolveQuotaRequests decides on the requests that an answer is for and on those whose answer is
+// overdue. The latter ask another coordinator once, or else use what the last grant left.
+func (c *Controller) resolveQuotaRequests(customer *customer, answer grant) {
+	c.grants.dropClosed(c.requests.byID)
+	for _, ended := range c.grants.answered(c.clock.now, &c.sharing, customer, answer) {
+		request := ended.request
+		delete(c.requests.byID, request.ID)
+		switch ended.result {
+		case quotaApproved:
+			request.customer.grant.units += request.Cost // consumed at once
+			c.admit(request, unitsFromGrant)
+		case quotaDenied:
+			c.admit(request, unitsMissing)
+		case quotaUnanswered:
+			c.counters.unanswered++
+			request.customer.grant.addRequested(request.Cost)
+			c.admit(request, c.ownUnits(request))
+		case quotaAskAgain:
+			c.counters.unanswered++
+			c.admitOrRequestQuota(request)
+		}
+	}
+}
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -1,111 +1,220 @@
 package policy
 
-import "math"
+import (
+	"math"
+	"math/rand/v2"
+)
+
+const (
+	evenCeilingShare   = 0.5  // the part of a ceiling that is split evenly; the rest follows demand
+	gossipDelayPeriods = 2    // gossip periods until what a peer consumes now is known here
+	coordinatorReserve = 0.75 // the part of a burst that is kept for variance in what the set requests
+)
+
+// customer is what this gateway knows of one customer, and decides which of its requests are within the
+// quota. Its decisions are as of the last refill: whoever uses the buckets refills them first.
+type customer struct {
+	account
+	inFlight int         // attempts
+	bucket   tokenBucket // the whole quota as far as it is known, or this gateway's share if use is not shared
+	ceiling  tokenBucket // this gateway's share of the ceiling
+	demand   customerDemand
+	usage    usageLedger
+	grant    quotaGrant    // in wide replica sets
+	counter  sharedCounter // where gateways share a counter
+	meter    usageMeter    // where backends report a meter
+}
 
-// customerTable holds the records of the customers that have been active of late.
-type customerTable struct {
-	byID    map[uint64]*customer
-	inOrder []*customer // all of byID, oldest first
-	sweptAt Time        // when it was last searched for idle customers
+// newCustomer makes the record of a customer at a gateway that started at the given time. Its bucket is
+// full: peers report those that are not. The ceiling begins with half of its slack, as the rest may have been
+// used before a restart.
+func newCustomer(now, startedAt Time, sharing *quotaSharing, account account) *customer {
+	plan, even := sharing.plan(&account), float64(account.replicas)
+	customer := &customer{
+		account: account,
+		demand:  customerDemand{window: sharing.demandWindow(&account)},
+		grant:   newQuotaGrant(),
+		bucket:  tokenBucket{level: plan.Burst, rate: plan.Rate, capacity: plan.Burst, updatedAt: now},
+		ceiling: tokenBucket{
+			level: plan.CeilingSlack / even / 2, rate: plan.CeilingRate / even,
+			capacity: plan.CeilingBurst / even, updatedAt: startedAt,
+		},
+	}
+	switch {
+	case !sharing.sharesUsage:
+		customer.bucket.level /= even
+	case sharing.grantsQuota(&account):
+		customer.bucket.level /= float64(sharing.coordinatorCount(&account))
+		customer.ceiling.level *= even / float64(sharing.coordinatorCount(&account))
+	}
+	return customer
 }
 
-func newCustomerTable() customerTable {
-	return customerTable{byID: map[uint64]*customer{}}
+// idle reports whether nothing is lost when the record is dropped.
+func (c *customer) idle(now Time) bool {
+	return c.demand.isNegligible(now) &&
+		c.inFlight == 0 && c.usage.reportsLeft == 0 && c.counter.isIdle() && c.grant.isDefault() &&
+		c.bucket.level >= c.bucket.capacity && c.ceiling.level >= c.ceiling.capacity
 }
 
-// customer is what this gateway knows of one customer.
-type customer struct {
-	account
-	inFlight        int // attempts
-	lastRequestCost float64
-	demandWindow    Time // the time constant of demand and peerDemand
-
-	bucket  tokenBucket // the whole quota as far as it is known, or this gateway's share if use is not shared
-	ceiling tokenBucket // this gateway's share of the ceiling
-
-	customerUsage                  // in total, since this gateway started
-	consumedReported   float64     // the part of consumed that was reported to peers or the counter
-	reportsLeft        int         // gossip rounds that are still to report the use
-	peers              []peerUsage // by position in the set; nil: none reported yet
-	demand, peerDemand decayingSum // units requested recently: here, and at the other gateways
-
-	// In wide replica sets.
-	grantFraction      float64         // the fraction of requested units that may be granted
-	grantedUnits       float64         // a participant's units under a grant below 1
-	nextReportAt       Time            // when a participant under a grant reports again
-	usageByCoordinator []customerUsage // a participant's, by index of the coordinator
-	quotaRequests      byte            // the number of the last quota request; wraps
-	advertisedGrant    float64         // a coordinator's grant as last sent to the set
-	nextGrantAt        Time            // when it may be sent again
-
-	// Where gateways share a counter.
-	counterCalls []float64 // units of the calls that are not answered yet, oldest first
-	counterTotal float64   // the counter's total as last answered
-
-	// Where backends report a meter.
-	meteredDemand decayingSum // units requested here, over the meter's period
-	meteredShare  float64     // the quota share by the last reading; 0: no reading yet
-}
-
-// customerUsage counts the units of a customer at this gateway.
-type customerUsage struct {
-	consumed, requested float64
-	requestedReported   float64 // the part of requested that was reported to peers
-}
-
-// peerUsage holds the wrapping counts of a customer's use that a peer last reported.
-type peerUsage struct {
-	known       bool
-	incarnation uint32
-	consumed    uint16
-	requested   uint16
-}
-
-func (u *peerUsage) update(incarnation uint32, entry usageEntry) {
-	u.known, u.incarnation = true, incarnation
-	u.consumed, u.requested = entry.consumed, entry.requested
-}
-
-// customerRecord returns a customer's record with its buckets refilled. It makes a missing one.
-func (c *Controller) customerRecord(id uint64, planIndex, firstReplica, replicas int) *customer {
-	customer := c.customers.byID[id]
-	if customer == nil {
-		customer = c.newCustomer(id, planIndex, firstReplica, replicas)
-		idle := &c.shared.idleOverflow[planIndex]
-		*idle = math.Max(0, *idle-c.settings.Plans[planIndex].Rate/float64(customer.replicas))
-		c.addCustomer(customer)
+// quotaShare is the share of the quota that this gateway may use: its share of the recent demand. Gateways
+// without reports count as idle.
+func (c *customer) quotaShare(now Time, sharing *quotaSharing) float64 {
+	own := c.demand.atOwn(now)
+	switch {
+	case c.replicas == 1:
+		return 1
+	case sharing.sharesUsage && own > 0 && !sharing.isParticipant(&c.account):
+		return own / (own + c.demand.atPeers(now))
+	case !sharing.sharesUsage && c.meter.share > 0:
+		return c.meter.share
 	}
-	c.refillBuckets(customer)
-	return customer
+	return 1 / float64(c.replicas)
 }
 
-func (c *Controller) addCustomer(customer *customer) {
-	c.customers.byID[customer.id] = customer
-	c.customers.inOrder = append(c.customers.inOrder, customer)
+// refill brings the buckets up to now, and returns what overflowed of this gateway's share of the quota.
+// All replicas heard means that the peers' demand is known well enough for the ceiling to follow it.
+func (c *customer) refill(now Time, sharing *quotaSharing, allReplicasHeard bool) (overflow float64) {
+	plan, share := sharing.plan(&c.account), c.quotaShare(now, sharing)
+	ceilingShare := 1 / float64(c.replicas)
+	if plan.CeilingRate > 0 && allReplicasHeard {
+		ceilingShare = evenCeilingShare*ceilingShare + (1-evenCeilingShare)*share
+	}
+	switch {
+	case !sharing.sharesUsage:
+		c.bucket.resize(share*plan.Rate, share*plan.Burst)
+		share = 1
+	case sharing.grantsQuota(&c.account):
+		// The coordinators share all of the ceiling, since every gateway asks them.
+		ceilingShare = 1 / float64(sharing.coordinatorCount(&c.account))
+		c.bucket.resize(ceilingShare*plan.Rate, ceilingShare*plan.Burst)
+	case sharing.isParticipant(&c.account) && sharing.requiresGrant(&c.account):
+		ceilingShare = 0
+	}
+	c.ceiling.resize(ceilingShare*plan.CeilingRate, ceilingShare*plan.CeilingBurst)
+	c.ceiling.refill(now)
+	return share * c.bucket.refill(now)
 }
 
-// usageUnder is what was counted under the customer's coordinator of that index.
-func (c *customer) usageUnder(coordinator int) *customerUsage {
-	for len(c.usageByCoordinator) <= coordinator {
-		c.usageByCoordinator = append(c.usageByCoordinator, customerUsage{})
+// availableUnits is what this gateway may grant now: its share of the bucket as of the last gossip round
+// less its use since, or, if more, what the peers are not expected to use before they report again: a share
+// of a small burst may be less than one request. A gateway that is settling may not know yet what was used
+// before it started.
+func (c *customer) availableUnits(now Time, sharing *quotaSharing, settling bool) float64 {
+	switch {
+	case sharing.isParticipant(&c.account) && c.grant.isLimited():
+		return c.grant.units
+	case !sharing.sharesUsage || sharing.isWide(&c.account):
+		return c.bucket.level
 	}
-	return &c.usageByCoordinator[coordinator]
+	unreported := c.usage.unreported()
+	delay := float64(gossipDelayPeriods * sharing.gossipPeriod)
+	expected := c.demand.atPeers(now) * delay / float64(c.demand.window)
+	share := c.quotaShare(now, sharing)*(c.bucket.level+unreported) - unreported
+	level := math.Max(share, c.bucket.level-expected)
+	if settling { // an even share, so that a restart grants no second burst
+		level = math.Min(level, c.bucket.capacity/float64(c.replicas)-c.usage.consumed)
+	}
+	return level
 }
 
-// idle reports whether nothing is lost when the record is dropped.
-func (c *customer) idle(now Time) bool {
-	const negligible = 0.01 // units: a decaying sum never reaches 0
-	return c.demand.value(now, c.demandWindow) < negligible &&
-		c.peerDemand.value(now, c.demandWindow) < negligible &&
-		c.inFlight == 0 && c.reportsLeft == 0 && len(c.counterCalls) == 0 &&
-		c.grantFraction == 1 && c.advertisedGrant == 1 &&
-		c.bucket.level >= c.bucket.capacity && c.ceiling.level >= c.ceiling.capacity
+// withinQuota reports whether the quota and the concurrency limit admit the units.
+func (c *customer) withinQuota(now Time, sharing *quotaSharing, settling bool, units float64) bool {
+	plan := sharing.plan(&c.account)
+	if plan.ConcurrencyLimit > 0 {
+		limit := math.Max(1, math.Round(c.quotaShare(now, sharing)*float64(plan.ConcurrencyLimit)))
+		if float64(c.inFlight) >= limit {
+			return false
+		}
+	}
+	return plan.Rate == 0 || c.availableUnits(now, sharing, settling) >= units
+}
+
+// recordDemand counts the units of a request before it is decided on. Under a grant each request
+// adds the granted fraction of its units to those that this gateway may use.
+func (c *customer) recordDemand(now Time, sharing *quotaSharing, units float64) {
+	c.demand.addOwn(now, units)
+	c.meter.recordDemand(now, sharing.meterPeriod, units)
+	c.usage.requested += units
+	c.grant.lastRequestCost = units
+	if !sharing.requiresGrant(&c.account) {
+		c.grant.addRequested(units)
+	}
+}
+
+// readMeter sets the quota share by a reading of the use through all gateways.
+func (c *customer) readMeter(now Time, sharing *quotaSharing, reading int) {
+	c.meter.read(now, sharing.meterPeriod, sharing.plan(&c.account).Rate, reading)
+}
+
+// consume charges units that the coordinator of that index granted, 0 if none did.
+func (c *customer) consume(sharing *quotaSharing, coordinator int, units float64) {
+	c.usage.consume(coordinator, units)
+	if !sharing.asksAnother(&c.account, coordinator) {
+		c.bucket.level -= units
+	}
+	c.grant.consume(units)
+}
+
+// consumedByPeers charges units that other gateways have consumed.
+func (c *customer) consumedByPeers(units float64) {
+	c.bucket.level = math.Max(0, c.bucket.level-units)
+}
+
+// updateGrant has a coordinator set the fraction of what is requested that it grants: the rate and
+// what the bucket holds beyond the reserve, spent over the demand window, divided by the demand.
+// It reports whether the grant has changed and is to be advertised to the set, which a set that asks before
+// each request does not need.
+func (c *customer) updateGrant(now Time, sharing *quotaSharing) (advertise bool) {
+	if !sharing.isWide(&c.account) || sharing.isParticipant(&c.account) || sharing.plan(&c.account).Rate == 0 {
+		return false
+	}
+	refill := c.bucket.rate * float64(c.demand.window) / float64(second)
+	spendable := refill + c.bucket.level - coordinatorReserve*c.bucket.capacity
+	c.grant.set(spendable, c.demand.total(now))
+	return !sharing.requiresGrant(&c.account) && c.grant.advertise(now, c.demand.window)
+}
+
+// receiveGrant has a participant apply a coordinator's grant of the fraction.
+func (c *customer) receiveGrant(sharing *quotaSharing, fraction float64, random *rand.Rand) {
+	if sharing.isParticipant(&c.account) {
+		c.grant.receive(fraction, random)
+	}
+}
+
+// setPlan gives the customer another plan, or the same one with other figures. Its bucket holds no more than
+// before: a larger burst fills at the plan's rate.
+func (c *customer) setPlan(sharing *quotaSharing, plan int) {
+	c.plan = plan
+	rate, burst := sharing.plan(&c.account).Rate, sharing.plan(&c.account).Burst
+	c.bucket.resize(rate, burst)
+	c.bucket.level = math.Min(c.bucket.level, burst)
+	c.limitToCoordinatorShare(sharing)
+	c.demand.window = sharing.demandWindow(&c.account)
+}
+
+// limitToCoordinatorShare limits a coordinator's bucket to its part of the burst.
+func (c *customer) limitToCoordinatorShare(sharing *quotaSharing) {
+	if sharing.grantsQuota(&c.account) {
+		part := sharing.plan(&c.account).Burst / float64(sharing.coordinatorCount(&c.account))
+		c.bucket.level = math.Min(c.bucket.level, part)
+	}
+}
+
+// limitToRestart limits the buckets to what they hold after a restart, as what was admitted since the last
+// refill is unknown.
+func (c *customer) limitToRestart(sharing *quotaSharing) {
+	plan, even := sharing.plan(&c.account), float64(c.replicas)
+	c.bucket.level = min(c.bucket.level, plan.Burst/even)
+	c.ceiling.level = min(c.ceiling.level, plan.CeilingSlack/even/2)
 }
 
-// usageFrom is the record of what a gateway of the customer's set reported.
-func (c *Controller) usageFrom(customer *customer, gateway int) *peerUsage {
-	if customer.peers == nil {
-		customer.peers = make([]peerUsage, customer.replicas)
+// scheduleReport has the use reported in the next rounds, if it is reported at all, and reports whether none
+// was to do so before.
+func (c *customer) scheduleReport(sharing *quotaSharing) (first bool) {
+	if !sharing.reportsUsage(&c.account) {
+		c.usage.markCounted()
+		return false
 	}
-	return &customer.peers[c.sharing.position(&customer.account, gateway)]
+	return c.usage.scheduleReports()
 }
--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -11,9 +11,9 @@
 	for range 3 {
 		a.serve(1, 9, 4)
 		entry := usageEntry{
-			customer: 9, plan: 1, replicas: 2, consumed: packUnits(a.customers.byID[9].consumed), remaining: 0.5,
+			customer: 9, plan: 1, replicas: 2, consumed: packUnits(a.customers.byID[9].usage.consumed), remaining: 0.5,
 		}
-		messages = append(messages, entry.appendTo(a.newMessage()))
+		messages = append(messages, entry.appendTo(a.gossip.newMessage(a.loadView())))
 	}
 	b.GossipReceived(b.at, 0, messages[0])
 	level := b.customers.byID[9].bucket.level
@@ -89,14 +89,14 @@
 	h := newHarness(t, testSettings())
 	classes, plans := len(h.settings.Classes), len(h.settings.Plans)
 	for subject := range classes + plans {
-		if got := h.decodeSubject(h.encodeSubject(subject)); got != subject {
+		if got := decodeSubject(encodeSubject(subject, classes), classes, plans); got != subject {
 			t.Errorf("subject %d is read as %d", subject, got)
 		}
 	}
-	if got := h.encodeSubject(h.planSubject(0)); got != 255 {
+	if got := encodeSubject(h.planSubject(0), classes); got != 255 {
 		t.Errorf("the first plan is sent as %d, want 255", got)
 	}
-	if got := h.decodeSubject(byte(classes)); got != -1 {
+	if got := decodeSubject(byte(classes), classes, plans); got != -1 {
 		t.Errorf("an unknown class is read as %d, want -1", got)
 	}
 }
--- a/policy/ownership.go
+++ b/policy/ownership.go
@@ -8,13 +8,10 @@
 func (c *Controller) GiveUpOwnership(now Time) {
 	c.advanceClock(now)
 	c.retired = true
-	for _, request := range c.grants.awaiting {
-		if c.requests.byID[request.ID] == request {
-			delete(c.requests.byID, request.ID)
-			c.reject(request.ID, rejectOverQuota, c.shortestObjective/2)
-		}
+	for _, request := range c.grants.takeOpen(c.requests.byID) {
+		delete(c.requests.byID, request.ID)
+		c.reject(request.ID, rejectOverQuota, c.shortestObjective/2)
 	}
-	c.grants.awaiting = nil
 }
 
 // ResumeOwnership has a controller that gave up its buckets own them again, as the other process
@@ -25,10 +22,8 @@
 	c.retired = false
 	for _, customer := range c.customers.inOrder {
 		c.refillBuckets(customer)
-		plan, even := c.sharing.plan(&customer.account), float64(customer.replicas)
-		customer.bucket.level = min(customer.bucket.level, plan.Burst/even)
-		customer.ceiling.level = min(customer.ceiling.level, plan.CeilingSlack/even/2)
-		c.scheduleReport(customer)
+		customer.limitToRestart(&c.sharing)
+		c.customers.scheduleReport(&c.sharing, customer)
 	}
 	c.shared.level = 0
 }
--- a/policy/ownership_test.go
+++ b/policy/ownership_test.go
@@ -22,7 +22,7 @@
 	}
 	before, after := h.customers.byID[8], next.customers.byID[8]
 	assertNear(t, "bucket", after.bucket.level, before.bucket.level)
-	assertNear(t, "consumed", after.consumed, before.consumed)
+	assertNear(t, "consumed", after.usage.consumed, before.usage.consumed)
 	if next.gossip.incarnation != h.gossip.incarnation {
 		t.Errorf("incarnation %d, want %d", next.gossip.incarnation, h.gossip.incarnation)
 	}
@@ -30,13 +30,13 @@
 	if after.inFlight != 1 || backend.load.inFlight != 1 {
 		t.Errorf("in flight: customer %d, backend %d, want 1", after.inFlight, backend.load.inFlight)
 	}
-	consumed := after.consumed
+	consumed := after.usage.consumed
 	next.settings.SettlesCost = true
 	next.PredecessorAttemptEnded(next.at, Outcome{
 		RequestID: id, Backend: backendID, Result: ResultOK,
 		Latency: second / 10, Answered: true, ActualCost: 3,
 	})
-	assertNear(t, "consumed with the actual cost", after.consumed, consumed+1)
+	assertNear(t, "consumed with the actual cost", after.usage.consumed, consumed+1)
 	if after.inFlight != 0 || backend.load.inFlight != 0 || len(next.requests.ofPredecessor) != 0 {
 		t.Errorf("in flight: customer %d, backend %d; %d requests of the predecessor; want none",
 			after.inFlight, backend.load.inFlight, len(next.requests.ofPredecessor))
--- a/policy/quotashare_test.go
+++ b/policy/quotashare_test.go
@@ -22,12 +22,12 @@
 		b.serve(1, 9, 1)
 	}
 	gossipRound(b, a)
-	if share := a.quotaShare(a.customers.byID[9]); share < 0.7 || share > 0.8 {
+	if share := a.customers.byID[9].quotaShare(a.clock.now, &a.sharing); share < 0.7 || share > 0.8 {
 		t.Errorf("share %g, want about three quarters", share)
 	}
 	a.at += 30 * second
 	a.serve(1, 9, 1)
-	if share := a.quotaShare(a.customers.byID[9]); share < 0.99 {
+	if share := a.customers.byID[9].quotaShare(a.clock.now, &a.sharing); share < 0.99 {
 		t.Errorf("share %g with the peer silent for long, want all", share)
 	}
 }
@@ -41,7 +41,7 @@
 	gossipRound(a, b)
 	restarted := newUnstartedHarness(t, a.settings, 8, b.at)
 	restarted.UpdateEndpoints(restarted.at, UpdateStale, endpoints(4))
-	b.GossipReceived(b.at, 0, restarted.newMessage()) // its announcement
+	b.GossipReceived(b.at, 0, restarted.gossip.newMessage(restarted.loadView())) // its announcement
 	gossipRound(b, restarted)
 	if restarted.serve(0, 9, 2) {
 		t.Error("the restarted gateway granted the spent burst again")
@@ -72,9 +72,10 @@
 	settings.Gossip, settings.MeterPeriod = false, second
 	h := newHarness(t, settings)
 	id, _ := h.request(0, 1, 9, 5)
-	assertNear(t, "share before a reading", h.quotaShare(h.customers.byID[9]), 0.5)
+	assertNear(t, "share before a reading", h.customers.byID[9].quotaShare(h.clock.now, &h.sharing), 0.5)
 	h.endWith(id, Outcome{Result: ResultOK, Latency: 1, Answered: true, MeterReading: 201})
-	assertNear(t, "share with a quarter of the use", h.quotaShare(h.customers.byID[9]), 0.25)
+	share := h.customers.byID[9].quotaShare(h.clock.now, &h.sharing)
+	assertNear(t, "share with a quarter of the use", share, 0.25)
 }
 
 func TestCeilingHoldsThroughRestartsWithPeersSilent(t *testing.T) {
@@ -124,7 +125,8 @@
 	b.serve(2, 9, 1)
 	gossipRound(a, b)
 	gossipRound(b, a)
-	atA, atB := a.customerRecord(9, 2, 0, 2), b.customerRecord(9, 2, 0, 2)
+	account := a.sharing.newAccount(9, 2, 0, 2)
+	atA, atB := a.customerRecord(account), b.customerRecord(account)
 	if atA.ceiling.rate <= 4.5 {
 		t.Errorf("ceiling rate %g of 8 with three quarters of the demand, want over half", atA.ceiling.rate)
 	}
--- a/policy/quotasharing.go
+++ b/policy/quotasharing.go
@@ -9,6 +9,8 @@
 	maxFullMeshPeers     = 4           // gateways of a set that still all report to one another
 	quotaRequestShare    = 1.0         // the part of a receiver's gossip that requests to a coordinator may fill
 	coordinatorLoadShare = 0.4         // the part from which on they are spread over several coordinators
+	settlePeriods        = 4           // gossip periods until a new gateway has received all levels
+	maxSettleTime        = second / 2  // and the longest time that is waited for them
 	minRequestsPerBurst  = 2           // the largest requests that a coordinator's part of a burst must hold
 )
 
@@ -76,6 +78,9 @@
 	return max(Time(demandWindowFraction*plan.Burst/plan.Rate*float64(second)), s.receiveTime(account.replicas))
 }
 
+// settleTime is the time after this gateway's start in which peers may not have reported all buckets yet.
+func (s *quotaSharing) settleTime() Time { return min(maxSettleTime, settlePeriods*s.gossipPeriod) }
+
 // replica is the gateway at a position in the account's set.
 func (s *quotaSharing) replica(account *account, position int) int {
 	return (account.firstReplica + position) % s.gateways
--- a/policy/reload.go
+++ b/policy/reload.go
@@ -1,9 +1,6 @@
 package policy
 
-import (
-	"math"
-	"slices"
-)
+import "slices"
 
 // Reload puts other settings in force. Classes and plans are matched by name, as their indices may
 // change. A class that is gone or has changed stays after the new ones, as it was, while requests of
@@ -28,10 +25,10 @@
 	c.settings = settings
 	c.deriveFromSettings()
 	c.selectSubset()
-	c.shared.refill(now)
-	c.shared.rate, c.shared.level = sum(c.shared.idleOverflow), math.Min(c.shared.level, c.shared.capacity)
+	c.shared.updateRate(now)
+	c.shared.limitToCapacity()
 	for _, customer := range c.customers.inOrder {
-		c.applyPlan(customer, plans[customer.plan])
+		customer.setPlan(&c.sharing, plans[customer.plan])
 	}
 	return nil
 }
@@ -47,17 +44,6 @@
 	settings.Classes, settings.Plans = slices.Clone(settings.Classes), slices.Clone(settings.Plans)
 }
 
-// applyPlan gives a customer the plan of that index. Its bucket holds no more than before: a larger
-// burst fills at the plan's rate.
-func (c *Controller) applyPlan(customer *customer, planIndex int) {
-	plan := &c.settings.Plans[planIndex]
-	customer.plan = planIndex
-	customer.bucket.resize(plan.Rate, plan.Burst)
-	customer.bucket.level = math.Min(customer.bucket.level, plan.Burst)
-	c.limitToCoordinatorShare(customer)
-	customer.demandWindow = c.sharing.demandWindow(&customer.account)
-}
-
 // indexByName is the index of the item of that name; -1: none.
 func indexByName[T any](items []T, nameOf func(*T) string, name string) int {
 	return slices.IndexFunc(items, func(item T) bool { return nameOf(&item) == name })
@@ -90,8 +76,7 @@
 	indices := make([]int, len(c.settings.Plans))
 	for i, plan := range c.settings.Plans {
 		indices[i] = indexByName(settings.Plans, planName, plan.Name)
-		hasPlan := func(customer *customer) bool { return customer.plan == i }
-		if indices[i] < 0 && slices.ContainsFunc(c.customers.inOrder, hasPlan) {
+		if indices[i] < 0 && c.customers.hasPlan(i) {
 			indices[i] = len(settings.Plans)
 			settings.Plans = append(settings.Plans, plan)
 		}
@@ -133,10 +118,7 @@
 			slices.SortStableFunc(withinObjective[class], bySendTime)
 		}
 	}
-	for i, row := range c.clientTimeouts {
-		c.clientTimeouts[i] = make([]movingAverage, count)
-		pickFrom(c.clientTimeouts[i], row, oldIndices)
-	}
+	c.clientTimeouts.renumberClasses(oldIndices)
 	for _, backend := range c.backends.inOrder {
 		faults := make([]decayingSum, count+len(c.settings.Plans))
 		pickFrom(faults[:count], backend.faults, oldIndices)
@@ -144,7 +126,7 @@
 		backend.faults = faults
 	}
 	c.latency.byClass, c.requests.withinObjective = latency, withinObjective
-	c.gossip.faults = nil // they name classes by their old index
+	c.gossip.dropFaults() // they name classes by their old index
 }
 
 // oldClassIndices is the inverse of the indices from mapClasses, completed by name; -1: new.
@@ -169,18 +151,8 @@
 
 // renumberPlans moves the state of each plan to its new index, once the classes have theirs.
 func (c *Controller) renumberPlans(settings *Settings, plans []int) {
-	timeouts, overflow := make([][]movingAverage, len(settings.Plans)), make([]float64, len(settings.Plans))
-	for plan := range timeouts {
-		timeouts[plan] = make([]movingAverage, len(settings.Classes))
-		if old := slices.Index(plans, plan); old >= 0 {
-			copy(timeouts[plan], c.clientTimeouts[old])
-		}
-	}
-	for old, plan := range plans {
-		if oldRate := c.settings.Plans[old].Rate; plan >= 0 && oldRate > 0 {
-			overflow[plan] += c.shared.idleOverflow[old] * settings.Plans[plan].Rate / oldRate
-		}
-	}
+	c.clientTimeouts = c.clientTimeouts.renumberPlans(len(settings.Plans), len(settings.Classes), plans)
+	c.shared.renumberPlans(c.settings.Plans, settings.Plans, plans)
 	for _, backend := range c.backends.inOrder {
 		faults := make([]decayingSum, len(settings.Classes)+len(settings.Plans))
 		copy(faults, backend.faults[:len(settings.Classes)])
@@ -191,7 +163,6 @@
 		}
 		backend.faults = faults
 	}
-	c.clientTimeouts, c.shared.idleOverflow = timeouts, overflow
 }
 
 // deriveFromSettings computes what follows from the settings alone.
@@ -201,10 +172,5 @@
 	for _, class := range c.settings.Classes {
 		c.shortestObjective = min(c.shortestObjective, class.LatencyObjective)
 	}
-	c.shared.capacity = 0
-	for _, plan := range c.settings.Plans {
-		if plan.overagePays() {
-			c.shared.capacity = math.Max(c.shared.capacity, plan.Burst)
-		}
-	}
+	c.shared.fitTo(c.settings.Plans)
 }
--- a/policy/report.go
+++ b/policy/report.go
@@ -44,12 +44,12 @@
 }
 
 // countOverQuota counts a request over quota that a peer could have admitted.
-func (n *activityCounters) countOverQuota(customer *customer, units float64) {
-	if customer.bucket.level < units {
+func (n *activityCounters) countOverQuota(bucket *tokenBucket, units float64) {
+	if bucket.level < units {
 		return
 	}
 	n.shareTooSmall++
-	if customer.bucket.level >= customer.bucket.capacity/2 {
+	if bucket.level >= bucket.capacity/2 {
 		n.halfFull++
 	}
 }
--- a/policy/report_test.go
+++ b/policy/report_test.go
@@ -22,7 +22,7 @@
 // A request that a peer could have admitted is counted apart from one beyond the quota.
 func TestCountersTellQuotaSharesFromQuotas(t *testing.T) {
 	h := newHarness(t, namedSettings())
-	customer := h.customerRecord(7, 0, 0, 2)
+	customer := h.customerRecord(h.sharing.newAccount(7, 0, 0, 2))
 	for _, want := range []struct {
 		level                   float64
 		shareTooSmall, halfFull int
@@ -30,7 +30,7 @@
 		t.Run(fmt.Sprint(want.level), func(t *testing.T) {
 			customer.bucket.level = want.level
 			var counters activityCounters
-			counters.countOverQuota(customer, 2)
+			counters.countOverQuota(&customer.bucket, 2)
 			if counters.shareTooSmall != want.shareTooSmall || counters.halfFull != want.halfFull {
 				t.Errorf("got %d and %d, want %+v", counters.shareTooSmall, counters.halfFull, want)
 			}
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"math"
 	"slices"
 )
 
@@ -21,12 +20,13 @@
 		PeersHeld: encodeSum(c.load.peersInFlight), PeersInTime: encodeSum(c.load.peersOnTime),
 		Pace: encodeSum(c.pace.answerRate),
 		Mean: encodeAverage(c.latency.all), ColdMean: encodeAverage(c.latency.slowStart),
-		Late: encodeAverage(c.load.lateShare), Worth: encodeAverage(c.priority),
+		Late: encodeAverage(c.load.lateShare), Worth: encodeAverage(c.priority.movingAverage),
 		Base: convertAll(c.latency.byClass, encodeAverage), Again: float64(c.retryBudget),
 	}
-	for _, peer := range c.gossip.peers {
+	for i := range c.gossip.peers {
+		peer := &c.gossip.peers[i]
 		snapshot.Boots = append(snapshot.Boots, peer.incarnation)
-		snapshot.HeardAt = append(snapshot.HeardAt, peer.lastHeardAt)
+		snapshot.HeardAt = append(snapshot.HeardAt, peer.lastReceivedAt)
 		snapshot.Turns = append(snapshot.Turns, peer.sequence)
 	}
 	for _, row := range c.clientTimeouts {
@@ -71,13 +71,13 @@
 	indices := c.indicesOf(snapshot)
 	c.clock.restore(snapshot.Born, snapshot.Woke, snapshot.Still)
 	c.customers.sweptAt = snapshot.Swept
-	c.importGossip(snapshot)
+	c.gossip.restore(snapshot.Boot, snapshot.Turn, snapshot.peers())
 	c.load.onTime, c.load.peers = decodeSum(snapshot.InTime), decodeSum(snapshot.Peers)
 	c.load.peersInFlight, c.load.peersOnTime = decodeSum(snapshot.PeersHeld), decodeSum(snapshot.PeersInTime)
 	c.load.lateShare, c.pace.answerRate = decodeAverage(snapshot.Late), decodeSum(snapshot.Pace)
-	c.priority, c.retryBudget = decodeAverage(snapshot.Worth), retryBudget(snapshot.Again)
+	c.priority.movingAverage, c.retryBudget = decodeAverage(snapshot.Worth), retryBudget(snapshot.Again)
 	c.importLatency(snapshot, indices)
-	c.importSharedBucket(snapshot, indices)
+	c.shared.restore(decodeBucket(snapshot.Lend), snapshot.IdleSpill, indices.plan)
 	for i := range snapshot.Customers {
 		c.importCustomer(&snapshot.Customers[i], indices)
 	}
@@ -95,22 +95,6 @@
 	return nil
 }
 
-// importGossip goes on with the other process's incarnation. What it knew of the peers is of use
-// only if the settings have the same gateways.
-func (c *Controller) importGossip(snapshot *Snapshot) {
-	c.gossip.incarnation, c.gossip.sequence = snapshot.Boot, snapshot.Turn
-	gateways := c.settings.Gateways
-	if len(snapshot.Boots) != gateways || len(snapshot.HeardAt) != gateways ||
-		len(snapshot.Turns) != gateways {
-		return
-	}
-	for i := range c.gossip.peers {
-		peer := &c.gossip.peers[i]
-		peer.incarnation, peer.sequence = snapshot.Boots[i], snapshot.Turns[i]
-		peer.lastHeardAt = snapshot.HeardAt[i]
-	}
-}
-
 func (c *Controller) importLatency(snapshot *Snapshot, indices snapshotIndices) {
 	c.latency.all, c.latency.slowStart = decodeAverage(snapshot.Mean), decodeAverage(snapshot.ColdMean)
 	for i, state := range snapshot.Base {
@@ -127,18 +111,6 @@
 	}
 }
 
-// importSharedBucket imports the shared bucket as far as it fits this controller's capacity.
-func (c *Controller) importSharedBucket(snapshot *Snapshot, indices snapshotIndices) {
-	capacity := c.shared.capacity
-	c.shared.tokenBucket = decodeBucket(snapshot.Lend)
-	c.shared.capacity, c.shared.level = capacity, min(c.shared.level, capacity)
-	for i, overflow := range snapshot.IdleSpill {
-		if plan := indices.plan[i]; plan >= 0 {
-			c.shared.idleOverflow[plan] = overflow
-		}
-	}
-}
-
 func (c *Controller) importCustomer(state *CustomerState, indices snapshotIndices) {
 	planIndex := indices.plan[state.Plan]
 	if planIndex < 0 || state.Spread < 1 || state.Spread > c.settings.Gateways {
@@ -146,22 +118,14 @@
 	}
 	customer, plan := decodeCustomer(state), &c.settings.Plans[planIndex]
 	customer.plan = planIndex
-	customer.demandWindow = c.sharing.demandWindow(&customer.account)
+	customer.demand.window = c.sharing.demandWindow(&customer.account)
 	if c.sharing.sharesUsage {
 		customer.bucket.resize(plan.Rate, plan.Burst)
 	}
-	c.limitToCoordinatorShare(customer)
-	c.addCustomer(customer)
-	if customer.consumed != customer.consumedReported || customer.requested != customer.requestedReported {
-		c.scheduleReport(customer)
-	}
-}
-
-// limitToCoordinatorShare limits a coordinator's bucket to its part of the burst.
-func (c *Controller) limitToCoordinatorShare(customer *customer) {
-	if account := &customer.account; c.sharing.grantsQuota(account) {
-		part := c.sharing.plan(account).Burst / float64(c.sharing.coordinatorCount(account))
-		customer.bucket.level = math.Min(customer.bucket.level, part)
+	customer.limitToCoordinatorShare(&c.sharing)
+	c.customers.add(customer)
+	if customer.usage.hasUnreported() {
+		c.customers.scheduleReport(&c.sharing, customer)
 	}
 }
 
--- a/policy/snapshot_codec.go
+++ b/policy/snapshot_codec.go
@@ -184,20 +184,32 @@
 	}
 }
 
+// peers is what the writer knew of the gateways; nil if the lists differ in length.
+func (s *Snapshot) peers() []peer {
+	if len(s.HeardAt) != len(s.Boots) || len(s.Turns) != len(s.Boots) {
+		return nil
+	}
+	peers := make([]peer, len(s.Boots))
+	for i := range peers {
+		peers[i] = peer{incarnation: s.Boots[i], sequence: s.Turns[i], lastReceivedAt: s.HeardAt[i]}
+	}
+	return peers
+}
+
 func encodeCustomer(customer *customer) CustomerState {
 	return CustomerState{
 		ID: customer.id, Plan: customer.plan, First: customer.firstReplica, Spread: customer.replicas,
 		Store: encodeBucket(customer.bucket), Ceiling: encodeBucket(customer.ceiling),
-		Taken: customer.consumed, Told: customer.consumedReported,
-		Asked: customer.requested, AskedTold: customer.requestedReported,
-		LastAsk: customer.lastRequestCost, Grant: customer.grantFraction,
-		Slice: customer.grantedUnits, Granted: customer.advertisedGrant,
-		Total: customer.counterTotal, Part: customer.meteredShare,
-		Use: encodeSum(customer.demand), Others: encodeSum(customer.peerDemand),
-		Metered: encodeSum(customer.meteredDemand),
-		Heard:   convertAll(customer.peers, encodePeerUsage),
-		Tallies: convertAll(customer.usageByCoordinator, encodeUsage),
-		GrantAt: customer.nextGrantAt, TellAt: customer.nextReportAt, Asks: customer.quotaRequests,
+		Taken: customer.usage.consumed, Told: customer.usage.consumedReported,
+		Asked: customer.usage.requested, AskedTold: customer.usage.requestedReported,
+		LastAsk: customer.grant.lastRequestCost, Grant: customer.grant.fraction,
+		Slice: customer.grant.units, Granted: customer.grant.advertised,
+		Total: customer.counter.total, Part: customer.meter.share,
+		Use: encodeSum(customer.demand.own), Others: encodeSum(customer.demand.peers),
+		Metered: encodeSum(customer.meter.demand),
+		Heard:   convertAll(customer.usage.peers, encodePeerUsage),
+		Tallies: convertAll(customer.usage.byCoordinator, encodeUsage),
+		GrantAt: customer.grant.nextAt, TellAt: customer.grant.nextReportAt, Asks: customer.grant.quotaRequests,
 	}
 }
 
@@ -207,26 +219,35 @@
 	customer := &customer{
 		account: account{id: state.ID, firstReplica: state.First, replicas: state.Spread},
 		bucket:  decodeBucket(state.Store), ceiling: decodeBucket(state.Ceiling),
+		demand: customerDemand{own: decodeSum(state.Use), peers: decodeSum(state.Others)},
+		usage:  decodeLedger(state),
+		grant: quotaGrant{
+			fraction: state.Grant, units: state.Slice, lastRequestCost: state.LastAsk,
+			nextReportAt: state.TellAt, quotaRequests: state.Asks,
+			advertised: state.Granted, nextAt: state.GrantAt,
+		},
+		counter: sharedCounter{total: state.Total},
+		meter:   usageMeter{demand: decodeSum(state.Metered), share: state.Part},
+	}
+	return customer
+}
+
+func decodeLedger(state *CustomerState) usageLedger {
+	ledger := usageLedger{
 		customerUsage: customerUsage{
 			consumed: state.Taken, requested: state.Asked, requestedReported: state.AskedTold,
 		},
 		consumedReported: state.Told,
-		lastRequestCost:  state.LastAsk, grantFraction: state.Grant,
-		grantedUnits: state.Slice, advertisedGrant: state.Granted,
-		counterTotal: state.Total, meteredShare: state.Part,
-		demand: decodeSum(state.Use), peerDemand: decodeSum(state.Others),
-		meteredDemand:      decodeSum(state.Metered),
-		peers:              convertAll(state.Heard, decodePeerUsage),
-		usageByCoordinator: convertAll(state.Tallies, decodeUsageState),
-		nextGrantAt:        state.GrantAt, nextReportAt: state.TellAt, quotaRequests: state.Asks,
+		byCoordinator:    convertAll(state.Tallies, decodeUsageState),
+		peers:            convertAll(state.Heard, decodePeerUsage),
 	}
 	if state.Tallies == nil {
-		customer.usageByCoordinator = []customerUsage{customer.customerUsage}
+		ledger.byCoordinator = []customerUsage{ledger.customerUsage}
 	}
-	if len(customer.peers) != customer.replicas {
-		customer.peers = nil
+	if len(ledger.peers) != state.Spread {
+		ledger.peers = nil
 	}
-	return customer
+	return ledger
 }
 
 func encodeBackend(backend *backend) BackendState {
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -81,16 +81,16 @@
 	for !h.sharing.grantsQuota(&account{id: 9, firstReplica: first, replicas: 12}) {
 		first++
 	}
-	customer := h.customerRecord(9, 0, first, 12)
+	customer := h.customerRecord(h.sharing.newAccount(9, 0, first, 12))
 	if n := h.sharing.coordinatorCount(&customer.account); n < 2 {
 		t.Fatalf("%d coordinators, want several", n)
 	}
-	*customer.usageUnder(1) = customerUsage{consumed: 5, requested: 8, requestedReported: 7}
-	*customer.usageUnder(0) = customerUsage{consumed: 2, requested: 3, requestedReported: 3}
-	customer.customerUsage = customerUsage{consumed: 7, requested: 11, requestedReported: 10}
-	got := h.successor(t, settings).customers.byID[9].usageByCoordinator
-	if !slices.Equal(got, customer.usageByCoordinator) {
-		t.Errorf("use by coordinator: got %v, want %v", got, customer.usageByCoordinator)
+	*customer.usage.under(1) = customerUsage{consumed: 5, requested: 8, requestedReported: 7}
+	*customer.usage.under(0) = customerUsage{consumed: 2, requested: 3, requestedReported: 3}
+	customer.usage.customerUsage = customerUsage{consumed: 7, requested: 11, requestedReported: 10}
+	got := h.successor(t, settings).customers.byID[9].usage.byCoordinator
+	if !slices.Equal(got, customer.usage.byCoordinator) {
+		t.Errorf("use by coordinator: got %v, want %v", got, customer.usage.byCoordinator)
 	}
 	snapshot := h.Export(h.at)
 	full := tokenBucket{level: 60, rate: 60, capacity: 60, updatedAt: h.at}
@@ -102,8 +102,8 @@
 		t.Fatal(err)
 	}
 	imported := next.customers.byID[9]
-	if want := []customerUsage{customer.customerUsage}; !slices.Equal(imported.usageByCoordinator, want) {
-		t.Errorf("from an older process: got %v, want %v", imported.usageByCoordinator, want)
+	if want := []customerUsage{customer.usage.customerUsage}; !slices.Equal(imported.usage.byCoordinator, want) {
+		t.Errorf("from an older process: got %v, want %v", imported.usage.byCoordinator, want)
 	}
 	if part := 60 / float64(next.sharing.coordinatorCount(&imported.account)); imported.bucket.level > part {
 		t.Errorf("a coordinator holds %g of a burst, want its part of %g", imported.bucket.level, part)
--- a/policy/tokenbucket_test.go
+++ b/policy/tokenbucket_test.go
@@ -91,7 +91,7 @@
 			h := newHarness(t, testSettings())
 			h.serve(c.plan, 9, 1)
 			customer := h.customers.byID[9]
-			level, ceiling, consumed := customer.bucket.level, customer.ceiling.level, customer.consumed
+			level, ceiling, consumed := customer.bucket.level, customer.ceiling.level, customer.usage.consumed
 			id, _ := h.request(0, c.plan, 9, 2)
 			for i, result := range c.results {
 				h.end(id, result, result == ResultOK || len(c.results) == 1 && i == 0)
@@ -100,7 +100,7 @@
 				t.Fatal("the request is still open")
 			}
 			assertNear(t, "bucket", customer.bucket.level, level-c.charged)
-			assertNear(t, "consumed", customer.consumed, consumed+c.charged)
+			assertNear(t, "consumed", customer.usage.consumed, consumed+c.charged)
 			if h.settings.Plans[c.plan].CeilingRate > 0 {
 				assertNear(t, "ceiling", customer.ceiling.level, ceiling-c.charged)
 			}
