--- a/scale/internal/measure/machine.go
+++ b/scale/internal/measure/machine.go
@@ -15,7 +15,10 @@
 	firstGuestColumn = 8
 )
 
-const clockTick = time.Second / 100 // the unit of /proc/stat
+const (
+	clockTick = time.Second / 100 // the unit of /proc/stat
+	kibibyte  = 1 << 10           // bytes; the unit of /proc/meminfo and /proc/PID/status
+)
 
 // MachineCPUTime returns the time that all cores have worked, for any process.
 func MachineCPUTime() (time.Duration, error) {
@@ -48,5 +51,5 @@
 	if _, err := fmt.Sscanf(string(info), "MemTotal: %d kB", &kibibytes); err != nil {
 		return 0, fmt.Errorf("memory: %w", err)
 	}
-	return kibibytes << 10, nil
+	return kibibytes * kibibyte, nil
 }
--- a/scale/internal/measure/process.go
+++ b/scale/internal/measure/process.go
@@ -29,6 +29,9 @@
 // Memory is the resident memory of a process, in bytes.
 type Memory struct{ Now, Peak int64 }
 
+// minFields is how many fields a line of /proc/PID/status has that states memory: its name and the number.
+const minFields = 2
+
 // ProcessMemory returns the memory that a process holds.
 func ProcessMemory(pid int) (Memory, error) {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
@@ -38,7 +41,7 @@
 	var m Memory
 	for line := range strings.Lines(string(status)) {
 		fields := strings.Fields(line)
-		if len(fields) < 2 {
+		if len(fields) < minFields {
 			continue
 		}
 		var target *int64
@@ -54,7 +57,7 @@
 		if err != nil {
 			return Memory{}, fmt.Errorf("memory: %w", err)
 		}
-		*target = kibibytes << 10
+		*target = kibibytes * kibibyte
 	}
 	return m, nil
 }
--- a/scale/internal/report/columns.go
+++ b/scale/internal/report/columns.go
@@ -12,24 +12,24 @@
 // maximum of memory, of the changes the slowest. The names are those of the pages that quote the tables, and
 // call simulated gateways hollow.
 var measurements = []measurement{
-	ofPart("idle CPU %", idlePhase, medianCPU),
-	ofPart("control CPU %", controlPhase, medianCPU),
-	ofPart("load CPU %", loadPhase, medianCPU),
+	ofSection("idle CPU %", idlePhase, medianCPU),
+	ofSection("control CPU %", controlPhase, medianCPU),
+	ofSection("load CPU %", loadPhase, medianCPU),
 	{"CPU us a request", cpuPerRequest},
 	{"start peak MB", maxOf(func(r *results.Result) []float64 { return r.StartPeakMB })},
-	ofPart("control peak MB", controlPhase, maxPeak),
-	ofPart("load peak MB", loadPhase, maxPeak),
-	ofPart("control in KB/s", controlPhase, medianInKBs),
-	ofPart("control out KB/s", controlPhase, medianOutKBs),
-	ofPart("control in msg/s", controlPhase, medianInMessages),
-	ofPart("control out msg/s", controlPhase, medianOutMessages),
-	ofPart("load in KB/s", loadPhase, medianInKBs),
-	ofPart("load out KB/s", loadPhase, medianOutKBs),
-	ofPart("added p50 ms", addedLatency, p50),
-	ofPart("added p99 ms", addedLatency, p99),
-	ofPart("without a gateway p50 ms", baselineLatency, p50),
-	ofPart("without a gateway p99 ms", baselineLatency, p99),
-	ofPart("machine busy under load %", loadPhase, machineBusy),
+	ofSection("control peak MB", controlPhase, maxPeak),
+	ofSection("load peak MB", loadPhase, maxPeak),
+	ofSection("control in KB/s", controlPhase, medianInKBs),
+	ofSection("control out KB/s", controlPhase, medianOutKBs),
+	ofSection("control in msg/s", controlPhase, medianInMessages),
+	ofSection("control out msg/s", controlPhase, medianOutMessages),
+	ofSection("load in KB/s", loadPhase, medianInKBs),
+	ofSection("load out KB/s", loadPhase, medianOutKBs),
+	ofSection("added p50 ms", addedLatency, p50),
+	ofSection("added p99 ms", addedLatency, p99),
+	ofSection("without a gateway p50 ms", baselineLatency, p50),
+	ofSection("without a gateway p99 ms", baselineLatency, p99),
+	ofSection("machine busy under load %", loadPhase, machineBusy),
 	{"hollow late under load ms", positive(delayUnderLoad)},
 	{"change ms", maxOf(func(r *results.Result) []float64 { return r.ChangeMS })},
 	ofReload("SIGHUP call ms", func(r *results.ReloadResult) float64 { return r.CalledMS }),
@@ -38,19 +38,20 @@
 	{"list bytes", positive(func(r *results.Result) float64 { return float64(r.ListBytes) })},
 }
 
-// ofPart measures a part of a result, where the run got that far.
-func ofPart[Part any](
-	name string, part func(*results.Result) *Part, value func(*Part) float64,
+// ofSection measures a section of a result, where the run got that far.
+func ofSection[Section any](
+	name string, section func(*results.Result) *Section, value func(*Section) float64,
 ) measurement {
 	return measurement{name, func(r *results.Result) (float64, bool) {
-		p := part(r)
-		if p == nil {
+		s := section(r)
+		if s == nil {
 			return 0, false
 		}
-		return value(p), true
+		return value(s), true
 	}}
 }
 
+// idlePhase and the functions below are the sections of a result, and values in them.
 func idlePhase(r *results.Result) *results.PhaseUsage    { return r.Idle }
 func controlPhase(r *results.Result) *results.PhaseUsage { return r.Control }
 func loadPhase(r *results.Result) *results.PhaseUsage    { return r.Load }
--- a/scale/internal/report/report.go
+++ b/scale/internal/report/report.go
@@ -5,11 +5,17 @@
 	"fmt"
 	"io"
 	"slices"
+	"strconv"
 	"strings"
 
 	"sparspread/scale/internal/results"
 )
 
+const (
+	slopeColumns = 2   // the slope over all sizes, and that of the largest two
+	threeDigits  = 100 // from which on a value has three digits before the point
+)
+
 // Print prints a table for each experiment of the results, in the order in which they first come.
 func Print(out io.Writer, all []*results.Result) error {
 	var names []string
@@ -40,6 +46,7 @@
 	target      float64
 }
 
+// newTable sorts the results of one experiment by size.
 func newTable(all []*results.Result) *table {
 	t := &table{results: all, bySize: map[float64][]*results.Result{}, target: all[0].Target}
 	for _, r := range all {
@@ -53,6 +60,7 @@
 	return t
 }
 
+// write writes the whole report.
 func (t *table) write(b *strings.Builder) {
 	t.writeIntroduction(b)
 	t.writeHead(b)
@@ -67,6 +75,7 @@
 	fmt.Fprintf(b, "Not checked: %s.\n\n", strings.Join(t.results[0].NotChecked, ", "))
 }
 
+// writeIntroduction writes what was run.
 func (t *table) writeIntroduction(b *strings.Builder) {
 	first := t.results[0]
 	fmt.Fprintf(b, "## %s\n\nAxis: %s. %d real gateways, %s in the settings, known: %s, service %g ms. ",
@@ -76,6 +85,7 @@
 		strings.Join(t.revisions(), ", "))
 }
 
+// writeHead writes the head of the table and how many repeats were run.
 func (t *table) writeHead(b *strings.Builder) {
 	b.WriteString("| figure |")
 	for _, size := range t.sizes {
@@ -84,7 +94,7 @@
 	if t.extrapolate {
 		fmt.Fprintf(b, " %g, worked out |", t.target)
 	}
-	b.WriteString(" slope | of the last two |\n|---|" + strings.Repeat("---|", len(t.sizes)+2))
+	b.WriteString(" slope | of the last two |\n|---|" + strings.Repeat("---|", len(t.sizes)+slopeColumns))
 	if t.extrapolate {
 		b.WriteString("---|")
 	}
@@ -105,11 +115,12 @@
 		smallest, largest = min(smallest, r.Tier), max(largest, r.Tier)
 	}
 	if smallest == largest {
-		return fmt.Sprint(largest)
+		return strconv.Itoa(largest)
 	}
 	return fmt.Sprintf("%d to %d", smallest, largest)
 }
 
+// revisions are those of the programs that were run.
 func (t *table) revisions() []string {
 	var all []string
 	for _, r := range t.results {
@@ -120,6 +131,7 @@
 	return all
 }
 
+// sizeHead is the head of a size's column.
 func sizeHead(ofSize []*results.Result, size float64) string {
 	if label := ofSize[0].Label; label != "" {
 		return fmt.Sprintf("%g (%s)", size, label)
@@ -181,6 +193,7 @@
 	return valid, other
 }
 
+// notMeasured stands for a value that there is none of.
 const notMeasured = "-"
 
 // formatOr returns a text, or the sign for what was not measured.
@@ -191,6 +204,7 @@
 	return text()
 }
 
+// formatSummary writes the minimum, the median and the maximum, or one value where all are the same.
 func formatSummary(values []float64, mark string) string {
 	if len(values) == 0 {
 		return notMeasured
@@ -204,7 +218,7 @@
 
 // formatValue writes a value with three significant digits, or to the unit.
 func formatValue(v float64) string {
-	if v >= 100 {
+	if v >= threeDigits {
 		return fmt.Sprintf("%.0f", v)
 	}
 	return fmt.Sprintf("%.3g", v)
--- a/scale/internal/report/slope.go
+++ b/scale/internal/report/slope.go
@@ -11,6 +11,11 @@
 	"gonum.org/v1/gonum/stat"
 )
 
+const (
+	lineParameters     = 2 // of a line: its intercept and its exponent
+	extrapolationSizes = 2 // from which a slope is extrapolated: the largest two
+)
+
 // slope is how a measurement grows: as the size to the power of exponent, with exp(intercept) at size 1.
 type slope struct {
 	intercept, exponent float64
@@ -42,13 +47,14 @@
 	}
 	s := slope{points: len(xs), standardError: math.NaN()}
 	s.intercept, s.exponent = stat.LinearRegression(xs, ys, nil, false)
-	if n := float64(len(xs)); n > 2 {
+	if n := float64(len(xs)); n > lineParameters {
 		squaredResiduals := 0.0
 		for i, x := range xs {
 			residual := ys[i] - s.intercept - s.exponent*x
 			squaredResiduals += residual * residual
 		}
-		s.standardError = math.Sqrt(squaredResiduals / (n - 2) / (stat.Variance(xs, nil) * (n - 1)))
+		variance := squaredResiduals / (n - lineParameters)
+		s.standardError = math.Sqrt(variance / (stat.Variance(xs, nil) * (n - 1)))
 	}
 	return s, true
 }
@@ -61,10 +67,10 @@
 		valuesBySize[size] = append(valuesBySize[size], values[i])
 	}
 	sorted := slices.Sorted(maps.Keys(valuesBySize))
-	if len(sorted) < 2 {
+	if len(sorted) < extrapolationSizes {
 		return slope{}, false
 	}
-	lastTwo := sorted[len(sorted)-2:]
+	lastTwo := sorted[len(sorted)-extrapolationSizes:]
 	var medians []float64
 	for _, size := range lastTwo {
 		medians = append(medians, results.Summarize(valuesBySize[size]).Median)
--- a/scale/internal/results/summary.go
+++ b/scale/internal/results/summary.go
@@ -5,6 +5,13 @@
 	"time"
 )
 
+const (
+	middleValues      = 2 // of which the median is the mean
+	microsecondsPerMS = 1000
+	bytesPerKilobyte  = 1e3
+	bytesPerMegabyte  = 1e6
+)
+
 // Summary is the minimum, the median and the maximum of some values.
 type Summary struct {
 	Min    float64 `json:"least"`
@@ -19,11 +26,16 @@
 	}
 	sorted := slices.Sorted(slices.Values(values))
 	n := len(sorted)
-	return Summary{Min: sorted[0], Median: (sorted[(n-1)/2] + sorted[n/2]) / 2, Max: sorted[n-1]}
+	// The middle of an odd number of values is one value, counted twice here.
+	lower, upper := sorted[(n-1)/middleValues], sorted[n/middleValues]
+	return Summary{Min: sorted[0], Median: (lower + upper) / middleValues, Max: sorted[n-1]}
 }
 
 // Milliseconds returns a duration in milliseconds, to a microsecond.
-func Milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
+func Milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / microsecondsPerMS }
+
+// Kilobytes returns a number of bytes, or of bytes per second, in kilobytes.
+func Kilobytes(bytes float64) float64 { return bytes / bytesPerKilobyte }
 
 // Megabytes returns a number of bytes in megabytes.
-func Megabytes(bytes int64) float64 { return float64(bytes) / 1e6 }
+func Megabytes(bytes int64) float64 { return float64(bytes) / bytesPerMegabyte }
--- a/scale/internal/runner/changes.go
+++ b/scale/internal/runner/changes.go
@@ -19,6 +19,9 @@
 // maxPropagation is how long a change may take to the last gateway. The rules allow it 5 s.
 const maxPropagation = 8 * time.Second
 
+// firstChangeFraction is the part of an interval, a half, after which the first change comes.
+const firstChangeFraction = 2
+
 // backendsMetric is a gateway's own count of the list that its decisions follow.
 const backendsMetric = "registry_entries"
 
@@ -32,7 +35,7 @@
 	interval := time.Duration(max(1, 1/s.point.Changes) * float64(time.Second))
 	end := time.Now().Add(length)
 	var draining []int
-	at := time.Now().Add(interval / 2)
+	at := time.Now().Add(interval / firstChangeFraction)
 	for ; at.Before(end) && load.Sleep(ctx, time.Until(at)); at = at.Add(interval) {
 		if draining == nil {
 			draining = s.rand.Perm(s.point.Backends)[:perChange]
--- a/scale/internal/runner/phases.go
+++ b/scale/internal/runner/phases.go
@@ -98,6 +98,7 @@
 	outMessages int64
 }
 
+// sampleUsage reads what a gateway has used since its start.
 func sampleUsage(g *gatewayproc.Gateway) (usageSample, error) {
 	cpuTime, err := measure.ProcessCPUTime(g.PID())
 	if err != nil {
@@ -128,9 +129,9 @@
 		cpu = append(cpu, 100*(after.cpuTime-b.cpuTime).Seconds()/seconds)
 		resident = append(resident, results.Megabytes(memory.Now))
 		peak = append(peak, results.Megabytes(memory.Peak))
-		inKBs = append(inKBs, perSecond(after.inBytes, b.inBytes)/1000)
+		inKBs = append(inKBs, results.Kilobytes(perSecond(after.inBytes, b.inBytes)))
 		inMessages = append(inMessages, perSecond(after.inMessages, b.inMessages))
-		outKBs = append(outKBs, perSecond(after.outBytes, b.outBytes)/1000)
+		outKBs = append(outKBs, results.Kilobytes(perSecond(after.outBytes, b.outBytes)))
 		outMessages = append(outMessages, perSecond(after.outMessages, b.outMessages))
 	}
 	return &results.PhaseUsage{
--- a/scale/internal/runner/reload.go
+++ b/scale/internal/runner/reload.go
@@ -73,16 +73,19 @@
 	return nil
 }
 
+// summarizeReloadTraffic summarizes the control traffic since the signal, and the lists that were rejected.
 func (s *stage) summarizeReloadTraffic(bytesBefore []int64, seconds float64, reload *results.ReloadResult) {
 	var inKBs []float64
 	for i, g := range s.gateways {
 		reload.ListsRejected += g.Agents[newAgent].Activity().ListsRejected
 		received := g.Traffic.In.Bytes.Load() - bytesBefore[i]
-		inKBs = append(inKBs, float64(received)/1000/seconds)
+		inKBs = append(inKBs, results.Kilobytes(float64(received))/seconds)
 	}
 	reload.InKBs = results.Summarize(inKBs)
 }
 
+// timeChangeAfterReload times a change that only the new agents tell of. One that does not reach every
+// gateway is a result, not an error.
 func (s *stage) timeChangeAfterReload(ctx context.Context, reload *results.ReloadResult) error {
 	latency, err := s.timeChange(ctx, s.rand.IntN(s.point.Backends), model.PhaseGone)
 	switch {
