--- a/scale/internal/gatewayproc/calls.go
+++ b/scale/internal/gatewayproc/calls.go
@@ -17,8 +17,10 @@
 
 var errNoMetric = errors.New("no such metric")
 
-func (g *Gateway) ping() error {
-	conn, err := net.DialTimeout("tcp", g.ClientAddress, callTimeout)
+// ping makes one call of PING on a connection of its own.
+func (g *Gateway) ping(ctx context.Context) error {
+	dialer := net.Dialer{Timeout: callTimeout}
+	conn, err := dialer.DialContext(ctx, "tcp", g.ClientAddress)
 	if err != nil {
 		return fmt.Errorf("ping: %w", err)
 	}
--- a/scale/internal/gatewayproc/gateway.go
+++ b/scale/internal/gatewayproc/gateway.go
@@ -29,6 +29,8 @@
 	// PollInterval is the time between two looks at a gateway.
 	PollInterval = 2 * time.Millisecond
 
+	dirMode     = 0o755
+	configMode  = 0o600
 	socketLimit = 1024 // in the configuration
 	seedBase    = 0x9e3779b97f4a7c15
 	agentHost   = "127.7.0.1"
@@ -65,38 +67,40 @@
 
 // New returns a gateway with free addresses and running agents, which keeps its files below dir. The process
 // is started with Start; Stop is called in any case.
-func New(number int, dir string, catalog *model.Catalog) (*Gateway, error) {
+func New(ctx context.Context, number int, dir string, catalog *model.Catalog) (*Gateway, error) {
 	g := &Gateway{
 		Number: number, Traffic: &standin.ControlTraffic{}, Exited: make(chan struct{}),
 		dir:  filepath.Join(dir, fmt.Sprintf("n%d", number)),
 		http: &http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}},
 	}
-	if err := os.MkdirAll(g.dir, 0o755); err != nil {
+	if err := os.MkdirAll(g.dir, dirMode); err != nil {
 		return nil, g.wrap(err)
 	}
-	if err := g.reserveAddresses(); err != nil {
+	if err := g.reserveAddresses(ctx); err != nil {
 		return nil, g.wrap(err)
 	}
 	var err error
 	for i := range g.Agents {
-		if g.Agents[i], err = standin.NewDiscoveryAgent(catalog, g.Traffic, agentHost); err != nil {
+		if g.Agents[i], err = standin.NewDiscoveryAgent(ctx, catalog, g.Traffic, agentHost); err != nil {
 			return nil, err
 		}
 	}
 	return g, nil
 }
 
+// wrap adds to an error which gateway it concerns.
 func (g *Gateway) wrap(err error) error { return fmt.Errorf("gateway %d: %w", g.Number, err) }
 
-func (g *Gateway) reserveAddresses() (err error) {
-	host := fmt.Sprintf("127.8.%d.%d", g.Number>>8, g.Number&0xff)
-	if g.ClientAddress, err = loopback.FreeAddress("tcp", host); err != nil {
+// reserveAddresses chooses the ports that the process will listen at.
+func (g *Gateway) reserveAddresses(ctx context.Context) (err error) {
+	host := loopback.GatewayHost(loopback.RealBlock, g.Number).String()
+	if g.ClientAddress, err = loopback.FreeAddress(ctx, "tcp", host); err != nil {
 		return err
 	}
-	if g.opsAddress, err = loopback.FreeAddress("tcp", host); err != nil {
+	if g.opsAddress, err = loopback.FreeAddress(ctx, "tcp", host); err != nil {
 		return err
 	}
-	gossipAddress, err := loopback.FreeAddress("udp", host)
+	gossipAddress, err := loopback.FreeAddress(ctx, "udp", host)
 	if err != nil {
 		return err
 	}
@@ -122,7 +126,7 @@
 	}
 	// Renamed into place, so that a gateway never reads half a file.
 	draft := g.configPath() + ".new"
-	if err := os.WriteFile(draft, body, 0o600); err != nil {
+	if err := os.WriteFile(draft, body, configMode); err != nil {
 		return g.wrap(err)
 	}
 	if err := os.Rename(draft, g.configPath()); err != nil {
@@ -131,17 +135,20 @@
 	return nil
 }
 
+// configPath is where the process reads its configuration.
 func (g *Gateway) configPath() string { return filepath.Join(g.dir, "config.json") }
 
+// logPath is where the output of the process goes.
 func (g *Gateway) logPath() string { return filepath.Join(g.dir, "log") }
 
-// Start starts the process with its configuration. The process ends with this one, even where that is killed.
-func (g *Gateway) Start(program string) error {
+// Start starts the process with its configuration. Stop ends it, the end of the context does not; it also
+// ends with this process, even where that is killed.
+func (g *Gateway) Start(ctx context.Context, program string) error {
 	var err error
 	if g.logFile, err = os.Create(g.logPath()); err != nil {
 		return g.wrap(err)
 	}
-	g.command = exec.Command(program)
+	g.command = exec.CommandContext(context.WithoutCancel(ctx), program)
 	g.command.Env = append(os.Environ(), "RELAY_CONFIG="+g.configPath(), "TMPDIR="+g.dir)
 	g.command.Stdout, g.command.Stderr = g.logFile, g.logFile
 	g.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -164,7 +171,7 @@
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for {
-		if g.ping() == nil {
+		if g.ping(ctx) == nil {
 			return nil
 		}
 		select {
@@ -182,6 +189,7 @@
 	errNotReady     = errors.New("not ready")
 )
 
+// lastLogLine is the last line that the process has logged, which says why it ended.
 func (g *Gateway) lastLogLine() string {
 	log, err := os.ReadFile(g.logPath())
 	if err != nil {
--- a/scale/internal/load/clients.go
+++ b/scale/internal/load/clients.go
@@ -26,6 +26,12 @@
 	significantDigits = 3
 )
 
+// The bits of a request's ID: the number of the gateway, and below it random ones.
+const (
+	idBits       = 64
+	randomIDBits = 48
+)
+
 // Clients send the requests of one gateway, or of a backend without one. All methods but Run are safe for
 // concurrent use.
 type Clients struct {
@@ -63,6 +69,7 @@
 // Run sends requests at a rate per second for a time, at moments that do not depend on the answers, and waits
 // until all have ended.
 func (c *Clients) Run(ctx context.Context, rate float64, length time.Duration) {
+	begun := context.WithoutCancel(ctx) // a request that has begun ends by its own timeout
 	var running sync.WaitGroup
 	end := time.Now().Add(length)
 	for at := time.Now(); ; {
@@ -70,26 +77,31 @@
 		if at.After(end) || !Sleep(ctx, time.Until(at)) {
 			break
 		}
-		id := uint64(c.demand.Gateway)<<48 | c.demand.Rand.Uint64()>>16
+		id := uint64(c.demand.Gateway)<<randomIDBits | c.demand.Rand.Uint64()>>(idBits-randomIDBits)
 		command := readCommand(c.demand.Draw(), id)
-		running.Go(func() { c.request(id, command) })
+		running.Go(func() { c.request(begun, id, command) })
 	}
 	running.Wait()
 	c.closeIdle()
 }
 
+// readCommand is the command of a customer's request.
 func readCommand(customer model.Customer, requestID uint64) []byte {
-	b := resp.AppendArray(nil, 4)
-	b = resp.AppendBulk(b, []byte("API.READ"))
-	b = resp.AppendBulk(b, fmt.Appendf(nil, "%016x", customer.ID))
-	b = resp.AppendBulk(b, fmt.Appendf(nil, "%016x", requestID))
-	return resp.AppendBulk(b, fmt.Appendf(nil, "c=lookup,t=%s,d=%d,units=1,spread=%d,first=%d",
-		customer.Plan().Name, model.ClientTimeout.Milliseconds(), customer.Replicas, customer.FirstReplica))
+	fields := fmt.Sprintf("c=lookup,t=%s,d=%d,units=1,spread=%d,first=%d",
+		customer.Plan().Name, model.ClientTimeout.Milliseconds(), customer.Replicas, customer.FirstReplica)
+	args := []string{
+		"API.READ", fmt.Sprintf("%016x", customer.ID), fmt.Sprintf("%016x", requestID), fields,
+	}
+	b := resp.AppendArray(nil, len(args))
+	for _, arg := range args {
+		b = resp.AppendBulk(b, []byte(arg))
+	}
+	return b
 }
 
 // request sends one request and counts how it ended.
-func (c *Clients) request(id uint64, command []byte) {
-	conn, reused, err := c.pool.get()
+func (c *Clients) request(ctx context.Context, id uint64, command []byte) {
+	conn, reused, err := c.pool.get(ctx)
 	if errors.Is(err, errPoolExhausted) {
 		c.count(func(a *results.Answers) { a.NotSent++ })
 		return
@@ -105,7 +117,7 @@
 		// The gateway closed the connection while it was idle.
 		c.pool.discard(conn)
 		c.count(func(a *results.Answers) { a.Resent++ })
-		if conn, err = c.pool.dial(); err == nil {
+		if conn, err = c.pool.dial(ctx); err == nil {
 			started = time.Now()
 			reply, err = conn.roundTrip(command, started)
 		}
@@ -127,12 +139,14 @@
 	return errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
+// count changes the counts.
 func (c *Clients) count(change func(*results.Answers)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	change(&c.answers)
 }
 
+// countError counts a request that got no whole answer.
 func (c *Clients) countError(err error) {
 	c.count(func(a *results.Answers) {
 		if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -143,6 +157,7 @@
 	})
 }
 
+// countReply counts a request by its answer.
 func (c *Clients) countReply(id uint64, reply resp.Reply, latency time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/scale/internal/load/clients_test.go
+++ b/scale/internal/load/clients_test.go
@@ -14,7 +14,7 @@
 // closes the connection, or waits for the client to do so.
 func answerOnce(t *testing.T, answer string, closes bool) (address string) {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,7 +59,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			clients := NewClients(answerOnce(t, c.answer, c.closes), model.Demand{})
-			clients.request(1, readCommand(model.Customer{ID: 7, Replicas: 1}, 1))
+			clients.request(t.Context(), 1, readCommand(model.Customer{ID: 7, Replicas: 1}, 1))
 			clients.closeIdle()
 			if got := clients.Answers(); c.count(got) != 1 || got.Sent != 1 {
 				t.Errorf("answers %+v", got)
--- a/scale/internal/load/latency.go
+++ b/scale/internal/load/latency.go
@@ -1,11 +1,19 @@
 package load
 
 import (
+	"time"
+
 	"sparspread/scale/internal/results"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
+// The quantiles of a result, in percent.
+const (
+	medianPercent = 50
+	highPercent   = 99
+)
+
 // AddedLatency returns the latency that gateways added to the answers of the clients of each; nil where none
 // was served.
 func AddedLatency(clients []*Clients) *results.AddedLatency {
@@ -13,14 +21,14 @@
 	var p50s, p99s []float64
 	for _, c := range clients {
 		all.Merge(c.added)
-		p50s = append(p50s, quantileMS(c.added, 50))
-		p99s = append(p99s, quantileMS(c.added, 99))
+		p50s = append(p50s, quantileMS(c.added, medianPercent))
+		p99s = append(p99s, quantileMS(c.added, highPercent))
 	}
 	if all.TotalCount() == 0 {
 		return nil
 	}
 	return &results.AddedLatency{
-		P50MS: quantileMS(all, 50), P99MS: quantileMS(all, 99),
+		P50MS: quantileMS(all, medianPercent), P99MS: quantileMS(all, highPercent),
 		P50ByGateway: results.Summarize(p50s), P99ByGateway: results.Summarize(p99s),
 		Samples: int(all.TotalCount()),
 	}
@@ -28,5 +36,5 @@
 
 // quantileMS returns a quantile, given in percent, of a histogram of microseconds.
 func quantileMS(h *hdrhistogram.Histogram, percent float64) float64 {
-	return float64(h.ValueAtQuantile(percent)) / 1000
+	return results.Milliseconds(time.Duration(h.ValueAtQuantile(percent)) * time.Microsecond)
 }
--- a/scale/internal/load/pool.go
+++ b/scale/internal/load/pool.go
@@ -1,6 +1,7 @@
 package load
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"net"
@@ -18,6 +19,7 @@
 	extraBytesWait = time.Millisecond      // for which a connection is read before it is closed
 )
 
+// errPoolExhausted says that as many connections are in use as there may be.
 var errPoolExhausted = errors.New("clients: too many connections")
 
 // pool holds the connections to one address. It is safe for concurrent use.
@@ -36,7 +38,7 @@
 }
 
 // get returns an idle connection, or else a new one.
-func (p *pool) get() (conn *clientConn, reused bool, err error) {
+func (p *pool) get(ctx context.Context) (conn *clientConn, reused bool, err error) {
 	p.mu.Lock()
 	if n := len(p.idle); n > 0 {
 		conn, p.idle = p.idle[n-1], p.idle[:n-1]
@@ -48,12 +50,14 @@
 	if exhausted {
 		return nil, false, errPoolExhausted
 	}
-	conn, err = p.dial()
+	conn, err = p.dial(ctx)
 	return conn, false, err
 }
 
-func (p *pool) dial() (*clientConn, error) {
-	conn, err := net.DialTimeout("tcp", p.address, dialTimeout)
+// dial opens a connection.
+func (p *pool) dial(ctx context.Context) (*clientConn, error) {
+	dialer := net.Dialer{Timeout: dialTimeout}
+	conn, err := dialer.DialContext(ctx, "tcp", p.address)
 	if err != nil {
 		return nil, fmt.Errorf("clients: %w", err)
 	}
--- a/scale/internal/loopback/loopback.go
+++ b/scale/internal/loopback/loopback.go
@@ -3,6 +3,8 @@
 
 import (
 	"context"
+	"encoding/binary"
+	"errors"
 	"fmt"
 	"net"
 	"net/netip"
@@ -20,22 +22,33 @@
 	return bindErr
 }}
 
+// errSocketType says that a socket is of another type than its network has.
+var errSocketType = errors.New("another type of socket")
+
 // ListenAllTCP listens on a free TCP port of every loopback address.
-func ListenAllTCP() (*net.TCPListener, error) {
-	listener, err := allAddresses.Listen(context.Background(), "tcp4", "0.0.0.0:0")
+func ListenAllTCP(ctx context.Context) (*net.TCPListener, error) {
+	listener, err := allAddresses.Listen(ctx, "tcp4", "0.0.0.0:0")
 	if err != nil {
 		return nil, fmt.Errorf("listening on the loopback addresses: %w", err)
 	}
-	return listener.(*net.TCPListener), nil
+	tcp, ok := listener.(*net.TCPListener)
+	if !ok {
+		return nil, fmt.Errorf("listening on the loopback addresses: %w", errSocketType)
+	}
+	return tcp, nil
 }
 
 // ListenAllUDP receives on a free UDP port of every loopback address.
-func ListenAllUDP() (*net.UDPConn, error) {
-	conn, err := allAddresses.ListenPacket(context.Background(), "udp4", "0.0.0.0:0")
+func ListenAllUDP(ctx context.Context) (*net.UDPConn, error) {
+	conn, err := allAddresses.ListenPacket(ctx, "udp4", "0.0.0.0:0")
 	if err != nil {
 		return nil, fmt.Errorf("receiving on the loopback addresses: %w", err)
 	}
-	return conn.(*net.UDPConn), nil
+	udp, ok := conn.(*net.UDPConn)
+	if !ok {
+		return nil, fmt.Errorf("receiving on the loopback addresses: %w", errSocketType)
+	}
+	return udp, nil
 }
 
 // ListenUDP receives on a free UDP port of one address.
@@ -51,13 +64,25 @@
 	return conn, nil
 }
 
-// LocalAddress returns the address that a socket is bound to.
-func LocalAddress(conn *net.UDPConn) netip.AddrPort {
-	return conn.LocalAddr().(*net.UDPAddr).AddrPort()
+// AddrPort returns the address of a TCP or UDP socket of this package, or of a connection with one.
+func AddrPort(address net.Addr) netip.AddrPort { return netip.MustParseAddrPort(address.String()) }
+
+// The blocks 127.BLOCK.0.0/16 from which gateways have an address each, by their number.
+const (
+	RealBlock      = 8  // real gateways
+	SimulatedBlock = 9  // simulated ones
+	SilentBlock    = 10 // all of a tier, for those that are neither
+)
+
+// GatewayHost returns the address of a gateway in a block.
+func GatewayHost(block byte, number int) netip.Addr {
+	address := [4]byte{127, block}
+	binary.BigEndian.PutUint16(address[2:], uint16(number))
+	return netip.AddrFrom4(address)
 }
 
 // FreeAddress returns a TCP or UDP address of a host that is free now, for another process to listen on.
-func FreeAddress(network, host string) (string, error) {
+func FreeAddress(ctx context.Context, network, host string) (string, error) {
 	if network == "udp" {
 		conn, err := ListenUDP(host)
 		if err != nil {
@@ -66,7 +91,8 @@
 		address := conn.LocalAddr().String()
 		return address, conn.Close()
 	}
-	listener, err := net.Listen(network, host+":0")
+	var config net.ListenConfig
+	listener, err := config.Listen(ctx, network, host+":0")
 	if err != nil {
 		return "", fmt.Errorf("reserving an address: %w", err)
 	}
--- a/scale/internal/runner/revision.go
+++ b/scale/internal/runner/revision.go
@@ -1,6 +1,7 @@
 package runner
 
 import (
+	"context"
 	"os/exec"
 	"runtime/debug"
 	"strings"
@@ -21,6 +22,7 @@
 	return workingTreeRevision()
 })
 
+// buildRevision is the revision that the build has recorded; false if it did not.
 func buildRevision() (string, bool) {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -41,14 +43,18 @@
 	return revision, true
 }
 
+// workingTreeRevision asks git for the revision of the working tree.
 func workingTreeRevision() string {
-	out, err := exec.Command("git", "rev-parse", "--short", "HEAD").Output()
+	ctx := context.Background() // two calls that do not wait for anything
+	out, err := exec.CommandContext(ctx, "git", "rev-parse", "--short", "HEAD").Output()
 	if err != nil {
 		return "unknown"
 	}
 	revision := strings.TrimSpace(string(out))
 	// Results that are being written do not change the program.
-	diff := exec.Command("git", "diff", "--quiet", "HEAD", "--", ":/", ":(top,exclude)scale/results")
+	diff := exec.CommandContext(
+		ctx, "git", "diff", "--quiet", "HEAD", "--", ":/", ":(top,exclude)scale/results",
+	)
 	if diff.Run() != nil {
 		revision += dirtySuffix
 	}
--- a/scale/internal/runner/runner.go
+++ b/scale/internal/runner/runner.go
@@ -22,9 +22,16 @@
 const (
 	maxRunTime          = 4 * time.Minute // of one size
 	memoryCheckInterval = 250 * time.Millisecond
+	memoryFraction      = 2 // of the machine's memory a half, at most, for this process and the gateways
+	// simulatedStart is how long the simulated gateways have to start and to hear of each other.
+	simulatedStart = 2 * simulated.StartTime
 )
 
-var errMemory = errors.New("half of the machine's memory is in use")
+// What stops a run, apart from errors of its parts.
+var (
+	errMemory  = errors.New("half of the machine's memory is in use")
+	errRunTime = fmt.Errorf("longer than %v", maxRunTime)
+)
 
 // notChecked are rules that no result says anything about.
 var notChecked = []string{"cold backends within budget"}
@@ -62,6 +69,7 @@
 	return result
 }
 
+// newResult returns a result that says what is run, and nothing of what is measured.
 func (r *Runner) newResult(point model.Point, sizeIndex, repeat int) *results.Result {
 	e := r.Experiment
 	return &results.Result{
@@ -79,8 +87,7 @@
 func runStage(ctx context.Context, s *stage, result *results.Result) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	timeoutCause := fmt.Errorf("longer than %v", maxRunTime)
-	ctx, cancelTimeout := context.WithTimeoutCause(ctx, maxRunTime, timeoutCause)
+	ctx, cancelTimeout := context.WithTimeoutCause(ctx, maxRunTime, errRunTime)
 	defer cancelTimeout()
 	var err error
 	if s.dir, err = os.MkdirTemp("", "scale"); err != nil {
@@ -91,7 +98,7 @@
 	defer background.Wait()
 	defer s.close()
 	defer cancel(nil) // before the stage is closed: nothing works meanwhile
-	if err := s.build(result); err != nil {
+	if err := s.build(ctx, result); err != nil {
 		return err
 	}
 	background.Go(func() { s.watchMemory(ctx, cancel) })
@@ -99,7 +106,7 @@
 	s.gossip.Start()
 	if s.simulated != nil {
 		background.Go(s.simulated.Run(ctx))
-		if !load.Sleep(ctx, 2*simulated.StartTime) {
+		if !load.Sleep(ctx, simulatedStart) {
 			return context.Cause(ctx)
 		}
 	}
@@ -136,7 +143,7 @@
 				resident += used.Now
 			}
 		}
-		if resident > machine/2 {
+		if resident > machine/memoryFraction {
 			cancel(errMemory)
 			return
 		}
--- a/scale/internal/runner/stage.go
+++ b/scale/internal/runner/stage.go
@@ -23,6 +23,7 @@
 	settleTime   = time.Second // after the gateways' start, before they are measured
 )
 
+// emptyList is the last known list of a gateway that knows none.
 const emptyList = `{"revision":0,"complete":false,"members":[]}`
 
 // stage is everything that takes part in a run.
@@ -42,6 +43,7 @@
 	simulated *simulated.Tier // nil: there are no simulated gateways
 }
 
+// newStage returns a stage without anything on it, with a fixed seed for each repeat and size.
 func newStage(r *Runner, point model.Point, sizeIndex, repeat int) *stage {
 	return &stage{
 		Runner: r, point: point, tier: r.Experiment.Tier(point), audit: standin.NewCeilingAudit(),
@@ -50,10 +52,11 @@
 }
 
 // build makes everything; nothing moves yet. What was made before an error is left to close.
-func (s *stage) build(result *results.Result) error {
+func (s *stage) build(ctx context.Context, result *results.Result) error {
 	e := s.Experiment
 	var err error
-	if s.backends, err = standin.NewBackends(e.ServiceTime, e.ReplicaCounts, s.audit); err != nil {
+	s.backends, err = standin.NewBackends(ctx, e.ServiceTime, e.ReplicaCounts, s.audit)
+	if err != nil {
 		return err
 	}
 	s.catalog = model.NewCatalog(s.point.Backends, s.backends.Port())
@@ -63,18 +66,18 @@
 	if e.Known == model.KnownList {
 		s.known = list
 	}
-	if err := s.buildGateways(); err != nil {
+	if err := s.buildGateways(ctx); err != nil {
 		return err
 	}
 	return s.buildSimulated()
 }
 
 // buildGateways makes the real gateways, their clients and the gossip network.
-func (s *stage) buildGateways() error {
+func (s *stage) buildGateways(ctx context.Context) error {
 	endpoints := map[int]standin.GossipEndpoint{}
 	for i := range s.Experiment.RealGateways {
 		number := s.realGatewayNumber(i)
-		g, err := gatewayproc.New(number, s.dir, s.catalog)
+		g, err := gatewayproc.New(ctx, number, s.dir, s.catalog)
 		if err != nil {
 			return err
 		}
@@ -84,7 +87,7 @@
 		s.clients = append(s.clients, load.NewClients(g.ClientAddress, demand))
 	}
 	var err error
-	s.gossip, err = standin.NewGossipNetwork(s.tier, endpoints)
+	s.gossip, err = standin.NewGossipNetwork(ctx, s.tier, endpoints)
 	return err
 }
 
@@ -92,6 +95,7 @@
 // they are in a row, so that they are in the same replica sets.
 func (s *stage) realGatewayNumber(i int) int { return i * s.point.Gateways / s.Experiment.RealGateways }
 
+// newDemand is the demand at one gateway.
 func (s *stage) newDemand(gateway int, source *rand.Rand) model.Demand {
 	return model.Demand{
 		Gateway: gateway, Tier: s.tier, ReplicaCounts: s.Experiment.ReplicaCounts, Rand: source,
@@ -164,7 +168,7 @@
 	}
 	started := time.Now()
 	for _, g := range s.gateways {
-		if err := g.Start(s.Program); err != nil {
+		if err := g.Start(ctx, s.Program); err != nil {
 			return err
 		}
 	}
--- a/scale/internal/simulated/tier.go
+++ b/scale/internal/simulated/tier.go
@@ -20,6 +20,7 @@
 // same moments from then on, as those of no tier do.
 const StartTime = time.Second
 
+// maxWorkers is how many goroutines make the calls to the controllers, at most.
 const maxWorkers = 6
 
 // Tier is a number of simulated gateways. Each belongs to a worker, whose goroutine makes all calls to its
@@ -71,8 +72,9 @@
 	return t, nil
 }
 
+// addGateway makes a gateway that belongs to a worker.
 func (t *Tier) addGateway(c Config, w *worker, number int) error {
-	conn, err := loopback.ListenUDP(fmt.Sprintf("127.9.%d.%d", number>>8, number&0xff))
+	conn, err := loopback.ListenUDP(loopback.GatewayHost(loopback.SimulatedBlock, number).String())
 	if err != nil {
 		return err
 	}
@@ -83,7 +85,7 @@
 		},
 	}
 	w.gateways = append(w.gateways, g)
-	address := loopback.LocalAddress(conn)
+	address := loopback.AddrPort(conn.LocalAddr())
 	c.Gossip.SetPeer(number, address)
 	t.byPeer[address] = number
 	settings, err := c.Settings(number)
@@ -121,7 +123,7 @@
 // SetDemand sets how many requests per second arrive at each gateway from now on.
 func (t *Tier) SetDemand(perGateway float64) {
 	for _, w := range t.workers {
-		w.milliRequestsPerSecond.Store(int64(perGateway * 1000 * float64(len(w.gateways))))
+		w.milliRequestsPerSecond.Store(int64(perGateway * milli * float64(len(w.gateways))))
 	}
 }
 
--- a/scale/internal/simulated/worker.go
+++ b/scale/internal/simulated/worker.go
@@ -15,6 +15,7 @@
 	maxBurst     = 64     // calls from the queue between two timers
 	demandCheck  = 10_000 // microseconds between two looks for demand where there is none
 	microseconds = 1e6    // in a second
+	milli        = 1000   // thousandths in one
 )
 
 // worker owns some of the gateways. All but its queue and its rate belongs to the goroutine of run.
@@ -29,6 +30,7 @@
 	milliRequestsPerSecond atomic.Int64 // at all of its gateways together
 }
 
+// newWorker returns a worker without gateways, with a fixed seed.
 func newWorker(t *Tier, index int, serviceTime time.Duration) *worker {
 	return &worker{
 		tier: t, queue: make(chan func(), queueLength), serviceTime: serviceTime.Microseconds(),
@@ -50,12 +52,12 @@
 
 // at has a function called at a time.
 func (w *worker) at(when policy.Time, call func()) {
-	heap.Push(&w.timers, timer{when: when, call: call})
+	w.timers.add(timer{when: when, call: call})
 }
 
 // arrive has a request arrive at one of the gateways and draws the time of the next.
 func (w *worker) arrive() {
-	now, rate := w.tier.now(), float64(w.milliRequestsPerSecond.Load())/1000
+	now, rate := w.tier.now(), float64(w.milliRequestsPerSecond.Load())/milli
 	if rate == 0 {
 		w.at(now+demandCheck, w.arrive)
 		return
@@ -69,8 +71,11 @@
 	wake := time.NewTimer(time.Hour)
 	defer wake.Stop()
 	for {
-		for len(w.timers) > 0 && w.timers[0].when <= w.tier.now() {
-			expired := heap.Pop(&w.timers).(timer)
+		for {
+			expired, ok := w.timers.popExpired(w.tier.now())
+			if !ok {
+				break
+			}
 			w.tier.recordDelay(w.tier.now() - expired.when)
 			expired.call()
 			w.runQueued() // so that neither keeps the other waiting for long
@@ -116,10 +121,27 @@
 func (h timerHeap) Less(i, j int) bool { return h[i].when < h[j].when }
 func (h timerHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
-// Push appends a timer.
-func (h *timerHeap) Push(x any) { *h = append(*h, x.(timer)) }
+// add adds a timer.
+func (h *timerHeap) add(t timer) { heap.Push(h, t) }
+
+// popExpired removes the earliest timer if its time has come.
+func (h *timerHeap) popExpired(now policy.Time) (timer, bool) {
+	if len(*h) == 0 || (*h)[0].when > now {
+		return timer{}, false
+	}
+	earliest := (*h)[0]
+	heap.Pop(h)
+	return earliest, true
+}
+
+// Push appends a timer, for package heap alone.
+func (h *timerHeap) Push(x any) {
+	if t, ok := x.(timer); ok { // add pushes nothing else
+		*h = append(*h, t)
+	}
+}
 
-// Pop removes the last timer.
+// Pop removes the last timer, for package heap alone.
 func (h *timerHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
--- a/scale/internal/standin/backends.go
+++ b/scale/internal/standin/backends.go
@@ -1,6 +1,7 @@
 package standin
 
 import (
+	"context"
 	"net"
 	"strconv"
 	"sync/atomic"
@@ -15,8 +16,12 @@
 // socketSlack is by how much the rules widen every time limit on sockets.
 const socketSlack = 50 * time.Millisecond
 
-// minArgs is how many arguments a command for a backend has at least.
-const minArgs = 4
+const (
+	// minArgs is how many arguments a command for a backend has at least.
+	minArgs = 4
+	// answerValues is how many values the answer of a backend has; all but the first are null here.
+	answerValues = 3
+)
 
 // readinessTracker knows for how long a backend has not been ready, 0 for a ready one.
 type readinessTracker interface {
@@ -41,8 +46,10 @@
 }
 
 // NewBackends returns backends that answer after a service time. They serve nothing before Serve.
-func NewBackends(serviceTime time.Duration, replicaCounts []int, audit *CeilingAudit) (*Backends, error) {
-	listener, err := loopback.ListenAllTCP()
+func NewBackends(
+	ctx context.Context, serviceTime time.Duration, replicaCounts []int, audit *CeilingAudit,
+) (*Backends, error) {
+	listener, err := loopback.ListenAllTCP(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -52,7 +59,7 @@
 }
 
 // Port returns the port of every backend.
-func (b *Backends) Port() int { return b.listener.Addr().(*net.TCPAddr).Port }
+func (b *Backends) Port() int { return int(loopback.AddrPort(b.listener.Addr()).Port()) }
 
 // Close ends Serve. Open connections end with the gateways.
 func (b *Backends) Close() { _ = b.listener.Close() }
@@ -70,9 +77,11 @@
 	}
 }
 
+// serveConn answers the commands of a connection for the backend whose address was dialed.
 func (b *Backends) serveConn(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
-	backend := model.BackendAt(conn.LocalAddr().(*net.TCPAddr).IP.To4())
+	address := loopback.AddrPort(conn.LocalAddr()).Addr().As4()
+	backend := model.BackendAt(address[:])
 	in := resp.NewReader(conn)
 	for {
 		args, err := in.ReadCommand()
@@ -97,6 +106,7 @@
 	}
 }
 
+// isBackendCommand reports whether a command has the form that gateways send.
 func isBackendCommand(args [][]byte) bool {
 	if len(args) < minArgs {
 		return false
@@ -110,8 +120,8 @@
 func commandAnswer(requestID []byte, took time.Duration) []byte {
 	value := append([]byte(nil), requestID...)
 	value = append(value, ' ')
-	value = strconv.AppendInt(value, took.Nanoseconds(), 10)
-	answer := resp.AppendBulk(resp.AppendArray(nil, 3), value)
+	value = append(value, strconv.FormatInt(took.Nanoseconds(), 10)...)
+	answer := resp.AppendBulk(resp.AppendArray(nil, answerValues), value)
 	return append(answer, "$-1\r\n$-1\r\n"...)
 }
 
--- a/scale/internal/standin/backends_test.go
+++ b/scale/internal/standin/backends_test.go
@@ -38,14 +38,15 @@
 // counted, within the grace and after it.
 func TestCommandsToDrainingBackendsAreCounted(t *testing.T) {
 	const drained = 299
-	b, err := NewBackends(time.Millisecond, []int{1}, NewCeilingAudit())
+	b, err := NewBackends(t.Context(), time.Millisecond, []int{1}, NewCeilingAudit())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(b.Close)
 	catalog := &shiftedCatalog{Catalog: model.NewCatalog(drained+1, b.Port())}
 	go b.Serve(catalog)
-	conn, err := net.Dial("tcp", net.JoinHostPort(model.BackendAddress(drained), strconv.Itoa(b.Port())))
+	address := net.JoinHostPort(model.BackendAddress(drained), strconv.Itoa(b.Port()))
+	conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/scale/internal/standin/discovery.go
+++ b/scale/internal/standin/discovery.go
@@ -38,8 +38,11 @@
 
 // NewDiscoveryAgent returns an agent that serves a free port of a host until it is closed, and counts its
 // traffic.
-func NewDiscoveryAgent(c *model.Catalog, traffic *ControlTraffic, host string) (*DiscoveryAgent, error) {
-	listener, err := net.Listen("tcp", host+":0")
+func NewDiscoveryAgent(
+	ctx context.Context, c *model.Catalog, traffic *ControlTraffic, host string,
+) (*DiscoveryAgent, error) {
+	var config net.ListenConfig
+	listener, err := config.Listen(ctx, "tcp", host+":0")
 	if err != nil {
 		return nil, fmt.Errorf("discovery agent: %w", err)
 	}
@@ -132,6 +135,7 @@
 	a.sentList = !watches
 }
 
+// answer sends a list.
 func (a *DiscoveryAgent) answer(w http.ResponseWriter, body []byte) {
 	a.traffic.In.Messages.Add(1)
 	w.Header().Set("Content-Type", "application/json")
@@ -154,6 +158,7 @@
 	return countingConn{conn, l.traffic}, nil
 }
 
+// countingConn counts the bytes that it carries.
 type countingConn struct {
 	net.Conn
 	traffic *ControlTraffic
--- a/scale/internal/standin/gossip.go
+++ b/scale/internal/standin/gossip.go
@@ -1,6 +1,7 @@
 package standin
 
 import (
+	"context"
 	"net"
 	"net/netip"
 
@@ -10,6 +11,9 @@
 // MaxGossipSize is how many bytes a gossip message has at most.
 const MaxGossipSize = 256
 
+// relayHost is the address of all relays of gossip.
+const relayHost = "127.7.0.1"
+
 // GossipNetwork carries the gossip of a tier. Each gateway has an address in the settings' list of peers: a
 // real one's is a relay, so that all that it sends and receives is counted; a simulated one's is its own
 // socket; those of silent gateways lead to a sink.
@@ -35,28 +39,29 @@
 }
 
 // NewGossipNetwork returns the network of a tier with the given real gateways, by number.
-func NewGossipNetwork(tier int, realGateways map[int]GossipEndpoint) (*GossipNetwork, error) {
+func NewGossipNetwork(
+	ctx context.Context, tier int, realGateways map[int]GossipEndpoint,
+) (*GossipNetwork, error) {
 	n := &GossipNetwork{
 		peers:  make([]netip.AddrPort, tier),
 		relays: map[int]*GossipRelay{}, realGateway: map[netip.AddrPort]int{},
 	}
 	var err error
-	if n.sink, err = loopback.ListenAllUDP(); err != nil {
+	if n.sink, err = loopback.ListenAllUDP(ctx); err != nil {
 		return nil, err
 	}
-	port := loopback.LocalAddress(n.sink).Port()
+	port := loopback.AddrPort(n.sink.LocalAddr()).Port()
 	for gateway := range n.peers {
-		host := netip.AddrFrom4([4]byte{127, 10, byte(gateway >> 8), byte(gateway)})
-		n.peers[gateway] = netip.AddrPortFrom(host, port)
+		n.peers[gateway] = netip.AddrPortFrom(loopback.GatewayHost(loopback.SilentBlock, gateway), port)
 	}
 	for gateway, endpoint := range realGateways {
-		conn, err := loopback.ListenUDP("127.7.0.1")
+		conn, err := loopback.ListenUDP(relayHost)
 		if err != nil {
 			n.Close()
 			return nil, err
 		}
 		n.relays[gateway] = &GossipRelay{conn: conn, gateway: endpoint.Address, traffic: endpoint.Traffic}
-		n.peers[gateway] = loopback.LocalAddress(conn)
+		n.peers[gateway] = loopback.AddrPort(conn.LocalAddr())
 		n.realGateway[endpoint.Address] = gateway
 	}
 	return n, nil
--- a/scale/scale_test.go
+++ b/scale/scale_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"io"
 	"log/slog"
 	"os"
 	"os/exec"
@@ -18,7 +17,7 @@
 func buildGateway(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
-	build := exec.Command("go", "build", "-o", dir, "../cmd/gateway")
+	build := exec.CommandContext(t.Context(), "go", "build", "-o", dir, "../cmd/gateway")
 	if out, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("building the gateway: %v\n%s", err, out)
 	}
@@ -30,7 +29,7 @@
 func TestSmallExperimentIsRunAndReported(t *testing.T) {
 	out := filepath.Join(t.TempDir(), "results.jsonl")
 	command := runCommand{Experiment: "testdata/small.toml", Out: out, Gateway: buildGateway(t)}
-	if err := command.Run(slog.New(slog.NewTextHandler(io.Discard, nil))); err != nil {
+	if err := command.Run(slog.New(slog.DiscardHandler)); err != nil {
 		t.Fatal(err)
 	}
 	all, err := results.ReadFile(out)
@@ -42,6 +41,7 @@
 	}
 	for _, r := range all {
 		checkAnswers(t, r)
+		checkChanges(t, r)
 		checkMeasurements(t, r)
 	}
 	if r := all[1]; r.SimulatedGateways != 4 || r.SimulatedRequests == 0 {
@@ -67,7 +67,7 @@
 	}
 }
 
-// checkAnswers checks that the run was complete, that every request ended once, and the rules.
+// checkAnswers checks that the run was complete, that every request ended once, and the rules on requests.
 func checkAnswers(t *testing.T, r *results.Result) {
 	t.Helper()
 	a, b := r.Answers, r.Backends
@@ -87,6 +87,11 @@
 	if r.Capped.Taken == 0 || r.Capped.BeyondCeiling > 0 {
 		t.Errorf("size %g: customers on the capped plan %+v", r.Size, r.Capped)
 	}
+}
+
+// checkChanges checks that the gateways followed changes and a reload.
+func checkChanges(t *testing.T, r *results.Result) {
+	t.Helper()
 	if r.MembersChanged < 4 || len(r.ChangeMS) != 2 {
 		t.Errorf("size %g: %d backends changed, %d changes timed", r.Size, r.MembersChanged, len(r.ChangeMS))
 	}
@@ -120,7 +125,8 @@
 func TestMalformedExperimentEndsProgram(t *testing.T) {
 	dir := t.TempDir()
 	program, out := filepath.Join(dir, "scale"), filepath.Join(dir, "out.jsonl")
-	if text, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput(); err != nil {
+	build := exec.CommandContext(t.Context(), "go", "build", "-o", program, ".")
+	if text, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("building: %v\n%s", err, text)
 	}
 	malformed := filepath.Join(dir, "bad.toml")
@@ -128,7 +134,7 @@
 	if err := os.WriteFile(malformed, []byte(content), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	text, err := exec.Command(program, "run", malformed, "--out", out).CombinedOutput()
+	text, err := exec.CommandContext(t.Context(), program, "run", malformed, "--out", out).CombinedOutput()
 	if err == nil {
 		t.Fatalf("no failure: %s", text)
 	}
