--- a/cmd/gateway/configuration.go
+++ b/cmd/gateway/configuration.go
@@ -14,6 +14,7 @@
 	opsAddressVariable = "RELAY_OPS"
 )
 
+// errNoConfigPath says that the environment does not name the file.
 var errNoConfigPath = errors.New(configPathVariable + " is not set")
 
 // readConfiguration reads the configuration as its file is now.
--- a/cmd/gateway/descriptors_test.go
+++ b/cmd/gateway/descriptors_test.go
@@ -12,7 +12,8 @@
 	"testing"
 )
 
-const outOfDescriptors = "too many open files" // in a log line where a call found none
+// outOfDescriptors is the system's error for a lack of descriptors.
+const outOfDescriptors = "too many open files"
 
 // withDescriptorLimit has the configuration state a limit on descriptors besides another change.
 func withDescriptorLimit(descriptors int, change configChange) configChange {
--- a/cmd/gateway/process_test.go
+++ b/cmd/gateway/process_test.go
@@ -53,6 +53,7 @@
 	return fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(250), rand.IntN(250), 1+rand.IntN(250))
 }
 
+// settingsText are the settings of a tier of one gateway.
 const settingsText = `{"self-index":0,"balancers":1,"az":0,"granularity-us":4000,"localities":["a"],
  "ceilings":{"peers":true,"probes":false,"second-copies":true,"retry-after":true,"max-attempts":3,
   "max-retry-after-us":2000000,"max-open":20000,"dial-timeout-us":250000,"idle-close-us":30000000},
--- a/cmd/gateway/requests_test.go
+++ b/cmd/gateway/requests_test.go
@@ -60,6 +60,7 @@
 	return strings.TrimSpace(line), err
 }
 
+// lastRequestID is the ID of the request that was sent last.
 var lastRequestID atomic.Int64
 
 // readCommand returns a read command with a request ID of its own.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -8,6 +8,7 @@
 	"sparspread/internal/settings"
 )
 
+// minimalSettings are the settings that have no key too many.
 const minimalSettings = `{"self-index":0,"balancers":1,` +
 	`"request-classes":[{"name":"c","promise-us":1}],"tariffs":[{"name":"t"}]}`
 
--- a/internal/counter/counter_test.go
+++ b/internal/counter/counter_test.go
@@ -50,10 +50,12 @@
 // expiringContext is a context whose deadline passes when the test closes it.
 type expiringContext chan struct{}
 
+// Deadline and the methods below implement context.Context.
 func (c expiringContext) Deadline() (time.Time, bool) { return time.Time{}, false }
 func (c expiringContext) Done() <-chan struct{}       { return c }
 func (c expiringContext) Value(any) any               { return nil }
 
+// Err returns context.DeadlineExceeded once the channel is closed.
 func (c expiringContext) Err() error {
 	select {
 	case <-c:
--- a/internal/discovery/delivery_test.go
+++ b/internal/discovery/delivery_test.go
@@ -107,6 +107,7 @@
 	}
 }
 
+// testRefusedFleet checks that each gateway of a fleet has the list in time after an outage of the service.
 func testRefusedFleet(t *testing.T, gateways int, workPerCall time.Duration) {
 	t.Helper()
 	service := &queueingService{
--- a/internal/discovery/fake_test.go
+++ b/internal/discovery/fake_test.go
@@ -108,6 +108,7 @@
 // roundTrip is a service as a function.
 type roundTrip func(*http.Request) (*http.Response, error)
 
+// RoundTrip implements http.RoundTripper.
 func (f roundTrip) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
 // respondWith is a service that answers every call with the body that a function returns.
@@ -136,6 +137,7 @@
 // hangingBody yields nothing until its call is cancelled, which closes the channel.
 type hangingBody <-chan struct{}
 
+// Read implements io.Reader.
 func (b hangingBody) Read([]byte) (int, error) {
 	<-b
 	return 0, errCallerGone
@@ -148,6 +150,7 @@
 	parts     []string
 }
 
+// Read implements io.Reader.
 func (b *slowBody) Read(buffer []byte) (int, error) {
 	if len(b.parts) == 0 {
 		return 0, io.EOF
@@ -167,6 +170,7 @@
 // callAtEOF is an empty body that calls a function when it is read.
 type callAtEOF func()
 
+// Read implements io.Reader.
 func (f callAtEOF) Read([]byte) (int, error) {
 	f()
 	return 0, io.EOF
@@ -175,6 +179,7 @@
 // queueTimeout is how long a queueingService keeps a call before it refuses it.
 const queueTimeout = 2 * time.Second
 
+// errCallerGone is the error of a call that its caller has cancelled.
 var errCallerGone = errors.New("the caller has gone")
 
 // queueingService is one service for a whole fleet. It serves calls in order, at a limited rate, refuses
@@ -191,6 +196,7 @@
 	refused        int // since it is up
 }
 
+// RoundTrip implements http.RoundTripper.
 func (s *queueingService) RoundTrip(r *http.Request) (*http.Response, error) {
 	if r.URL.Query().Get("index") == strconv.Itoa(testRevision) {
 		return hang(r)
--- a/internal/handover/socket.go
+++ b/internal/handover/socket.go
@@ -35,6 +35,7 @@
 	return &net.UnixAddr{Name: path, Net: socketNetwork}
 }
 
+// errWrongSocket is the cause where a received socket is not of the type that its place says.
 var errWrongSocket = errors.New("handover: received a socket of another type")
 
 // tcpListener makes a listener of a received socket.
--- a/internal/handover/successor.go
+++ b/internal/handover/successor.go
@@ -19,6 +19,7 @@
 	socketsReplyBytes = 64
 )
 
+// errNoSockets is the cause where a predecessor does not answer with its sockets.
 var errNoSockets = errors.New("handover: the predecessor sent no sockets")
 
 // Client is a client's connection that the predecessor handed over.
--- a/internal/httpclient/httpclient.go
+++ b/internal/httpclient/httpclient.go
@@ -15,4 +15,5 @@
 	return &http.Client{Transport: transport, CheckRedirect: rejectRedirect}
 }
 
+// rejectRedirect has a redirect returned like any other response.
 func rejectRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -10,9 +10,9 @@
 
 // What is wrong with a value.
 var (
-	errNotPositive = errors.New("a number above 0 wanted")
-	errUnknownWord = errors.New("unknown word")
-	errNoCount     = errors.New("is no count of items")
+	errNotPositive  = errors.New("a number above 0 wanted")
+	errUnknownValue = errors.New("unknown word")
+	errNoCount      = errors.New("is no count of items")
 )
 
 // KeyError says what is wrong with one key of a gateway's configuration or of the settings in it.
--- a/internal/settings/fields.go
+++ b/internal/settings/fields.go
@@ -63,7 +63,7 @@
 	return func(p *parser, value string) error {
 		meaning, ok := meanings[value]
 		if !ok {
-			return errUnknownWord
+			return errUnknownValue
 		}
 		*field(p) = meaning
 		return nil
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -8,6 +8,7 @@
 	"sparspread/policy"
 )
 
+// profile is a deployment's settings in the simulator's form.
 const profile = `balancers=2
 self-index=1
 unknown.key=7
--- a/internal/simproto/record.go
+++ b/internal/simproto/record.go
@@ -48,6 +48,7 @@
 	return b
 }
 
+// uint8 reads an integer, like the methods below.
 func (r *recordReader) uint8() uint8 {
 	if b := r.bytes(1); b != nil {
 		return b[0]
--- a/internal/simproto/reply.go
+++ b/internal/simproto/reply.go
@@ -9,6 +9,7 @@
 	"sparspread/policy"
 )
 
+// replyHeaderSize is the size of a frame's header.
 const replyHeaderSize = 8 // index of the batch, bytes of the actions
 
 // Reply collects the actions that answer one batch. It implements policy.Actions for the instance that
--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/simproto_test.go
@@ -38,6 +38,7 @@
 	want   Event
 }
 
+// eventCases has each kind of event.
 var eventCases = []eventCase{
 	{
 		name: "request received",
--- a/internal/testfill/testfill.go
+++ b/internal/testfill/testfill.go
@@ -7,8 +7,8 @@
 	"reflect"
 )
 
-// sliceLength is how many items a filled slice has: enough to tell one item from the next.
-const sliceLength = 2
+// itemCount is how many items a filled slice has: enough to tell one item from the next.
+const itemCount = 2
 
 // Style is how the number of a field is turned into a value that is no signed number. A recorded file was
 // written in one style and is compared in the same one.
@@ -51,7 +51,7 @@
 			f.fill(v.Field(i))
 		}
 	case reflect.Slice:
-		v.Set(reflect.MakeSlice(v.Type(), sliceLength, sliceLength))
+		v.Set(reflect.MakeSlice(v.Type(), itemCount, itemCount))
 		for i := range v.Len() {
 			f.fill(v.Index(i))
 		}
--- a/internal/testfill/testfill_test.go
+++ b/internal/testfill/testfill_test.go
@@ -5,11 +5,13 @@
 	"testing"
 )
 
+// leaf is a struct within another.
 type leaf struct {
 	Name  string
 	Count uint8
 }
 
+// tree has a field of each kind that is filled.
 type tree struct {
 	Set    bool
 	Rate   float64
--- a/scale/internal/gatewayproc/calls.go
+++ b/scale/internal/gatewayproc/calls.go
@@ -13,8 +13,10 @@
 	"time"
 )
 
-const metricPrefix = "edge_relay." // of the names at /ops/stats
+// metricPrefix begins each name at /ops/stats.
+const metricPrefix = "edge_relay."
 
+// errNoMetric says that the gateway does not count what was asked for.
 var errNoMetric = errors.New("no such metric")
 
 // ping makes one call of PING on a connection of its own.
--- a/scale/internal/loopback/loopback.go
+++ b/scale/internal/loopback/loopback.go
@@ -69,9 +69,9 @@
 
 // The blocks 127.BLOCK.0.0/16 from which gateways have an address each, by their number.
 const (
-	RealBlock      = 8  // real gateways
-	SimulatedBlock = 9  // simulated ones
-	SilentBlock    = 10 // all of a tier, for those that are neither
+	RealBlock         = 8  // real gateways
+	SimulatedBlock    = 9  // simulated ones
+	UnresponsiveBlock = 10 // all of a tier, for those that are neither
 )
 
 // GatewayHost returns the address of a gateway in a block.
--- a/scale/internal/report/slope_test.go
+++ b/scale/internal/report/slope_test.go
@@ -28,4 +28,5 @@
 	}
 }
 
+// near compares numbers that were worked out in different ways.
 func near(got, want float64) bool { return math.Abs(got-want) <= 1e-9 }
--- a/scale/internal/results/file.go
+++ b/scale/internal/results/file.go
@@ -9,8 +9,10 @@
 	"os"
 )
 
+// maxLineSize bounds what a malformed file makes the reader hold.
 const maxLineSize = 4 << 20 // bytes of one result
 
+// errNoResults says that a file has no results.
 var errNoResults = errors.New("none")
 
 // Append writes a result as a line.
--- a/scale/internal/simulated/worker.go
+++ b/scale/internal/simulated/worker.go
@@ -117,6 +117,7 @@
 // timerHeap is a heap.Interface with the earliest timer first.
 type timerHeap []timer
 
+// Len, Less and Swap implement sort.Interface.
 func (h timerHeap) Len() int           { return len(h) }
 func (h timerHeap) Less(i, j int) bool { return h[i].when < h[j].when }
 func (h timerHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
--- a/scale/internal/standin/backends_test.go
+++ b/scale/internal/standin/backends_test.go
@@ -17,6 +17,7 @@
 	shift atomic.Int64 // a time.Duration
 }
 
+// NotReadyFor asks for the shifted time.
 func (c *shiftedCatalog) NotReadyFor(backend int, now time.Time) time.Duration {
 	return c.Catalog.NotReadyFor(backend, now.Add(time.Duration(c.shift.Load())))
 }
--- a/scale/internal/standin/gossip.go
+++ b/scale/internal/standin/gossip.go
@@ -52,7 +52,7 @@
 	}
 	port := loopback.AddrPort(n.sink.LocalAddr()).Port()
 	for gateway := range n.peers {
-		n.peers[gateway] = netip.AddrPortFrom(loopback.GatewayHost(loopback.SilentBlock, gateway), port)
+		n.peers[gateway] = netip.AddrPortFrom(loopback.GatewayHost(loopback.UnresponsiveBlock, gateway), port)
 	}
 	for gateway, endpoint := range realGateways {
 		conn, err := loopback.ListenUDP(relayHost)
