--- /dev/null
+++ b/policy/quotagrant_test.go
@@ -0,0 +1,116 @@
+package policy
+
+import (
+	"math/rand/v2"
+	"testing"
+)
+
+func TestGrantedUnitsAreSavedUpToAFewRequests(t *testing.T) {
+	grant := newQuotaGrant()
+	grant.fraction = 0.5
+	grant.addRequested(4)
+	assertNear(t, "units after a request", grant.units, 2)
+	for range 20 {
+		grant.addRequested(4)
+	}
+	assertNear(t, "units after many requests", grant.units, maxGrantedRequests*4)
+	grant.consume(10)
+	assertNear(t, "units after a larger request", grant.units, 0)
+}
+
+// Guards against participants that all admit, or all reject, as a coordinator begins to limit them.
+func TestUnitsUnderANewLimitAreDrawn(t *testing.T) {
+	random, drawn := rand.New(rand.NewPCG(1, 2)), map[float64]bool{}
+	for range 20 {
+		grant := newQuotaGrant()
+		grant.units, grant.lastRequestCost = 8, 4
+		grant.receive(0.5, random)
+		if grant.units < 0 || grant.units >= 4 {
+			t.Errorf("%g units, want less than the last request's 4", grant.units)
+		}
+		drawn[grant.units] = true
+		units := grant.units
+		if grant.receive(0.25, random); grant.units != units {
+			t.Errorf("a limit that changes sets %g units, want %g", grant.units, units)
+		}
+		if !grant.isLimited() || grant.fraction != 0.25 {
+			t.Errorf("fraction %g, want 0.25", grant.fraction)
+		}
+	}
+	if len(drawn) < 10 {
+		t.Errorf("%d different draws of 20", len(drawn))
+	}
+}
+
+func TestCoordinatorsFractionIsWhatMayBeSpentOfTheDemand(t *testing.T) {
+	cases := []struct {
+		name                    string
+		spendable, demand, want float64
+	}{
+		{"more than is requested", 10, 5, 1},
+		{"half", 5, 10, 0.5},
+		{"nothing left", -3, 10, minGrant},
+		{"no demand", 1, 0, 1},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			grant := newQuotaGrant()
+			grant.set(c.spendable, c.demand)
+			assertNear(t, "fraction", grant.fraction, c.want)
+		})
+	}
+}
+
+func TestGrantIsAdvertisedOnceItHasChangedAndNotTooOften(t *testing.T) {
+	steps := []struct {
+		name     string
+		at       Time
+		fraction float64
+		want     bool
+	}{
+		{"no change", second, 1, false},
+		{"a small change", second, 0.85, false},
+		{"lowered", second, 0.5, true},
+		{"lowered again at once", second, 0.25, false},
+		{"and after its time", 2 * second, 0.25, true},
+		{"raised by less than the factor", 3 * second, 0.3, false},
+		{"raised", 3 * second, 0.4, true},
+		{"raised to all of it", 4 * second, 1, true},
+	}
+	grant := newQuotaGrant()
+	for _, step := range steps {
+		grant.fraction = step.fraction
+		if got := grant.advertise(step.at, grantsPerWindow*second); got != step.want {
+			t.Errorf("%s: advertised %t, want %t", step.name, got, step.want)
+		}
+	}
+	if !grant.isDefault() {
+		t.Error("a grant of all, advertised, is not the default")
+	}
+}
+
+func TestGrantOfAllIsAdvertisedHoweverSmallTheChange(t *testing.T) {
+	grant := newQuotaGrant()
+	grant.advertised = 0.9
+	if !grant.advertise(second, second) {
+		t.Error("a change from 0.9 to 1 is not advertised")
+	}
+}
+
+func TestQuotaRequestsAreNeverNumberedZero(t *testing.T) {
+	grant := newQuotaGrant()
+	for i := range 600 {
+		if grant.nextRequest() == 0 {
+			t.Fatalf("request %d has the number 0", i)
+		}
+	}
+}
+
+func TestGrantIsOffBeyondTheTolerance(t *testing.T) {
+	grant := quotaGrant{fraction: 0.5}
+	for fraction, want := range map[float64]bool{0.5: false, 0.46: false, 0.54: false, 0.44: true, 0.56: true} {
+		if got := grant.isOff(fraction); got != want {
+			t.Errorf("%g in place of 0.5 is off: %t, want %t", fraction, got, want)
+		}
+	}
+}
--- /dev/null
+++ b/policy/usageledger_test.go
@@ -0,0 +1,65 @@
+package policy
+
+import "testing"
+
+func TestLedgerKnowsWhatIsUnreported(t *testing.T) {
+	var ledger usageLedger
+	ledger.requested += 5
+	if !ledger.hasUnreported() {
+		t.Error("nothing to report after a request")
+	}
+	ledger.consume(0, 3)
+	assertNear(t, "unreported", ledger.unreported(), 3)
+	ledger.markReported(true)
+	if ledger.hasUnreported() || ledger.unreported() != 0 {
+		t.Errorf("%g units to report after a report of all", ledger.unreported())
+	}
+	ledger.consume(0, -3)
+	assertNear(t, "unreported after units were returned", ledger.unreported(), -3)
+	ledger.markCounted()
+	assertNear(t, "unreported after the counter has all", ledger.unreported(), 0)
+}
+
+func TestLedgerCountsByCoordinator(t *testing.T) {
+	var ledger usageLedger
+	ledger.consume(2, 3)
+	ledger.consume(0, 1)
+	for coordinator, want := range []float64{1, 0, 3} {
+		assertNear(t, "consumed under a coordinator", ledger.under(coordinator).consumed, want)
+	}
+	assertNear(t, "consumed in total", ledger.consumed, 4)
+}
+
+func TestReportsAreScheduledOnceAndRepeated(t *testing.T) {
+	var ledger usageLedger
+	if !ledger.scheduleReports() {
+		t.Error("the first change is not scheduled anew")
+	}
+	if ledger.scheduleReports() {
+		t.Error("a second change is scheduled anew")
+	}
+	for round := range usageRepeats {
+		if ledger.reportsLeft == 0 {
+			t.Fatalf("%d rounds report a change, want %d", round, usageRepeats)
+		}
+		ledger.markReported(true)
+	}
+	if ledger.reportsLeft != 0 {
+		t.Errorf("%d reports left after all", ledger.reportsLeft)
+	}
+	ledger.scheduleReports()
+	if ledger.markReported(false); ledger.reportsLeft != 0 {
+		t.Errorf("%d reports left of one that is not repeated", ledger.reportsLeft)
+	}
+}
+
+func TestLedgerKeepsWhatEachPeerReported(t *testing.T) {
+	var ledger usageLedger
+	ledger.peer(1, 3).update(7, &usageEntry{consumed: 8, requested: 9})
+	if want := (peerUsage{known: true, incarnation: 7, consumed: 8, requested: 9}); *ledger.peer(1, 3) != want {
+		t.Errorf("got %+v, want %+v", *ledger.peer(1, 3), want)
+	}
+	if ledger.peer(0, 3).known || ledger.peer(2, 3).known {
+		t.Error("other peers count as known")
+	}
+}
