--- a/cmd/gateway/descriptors_test.go
+++ b/cmd/gateway/descriptors_test.go
@@ -196,19 +196,20 @@
 	}
 	openConnection(t, "unixpacket", p.handoverSocket(), "h") // an incomplete message
 
-	const hangingPort, refusingPort = 8501, 8502
-	dialHangs := newHangingAddress(t, host, hangingPort)
-	for reloads, port := range []int{hangingPort, refusingPort} {
+	hangingAddress, refusingAddress := host+":8501", host+":8502"
+	hangingDiscovery := listenHanging(t, hangingAddress)
+	t.Cleanup(hangingDiscovery.close)
+	for reloads, address := range []string{hangingAddress, refusingAddress} {
 		p.writeConfig(t, func(fields map[string]any) {
 			change(fields)
-			fields["discovery"] = fmt.Sprintf("%s:%d", host, port)
+			fields["discovery"] = address
 		})
 		p.reload(t)
 		p.waitFor(t, "the new configuration", counting(func() bool {
 			return strings.Count(p.logText(), "msg=reload") == reloads+1
 		}))
-		if port == hangingPort {
-			p.waitFor(t, "a dial that hangs", counting(dialHangs))
+		if address == hangingAddress {
+			p.waitFor(t, "a dial that hangs", counting(hangingDiscovery.isDialed))
 		}
 	}
 	hanging.startAnswering()
--- a/cmd/gateway/fleet_backends_test.go
+++ b/cmd/gateway/fleet_backends_test.go
@@ -1,11 +1,8 @@
 package main
 
 import (
-	"errors"
 	"net"
-	"net/netip"
 	"sync"
-	"syscall"
 	"testing"
 	"time"
 
@@ -127,48 +124,6 @@
 	clear(b.conns)
 }
 
-// hangingListener is a listener whose queue is full: the kernel repeats a dial to it until it is closed.
-type hangingListener struct {
-	descriptor int
-	queued     []net.Conn
-}
-
-// listenHanging makes a listener whose only place is taken. It reports what fails to the test.
-func listenHanging(tb testing.TB, address string) *hangingListener {
-	tb.Helper()
-	addr := netip.MustParseAddrPort(address)
-	descriptor, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
-	if err != nil {
-		tb.Error(err)
-		return nil
-	}
-	err = errors.Join(
-		syscall.SetsockoptInt(descriptor, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1),
-		syscall.Bind(descriptor, &syscall.SockaddrInet4{Port: int(addr.Port()), Addr: addr.Addr().As4()}),
-		syscall.Listen(descriptor, 0),
-	)
-	if err != nil {
-		tb.Error(err)
-	}
-	conn, err := dial("tcp", address, waitTimeout) // the only one that the queue has a place for
-	if err != nil {
-		tb.Error(err)
-		return &hangingListener{descriptor: descriptor}
-	}
-	return &hangingListener{descriptor: descriptor, queued: []net.Conn{conn}}
-}
-
-// close refuses what waits for the listener. There may be none.
-func (h *hangingListener) close() {
-	if h == nil {
-		return
-	}
-	_ = syscall.Close(h.descriptor)
-	for _, conn := range h.queued {
-		_ = conn.Close()
-	}
-}
-
 // listen accepts connections at the backend's address. The caller holds the lock.
 func (b *fleetBackend) listen() {
 	if b.hanging != nil {
--- /dev/null
+++ b/cmd/gateway/hanging_test.go
@@ -0,0 +1,97 @@
+package main
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"net/netip"
+	"os"
+	"syscall"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"sparspread/internal/porttest"
+)
+
+// hangingListener is a listener to which no packet gets through: a dial to its address neither succeeds nor
+// fails, since the kernel repeats it until the listener is closed.
+type hangingListener struct {
+	address netip.AddrPort
+	socket  int
+}
+
+// listenHanging returns a listener at an IPv4 address, "IP:PORT", that the caller closes. It ends the test where
+// it can't listen there.
+func listenHanging(tb testing.TB, address string) *hangingListener {
+	tb.Helper()
+	addressAndPort, err := netip.ParseAddrPort(address)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	socket, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	ip, port := addressAndPort.Addr().As4(), int(addressAndPort.Port())
+	// The filter, which accepts 0 bytes of each packet, is there before the socket listens: no dial gets ahead.
+	dropAll := unix.SockFprog{Len: 1, Filter: &unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: 0}}
+	err = errors.Join(
+		unix.SetsockoptSockFprog(socket, unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, &dropAll),
+		unix.SetsockoptInt(socket, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1),
+		unix.Bind(socket, &unix.SockaddrInet4{Port: port, Addr: ip}),
+		unix.Listen(socket, 0),
+	)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	return &hangingListener{address: addressAndPort, socket: socket}
+}
+
+// isDialed reports whether a dial hangs there: the kernel's table then has a connection to the address in the
+// state SYN_SENT, which is 02.
+func (h *hangingListener) isDialed() bool {
+	ip := h.address.Addr().As4()
+	entry := fmt.Sprintf(" %02X%02X%02X%02X:%04X 02 ", ip[3], ip[2], ip[1], ip[0], h.address.Port())
+	table, err := os.ReadFile("/proc/net/tcp")
+	return err == nil && bytes.Contains(table, []byte(entry))
+}
+
+// close ends the listener. Dials that hang are refused when the kernel repeats them.
+func (h *hangingListener) close() { _ = unix.Close(h.socket) }
+
+// The tests of slow start and of discovery rely on it: a dial neither succeeds nor fails until the listener is
+// closed, not even the first one.
+func TestDialToHangingListenerHangsUntilItIsClosed(t *testing.T) {
+	listener := listenHanging(t, porttest.Reserve(t))
+	dialed := make(chan error, 1)
+	go func() {
+		conn, err := dial("tcp", listener.address.String(), waitTimeout)
+		if err == nil {
+			_ = conn.Close()
+		}
+		dialed <- err
+	}()
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
+	defer cancel()
+	for !listener.isDialed() {
+		select {
+		case err := <-dialed:
+			t.Fatalf("the dial ended with error %v while the listener was open", err)
+		case <-ctx.Done():
+			t.Fatal("timed out waiting for the dial")
+		case <-time.After(time.Millisecond):
+		}
+	}
+	listener.close()
+	select {
+	case err := <-dialed:
+		if !errors.Is(err, syscall.ECONNREFUSED) {
+			t.Errorf("after the listener was closed: error %v, want %v", err, syscall.ECONNREFUSED)
+		}
+	case <-ctx.Done():
+		t.Error("timed out waiting for the end of the dial")
+	}
+}
--- a/cmd/gateway/standins_test.go
+++ b/cmd/gateway/standins_test.go
@@ -2,34 +2,17 @@
 
 import (
 	"bufio"
-	"bytes"
 	"encoding/json"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
-	"os"
 	"strings"
 	"sync"
 	"testing"
 	"time"
 )
 
-// newHangingAddress makes an address at which a dial neither succeeds nor fails: the listener's backlog is
-// full. The function that it returns reports whether a dial hangs there.
-func newHangingAddress(tb testing.TB, host string, port int) (dialHangs func() bool) {
-	tb.Helper()
-	hanging := listenHanging(tb, fmt.Sprintf("%s:%d", host, port))
-	tb.Cleanup(hanging.close)
-	ip := net.ParseIP(host).To4()
-	// A connection to the address in the state SYN_SENT, as the kernel's table writes it.
-	entry := fmt.Sprintf(" %02X%02X%02X%02X:%04X 02 ", ip[3], ip[2], ip[1], ip[0], port)
-	return func() bool {
-		table, err := os.ReadFile("/proc/net/tcp")
-		return err == nil && bytes.Contains(table, []byte(entry))
-	}
-}
-
 // discoveryServer is discovery's side. Calls are refused until acceptWithoutAnswer or serve.
 type discoveryServer struct {
 	tb       testing.TB
--- a/cmd/gateway/start_test.go
+++ b/cmd/gateway/start_test.go
@@ -27,7 +27,8 @@
 		case 1:
 			newDiscoveryServer(t, hosts[i]).acceptWithoutAnswer()
 		case 2:
-			newHangingAddress(t, hosts[i], 8500)
+			hanging := listenHanging(t, hosts[i]+discoveryPort)
+			t.Cleanup(hanging.close)
 		}
 	}
 	started := time.Now()
