--- /dev/null
+++ b/policy/customerreport_test.go
@@ -0,0 +1,191 @@
+package policy
+
+import "testing"
+
+// reportedCustomer is a customer of three gateways as gateway 0 has it, with 20 of 24 units left.
+func reportedCustomer() (*customer, quotaSharing) {
+	sharing := meshSharing()
+	customer := newCustomer(0, 0, &sharing, account{id: 9, replicas: 3})
+	customer.bucket.level = 20
+	return customer, sharing
+}
+
+func TestPeersUseIsTakenFromTheBucket(t *testing.T) {
+	first := usageEntry{
+		consumed: packUnits(3), requested: packUnits(4), newlyRequested: packUnits(4), remaining: 0.75,
+	}
+	steps := []struct {
+		name        string
+		sender      usageSender
+		entry       usageEntry
+		applied     bool
+		level       float64
+		peersDemand float64
+	}{
+		{"the first entry bounds the level", usageSender{1, 5, true},
+			first, true, 18, 4},
+		{"an increase", usageSender{1, 5, true},
+			usageEntry{consumed: packUnits(5), requested: packUnits(7)}, true, 16, 7},
+		{"a repeat", usageSender{1, 5, false},
+			usageEntry{consumed: packUnits(5), requested: packUnits(7)}, true, 16, 7},
+		{"a late entry", usageSender{1, 5, false},
+			usageEntry{consumed: packUnits(4), requested: packUnits(6)}, false, 16, 7},
+		{"units returned, in a late message", usageSender{1, 5, false},
+			usageEntry{consumed: packUnits(4), requested: packUnits(7)}, false, 16, 7},
+		{"units returned", usageSender{1, 5, true},
+			usageEntry{consumed: packUnits(4), requested: packUnits(7)}, true, 17, 7},
+		{"a restarted peer that knows no better", usageSender{1, 6, true},
+			usageEntry{remaining: 1}, true, 17, 7},
+		{"a gateway that is not of the set", usageSender{3, 5, true},
+			usageEntry{consumed: packUnits(9)}, false, 17, 7},
+	}
+	customer, _ := reportedCustomer()
+	sharing := newQuotaSharing(&Settings{Gateways: 5, Gossip: true, Plans: []Plan{sharedPlan()}})
+	for _, step := range steps {
+		if got := customer.applyUsage(0, &sharing, step.sender, &step.entry); got != step.applied {
+			t.Errorf("%s: applied %t, want %t", step.name, got, step.applied)
+		}
+		assertNear(t, "level after "+step.name, customer.bucket.level, step.level)
+		assertNear(t, "demand of peers after "+step.name, customer.demand.atPeers(0), step.peersDemand)
+	}
+}
+
+func TestUseThatWrapsIsAnIncrease(t *testing.T) {
+	customer, sharing := reportedCustomer()
+	sender := usageSender{gateway: 1, incarnation: 5, newest: true}
+	customer.applyUsage(0, &sharing, sender, &usageEntry{consumed: 65530, requested: 65530, remaining: 1})
+	customer.applyUsage(0, &sharing, sender, &usageEntry{consumed: 2, requested: 10})
+	assertNear(t, "level after 8 counts", customer.bucket.level, 19)
+	assertNear(t, "demand after 16 counts", customer.demand.atPeers(0), 2)
+}
+
+func TestParticipantAppliesNoUsage(t *testing.T) {
+	sharing, set := askedSharing(t)
+	customer := newCustomer(0, 0, sharing, set)
+	sender := usageSender{gateway: (sharing.self + 1) % 12, incarnation: 5, newest: true}
+	if customer.applyUsage(0, sharing, sender, &usageEntry{consumed: 8}) {
+		t.Error("a participant applies a peer's use")
+	}
+}
+
+func TestUsageEntryTellsWhatIsLeft(t *testing.T) {
+	customer, sharing := reportedCustomer()
+	customer.usage.customerUsage = customerUsage{consumed: 4, requested: 6, requestedReported: 5}
+	customer.grant.fraction = 0.5
+	entry := customer.usageEntry(&sharing, customer.usage.customerUsage)
+	want := usageEntry{
+		customer: 9, replicas: 3, consumed: packUnits(4), requested: packUnits(6), newlyRequested: packUnits(1),
+		remaining: 20. / 24,
+	}
+	if entry != want {
+		t.Errorf("in a small set: got %+v, want %+v", entry, want)
+	}
+	wide, set := askedSharing(t)
+	customer.account = set
+	if entry := customer.usageEntry(wide, customer.usage.customerUsage); entry.remaining != 0.5 {
+		t.Errorf("in a wide set %g is left, want the grant", entry.remaining)
+	}
+}
+
+func TestParticipantUnderAGrantReportsAsOftenAsItsCoordinatorCanReceive(t *testing.T) {
+	sharing, set := askedSharing(t)
+	customer := newCustomer(0, 0, sharing, set)
+	customer.reported(second, sharing)
+	next := second + sharing.receiveTime(12)
+	if !customer.reportIsDue(next-1, sharing) {
+		t.Error("a report without a limit is not due")
+	}
+	customer.grant.fraction = 0.5
+	if customer.reportIsDue(next-1, sharing) {
+		t.Error("a report is due before its time")
+	}
+	if !customer.reportIsDue(next, sharing) {
+		t.Error("a report is not due at its time")
+	}
+}
+
+func TestWideSetsReportAChangeOnce(t *testing.T) {
+	wide, set := askedSharing(t)
+	mesh := meshSharing()
+	cases := []struct {
+		name    string
+		sharing *quotaSharing
+		account account
+		want    int
+	}{{"a small set", &mesh, account{id: 9, replicas: 3}, usageRepeats - 1}, {"a wide set", wide, set, 0}}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			customer := newCustomer(0, 0, c.sharing, c.account)
+			customer.usage.scheduleReports()
+			customer.reported(0, c.sharing)
+			if customer.usage.reportsLeft != c.want {
+				t.Errorf("%d reports left, want %d", customer.usage.reportsLeft, c.want)
+			}
+		})
+	}
+}
+
+func TestNewUseGoesToTheSharedCounterOnce(t *testing.T) {
+	customer, _ := reportedCustomer()
+	customer.usage.consumed = 3
+	customer.usage.scheduleReports()
+	assertNear(t, "units for the counter", customer.countUsage(), 3)
+	if customer.counter.isIdle() || customer.usage.reportsLeft != 0 {
+		t.Error("the call is not noted, or the use is reported again")
+	}
+	if units := customer.countUsage(); units > 0 {
+		t.Errorf("%g units for the counter a second time", units)
+	}
+	if n := len(customer.counter.calls); n != 1 {
+		t.Errorf("%d calls of the counter, want 1", n)
+	}
+}
+
+func TestQuotaRequestCountsARequestOnce(t *testing.T) {
+	sharing, set := askedSharing(t)
+	customer := newCustomer(0, 0, sharing, set)
+	request := &request{Request: Request{Cost: 2.25}, quotaRequest: 7, coordinator: 1}
+	entry := customer.quotaRequest(sharing, request, false)
+	if entry.wantedHalves != 5 || entry.quotaRequest != 7 {
+		t.Errorf("%d halves wanted by request %d, want 5 by 7", entry.wantedHalves, entry.quotaRequest)
+	}
+	if entry.newlyRequested != packUnits(2.25) {
+		t.Errorf("newly requested %d, want all", entry.newlyRequested)
+	}
+	request.coordinator = 2
+	if entry = customer.quotaRequest(sharing, request, true); entry.newlyRequested != 0 || entry.requested != 0 {
+		t.Errorf("a request that asks again counts as %d more", entry.newlyRequested)
+	}
+}
+
+func TestCoordinatorGrantsWhatItsBucketsHold(t *testing.T) {
+	cases := []struct {
+		name                   string
+		level, ceiling         float64
+		approved               bool
+		wantLevel, wantCeiling float64
+		consumed               uint16
+	}{
+		{"both hold it", 5, 4, true, 1, 0, packUnits(4)},
+		{"the bucket does not", 3, 4, false, 3, 4, 0},
+		{"the ceiling does not", 5, 3, false, 5, 3, 0},
+	}
+	wide := account{id: 9, replicas: 12}
+	sharing := coordinatorOf(&wide, Plan{Rate: 18, Burst: 24, CeilingRate: 24, CeilingBurst: 48})
+	from := (sharing.self + 1) % 12
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			customer := newCustomer(0, 0, &sharing, wide)
+			customer.bucket.level, customer.ceiling.level = c.level, c.ceiling
+			answer := customer.answerQuotaRequest(&sharing, from, &usageEntry{wantedHalves: 8, quotaRequest: 3})
+			if want := (grant{customer: 9, fraction: 1, quotaRequest: 3, approved: c.approved}); answer != want {
+				t.Errorf("answered %+v, want %+v", answer, want)
+			}
+			assertNear(t, "bucket", customer.bucket.level, c.wantLevel)
+			assertNear(t, "ceiling", customer.ceiling.level, c.wantCeiling)
+			if got := customer.peerUsage(&sharing, from).consumed; got != c.consumed {
+				t.Errorf("consumed by the peer: %d counts, want %d", got, c.consumed)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/policy/customertable_test.go
@@ -0,0 +1,97 @@
+package policy
+
+import (
+	"slices"
+	"testing"
+)
+
+// tableOf is a table with customers of these IDs, three gateways each, in their order.
+func tableOf(sharing *quotaSharing, ids ...uint64) customerTable {
+	table := newCustomerTable()
+	for _, id := range ids {
+		customer := newCustomer(0, 0, sharing, account{id: id, replicas: 3})
+		customer.ceiling.level = customer.ceiling.capacity
+		table.add(customer)
+	}
+	return table
+}
+
+func idsOf(customers []*customer) []uint64 {
+	return convertAll(customers, func(customer *customer) uint64 { return customer.id })
+}
+
+func TestIdleCustomersAreRemovedInOrder(t *testing.T) {
+	sharing := meshSharing()
+	table := tableOf(&sharing, 5, 3, 8, 1)
+	table.byID[3].inFlight, table.byID[1].inFlight = 1, 1
+	idle := convertAll(table.removeIdle(second), func(account account) uint64 { return account.id })
+	if want := []uint64{5, 8}; !slices.Equal(idle, want) {
+		t.Errorf("idle: %v, want %v", idle, want)
+	}
+	if got, want := idsOf(table.inOrder), []uint64{3, 1}; !slices.Equal(got, want) {
+		t.Errorf("left: %v, want %v", got, want)
+	}
+	if len(table.byID) != 2 || table.byID[5] != nil {
+		t.Errorf("%d records by ID, want 2", len(table.byID))
+	}
+	if table.sweepIsDue(second+sweepInterval-1) || !table.sweepIsDue(second+sweepInterval) {
+		t.Error("the next sweep is not due after its interval")
+	}
+}
+
+func TestReportingCustomersAreSortedByThePartOfTheirBurst(t *testing.T) {
+	sharing := meshSharing()
+	table := tableOf(&sharing, 1, 2, 3, 4)
+	table.byID[4].bucket.capacity = 240
+	for id, units := range map[uint64]float64{1: 2, 2: 5, 3: 2, 4: 30} {
+		table.byID[id].usage.consumed = units
+	}
+	for _, customer := range table.inOrder {
+		table.scheduleReport(&sharing, customer)
+		table.scheduleReport(&sharing, customer) // a second change adds no second entry
+	}
+	table.sortReporting()
+	if got, want := idsOf(table.reporting), []uint64{2, 4, 1, 3}; !slices.Equal(got, want) {
+		t.Errorf("reporting %v, want %v", got, want)
+	}
+	table.byID[4].usage.reportsLeft = 0
+	table.dropReported()
+	if got, want := idsOf(table.reporting), []uint64{2, 1, 3}; !slices.Equal(got, want) {
+		t.Errorf("left to report %v, want %v", got, want)
+	}
+}
+
+func TestChangesOfACustomerAreReported(t *testing.T) {
+	sharing := meshSharing()
+	table := tableOf(&sharing, 1, 2)
+	table.recordDemand(0, &sharing, table.byID[1], 2)
+	table.consume(&sharing, table.byID[2], 0, 2)
+	if got, want := idsOf(table.reporting), []uint64{1, 2}; !slices.Equal(got, want) {
+		t.Errorf("reporting %v, want %v", got, want)
+	}
+	assertNear(t, "requested", table.byID[1].usage.requested, 2)
+	assertNear(t, "consumed", table.byID[2].usage.consumed, 2)
+}
+
+func TestCustomersOfOneGatewayAreNotReported(t *testing.T) {
+	sharing := meshSharing()
+	table := newCustomerTable()
+	alone := newCustomer(0, 0, &sharing, account{id: 1, replicas: 1})
+	table.add(alone)
+	table.consume(&sharing, alone, 0, 2)
+	if len(table.reporting) != 0 || alone.usage.unreported() != 0 {
+		t.Errorf("%d customers to report, %g units unreported; want none",
+			len(table.reporting), alone.usage.unreported())
+	}
+}
+
+func TestTableKnowsWhichPlansAreInUse(t *testing.T) {
+	sharing := meshSharing()
+	table := tableOf(&sharing, 1, 2)
+	table.byID[2].plan = 3
+	for plan, want := range []bool{true, false, false, true, false} {
+		if got := table.hasPlan(plan); got != want {
+			t.Errorf("plan %d in use: %t, want %t", plan, got, want)
+		}
+	}
+}
