--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -9,7 +9,7 @@
 )
 
 // Loop implements policy.Actions. The policy calls them while it decides, so they must not call the policy:
-// what follows from an action is enqueued.
+// what follows from an action is deferred.
 var _ policy.Actions = (*Loop)(nil)
 
 // Send starts the next attempt of a request, which ends at until or, if that is 0 or later, by the request's
@@ -23,7 +23,7 @@
 		until = r.deadline
 	}
 	l.replicateAttemptSent(id, backend)
-	a := &attempt{request: r, number: r.attempts, sentAt: l.now(), expiresAt: until}
+	a := &attempt{request: r, number: r.attempts, sentAt: l.events.Now(), expiresAt: until}
 	r.attempts++
 	r.attemptsInFlight++
 	return l.backends.startAttempt(l, a, backend)
@@ -44,16 +44,16 @@
 }
 
 // SetTimer has the policy called with the token at a time.
-func (l *Loop) SetTimer(at policy.Time, token uint32) { l.schedule(at, policyTimer(token)) }
+func (l *Loop) SetTimer(at policy.Time, token uint32) { l.events.Schedule(at, policyTimer(token)) }
 
 // policyTimer is a timer that the policy has set: its token.
 type policyTimer uint32
 
-func (t policyTimer) fire(l *Loop) { l.controller.TimerFired(l.now(), uint32(t)) }
+func (t policyTimer) Handle(l *Loop) { l.controller.TimerFired(l.events.Now(), uint32(t)) }
 
 // HealthCheck starts a health check of a backend.
 func (l *Loop) HealthCheck(backend uint32) {
-	now := l.now()
+	now := l.events.Now()
 	a := &attempt{sentAt: now, expiresAt: now + l.config.Host.DialTimeout}
 	l.backends.startAttempt(l, a, backend)
 }
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -42,7 +42,7 @@
 func (bs *backends) startAttempt(l *Loop, a *attempt, number uint32) (waiting bool) {
 	a.backend = number
 	b := bs.byNumber[number]
-	a.timeout = l.schedule(a.expiresAt, attemptTimeout{attempt: a})
+	a.timeout = l.events.Schedule(a.expiresAt, attemptTimeout{attempt: a})
 	if b == nil || b.state != policy.EndpointReady || !a.canBeSent() {
 		l.endAttempt(a, policy.ResultNotSent)
 		return false
@@ -59,7 +59,7 @@
 // attemptTimeout ends an attempt at its time, and its connection with it.
 type attemptTimeout struct{ attempt *attempt }
 
-func (t attemptTimeout) fire(l *Loop) {
+func (t attemptTimeout) Handle(l *Loop) {
 	a := t.attempt
 	if a.ended {
 		return
@@ -81,7 +81,7 @@
 	l.endAttemptWithAnswer(a, result, backendAnswer{})
 }
 
-// endAttemptWithAnswer ends an attempt: the first call decides, and enqueues the attempt's one outcome.
+// endAttemptWithAnswer ends an attempt: the first call decides, and defers the attempt's one outcome.
 func (l *Loop) endAttemptWithAnswer(a *attempt, result policy.Result, answer backendAnswer) {
 	if a.ended {
 		return
@@ -97,9 +97,10 @@
 	} else if a.request != nil && a.conn != nil && !a.fullyWritten && a.conn.writer.Idle() {
 		a.markFullyWritten() // the writer has written the rest since
 	}
-	l.cancelTimer(a.timeout)
+	l.events.Cancel(a.timeout)
 	a.timeout, a.conn = nil, nil
-	l.enqueue(attemptEnded{attempt: a, result: result, backendAnswer: answer, latency: l.now() - a.sentAt})
+	latency := l.events.Now() - a.sentAt
+	l.events.Defer(attemptEnded{attempt: a, result: result, backendAnswer: answer, latency: latency})
 }
 
 // attemptEnded is the outcome of an attempt: exactly one for each.
@@ -110,10 +111,10 @@
 	latency policy.Time
 }
 
-func (e attemptEnded) handle(l *Loop) {
+func (e attemptEnded) Handle(l *Loop) {
 	r := e.attempt.request
 	if r == nil {
-		l.controller.HealthCheckEnded(l.now(), e.attempt.backend, e.result, e.loadReport)
+		l.controller.HealthCheckEnded(l.events.Now(), e.attempt.backend, e.result, e.loadReport)
 		return
 	}
 	r.attemptsInFlight--
@@ -132,5 +133,5 @@
 // reportOutcome tells the policy, and a process that takes over, how an attempt ended.
 func (l *Loop) reportOutcome(outcome policy.Outcome) {
 	l.replicateAttemptEnded(outcome)
-	l.controller.AttemptEnded(l.now(), outcome)
+	l.controller.AttemptEnded(l.events.Now(), outcome)
 }
--- a/internal/gateway/backend.go
+++ b/internal/gateway/backend.go
@@ -110,7 +110,7 @@
 			CapacityHint: e.CapacityHint, StartedAt: e.UpSinceMS * millisecond,
 		})
 	}
-	l.controller.UpdateEndpoints(l.now(), kind, endpoints)
+	l.controller.UpdateEndpoints(l.events.Now(), kind, endpoints)
 	listed := int64(0)
 	for id, b := range bs.byID {
 		if b.state != policy.EndpointRemoved {
--- a/internal/gateway/backend_dial.go
+++ b/internal/gateway/backend_dial.go
@@ -41,7 +41,7 @@
 	if e.err = err; err == nil {
 		e.conn = conn.(*net.TCPConn)
 	}
-	l.post(e)
+	l.events.Post(e)
 }
 
 // dialEnded is the result of a dial.
@@ -53,7 +53,7 @@
 	err         error
 }
 
-func (e dialEnded) handle(l *Loop) {
+func (e dialEnded) Handle(l *Loop) {
 	bs, b := l.backends, e.backend
 	b.dialing--
 	if e.err != nil {
@@ -114,14 +114,14 @@
 		return
 	}
 	b.dialPaused = true
-	l.schedule(l.now()+firstShortagePause<<b.shortages, dialPauseEnded{backend: b})
+	l.events.After(firstShortagePause<<b.shortages, dialPauseEnded{backend: b})
 	b.shortages++
 }
 
 // dialPauseEnded fires when dials to a backend may be tried again.
 type dialPauseEnded struct{ backend *backend }
 
-func (e dialPauseEnded) fire(l *Loop) {
+func (e dialPauseEnded) Handle(l *Loop) {
 	e.backend.dialPaused = false
 	l.backends.dialForWaiting(l, e.backend)
 }
--- a/internal/gateway/backend_dial_test.go
+++ b/internal/gateway/backend_dial_test.go
@@ -20,7 +20,7 @@
 		"it is answered": func(t *testing.T, l *Loop, _ *testClient) {
 			t.Helper()
 			l.failOpenRequests()
-			l.handlePending()
+			l.events.HandleDeferred()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -55,7 +55,7 @@
 	_ = call.conn.Close()
 	handleNext(t, l, "the reset")
 	wait(t, dialing, "the second dial")
-	l.clock.wall += 31_000_000 // the window is 30 s
+	useFakeClock(t, l).shown.Add(31_000_000) // the window is 30 s
 	close(unblock)
 	handleNext(t, l, "the second dial's end")
 	c.wantLine("-BUSY 2000") // all backends drop its repeats: the client may come again
@@ -110,18 +110,19 @@
 	a := newHealthCheck(l)
 	l.backends.startAttempt(l, a, 1)
 	for i, want := range []bool{false, true} {
-		e := wait(t, l.events, "a dial").(dialEnded)
+		e := wait(t, l.events.Queue(), "a dial").(dialEnded)
 		if e.err != nil {
 			t.Fatal(e.err)
 		}
 		_ = e.conn.Close()
 		e.conn, e.err = nil, &net.OpError{Op: "dial", Err: syscall.ECONNRESET}
-		e.handle(l)
+		e.Handle(l)
 		if a.ended != want {
 			t.Fatalf("after %d resets the attempt has ended: %t", i+1, a.ended)
 		}
 	}
-	if got := l.pending[len(l.pending)-1].(attemptEnded).result; got != policy.ResultConnectFailed {
+	outcomes := l.events.Deferred()
+	if got := outcomes[len(outcomes)-1].(attemptEnded).result; got != policy.ResultConnectFailed {
 		t.Errorf("result %d", got)
 	}
 }
--- a/internal/gateway/backend_drain_test.go
+++ b/internal/gateway/backend_drain_test.go
@@ -39,13 +39,13 @@
 	draining := b.endpoint()
 	draining.Phase = "Terminating"
 	l.updateEndpoint(policy.UpdateIncremental, draining)
-	up := wait(t, l.events, "the dial").(dialEnded)
+	up := wait(t, l.events.Queue(), "the dial").(dialEnded)
 	if up.err != nil {
 		t.Fatal(up.err)
 	}
-	up.handle(l)
-	if len(l.pending) != 1 || l.pending[0].(attemptEnded).result != policy.ResultNotSent {
-		t.Errorf("outcomes %+v, want one that was not sent", l.pending)
+	up.Handle(l)
+	if len(l.events.Deferred()) != 1 || l.events.Deferred()[0].(attemptEnded).result != policy.ResultNotSent {
+		t.Errorf("outcomes %+v, want one that was not sent", l.events.Deferred())
 	}
 	if err := wait(t, b.closed, "the connection's end"); !errors.Is(err, io.EOF) || len(b.calls) > 0 {
 		t.Errorf("the connection ended with %v after %d commands", err, len(b.calls))
@@ -67,7 +67,7 @@
 	draining.Phase = "Terminating"
 	l.updateEndpoint(policy.UpdateIncremental, draining)
 	var got []policy.Result
-	for _, e := range l.pending {
+	for _, e := range l.events.Deferred() {
 		got = append(got, e.(attemptEnded).result)
 	}
 	want := []policy.Result{policy.ResultNotSent, policy.ResultNotSent, policy.ResultNotSent}
--- a/internal/gateway/backend_pool.go
+++ b/internal/gateway/backend_pool.go
@@ -51,7 +51,7 @@
 // takeIdle removes and returns the most recently used idle connection that is not quiescing; nil: there is
 // none. Connections that have been idle for longer than the idle timeout estimate are closed.
 func (bs *backends) takeIdle(l *Loop, b *backend) *backendConn {
-	now := l.now()
+	now := l.events.Now()
 	oldest := now - bs.idleTimeout.current(now)
 	for i := len(b.idle) - 1; i >= 0; i-- {
 		switch c := b.idle[i]; {
@@ -73,9 +73,9 @@
 		return
 	}
 	for _, c := range b.idle {
-		if c.isQuiescing(l.now()) {
+		if c.isQuiescing(l.events.Now()) {
 			b.quiesceTimerSet = true
-			l.schedule(c.idleSince+quiescencePeriod, connectionQuiesced{backend: b})
+			l.events.Schedule(c.idleSince+quiescencePeriod, connectionQuiesced{backend: b})
 			return
 		}
 	}
@@ -84,7 +84,7 @@
 // connectionQuiesced fires when a connection has ended its quiescence period for which attempts may wait.
 type connectionQuiesced struct{ backend *backend }
 
-func (e connectionQuiesced) fire(l *Loop) {
+func (e connectionQuiesced) Handle(l *Loop) {
 	bs, b := l.backends, e.backend
 	b.quiesceTimerSet = false
 	for len(b.waiting) > 0 {
@@ -145,12 +145,15 @@
 // mayStillSend reports whether an attempt that has waited for a connection is still wanted.
 func (l *Loop) mayStillSend(a *attempt) bool {
 	r := a.request
-	return r == nil || !r.client.disconnected.Load() && l.controller.ConfirmSend(l.now(), r.id, a.number)
+	if r == nil {
+		return true
+	}
+	return !r.client.disconnected.Load() && l.controller.ConfirmSend(l.events.Now(), r.id, a.number)
 }
 
 // addIdle keeps a connection for a later attempt.
 func (bs *backends) addIdle(l *Loop, c *backendConn) {
-	c.idleSince = l.now()
+	c.idleSince = l.events.Now()
 	c.backend.idle = append(c.backend.idle, c)
 }
 
@@ -171,7 +174,7 @@
 
 // sweep closes connections that have been idle for too long.
 func (bs *backends) sweep(l *Loop) {
-	oldest := l.now() - l.config.Host.IdleClose/idleCloseDivisor
+	oldest := l.events.Now() - l.config.Host.IdleClose/idleCloseDivisor
 	for _, b := range bs.byNumber {
 		for len(b.idle) > 0 && b.idle[0].idleSince <= oldest {
 			bs.close(b.idle[0], closeOutlived)
--- a/internal/gateway/backend_pool_test.go
+++ b/internal/gateway/backend_pool_test.go
@@ -106,14 +106,14 @@
 			l, b := newLoopWithBackend(t)
 			first := newHealthCheck(l)
 			l.backends.startAttempt(l, first, 1)
-			wait(t, l.events, "the dial").handle(l)
+			wait(t, l.events.Queue(), "the dial").Handle(l)
 			used := first.conn
 			call := b.nextCall(t)
 			call.reply(t, "+PONG\r\n")
 			_, unblock := blockDials(l)
 			defer close(unblock)
-			answered := wait(t, l.events, "the reply")
-			answered.handle(l)
+			answered := wait(t, l.events.Queue(), "the reply")
+			answered.Handle(l)
 			second := newHealthCheck(l)
 			l.backends.startAttempt(l, second, 1)
 			if second.conn != nil {
@@ -121,9 +121,9 @@
 			}
 			if late {
 				call.reply(t, "+PONG\r\n")
-				wait(t, l.events, "the second answer").handle(l)
+				wait(t, l.events.Queue(), "the second answer").Handle(l)
 			}
-			advance(l, quiescencePeriod)
+			advance(t, l, quiescencePeriod)
 			if got := second.conn == used; got == late {
 				t.Errorf("the connection was used: %t", got)
 			}
--- a/internal/gateway/backend_read.go
+++ b/internal/gateway/backend_read.go
@@ -46,7 +46,7 @@
 		}
 		buffered := in.Buffered()
 		e.bytesUsed, e.more = c.bytesRead.Load()-int64(buffered), buffered > 0
-		l.post(e)
+		l.events.Post(e)
 		if e.err != nil || e.more {
 			return
 		}
@@ -64,7 +64,7 @@
 	streamed  bool  // its value went to the client as it was read
 }
 
-func (e replyReceived) handle(l *Loop) {
+func (e replyReceived) Handle(l *Loop) {
 	c := e.conn
 	switch {
 	case c.closed:
@@ -98,11 +98,12 @@
 // for longer are most likely broken too, though nothing shows it, and are closed.
 func (bs *backends) reusedConnectionBroke(l *Loop, c *backendConn, a *attempt) {
 	b, idle := c.backend, a.sentAt-c.idleSince
-	for len(b.idle) > 0 && b.idle[0].idleSince <= c.idleSince && bs.idleTimeout.explains(l.now(), idle) {
+	explained := bs.idleTimeout.explains(l.events.Now(), idle)
+	for explained && len(b.idle) > 0 && b.idle[0].idleSince <= c.idleSince {
 		bs.close(b.idle[0], closeOutlived)
 	}
-	if l.now()-a.sentAt < staleReuseWindow {
-		bs.idleTimeout.recordBroken(l.now(), idle)
+	if l.events.Now()-a.sentAt < staleReuseWindow {
+		bs.idleTimeout.recordBroken(l.events.Now(), idle)
 	}
 }
 
@@ -118,7 +119,7 @@
 	}
 	c.attempt = nil
 	if reused {
-		l.backends.idleTimeout.recordHealthy(l.now(), a.sentAt-c.idleSince)
+		l.backends.idleTimeout.recordHealthy(l.events.Now(), a.sentAt-c.idleSince)
 	}
 	if !reply.wellFormed || e.malformed || e.more || bodyPending {
 		// What comes next on this connection may belong to no request. The others to the backend go on.
--- a/internal/gateway/backend_reply_test.go
+++ b/internal/gateway/backend_reply_test.go
@@ -18,25 +18,25 @@
 			l, b := newLoopWithBackend(t)
 			first := newHealthCheck(l)
 			l.backends.startAttempt(l, first, 1)
-			wait(t, l.events, "the dial").handle(l)
+			wait(t, l.events.Queue(), "the dial").Handle(l)
 			used := first.conn
 			call := b.nextCall(t) // a health check, whose reply is read like any other
 			call.reply(t, replies[0])
-			wait(t, l.events, "the reply").handle(l)
+			wait(t, l.events.Queue(), "the reply").Handle(l)
 			var late event
 			if len(replies) > 1 {
 				call.reply(t, replies[1])
-				late = wait(t, l.events, "the duplicate") // read, but not handled yet
+				late = wait(t, l.events.Queue(), "the duplicate") // read, but not handled yet
 			}
 			second := newHealthCheck(l)
 			l.backends.startAttempt(l, second, 1)
 			if late != nil {
-				late.handle(l)
+				late.Handle(l)
 			}
 			for dialed := false; !dialed; {
-				e := wait(t, l.events, "another dial")
+				e := wait(t, l.events.Queue(), "another dial")
 				_, dialed = e.(dialEnded)
-				e.handle(l)
+				e.Handle(l)
 			}
 			if !first.ended || second.ended || second.conn == nil || second.conn == used {
 				t.Errorf("first attempt %+v, second %+v", first, second)
--- a/internal/gateway/backend_write.go
+++ b/internal/gateway/backend_write.go
@@ -50,7 +50,7 @@
 func (l *Loop) attemptCommand(a *attempt) []byte {
 	switch {
 	case a.request != nil:
-		return a.request.forwarded(a.expiresAt - l.now())
+		return a.request.forwarded(a.expiresAt - l.events.Now())
 	case l.config.Host.ReportVia == loadReportPull:
 		return infoLoadCommand
 	default:
--- a/internal/gateway/client.go
+++ b/internal/gateway/client.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"sparspread/internal/descriptors"
+	"sparspread/internal/eventloop"
 	"sparspread/internal/resp"
 	"sparspread/internal/sockwriter"
 	"sparspread/policy"
@@ -24,11 +25,11 @@
 type client struct {
 	conn          *net.TCPConn
 	writer        *sockwriter.Writer
-	openedAt      time.Time     // when it was accepted, by whichever process
-	clock         clock         // the loop's
-	pipelineSlots chan struct{} // one for each request: acquired by the reader, released by the loop
-	done          chan struct{} // closed by the loop with the connection
-	queuedBytes   *atomic.Int64 // memoryUse.queued
+	openedAt      time.Time       // when it was accepted, by whichever process
+	clock         eventloop.Clock // the loop's
+	pipelineSlots chan struct{}   // one for each request: acquired by the reader, released by the loop
+	done          chan struct{}   // closed by the loop with the connection
+	queuedBytes   *atomic.Int64   // memoryUse.queued
 
 	// Shared between the loop and the reader goroutine.
 	ignoreInput  atomic.Bool  // set by the loop: what still arrives is not read as commands
@@ -94,7 +95,7 @@
 
 // report logs the counts at intervals.
 func (cs *clients) report(l *Loop) {
-	counts, now := &cs.counts, l.now()
+	counts, now := &cs.counts, l.events.Now()
 	if now-counts.since < clientReportInterval {
 		return
 	}
@@ -112,7 +113,7 @@
 	for len(cs.conns) > cs.limit && cs.evict(l, nil) {
 	}
 	cs.report(l)
-	now := l.now()
+	now := l.events.Now()
 	for c := range cs.conns {
 		c.handOver(l)
 		if now-c.lastCommandAt > c.maxIdle() && len(c.pipeline) == 0 && !c.closeWhenDrained {
--- a/internal/gateway/client_accept.go
+++ b/internal/gateway/client_accept.go
@@ -42,7 +42,7 @@
 // listenerClosed says that no more connections will come.
 type listenerClosed struct{}
 
-func (listenerClosed) handle(l *Loop) {
+func (listenerClosed) Handle(l *Loop) {
 	l.shutdown.listenerClosed = true
 	l.shutdown.endIfIdle(l)
 }
@@ -63,7 +63,7 @@
 		}
 		conn, err := listener.AcceptTCP()
 		if err == nil {
-			l.post(clientConnected{conn: conn, openedAt: time.Now()})
+			l.events.Post(clientConnected{conn: conn, openedAt: time.Now()})
 			continue
 		}
 		<-cs.slots
@@ -81,7 +81,7 @@
 		}
 		_ = listener.Close() // may be closed already
 		if draining {
-			l.post(listenerClosed{})
+			l.events.Post(listenerClosed{})
 		}
 		return
 	}
@@ -106,8 +106,8 @@
 	inheritedInput []byte
 }
 
-func (e clientConnected) handle(l *Loop) {
-	cs, now := l.clients, l.now()
+func (e clientConnected) Handle(l *Loop) {
+	cs, now := l.clients, l.events.Now()
 	cs.counts.accepted++
 	cs.counts.longestAccept = max(cs.counts.longestAccept, time.Since(e.openedAt).Microseconds())
 	c := &client{
--- a/internal/gateway/client_close.go
+++ b/internal/gateway/client_close.go
@@ -31,7 +31,7 @@
 	if c.ignoreInput.Load() {
 		linger = lingerAfterError
 	}
-	l.schedule(l.now()+linger, lingerTimer{client: c})
+	l.events.After(linger, lingerTimer{client: c})
 }
 
 // lingerTimer closes a connection that the peer leaves open.
@@ -40,21 +40,21 @@
 	extensions int // periods added so far because replies were still unread
 }
 
-func (t lingerTimer) fire(l *Loop) {
+func (t lingerTimer) Handle(l *Loop) {
 	if !t.client.writer.Idle() && t.extensions < maxLingers {
-		l.schedule(l.now()+lingerTime, lingerTimer{client: t.client, extensions: t.extensions + 1})
+		l.events.After(lingerTime, lingerTimer{client: t.client, extensions: t.extensions + 1})
 		return
 	}
 	t.client.closeNow(l)
 }
 
 // closeNow closes the connection at once, as if the peer had closed it.
-func (c *client) closeNow(l *Loop) { clientDisconnected{client: c}.handle(l) }
+func (c *client) closeNow(l *Loop) { clientDisconnected{client: c}.Handle(l) }
 
 // clientDisconnected says that a client has closed its connection. It no longer waits for its open requests.
 type clientDisconnected struct{ client *client }
 
-func (e clientDisconnected) handle(l *Loop) {
+func (e clientDisconnected) Handle(l *Loop) {
 	c := e.client
 	if c.closed {
 		return
@@ -65,7 +65,7 @@
 	delete(l.clients.conns, c)
 	<-l.clients.slots
 	c.handoverInput = nil
-	now := l.now()
+	now := l.events.Now()
 	for _, r := range c.pipeline {
 		l.cancelRequest(r, now)
 	}
--- a/internal/gateway/client_commands.go
+++ b/internal/gateway/client_commands.go
@@ -49,7 +49,7 @@
 // readFrom reads one command. It runs in the client's reader.
 func (e *commandReceived) readFrom(l *Loop, in *resp.Reader) {
 	args, bodySize, err := in.ReadCommandHead()
-	e.receivedAt = l.clock.now()
+	e.receivedAt = l.clock.Now()
 	switch {
 	case errors.Is(err, resp.ErrTooLarge):
 		e.reply, e.malformed = errorReply(err), true
@@ -94,8 +94,8 @@
 	}
 }
 
-func (e commandReceived) handle(l *Loop) {
-	c, now := e.client, l.now()
+func (e commandReceived) Handle(l *Loop) {
+	c, now := e.client, l.events.Now()
 	l.memory.queued.Add(-int64(e.size))
 	if c.closed || c.writeClosed || c.ignoreInput.Load() {
 		// It arrived while the connection was being closed: the client sends it again.
@@ -173,7 +173,7 @@
 
 // admitRequest has the policy decide on a request.
 func (l *Loop) admitRequest(r *request, details policy.Request, receivedAt policy.Time) {
-	now := l.now()
+	now := l.events.Now()
 	l.requests.lastID++
 	r.id = l.requests.lastID
 	l.requests.byID[r.id], l.requests.openByClientID[r.clientID] = r, r
@@ -181,7 +181,7 @@
 	r.customer, r.estimatedCost = details.Customer, details.Cost
 	margin := min(deadlineMargin, details.Timeout/maxMarginDivisor)
 	r.receivedAt, r.deadline = receivedAt, receivedAt+details.Timeout-margin
-	r.guard = l.schedule(r.deadline+margin/2, deadlineGuard{request: r})
+	r.guard = l.events.Schedule(r.deadline+margin/2, deadlineGuard{request: r})
 	details.ID, details.Timeout = r.id, max(0, r.deadline-now)
 	l.controller.RequestReceived(now, details)
 }
--- a/internal/gateway/client_disconnect_test.go
+++ b/internal/gateway/client_disconnect_test.go
@@ -77,7 +77,7 @@
 		close(w.unblock)
 		w.handleNext("the dial's end")
 		w.answerRequest()
-		advance(w.loop, quiescencePeriod)
+		advance(w.t, w.loop, quiescencePeriod)
 		w.client.sendOnce(secondRequestID, "team")
 		w.disconnectInQueue()
 		w.handleNext("the second request")
@@ -99,7 +99,7 @@
 		wait(w.t, w.dialing, "a dial beside the quiescing connection")
 		w.disconnect()
 		w.handleDisconnect()
-		advance(w.loop, quiescencePeriod)
+		advance(w.t, w.loop, quiescencePeriod)
 		if idle := len(w.onlyBackend().idle); idle != 1 {
 			w.t.Errorf("%d idle connections, want the quiesced one", idle)
 		}
--- a/internal/gateway/client_eviction.go
+++ b/internal/gateway/client_eviction.go
@@ -38,7 +38,7 @@
 // beyond it they go first. For a client with a request (requester; nil: a connection has come that has sent
 // nothing yet) any idle connection may be closed.
 func (cs *clients) evict(l *Loop, requester *client) bool {
-	now := l.now()
+	now := l.events.Now()
 	excess := cs.unfinishedCount() > cs.limit*maxUnfinishedPercent/100
 	var victim *client
 	lowest := rankSpared
--- a/internal/gateway/client_eviction_test.go
+++ b/internal/gateway/client_eviction_test.go
@@ -29,7 +29,7 @@
 func TestEvictionOrder(t *testing.T) {
 	d := newFakeDiscovery(t)
 	l := newTestLoop(t, d)
-	now := l.now()
+	now := l.events.Now()
 	add := func(commands int, idle policy.Time) *client {
 		t.Helper()
 		return addClient(t, l, commands, now-idle)
@@ -73,7 +73,7 @@
 func TestUnfinishedConnectionsKeepToTheirPartOfTheLimit(t *testing.T) {
 	l := newTestLoop(t, newFakeDiscovery(t))
 	l.clients.limit = 8 // six of them for those without a complete command
-	now := l.now()
+	now := l.events.Now()
 	add := func(commands int, age, sinceInput policy.Time) *client {
 		t.Helper()
 		c := addClient(t, l, commands, now-age)
@@ -117,7 +117,7 @@
 	l.clients.limit = 4
 	add := func(commands int, pipeline ...*request) *client {
 		t.Helper()
-		c := addClient(t, l, commands, l.now()+60*second) // it is still new when it is looked at
+		c := addClient(t, l, commands, l.events.Now()+60*second) // it is still new when it is looked at
 		c.pipeline = pipeline
 		return c
 	}
--- a/internal/gateway/client_read.go
+++ b/internal/gateway/client_read.go
@@ -31,7 +31,7 @@
 	for {
 		switch err := c.awaitCommand(in); {
 		case errors.Is(err, errHandingOver):
-			l.post(clientReaderStopped{client: c})
+			l.events.Post(clientReaderStopped{client: c})
 			return
 		case err != nil:
 			c.disconnect(l)
@@ -55,7 +55,7 @@
 			l.memory.queued.Add(-int64(e.size))
 			return
 		}
-		l.post(e)
+		l.events.Post(e)
 		if e.body != nil && !c.forwardBody(l, in, e.body) {
 			return
 		}
@@ -108,7 +108,7 @@
 // before the event.
 func (c *client) disconnect(l *Loop) {
 	c.disconnected.Store(true)
-	l.post(clientDisconnected{client: c})
+	l.events.Post(clientDisconnected{client: c})
 }
 
 // setReadDeadline sets by when input has to arrive; zero: no deadline.
@@ -129,7 +129,7 @@
 	}
 	n, err := c.conn.Read(b)
 	if n > 0 {
-		c.lastInputAt.Store(c.clock.now())
+		c.lastInputAt.Store(c.clock.Now())
 	}
 	interrupted := n == 0 && c.midCommand && c.handingOver.Load() && errors.Is(err, os.ErrDeadlineExceeded)
 	if interrupted && time.Now().Before(c.commandDeadline) {
--- a/internal/gateway/client_read_ahead_test.go
+++ b/internal/gateway/client_read_ahead_test.go
@@ -38,7 +38,7 @@
 	l.clients.resume(l)
 	t.Cleanup(l.clients.pause)
 	far := (&rig{addr: l.clients.listener.Addr().String()}).client(t)
-	near := wait(t, l.events, "the connection").(clientConnected).conn
+	near := wait(t, l.events.Queue(), "the connection").(clientConnected).conn
 	defer func() { _ = near.Close() }()
 	go func() { _, _ = far.conn.Write(make([]byte, 2*maxReadAhead)) }()
 	limit := maxQueuedBytes(l.config) / 2
--- a/internal/gateway/client_reply.go
+++ b/internal/gateway/client_reply.go
@@ -10,7 +10,7 @@
 	}
 	c.pipeline = slices.Delete(c.pipeline, 0, answered)
 	if !c.closed && len(replies) > 0 && !c.writer.Send(replies, maxUnreadReply) {
-		l.enqueue(clientDisconnected{client: c})
+		l.events.Defer(clientDisconnected{client: c})
 	}
 	if len(c.pipeline) == 0 {
 		if c.closeWhenDrained {
--- a/internal/gateway/counter.go
+++ b/internal/gateway/counter.go
@@ -25,12 +25,12 @@
 	if l.counter != nil && l.counter.Increment(counter.Increment{Name: name, Amount: amount, TTL: ttl}) {
 		return
 	}
-	l.enqueue(counterAnswered{counter.Answer{Name: name, Result: policy.ResultOverloaded}})
+	l.events.Defer(counterAnswered{counter.Answer{Name: name, Result: policy.ResultOverloaded}})
 }
 
 // counterAnswered is the outcome of a call of the shared counter.
 type counterAnswered struct{ counter.Answer }
 
-func (e counterAnswered) handle(l *Loop) {
-	l.controller.CounterAnswered(l.now(), e.Name, e.Result, e.Total)
+func (e counterAnswered) Handle(l *Loop) {
+	l.controller.CounterAnswered(l.events.Now(), e.Name, e.Result, e.Total)
 }
--- a/internal/gateway/descriptors_test.go
+++ b/internal/gateway/descriptors_test.go
@@ -8,6 +8,7 @@
 	"testing"
 
 	"sparspread/internal/descriptors"
+	"sparspread/internal/eventloop"
 )
 
 // The lower one of the configured number and the process's limit is shared out, and one line of the log
@@ -25,7 +26,7 @@
 				f["limits"] = map[string]any{"sockets": test.configured}
 			})
 			cfg.DescriptorLimit = test.process
-			l, err := newLoop(cfg, slog.New(slog.NewTextHandler(&log, nil)))
+			l, err := newLoop(cfg, slog.New(slog.NewTextHandler(&log, nil)), eventloop.SystemClock())
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/gateway/dial_fault_test.go
+++ b/internal/gateway/dial_fault_test.go
@@ -65,8 +65,8 @@
 					n, len(l.requests.byID))
 			}
 			recovered()
-			l.clock.wall += firstShortagePause
-			l.runTimers()
+			useFakeClock(t, l).shown.Add(firstShortagePause)
+			l.events.RunTimers()
 			handleNext(t, l, "the second dial")
 			b.nextCall(t).replyValue(t, "ok")
 			handleNext(t, l, "the reply")
@@ -85,11 +85,11 @@
 			break
 		}
 		select {
-		case e := <-l.events:
-			l.handle(e)
+		case e := <-l.events.Queue():
+			l.events.HandleEvent(e)
 		case <-time.After(time.Millisecond):
-			l.clock.wall += firstShortagePause
-			l.runTimers()
+			useFakeClock(t, l).shown.Add(firstShortagePause)
+			l.events.RunTimers()
 		}
 	}
 	client.wantLine("-BUSY 2000")
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -1,9 +1,9 @@
 // Package gateway is the request path of a gateway: it takes clients' commands, has package policy decide on
 // them and forwards them to backends.
 //
-// One goroutine, that of Loop, owns all state and is the only one to call the policy. Goroutines that block
-// on sockets (a reader for each connection, accepting, dials) and the clients of other services post typed
-// events to it. Each of these goroutines ends with its socket or context, which the loop closes.
+// One goroutine, that of the event loop, owns all state and is the only one to call the policy. Goroutines
+// that block on sockets (a reader for each connection, accepting, dials) and the clients of other services
+// post typed events to it. Each of these goroutines ends with its socket or context, which the loop closes.
 //
 // A request passes client_read, client_commands and the policy; an attempt of it goes through backend_pool
 // and backend_write; its reply through backend_read, backend_reply and client_reply. Large bodies and
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -43,18 +43,15 @@
 // postEndpoints hands an event of the discovery client to the loop, ahead of all other work: nothing that
 // was queued before a drain was announced may be sent after its grace.
 func (l *Loop) postEndpoints(ctx context.Context, e discovery.Event) {
-	select {
-	case l.urgentEvents <- endpointsUpdated{e}:
-	case <-ctx.Done():
-	}
+	l.events.PostUrgent(ctx, endpointsUpdated{e})
 }
 
 // endpointsUpdated is an event of the discovery client.
 type endpointsUpdated struct{ discovery.Event }
 
-func (e endpointsUpdated) handle(l *Loop) {
+func (e endpointsUpdated) Handle(l *Loop) {
 	if e.Kind == policy.UpdateUnavailable {
-		l.controller.UpdateEndpoints(l.now(), e.Kind, nil)
+		l.controller.UpdateEndpoints(l.events.Now(), e.Kind, nil)
 		return
 	}
 	l.endpoints.received = true
--- a/internal/gateway/endpoints_test.go
+++ b/internal/gateway/endpoints_test.go
@@ -32,7 +32,7 @@
 		endpoint := discovery.Endpoint{
 			ID: id, Address: "127.0.0.1:9", Phase: step.phase, UpSinceMS: step.upSince,
 		}
-		l.handle(endpointsUpdated{discovery.Event{Kind: step.kind, Update: discovery.Update{
+		l.events.HandleEvent(endpointsUpdated{discovery.Event{Kind: step.kind, Update: discovery.Update{
 			Revision:  step.revision,
 			Complete:  step.kind == policy.UpdateComplete,
 			Endpoints: []discovery.Endpoint{endpoint},
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -8,22 +8,19 @@
 	"sparspread/internal/config"
 	"sparspread/internal/descriptors"
 	"sparspread/internal/discovery"
+	"sparspread/internal/eventloop"
 	"sparspread/internal/handover"
 	"sparspread/internal/metrics"
 	"sparspread/internal/ops"
 	"sparspread/policy"
 )
 
-const (
-	eventQueueLength       = 1024 // events that wait for the loop before their senders wait
-	urgentEventQueueLength = 16
-
-	sweepInterval = 100 * millisecond // between two sweeps of idle connections
-)
+// sweepInterval is the time between two sweeps of idle connections.
+const sweepInterval = 100 * millisecond
 
 // Run serves clients until control stops it and all open requests are answered.
 func Run(cfg config.Config, log *slog.Logger, control Control) error {
-	l, err := newLoop(cfg, log)
+	l, err := newLoop(cfg, log, eventloop.SystemClock())
 	if err != nil {
 		return err
 	}
@@ -37,7 +34,7 @@
 	defer cancel()
 	l.start(ctx)
 	go control.run(ctx, l)
-	l.run()
+	l.events.Run()
 	_ = l.clients.listener.Close() // may be closed already
 	l.ops.Close()
 	l.gossip.Close()
@@ -51,14 +48,13 @@
 }
 
 // newLoop makes a gateway and opens its sockets. Clients are accepted once it is ready.
-func newLoop(cfg config.Config, log *slog.Logger) (*Loop, error) {
+func newLoop(cfg config.Config, log *slog.Logger, clock eventloop.Clock) (*Loop, error) {
 	l := &Loop{
-		log: log, clock: newClock(),
-		events: make(chan event, eventQueueLength), urgentEvents: make(chan event, urgentEventQueueLength),
-		requests: newRequestTable(), timers: newTimerQueue(),
+		log: log, clock: clock, requests: newRequestTable(),
 		endpoints: endpointList{zones: cfg.Host.Zones}, metrics: &metrics.Metrics{},
 	}
-	l.counter = newCounter(&cfg, l.post)
+	l.events = eventloop.New(l, clock)
+	l.counter = newCounter(&cfg, l.events.Post)
 	l.discovery = discovery.New(discoveryConfig(&cfg), log, l.postEndpoints)
 	l.applyConfig(&cfg)
 	limitMemory(&cfg, 1)
@@ -73,7 +69,7 @@
 		return nil, err
 	}
 	l.pendingTakeover = handover.Dial(cfg.Listen, log)
-	l.gossip = newGossip(&cfg, log, l.post)
+	l.gossip = newGossip(&cfg, log, l.events.Post)
 	if l.pendingTakeover != nil {
 		l.clients.listener = l.pendingTakeover.Clients
 		return l, nil
@@ -90,10 +86,10 @@
 // Clients are accepted after discovery's first list, or readinessWait.
 func (l *Loop) start(ctx context.Context) {
 	l.backends.updateEndpoints(l, policy.UpdateStale, l.config.Known.Endpoints)
-	l.handlePending()
+	l.events.HandleDeferred()
 	go l.ops.Serve()
-	l.schedule(l.now()+readinessWait, readinessTimeout{})
-	l.schedule(l.now()+sweepInterval, sweepTimer{})
+	l.events.After(readinessWait, readinessTimeout{})
+	l.events.After(sweepInterval, sweepTimer{})
 	go l.discovery.Run(ctx)
 	l.gossip.Resume()
 	if l.counter != nil {
@@ -104,11 +100,11 @@
 // sweepTimer closes, at intervals, connections that have been idle for too long.
 type sweepTimer struct{}
 
-func (sweepTimer) fire(l *Loop) {
+func (sweepTimer) Handle(l *Loop) {
 	l.clients.sweep(l)
 	l.backends.sweep(l)
 	l.metrics.UnavailableEndpoints.Store(int64(l.controller.UnavailableBackends()))
-	l.schedule(l.now()+sweepInterval, sweepTimer{})
+	l.events.After(sweepInterval, sweepTimer{})
 }
 
 // startAccepting has clients accepted: until then nothing answers PING. If another process still serves
@@ -139,4 +135,4 @@
 // readinessTimeout ends the wait for discovery, which may be down for long.
 type readinessTimeout struct{}
 
-func (readinessTimeout) fire(l *Loop) { l.startAccepting() }
+func (readinessTimeout) Handle(l *Loop) { l.startAccepting() }
--- a/internal/gateway/gossip.go
+++ b/internal/gateway/gossip.go
@@ -47,4 +47,6 @@
 	message []byte
 }
 
-func (e gossipReceived) handle(l *Loop) { l.controller.GossipReceived(l.now(), e.peer, e.message) }
+func (e gossipReceived) Handle(l *Loop) {
+	l.controller.GossipReceived(l.events.Now(), e.peer, e.message)
+}
--- a/internal/gateway/handover_clients.go
+++ b/internal/gateway/handover_clients.go
@@ -31,7 +31,7 @@
 // clientReaderStopped: the reader has stopped before a command.
 type clientReaderStopped struct{ client *client }
 
-func (e clientReaderStopped) handle(l *Loop) {
+func (e clientReaderStopped) Handle(l *Loop) {
 	c := e.client
 	c.readerStopped = true
 	if !l.handover.hasGivenOwnership() {
--- a/internal/gateway/handover_in.go
+++ b/internal/gateway/handover_in.go
@@ -12,22 +12,28 @@
 // successorEvents posts what the predecessor sends.
 type successorEvents struct{ loop *Loop }
 
-func (s successorEvents) StateReceived(state *handover.State) { s.loop.post(stateReceived{state}) }
+func (s successorEvents) StateReceived(state *handover.State) {
+	s.loop.events.Post(stateReceived{state})
+}
+
+func (s successorEvents) ClientReceived(c handover.Client) { s.loop.events.Post(clientHandedOver{c}) }
 
-func (s successorEvents) ClientReceived(c handover.Client)   { s.loop.post(clientHandedOver{c}) }
-func (s successorEvents) AttemptSent(a handover.AttemptSent) { s.loop.post(predecessorSent{a}) }
-func (s successorEvents) AttemptEnded(o policy.Outcome)      { s.loop.post(predecessorAttemptEnded{o}) }
+func (s successorEvents) AttemptSent(a handover.AttemptSent) { s.loop.events.Post(predecessorSent{a}) }
+
+func (s successorEvents) AttemptEnded(o policy.Outcome) {
+	s.loop.events.Post(predecessorAttemptEnded{o})
+}
 
 func (s successorEvents) CostSettled(settled handover.CostSettled) {
-	s.loop.post(predecessorCostSettled{settled})
+	s.loop.events.Post(predecessorCostSettled{settled})
 }
 
-func (s successorEvents) PredecessorExited() { s.loop.post(predecessorExited{}) }
+func (s successorEvents) PredecessorExited() { s.loop.events.Post(predecessorExited{}) }
 
 // stateReceived: this process owns the state from here on; nil: it could not be had.
 type stateReceived struct{ state *handover.State }
 
-func (e stateReceived) handle(l *Loop) {
+func (e stateReceived) Handle(l *Loop) {
 	if l.accepting || l.shutdown.hasStarted() {
 		return
 	}
@@ -46,7 +52,7 @@
 	if !l.endpoints.received {
 		l.backends.updateEndpoints(l, policy.UpdateStale, state.Endpoints)
 	}
-	if err := l.controller.Import(l.now(), state.Policy); err != nil {
+	if err := l.controller.Import(l.events.Now(), state.Policy); err != nil {
 		l.log.Error("handover: beginning as after a restart", "error", err)
 	}
 	l.requests.lastID = max(l.requests.lastID, state.NextRequestID)
@@ -58,7 +64,7 @@
 // clientHandedOver is a client's connection from the predecessor.
 type clientHandedOver struct{ client handover.Client }
 
-func (e clientHandedOver) handle(l *Loop) {
+func (e clientHandedOver) Handle(l *Loop) {
 	select {
 	case l.clients.slots <- struct{}{}:
 	default:
@@ -70,40 +76,40 @@
 		openedAt:       e.client.OpenedBefore(time.Now()),
 		commands:       e.client.Requests,
 		inheritedInput: e.client.Input,
-	}.handle(l)
+	}.Handle(l)
 }
 
 // predecessorCostSettled is what a request of the predecessor cost beyond its estimate.
 type predecessorCostSettled struct{ settled handover.CostSettled }
 
-func (e predecessorCostSettled) handle(l *Loop) {
-	l.controller.CostSettled(l.now(), e.settled.Customer, e.settled.Extra)
+func (e predecessorCostSettled) Handle(l *Loop) {
+	l.controller.CostSettled(l.events.Now(), e.settled.Customer, e.settled.Extra)
 }
 
 // predecessorSent is a further attempt that the predecessor has made.
 type predecessorSent struct{ sent handover.AttemptSent }
 
-func (e predecessorSent) handle(l *Loop) {
-	l.controller.PredecessorSent(l.now(), e.sent.RequestID, e.sent.Backend)
+func (e predecessorSent) Handle(l *Loop) {
+	l.controller.PredecessorSent(l.events.Now(), e.sent.RequestID, e.sent.Backend)
 }
 
 // predecessorAttemptEnded is the outcome of an attempt that the predecessor has made.
 type predecessorAttemptEnded struct{ outcome policy.Outcome }
 
-func (e predecessorAttemptEnded) handle(l *Loop) {
-	l.controller.PredecessorAttemptEnded(l.now(), e.outcome)
+func (e predecessorAttemptEnded) Handle(l *Loop) {
+	l.controller.PredecessorAttemptEnded(l.events.Now(), e.outcome)
 }
 
 // predecessorExited: the predecessor has ended, and this process has all the resources.
 type predecessorExited struct{}
 
-func (predecessorExited) handle(l *Loop) {
+func (predecessorExited) Handle(l *Loop) {
 	if !l.predecessorRunning {
 		return
 	}
 	l.predecessorRunning = false
 	l.backends.limit *= 2
 	limitMemory(l.config, 1)
-	l.controller.PredecessorExited(l.now())
+	l.controller.PredecessorExited(l.events.Now())
 	l.log.Info("the former process has ended")
 }
--- a/internal/gateway/handover_older_test.go
+++ b/internal/gateway/handover_older_test.go
@@ -72,7 +72,7 @@
 func inspectLoop[T any](t *testing.T, r *rig, look func(l *Loop) T) T {
 	t.Helper()
 	seen := make(chan T, 1)
-	r.loop.post(inspect(func(l *Loop) { seen <- look(l) }))
+	r.loop.events.Post(inspect(func(l *Loop) { seen <- look(l) }))
 	return wait(t, seen, "the loop")
 }
 
@@ -80,7 +80,7 @@
 func exportedState(t *testing.T, r *rig) olderform.Snapshot {
 	t.Helper()
 	encoded := inspectLoop(t, r, func(l *Loop) []byte {
-		encoded, err := handover.EncodeState(&handover.State{Policy: l.controller.Export(l.now())})
+		encoded, err := handover.EncodeState(&handover.State{Policy: l.controller.Export(l.events.Now())})
 		if err != nil {
 			t.Error(err)
 		}
@@ -192,7 +192,7 @@
 	successors := listenAsOlder(t, handover.SocketPath(cfg.Listen))
 	started := make(chan *Loop, 1)
 	go func() {
-		l, err := newLoop(cfg, discardLog())
+		l, err := newLoop(cfg, discardLog(), newFakeClock())
 		if err != nil {
 			t.Error(err)
 		}
@@ -205,7 +205,7 @@
 	if l == nil {
 		t.FailNow()
 	}
-	l.clock.wall = old.recording.At
+	useFakeClock(t, l).shown.Store(old.recording.At)
 	r := serveLoop(t, l)
 	old.link.Expect(olderTakeover)
 	return old, r, b
@@ -291,7 +291,8 @@
 	s.openCall = b.nextCall(t)
 	s.admitted = 1
 
-	d.setEntries(recordedEndpoints(t, b, inspectLoop(t, s.rig, (*Loop).now))...)
+	now := inspectLoop(t, s.rig, func(l *Loop) policy.Time { return l.events.Now() })
+	d.setEntries(recordedEndpoints(t, b, now)...)
 	d.awaitWatch(t)
 	unavailable := func(l *Loop) int { return l.controller.UnavailableBackends() }
 	for id := 100; inspectLoop(t, s.rig, unavailable) == 0; id++ {
--- a/internal/gateway/handover_out.go
+++ b/internal/gateway/handover_out.go
@@ -1,6 +1,8 @@
 package gateway
 
 import (
+	"context"
+
 	"sparspread/internal/discovery"
 	"sparspread/internal/handover"
 	"sparspread/internal/resp"
@@ -44,15 +46,15 @@
 type predecessorEvents struct{ loop *Loop }
 
 func (p predecessorEvents) TakeoverRequested(link *handover.Link) {
-	p.loop.urgentEvents <- takeoverRequested{link}
+	p.loop.events.PostUrgent(context.Background(), takeoverRequested{link})
 }
 
 func (p predecessorEvents) StateAccepted(link *handover.Link) {
-	p.loop.urgentEvents <- stateAccepted{link}
+	p.loop.events.PostUrgent(context.Background(), stateAccepted{link})
 }
 
 func (p predecessorEvents) SuccessorExited(link *handover.Link) {
-	p.loop.urgentEvents <- successorExited{link}
+	p.loop.events.PostUrgent(context.Background(), successorExited{link})
 }
 
 // takeoverRequested: a successor is ready for the state.
@@ -60,7 +62,7 @@
 
 // handle sends the state. From here on no command is processed and nothing is granted until the successor has
 // accepted the state.
-func (e takeoverRequested) handle(l *Loop) {
+func (e takeoverRequested) Handle(l *Loop) {
 	if l.handover != nil || l.shutdown.isClosing() || !l.accepting {
 		e.link.Close()
 		return
@@ -68,7 +70,7 @@
 	state, err := handover.EncodeState(&handover.State{
 		NextRequestID: l.requests.lastID,
 		Endpoints:     l.backends.listedEndpoints(),
-		Policy:        l.controller.Export(l.now()),
+		Policy:        l.controller.Export(l.events.Now()),
 	})
 	if err != nil {
 		l.log.Error("handover: state not encoded", "error", err)
@@ -80,7 +82,7 @@
 	l.clients.pause()
 	l.gossip.Pause()
 	e.link.SendState(state)
-	l.schedule(l.now()+stateTimeout, stateTimer{h})
+	l.events.After(stateTimeout, stateTimer{h})
 }
 
 // listedEndpoints returns the endpoints that discovery lists.
@@ -116,7 +118,7 @@
 type stateAccepted struct{ link *handover.Link }
 
 // handle gives up ownership: the successor decides, and clients follow it as they become idle.
-func (e stateAccepted) handle(l *Loop) {
+func (e stateAccepted) Handle(l *Loop) {
 	h := l.handover
 	if h == nil || h.link != e.link || h.link.IsClosed() {
 		return
@@ -128,7 +130,7 @@
 	l.handoverListener.Close(false) // the successor's socket stands there now
 	_ = l.clients.listener.Close()
 	l.gossip.Close()
-	l.controller.GiveUpOwnership(l.now())
+	l.controller.GiveUpOwnership(l.events.Now())
 	for _, b := range l.backends.byNumber {
 		l.backends.closeIdle(b)
 	}
@@ -146,7 +148,7 @@
 // stateTimer ends a handover whose state was not accepted in time.
 type stateTimer struct{ handover *outgoingHandover }
 
-func (t stateTimer) fire(l *Loop) {
+func (t stateTimer) Handle(l *Loop) {
 	if !t.handover.ownershipGiven {
 		t.handover.link.Close()
 		l.resumeServing(t.handover)
@@ -156,7 +158,7 @@
 // successorExited: the successor has ended or given up.
 type successorExited struct{ link *handover.Link }
 
-func (e successorExited) handle(l *Loop) {
+func (e successorExited) Handle(l *Loop) {
 	e.link.Close()
 	if l.handover != nil && l.handover.link == e.link {
 		l.resumeServing(l.handover)
@@ -176,7 +178,7 @@
 	}
 	for _, command := range h.heldCommands {
 		l.memory.queued.Add(int64(command.size)) // which its handling subtracts a second time
-		command.handle(l)
+		command.Handle(l)
 	}
 	l.shutdown.endIfIdle(l)
 }
@@ -196,7 +198,7 @@
 func (l *Loop) resumeOwnership() {
 	l.log.Warn("handover: the new process has ended, this one serves again")
 	limitMemory(l.config, 1)
-	l.controller.ResumeOwnership(l.now())
+	l.controller.ResumeOwnership(l.events.Now())
 	if !l.shutdown.hasStarted() {
 		l.rebind()
 	}
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -46,7 +46,7 @@
 	}
 	if err != nil {
 		l.log.Error("handover: bind again", "error", err)
-		l.schedule(l.now()+rebindDelay, rebindTimer{})
+		l.events.After(rebindDelay, rebindTimer{})
 		return
 	}
 	l.gossip.Resume()
@@ -55,7 +55,7 @@
 
 type rebindTimer struct{}
 
-func (rebindTimer) fire(l *Loop) {
+func (rebindTimer) Handle(l *Loop) {
 	if !l.shutdown.hasStarted() {
 		l.rebind()
 	}
--- a/internal/gateway/loop_rig_test.go
+++ b/internal/gateway/loop_rig_test.go
@@ -12,7 +12,7 @@
 // inspect is an event that runs on the loop's goroutine.
 type inspect func(l *Loop)
 
-func (f inspect) handle(l *Loop) { f(l) }
+func (f inspect) Handle(l *Loop) { f(l) }
 
 // blockDials has the loop's dials wait until unblock is closed or receives. Each sends its address to
 // dialing before.
@@ -30,8 +30,8 @@
 // handleNext handles the next event of a loop that the test runs itself.
 func handleNext(t *testing.T, l *Loop, what string) event {
 	t.Helper()
-	e := wait(t, l.events, what)
-	l.handle(e)
+	e := wait(t, l.events.Queue(), what)
+	l.events.HandleEvent(e)
 	return e
 }
 
@@ -70,7 +70,7 @@
 
 // newHealthCheck makes a health check that does not time out during a test.
 func newHealthCheck(l *Loop) *attempt {
-	return &attempt{sentAt: l.now(), expiresAt: l.now() + 1000*second}
+	return &attempt{sentAt: l.events.Now(), expiresAt: l.events.Now() + 1000*second}
 }
 
 // newLoopWithBlockedDials makes a loop that the test runs itself, with one backend, the dials to which are
@@ -86,7 +86,7 @@
 
 // awaitQueued waits until there are n events in the queue of a loop that the test runs itself.
 func awaitQueued(l *Loop, n int) {
-	for len(l.events) < n {
+	for len(l.events.Queue()) < n {
 		runtime.Gosched()
 	}
 }
--- a/internal/gateway/ops_test.go
+++ b/internal/gateway/ops_test.go
@@ -6,6 +6,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"sparspread/internal/eventloop"
 )
 
 // withOps gives a configuration an address for operators.
@@ -76,7 +78,7 @@
 
 // Not ready before clients are accepted nor after a shutdown began, and told while the loop does not run.
 func TestReadinessNeedsNoLoop(t *testing.T) {
-	l, err := newLoop(newConfig(t, newFakeDiscovery(t), withOps), discardLog())
+	l, err := newLoop(newConfig(t, newFakeDiscovery(t), withOps), discardLog(), eventloop.SystemClock())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,7 +93,7 @@
 	if got, _ := operate(t, r, "/ops/readiness"); got != 200 {
 		t.Errorf("while clients are accepted: got %d, want 200", got)
 	}
-	shutdownRequested{}.handle(l)
+	shutdownRequested{}.Handle(l)
 	if got, _ := operate(t, r, "/ops/readiness"); got != 503 {
 		t.Errorf("after the shutdown began: got %d, want 503", got)
 	}
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -32,11 +32,7 @@
 			}
 			e = configLoaded{cfg}
 		}
-		select {
-		case l.urgentEvents <- e: // ahead of queued requests
-		case <-ctx.Done():
-			return
-		}
+		l.events.PostUrgent(ctx, e) // ahead of queued requests
 	}
 }
 
@@ -52,10 +48,10 @@
 // handle applies the settings and the addresses of discovery and the counter: all of it or, where anything is
 // wrong, nothing. Requests and connections go on. The endpoint list is read completely at the new address,
 // whose versions need not be those of the old one.
-func (e configLoaded) handle(l *Loop) {
+func (e configLoaded) Handle(l *Loop) {
 	err := l.config.CheckKeys(&e.cfg)
 	if err == nil {
-		err = l.controller.Reload(l.now(), e.cfg.Settings)
+		err = l.controller.Reload(l.events.Now(), e.cfg.Settings)
 	}
 	if err != nil {
 		l.rejectConfig(err)
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -11,6 +11,7 @@
 	"testing"
 
 	"sparspread/internal/config"
+	"sparspread/internal/eventloop"
 	"sparspread/policy"
 )
 
@@ -77,7 +78,7 @@
 	}
 	cfg := configWith(first)
 	cfg.Host.CounterTimeout = testTimeout.Microseconds()
-	l, err := newLoop(cfg, discardLog())
+	l, err := newLoop(cfg, discardLog(), eventloop.SystemClock())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,11 +88,11 @@
 	go l.counter.Run(ctx)
 	l.IncrementCounter(1, 1, 1e6)
 	wait(t, firstCalls, "a call at the first counter")
-	configLoaded{configWith(second)}.handle(l)
+	configLoaded{configWith(second)}.Handle(l)
 	l.IncrementCounter(1, 1, 1e6)
 	wait(t, secondCalls, "a call at the second counter")
 	for _, total := range []float64{1, 2} {
-		e := wait(t, l.events, "an answer").(counterAnswered)
+		e := wait(t, l.events.Queue(), "an answer").(counterAnswered)
 		if e.Result != policy.ResultOK || e.Total != total {
 			t.Errorf("got answer %+v, want the total %g", e, total)
 		}
--- a/internal/gateway/request_body.go
+++ b/internal/gateway/request_body.go
@@ -71,7 +71,7 @@
 		c.setReadDeadline(time.Time{})
 		return true
 	case errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, resp.ErrProtocol):
-		l.post(bodyFailed{body: b, malformed: true})
+		l.events.Post(bodyFailed{body: b, malformed: true})
 	default:
 		c.disconnect(l)
 	}
@@ -127,7 +127,7 @@
 		err = w.conn.writer.WriteBlocking(part, transferStallTimeout)
 	})
 	if err != nil {
-		w.loop.post(bodyFailed{body: w.body})
+		w.loop.events.Post(bodyFailed{body: w.body})
 		w.conn = nil
 	}
 }
@@ -137,14 +137,14 @@
 	w.body.lastBytesWriting.Store(w.conn != nil)
 	w.write(crlf)
 	if w.conn != nil {
-		w.loop.post(bodyWritten{body: w.body})
+		w.loop.events.Post(bodyWritten{body: w.body})
 	}
 }
 
 // bodyWritten says that a body was written to its last byte.
 type bodyWritten struct{ body *body }
 
-func (e bodyWritten) handle(*Loop) {
+func (e bodyWritten) Handle(*Loop) {
 	if a := e.body.conn.attempt; a != nil && a.request == e.body.request && a.bodyPending() {
 		a.markFullyWritten()
 	}
@@ -157,14 +157,14 @@
 	malformed bool
 }
 
-func (e bodyFailed) handle(l *Loop) {
+func (e bodyFailed) Handle(l *Loop) {
 	r := e.body.request
 	c := r.client
 	if e.malformed && !c.closed {
 		c.ignoreInput.Store(true)
 		if !r.answered {
 			l.answer(r, errorReply(errCommandIncomplete))
-			l.controller.RequestCancelled(l.now(), r.id)
+			l.controller.RequestCancelled(l.events.Now(), r.id)
 		}
 		c.closeAfterReplies(l)
 	}
--- a/internal/gateway/request_body_test.go
+++ b/internal/gateway/request_body_test.go
@@ -135,15 +135,15 @@
 			c.end(t, b.nextCall(t))
 			var written, reply event
 			for written == nil || reply == nil {
-				switch e := wait(t, l.events, "the body's end and the answer").(type) {
+				switch e := wait(t, l.events.Queue(), "the body's end and the answer").(type) {
 				case bodyWritten:
 					written = e
 				case replyReceived:
 					reply = e
 				}
 			}
-			l.handle(reply)
-			l.handle(written)
+			l.events.HandleEvent(reply)
+			l.events.HandleEvent(written)
 			client.wantLine(c.want)
 		})
 	}
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -7,6 +7,7 @@
 	"strings"
 	"testing"
 
+	"sparspread/internal/eventloop"
 	"sparspread/internal/porttest"
 	"sparspread/internal/resp"
 	"sparspread/policy"
@@ -181,7 +182,7 @@
 	d := newFakeDiscovery(t, b.listEntry("s-1", "Ready"))
 	cfg := newConfig(t, d, nil)
 	var log bytes.Buffer
-	l, err := newLoop(cfg, slog.New(slog.NewTextHandler(&log, nil)))
+	l, err := newLoop(cfg, slog.New(slog.NewTextHandler(&log, nil)), eventloop.SystemClock())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -191,7 +192,7 @@
 		r := &request{id: uint64(id + 1), client: &client{}, args: args}
 		l.requests.byID[r.id] = r
 		r.attemptsInFlight = 2
-		attemptEnded{attempt: &attempt{request: r, backend: 5}, result: policy.ResultReset}.handle(l)
+		attemptEnded{attempt: &attempt{request: r, backend: 5}, result: policy.ResultReset}.Handle(l)
 		l.Fail(r.id)
 		l.requests.nextTraceAt[traceFailed] += 3600e6 // however long the test takes
 	}
@@ -239,10 +240,10 @@
 		c.wantServed(b, "ok")
 	}
 	remaining := make(chan string, 1)
-	r.loop.post(inspect(func(l *Loop) {
+	r.loop.events.Post(inspect(func(l *Loop) {
 		timers := 0
-		for _, timer := range l.timers.heap {
-			switch timer.callback.(type) {
+		for timer := range l.events.Scheduled() {
+			switch timer.(type) {
 			case deadlineGuard, attemptTimeout:
 				timers++
 			}
--- a/internal/gateway/request_trace.go
+++ b/internal/gateway/request_trace.go
@@ -38,7 +38,7 @@
 // traceError logs a request that ended with an error, at most one of each kind in a traceInterval: a line for
 // each would cost more than the request.
 func (l *Loop) traceError(r *request, reply []byte) {
-	now, kind := l.now(), traceKindOf(r, reply)
+	now, kind := l.events.Now(), traceKindOf(r, reply)
 	if now < l.requests.nextTraceAt[kind] {
 		return
 	}
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -67,7 +67,7 @@
 	if r.metrics != nil {
 		l.metrics.OpenRequests.Add(-1)
 	}
-	l.cancelTimer(r.guard)
+	l.events.Cancel(r.guard)
 	r.guard = nil
 	r.body.discard()
 	l.backends.cancelWaiting(l, r.waitingAttempt)
@@ -88,12 +88,12 @@
 // no request may be lost.
 type deadlineGuard struct{ request *request }
 
-func (g deadlineGuard) fire(l *Loop) {
+func (g deadlineGuard) Handle(l *Loop) {
 	r := g.request
 	if r.answered {
 		return
 	}
 	l.log.Warn("request was open at its deadline", "id", string(r.args[command.ClientIDArg]))
 	l.answer(r, failedReply)
-	l.controller.RequestCancelled(l.now(), r.id)
+	l.controller.RequestCancelled(l.events.Now(), r.id)
 }
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -55,25 +55,36 @@
 
 // fakeClock is a loop's clock that stands still, unless the test advances it or starts it.
 type fakeClock struct {
-	advanced     atomic.Int64
+	shown        atomic.Int64 // while it stands still
 	runningSince atomic.Pointer[time.Time]
 }
 
-// since replaces time.Since.
-func (c *fakeClock) since(time.Time) time.Duration {
-	passed := time.Duration(c.advanced.Load())
+// newFakeClock makes a clock that shows the time of its creation.
+func newFakeClock() *fakeClock {
+	c := &fakeClock{}
+	c.shown.Store(time.Now().UnixMicro())
+	return c
+}
+
+// Now implements eventloop.Clock.
+func (c *fakeClock) Now() int64 {
+	now := c.shown.Load()
 	if from := c.runningSince.Load(); from != nil {
-		passed += time.Since(*from)
+		now += time.Since(*from).Microseconds()
 	}
-	return passed
+	return now
 }
 
-// useFakeClock replaces a loop's clock. Dials, which use the real clock, get a long timeout.
-func useFakeClock(l *Loop) *fakeClock {
-	h := &fakeClock{}
-	l.clock.since = h.since
+// useFakeClock returns the fake clock that a loop was made with. Dials, which use the real clock, get a long
+// timeout.
+func useFakeClock(tb testing.TB, l *Loop) *fakeClock {
+	tb.Helper()
+	clock, ok := l.clock.(*fakeClock)
+	if !ok {
+		tb.Fatalf("the loop has a clock of type %T", l.clock)
+	}
 	l.backends.dial.Timeout = testTimeout
-	return h
+	return clock
 }
 
 // rig is a running gateway between a fake discovery service and fake backends.
@@ -93,7 +104,7 @@
 	tb.Helper()
 	for step := policy.Time(0); time > 0; time -= step {
 		step = min(time, 4000) // as the settings' granularity
-		r.clock.advanced.Add(step * 1000)
+		r.clock.shown.Add(step)
 		r.sync(tb)
 	}
 }
@@ -102,7 +113,7 @@
 func (r *rig) runClock() {
 	now := time.Now()
 	r.clock.runningSince.CompareAndSwap(nil, &now)
-	r.loop.post(inspect(func(*Loop) {}))
+	r.loop.events.Post(inspect(func(*Loop) {}))
 }
 
 // turn waits until the loop has handled what was posted before, and the timers that are due.
@@ -118,7 +129,7 @@
 	tb.Helper()
 	result := make(chan bool, 1)
 	for holds := false; !holds; {
-		r.loop.post(inspect(func(l *Loop) { result <- condition(l) }))
+		r.loop.events.Post(inspect(func(l *Loop) { result <- condition(l) }))
 		holds = wait(tb, result, "the loop")
 	}
 }
@@ -183,11 +194,11 @@
 // newTestLoop makes a loop that the test runs itself.
 func newTestLoop(tb testing.TB, d *fakeDiscovery) *Loop {
 	tb.Helper()
-	l, err := newLoop(newConfig(tb, d, nil), discardLog())
+	l, err := newLoop(newConfig(tb, d, nil), discardLog(), newFakeClock())
 	if err != nil {
 		tb.Fatal(err)
 	}
-	useFakeClock(l)
+	useFakeClock(tb, l)
 	tb.Cleanup(func() { _ = l.clients.listener.Close() })
 	return l
 }
@@ -195,7 +206,7 @@
 // startGateway starts a gateway and waits until it is ready. The test's end stops it.
 func startGateway(tb testing.TB, cfg config.Config) *rig {
 	tb.Helper()
-	l, err := newLoop(cfg, discardLog())
+	l, err := newLoop(cfg, discardLog(), newFakeClock())
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -211,7 +222,7 @@
 func serveLoop(tb testing.TB, l *Loop) *rig {
 	tb.Helper()
 	r := &rig{
-		addr: l.clients.listener.Addr().String(), loop: l, clock: useFakeClock(l),
+		addr: l.clients.listener.Addr().String(), loop: l, clock: useFakeClock(tb, l),
 		stopped: make(chan struct{}), ended: make(chan struct{}),
 		reload: make(chan struct{}), configs: make(chan func() (config.Config, error), 1),
 	}
--- a/internal/gateway/scale_test.go
+++ b/internal/gateway/scale_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"sparspread/internal/discovery"
+	"sparspread/internal/eventloop"
 	"sparspread/policy"
 )
 
@@ -26,7 +27,7 @@
 	for _, n := range []int{46, 830, 8300, 83000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			cfg := newConfig(b, newFakeDiscovery(b), nil)
-			l, err := newLoop(cfg, discardLog())
+			l, err := newLoop(cfg, discardLog(), eventloop.SystemClock())
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -62,7 +62,7 @@
 // shutdownRequested begins a planned shutdown.
 type shutdownRequested struct{}
 
-func (shutdownRequested) handle(l *Loop) {
+func (shutdownRequested) Handle(l *Loop) {
 	if l.shutdown.hasStarted() {
 		return
 	}
@@ -71,13 +71,13 @@
 	l.ops.SetReady(false)
 	if !l.accepting && l.pendingTakeover != nil {
 		l.pendingTakeover.Abandon() // the predecessor goes on
-		l.done = true
+		l.events.Stop()
 		return
 	}
-	now := l.now()
-	l.schedule(now+acceptPeriod, stepStopAccepting)
-	l.schedule(now+answerWithin(l.config), stepAnswerAll)
-	l.schedule(now+exitWithin(l.config), stepExit)
+	now := l.events.Now()
+	l.events.Schedule(now+acceptPeriod, stepStopAccepting)
+	l.events.Schedule(now+answerWithin(l.config), stepAnswerAll)
+	l.events.Schedule(now+exitWithin(l.config), stepExit)
 	l.shutdown.endIfIdle(l)
 }
 
@@ -90,14 +90,14 @@
 	stepExit
 )
 
-func (s shutdownStep) fire(l *Loop) {
+func (s shutdownStep) Handle(l *Loop) {
 	switch s {
 	case stepStopAccepting:
 		l.stopAccepting()
 	case stepAnswerAll:
 		l.answerAll()
 	case stepExit:
-		l.done = true
+		l.events.Stop()
 	}
 	l.shutdown.endIfIdle(l)
 }
@@ -134,7 +134,7 @@
 }
 
 func (l *Loop) failOpenRequests() {
-	now := l.now()
+	now := l.events.Now()
 	for _, r := range l.requests.byID {
 		if !r.answered {
 			l.answer(r, failedReply)
@@ -150,6 +150,6 @@
 		return
 	}
 	if s.listenerClosed || s.hasStarted() && l.handover.hasGivenOwnership() && l.requests.open == 0 {
-		l.done = true
+		l.events.Stop()
 	}
 }
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -20,7 +20,7 @@
 	l.backends.updateEndpoints(l, policy.UpdateComplete, []discovery.Endpoint{
 		{ID: "s-00000001", Address: b.listener.Addr().String(), Phase: "Ready"},
 	})
-	shutdownRequested{}.handle(l)
+	shutdownRequested{}.Handle(l)
 	return l, b
 }
 
@@ -33,9 +33,10 @@
 }
 
 // advance lets time pass for a loop that the test runs.
-func advance(l *Loop, period policy.Time) {
-	l.clock.wall += period
-	l.runTimers()
+func advance(t *testing.T, l *Loop, period policy.Time) {
+	t.Helper()
+	useFakeClock(t, l).shown.Add(period)
+	l.events.RunTimers()
 }
 
 // A connection with a complete request waits in the listener's backlog when that is about to be closed: the
@@ -45,11 +46,11 @@
 	l.accepting = true
 	c := (&rig{addr: l.clients.listener.Addr().String()}).client(t)
 	c.sendLookup(1, "60000") // in the kernel, as nothing accepts yet
-	advance(l, acceptPeriod)
+	advance(t, l, acceptPeriod)
 	handleUntil(t, l, "the request", func() bool { return l.requests.open == 1 })
 	handleUntil(t, l, "the listener to close", func() bool { return l.shutdown.listenerClosed })
-	advance(l, 2*closePeriod) // the backend takes long
-	if l.done {
+	advance(t, l, 2*closePeriod) // the backend takes long
+	if l.events.Stopped() {
 		t.Fatal("the process ends with an open request")
 	}
 	handleUntil(t, l, "the dial", func() bool { return len(l.backends.byNumber[1].waiting) == 0 })
@@ -58,7 +59,7 @@
 	c.wantValue("ok")
 	c.wantClosed()
 	closeConn(t, c.conn)
-	handleUntil(t, l, "the process to end after its last client has closed", func() bool { return l.done })
+	handleUntil(t, l, "the process to end after its last client has closed", l.events.Stopped)
 }
 
 // A command is partly written when everything open is answered: its connection ends in an orderly way, so
@@ -76,14 +77,14 @@
 		}
 		conn.lastCommandAt = 0 // it was opened earlier
 	}
-	advance(l, acceptPeriod)
-	if l.done || len(l.clients.conns) != 1 {
-		t.Fatalf("done %v with %d connections", l.done, len(l.clients.conns))
+	advance(t, l, acceptPeriod)
+	if l.events.Stopped() || len(l.clients.conns) != 1 {
+		t.Fatalf("done %v with %d connections", l.events.Stopped(), len(l.clients.conns))
 	}
-	advance(l, answerWithin(l.config)-acceptPeriod)
+	advance(t, l, answerWithin(l.config)-acceptPeriod)
 	c.wantClosed()
 	closeConn(t, c.conn)
-	handleUntil(t, l, "the end of all", func() bool { return l.done })
+	handleUntil(t, l, "the end of all", l.events.Stopped)
 }
 
 // However short the timeouts of clients are: connections are accepted as long as they may come, their
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -103,11 +103,11 @@
 			defer cancel()
 			l.start(ctx)
 			wait(t, called, "discovery's first call")
-			if l.runTimers(); l.accepting {
+			if l.events.RunTimers(); l.accepting {
 				t.Fatal("ready before the wait was over")
 			}
-			l.clock.wall += readinessWait
-			if l.runTimers(); !l.accepting {
+			useFakeClock(t, l).shown.Add(readinessWait)
+			if l.events.RunTimers(); !l.accepting {
 				t.Fatal("not ready when the wait was over")
 			}
 			defer l.clients.pause()
@@ -137,7 +137,7 @@
 		list := `{"revision":1,"complete":true,"members":[` + strings.Join(entries, ",") + `]}`
 		f["known"] = json.RawMessage(list)
 	})
-	l, err := newLoop(cfg, discardLog())
+	l, err := newLoop(cfg, discardLog(), newFakeClock())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gateway/value_stream.go
+++ b/internal/gateway/value_stream.go
@@ -31,7 +31,7 @@
 		}
 	}
 	c.setReadDeadline(time.Time{})
-	l.post(valueOffered{conn: c})
+	l.events.Post(valueOffered{conn: c})
 	var destination *sockwriter.Writer
 	select {
 	case client := <-c.valueClient:
@@ -82,7 +82,7 @@
 // valueOffered says that a large value has arrived for the request of a connection.
 type valueOffered struct{ conn *backendConn }
 
-func (e valueOffered) handle(l *Loop) {
+func (e valueOffered) Handle(l *Loop) {
 	c, a := e.conn, e.conn.attempt
 	if c.closed {
 		return
@@ -110,11 +110,11 @@
 	}
 	c, a := r.valueConn, r.valueConn.attempt
 	r.valueStarted = true
-	l.cancelTimer(r.guard)
-	l.cancelTimer(a.timeout)
+	l.events.Cancel(r.guard)
+	l.events.Cancel(a.timeout)
 	r.guard, a.timeout = nil, nil
 	c.valueClient <- r.client
-	l.enqueue(valueStarted{attempt: a, latency: l.now() - a.sentAt})
+	l.events.Defer(valueStarted{attempt: a, latency: l.events.Now() - a.sentAt})
 }
 
 // valueStarted reports an attempt's success to the policy when its value starts: how long the client takes
@@ -124,7 +124,7 @@
 	latency policy.Time
 }
 
-func (e valueStarted) handle(l *Loop) {
+func (e valueStarted) Handle(l *Loop) {
 	a := e.attempt
 	l.reportOutcome(policy.Outcome{
 		RequestID: a.request.id, Attempt: a.number, Backend: a.backend, Result: policy.ResultOK,
@@ -172,7 +172,7 @@
 // settleCost reports to the policy, and to a process that takes over, by how much a cost was underestimated.
 func (l *Loop) settleCost(customer uint64, extra float64) {
 	l.replicateCostSettled(customer, extra)
-	l.controller.CostSettled(l.now(), customer, extra)
+	l.controller.CostSettled(l.events.Now(), customer, extra)
 }
 
 // finishValue ends a request whose value has been written. If it broke off, the client's connection is closed
@@ -186,6 +186,6 @@
 	}
 	r.metrics.Served.Add(1)
 	l.markAnswered(r)
-	r.client.lastCommandAt = l.now()
+	r.client.lastCommandAt = l.events.Now()
 	r.client.flush(l)
 }
