--- a/cmd/gateway/process_test.go
+++ b/cmd/gateway/process_test.go
@@ -13,6 +13,7 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"strings"
 	"sync"
 	"syscall"
 	"testing"
@@ -144,6 +145,9 @@
 	tb.Cleanup(func() {
 		_ = p.command.Process.Kill() // it may have ended already
 		<-p.exited
+		if strings.Contains(p.logText(), `msg="illegal step"`) {
+			tb.Error("a state machine of the process was to take an illegal step")
+		}
 		if tb.Failed() {
 			tb.Log(p.logText())
 		}
--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -22,7 +22,7 @@
 	if until == 0 || until > r.deadline {
 		until = r.deadline
 	}
-	l.replicateAttemptSent(id, backend)
+	l.handover.reportAttemptSent(id, backend)
 	a := &attempt{request: r, number: r.attempts, sentAt: l.events.Now(), expiresAt: until}
 	r.attempts++
 	r.attemptsInFlight++
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -132,6 +132,6 @@
 
 // reportOutcome tells the policy, and a process that takes over, how an attempt ended.
 func (l *Loop) reportOutcome(outcome policy.Outcome) {
-	l.replicateAttemptEnded(outcome)
+	l.handover.reportAttemptEnded(outcome)
 	l.controller.AttemptEnded(l.events.Now(), outcome)
 }
--- a/internal/gateway/backend_dial_test.go
+++ b/internal/gateway/backend_dial_test.go
@@ -19,7 +19,7 @@
 		},
 		"it is answered": func(t *testing.T, l *Loop, _ *testClient) {
 			t.Helper()
-			l.failOpenRequests()
+			loopShutdown{l}.failOpenRequests()
 			l.events.HandleDeferred()
 		},
 	} {
--- a/internal/gateway/client.go
+++ b/internal/gateway/client.go
@@ -58,21 +58,17 @@
 }
 
 // clients holds the connections of clients within their part of the file descriptor budget. All of it belongs
-// to the loop, but for the channels.
+// to the loop, but for the channel.
 type clients struct {
-	listener     *net.TCPListener
-	slots        chan struct{} // one for each open connection: acquired by accept, released by the loop
-	limit        int           // connections that are served; those beyond it have their requests rejected
-	conns        map[*client]bool
-	pauseAccept  chan struct{} // closed to end the accept goroutine; nil: there is none
-	drainBacklog chan struct{} // closed to end it once the listener's backlog is accepted
-	counts       clientCounts
+	slots  chan struct{} // one for each open connection: acquired by accept, released by the loop
+	limit  int           // connections that are served; those beyond it have their requests rejected
+	conns  map[*client]bool
+	counts clientCounts
 }
 
 func newClients(budget descriptors.Budget) *clients {
 	return &clients{
 		slots: make(chan struct{}, budget.ClientSlots), limit: budget.PerSide, conns: map[*client]bool{},
-		drainBacklog: make(chan struct{}),
 	}
 }
 
--- a/internal/gateway/client_accept.go
+++ b/internal/gateway/client_accept.go
@@ -1,102 +1,12 @@
 package gateway
 
 import (
-	"errors"
 	"net"
-	"os"
 	"time"
 
 	"sparspread/internal/sockwriter"
 )
 
-const (
-	acceptRetryDelay   = 20 * time.Millisecond // after a failed accept
-	backlogIdleTimeout = 20 * time.Millisecond // without a new connection: the backlog is empty
-)
-
-// resume starts the accept goroutine, which pause or closeListener ends.
-func (cs *clients) resume(l *Loop) {
-	cs.pauseAccept = make(chan struct{})
-	_ = cs.listener.SetDeadline(time.Time{}) // accept reports a closed listener
-	go cs.accept(l, cs.listener, cs.pauseAccept)
-}
-
-// pause has no more connections accepted: they stay in the listener's backlog.
-func (cs *clients) pause() {
-	close(cs.pauseAccept)
-	cs.pauseAccept = nil
-	_ = cs.listener.SetDeadline(time.Unix(1, 0)) // accept reports a closed listener
-}
-
-// closeListener closes the listener once its backlog is accepted: closing it before would reset connections
-// on which a request may have arrived. A listenerClosed event follows the last connection.
-func (cs *clients) closeListener(l *Loop) {
-	close(cs.drainBacklog)
-	if cs.pauseAccept == nil {
-		cs.resume(l)
-		return
-	}
-	_ = cs.listener.SetDeadline(time.Now().Add(backlogIdleTimeout)) // accept reports a closed listener
-}
-
-// listenerClosed says that no more connections will come.
-type listenerClosed struct{}
-
-func (listenerClosed) Handle(l *Loop) {
-	l.shutdown.listenerClosed = true
-	l.shutdown.endIfIdle(l)
-}
-
-// accept posts new connections, with as many open at a time as there are slots, until it is paused or the
-// listener is closed.
-func (cs *clients) accept(l *Loop, listener *net.TCPListener, paused <-chan struct{}) {
-	for {
-		select {
-		case cs.slots <- struct{}{}:
-		case <-paused:
-			return
-		}
-		draining := isClosed(cs.drainBacklog)
-		if draining {
-			// AcceptTCP reports a closed listener.
-			_ = listener.SetDeadline(time.Now().Add(backlogIdleTimeout))
-		}
-		conn, err := listener.AcceptTCP()
-		if err == nil {
-			l.events.Post(clientConnected{conn: conn, openedAt: time.Now()})
-			continue
-		}
-		<-cs.slots
-		closed := errors.Is(err, net.ErrClosed)
-		if !closed && !errors.Is(err, os.ErrDeadlineExceeded) { // such as a shortage of file descriptors
-			l.log.Warn("accept", "error", err)
-			time.Sleep(acceptRetryDelay)
-			continue
-		}
-		if isClosed(paused) {
-			return
-		}
-		if !draining && !closed {
-			continue // the deadline was set for draining the backlog, which begins now
-		}
-		_ = listener.Close() // may be closed already
-		if draining {
-			l.events.Post(listenerClosed{})
-		}
-		return
-	}
-}
-
-// isClosed reports whether a channel that is only ever closed has been closed.
-func isClosed(signal <-chan struct{}) bool {
-	select {
-	case <-signal:
-		return true
-	default:
-		return false
-	}
-}
-
 // clientConnected is a new connection, or one that another process has handed over with the input that it had
 // read and not decided on.
 type clientConnected struct {
--- a/internal/gateway/client_close.go
+++ b/internal/gateway/client_close.go
@@ -70,7 +70,7 @@
 		l.cancelRequest(r, now)
 	}
 	c.pipeline = nil
-	l.shutdown.endIfIdle(l)
+	l.shutdown.endIfIdle()
 }
 
 // cancelRequest ends a request whose client has gone.
--- a/internal/gateway/client_commands.go
+++ b/internal/gateway/client_commands.go
@@ -43,7 +43,7 @@
 
 // maxQueuedBytes is how many bytes of input may wait for the loop.
 func maxQueuedBytes(cfg *config.Config) int64 {
-	return int64(cfg.MemoryMB) << 20 / queuedMemoryDivisor
+	return int64(cfg.MemoryMB) * bytesPerMB / queuedMemoryDivisor
 }
 
 // readFrom reads one command. It runs in the client's reader.
@@ -103,8 +103,8 @@
 		<-c.pipelineSlots
 		return
 	}
-	if l.handover != nil && e.args != nil && e.body == nil {
-		l.handover.holdCommand(e) // the process that takes over decides on it
+	if l.handover.isActive() && e.args != nil && e.body == nil {
+		l.handover.queue(e) // the process that takes over decides on it
 		return
 	}
 	if e.request.Args != nil && e.config != l.config {
@@ -128,7 +128,7 @@
 	c.countCommand(e.malformed, e.framingLost)
 	if e.reply == nil {
 		// A large body can't be handed over, so its request is rejected during a handover.
-		e.reply = l.capacityRejection(c, e.overMemory || l.handover != nil)
+		e.reply = l.capacityRejection(c, e.overMemory || l.handover.isActive())
 	}
 	if e.reply != nil {
 		l.answer(r, e.reply)
@@ -218,5 +218,5 @@
 func (l *Loop) overCapacity() bool {
 	maxOpen := l.config.Host.MaxOpen
 	return maxOpen > 0 && l.requests.open > maxOpen ||
-		l.memory.retained >= l.config.MemoryMB<<20/retainedMemoryDivisor
+		l.memory.retained >= l.config.MemoryMB*bytesPerMB/retainedMemoryDivisor
 }
--- a/internal/gateway/client_eviction_test.go
+++ b/internal/gateway/client_eviction_test.go
@@ -12,7 +12,7 @@
 // addClient adds a connection to a loop that the test runs itself.
 func addClient(t *testing.T, l *Loop, commands int, lastCommandAt policy.Time) *client {
 	t.Helper()
-	conn, err := net.DialTCP("tcp", nil, l.clients.listener.Addr().(*net.TCPAddr))
+	conn, err := net.DialTCP("tcp", nil, l.listening.listener.Addr().(*net.TCPAddr))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gateway/client_read_ahead_test.go
+++ b/internal/gateway/client_read_ahead_test.go
@@ -35,9 +35,9 @@
 // The memory of read-ahead input is bounded for each connection and for all.
 func TestReadAheadIsBounded(t *testing.T) {
 	l := newTestLoop(t, newFakeDiscovery(t))
-	l.clients.resume(l)
-	t.Cleanup(l.clients.pause)
-	far := (&rig{addr: l.clients.listener.Addr().String()}).client(t)
+	l.listening.resume()
+	t.Cleanup(l.listening.pause)
+	far := (&rig{addr: l.listening.listener.Addr().String()}).client(t)
 	near := wait(t, l.events.Queue(), "the connection").(clientConnected).conn
 	defer func() { _ = near.Close() }()
 	go func() { _, _ = far.conn.Write(make([]byte, 2*maxReadAhead)) }()
--- a/internal/gateway/descriptors_test.go
+++ b/internal/gateway/descriptors_test.go
@@ -30,7 +30,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer func() { _ = l.clients.listener.Close() }()
+			defer func() { _ = l.listening.listener.Close() }()
 			want := descriptors.NewBudget(test.want, false)
 			got := descriptors.Budget{
 				PerSide: l.clients.limit, ClientSlots: cap(l.clients.slots), Operators: want.Operators,
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -2,19 +2,61 @@
 
 import (
 	"context"
+	"log/slog"
 	"slices"
 	"time"
 
 	"sparspread/internal/config"
 	"sparspread/internal/discovery"
+	"sparspread/internal/phase"
 	"sparspread/policy"
 )
 
-// endpointList is what the loop keeps of the endpoint list beside the backends themselves.
+// endpointPhase is where the endpoint list comes from.
+type endpointPhase uint8
+
+const (
+	endpointsConfigured endpointPhase = iota // from the configuration
+	endpointsInherited                       // from a predecessor's state
+	endpointsReceived                        // from discovery
+)
+
+// String is the phase as the log has it.
+func (p endpointPhase) String() string { return [...]string{"configured", "inherited", "received"}[p] }
+
+// endpointSteps are the legal steps: a list never gives way to an older source.
+var endpointSteps = phase.Steps[endpointPhase]{
+	endpointsConfigured: {endpointsInherited, endpointsReceived},
+	endpointsInherited:  {endpointsReceived},
+}
+
+// endpointGateway is what endpoint updates need of the gateway.
+type endpointGateway interface {
+	// updateEndpoints applies a list, or its changes, and has the policy decide by it.
+	updateEndpoints(policy.UpdateKind, []discovery.Endpoint)
+	// reportUnavailable tells the policy that discovery does not answer.
+	reportUnavailable()
+	// drainingEndpoint returns an endpoint as it was last listed, if that was as draining.
+	drainingEndpoint(id string) (endpoint discovery.Endpoint, draining bool)
+	// startAccepting has clients accepted, or the predecessor asked to hand over.
+	startAccepting()
+}
+
+// endpointList is what is known of the endpoint list beside the backends themselves: its source, its newest
+// revision and the numbers of its zones. A zone's number never changes. It belongs to the loop.
 type endpointList struct {
-	received       bool     // the service has sent an update
+	phase          phase.Machine[endpointPhase]
 	newestRevision uint64   // of all updates
 	zones          []string // by number, this gateway's own first
+	gateway        endpointGateway
+}
+
+// newEndpointList returns the list with the zones of a configuration.
+func newEndpointList(zones []string, gateway endpointGateway, log *slog.Logger) *endpointList {
+	return &endpointList{
+		phase: phase.New("endpoints", endpointsConfigured, endpointSteps, reportIllegalStep(log)),
+		zones: zones, gateway: gateway,
+	}
 }
 
 // zoneNumber returns the number of a zone; a new zone gets the next one.
@@ -26,54 +68,86 @@
 	return len(e.zones) - 1
 }
 
-// discoveryConfig returns the part of the configuration that the discovery client needs.
-func discoveryConfig(cfg *config.Config) discovery.Config {
-	c := discovery.Config{
-		Address: cfg.Discovery, Seed: cfg.Seed, Poll: cfg.Settings.PollEndpoints,
-		DrainGrace:  time.Duration(cfg.Host.DrainGrace) * time.Microsecond,
-		MemoryBytes: int64(cfg.MemoryMB) << 20,
+// inherit applies the list of a predecessor, unless discovery has sent one already.
+func (e *endpointList) inherit(endpoints []discovery.Endpoint) {
+	if !e.phase.Is(endpointsReceived) && e.phase.Step(endpointsInherited) {
+		e.gateway.updateEndpoints(policy.UpdateStale, endpoints)
 	}
-	if cfg.Known.Complete {
-		revision := cfg.Known.Revision
-		c.KnownRevision = &revision
+}
+
+// handle applies an event of the discovery client. Clients are accepted from the first list on.
+func (e *endpointList) handle(event discovery.Event) {
+	if event.Kind == policy.UpdateUnavailable {
+		e.gateway.reportUnavailable()
+		return
 	}
-	return c
+	if !e.phase.Is(endpointsReceived) {
+		e.phase.Step(endpointsReceived)
+	}
+	e.retainDraining(&event.Update)
+	e.gateway.updateEndpoints(event.Kind, event.Update.Endpoints)
+	e.gateway.startAccepting()
 }
 
-// postEndpoints hands an event of the discovery client to the loop, ahead of all other work: nothing that
-// was queued before a drain was announced may be sent after its grace.
-func (l *Loop) postEndpoints(ctx context.Context, e discovery.Event) {
-	l.events.PostUrgent(ctx, endpointsUpdated{e})
+// retainDraining corrects an update that is older than the newest one, as another address may send at first:
+// a backend that a newer update has announced as draining stays so, unless it has started anew since.
+func (e *endpointList) retainDraining(update *discovery.Update) {
+	if update.Revision >= e.newestRevision {
+		e.newestRevision = update.Revision
+		return
+	}
+	for i := range update.Endpoints {
+		endpoint := &update.Endpoints[i]
+		known, draining := e.gateway.drainingEndpoint(endpoint.ID)
+		if draining && known.UpSinceMS == endpoint.UpSinceMS {
+			endpoint.Phase = known.Phase
+		}
+	}
 }
 
 // endpointsUpdated is an event of the discovery client.
 type endpointsUpdated struct{ discovery.Event }
 
-func (e endpointsUpdated) Handle(l *Loop) {
-	if e.Kind == policy.UpdateUnavailable {
-		l.controller.UpdateEndpoints(l.events.Now(), e.Kind, nil)
-		return
+func (e endpointsUpdated) Handle(l *Loop) { l.endpoints.handle(e.Event) }
+
+// loopEndpoints implements endpointGateway.
+type loopEndpoints struct{ *Loop }
+
+func (l loopEndpoints) updateEndpoints(kind policy.UpdateKind, list []discovery.Endpoint) {
+	l.backends.updateEndpoints(l.Loop, kind, list)
+}
+
+func (l loopEndpoints) reportUnavailable() {
+	l.controller.UpdateEndpoints(l.events.Now(), policy.UpdateUnavailable, nil)
+}
+
+func (l loopEndpoints) drainingEndpoint(id string) (endpoint discovery.Endpoint, draining bool) {
+	b := l.backends.byID[id]
+	if b == nil || b.state != policy.EndpointDraining {
+		return discovery.Endpoint{}, false
 	}
-	l.endpoints.received = true
-	l.keepDraining(&e.Update)
-	l.backends.updateEndpoints(l, e.Kind, e.Update.Endpoints)
-	l.startAccepting()
+	return b.endpoint, true
 }
 
-// keepDraining corrects an update that is older than the newest one, as another address may send at
-// first: a backend that a newer update has announced as draining stays so, unless it has started anew
-// since.
-func (l *Loop) keepDraining(update *discovery.Update) {
-	if update.Revision >= l.endpoints.newestRevision {
-		l.endpoints.newestRevision = update.Revision
-		return
+// post hands an event of the discovery client to the loop, ahead of all other work: nothing that was queued
+// before a drain was announced may be sent after its grace. Any goroutine may call it.
+func (l loopEndpoints) post(ctx context.Context, e discovery.Event) {
+	l.events.PostUrgent(ctx, endpointsUpdated{e})
+}
+
+// bytesPerMB converts the configured memory.
+const bytesPerMB = 1 << 20
+
+// discoveryConfig returns the part of the configuration that the discovery client needs.
+func discoveryConfig(cfg *config.Config) discovery.Config {
+	c := discovery.Config{
+		Address: cfg.Discovery, Seed: cfg.Seed, Poll: cfg.Settings.PollEndpoints,
+		DrainGrace:  time.Duration(cfg.Host.DrainGrace) * time.Microsecond,
+		MemoryBytes: int64(cfg.MemoryMB) * bytesPerMB,
 	}
-	for i := range update.Endpoints {
-		endpoint := &update.Endpoints[i]
-		b := l.backends.byID[endpoint.ID]
-		if b == nil || b.state != policy.EndpointDraining || b.endpoint.UpSinceMS != endpoint.UpSinceMS {
-			continue
-		}
-		endpoint.Phase = b.endpoint.Phase
+	if cfg.Known.Complete {
+		revision := cfg.Known.Revision
+		c.KnownRevision = &revision
 	}
+	return c
 }
--- /dev/null
+++ b/internal/gateway/endpoints_phase_test.go
@@ -0,0 +1,112 @@
+package gateway
+
+import (
+	"testing"
+
+	"sparspread/internal/discovery"
+	"sparspread/policy"
+)
+
+// fakeEndpointGateway records what endpoint updates have the gateway do.
+type fakeEndpointGateway struct {
+	effects
+	draining map[string]discovery.Endpoint
+	updated  []discovery.Endpoint // by the last update
+}
+
+func (f *fakeEndpointGateway) reportUnavailable() { f.record("reportUnavailable") }
+func (f *fakeEndpointGateway) startAccepting()    { f.record("startAccepting") }
+
+func (f *fakeEndpointGateway) updateEndpoints(_ policy.UpdateKind, list []discovery.Endpoint) {
+	f.record("updateEndpoints")
+	f.updated = list
+}
+
+func (f *fakeEndpointGateway) drainingEndpoint(id string) (discovery.Endpoint, bool) {
+	endpoint, draining := f.draining[id]
+	return endpoint, draining
+}
+
+func newFakeEndpoints() (*endpointList, *fakeEndpointGateway, *[]string) {
+	log, illegal := newStepLog()
+	f := &fakeEndpointGateway{draining: map[string]discovery.Endpoint{}}
+	return newEndpointList([]string{"own"}, f, log), f, illegal
+}
+
+// listed is a complete list of a revision.
+func listed(revision uint64, endpoints ...discovery.Endpoint) discovery.Event {
+	return discovery.Event{
+		Kind: policy.UpdateComplete, Update: discovery.Update{Revision: revision, Endpoints: endpoints},
+	}
+}
+
+func TestEndpointSources(t *testing.T) {
+	e, f, illegal := newFakeEndpoints()
+	e.handle(discovery.Event{Kind: policy.UpdateUnavailable})
+	wantPhase(t, &e.phase, endpointsConfigured)
+	f.want(t, "reportUnavailable")
+	e.inherit(nil)
+	wantPhase(t, &e.phase, endpointsInherited)
+	f.want(t, "updateEndpoints")
+	for range 2 {
+		e.handle(listed(1))
+		wantPhase(t, &e.phase, endpointsReceived)
+		f.want(t, "updateEndpoints", "startAccepting")
+	}
+	wantIllegal(t, illegal)
+}
+
+// What discovery has sent does not give way to a predecessor's list.
+func TestReceivedEndpointsAreNotReplaced(t *testing.T) {
+	e, f, illegal := newFakeEndpoints()
+	e.handle(listed(1))
+	f.want(t, "updateEndpoints", "startAccepting")
+	e.inherit(nil)
+	wantPhase(t, &e.phase, endpointsReceived)
+	f.want(t)
+	wantIllegal(t, illegal)
+}
+
+func TestEndpointsRefuseIllegalSteps(t *testing.T) {
+	e, f, illegal := newFakeEndpoints()
+	e.inherit(nil)
+	f.want(t, "updateEndpoints")
+	e.inherit(nil)
+	wantPhase(t, &e.phase, endpointsInherited)
+	f.want(t)
+	wantIllegal(t, illegal, "endpoints: no step from inherited to inherited")
+}
+
+// An update of an older revision does not end a drain, but a restart since then does.
+func TestOlderUpdatesRetainDraining(t *testing.T) {
+	e, f, _ := newFakeEndpoints()
+	e.handle(listed(5))
+	f.draining["a"] = discovery.Endpoint{ID: "a", Phase: "Terminating", UpSinceMS: 100}
+	for _, update := range []struct {
+		revision  uint64
+		upSinceMS int64
+		want      string
+	}{
+		{4, 100, "Terminating"}, {4, 200, "Ready"}, {5, 100, "Ready"}, {6, 100, "Ready"},
+	} {
+		e.handle(listed(update.revision,
+			discovery.Endpoint{ID: "a", Phase: "Ready", UpSinceMS: update.upSinceMS},
+			discovery.Endpoint{ID: "b", Phase: "Ready", UpSinceMS: update.upSinceMS}))
+		if got := f.updated; got[0].Phase != update.want || got[1].Phase != "Ready" {
+			t.Errorf("revision %d, started at %d: phases %s and %s, want %s and Ready",
+				update.revision, update.upSinceMS, got[0].Phase, got[1].Phase, update.want)
+		}
+	}
+}
+
+func TestZonesKeepTheirNumbers(t *testing.T) {
+	e, _, _ := newFakeEndpoints()
+	for _, zone := range []struct {
+		name   string
+		number int
+	}{{"own", 0}, {"b", 1}, {"c", 2}, {"b", 1}, {"own", 0}} {
+		if got := e.zoneNumber(zone.name); got != zone.number {
+			t.Errorf("zone %s has number %d, want %d", zone.name, got, zone.number)
+		}
+	}
+}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -35,32 +35,32 @@
 	l.start(ctx)
 	go control.run(ctx, l)
 	l.events.Run()
-	_ = l.clients.listener.Close() // may be closed already
+	l.listening.close()
 	l.ops.Close()
 	l.gossip.Close()
-	l.handoverListener.Close(!l.handover.hasGivenOwnership())
-	if l.predecessor != nil {
-		l.predecessor.Abandon()
-	}
-	if l.handover != nil {
-		l.handover.link.CloseAndWait()
-	}
+	l.handover.stopListening()
+	l.takeover.close()
+	l.handover.close()
 }
 
 // newLoop makes a gateway and opens its sockets. Clients are accepted once it is ready.
 func newLoop(cfg config.Config, log *slog.Logger, clock eventloop.Clock) (*Loop, error) {
 	l := &Loop{
-		log: log, clock: clock, requests: newRequestTable(),
-		endpoints: endpointList{zones: cfg.Host.Zones}, metrics: &metrics.Metrics{},
+		log: log, clock: clock, requests: newRequestTable(), metrics: &metrics.Metrics{},
 	}
 	l.events = eventloop.New(l, clock)
+	l.endpoints = newEndpointList(cfg.Host.Zones, loopEndpoints{l}, log)
+	l.reload = newReload(loopReload{l}, log)
+	l.handover = newOutgoingHandover(loopHandover{l}, log)
+	l.shutdown = newShutdown(loopShutdown{l}, log)
 	l.counter = newCounter(&cfg, l.events.Post)
-	l.discovery = discovery.New(discoveryConfig(&cfg), log, l.postEndpoints)
+	l.discovery = discovery.New(discoveryConfig(&cfg), log, loopEndpoints{l}.post)
 	l.applyConfig(&cfg)
 	limitMemory(&cfg, 1)
 	budget := descriptors.NewBudget(descriptors.Usable(&cfg, log), l.counter != nil)
 	l.backends = newBackends(&cfg, budget.PerSide)
 	l.clients = newClients(budget)
+	l.listening = newListening(l.clients.slots, l.events.Post, log)
 	var err error
 	if l.controller, err = policy.New(cfg.Settings, cfg.Seed, l); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
@@ -68,10 +68,11 @@
 	if l.ops, err = ops.Listen(cfg.Ops, budget.Operators, l.metrics.Page); err != nil {
 		return nil, err
 	}
-	l.pendingTakeover = handover.Dial(cfg.Listen, log)
+	predecessor := handover.Dial(cfg.Listen, log)
+	l.takeover = newTakeover(predecessor, loopTakeover{l}, log)
 	l.gossip = newGossip(&cfg, log, l.events.Post)
-	if l.pendingTakeover != nil {
-		l.clients.listener = l.pendingTakeover.Clients
+	if predecessor != nil {
+		l.listening.listener = predecessor.Clients
 		return l, nil
 	}
 	if cfg.Settings.Gossip {
@@ -79,7 +80,7 @@
 			return nil, err
 		}
 	}
-	return l, l.listen()
+	return l, l.listening.bind(cfg.Listen)
 }
 
 // start applies the configured endpoint list and starts reading from discovery, peers and operators.
@@ -111,9 +112,9 @@
 // them, it is asked to hand over first.
 func (l *Loop) startAccepting() {
 	switch {
-	case l.accepting:
-	case l.pendingTakeover != nil:
-		l.pendingTakeover.Start(successorEvents{l})
+	case !l.listening.isWaiting():
+	case l.takeover.hasPredecessor():
+		l.takeover.request(successorEvents{l})
 	default:
 		l.accept()
 	}
@@ -121,10 +122,11 @@
 
 // accept accepts clients on the listener at hand.
 func (l *Loop) accept() {
-	l.accepting = true
-	l.log.Info("ready", "listen", l.clients.listener.Addr().String(), "backends", len(l.backends.byNumber))
-	l.clients.resume(l)
-	l.listenForSuccessor()
+	l.log.Info("ready", "listen", l.listening.listener.Addr().String(), "backends", len(l.backends.byNumber))
+	l.listening.resume()
+	if listener := l.handover.listen(l.config.Listen); listener != nil {
+		go listener.Serve(l.listening.listener, l.gossip.Conn(), predecessorEvents{l})
+	}
 	l.ops.SetReady(!l.shutdown.hasStarted())
 }
 
--- /dev/null
+++ b/internal/gateway/handover.go
@@ -0,0 +1,400 @@
+package gateway
+
+import (
+	"context"
+	"log/slog"
+	"syscall"
+
+	"sparspread/internal/discovery"
+	"sparspread/internal/handover"
+	"sparspread/internal/phase"
+	"sparspread/internal/resp"
+	"sparspread/policy"
+)
+
+// This file is the process that hands over. Each step can be the last one. Until the successor has accepted
+// the state and was told to go on, this process serves; from then on the successor does. Only one of them
+// grants at any time.
+
+// stateTimeout is how long a successor may take to accept the state.
+const stateTimeout = 1 * second
+
+// handoverPhase is how far this process has handed over to a successor.
+type handoverPhase uint8
+
+const (
+	handoverNone     handoverPhase = iota // this process decides
+	handoverOffered                       // nobody decides: the state was sent and is not accepted yet
+	handoverAccepted                      // the successor decides; open requests end here
+)
+
+// String is the phase as the log has it.
+func (p handoverPhase) String() string {
+	return [...]string{"none", "offered", "accepted"}[p]
+}
+
+// handoverSteps are the legal steps. A successor that ends, or takes too long, leads back to none.
+var handoverSteps = phase.Steps[handoverPhase]{
+	handoverNone:     {handoverOffered},
+	handoverOffered:  {handoverAccepted, handoverNone},
+	handoverAccepted: {handoverNone},
+}
+
+// successorLink is the connection to a successor: a *handover.Link.
+type successorLink interface {
+	SendState(encoded []byte)
+	SendGo()
+	SendClient(client handover.ClientConnection, input []byte, socket syscall.RawConn, onSent func()) error
+	SendAttemptSent(handover.AttemptSent) error
+	SendAttemptEnded(policy.Outcome) error
+	SendCostSettled(handover.CostSettled) error
+	IsClosed() bool
+	Close()
+	CloseAndWait()
+}
+
+// handoverGateway is what a handover needs of the gateway.
+type handoverGateway interface {
+	// mayHandOver reports whether this process has clients to hand over.
+	mayHandOver() bool
+	// exportState returns the encoded state.
+	exportState() ([]byte, error)
+	// pauseServing has no client accepted and no gossip sent.
+	pauseServing()
+	// giveUpOwnership closes what the successor has now.
+	giveUpOwnership()
+	// stopReading has each client's connection follow once nothing is open on it.
+	stopReading()
+	// retainOwnership ends pauseServing: this process has decided all the time.
+	retainOwnership()
+	// resumeOwnership serves again after a successor has decided.
+	resumeOwnership()
+	// handleQueued handles a command that was read while nobody decided.
+	handleQueued(commandReceived)
+	// endIfIdle ends the gateway where it shuts down and nothing is open.
+	endIfIdle()
+	// setStateTimeout has expire called when the successor has had its time to accept the state.
+	setStateTimeout(successorLink)
+}
+
+// outgoingHandover is the handover from this process to a successor. It owns the link to the successor, the
+// socket at which one asks, and the commands that were read while nobody decided: there are such only in the
+// phase offered. A link is there unless the phase is none. It belongs to the loop.
+type outgoingHandover struct {
+	phase          phase.Machine[handoverPhase]
+	listener       *handover.Listener // where a successor asks; nil: nowhere
+	link           successorLink      // nil: none
+	queuedCommands []commandReceived  // for the successor, read since the state was exported
+	gateway        handoverGateway
+	log            *slog.Logger
+}
+
+func newOutgoingHandover(gateway handoverGateway, log *slog.Logger) *outgoingHandover {
+	return &outgoingHandover{
+		phase:   phase.New("handover", handoverNone, handoverSteps, reportIllegalStep(log)),
+		gateway: gateway, log: log,
+	}
+}
+
+// isActive reports whether a successor is taking over or has done so.
+func (h *outgoingHandover) isActive() bool { return !h.phase.Is(handoverNone) }
+
+// hasGivenOwnership reports whether a successor decides now.
+func (h *outgoingHandover) hasGivenOwnership() bool { return h.phase.Is(handoverAccepted) }
+
+// offer sends the state to a successor that asks for it. From here on no command is processed and nothing is
+// granted until the successor has accepted the state.
+func (h *outgoingHandover) offer(link successorLink) {
+	if h.isActive() || !h.gateway.mayHandOver() {
+		link.Close()
+		return
+	}
+	state, err := h.gateway.exportState()
+	if err != nil {
+		h.log.Error("handover: state not encoded", "error", err)
+		link.Close()
+		return
+	}
+	if !h.phase.Step(handoverOffered) {
+		return
+	}
+	h.link = link
+	h.gateway.pauseServing()
+	link.SendState(state)
+	h.gateway.setStateTimeout(link)
+}
+
+// accept gives up ownership: the successor on the link has decoded the state and decides.
+func (h *outgoingHandover) accept(link successorLink) {
+	if h.link != link || link.IsClosed() || !h.phase.Step(handoverAccepted) {
+		return
+	}
+	link.SendGo()
+	h.gateway.giveUpOwnership()
+	for _, command := range h.queuedCommands {
+		h.queue(command)
+	}
+	h.queuedCommands = nil
+	h.gateway.stopReading()
+	h.gateway.endIfIdle()
+}
+
+// expire ends a handover whose state was not accepted in time.
+func (h *outgoingHandover) expire(link successorLink) {
+	if h.link == link && h.phase.Is(handoverOffered) {
+		link.Close()
+		h.end()
+	}
+}
+
+// successorExited ends the handover to a successor that has ended or given up.
+func (h *outgoingHandover) successorExited(link successorLink) {
+	link.Close()
+	if h.link == link {
+		h.end()
+	}
+}
+
+// end ends a handover: this process serves again.
+func (h *outgoingHandover) end() {
+	given, commands := h.hasGivenOwnership(), h.queuedCommands
+	if !h.phase.Step(handoverNone) {
+		return
+	}
+	h.link, h.queuedCommands = nil, nil
+	if given {
+		h.gateway.resumeOwnership()
+	} else {
+		h.gateway.retainOwnership()
+	}
+	for _, command := range commands {
+		h.gateway.handleQueued(command)
+	}
+	h.gateway.endIfIdle()
+}
+
+// queue sets a command aside that the successor is to decide on.
+func (h *outgoingHandover) queue(e commandReceived) {
+	if !h.hasGivenOwnership() {
+		h.queuedCommands = append(h.queuedCommands, e)
+		return
+	}
+	e.client.handoverInput = appendCommand(e.client.handoverInput, e.args)
+	<-e.client.pipelineSlots
+}
+
+func appendCommand(b []byte, args [][]byte) []byte {
+	b = resp.AppendArray(b, len(args))
+	for _, arg := range args {
+		b = resp.AppendBulk(b, arg)
+	}
+	return b
+}
+
+// canSend reports whether there is a successor that can be told something.
+func (h *outgoingHandover) canSend() bool { return h.isActive() && !h.link.IsClosed() }
+
+// sendClient sends a client's connection, as SendClient of the link does. It may be called once ownership is
+// given.
+func (h *outgoingHandover) sendClient(
+	client handover.ClientConnection, input []byte, socket syscall.RawConn, onSent func(),
+) {
+	h.warn(h.link.SendClient(client, input, socket, onSent))
+}
+
+// reportAttemptSent tells a successor of a further attempt of a request that stayed here.
+func (h *outgoingHandover) reportAttemptSent(requestID uint64, backend uint32) {
+	if h.canSend() {
+		h.warn(h.link.SendAttemptSent(handover.AttemptSent{RequestID: requestID, Backend: backend}))
+	}
+}
+
+// reportAttemptEnded tells a successor of the outcome of an attempt of such a request.
+func (h *outgoingHandover) reportAttemptEnded(ended policy.Outcome) {
+	if h.canSend() {
+		h.warn(h.link.SendAttemptEnded(ended))
+	}
+}
+
+// reportCostSettled tells a successor what such a request cost beyond its estimate.
+func (h *outgoingHandover) reportCostSettled(customer uint64, extra float64) {
+	if h.canSend() {
+		h.warn(h.link.SendCostSettled(handover.CostSettled{Customer: customer, Extra: extra}))
+	}
+}
+
+// warn logs a message that could not be encoded: the successor goes on without it.
+func (h *outgoingHandover) warn(err error) {
+	if err != nil {
+		h.log.Warn("handover: report not sent", "error", err)
+	}
+}
+
+// listen lets a new process ask for the handover. Without it this process serves all the same, and the next
+// one binds beside it. It returns nil where no process can ask.
+func (h *outgoingHandover) listen(address string) *handover.Listener {
+	path := handover.SocketPath(address)
+	if path == "" {
+		return nil
+	}
+	listener, err := handover.Listen(path, h.log)
+	if err != nil {
+		h.log.Warn("handover: no socket, a second process will bind on its own", "error", err)
+		return nil
+	}
+	h.listener = listener
+	return listener
+}
+
+// stopListening closes the socket at which a successor asks. Its file stays where a successor has put its own
+// there.
+func (h *outgoingHandover) stopListening() { h.listener.Close(!h.hasGivenOwnership()) }
+
+// close ends the link once all that was sent has arrived, for which it waits for a limited time.
+func (h *outgoingHandover) close() {
+	if h.isActive() {
+		h.link.CloseAndWait()
+	}
+}
+
+// loopHandover implements handoverGateway.
+type loopHandover struct{ *Loop }
+
+func (l loopHandover) mayHandOver() bool {
+	return !l.shutdown.isClosing() && !l.listening.isWaiting()
+}
+
+func (l loopHandover) exportState() ([]byte, error) {
+	return handover.EncodeState(&handover.State{
+		NextRequestID: l.requests.lastID,
+		Endpoints:     l.backends.listedEndpoints(),
+		Policy:        l.controller.Export(l.events.Now()),
+	})
+}
+
+// listedEndpoints returns the endpoints that discovery lists.
+func (bs *backends) listedEndpoints() []discovery.Endpoint {
+	endpoints := make([]discovery.Endpoint, 0, len(bs.byID))
+	for _, b := range bs.byID {
+		if b.state != policy.EndpointRemoved {
+			endpoints = append(endpoints, b.endpoint)
+		}
+	}
+	return endpoints
+}
+
+func (l loopHandover) pauseServing() {
+	l.listening.pause()
+	l.gossip.Pause()
+}
+
+func (l loopHandover) setStateTimeout(link successorLink) {
+	l.events.After(stateTimeout, stateTimer{link})
+}
+
+func (l loopHandover) giveUpOwnership() {
+	l.log.Info("handed over", "open", l.requests.open, "clients", len(l.clients.conns))
+	l.ops.SetReady(false)
+	l.handover.stopListening()
+	l.listening.handOver()
+	l.gossip.Close()
+	l.controller.GiveUpOwnership(l.events.Now())
+	for _, b := range l.backends.byNumber {
+		l.backends.closeIdle(b)
+	}
+	limitMemory(l.config, twoProcesses)
+}
+
+func (l loopHandover) stopReading() {
+	for c := range l.clients.conns {
+		c.stopReading()
+	}
+}
+
+func (l loopHandover) retainOwnership() {
+	l.log.Warn("handover: this process goes on")
+	if l.listening.isPaused() { // otherwise a shutdown has resumed it to empty the backlog
+		l.listening.resume()
+	}
+	l.gossip.Resume()
+	l.controller.AdvertiseAll()
+}
+
+// resumeOwnership goes on where a successor had decided. What that granted is unknown, and the sockets ended
+// with it.
+func (l loopHandover) resumeOwnership() {
+	l.log.Warn("handover: the new process has ended, this one serves again")
+	limitMemory(l.config, oneProcess)
+	l.controller.ResumeOwnership(l.events.Now())
+	if !l.shutdown.hasStarted() {
+		l.rebind()
+	}
+	for c := range l.clients.conns {
+		c.resumeReading(l.Loop)
+	}
+}
+
+// rebindDelay is the pause after a bind that failed: another process may still hold the address.
+const rebindDelay = 100 * millisecond
+
+// rebind binds the sockets that a successor had taken, and retries until that succeeds.
+func (l loopHandover) rebind() {
+	err := l.listening.bind(l.config.Listen)
+	if err == nil && l.config.Settings.Gossip {
+		if err = l.gossip.Listen(); err != nil {
+			l.listening.close()
+		}
+	}
+	if err != nil {
+		l.log.Error("handover: bind again", "error", err)
+		l.events.After(rebindDelay, rebindTimer{})
+		return
+	}
+	l.gossip.Resume()
+	l.accept()
+}
+
+// rebindTimer tries again to bind the sockets that a successor had taken.
+type rebindTimer struct{}
+
+func (rebindTimer) Handle(l *Loop) {
+	if !l.shutdown.hasStarted() {
+		loopHandover{l}.rebind()
+	}
+}
+
+func (l loopHandover) handleQueued(command commandReceived) {
+	l.memory.queued.Add(int64(command.size)) // which its handling subtracts a second time
+	command.Handle(l.Loop)
+}
+
+func (l loopHandover) endIfIdle() { l.shutdown.endIfIdle() }
+
+// predecessorEvents posts the steps of a handover ahead of queued requests.
+type predecessorEvents struct{ loop *Loop }
+
+func (p predecessorEvents) TakeoverRequested(link *handover.Link) { p.post(takeoverRequested{link}) }
+func (p predecessorEvents) StateAccepted(link *handover.Link)     { p.post(stateAccepted{link}) }
+func (p predecessorEvents) SuccessorExited(link *handover.Link)   { p.post(successorExited{link}) }
+
+func (p predecessorEvents) post(e event) { p.loop.events.PostUrgent(context.Background(), e) }
+
+// takeoverRequested: a successor is ready for the state.
+type takeoverRequested struct{ link *handover.Link }
+
+func (e takeoverRequested) Handle(l *Loop) { l.handover.offer(e.link) }
+
+// stateAccepted: the successor has decoded the state.
+type stateAccepted struct{ link *handover.Link }
+
+func (e stateAccepted) Handle(l *Loop) { l.handover.accept(e.link) }
+
+// stateTimer ends a handover whose state was not accepted in time.
+type stateTimer struct{ link successorLink }
+
+func (t stateTimer) Handle(l *Loop) { l.handover.expire(t.link) }
+
+// successorExited: the successor has ended or given up.
+type successorExited struct{ link *handover.Link }
+
+func (e successorExited) Handle(l *Loop) { l.handover.successorExited(e.link) }
--- a/internal/gateway/handover_clients.go
+++ b/internal/gateway/handover_clients.go
@@ -44,7 +44,7 @@
 // canBeHandedOver reports whether nothing is open on the connection and a successor can take it.
 func (c *client) canBeHandedOver(l *Loop) bool {
 	return c.readerStopped && !c.closed && !c.closeWhenDrained && len(c.pipeline) == 0 &&
-		l.handover.hasGivenOwnership() && !l.handover.link.IsClosed() && c.writer.Idle()
+		l.handover.hasGivenOwnership() && l.handover.canSend() && c.writer.Idle()
 }
 
 // handOver sends the connection to the successor, with the input that was read and not processed.
@@ -58,13 +58,13 @@
 	<-l.clients.slots
 	conn, input := c.conn, c.handoverInput
 	c.handoverInput = nil
-	l.warnOfHandover(l.handover.link.SendClient(
+	l.handover.sendClient(
 		handover.ClientConnection{
 			Requests: c.commands, OpenedAt: c.openedAt, Age: max(time.Microsecond, time.Since(c.openedAt)),
 		},
 		input,
 		c.writer.RawConn(),
 		func() { _ = conn.Close() }, // the successor has a descriptor of its own, or the connection ends here
-	))
-	l.shutdown.endIfIdle(l)
+	)
+	l.shutdown.endIfIdle()
 }
--- a/internal/gateway/handover_older_test.go
+++ b/internal/gateway/handover_older_test.go
@@ -249,7 +249,7 @@
 	old.play(olderAttemptAgain)
 	old.play(olderAttemptOver)
 	old.link.Close()
-	for inspectLoop(t, r, func(l *Loop) bool { return l.predecessorRunning }) {
+	for inspectLoop(t, r, func(l *Loop) bool { return l.takeover.predecessorRuns() }) {
 		r.sync(t)
 	}
 	got, want := findCustomer(t, exportedState(t, r), 7), findCustomer(t, recorded, 7)
@@ -319,7 +319,7 @@
 		t.Fatalf("version %d with %d endpoints and state %v", state.Version, len(state.Members), state.Module)
 	}
 	s.idle.sendOnce(4, "team")
-	for inspectLoop(t, s.rig, func(l *Loop) int { return len(l.handover.heldCommands) }) == 0 {
+	for inspectLoop(t, s.rig, func(l *Loop) int { return len(l.handover.queuedCommands) }) == 0 {
 		s.rig.sync(t)
 	}
 	link.Send(olderAccepted, nil)
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -9,7 +9,6 @@
 	"sparspread/internal/discovery"
 	"sparspread/internal/eventloop"
 	"sparspread/internal/gossip"
-	"sparspread/internal/handover"
 	"sparspread/internal/metrics"
 	"sparspread/internal/ops"
 	"sparspread/policy"
@@ -40,19 +39,17 @@
 	gossip       *gossip.Transport
 	counter      *counter.Client // nil: there is none
 	discovery    *discovery.Client
-	endpoints    endpointList
 	ops          *ops.Server
 	metrics      *metrics.Metrics
 	classMetrics []*metrics.Class // in the order of the classes in force
 
-	accepting bool // clients are accepted, or were until a shutdown
-	shutdown  shutdownState
-
-	handoverListener   *handover.Listener // where a successor asks for the handover; nil: nowhere
-	pendingTakeover    *handover.Takeover // from a process that still serves; nil: none
-	predecessor        *handover.Takeover // the same once it has handed over
-	predecessorRunning bool               // it has not ended yet
-	handover           *outgoingHandover  // to a successor; nil: none
+	// Control, each with its phase.
+	listening *listening
+	endpoints *endpointList
+	reload    *reload
+	takeover  *takeover
+	handover  *outgoingHandover
+	shutdown  *shutdown
 }
 
 // requestTable holds the open requests. It belongs to the loop.
--- a/internal/gateway/loop_rig_test.go
+++ b/internal/gateway/loop_rig_test.go
@@ -39,9 +39,9 @@
 // client's handled.
 func connectWithRequest(t *testing.T, l *Loop, fields string) *testClient {
 	t.Helper()
-	l.clients.resume(l)
-	t.Cleanup(l.clients.pause)
-	c := (&rig{addr: l.clients.listener.Addr().String()}).client(t)
+	l.listening.resume()
+	t.Cleanup(l.listening.pause)
+	c := (&rig{addr: l.listening.listener.Addr().String()}).client(t)
 	handleNext(t, l, "the connection")
 	fields += ",t=team,d=60000,units=1,spread=1,first=0"
 	c.send("API.WRITE", "0000000000000007", "00000000000000a1", fields, "x")
--- a/internal/gateway/ops_test.go
+++ b/internal/gateway/ops_test.go
@@ -82,7 +82,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = l.clients.listener.Close() }()
+	defer func() { _ = l.listening.listener.Close() }()
 	defer l.ops.Close()
 	go l.ops.Serve()
 	r := &rig{loop: l} // its loop never runs
--- /dev/null
+++ b/internal/gateway/phases_test.go
@@ -0,0 +1,114 @@
+package gateway
+
+import (
+	"context"
+	"log/slog"
+	"slices"
+	"testing"
+
+	"sparspread/internal/phase"
+)
+
+// stepLog is a log handler that collects the illegal steps of state machines.
+type stepLog struct {
+	slog.Handler
+	illegal *[]string
+}
+
+// newStepLog returns a log, and the illegal steps that are written to it.
+func newStepLog() (log *slog.Logger, illegal *[]string) {
+	illegal = new([]string)
+	return slog.New(stepLog{slog.DiscardHandler, illegal}), illegal
+}
+
+// Enabled implements slog.Handler.
+func (stepLog) Enabled(context.Context, slog.Level) bool { return true }
+
+// Handle implements slog.Handler.
+func (h stepLog) Handle(_ context.Context, record slog.Record) error {
+	if record.Message == illegalStepMessage && record.Level == slog.LevelError {
+		record.Attrs(func(a slog.Attr) bool {
+			*h.illegal = append(*h.illegal, a.Value.String())
+			return true
+		})
+	}
+	return nil
+}
+
+// wantIllegal checks which steps were reported as illegal, and forgets them.
+func wantIllegal(t *testing.T, illegal *[]string, want ...string) {
+	t.Helper()
+	if !slices.Equal(*illegal, want) {
+		t.Errorf("illegal steps %q, want %q", *illegal, want)
+	}
+	*illegal = nil
+}
+
+// wantPhase checks the phase of a state machine.
+func wantPhase[P phase.Phase](t *testing.T, m *phase.Machine[P], want P) {
+	t.Helper()
+	if m.Current() != want {
+		t.Errorf("phase %s, want %s", m.Current(), want)
+	}
+}
+
+// effects records the names of the methods that a control type calls on its gateway.
+type effects struct{ calls []string }
+
+func (e *effects) record(call string) { e.calls = append(e.calls, call) }
+
+// want checks the calls since the last check.
+func (e *effects) want(t *testing.T, calls ...string) {
+	t.Helper()
+	if !slices.Equal(e.calls, calls) {
+		t.Errorf("calls %q, want %q", e.calls, calls)
+	}
+	e.calls = nil
+}
+
+// checkTable checks that a table reaches each of n phases from the first ones, and that each has a name of
+// its own.
+func checkTable[P interface {
+	phase.Phase
+	~uint8
+}](t *testing.T, steps phase.Steps[P], n int, first ...P) {
+	t.Helper()
+	reached := map[P]bool{}
+	for queue := first; len(queue) > 0; queue = queue[1:] {
+		if !reached[queue[0]] {
+			reached[queue[0]] = true
+			queue = append(queue, steps[queue[0]]...)
+		}
+	}
+	names := map[string]bool{}
+	for p := range P(n) {
+		if !reached[p] {
+			t.Errorf("no way leads to %s", p)
+		}
+		names[p.String()] = true
+	}
+	if len(reached) != n || len(names) != n {
+		t.Errorf("%d phases with %d names are reached, want %d", len(reached), len(names), n)
+	}
+}
+
+func TestPhaseTablesReachEachPhase(t *testing.T) {
+	t.Run("listening", func(t *testing.T) {
+		checkTable(t, listeningSteps, 6, listeningWaiting)
+	})
+	t.Run("takeover", func(t *testing.T) {
+		checkTable(t, takeoverSteps, 6, takeoverNone, takeoverPending)
+	})
+	t.Run("handover", func(t *testing.T) {
+		checkTable(t, handoverSteps, 3, handoverNone)
+	})
+	t.Run("shutdown", func(t *testing.T) {
+		checkTable(t, shutdownSteps, 4, shutdownNone)
+	})
+	t.Run("reload", func(t *testing.T) {
+		checkTable(t, reloadSteps, 3, reloadNone)
+	})
+	t.Run("endpoints", func(t *testing.T) {
+		checkTable(t, endpointSteps, 3, endpointsConfigured)
+	})
+}
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -1,64 +1,89 @@
 package gateway
 
 import (
-	"context"
+	"log/slog"
 
 	"sparspread/internal/config"
+	"sparspread/internal/phase"
 )
 
-// Control is how the surrounding program controls a gateway.
-type Control struct {
-	Stop   <-chan struct{}               // closed for a planned shutdown
-	Reload <-chan struct{}               // receives a value for each reload of the configuration
-	Read   func() (config.Config, error) // reads the configuration as it is now
+// reloadPhase is how far a reload of the configuration has come.
+type reloadPhase uint8
+
+const (
+	reloadNone     reloadPhase = iota // the configuration in force is used
+	reloadChecking                    // another one is checked; nothing of it is used
+	reloadApplying                    // it is right, and is put in force
+)
+
+// String is the phase as the log has it.
+func (p reloadPhase) String() string { return [...]string{"none", "checking", "applying"}[p] }
+
+// reloadSteps are the legal steps: a configuration that is not right is dropped as a whole, before anything
+// of it is applied.
+var reloadSteps = phase.Steps[reloadPhase]{
+	reloadNone:     {reloadChecking},
+	reloadChecking: {reloadNone, reloadApplying},
+	reloadApplying: {reloadNone},
+}
+
+// reloadGateway is what a reload needs of the gateway.
+type reloadGateway interface {
+	// check returns why a configuration can't take the place of the one in force. The policy decides by its
+	// settings from then on where there is no error, and by the old ones otherwise.
+	check(*config.Config) error
+	// applyReload puts a checked configuration in force.
+	applyReload(config.Config)
+	// rejectConfig records a configuration of which nothing is used.
+	rejectConfig(error)
+}
+
+// reload replaces the configuration in force: all of it or, where anything is wrong, nothing. It belongs to
+// the loop, and is in the phase none between two events.
+type reload struct {
+	phase   phase.Machine[reloadPhase]
+	gateway reloadGateway
 }
 
-// run passes commands on to the loop until ctx ends. A configuration that can't be read leaves the one in
-// force.
-func (c Control) run(ctx context.Context, l *Loop) {
-	stop := c.Stop
-	for {
-		var e event
-		select {
-		case <-ctx.Done():
-			return
-		case <-stop:
-			stop, e = nil, shutdownRequested{}
-		case <-c.Reload:
-			cfg, err := c.Read()
-			if err != nil {
-				l.rejectConfig(err)
-				continue
-			}
-			e = configLoaded{cfg}
-		}
-		l.events.PostUrgent(ctx, e) // ahead of queued requests
+func newReload(gateway reloadGateway, log *slog.Logger) *reload {
+	return &reload{
+		phase:   phase.New("reload", reloadNone, reloadSteps, reportIllegalStep(log)),
+		gateway: gateway,
 	}
 }
 
-// rejectConfig records a configuration of which nothing is used. It is safe for any goroutine.
-func (l *Loop) rejectConfig(err error) {
-	l.metrics.ConfigsRejected.Add(1)
-	l.log.Error("reload: the old configuration stays", "error", err)
+// load checks a configuration that was read, and puts it in force. Requests and connections go on.
+func (r *reload) load(cfg config.Config) {
+	if !r.phase.Step(reloadChecking) {
+		return
+	}
+	if err := r.gateway.check(&cfg); err != nil {
+		r.gateway.rejectConfig(err)
+	} else if r.phase.Step(reloadApplying) {
+		r.gateway.applyReload(cfg)
+	}
+	r.phase.Step(reloadNone)
 }
 
 // configLoaded is a configuration that was read for a reload.
 type configLoaded struct{ cfg config.Config }
 
-// handle applies the settings and the addresses of discovery and the counter: all of it or, where anything is
-// wrong, nothing. Requests and connections go on. The endpoint list is read completely at the new address,
-// whose versions need not be those of the old one.
-func (e configLoaded) Handle(l *Loop) {
-	err := l.config.CheckKeys(&e.cfg)
-	if err == nil {
-		err = l.controller.Reload(l.events.Now(), e.cfg.Settings)
-	}
-	if err != nil {
-		l.rejectConfig(err)
-		return
+func (e configLoaded) Handle(l *Loop) { l.reload.load(e.cfg) }
+
+// loopReload implements reloadGateway.
+type loopReload struct{ *Loop }
+
+func (l loopReload) check(cfg *config.Config) error {
+	if err := l.config.CheckKeys(cfg); err != nil {
+		return err
 	}
+	return l.controller.Reload(l.events.Now(), cfg.Settings)
+}
+
+// applyReload applies the settings and the addresses of discovery and the counter. The endpoint list is read
+// completely at the new address, whose versions need not be those of the old one.
+func (l loopReload) applyReload(cfg config.Config) {
 	l.metrics.ConfigsAccepted.Add(1)
-	cfg := e.cfg
 	l.log.Info("reload", "discovery", cfg.Discovery, "counter", cfg.Counter, "classes", cfg.Host.Classes)
 	if fixed := l.config.ChangedFixed(&cfg); len(fixed) > 0 {
 		l.log.Warn("reload: what needs a restart stays as it was", "settings", fixed)
@@ -71,6 +96,12 @@
 	}
 }
 
+// rejectConfig records a configuration of which nothing is used. It is safe for any goroutine.
+func (l *Loop) rejectConfig(err error) {
+	l.metrics.ConfigsRejected.Add(1)
+	l.log.Error("reload: the old configuration stays", "error", err)
+}
+
 // applyConfig puts a configuration in force, also for the goroutines that read from clients.
 func (l *Loop) applyConfig(cfg *config.Config) {
 	l.classMetrics = l.metrics.Classes(cfg.Host.Classes)
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -82,7 +82,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = l.clients.listener.Close() })
+	t.Cleanup(func() { _ = l.listening.listener.Close() })
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go l.counter.Run(ctx)
--- a/internal/gateway/request_body_test.go
+++ b/internal/gateway/request_body_test.go
@@ -124,9 +124,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, b := newLoopWithBackend(t)
-			l.clients.resume(l)
-			t.Cleanup(l.clients.pause)
-			client := (&rig{addr: l.clients.listener.Addr().String()}).client(t)
+			l.listening.resume()
+			t.Cleanup(l.listening.pause)
+			client := (&rig{addr: l.listening.listener.Addr().String()}).client(t)
 			handleNext(t, l, "the connection")
 			_, body := largeHead()
 			client.write(bodyHead(1, "team", len(body)) + body + "\r\n")
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -186,7 +186,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = l.clients.listener.Close() })
+	t.Cleanup(func() { _ = l.listening.listener.Close() })
 	for id := range 2 {
 		args := [][]byte{nil, []byte("7"), fmt.Appendf(nil, "id-%d", id), nil}
 		r := &request{id: uint64(id + 1), client: &client{}, args: args}
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -1,6 +1,7 @@
 package gateway
 
 import (
+	"context"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -50,8 +51,21 @@
 	return func(file map[string]any) { file["settings"] = settingsWith(tb, changes...) }
 }
 
-// discardLog is a log that is discarded.
-func discardLog() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+// discardLog is a log that is discarded, but for an illegal step of a state machine, which panics.
+func discardLog() *slog.Logger {
+	return slog.New(illegalStepPanics{slog.NewTextHandler(io.Discard, nil)})
+}
+
+// illegalStepPanics is a log handler that panics on an illegal step of a state machine.
+type illegalStepPanics struct{ slog.Handler }
+
+// Handle implements slog.Handler.
+func (h illegalStepPanics) Handle(ctx context.Context, record slog.Record) error {
+	if record.Message == illegalStepMessage {
+		record.Attrs(func(a slog.Attr) bool { panic(fmt.Sprint(illegalStepMessage, ": ", a.Value)) })
+	}
+	return h.Handler.Handle(ctx, record)
+}
 
 // fakeClock is a loop's clock that stands still, unless the test advances it or starts it.
 type fakeClock struct {
@@ -199,7 +213,7 @@
 		tb.Fatal(err)
 	}
 	useFakeClock(tb, l)
-	tb.Cleanup(func() { _ = l.clients.listener.Close() })
+	tb.Cleanup(func() { _ = l.listening.listener.Close() })
 	return l
 }
 
@@ -222,7 +236,7 @@
 func serveLoop(tb testing.TB, l *Loop) *rig {
 	tb.Helper()
 	r := &rig{
-		addr: l.clients.listener.Addr().String(), loop: l, clock: useFakeClock(tb, l),
+		addr: l.listening.listener.Addr().String(), loop: l, clock: useFakeClock(tb, l),
 		stopped: make(chan struct{}), ended: make(chan struct{}),
 		reload: make(chan struct{}), configs: make(chan func() (config.Config, error), 1),
 	}
--- a/internal/gateway/scale_test.go
+++ b/internal/gateway/scale_test.go
@@ -31,7 +31,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			defer func() { _ = l.clients.listener.Close() }()
+			defer func() { _ = l.listening.listener.Close() }()
 			list := endpoints(n)
 			l.backends.updateEndpoints(l, policy.UpdateComplete, list)
 			one := list[:1]
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -1,7 +1,10 @@
 package gateway
 
 import (
+	"log/slog"
+
 	"sparspread/internal/config"
+	"sparspread/internal/phase"
 	"sparspread/policy"
 )
 
@@ -39,46 +42,78 @@
 	return min(answerWithin(c)+closePeriod, longestTimeout(c)+killMargin)
 }
 
-// shutdownPhase is how far a planned shutdown has come. Phases follow each other in this order.
+// shutdownPhase is how far a planned shutdown has come.
 type shutdownPhase uint8
 
 const (
-	phaseServing   shutdownPhase = iota // no shutdown was requested
-	phaseAccepting                      // SIGTERM was received; connections are still accepted
-	phaseClosing                        // no connection is accepted, and those that become idle are ended
-	phaseAnswered                       // everything open was answered, and what still comes is rejected
+	shutdownNone      shutdownPhase = iota // no shutdown was requested
+	shutdownAccepting                      // SIGTERM was received; connections are still accepted
+	shutdownClosing                        // no connection is accepted, and those that become idle are ended
+	shutdownAnswered                       // everything open was answered, and what still comes is rejected
 )
 
-// shutdownState is the state of a planned shutdown.
-type shutdownState struct {
-	phase          shutdownPhase
-	listenerClosed bool // the backlog is empty too: no connection can come any more
+// String is the phase as the log has it.
+func (p shutdownPhase) String() string {
+	return [...]string{"none", "accepting", "closing", "answered"}[p]
 }
 
-func (s *shutdownState) hasStarted() bool     { return s.phase >= phaseAccepting }
-func (s *shutdownState) isClosing() bool      { return s.phase >= phaseClosing }
-func (s *shutdownState) hasAnsweredAll() bool { return s.phase >= phaseAnswered }
+// shutdownSteps are the legal steps: a shutdown that has begun goes through all phases, unless the gateway
+// ends before.
+var shutdownSteps = phase.Steps[shutdownPhase]{
+	shutdownNone:      {shutdownAccepting},
+	shutdownAccepting: {shutdownClosing},
+	shutdownClosing:   {shutdownAnswered},
+}
 
-// shutdownRequested begins a planned shutdown.
-type shutdownRequested struct{}
+// shutdownGateway is what a shutdown needs of the gateway.
+type shutdownGateway interface {
+	// announce logs the shutdown and tells operators that this process is not ready.
+	announce()
+	// abandonTakeover reports whether a predecessor still decides, and leaves it to go on.
+	abandonTakeover() bool
+	// scheduleSteps has takeStep called with each step at its time.
+	scheduleSteps()
+	// stopAccepting closes the sockets for clients and successors, and ends the connections that are idle.
+	stopAccepting()
+	// answerAll answers everything that is open.
+	answerAll()
+	// isIdle reports whether nothing is open any more: clients have read their answers and closed, had their
+	// time for it, or were handed over.
+	isIdle() bool
+	// stop ends the event loop.
+	stop()
+}
+
+// shutdown is the planned shutdown of this process. Its phase only goes forward, and once it is closing no
+// connection is accepted that was not in the backlog. It belongs to the loop.
+type shutdown struct {
+	phase   phase.Machine[shutdownPhase]
+	gateway shutdownGateway
+}
+
+func newShutdown(gateway shutdownGateway, log *slog.Logger) *shutdown {
+	return &shutdown{
+		phase:   phase.New("shutdown", shutdownNone, shutdownSteps, reportIllegalStep(log)),
+		gateway: gateway,
+	}
+}
+
+func (s *shutdown) hasStarted() bool     { return !s.phase.Is(shutdownNone) }
+func (s *shutdown) isClosing() bool      { return s.phase.Is(shutdownClosing, shutdownAnswered) }
+func (s *shutdown) hasAnsweredAll() bool { return s.phase.Is(shutdownAnswered) }
 
-func (shutdownRequested) Handle(l *Loop) {
-	if l.shutdown.hasStarted() {
+// request begins the shutdown. Only the first call counts.
+func (s *shutdown) request() {
+	if s.hasStarted() || !s.phase.Step(shutdownAccepting) {
 		return
 	}
-	l.shutdown.phase = phaseAccepting
-	l.log.Info("stopping", "open", l.requests.open)
-	l.ops.SetReady(false)
-	if !l.accepting && l.pendingTakeover != nil {
-		l.pendingTakeover.Abandon() // the predecessor goes on
-		l.events.Stop()
+	s.gateway.announce()
+	if s.gateway.abandonTakeover() {
+		s.gateway.stop()
 		return
 	}
-	now := l.events.Now()
-	l.events.Schedule(now+acceptPeriod, stepStopAccepting)
-	l.events.Schedule(now+answerWithin(l.config), stepAnswerAll)
-	l.events.Schedule(now+exitWithin(l.config), stepExit)
-	l.shutdown.endIfIdle(l)
+	s.gateway.scheduleSteps()
+	s.endIfIdle()
 }
 
 // shutdownStep is a step of a planned shutdown that is taken at its time.
@@ -90,50 +125,89 @@
 	stepExit
 )
 
-func (s shutdownStep) Handle(l *Loop) {
-	switch s {
+// takeStep takes a step whose time has come.
+func (s *shutdown) takeStep(step shutdownStep) {
+	switch step {
 	case stepStopAccepting:
-		l.stopAccepting()
+		if s.phase.Step(shutdownClosing) {
+			s.gateway.stopAccepting()
+		}
 	case stepAnswerAll:
-		l.answerAll()
+		if s.phase.Step(shutdownAnswered) {
+			s.gateway.answerAll()
+		}
 	case stepExit:
-		l.events.Stop()
+		s.gateway.stop()
+	}
+	s.endIfIdle()
+}
+
+// endIfIdle ends the gateway when nothing is open any more.
+func (s *shutdown) endIfIdle() {
+	if s.gateway.isIdle() {
+		s.gateway.stop()
 	}
-	l.shutdown.endIfIdle(l)
 }
 
-// stopAccepting closes the sockets for clients and successors, and ends the connections that are idle.
-func (l *Loop) stopAccepting() {
-	l.shutdown.phase = phaseClosing
+// shutdownRequested begins a planned shutdown.
+type shutdownRequested struct{}
+
+func (shutdownRequested) Handle(l *Loop) { l.shutdown.request() }
+
+// Handle implements eventloop.Event: the step's time has come.
+func (s shutdownStep) Handle(l *Loop) { l.shutdown.takeStep(s) }
+
+// loopShutdown implements shutdownGateway.
+type loopShutdown struct{ *Loop }
+
+func (l loopShutdown) announce() {
+	l.log.Info("stopping", "open", l.requests.open)
+	l.ops.SetReady(false)
+}
+
+func (l loopShutdown) abandonTakeover() bool {
+	if !l.takeover.isPending() {
+		return false
+	}
+	l.takeover.abandon()
+	return true
+}
+
+func (l loopShutdown) scheduleSteps() {
+	now := l.events.Now()
+	l.events.Schedule(now+acceptPeriod, stepStopAccepting)
+	l.events.Schedule(now+answerWithin(l.config), stepAnswerAll)
+	l.events.Schedule(now+exitWithin(l.config), stepExit)
+}
+
+func (l loopShutdown) stopAccepting() {
 	handedOver := l.handover.hasGivenOwnership()
-	l.handoverListener.Close(!handedOver)
+	l.handover.stopListening()
+	l.listening.shutDown(handedOver)
 	if handedOver {
-		l.shutdown.listenerClosed = true // the successor has it
-		return                           // and gets each connection once nothing is open on it
+		return // the successor gets each connection once nothing is open on it
 	}
-	l.clients.closeListener(l)
 	for c := range l.clients.conns {
 		if c.isMidCommand() {
 			c.closeAfterNextCommand = true // the command is answered first
 		} else {
-			c.closeAfterReplies(l)
+			c.closeAfterReplies(l.Loop)
 		}
 	}
 }
 
-// answerAll answers everything that is open: with SIGKILL it would be lost.
-func (l *Loop) answerAll() {
-	l.shutdown.phase = phaseAnswered
+// answerAll implements shutdownGateway: with SIGKILL what is open would be lost.
+func (l loopShutdown) answerAll() {
 	l.failOpenRequests()
 	if l.handover.hasGivenOwnership() {
 		return
 	}
 	for c := range l.clients.conns {
-		c.closeAfterReplies(l) // also amid a command: its client sends it again
+		c.closeAfterReplies(l.Loop) // also amid a command: its client sends it again
 	}
 }
 
-func (l *Loop) failOpenRequests() {
+func (l loopShutdown) failOpenRequests() {
 	now := l.events.Now()
 	for _, r := range l.requests.byID {
 		if !r.answered {
@@ -143,13 +217,12 @@
 	}
 }
 
-// endIfIdle ends the gateway when nothing is open any more: its clients have read their answers and closed,
-// had their time for it, or were handed over.
-func (s *shutdownState) endIfIdle(l *Loop) {
+func (l loopShutdown) isIdle() bool {
 	if len(l.clients.conns) > 0 {
-		return
-	}
-	if s.listenerClosed || s.hasStarted() && l.handover.hasGivenOwnership() && l.requests.open == 0 {
-		l.events.Stop()
+		return false
 	}
+	return l.listening.isClosed() ||
+		l.shutdown.hasStarted() && l.handover.hasGivenOwnership() && l.requests.open == 0
 }
+
+func (l loopShutdown) stop() { l.events.Stop() }
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -43,12 +43,11 @@
 // request is served, and nothing ends the process meanwhile.
 func TestShutdownServesConnectionsInTheBacklog(t *testing.T) {
 	l, b := newStoppingLoop(t)
-	l.accepting = true
-	c := (&rig{addr: l.clients.listener.Addr().String()}).client(t)
+	c := (&rig{addr: l.listening.listener.Addr().String()}).client(t)
 	c.sendLookup(1, "60000") // in the kernel, as nothing accepts yet
 	advance(t, l, acceptPeriod)
 	handleUntil(t, l, "the request", func() bool { return l.requests.open == 1 })
-	handleUntil(t, l, "the listener to close", func() bool { return l.shutdown.listenerClosed })
+	handleUntil(t, l, "the listener to close", l.listening.isClosed)
 	advance(t, l, 2*closePeriod) // the backend takes long
 	if l.events.Stopped() {
 		t.Fatal("the process ends with an open request")
@@ -66,9 +65,8 @@
 // that its client sends it again elsewhere, and is not left to the end of the process.
 func TestShutdownClosesConnectionsAmidACommand(t *testing.T) {
 	l, _ := newStoppingLoop(t)
-	l.accepting = true
-	l.clients.resume(l)
-	c := (&rig{addr: l.clients.listener.Addr().String()}).client(t)
+	l.listening.resume()
+	c := (&rig{addr: l.listening.listener.Addr().String()}).client(t)
 	handleNext(t, l, "the connection")
 	c.write("*4\r\n$8\r\nAPI.R")
 	for conn := range l.clients.conns {
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -98,19 +98,19 @@
 			faulty := start(t, called)
 			const endpoints = 3000
 			l := newLoopWithKnownList(t, faulty, endpoints)
-			defer func() { _ = l.clients.listener.Close() }()
+			defer func() { _ = l.listening.listener.Close() }()
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			l.start(ctx)
 			wait(t, called, "discovery's first call")
-			if l.events.RunTimers(); l.accepting {
+			if l.events.RunTimers(); !l.listening.isWaiting() {
 				t.Fatal("ready before the wait was over")
 			}
 			useFakeClock(t, l).shown.Add(readinessWait)
-			if l.events.RunTimers(); !l.accepting {
+			if l.events.RunTimers(); l.listening.isWaiting() {
 				t.Fatal("not ready when the wait was over")
 			}
-			defer l.clients.pause()
+			defer l.listening.pause()
 			ready := 0
 			for _, b := range l.backends.byNumber {
 				if b.state == policy.EndpointReady {
@@ -144,7 +144,7 @@
 	if faulty.control != nil {
 		c := discoveryConfig(&cfg)
 		c.DialContext = (&net.Dialer{Control: faulty.control}).DialContext
-		l.discovery = discovery.New(c, discardLog(), l.postEndpoints)
+		l.discovery = discovery.New(c, discardLog(), loopEndpoints{l}.post)
 	}
 	return l
 }
--- a/internal/gateway/value_stream.go
+++ b/internal/gateway/value_stream.go
@@ -171,7 +171,7 @@
 
 // settleCost reports to the policy, and to a process that takes over, by how much a cost was underestimated.
 func (l *Loop) settleCost(customer uint64, extra float64) {
-	l.replicateCostSettled(customer, extra)
+	l.handover.reportCostSettled(customer, extra)
 	l.controller.CostSettled(l.events.Now(), customer, extra)
 }
 
