--- a/internal/gateway/backend_pool.go
+++ b/internal/gateway/backend_pool.go
@@ -25,10 +25,10 @@
 // hasCarriedReply reports whether a reply was handled on the connection.
 func (c *backendConn) hasCarriedReply() bool { return c.bytesUsed > 0 }
 
-// hasNoStrayInput reports whether nothing has arrived that no request asked for, such as a duplicate of the
-// last reply or noise. It would be taken for the reply to the next request.
-func (c *backendConn) hasNoStrayInput() bool {
-	return c.bytesRead.Load() == c.bytesUsed && c.writer.NoInput()
+// hasUnsolicitedInput reports whether something has arrived that no request asked for, such as a duplicate of
+// the last reply or noise. It would be taken for the reply to the next request.
+func (c *backendConn) hasUnsolicitedInput() bool {
+	return c.bytesRead.Load() != c.bytesUsed || !c.writer.NoInput()
 }
 
 // assign writes an attempt to an idle connection; without one it waits for a dial. It reports whether the
--- a/internal/gateway/backend_report.go
+++ b/internal/gateway/backend_report.go
@@ -7,23 +7,23 @@
 
 // The reasons.
 const (
-	closeEnded       closeReason = iota // it ended, or input came that no attempt waited for
-	closeTimedOut                       // its attempt timed out
-	closeCancelled                      // nobody waits for its attempt any more
-	closeIncomplete                     // the request or the reply on it was not complete
-	closeMalformed                      // its reply was malformed, or followed by more
-	closeStrayInput                     // something had arrived before an attempt was written
-	closeWriteFailed                    // an attempt could not be written to it
-	closeOutlived                       // it was idle for longer than it may be expected to last
-	closeEvicted                        // it made room for another connection
-	closeNotReady                       // its backend is not ready, or has moved or restarted
+	closeEnded            closeReason = iota // it ended, or input came that no attempt waited for
+	closeTimedOut                            // its attempt timed out
+	closeCancelled                           // nobody waits for its attempt any more
+	closeIncomplete                          // the request or the reply on it was not complete
+	closeMalformed                           // its reply was malformed, or followed by more
+	closeUnsolicitedInput                    // something had arrived before an attempt was written
+	closeWriteFailed                         // an attempt could not be written to it
+	closeOutlived                            // it was idle for longer than it may be expected to last
+	closeEvicted                             // it made room for another connection
+	closeNotReady                            // its backend is not ready, or has moved or restarted
 	closeReasonCount
 )
 
 // String is the reason as the log has it.
 func (r closeReason) String() string {
 	return [closeReasonCount]string{
-		"ended", "timed_out", "cancelled", "incomplete", "malformed", "stray_input", "write_failed",
+		"ended", "timed_out", "cancelled", "incomplete", "malformed", "unsolicited_input", "write_failed",
 		"outlived", "evicted", "not_ready",
 	}[r]
 }
--- a/internal/gateway/backend_write.go
+++ b/internal/gateway/backend_write.go
@@ -23,8 +23,8 @@
 		bs.close(c, closeNotReady)
 		return true
 	}
-	if !c.hasNoStrayInput() {
-		bs.close(c, closeStrayInput)
+	if c.hasUnsolicitedInput() {
+		bs.close(c, closeUnsolicitedInput)
 		return false
 	}
 	command := l.attemptCommand(a)
