--- a/policy/admission.go
+++ b/policy/admission.go
@@ -1,6 +1,9 @@
 package policy
 
-const borrowCapacityShare = 0.8 // the share of the capacity up to which the shared bucket lends
+const (
+	borrowCapacityShare = 0.8 // the share of the capacity up to which the shared bucket lends
+	retryAfterPart      = 2   // the part of the shortest objective, 1/n, after which a request may come again
+)
 
 // unitSource says which quota covers the cost of a request.
 type unitSource uint8
@@ -23,14 +26,14 @@
 		return
 	}
 	if c.retired {
-		c.reject(req.ID, rejectOverQuota, c.shortestObjective/2)
+		c.reject(req.ID, rejectOverQuota, c.shortestObjective/retryAfterPart)
 		return
 	}
 	customer := c.customerRecord(c.sharing.newAccount(req.Customer, req.Plan, req.FirstReplica, req.Replicas))
 	c.customers.recordDemand(c.clock.now, &c.sharing, customer, req.Cost)
 	request := &request{Request: req, deadline: now + req.Timeout, customer: customer}
 	if c.atCapacity(c.openCapacity(&req)) {
-		c.reject(req.ID, rejectAtCapacity, c.shortestObjective/2)
+		c.reject(req.ID, rejectAtCapacity, c.shortestObjective/retryAfterPart)
 		return
 	}
 	c.admitOrRequestQuota(request)
@@ -84,7 +87,7 @@
 	}
 	backend := c.chooseBackend(request, nil)
 	if backend == nil {
-		c.reject(request.ID, rejectNoBackend, c.shortestObjective/2)
+		c.reject(request.ID, rejectNoBackend, c.shortestObjective/retryAfterPart)
 		return
 	}
 	if request.borrowed {
--- a/policy/controller_quota.go
+++ b/policy/controller_quota.go
@@ -90,7 +90,7 @@
 func (c *Controller) requestQuota(request *request) {
 	customer := request.customer
 	request.quotaRequest = customer.grant.nextRequest()
-	timeout := min(Time(quotaRequestTimeout*float64(c.shortestObjective)), request.Timeout/2)
+	timeout := min(Time(quotaRequestTimeout*float64(c.shortestObjective)), request.Timeout/maxWaitPart)
 	request.grantDeadline = c.clock.now + timeout
 	isRepeated := request.quotaRequestsSent > 0
 	request.quotaRequestsSent++
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -8,6 +8,7 @@
 const (
 	evenCeilingShare   = 0.5  // the part of a ceiling that is split evenly; the rest follows demand
 	gossipDelayPeriods = 2    // gossip periods until what a peer consumes now is known here
+	initialSlackPart   = 2    // the part of a ceiling's slack, 1/n, that is open after a start
 	coordinatorReserve = 0.75 // the part of a burst that is kept for variance in what the set requests
 )
 
@@ -16,7 +17,7 @@
 type customer struct {
 	account
 	inFlight int         // attempts
-	bucket   tokenBucket // the whole quota as far as it is known, or this gateway's share if use is not shared
+	bucket   tokenBucket // the whole quota as far as it is known; if use is not shared, this gateway's share
 	ceiling  tokenBucket // this gateway's share of the ceiling
 	demand   customerDemand
 	usage    usageLedger
@@ -36,7 +37,7 @@
 		grant:   newQuotaGrant(),
 		bucket:  tokenBucket{level: plan.Burst, rate: plan.Rate, capacity: plan.Burst, updatedAt: now},
 		ceiling: tokenBucket{
-			level: plan.CeilingSlack / even / 2, rate: plan.CeilingRate / even,
+			level: plan.CeilingSlack / even / initialSlackPart, rate: plan.CeilingRate / even,
 			capacity: plan.CeilingBurst / even, updatedAt: startedAt,
 		},
 	}
@@ -166,7 +167,8 @@
 // It reports whether the grant has changed and is to be advertised to the set, which a set that asks before
 // each request does not need.
 func (c *customer) updateGrant(now Time, sharing *quotaSharing) (advertise bool) {
-	if !sharing.isWide(&c.account) || sharing.isParticipant(&c.account) || sharing.plan(&c.account).Rate == 0 {
+	isCoordinator := sharing.isWide(&c.account) && !sharing.isParticipant(&c.account)
+	if !isCoordinator || sharing.plan(&c.account).Rate == 0 {
 		return false
 	}
 	refill := c.bucket.rate * float64(c.demand.window) / float64(second)
@@ -206,7 +208,7 @@
 func (c *customer) limitToRestart(sharing *quotaSharing) {
 	plan, even := sharing.plan(&c.account), float64(c.replicas)
 	c.bucket.level = min(c.bucket.level, plan.Burst/even)
-	c.ceiling.level = min(c.ceiling.level, plan.CeilingSlack/even/2)
+	c.ceiling.level = min(c.ceiling.level, plan.CeilingSlack/even/initialSlackPart)
 }
 
 // scheduleReport has the use reported in the next rounds, if it is reported at all, and reports whether none
--- a/policy/customerreport.go
+++ b/policy/customerreport.go
@@ -106,7 +106,7 @@
 		usage.requested += request.Cost
 	}
 	entry := c.usageEntry(sharing, *usage)
-	entry.wantedHalves = byte(min(math.MaxUint8, math.Ceil(2*request.Cost)))
+	entry.wantedHalves = byte(min(math.MaxUint8, math.Ceil(halvesPerUnit*request.Cost)))
 	entry.quotaRequest = request.quotaRequest
 	usage.requestedReported = usage.requested
 	return entry
@@ -114,7 +114,7 @@
 
 // answerQuotaRequest has a coordinator grant the units that an entry asks for if the buckets hold them.
 func (c *customer) answerQuotaRequest(sharing *quotaSharing, from int, entry *usageEntry) grant {
-	units := float64(entry.wantedHalves) / 2
+	units := float64(entry.wantedHalves) / halvesPerUnit
 	hasCeiling := sharing.plan(&c.account).CeilingRate > 0 && sharing.requiresGrant(&c.account)
 	answer := grant{customer: c.id, fraction: c.grant.fraction, quotaRequest: entry.quotaRequest}
 	answer.approved = c.bucket.level >= units && (!hasCeiling || c.ceiling.level >= units)
--- a/policy/customerreport_test.go
+++ b/policy/customerreport_test.go
@@ -22,22 +22,53 @@
 		level       float64
 		peersDemand float64
 	}{
-		{"the first entry bounds the level", usageSender{1, 5, true},
-			first, true, 18, 4},
-		{"an increase", usageSender{1, 5, true},
-			usageEntry{consumed: packUnits(5), requested: packUnits(7)}, true, 16, 7},
-		{"a repeat", usageSender{1, 5, false},
-			usageEntry{consumed: packUnits(5), requested: packUnits(7)}, true, 16, 7},
-		{"a late entry", usageSender{1, 5, false},
-			usageEntry{consumed: packUnits(4), requested: packUnits(6)}, false, 16, 7},
-		{"units returned, in a late message", usageSender{1, 5, false},
-			usageEntry{consumed: packUnits(4), requested: packUnits(7)}, false, 16, 7},
-		{"units returned", usageSender{1, 5, true},
-			usageEntry{consumed: packUnits(4), requested: packUnits(7)}, true, 17, 7},
-		{"a restarted peer that knows no better", usageSender{1, 6, true},
-			usageEntry{remaining: 1}, true, 17, 7},
-		{"a gateway that is not of the set", usageSender{3, 5, true},
-			usageEntry{consumed: packUnits(9)}, false, 17, 7},
+		{
+			"the first entry bounds the level",
+			usageSender{1, 5, true},
+			first, true, 18, 4,
+		},
+		{
+			"an increase",
+			usageSender{1, 5, true},
+			usageEntry{consumed: packUnits(5), requested: packUnits(7)},
+			true, 16, 7,
+		},
+		{
+			"a repeat",
+			usageSender{1, 5, false},
+			usageEntry{consumed: packUnits(5), requested: packUnits(7)},
+			true, 16, 7,
+		},
+		{
+			"a late entry",
+			usageSender{1, 5, false},
+			usageEntry{consumed: packUnits(4), requested: packUnits(6)},
+			false, 16, 7,
+		},
+		{
+			"units returned, in a late message",
+			usageSender{1, 5, false},
+			usageEntry{consumed: packUnits(4), requested: packUnits(7)},
+			false, 16, 7,
+		},
+		{
+			"units returned",
+			usageSender{1, 5, true},
+			usageEntry{consumed: packUnits(4), requested: packUnits(7)},
+			true, 17, 7,
+		},
+		{
+			"a restarted peer that knows no better",
+			usageSender{1, 6, true},
+			usageEntry{remaining: 1},
+			true, 17, 7,
+		},
+		{
+			"a gateway that is not of the set",
+			usageSender{3, 5, true},
+			usageEntry{consumed: packUnits(9)},
+			false, 17, 7,
+		},
 	}
 	customer, _ := reportedCustomer()
 	sharing := newQuotaSharing(&Settings{Gateways: 5, Gossip: true, Plans: []Plan{sharedPlan()}})
@@ -74,8 +105,8 @@
 	customer.grant.fraction = 0.5
 	entry := customer.usageEntry(&sharing, customer.usage.customerUsage)
 	want := usageEntry{
-		customer: 9, replicas: 3, consumed: packUnits(4), requested: packUnits(6), newlyRequested: packUnits(1),
-		remaining: 20. / 24,
+		customer: 9, replicas: 3,
+		consumed: packUnits(4), requested: packUnits(6), newlyRequested: packUnits(1), remaining: 20. / 24,
 	}
 	if entry != want {
 		t.Errorf("in a small set: got %+v, want %+v", entry, want)
@@ -153,7 +184,8 @@
 		t.Errorf("newly requested %d, want all", entry.newlyRequested)
 	}
 	request.coordinator = 2
-	if entry = customer.quotaRequest(sharing, request, true); entry.newlyRequested != 0 || entry.requested != 0 {
+	entry = customer.quotaRequest(sharing, request, true)
+	if entry.newlyRequested != 0 || entry.requested != 0 {
 		t.Errorf("a request that asks again counts as %d more", entry.newlyRequested)
 	}
 }
@@ -177,8 +209,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			customer := newCustomer(0, 0, &sharing, wide)
 			customer.bucket.level, customer.ceiling.level = c.level, c.ceiling
-			answer := customer.answerQuotaRequest(&sharing, from, &usageEntry{wantedHalves: 8, quotaRequest: 3})
-			if want := (grant{customer: 9, fraction: 1, quotaRequest: 3, approved: c.approved}); answer != want {
+			entry := usageEntry{wantedHalves: 8, quotaRequest: 3}
+			answer := customer.answerQuotaRequest(&sharing, from, &entry)
+			want := grant{customer: 9, fraction: 1, quotaRequest: 3, approved: c.approved}
+			if answer != want {
 				t.Errorf("answered %+v, want %+v", answer, want)
 			}
 			assertNear(t, "bucket", customer.bucket.level, c.wantLevel)
--- a/policy/gossip_codec.go
+++ b/policy/gossip_codec.go
@@ -27,6 +27,8 @@
 	maxMessageSize      = 256
 	maxFaultsPerMessage = 3
 	countsPerUnit       = 8.0 // units are sent as whole eighths; totals wrap
+	halvesPerUnit       = 2.0 // units that a quota request asks for are sent as whole halves
+	idLowBits           = 32  // of a customer's ID, which are sent first
 )
 
 // The kinds of items.
@@ -37,6 +39,11 @@
 	sequenceItem
 )
 
+// itemSizes are the sizes of the items by kind, in bytes.
+var itemSizes = [...]int{
+	usageItem: usageSize, grantItem: grantSize, faultItem: faultSize, sequenceItem: sequenceSize,
+}
+
 // gossipMessage is a decoded message.
 type gossipMessage struct {
 	incarnation uint32
@@ -117,7 +124,7 @@
 // appendItemID begins an item on a customer, whose lower 40 bits are sent.
 func appendItemID(message []byte, kind byte, customer uint64) []byte {
 	message = binary.LittleEndian.AppendUint32(append(message, kind), uint32(customer))
-	return append(message, byte(customer>>32))
+	return append(message, byte(customer>>idLowBits))
 }
 
 func decodeItemID(b []byte) uint64 { return uint64(binary.LittleEndian.Uint32(b)) | uint64(b[4])<<32 }
@@ -176,22 +183,25 @@
 	message.inFlight = unpackUnits(binary.LittleEndian.Uint16(b[5:]))
 	message.onTimeRate = unpackUnits(binary.LittleEndian.Uint16(b[7:]))
 	for b = b[headerSize:]; len(b) > 0; {
-		switch {
-		case b[0] == usageItem && len(b) >= usageSize:
-			message.usage = append(message.usage, decodeUsage(b))
-			b = b[usageSize:]
-		case b[0] == grantItem && len(b) >= grantSize:
-			message.grants = append(message.grants, decodeGrant(b))
-			b = b[grantSize:]
-		case b[0] == faultItem && len(b) >= faultSize:
-			message.faults = append(message.faults, decodeFault(b))
-			b = b[faultSize:]
-		case b[0] == sequenceItem && len(b) >= sequenceSize:
-			message.sequence = b[1]
-			b = b[sequenceSize:]
-		default:
+		if int(b[0]) >= len(itemSizes) || len(b) < itemSizes[b[0]] {
 			return message, false
 		}
+		message.decodeItem(b)
+		b = b[itemSizes[b[0]]:]
 	}
 	return message, true
 }
+
+// decodeItem adds the complete item that the bytes begin with.
+func (m *gossipMessage) decodeItem(b []byte) {
+	switch b[0] {
+	case usageItem:
+		m.usage = append(m.usage, decodeUsage(b))
+	case grantItem:
+		m.grants = append(m.grants, decodeGrant(b))
+	case faultItem:
+		m.faults = append(m.faults, decodeFault(b))
+	case sequenceItem:
+		m.sequence = b[1]
+	}
+}
--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -11,7 +11,8 @@
 	for range 3 {
 		a.serve(1, 9, 4)
 		entry := usageEntry{
-			customer: 9, plan: 1, replicas: 2, consumed: packUnits(a.customers.byID[9].usage.consumed), remaining: 0.5,
+			customer: 9, plan: 1, replicas: 2,
+			consumed: packUnits(a.customers.byID[9].usage.consumed), remaining: 0.5,
 		}
 		messages = append(messages, entry.appendTo(a.gossip.newMessage(a.loadView())))
 	}
--- a/policy/gossipstate_test.go
+++ b/policy/gossipstate_test.go
@@ -92,14 +92,23 @@
 		message gossipMessage
 		want    reception
 	}{
-		{"the first", 2 * second, gossipMessage{incarnation: 4, sequence: 10},
-			reception{newest: true, restarted: true, weight: 1}},
-		{"the next", 2*second + second/4, gossipMessage{incarnation: 4, sequence: 11},
-			reception{newest: true, weight: 0.25}},
+		{
+			"the first", 2 * second,
+			gossipMessage{incarnation: 4, sequence: 10},
+			reception{newest: true, restarted: true, weight: 1},
+		},
+		{
+			"the next", 2*second + second/4,
+			gossipMessage{incarnation: 4, sequence: 11},
+			reception{newest: true, weight: 0.25},
+		},
 		{"a repeat", 3*second + second/4, gossipMessage{incarnation: 4, sequence: 11}, reception{weight: 1}},
 		{"a late one", 5 * second, gossipMessage{incarnation: 4, sequence: 9}, reception{weight: 1}},
-		{"after a restart", 7 * second, gossipMessage{incarnation: 5, sequence: 1},
-			reception{newest: true, restarted: true, weight: 1}},
+		{
+			"after a restart", 7 * second,
+			gossipMessage{incarnation: 5, sequence: 1},
+			reception{newest: true, restarted: true, weight: 1},
+		},
 	}
 	gossip := newGossipState(7, 3)
 	gossip.start(0)
--- a/policy/grantrequests.go
+++ b/policy/grantrequests.go
@@ -6,7 +6,8 @@
 )
 
 const (
-	quotaRequestTimeout = 0.1    // in shortest latency objectives
+	quotaRequestTimeout = 0.1    // in shortest latency objectives,
+	maxWaitPart         = 2      // and at most the part, 1/n, of the time for which the client waits
 	unresponsiveTime    = second // for which a coordinator that did not answer is avoided
 )
 
--- a/policy/grantrequests_test.go
+++ b/policy/grantrequests_test.go
@@ -29,7 +29,8 @@
 		first.coordinator = grants.pickCoordinator(10*second, sharing, &set, first, random)
 		seen[first.coordinator] = true
 		first.quotaRequestsSent = 1
-		if again := grants.pickCoordinator(10*second, sharing, &set, first, random); again == first.coordinator {
+		again := grants.pickCoordinator(10*second, sharing, &set, first, random)
+		if again == first.coordinator {
 			t.Errorf("coordinator %d is asked twice", again)
 		}
 	}
@@ -81,13 +82,30 @@
 		waiting  int
 	}{
 		{"no answer", nil, grant{}, []quotaResult{quotaUnanswered, quotaAskAgain}, 2},
-		{"approved", asking, grant{quotaRequest: 3, approved: true},
-			[]quotaResult{quotaApproved, quotaUnanswered, quotaAskAgain}, 1},
-		{"denied", asking, grant{quotaRequest: 4}, []quotaResult{quotaUnanswered, quotaDenied, quotaAskAgain}, 1},
-		{"of another customer", &customer{}, grant{quotaRequest: 3},
-			[]quotaResult{quotaUnanswered, quotaAskAgain}, 2},
-		{"for an overdue one", asking, grant{quotaRequest: 1, approved: true},
-			[]quotaResult{quotaApproved, quotaUnanswered}, 2},
+		{
+			"approved", asking,
+			grant{quotaRequest: 3, approved: true},
+			[]quotaResult{quotaApproved, quotaUnanswered, quotaAskAgain},
+			1,
+		},
+		{
+			"denied", asking,
+			grant{quotaRequest: 4},
+			[]quotaResult{quotaUnanswered, quotaDenied, quotaAskAgain},
+			1,
+		},
+		{
+			"of another customer", &customer{},
+			grant{quotaRequest: 3},
+			[]quotaResult{quotaUnanswered, quotaAskAgain},
+			2,
+		},
+		{
+			"for an overdue one", asking,
+			grant{quotaRequest: 1, approved: true},
+			[]quotaResult{quotaApproved, quotaUnanswered},
+			2,
+		},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/policy/meter.go
+++ b/policy/meter.go
@@ -20,7 +20,8 @@
 	if period == 0 || reading == 0 || rate == 0 {
 		return
 	}
-	all := float64(reading-1) / 100 * rate
+	const percent = 100
+	all := float64(reading-1) / percent * rate
 	own := m.demand.value(now, period) * float64(second) / float64(period)
 	m.share = own / math.Max(all, math.Max(own, minDemand))
 }
--- a/policy/ownership.go
+++ b/policy/ownership.go
@@ -10,7 +10,7 @@
 	c.retired = true
 	for _, request := range c.grants.takeOpen(c.requests.byID) {
 		delete(c.requests.byID, request.ID)
-		c.reject(request.ID, rejectOverQuota, c.shortestObjective/2)
+		c.reject(request.ID, rejectOverQuota, c.shortestObjective/retryAfterPart)
 	}
 }
 
--- a/policy/quotagrant.go
+++ b/policy/quotagrant.go
@@ -69,7 +69,8 @@
 // advertise reports whether the fraction has changed enough to be sent to the set, and its time has come. It
 // notes that it is sent.
 func (g *quotaGrant) advertise(now, window Time) bool {
-	raised, lowered := g.fraction > g.advertised*grantChangeFactor, g.fraction < g.advertised/grantChangeFactor
+	raised := g.fraction > g.advertised*grantChangeFactor
+	lowered := g.fraction < g.advertised/grantChangeFactor
 	changed := raised || lowered || g.fraction == 1 && g.advertised < 1
 	if !changed || now < g.nextAt {
 		return false
--- a/policy/quotagrant_test.go
+++ b/policy/quotagrant_test.go
@@ -108,7 +108,8 @@
 
 func TestGrantIsOffBeyondTheTolerance(t *testing.T) {
 	grant := quotaGrant{fraction: 0.5}
-	for fraction, want := range map[float64]bool{0.5: false, 0.46: false, 0.54: false, 0.44: true, 0.56: true} {
+	isOff := map[float64]bool{0.5: false, 0.46: false, 0.54: false, 0.44: true, 0.56: true}
+	for fraction, want := range isOff {
 		if got := grant.isOff(fraction); got != want {
 			t.Errorf("%g in place of 0.5 is off: %t, want %t", fraction, got, want)
 		}
--- a/policy/quotasharing.go
+++ b/policy/quotasharing.go
@@ -7,7 +7,7 @@
 	minGossipPeriod      = second / 30 // the least time between two rounds
 	demandWindowFraction = 0.5         // the demand window, in times in which a plan's burst refills
 	maxFullMeshPeers     = 4           // gateways of a set that still all report to one another
-	quotaRequestShare    = 1.0         // the part of a receiver's gossip that requests to a coordinator may fill
+	quotaRequestShare    = 1.0         // the part of a receiver's gossip that quota requests may fill
 	coordinatorLoadShare = 0.4         // the part from which on they are spread over several coordinators
 	settlePeriods        = 4           // gossip periods until a new gateway has received all levels
 	maxSettleTime        = second / 2  // and the longest time that is waited for them
@@ -75,7 +75,8 @@
 	if plan.Rate <= 0 {
 		return second
 	}
-	return max(Time(demandWindowFraction*plan.Burst/plan.Rate*float64(second)), s.receiveTime(account.replicas))
+	window := Time(demandWindowFraction * plan.Burst / plan.Rate * float64(second))
+	return max(window, s.receiveTime(account.replicas))
 }
 
 // settleTime is the time after this gateway's start in which peers may not have reported all buckets yet.
@@ -121,8 +122,11 @@
 
 // coordinator is the gateway that is the account's i-th coordinator.
 func (s *quotaSharing) coordinator(account *account, i int) int {
-	const multiplier = 0x9E3779B97F4A7C15 // spreads customers evenly over the set
-	first := int((account.id * multiplier) >> 33)
+	const (
+		multiplier = 0x9E3779B97F4A7C15 // spreads customers evenly over the set
+		lowBits    = 33                 // of the product, which depend on few bits of the ID
+	)
+	first := int((account.id * multiplier) >> lowBits)
 	offset := first + i*account.replicas/s.coordinatorCount(account)
 	return s.replica(account, offset%account.replicas)
 }
--- a/policy/quotasharing_test.go
+++ b/policy/quotasharing_test.go
@@ -44,7 +44,9 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			sharing := newQuotaSharing(&Settings{Gateways: c.gateways, Gossip: true, GossipPerSecond: c.perSecond})
+			sharing := newQuotaSharing(&Settings{
+				Gateways: c.gateways, Gossip: true, GossipPerSecond: c.perSecond,
+			})
 			if sharing.gossipPeriod != c.want {
 				t.Errorf("a round every %d, want %d", sharing.gossipPeriod, c.want)
 			}
@@ -63,7 +65,8 @@
 	for _, c := range cases {
 		got := sharing.newAccount(9, 0, c.first, c.replicas)
 		if got.firstReplica != c.wantFirst || got.replicas != c.wantReplicas {
-			t.Errorf("set of %d from %d: %+v, want %d from %d", c.replicas, c.first, got, c.wantReplicas, c.wantFirst)
+			t.Errorf("set of %d from %d: %+v, want %d from %d",
+				c.replicas, c.first, got, c.wantReplicas, c.wantFirst)
 		}
 	}
 }
@@ -127,17 +130,20 @@
 			sharing := wideSharing(self, Plan{Rate: 30, Burst: 100})
 			grants, participates := sharing.grantsQuota(set), sharing.isParticipant(set)
 			if grants == participates {
-				t.Errorf("customer %d at gateway %d: coordinator %t, participant %t", id, self, grants, participates)
+				t.Errorf("customer %d at gateway %d: coordinator %t, participant %t",
+					id, self, grants, participates)
 			}
 			if grants {
 				coordinators++
 			}
 			if first := sharing.coordinator(set, 0); sharing.asksAnother(set, 0) == (first == self) {
-				t.Errorf("customer %d: gateway %d asks its coordinator %d: %t", id, self, first, first == self)
+				t.Errorf("customer %d: gateway %d asks its coordinator %d: %t",
+					id, self, first, first == self)
 			}
 		}
-		if sharing := wideSharing(0, Plan{Rate: 30, Burst: 100}); coordinators != sharing.coordinatorCount(set) {
-			t.Errorf("customer %d: %d coordinators, want %d", id, coordinators, sharing.coordinatorCount(set))
+		sharing := wideSharing(0, Plan{Rate: 30, Burst: 100})
+		if want := sharing.coordinatorCount(set); coordinators != want {
+			t.Errorf("customer %d: %d coordinators, want %d", id, coordinators, want)
 		}
 	}
 }
--- a/policy/reload_test.go
+++ b/policy/reload_test.go
@@ -29,14 +29,7 @@
 	if customer.plan != 1 || customer.bucket.capacity != 32 {
 		t.Errorf("plan %d, capacity %g", customer.plan, customer.bucket.capacity)
 	}
-	h.end(open, ResultFailed, false)
-	if request := h.requests.byID[open]; request == nil || len(request.attempts) != 2 {
-		t.Fatal("the open request was not retried, as its class allows")
-	}
-	h.end(open, ResultFailed, false)
-	if h.requests.byID[open] != nil {
-		t.Error("a third attempt where two are allowed")
-	}
+	assertRetriedOnce(t, h, open)
 	stricter, _ := h.request(2, 0, 9, 1)
 	h.end(stricter, ResultFailed, false)
 	if h.requests.byID[stricter] != nil {
@@ -51,6 +44,19 @@
 	}
 }
 
+// assertRetriedOnce fails the attempts of an open request, the first of which is pending.
+func assertRetriedOnce(t *testing.T, h *harness, id uint64) {
+	t.Helper()
+	h.end(id, ResultFailed, false)
+	if request := h.requests.byID[id]; request == nil || len(request.attempts) != 2 {
+		t.Fatal("the open request was not retried, as its class allows")
+	}
+	h.end(id, ResultFailed, false)
+	if h.requests.byID[id] != nil {
+		t.Error("a third attempt where two are allowed")
+	}
+}
+
 // assertOldClassRetained checks that an open request has the class that is gone from the settings, and
 // the new index of its plan.
 func assertOldClassRetained(t *testing.T, h *harness, id uint64) {
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -13,8 +13,8 @@
 	snapshot := &Snapshot{
 		Classes: convertAll(c.settings.Classes, func(class Class) string { return class.Name }),
 		Plans:   convertAll(c.settings.Plans, func(plan Plan) string { return plan.Name }),
-		Born:    c.clock.startedAt, Still: c.clock.stalledTime, Woke: c.clock.resumedAt, Swept: c.customers.sweptAt,
-		Boot: c.gossip.incarnation, Turn: c.gossip.sequence,
+		Born:    c.clock.startedAt, Still: c.clock.stalledTime, Woke: c.clock.resumedAt,
+		Swept: c.customers.sweptAt, Boot: c.gossip.incarnation, Turn: c.gossip.sequence,
 		Lend: encodeBucket(c.shared.tokenBucket), IdleSpill: c.shared.idleOverflow,
 		InTime: encodeSum(c.load.onTime), Peers: encodeSum(c.load.peers),
 		PeersHeld: encodeSum(c.load.peersInFlight), PeersInTime: encodeSum(c.load.peersOnTime),
@@ -169,7 +169,8 @@
 }
 
 func (c *Controller) importRequest(state *OpenState, indices snapshotIndices) {
-	customer, class, plan := c.customers.byID[state.Customer], indices.class[state.Class], indices.plan[state.Plan]
+	customer := c.customers.byID[state.Customer]
+	class, plan := indices.class[state.Class], indices.plan[state.Plan]
 	if customer == nil || class < 0 || plan < 0 {
 		return
 	}
--- a/policy/snapshot_codec.go
+++ b/policy/snapshot_codec.go
@@ -209,7 +209,8 @@
 		Metered: encodeSum(customer.meter.demand),
 		Heard:   convertAll(customer.usage.peers, encodePeerUsage),
 		Tallies: convertAll(customer.usage.byCoordinator, encodeUsage),
-		GrantAt: customer.grant.nextAt, TellAt: customer.grant.nextReportAt, Asks: customer.grant.quotaRequests,
+		GrantAt: customer.grant.nextAt, TellAt: customer.grant.nextReportAt,
+		Asks: customer.grant.quotaRequests,
 	}
 }
 
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -102,7 +102,8 @@
 		t.Fatal(err)
 	}
 	imported := next.customers.byID[9]
-	if want := []customerUsage{customer.usage.customerUsage}; !slices.Equal(imported.usage.byCoordinator, want) {
+	want := []customerUsage{customer.usage.customerUsage}
+	if !slices.Equal(imported.usage.byCoordinator, want) {
 		t.Errorf("from an older process: got %v, want %v", imported.usage.byCoordinator, want)
 	}
 	if part := 60 / float64(next.sharing.coordinatorCount(&imported.account)); imported.bucket.level > part {
--- a/policy/usageledger_test.go
+++ b/policy/usageledger_test.go
@@ -56,7 +56,8 @@
 func TestLedgerKeepsWhatEachPeerReported(t *testing.T) {
 	var ledger usageLedger
 	ledger.peer(1, 3).update(7, &usageEntry{consumed: 8, requested: 9})
-	if want := (peerUsage{known: true, incarnation: 7, consumed: 8, requested: 9}); *ledger.peer(1, 3) != want {
+	want := peerUsage{known: true, incarnation: 7, consumed: 8, requested: 9}
+	if *ledger.peer(1, 3) != want {
 		t.Errorf("got %+v, want %+v", *ledger.peer(1, 3), want)
 	}
 	if ledger.peer(0, 3).known || ledger.peer(2, 3).known {
