--- /dev/null
+++ b/policy/activitycounters.go
@@ -0,0 +1,106 @@
+package policy
+
+import "log/slog"
+
+const (
+	counterLogInterval = 5 * second // the least time between two log events of counters
+	halfFullPart       = 2          // the part of a bucket, 1/n, that counts as half full
+)
+
+// rejectReason says why a request was rejected.
+type rejectReason int
+
+const (
+	rejectExpired     rejectReason = iota // it arrived in a stall and can't be answered in time
+	rejectAtCapacity                      // the backends are at capacity
+	rejectOverQuota                       // neither the quota nor the shared bucket covers its cost
+	rejectOverCeiling                     // it is beyond this gateway's share of the ceiling
+	rejectNoBackend                       // no backend is ready
+	rejectNeverRan                        // all its attempts ended, and it may be sent again
+	rejectReasonCount
+)
+
+// activityCounters count what happened since the last log event of counters. Each decision is counted once, by
+// the event that made it.
+type activityCounters struct {
+	since         Time
+	sent          int // attempts
+	consecutive   int // attempts to the same backend as the one before: many show herding
+	lastBackend   *backend
+	rejected      [rejectReasonCount]int
+	shareTooSmall int // over quota for this gateway's share alone: the whole bucket held the units
+	halfFull      int // those of them with at least half of the bucket left
+	quotaRequests int
+	unanswered    int // quota requests that timed out
+	results       [ResultNotSent + 1]int
+	retriesAfter  [ResultNotSent + 1]int // by the result of the attempt before
+
+	slowStartAttempts int // to backends in slow start
+	slowStartDenied   int // how often a backend was passed over as its slow start allowed no attempt
+}
+
+func (n *activityCounters) countSend(backend *backend) {
+	n.sent++
+	if n.lastBackend == backend {
+		n.consecutive++
+	}
+	n.lastBackend = backend
+}
+
+// countOverQuota counts a request over quota that a peer could have admitted.
+func (n *activityCounters) countOverQuota(bucket *tokenBucket, units float64) {
+	if bucket.level < units {
+		return
+	}
+	n.shareTooSmall++
+	if bucket.level >= bucket.capacity/halfFullPart {
+		n.halfFull++
+	}
+}
+
+// isDue reports whether it is time to log the counters: an event for each request would cost more than the
+// request.
+func (n *activityCounters) isDue(now Time) bool { return now-n.since >= counterLogInterval }
+
+// take returns the attributes of a log event, among them the groups that the counters don't know, and begins
+// to count anew.
+func (n *activityCounters) take(now Time, load, slowStart slog.Attr) []slog.Attr {
+	attributes := []slog.Attr{
+		slog.Int("attempts_sent", n.sent),
+		slog.Int("consecutive_to_one_backend", n.consecutive),
+		rejectionAttr(&n.rejected),
+		slog.Int("over_quota_by_share", n.shareTooSmall),
+		slog.Int("over_quota_bucket_half_full", n.halfFull),
+		slog.Int("quota_requests", n.quotaRequests),
+		slog.Int("quota_requests_unanswered", n.unanswered),
+		resultsAttr("results", &n.results),
+		load,
+		slowStart,
+		resultsAttr("retries_after", &n.retriesAfter),
+	}
+	*n = activityCounters{since: now}
+	return attributes
+}
+
+// rejectionAttr groups the rejected requests by reason.
+func rejectionAttr(rejected *[rejectReasonCount]int) slog.Attr {
+	return slog.Group("rejected",
+		slog.Int("expired", rejected[rejectExpired]),
+		slog.Int("at_capacity", rejected[rejectAtCapacity]),
+		slog.Int("over_quota", rejected[rejectOverQuota]),
+		slog.Int("over_ceiling", rejected[rejectOverCeiling]),
+		slog.Int("no_backend", rejected[rejectNoBackend]),
+		slog.Int("never_ran", rejected[rejectNeverRan]))
+}
+
+// resultsAttr groups attempts by their result.
+func resultsAttr(key string, counts *[ResultNotSent + 1]int) slog.Attr {
+	return slog.Group(key,
+		slog.Int("ok", counts[ResultOK]),
+		slog.Int("failed", counts[ResultFailed]),
+		slog.Int("overloaded", counts[ResultOverloaded]),
+		slog.Int("timed_out", counts[ResultTimedOut]),
+		slog.Int("connect_failed", counts[ResultConnectFailed]),
+		slog.Int("reset", counts[ResultReset]),
+		slog.Int("not_sent", counts[ResultNotSent]))
+}
--- /dev/null
+++ b/policy/activitycounters_test.go
@@ -0,0 +1,58 @@
+package policy
+
+import (
+	"log/slog"
+	"testing"
+)
+
+func TestCountersAreTakenOnceAnInterval(t *testing.T) {
+	counters := activityCounters{since: second}
+	if counters.isDue(second+counterLogInterval-1) || !counters.isDue(second+counterLogInterval) {
+		t.Error("the counters are not due after their interval")
+	}
+	counters.quotaRequests = 3
+	now := second + counterLogInterval
+	attributes := counters.take(now, slog.Group("load"), slog.Group("slow_start"))
+	found := false
+	for _, attribute := range attributes {
+		found = found || attribute.Equal(slog.Int("quota_requests", 3))
+	}
+	if !found {
+		t.Errorf("%v, want 3 quota requests", attributes)
+	}
+	if counters != (activityCounters{since: now}) {
+		t.Errorf("%+v is left after the counters were taken", counters)
+	}
+	if counters.isDue(now) {
+		t.Error("the counters are due again at once")
+	}
+}
+
+// The order of the attributes is that in which operators read them.
+func TestCounterAttributesKeepTheirOrder(t *testing.T) {
+	want := []string{
+		"attempts_sent", "consecutive_to_one_backend", "rejected", "over_quota_by_share",
+		"over_quota_bucket_half_full", "quota_requests", "quota_requests_unanswered", "results", "load",
+		"slow_start", "retries_after",
+	}
+	got := new(activityCounters).take(0, slog.Group("load"), slog.Group("slow_start"))
+	if len(got) != len(want) {
+		t.Fatalf("%d attributes, want %d", len(got), len(want))
+	}
+	for i, attribute := range got {
+		if attribute.Key != want[i] {
+			t.Errorf("attribute %d is %s, want %s", i, attribute.Key, want[i])
+		}
+	}
+}
+
+func TestConsecutiveAttemptsShowHerding(t *testing.T) {
+	a, b := &backend{}, &backend{}
+	var counters activityCounters
+	for _, backend := range []*backend{a, a, b, a, a, a} {
+		counters.countSend(backend)
+	}
+	if counters.sent != 6 || counters.consecutive != 3 {
+		t.Errorf("%d sent, %d of them consecutive; want 6 and 3", counters.sent, counters.consecutive)
+	}
+}
