--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -25,7 +25,20 @@
 	rule, class := c.ruleFor(request, others, now), &c.settings.Classes[request.Class]
 	return rule.allowed && attempt.backend.ready() &&
 		(rule.within == nil || class.sameDedupScope(rule.within.backend, attempt.backend)) &&
-		c.chargeWaiting(attempt)
+		c.confirmSlowStart(attempt)
+}
+
+// confirmSlowStart takes a waiting attempt of the slow start if the backend is in one, and reports whether
+// there was one to take. The backend may have been warm when it was chosen.
+func (c *Controller) confirmSlowStart(attempt *attempt) bool {
+	backend := attempt.backend
+	attempt.slowStart = backend.slowStart.release(attempt.slowStart, attempt.sentAt, false)
+	if !c.slowStartAllows(backend) {
+		c.counters.slowStartDenied++
+		return false
+	}
+	c.chargeSlowStart(attempt, false)
+	return true
 }
 
 // AttemptEnded handles an attempt's outcome. Once no attempt is pending and the client has no answer,
@@ -64,7 +77,8 @@
 // settleAttempt updates the load, the backend's health and the customer's use by an outcome.
 func (c *Controller) settleAttempt(request *request, attempt *attempt, outcome *Outcome) {
 	attempt.release(request.customer)
-	c.releaseSlowStart(attempt, outcome.Result)
+	slowStart := &attempt.backend.slowStart
+	attempt.slowStart = slowStart.release(attempt.slowStart, attempt.sentAt, outcome.Result == ResultNotSent)
 	// A backend that rejects is full: however soon it says so, that is no answer on time.
 	objective := c.settings.Classes[request.Class].LatencyObjective
 	late := outcome.Latency > objective || outcome.Result == ResultOverloaded
--- /dev/null
+++ b/policy/backends.go
@@ -0,0 +1,84 @@
+package policy
+
+// The events of backends: updates of the endpoint list, health checks, and what the timer finds due.
+
+// UpdateEndpoints applies an update from service discovery. Endpoints that are draining or removed get
+// no attempts from now on.
+func (c *Controller) UpdateEndpoints(now Time, kind UpdateKind, list []Endpoint) {
+	c.advanceClock(now)
+	if kind == UpdateUnavailable {
+		c.watch.fail()
+		return
+	}
+	listedBefore := c.watch.receive(kind)
+	c.backends.beginUpdate(kind)
+	// As this gateway starts, the list before is the one which its configuration knows, if any.
+	isAnnounced := listedBefore || kind != UpdateStale && c.backends.mostlyKnows(list)
+	for _, endpoint := range list {
+		backend := c.backends.record(endpoint, c.clock.now, c.random)
+		if backend.update(endpoint) {
+			startedAt, reason := startOf(endpoint.StartedAt, c.clock.now, isAnnounced)
+			c.beginSlowStart(backend, startedAt, reason)
+		}
+	}
+	c.backends.prune(c.clock.now, &c.slowStart)
+	c.selectSubset()
+}
+
+// UnavailableBackends is how many listed backends get no attempts, as they are draining or ejected.
+func (c *Controller) UnavailableBackends() int { return c.backends.unavailable() }
+
+// requestWatch asks service discovery for the endpoint list and its changes.
+func (c *Controller) requestWatch() {
+	c.watch.request(c.clock.now)
+	c.actions.WatchEndpoints()
+}
+
+// beginSlowStart notes that a backend has started, or may have.
+func (c *Controller) beginSlowStart(backend *backend, startedAt Time, reason slowStartReason) {
+	share := backend.slowStart.begin(startedAt, c.clock.now, c.random.Float64(), &c.slowStart)
+	if share < 1 {
+		logSlowStart(c.actions, backend.ID, reason, c.clock.now-startedAt, share)
+	}
+}
+
+// logWarmedUp logs which backends have ended their slow start.
+func (c *Controller) logWarmedUp() {
+	for _, backend := range c.backends.inOrder {
+		if backend.slowStart.warmedUp(c.clock.now, &c.slowStart) {
+			logWarm(c.actions, backend.ID, backend.slowStart.attempts)
+		}
+	}
+}
+
+// slowStartAllows reports whether a backend may get one more attempt. One in slow start gets its share of
+// what a warm one answers this gateway.
+func (c *Controller) slowStartAllows(backend *backend) bool {
+	share := backend.slowStart.share(c.clock.now, &c.slowStart)
+	if share == 1 || c.retired { // what was saved up belongs to the process that took over
+		return share == 1
+	}
+	rate := 0.0 // left to the gateways that prefer it
+	if backend.inSubset {
+		latency := c.latency.slowStartOr(c.shortestObjective)
+		rate = c.pace.attemptRate(c.clock.now, share, latency, &c.slowStart)
+	}
+	return backend.slowStart.allows(c.clock.now, share, rate, &c.slowStart)
+}
+
+// chargeSlowStart takes an attempt of the backend's slow start, if it is in one.
+func (c *Controller) chargeSlowStart(attempt *attempt, waiting bool) {
+	slowStart := &attempt.backend.slowStart
+	if slowStart.share(c.clock.now, &c.slowStart) == 1 {
+		return
+	}
+	if attempt.slowStart = slowStart.charge(waiting); attempt.slowStart == slowStartCharged {
+		c.counters.slowStartAttempts++
+	}
+}
+
+// isWarm reports whether a backend shows what a warm one serves this gateway.
+func (c *Controller) isWarm(backend *backend) bool {
+	return backend.ready() && backend.inSubset && !c.unhealthy(backend) &&
+		backend.slowStart.share(c.clock.now, &c.slowStart) == 1
+}
--- /dev/null
+++ b/policy/backendtable_test.go
@@ -0,0 +1,135 @@
+package policy
+
+import (
+	"math/rand/v2"
+	"testing"
+)
+
+// testTable is a table with the listed backends, and the parameters of its slow starts.
+func testTable(list []Endpoint) (*backendTable, *rand.Rand, *slowStartParameters) {
+	settings := testSettings()
+	parameters := settings.slowStartParameters()
+	table, random := newBackendTable(1, 1), rand.New(rand.NewPCG(1, 2))
+	for _, endpoint := range list {
+		table.record(endpoint, start, random).update(endpoint)
+	}
+	return &table, random, &parameters
+}
+
+func TestCompleteListUnlistsWhatItMisses(t *testing.T) {
+	for _, c := range []struct {
+		kind UpdateKind
+		want bool
+	}{{UpdateComplete, false}, {UpdateStale, false}, {UpdateIncremental, true}} {
+		table, _, _ := testTable(endpoints(2))
+		table.beginUpdate(c.kind)
+		table.byID[1].update(Endpoint{ID: 1})
+		if got := table.byID[2].listed; got != c.want || !table.byID[1].listed {
+			t.Errorf("kind %d: the other is listed %t, want %t", c.kind, got, c.want)
+		}
+	}
+}
+
+func TestBackendStartsOncePerStamp(t *testing.T) {
+	table, _, _ := testTable(endpoints(1))
+	backend := table.byID[1]
+	for i, c := range []struct {
+		stamp Time
+		want  bool
+	}{{0, false}, {5, true}, {5, false}, {9, true}, {5, false}} {
+		backend.health.errorRate, backend.latency.ratio = 0.5, 2
+		if got := backend.update(Endpoint{ID: 1, StartedAt: c.stamp}); got != c.want {
+			t.Errorf("update %d: started %t, want %t", i, got, c.want)
+		}
+		if isForgotten := backend.health.errorRate == 0 && backend.latency.ratio == 0; isForgotten != c.want {
+			t.Errorf("update %d: forgot what was learnt before: %t, want %t", i, isForgotten, c.want)
+		}
+	}
+}
+
+func TestBackendsAreForgottenOnceNothingNeedsThem(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		change func(*backend)
+		want   bool
+	}{
+		{name: "listed", change: func(b *backend) { b.listed = true }, want: true},
+		{name: "in flight", change: func(b *backend) { b.load.inFlight = 1 }, want: true},
+		{name: "in slow start", change: func(b *backend) { b.slowStart.startedAt = start }, want: true},
+		{name: "none of these", change: func(*backend) {}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			table, _, parameters := testTable(endpoints(2))
+			table.byID[1].listed = false
+			c.change(table.byID[1])
+			table.prune(start, parameters)
+			_, departed := table.departed[1]
+			if got := table.byID[1] != nil; got != c.want || departed == c.want {
+				t.Errorf("kept %t and remembered as departed %t, want kept %t", got, departed, c.want)
+			}
+			if want := 1 + int(indicator(c.want)); len(table.inOrder) != want || len(table.byID) != want {
+				t.Errorf("%d in order, %d by ID, want %d", len(table.inOrder), len(table.byID), want)
+			}
+		})
+	}
+}
+
+func TestDepartedBackendKeepsItsStartForAWhile(t *testing.T) {
+	for _, c := range []struct {
+		after Time
+		want  bool // it starts anew when it is listed again
+	}{{departedRetention, false}, {departedRetention + 1, true}} {
+		endpoint := Endpoint{ID: 1, StartedAt: 5}
+		table, random, parameters := testTable([]Endpoint{endpoint})
+		table.byID[1].listed, table.byID[1].slowStart.startedAt = false, 1
+		table.prune(start, parameters)
+		table.sweepDeparted(start + c.after)
+		back := table.record(endpoint, start+c.after, random)
+		if got := back.update(endpoint); got != c.want || back.slowStart.startedAt == 1 == c.want {
+			t.Errorf("after %d: started %t at %d", c.after, got, back.slowStart.startedAt)
+		}
+	}
+}
+
+func TestListIsKnownUnlessMostOfItsStartsAreNew(t *testing.T) {
+	stamped := func(stamps ...Time) []Endpoint {
+		list := endpoints(len(stamps))
+		for i := range list {
+			list[i].StartedAt = stamps[i]
+		}
+		return list
+	}
+	for _, c := range []struct {
+		name         string
+		before, list []Endpoint
+		want         bool
+	}{
+		{name: "nothing before", list: stamped(0, 0)},
+		{name: "the same", before: stamped(1, 1), list: stamped(1, 1), want: true},
+		{name: "half is new", before: stamped(1, 1), list: stamped(1, 2), want: true},
+		{name: "most is new", before: stamped(1, 1, 1), list: stamped(1, 2, 2)},
+		{name: "without stamps", before: stamped(1, 1), list: stamped(0, 0, 0, 0, 0), want: true},
+		{name: "other backends", before: stamped(1), list: stamped(1, 2, 2)},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			table, _, _ := testTable(c.before)
+			if got := table.mostlyKnows(c.list); got != c.want {
+				t.Errorf("got %t, want %t", got, c.want)
+			}
+		})
+	}
+}
+
+func TestUnavailableBackendsAreThoseThatAreListedAndGetNothing(t *testing.T) {
+	table, random, parameters := testTable(endpoints(4))
+	table.byID[1].update(Endpoint{ID: 1, State: EndpointDraining})
+	table.byID[2].health.down = true
+	table.unlisted(9, start, random)
+	if got := table.unavailable(); got != 2 {
+		t.Errorf("%d unavailable, want the draining one and the one that is down", got)
+	}
+	table.byID[1].slowStart.startedAt, table.byID[3].slowStart.startedAt = start, start
+	if got := table.warmingUp(start, parameters); got != 1 {
+		t.Errorf("%d in slow start, want the one that is ready", got)
+	}
+}
--- a/policy/balancing.go
+++ b/policy/balancing.go
@@ -53,7 +53,8 @@
 // are older than a request takes, and all gateways would follow the same one.
 func (c *Controller) loadScore(backend *backend) float64 {
 	// The share lowers the score of a starting backend, whose bucket limits its attempts anyway.
-	score := float64(backend.load.inFlight+1) * backend.latency.slowness(c.clock.now) * c.slowStartShare(backend)
+	share := backend.slowStart.share(c.clock.now, &c.slowStart)
+	score := float64(backend.load.inFlight+1) * backend.latency.slowness(c.clock.now) * share
 	if backend.Zone != c.settings.Zone {
 		score *= 1 + c.settings.CrossZonePrice*priceWeight
 	}
@@ -69,8 +70,7 @@
 // faultPenalty is how much the faults reported of a backend for a request's class and plan raise
 // its score.
 func (c *Controller) faultPenalty(backend *backend, request *request) float64 {
-	ofClass, ofPlan := &backend.faults[request.Class], &backend.faults[c.planSubject(request.Plan)]
-	return c.peerWeight() * (ofClass.value(c.clock.now, faultDecay) + ofPlan.value(c.clock.now, faultDecay))
+	return c.peerWeight() * backend.faults.value(c.clock.now, request.Class, request.Plan)
 }
 
 // sameDedupScope reports whether two backends drop each other's repeats.
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -33,8 +33,8 @@
 	total := 0.0
 	for _, backend := range c.backends.inOrder {
 		if !backend.health.down && backend.load.inFlight > 0 {
-			onTime := float64(backend.load.inFlight) - float64(backend.load.overdue)*(1-c.load.lateShare.value)
-			total += onTime / math.Max(1, backend.latency.slowness(c.clock.now)/2)
+			slowness := backend.latency.slowness(c.clock.now)
+			total += backend.load.effective(c.load.lateShare.value) / math.Max(1, slowness/2)
 		}
 	}
 	return total
@@ -73,17 +73,16 @@
 	for class := range c.requests.withinObjective {
 		c.markOverdue(class, c.settings.Classes[class].LatencyObjective)
 	}
-	c.backends.healthy, c.pace.warm = 0, 0
+	c.backends.healthy = 0
+	warm := 0
 	for _, backend := range c.backends.inOrder {
 		c.detectUnresponsive(backend)
 		if backend.ready() && !c.unhealthy(backend) {
 			c.backends.healthy++
 		}
 		if c.isWarm(backend) {
-			c.pace.warm++
+			warm++
 		}
 	}
-	if c.pace.warm == 0 {
-		c.pace.answerRate.updatedAt = c.clock.now // keeps the last rate: no warm backend is left to measure it
-	}
+	c.pace.setWarmBackends(c.clock.now, warm)
 }
--- a/policy/controller.go
+++ b/policy/controller.go
@@ -31,11 +31,13 @@
 	gossip    gossipState
 
 	// Backends.
-	backends backendTable
-	pace     slowStartPace
-	load     loadEstimate
-	latency  latencyEstimate
-	priority priorityAverage
+	backends  backendTable
+	watch     discoveryWatch
+	slowStart slowStartParameters
+	pace      slowStartPace
+	load      loadEstimate
+	latency   latencyEstimate
+	priority  priorityAverage
 
 	// Requests.
 	requests       requestTable
@@ -52,6 +54,15 @@
 	byClass   []movingAverage // the same as all, by class
 }
 
+// slowStartOr is the average latency of backends in slow start, or else, while there was no answer of any,
+// the given one.
+func (e *latencyEstimate) slowStartOr(latency Time) float64 {
+	if e.slowStart.value > 0 {
+		return e.slowStart.value
+	}
+	return float64(latency)
+}
+
 // New makes a controller that knows nothing but its settings. The seed determines all its random
 // choices and should differ between gateways and between starts.
 func New(settings Settings, seed uint64, actions Actions) (*Controller, error) {
@@ -64,7 +75,7 @@
 		shared:         newSharedBucket(len(settings.Plans)),
 		grants:         newGrantRequests(settings.Gateways),
 		gossip:         newGossipState(uint32(seed>>halfSeedBits)^uint32(seed), settings.Gateways),
-		backends:       newBackendTable(),
+		backends:       newBackendTable(len(settings.Classes), len(settings.Plans)),
 		requests:       newRequestTable(len(settings.Classes)),
 		retryBudget:    maxRetryBudget,
 		clientTimeouts: newClientTimeouts(len(settings.Plans), len(settings.Classes)),
@@ -124,11 +135,13 @@
 		c.logCounters()
 		c.queueLoadView(loadViewPeers) // peers hear of it also while this gateway sends nothing
 		c.sweepCustomers()
-		c.sweepDeparted()
+		c.backends.sweepDeparted(c.clock.now)
 	}
 	if !c.retired {
 		c.runGossipRound()
 	}
 	c.checkEjected(now)
-	c.renewWatch(now)
+	if c.settings.PollEndpoints && c.watch.isDue(now, c.settings.PollWithin) {
+		c.requestWatch()
+	}
 }
--- a/policy/controller_gossip.go
+++ b/policy/controller_gossip.go
@@ -102,10 +102,8 @@
 		c.applyUsage(sender, &message.usage[i])
 	}
 	for _, fault := range message.faults {
-		backend := c.backends.byID[fault.backend]
-		subject := decodeSubject(fault.subject, len(c.settings.Classes), len(c.settings.Plans))
-		if backend != nil && subject >= 0 {
-			backend.faults[subject].add(now, faultDecay, 1)
+		if backend := c.backends.byID[fault.backend]; backend != nil {
+			backend.faults.add(now, fault.subject)
 		}
 	}
 	for _, received := range message.grants {
@@ -173,8 +171,7 @@
 }
 
 // reportFault notes a fault of a backend with a class or plan and sends it with the next messages.
-func (c *Controller) reportFault(backend *backend, subject int) {
-	backend.faults[subject].add(c.clock.now, faultDecay, 1)
-	encoded := encodeSubject(subject, len(c.settings.Classes))
-	c.gossip.addFault(faultReport{backend: backend.ID, subject: encoded})
+func (c *Controller) reportFault(backend *backend, subject faultSubject) {
+	backend.faults.add(c.clock.now, subject)
+	c.gossip.addFault(faultReport{backend: backend.ID, subject: subject})
 }
--- a/policy/gossip_codec.go
+++ b/policy/gossip_codec.go
@@ -78,26 +78,7 @@
 // faultReport reports a fault of a backend with one class or plan.
 type faultReport struct {
 	backend uint32
-	subject byte // see encodeSubject
-}
-
-// encodeSubject is the number of a class, or of a plan, whose index follows those of the classes. Plans are
-// counted down from the largest byte, as gateways may differ in the number of classes during a reload.
-func encodeSubject(subject, classes int) byte {
-	if plan := subject - classes; plan >= 0 {
-		return byte(math.MaxUint8 - plan)
-	}
-	return byte(subject)
-}
-
-// decodeSubject is the index of a subject; -1: none of so many classes and plans.
-func decodeSubject(encoded byte, classes, plans int) int {
-	if plan := math.MaxUint8 - int(encoded); plan < plans {
-		return classes + plan
-	} else if int(encoded) < classes {
-		return int(encoded)
-	}
-	return -1
+	subject faultSubject
 }
 
 func packUnits(units float64) uint16 { return uint16(int64(units * countsPerUnit)) }
@@ -167,11 +148,11 @@
 }
 
 func (f faultReport) appendTo(message []byte) []byte {
-	return append(binary.LittleEndian.AppendUint32(append(message, faultItem), f.backend), f.subject)
+	return append(binary.LittleEndian.AppendUint32(append(message, faultItem), f.backend), byte(f.subject))
 }
 
 func decodeFault(b []byte) faultReport {
-	return faultReport{backend: binary.LittleEndian.Uint32(b[1:]), subject: b[5]}
+	return faultReport{backend: binary.LittleEndian.Uint32(b[1:]), subject: faultSubject(b[5])}
 }
 
 // decodeGossip decodes a message. One of another version or with an incomplete item is not ok.
--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -85,19 +85,3 @@
 		t.Errorf("newest sequence %d, want 254", p.sequence)
 	}
 }
-
-func TestFaultSubjectsAreNumberedFromBothEnds(t *testing.T) {
-	h := newHarness(t, testSettings())
-	classes, plans := len(h.settings.Classes), len(h.settings.Plans)
-	for subject := range classes + plans {
-		if got := decodeSubject(encodeSubject(subject, classes), classes, plans); got != subject {
-			t.Errorf("subject %d is read as %d", subject, got)
-		}
-	}
-	if got := encodeSubject(h.planSubject(0), classes); got != 255 {
-		t.Errorf("the first plan is sent as %d, want 255", got)
-	}
-	if got := decodeSubject(byte(classes), classes, plans); got != -1 {
-		t.Errorf("an unknown class is read as %d, want -1", got)
-	}
-}
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -237,6 +237,11 @@
 	return request.ID, h.count(sendAction) > before
 }
 
+// slowStartShare is the share of its capacity that a backend in slow start has by the last event.
+func (h *harness) slowStartShare(backend *backend) float64 {
+	return backend.slowStart.share(h.clock.now, &h.slowStart)
+}
+
 // lastAttempt is the last attempt of an open request.
 func (h *harness) lastAttempt(id uint64) *attempt {
 	h.t.Helper()
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -13,7 +13,6 @@
 	maxLatencyRatio        = 20.0       // the most that one answer counts
 	fleetSampleWeight      = 0.02       // the weight of a sample in averages over all backends,
 	sampleWeight           = 0.1        // and in all others
-	faultDecay             = 8 * second // the time constant in which a fault report is forgotten
 )
 
 // backendHealth is the state of outlier detection for one backend.
@@ -75,7 +74,8 @@
 // one alone, which may have been lost, counts half.
 func (c *Controller) detectUnresponsive(backend *backend) {
 	evidence := math.Min(1, float64(backend.load.overdue)/2)
-	silence := float64(c.clock.activeTime-backend.health.unansweredSince) * c.slowStartShare(backend) * evidence
+	share := backend.slowStart.share(c.clock.now, &c.slowStart)
+	silence := float64(c.clock.activeTime-backend.health.unansweredSince) * share * evidence
 	if !backend.health.down && silence > unresponsiveObjectives*float64(c.shortestObjective) {
 		backend.health.down, backend.health.unresponsive = true, true
 		c.eject(backend, ejectedUnresponsive)
@@ -88,7 +88,9 @@
 	switch result {
 	case ResultOK, ResultTimedOut:
 		if result == ResultOK {
-			c.recordWarmAnswer(backend)
+			if c.isWarm(backend) {
+				c.pace.recordAnswer(c.clock.now)
+			}
 			c.reinstate(backend)
 		}
 		if !attempt.overlappedStall {
@@ -108,7 +110,7 @@
 
 // recordLatency learns from the latency of an answer, or of an attempt that timed out without one.
 func (c *Controller) recordLatency(backend *backend, class int, result Result, latency float64) {
-	share, usual := c.slowStartShare(backend), &c.latency.byClass[class]
+	share, usual := backend.slowStart.share(c.clock.now, &c.slowStart), &c.latency.byClass[class]
 	if result == ResultOK && share == 1 {
 		c.latency.all.add(latency, fleetSampleWeight)
 		usual.add(latency, fleetSampleWeight)
@@ -163,12 +165,12 @@
 func (c *Controller) reportOutcomeFault(request *request, attempt *attempt, result Result) {
 	switch result {
 	case ResultOverloaded:
-		c.reportFault(attempt.backend, c.planSubject(request.Plan))
+		c.reportFault(attempt.backend, planSubject(request.Plan))
 	case ResultFailed:
-		c.reportFault(attempt.backend, request.Class)
+		c.reportFault(attempt.backend, classSubject(request.Class))
 	case ResultTimedOut:
 		if !attempt.overlappedStall {
-			c.reportFault(attempt.backend, request.Class)
+			c.reportFault(attempt.backend, classSubject(request.Class))
 		}
 	}
 }
--- a/policy/ownership.go
+++ b/policy/ownership.go
@@ -32,7 +32,7 @@
 func (c *Controller) PredecessorSent(now Time, id uint64, backend uint32) {
 	c.advanceClock(now)
 	if request := c.requests.ofPredecessor[id]; request != nil {
-		c.chargeSlowStart(c.recordSend(request, c.unlistedBackend(backend)), false)
+		c.chargeSlowStart(c.recordSend(request, c.backends.unlisted(backend, c.clock.now, c.random)), false)
 	}
 }
 
--- a/policy/reload.go
+++ b/policy/reload.go
@@ -19,6 +19,7 @@
 	c.renumberClasses(&settings, classes)
 	c.renumberPlans(&settings, plans)
 	c.renumberRequests(classes, plans)
+	c.backends.renumberFaults(c.oldClassIndices(&settings, classes), plans, len(settings.Plans))
 	for _, customer := range c.customers.inOrder {
 		c.refillBuckets(customer) // at the old rate
 	}
@@ -119,12 +120,6 @@
 		}
 	}
 	c.clientTimeouts.renumberClasses(oldIndices)
-	for _, backend := range c.backends.inOrder {
-		faults := make([]decayingSum, count+len(c.settings.Plans))
-		pickFrom(faults[:count], backend.faults, oldIndices)
-		copy(faults[count:], backend.faults[len(c.settings.Classes):])
-		backend.faults = faults
-	}
 	c.latency.byClass, c.requests.withinObjective = latency, withinObjective
 	c.gossip.dropFaults() // they name classes by their old index
 }
@@ -153,22 +148,13 @@
 func (c *Controller) renumberPlans(settings *Settings, plans []int) {
 	c.clientTimeouts = c.clientTimeouts.renumberPlans(len(settings.Plans), len(settings.Classes), plans)
 	c.shared.renumberPlans(c.settings.Plans, settings.Plans, plans)
-	for _, backend := range c.backends.inOrder {
-		faults := make([]decayingSum, len(settings.Classes)+len(settings.Plans))
-		copy(faults, backend.faults[:len(settings.Classes)])
-		for old, plan := range plans {
-			if plan >= 0 {
-				faults[len(settings.Classes)+plan] = backend.faults[len(settings.Classes)+old]
-			}
-		}
-		backend.faults = faults
-	}
 }
 
 // deriveFromSettings computes what follows from the settings alone.
 func (c *Controller) deriveFromSettings() {
 	c.sharing = newQuotaSharing(&c.settings)
 	c.shortestObjective = c.settings.Classes[0].LatencyObjective
+	c.slowStart = c.settings.slowStartParameters()
 	for _, class := range c.settings.Classes {
 		c.shortestObjective = min(c.shortestObjective, class.LatencyObjective)
 	}
--- a/policy/report.go
+++ b/policy/report.go
@@ -25,16 +25,10 @@
 
 // slowStartAttr groups what backends in slow start got and the answers of warm ones, from which that derives.
 func (c *Controller) slowStartAttr() slog.Attr {
-	warmingUp := 0
-	for _, backend := range c.backends.inOrder {
-		if backend.ready() && c.slowStartShare(backend) < 1 {
-			warmingUp++
-		}
-	}
 	return slog.Group("slow_start",
-		slog.Int("backends", warmingUp),
+		slog.Int("backends", c.backends.warmingUp(c.clock.now, &c.slowStart)),
 		slog.Int("attempts", c.counters.slowStartAttempts),
 		slog.Int("denied", c.counters.slowStartDenied),
-		slog.Float64("answers_of_warm_per_second", c.warmAnswerRate()),
-		slog.Int("warm_backends", c.pace.warm))
+		slog.Float64("answers_of_warm_per_second", c.pace.answersPerSecond(c.clock.now)),
+		slog.Int("warm_backends", c.pace.warmBackends))
 }
--- a/policy/request.go
+++ b/policy/request.go
@@ -70,10 +70,7 @@
 
 // release removes an ended attempt from the load of its backend and its customer.
 func (a *attempt) release(customer *customer) {
-	a.backend.load.inFlight--
-	if a.overdue {
-		a.backend.load.overdue--
-	}
+	a.backend.load.remove(a.overdue)
 	customer.inFlight--
 }
 
@@ -85,7 +82,7 @@
 	if backend.load.inFlight == 0 {
 		backend.health.unansweredSince = c.clock.activeTime
 	}
-	backend.load.inFlight++
+	backend.load.add()
 	request.customer.inFlight++
 	return attempt
 }
@@ -96,7 +93,7 @@
 	for ; len(attempts) > 0 && c.clock.now-attempts[0].sentAt > age; attempts = attempts[1:] {
 		if attempt := attempts[0]; attempt.pending {
 			attempt.overdue = true
-			attempt.backend.load.overdue++
+			attempt.backend.load.markOverdue()
 		}
 	}
 	c.requests.withinObjective[class] = attempts
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -2,83 +2,108 @@
 
 import "math"
 
-const (
-	answerRateDecay = 4 * second // the time constant of the rate of answers of warm backends
-	overloadMargin  = 0.6        // the part of the load that a starting backend fails at which it is sent
-)
+const overloadMargin = 0.6 // the part of the load that a starting backend fails at which it is sent
+
+// slowStartParameters say how backends in slow start are treated. They follow from the settings alone.
+type slowStartParameters struct {
+	floor              float64 // the least share of its capacity that a backend starts with
+	duration           Time    // after which it has all of its capacity; 0: at once
+	window             float64 // the seconds over which the load on a starting backend is counted
+	margin             float64 // by which it may get more than its share of a warm backend's attempts
+	gateways           int     // all that may send to it
+	preferringGateways int     // those that have it in their subset
+}
 
-// slowStart is the slow start of one backend.
+// slowStartParameters derives the parameters of slow start.
+func (s *Settings) slowStartParameters() slowStartParameters {
+	parameters := slowStartParameters{
+		floor: s.SlowStartFloor, duration: s.SlowStartTime,
+		window: float64(s.OverloadWindow) / float64(second), margin: 1,
+		gateways: s.Gateways, preferringGateways: s.Gateways,
+	}
+	if s.OverloadFactor > 0 { // may be below 1: half a window's worth can come on top
+		parameters.margin = overloadMargin * s.OverloadFactor
+	}
+	if s.HandshakePrice > 0 {
+		parameters.preferringGateways = min(s.Gateways, gatewaysPerBackend)
+	}
+	return parameters
+}
+
+// minRate is the least rate, in attempts a second, at which a backend of the given share is sent attempts:
+// one in each window by all gateways together.
+func (p *slowStartParameters) minRate(share float64) float64 {
+	return share / math.Max(p.window, 1) / float64(p.gateways)
+}
+
+// slowStart is the slow start of one backend: the attempts that this gateway may send it until it is warm.
+// It never holds more than what the backend's share yields in half of the overload window, or one attempt if
+// that is less than one. An attempt takes its part once, when it is written; until then it is reserved.
 type slowStart struct {
 	startedAt Time        // by this gateway's clock; 0: long ago
 	stamps    startStamps // of its starts
 	bucket    tokenBucket // attempts that it may still get
-	waiting   int         // those of them that are reserved for attempts that wait for a connection
+	reserved  int         // those of them that are reserved for attempts that wait for a connection
 	attempts  int         // that it has got since its slow start began
 	warmingUp bool        // the log says that it is in slow start
 }
 
-// slowStartPace is what warm backends answer this gateway, from which the rate of attempts to backends in
-// slow start derives.
-type slowStartPace struct {
-	warm       int         // healthy backends of the subset that are not in slow start, as of the last refresh
-	answerRate decayingSum // successful answers per warm backend, over answerRateDecay
-}
-
-// slowStartShare is the least part of its capacity that a backend has by now: 1 once it is warm.
-func (c *Controller) slowStartShare(backend *backend) float64 {
-	if backend.slowStart.startedAt == 0 || c.settings.SlowStartTime == 0 {
+// share is the least part of its capacity that the backend has by now: 1 once it is warm.
+func (s *slowStart) share(now Time, parameters *slowStartParameters) float64 {
+	if s.startedAt == 0 || parameters.duration == 0 {
 		return 1
 	}
-	age := math.Max(0, float64(c.clock.now-backend.slowStart.startedAt)/float64(c.settings.SlowStartTime))
-	return math.Min(1, c.settings.SlowStartFloor+(1-c.settings.SlowStartFloor)*age)
+	age := math.Max(0, float64(now-s.startedAt)/float64(parameters.duration))
+	return math.Min(1, parameters.floor+(1-parameters.floor)*age)
 }
 
-// beginSlowStart notes that a backend has started, or may have.
-func (c *Controller) beginSlowStart(backend *backend, startedAt Time, reason slowStartReason) {
-	backend.slowStart.startedAt, backend.slowStart.bucket = startedAt, c.newSlowStartBucket()
-	backend.slowStart.attempts = 0
-	if share := c.slowStartShare(backend); share < 1 {
-		backend.slowStart.warmingUp = true
-		logSlowStart(c.actions, backend.ID, reason, c.clock.now-startedAt, share)
-	}
+// begin notes that the backend has started, or may have. The level is what it may get at once: less than one
+// attempt, drawn so that of many gateways neither all nor none send at once. It returns the share that the
+// backend has by now; below 1 the log has to say that it is in slow start.
+func (s *slowStart) begin(
+	startedAt, now Time, level float64, parameters *slowStartParameters,
+) (share float64) {
+	s.startedAt, s.bucket = startedAt, tokenBucket{level: level, updatedAt: now}
+	s.attempts = 0
+	share = s.share(now, parameters)
+	s.warmingUp = s.warmingUp || share < 1
+	return share
 }
 
-// logWarmedUp logs which backends have ended their slow start.
-func (c *Controller) logWarmedUp() {
-	for _, backend := range c.backends.inOrder {
-		if backend.slowStart.warmingUp && c.slowStartShare(backend) == 1 {
-			backend.slowStart.warmingUp = false
-			logWarm(c.actions, backend.ID, backend.slowStart.attempts)
-		}
+// restore goes on with the start that another process knew, which that one may have seen to happen, unless
+// this process has heard of a later one.
+func (s *slowStart) restore(startedAt Time, stamps startStamps) {
+	if !stamps.includes(&s.stamps) {
+		s.startedAt = max(s.startedAt, startedAt)
+		return
 	}
+	s.startedAt, s.stamps = startedAt, stamps
 }
 
-// slowStartAllows reports whether a backend may get one more attempt. One in slow start gets its
-// share of what a warm one serves this gateway, saved up for at most half of the overload window, so
-// that all gateways together load it no more than a warm one can serve.
-func (c *Controller) slowStartAllows(backend *backend) bool {
-	share := c.slowStartShare(backend)
-	if share == 1 || c.retired { // what was saved up belongs to the process that took over
-		return share == 1
-	}
-	window := float64(c.settings.OverloadWindow) / float64(second)
-	margin := 1.0
-	if c.settings.OverloadFactor > 0 { // may be below 1: half a window's worth can come on top
-		margin = overloadMargin * c.settings.OverloadFactor
-	}
-	bucket := &backend.slowStart.bucket
-	turn := share / math.Max(window, 1) / float64(c.settings.Gateways)
-	bucket.rate = margin * math.Max(c.slowStartRate(backend, share), turn)
-	// What can't be saved up to one attempt in that time is dropped and comes at its next turn: else
-	// many slow gateways would each hold an attempt for the backend and send them all at once.
-	saved := bucket.rate * window / 2
-	if bucket.capacity = saved; saved < 1 {
-		bucket.capacity = 1 + saved
-	}
-	if overflow := bucket.refill(c.clock.now); saved < 1 && overflow > 0 {
-		bucket.level = saved + math.Mod(overflow, 1)
+// warmedUp reports, once for each slow start, that it has ended.
+func (s *slowStart) warmedUp(now Time, parameters *slowStartParameters) bool {
+	if !s.warmingUp || s.share(now, parameters) < 1 {
+		return false
 	}
-	return bucket.level-float64(backend.slowStart.waiting) >= 1
+	s.warmingUp = false
+	return true
+}
+
+// allows reports whether a backend with a share below 1 may get one more attempt. It saves up attempts at the
+// given rate a second, for at most half of the overload window, so that all gateways together load the
+// backend no more than a warm one can serve.
+func (s *slowStart) allows(now Time, share, rate float64, parameters *slowStartParameters) bool {
+	s.bucket.rate = parameters.margin * math.Max(rate, parameters.minRate(share))
+	// What can't be saved up to one attempt in that time is dropped and comes at the least rate: else many
+	// slow gateways would each hold an attempt for the backend and send them all at once.
+	saved := s.bucket.rate * parameters.window / 2
+	if s.bucket.capacity = saved; saved < 1 {
+		s.bucket.capacity = 1 + saved
+	}
+	if overflow := s.bucket.refill(now); saved < 1 && overflow > 0 {
+		s.bucket.level = saved + math.Mod(overflow, 1)
+	}
+	return s.bucket.level-float64(s.reserved) >= 1
 }
 
 // slowStartCharge says what an attempt has taken of its backend's slow start.
@@ -86,104 +111,35 @@
 
 const (
 	slowStartNotCharged slowStartCharge = iota // it has been sent to a warm backend
-	slowStartHeld                              // it waits for a connection, and one attempt is held for it
+	slowStartReserved                          // it waits for a connection, and an attempt is reserved
 	slowStartCharged                           // it has been written
 )
 
-// chargeSlowStart takes an attempt from the bucket of a backend in slow start. One that waits for a
-// connection is taken as it is written, and held until then: connections that come up late may do so all
-// at once.
-func (c *Controller) chargeSlowStart(attempt *attempt, waiting bool) {
-	backend := attempt.backend
-	if c.slowStartShare(backend) == 1 {
-		return
-	}
+// charge takes an attempt from the bucket, or reserves it for one that waits for a connection: connections
+// that come up late may do so all at once.
+func (s *slowStart) charge(waiting bool) slowStartCharge {
 	if waiting {
-		attempt.slowStart = slowStartHeld
-		backend.slowStart.waiting++
-		return
+		s.reserved++
+		return slowStartReserved
 	}
-	attempt.slowStart = slowStartCharged
-	backend.slowStart.bucket.level--
-	backend.slowStart.attempts++
-	c.counters.slowStartAttempts++
+	s.bucket.level--
+	s.attempts++
+	return slowStartCharged
 }
 
-// chargeWaiting takes a waiting attempt from the bucket if the backend is in slow start, and reports whether
-// there was one to take. The backend may have been warm when it was chosen.
-func (c *Controller) chargeWaiting(attempt *attempt) bool {
-	attempt.releaseHeld()
-	if !c.slowStartAllows(attempt.backend) {
-		c.counters.slowStartDenied++
-		return false
-	}
-	c.chargeSlowStart(attempt, false)
-	return true
-}
-
-// releaseSlowStart gives back what an attempt has taken and not used.
-func (c *Controller) releaseSlowStart(attempt *attempt, result Result) {
-	attempt.releaseHeld()
-	backend := attempt.backend
-	if result != ResultNotSent || attempt.slowStart != slowStartCharged {
-		return
-	}
-	attempt.slowStart = slowStartNotCharged
-	if attempt.sentAt >= backend.slowStart.startedAt { // of the same slow start
-		backend.slowStart.bucket.level++ // at most to its capacity, with the next refill
-	}
-}
-
-// releaseHeld gives back what is held for a waiting attempt.
-func (a *attempt) releaseHeld() {
-	if a.slowStart == slowStartHeld {
-		a.slowStart = slowStartNotCharged
-		a.backend.slowStart.waiting--
-	}
-}
-
-// isWarm reports whether a backend shows what a warm one serves this gateway.
-func (c *Controller) isWarm(backend *backend) bool {
-	return backend.ready() && backend.inSubset && !c.unhealthy(backend) && c.slowStartShare(backend) == 1
-}
-
-// recordWarmAnswer learns from a successful answer what a warm backend serves. Attempts without one are no
-// measure of that: those that fail at once are repeated elsewhere, as often as the retry budget allows.
-func (c *Controller) recordWarmAnswer(backend *backend) {
-	if c.pace.warm > 0 && c.isWarm(backend) {
-		c.pace.answerRate.add(c.clock.now, answerRateDecay, 1/float64(c.pace.warm))
-	}
-}
-
-// warmAnswerRate is how many successful answers a second a warm backend gives this gateway.
-func (c *Controller) warmAnswerRate() float64 {
-	return c.pace.answerRate.value(c.clock.now, answerRateDecay) * float64(second) / float64(answerRateDecay)
-}
-
-// slowStartRate is how many attempts a second a backend in slow start gets: its share of a warm
-// backend's answers. With no warm backend in the subset it is one core's rate, the least that any
-// backend has, split over the gateways that prefer it.
-func (c *Controller) slowStartRate(backend *backend, share float64) float64 {
-	if !backend.inSubset {
-		return 0 // left to the gateways that prefer it
-	}
-	rate := share * c.warmAnswerRate()
-	if c.pace.warm > 0 {
-		return rate
-	}
-	gateways := c.settings.Gateways
-	if c.settings.HandshakePrice > 0 {
-		gateways = min(gateways, gatewaysPerBackend)
-	}
-	latency := float64(c.shortestObjective)
-	if c.latency.slowStart.value > 0 {
-		latency = c.latency.slowStart.value
+// release gives back what an attempt has reserved, and what it has taken if it has ended unsent. It returns
+// what the attempt has taken from then on.
+func (s *slowStart) release(taken slowStartCharge, sentAt Time, unsent bool) slowStartCharge {
+	switch {
+	case taken == slowStartReserved:
+		s.reserved--
+		return slowStartNotCharged
+	case taken == slowStartCharged && unsent:
+		if sentAt >= s.startedAt { // of the same slow start
+			s.bucket.level++ // at most to its capacity, with the next refill
+		}
+		return slowStartNotCharged
+	default:
+		return taken
 	}
-	return math.Max(rate, share*float64(second)/latency/float64(gateways))
-}
-
-// newSlowStartBucket holds less than one attempt, drawn so that of many gateways neither all nor
-// none send at once.
-func (c *Controller) newSlowStartBucket() tokenBucket {
-	return tokenBucket{level: c.random.Float64(), updatedAt: c.clock.now}
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -160,9 +160,9 @@
 			t.Fatalf("sent %t, and another is allowed", sent)
 		}
 		h.end(id, ResultNotSent, true)
-		if !h.slowStartAllows(backend) || backend.slowStart.waiting != 0 {
+		if !h.slowStartAllows(backend) || backend.slowStart.reserved != 0 {
 			t.Errorf("level %g, %d held after the attempt was not sent",
-				backend.slowStart.bucket.level, backend.slowStart.waiting)
+				backend.slowStart.bucket.level, backend.slowStart.reserved)
 		}
 	}
 }
@@ -248,3 +248,141 @@
 	}
 	assertNear(t, "answer rate", h.pace.answerRate.value(h.at, answerRateDecay), before)
 }
+
+func TestSlowStartShareRisesEvenlyFromTheFloor(t *testing.T) {
+	parameters := slowStartParameters{floor: 0.2, duration: 10 * second}
+	begun := slowStart{startedAt: start}
+	for _, c := range []struct {
+		name       string
+		slowStart  slowStart
+		parameters slowStartParameters
+		age        Time
+		want       float64
+	}{
+		{name: "at the start", slowStart: begun, parameters: parameters, want: 0.2},
+		{name: "before the start", slowStart: begun, parameters: parameters, age: -second, want: 0.2},
+		{name: "halfway", slowStart: begun, parameters: parameters, age: 5 * second, want: 0.6},
+		{name: "at the end", slowStart: begun, parameters: parameters, age: 10 * second, want: 1},
+		{name: "long after", slowStart: begun, parameters: parameters, age: 99 * second, want: 1},
+		{name: "started long ago", parameters: parameters, want: 1},
+		{name: "no slow start", slowStart: begun, want: 1},
+	} {
+		assertNear(t, c.name, c.slowStart.share(start+c.age, &c.parameters), c.want)
+	}
+}
+
+func TestSlowStartSavesUpHalfOfItsWindow(t *testing.T) {
+	parameters := slowStartParameters{floor: 0.5, duration: 10 * second, window: 4, margin: 1, gateways: 1}
+	const rate = 3.0
+	var s slowStart
+	s.begin(start, start, 0.5, &parameters)
+	if s.allows(start, 0.5, rate, &parameters) {
+		t.Error("an attempt is allowed with half of one saved up")
+	}
+	now := start + 60*second // longer than it saves up for
+	allowed := 0
+	for s.allows(now, 0.5, rate, &parameters) {
+		s.charge(false)
+		allowed++
+	}
+	if want := int(rate * parameters.window / 2); allowed != want || s.attempts != want {
+		t.Errorf("%d attempts at once, %d counted, want %d", allowed, s.attempts, want)
+	}
+}
+
+// What can't be saved up to one attempt comes at the least rate and is never more than one at once.
+func TestSlowStartOfASlowGatewayHoldsAtMostOneAttempt(t *testing.T) {
+	parameters := slowStartParameters{floor: 0.5, duration: 1e9 * second, window: 2, margin: 1, gateways: 10}
+	var s slowStart
+	s.begin(start, start, 0, &parameters)
+	allowed, now := 0, start
+	for range 400 {
+		now += second
+		for s.allows(now, 0.5, 0, &parameters) {
+			s.charge(false)
+			allowed++
+			if s.allows(now, 0.5, 0, &parameters) {
+				t.Fatal("two attempts at one moment")
+			}
+		}
+	}
+	if want := 400 * parameters.minRate(0.5); float64(allowed) < want-1 || float64(allowed) > want+1 {
+		t.Errorf("%d attempts in 400 s, want %g", allowed, want)
+	}
+}
+
+func TestSlowStartReservesForAttemptsThatWait(t *testing.T) {
+	parameters := slowStartParameters{floor: 0.5, duration: 10 * second, window: 4, margin: 1, gateways: 1}
+	var s slowStart
+	s.begin(start, start, 0.9, &parameters)
+	s.bucket.level = 1
+	taken := s.charge(true)
+	if taken != slowStartReserved || s.allows(start, 0.5, 1, &parameters) {
+		t.Error("what is reserved may be taken by another attempt")
+	}
+	taken = s.release(taken, start, false)
+	if taken != slowStartNotCharged || s.reserved != 0 || !s.allows(start, 0.5, 1, &parameters) {
+		t.Errorf("%d reserved after the release", s.reserved)
+	}
+	written := s.charge(false)
+	if got := s.release(written, start, false); got != slowStartCharged || s.bucket.level >= 1 {
+		t.Error("an attempt that was sent gave its part back")
+	}
+	if got := s.release(written, start, true); got != slowStartNotCharged || s.bucket.level < 1 {
+		t.Error("an attempt that was not sent kept its part")
+	}
+	s.begin(start+second, start+second, 0, &parameters)
+	if s.release(written, start, true); s.bucket.level != 0 {
+		t.Error("an attempt of the slow start before gave something to this one")
+	}
+}
+
+func TestSlowStartEndsOnce(t *testing.T) {
+	parameters := slowStartParameters{floor: 0.5, duration: 10 * second}
+	var s slowStart
+	if share := s.begin(start, start, 0, &parameters); share != 0.5 || s.warmedUp(start, &parameters) {
+		t.Errorf("share %g at the start", share)
+	}
+	if !s.warmedUp(start+10*second, &parameters) || s.warmedUp(start+10*second, &parameters) {
+		t.Error("want one end of a slow start")
+	}
+	s.begin(start, start+10*second, 0, &parameters)
+	if s.warmedUp(start+20*second, &parameters) {
+		t.Error("one that was warm when its start became known has ended a slow start")
+	}
+}
+
+func TestRestoredSlowStartIsTheLaterOneThatIsKnown(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		own      []Time
+		ownStart Time
+		want     Time
+	}{
+		{name: "nothing known here", want: 50},
+		{name: "the same start known here", own: []Time{7}, ownStart: 60, want: 50},
+		{name: "a later start known here", own: []Time{9}, ownStart: 60, want: 60},
+	} {
+		s := slowStart{startedAt: c.ownStart, stamps: startStamps{known: c.own}}
+		if s.restore(50, startStamps{known: []Time{7}}); s.startedAt != c.want {
+			t.Errorf("%s: started at %d, want %d", c.name, s.startedAt, c.want)
+		}
+	}
+}
+
+func TestSlowStartParametersFollowFromTheSettings(t *testing.T) {
+	settings := slowStartSettings()
+	settings.Gateways, settings.HandshakePrice = 80, 0
+	parameters := settings.slowStartParameters()
+	assertNear(t, "window in seconds", parameters.window, 3)
+	assertNear(t, "margin", parameters.margin, overloadMargin*2.5)
+	if parameters.preferringGateways != 80 {
+		t.Errorf("%d gateways prefer a backend, want all: a handshake is free", parameters.preferringGateways)
+	}
+	settings.HandshakePrice, settings.OverloadFactor = 0.1, 0
+	parameters = settings.slowStartParameters()
+	assertNear(t, "margin without an overload factor", parameters.margin, 1)
+	if parameters.preferringGateways != gatewaysPerBackend {
+		t.Errorf("%d gateways prefer a backend, want %d", parameters.preferringGateways, gatewaysPerBackend)
+	}
+}
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -87,7 +87,7 @@
 		if i < len(snapshot.Stamps) {
 			stamps.known = snapshot.Stamps[i]
 		}
-		c.importStart(backend, snapshot.Backends[i].Started, stamps)
+		backend.slowStart.restore(min(snapshot.Backends[i].Started, c.clock.now), stamps)
 	}
 	for i := range snapshot.Open {
 		c.importRequest(&snapshot.Open[i], indices)
@@ -130,44 +130,12 @@
 }
 
 func (c *Controller) importBackend(state *BackendState, indices snapshotIndices) *backend {
-	backend := c.unlistedBackend(state.Backend)
+	backend := c.backends.unlisted(state.Backend, c.clock.now, c.random)
 	state.decodeInto(backend)
-	for i, faults := range state.Words {
-		if subject := c.importedSubject(i, indices); subject >= 0 {
-			backend.faults[subject] = decodeSum(faults)
-		}
-	}
+	decodeFaults(state.Words, indices, &backend.faults)
 	return backend
 }
 
-// importStart goes on with the start that the other process knew of a backend, which that one may have seen
-// to happen, unless this process has heard of a later one.
-func (c *Controller) importStart(backend *backend, startedAt Time, stamps startStamps) {
-	startedAt = min(startedAt, c.clock.now)
-	isUnknown := func(stamp Time) bool { return !stamps.contains(stamp) }
-	if slices.ContainsFunc(backend.slowStart.stamps.known, isUnknown) {
-		backend.slowStart.startedAt = max(backend.slowStart.startedAt, startedAt)
-		return
-	}
-	backend.slowStart.startedAt, backend.slowStart.stamps = startedAt, stamps
-}
-
-// importedSubject is the index here of a snapshot's fault reports; -1: not in the settings.
-func (c *Controller) importedSubject(i int, indices snapshotIndices) int {
-	if i < len(indices.class) {
-		return indices.class[i]
-	}
-	if plan := i - len(indices.class); plan < len(indices.plan) && indices.plan[plan] >= 0 {
-		return c.planSubject(indices.plan[plan])
-	}
-	return -1
-}
-
-// unlistedBackend returns the record of a backend that need not be in the endpoint list yet.
-func (c *Controller) unlistedBackend(id uint32) *backend {
-	return c.backendRecord(Endpoint{ID: id, State: EndpointRemoved})
-}
-
 func (c *Controller) importRequest(state *OpenState, indices snapshotIndices) {
 	customer := c.customers.byID[state.Customer]
 	class, plan := indices.class[state.Class], indices.plan[state.Plan]
@@ -181,16 +149,16 @@
 		customer: customer,
 	}
 	for i := range state.Attempts {
-		backend := c.unlistedBackend(state.Attempts[i].Backend)
+		backend := c.backends.unlisted(state.Attempts[i].Backend, c.clock.now, c.random)
 		attempt := decodeAttempt(&state.Attempts[i], backend)
 		request.attempts = append(request.attempts, attempt)
 		if !attempt.pending {
 			continue
 		}
-		backend.load.inFlight++
+		backend.load.add()
 		customer.inFlight++
 		if attempt.overdue {
-			backend.load.overdue++
+			backend.load.markOverdue()
 		} else {
 			c.requests.withinObjective[class] = append(c.requests.withinObjective[class], attempt)
 		}
--- a/policy/snapshot_codec.go
+++ b/policy/snapshot_codec.go
@@ -257,7 +257,7 @@
 		Quiet: backend.health.unansweredSince, SlowAt: backend.latency.updatedAt,
 		Left: backend.health.ejectedAt, Wait: backend.health.ejectionTime, TrialAt: backend.health.nextProbeAt,
 		Slow: backend.latency.ratio, Errs: backend.health.errorRate, Down: backend.health.down, Silent: backend.health.unresponsive,
-		Breaks: encodeSum(backend.health.connectionFailures), Words: convertAll(backend.faults, encodeSum),
+		Breaks: encodeSum(backend.health.connectionFailures), Words: encodeFaults(&backend.faults),
 		Cold: encodeBucket(backend.slowStart.bucket),
 	}
 }
@@ -271,6 +271,24 @@
 	backend.health.down, backend.health.unresponsive, backend.slowStart.bucket = s.Down, s.Silent, decodeBucket(s.Cold)
 }
 
+// encodeFaults converts fault reports, those of the plans after those of the classes.
+func encodeFaults(faults *faultReports) [][2]float64 {
+	return append(convertAll(faults.byClass, encodeSum), convertAll(faults.byPlan, encodeSum)...)
+}
+
+// decodeFaults sets the fault reports on classes and plans that this process has too.
+func decodeFaults(states [][2]float64, indices snapshotIndices, faults *faultReports) {
+	for i, state := range states {
+		if i < len(indices.class) {
+			if class := indices.class[i]; class >= 0 {
+				faults.byClass[class] = decodeSum(state)
+			}
+		} else if i -= len(indices.class); i < len(indices.plan) && indices.plan[i] >= 0 {
+			faults.byPlan[indices.plan[i]] = decodeSum(state)
+		}
+	}
+}
+
 func encodeRequest(request *request) OpenState {
 	return OpenState{
 		ID: request.ID, Customer: request.Customer,
