--- a/policy/admission.go
+++ b/policy/admission.go
@@ -58,7 +58,7 @@
 		return false
 	}
 	waited := c.clientTimeouts.waited(req)
-	return waited+c.latency.byClass[req.Class].value > float64(c.settings.Classes[req.Class].LatencyObjective)
+	return waited+c.latency.ofClass(req.Class) > float64(c.settings.Classes[req.Class].LatencyObjective)
 }
 
 // ownUnits is the source of a request's units where no coordinator was asked.
@@ -120,7 +120,7 @@
 // openCapacity is the part of the capacity that is open to a request: the more, the higher its
 // priority in relation to the work that it asks for.
 func (c *Controller) openCapacity(req *Request) float64 {
-	latency := c.latency.byClass[req.Class].value
+	latency := c.latency.ofClass(req.Class)
 	if latency == 0 {
 		return 1
 	}
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -73,29 +73,3 @@
 		c.actions.Fail(outcome.RequestID)
 	}
 }
-
-// settleAttempt updates the load, the backend's health and the customer's use by an outcome.
-func (c *Controller) settleAttempt(request *request, attempt *attempt, outcome *Outcome) {
-	attempt.release(request.customer)
-	slowStart := &attempt.backend.slowStart
-	attempt.slowStart = slowStart.release(attempt.slowStart, attempt.sentAt, outcome.Result == ResultNotSent)
-	// A backend that rejects is full: however soon it says so, that is no answer on time.
-	objective := c.settings.Classes[request.Class].LatencyObjective
-	late := outcome.Latency > objective || outcome.Result == ResultOverloaded
-	answered := outcome.Result == ResultOK || outcome.Result == ResultOverloaded
-	if !attempt.overlappedStall && (answered || outcome.Result == ResultTimedOut && late) {
-		c.load.lateShare.add(indicator(late), sampleWeight)
-		c.load.onTime.add(c.clock.activeTime, second, indicator(!late))
-	}
-	if answered || outcome.Result == ResultFailed {
-		attempt.backend.health.unansweredSince, attempt.backend.health.lastAnswerAt = c.clock.activeTime, c.clock.now
-	}
-	c.recordResult(attempt, request.Class, outcome)
-	c.reportOutcomeFault(request, attempt, outcome.Result)
-	request.customer.readMeter(c.clock.now, &c.sharing, outcome.MeterReading)
-	if c.settings.SettlesCost && outcome.Result == ResultOK && outcome.ActualCost > 0 {
-		c.refillBuckets(request.customer)
-		more := outcome.ActualCost - request.Cost
-		c.customers.consume(&c.sharing, request.customer, request.coordinator, more)
-	}
-}
--- a/policy/backends.go
+++ b/policy/backends.go
@@ -79,6 +79,33 @@
 
 // isWarm reports whether a backend shows what a warm one serves this gateway.
 func (c *Controller) isWarm(backend *backend) bool {
-	return backend.ready() && backend.inSubset && !c.unhealthy(backend) &&
+	return backend.ready() && backend.inSubset && c.isHealthy(backend) &&
 		backend.slowStart.share(c.clock.now, &c.slowStart) == 1
 }
+
+// isHealthy reports whether a backend's health lets it have another attempt.
+func (c *Controller) isHealthy(backend *backend) bool {
+	return backend.health.acceptsAttempts(c.clock.now, backend.load.inFlight, c.settings.HealthChecks)
+}
+
+// startHealthChecks starts the health checks that are due.
+func (c *Controller) startHealthChecks(now Time) {
+	for _, backend := range c.backends.inOrder {
+		if c.settings.HealthChecks && backend.ready() && backend.health.startProbe(now) {
+			c.actions.HealthCheck(backend.ID)
+		}
+	}
+}
+
+// HealthCheckEnded handles the result of a health check. The load report that came with it is unused.
+func (c *Controller) HealthCheckEnded(now Time, id uint32, result Result, _ []float32) {
+	c.advanceClock(now)
+	backend := c.backends.byID[id]
+	switch {
+	case backend == nil:
+	case result == ResultOK:
+		c.reinstate(backend)
+	default:
+		backend.health.recordFailedProbe(now, result == ResultConnectFailed)
+	}
+}
--- a/policy/backendtable.go
+++ b/policy/backendtable.go
@@ -30,7 +30,7 @@
 		return false
 	}
 	b.slowStart.stamps.add(endpoint.StartedAt)
-	b.latency.ratio = 0
+	b.latency.reset()
 	b.health.errorRate = 0
 	return true
 }
--- a/policy/balancing.go
+++ b/policy/balancing.go
@@ -33,7 +33,7 @@
 			continue
 		}
 		if within != nil && !c.settings.Classes[request.Class].sameDedupScope(within.backend, backend) ||
-			!allowUnhealthy && (c.unhealthy(backend) || request.tried(backend)) {
+			!allowUnhealthy && (!c.isHealthy(backend) || request.tried(backend)) {
 			continue
 		}
 		score := c.loadScore(backend) * (1 + c.faultPenalty(backend, request))
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -47,27 +47,12 @@
 	view := c.loadView()
 	perBackend := minInFlight - (minInFlight-minInFlightWhenLate)*c.load.lateShare.value
 	least := perBackend * float64(c.backends.healthy) / float64(c.settings.Gateways) * view.gateways
-	capacity := math.Max(least, view.onTimeRate*c.allowedLatency()/float64(second)*fullLatencyShare*part)
+	allowedLatency := c.latency.allowed(c.settings.Classes, c.shortestObjective)
+	capacity := math.Max(least, view.onTimeRate*allowedLatency/float64(second)*fullLatencyShare*part)
 	ownCapacity := minOwnInFlight + maxOwnShare*capacity/view.gateways
 	return view.inFlight >= capacity || c.effectiveInFlight() >= ownCapacity
 }
 
-// allowedLatency is the average latency at which the class with the tightest objective still meets
-// it: load stretches the latency of all classes alike.
-func (c *Controller) allowedLatency() float64 {
-	allowed := math.Inf(1)
-	for class, latency := range c.latency.byClass {
-		if latency.value > 0 {
-			objective := float64(c.settings.Classes[class].LatencyObjective)
-			allowed = math.Min(allowed, c.latency.all.value/latency.value*objective)
-		}
-	}
-	if math.IsInf(allowed, 1) {
-		return float64(c.shortestObjective)
-	}
-	return allowed
-}
-
 // refreshBackendHealth finds overdue attempts and unresponsive backends, and counts the others.
 func (c *Controller) refreshBackendHealth() {
 	for class := range c.requests.withinObjective {
@@ -76,8 +61,10 @@
 	c.backends.healthy = 0
 	warm := 0
 	for _, backend := range c.backends.inOrder {
-		c.detectUnresponsive(backend)
-		if backend.ready() && !c.unhealthy(backend) {
+		share := backend.slowStart.share(c.clock.now, &c.slowStart)
+		c.logEjection(backend, backend.health.detectUnresponsive(
+			c.clock.now, c.clock.activeTime, backend.load.overdue, share, c.shortestObjective))
+		if backend.ready() && c.isHealthy(backend) {
 			c.backends.healthy++
 		}
 		if c.isWarm(backend) {
--- a/policy/controller.go
+++ b/policy/controller.go
@@ -47,22 +47,6 @@
 	counters activityCounters // since the last log event
 }
 
-// latencyEstimate holds average latencies of successful answers, in microseconds.
-type latencyEstimate struct {
-	all       movingAverage
-	slowStart movingAverage   // of backends in slow start, scaled to their full capacity
-	byClass   []movingAverage // the same as all, by class
-}
-
-// slowStartOr is the average latency of backends in slow start, or else, while there was no answer of any,
-// the given one.
-func (e *latencyEstimate) slowStartOr(latency Time) float64 {
-	if e.slowStart.value > 0 {
-		return e.slowStart.value
-	}
-	return float64(latency)
-}
-
 // New makes a controller that knows nothing but its settings. The seed determines all its random
 // choices and should differ between gateways and between starts.
 func New(settings Settings, seed uint64, actions Actions) (*Controller, error) {
@@ -79,7 +63,7 @@
 		requests:       newRequestTable(len(settings.Classes)),
 		retryBudget:    maxRetryBudget,
 		clientTimeouts: newClientTimeouts(len(settings.Plans), len(settings.Classes)),
-		latency:        latencyEstimate{byClass: make([]movingAverage, len(settings.Classes))},
+		latency:        newLatencyEstimate(len(settings.Classes)),
 	}
 	c.deriveFromSettings()
 	return c, nil
@@ -140,7 +124,7 @@
 	if !c.retired {
 		c.runGossipRound()
 	}
-	c.checkEjected(now)
+	c.startHealthChecks(now)
 	if c.settings.PollEndpoints && c.watch.isDue(now, c.settings.PollWithin) {
 		c.requestWatch()
 	}
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -242,6 +242,15 @@
 	return backend.slowStart.share(h.clock.now, &h.slowStart)
 }
 
+// unhealthy reports whether a backend gets no attempts as of the last event.
+func (h *harness) unhealthy(backend *backend) bool { return !h.isHealthy(backend) }
+
+// connectionFailed has a connection to a backend fail, and reports whether it is down.
+func (h *harness) connectionFailed(backend *backend, mayRun bool) bool {
+	down, _ := backend.health.recordConnectionFailure(h.clock.now, mayRun)
+	return down
+}
+
 // lastAttempt is the last attempt of an open request.
 func (h *harness) lastAttempt(id uint64) *attempt {
 	h.t.Helper()
--- /dev/null
+++ b/policy/latencyratio_test.go
@@ -0,0 +1,15 @@
+package policy
+
+import "testing"
+
+func TestLatencyRatioDecaysToTheUsual(t *testing.T) {
+	var ratio latencyRatio
+	assertNear(t, "unknown", ratio.slowness(start), 1)
+	ratio.record(start, 6)
+	assertNear(t, "after one slow answer", ratio.slowness(start), 1+sampleWeight*5)
+	assertNear(t, "after a half-life", ratio.slowness(start+slownessHalfLife), 1+sampleWeight*5/2)
+	ratio.reset()
+	assertNear(t, "after a reset", ratio.slowness(start), 1)
+	ratio.record(start, 1e9)
+	assertNear(t, "after one very slow answer", ratio.slowness(start), 1+sampleWeight*(maxLatencyRatio-1))
+}
--- a/policy/logevent.go
+++ b/policy/logevent.go
@@ -22,7 +22,8 @@
 type ejectionReason uint8
 
 const (
-	ejectedUnresponsive      ejectionReason = iota // it answered none of its overdue attempts
+	notEjected               ejectionReason = iota // it stays in rotation
+	ejectedUnresponsive                            // it answered none of its overdue attempts
 	ejectedErrors                                  // too many of its answers were errors
 	ejectedConnectionsFailed                       // connections to it failed or were reset
 )
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -33,11 +33,11 @@
 	}
 	h.at += 10 * second
 	h.TimerFired(h.at, gossipTimer)
-	if h.recordConnectionFailure(backend, true) || backend.health.down {
+	if h.connectionFailed(backend, true) || backend.health.down {
 		t.Error("ejected for two resets far apart")
 	}
 	for range 3 {
-		h.recordConnectionFailure(backend, true)
+		h.connectionFailed(backend, true)
 	}
 	if !backend.health.down {
 		t.Fatal("not ejected after many resets at once")
@@ -181,13 +181,13 @@
 	h := newHarness(t, testSettings())
 	backend := h.backends.byID[1]
 	for i, want := range []Time{second / 2, second, 2 * second, 4 * second, 4 * second} {
-		h.eject(backend, ejectedErrors)
+		backend.health.eject(h.clock.now)
 		if got := backend.health.nextProbeAt - h.clock.now; got != want {
 			t.Errorf("ejection %d lasts %d, want %d", i, got, want)
 		}
 	}
 	h.clock.now += 2*maxEjectionTime + 1
-	if h.eject(backend, ejectedErrors); backend.health.ejectionTime != minEjectionTime {
+	if backend.health.eject(h.clock.now); backend.health.ejectionTime != minEjectionTime {
 		t.Errorf("after long in rotation: %d, want %d", backend.health.ejectionTime, minEjectionTime)
 	}
 	if got := h.UnavailableBackends(); got != 0 {
--- a/policy/ownership_test.go
+++ b/policy/ownership_test.go
@@ -63,8 +63,8 @@
 	next.refreshBackendHealth()
 	next.PredecessorExited(next.at)
 	for _, backend := range next.backends.inOrder {
-		if backend.load.inFlight != 0 || backend.load.overdue != 0 {
-			t.Errorf("backend %d: in flight %d, overdue %d", backend.ID, backend.load.inFlight, backend.load.overdue)
+		if load := backend.load; load.inFlight != 0 || load.overdue != 0 {
+			t.Errorf("backend %d: in flight %d, overdue %d", backend.ID, load.inFlight, load.overdue)
 		}
 	}
 	if next.customers.byID[8].inFlight != 0 {
--- a/policy/recorded_test.go
+++ b/policy/recorded_test.go
@@ -139,7 +139,7 @@
 		continue
 	}
 	for !h.backends.byID[2].health.down {
-		h.recordConnectionFailure(h.backends.byID[2], false)
+		h.connectionFailed(h.backends.byID[2], false)
 	}
 	h.nextID = 39
 	id, sent := h.request(1, 1, 8, 3)
@@ -205,8 +205,8 @@
 	if got == 1 || got != want {
 		t.Errorf("the backend in slow start has a share of %g, want %g", got, want)
 	}
-	if starting.slowStart.bucket != startingBefore.slowStart.bucket {
-		t.Errorf("slow start bucket %+v, want %+v", starting.slowStart.bucket, startingBefore.slowStart.bucket)
+	if got, want := starting.slowStart.bucket, startingBefore.slowStart.bucket; got != want {
+		t.Errorf("slow start bucket %+v, want %+v", got, want)
 	}
 	assertOpenRequestImported(t, h, before.lastAttempt(40).backend.ID)
 }
@@ -216,7 +216,8 @@
 	t.Helper()
 	customer, backend := h.customers.byID[8], h.backends.byID[backendID]
 	if backend.load.inFlight != 1 || customer.inFlight != 1 {
-		t.Errorf("in flight: backend %d, customer %d; want 1 of each", backend.load.inFlight, customer.inFlight)
+		t.Errorf("in flight: backend %d, customer %d; want 1 of each",
+			backend.load.inFlight, customer.inFlight)
 	}
 	level := customer.bucket.level
 	h.PredecessorAttemptEnded(h.at, Outcome{
--- a/policy/reload.go
+++ b/policy/reload.go
@@ -110,9 +110,9 @@
 // for the class of its name, whatever else of it has changed.
 func (c *Controller) renumberClasses(settings *Settings, classes []int) {
 	count := len(settings.Classes)
-	latency, withinObjective := make([]movingAverage, count), make([][]*attempt, count)
+	withinObjective := make([][]*attempt, count)
 	oldIndices := c.oldClassIndices(settings, classes)
-	pickFrom(latency, c.latency.byClass, oldIndices)
+	c.latency.renumber(oldIndices)
 	for i, attempts := range c.requests.withinObjective {
 		if class := classes[i]; class >= 0 {
 			withinObjective[class] = append(withinObjective[class], attempts...)
@@ -120,7 +120,7 @@
 		}
 	}
 	c.clientTimeouts.renumberClasses(oldIndices)
-	c.latency.byClass, c.requests.withinObjective = latency, withinObjective
+	c.requests.withinObjective = withinObjective
 	c.gossip.dropFaults() // they name classes by their old index
 }
 
--- a/policy/request.go
+++ b/policy/request.go
@@ -79,9 +79,7 @@
 	attempt := &attempt{backend: backend, sentAt: c.clock.now, pending: true, mayHaveRun: true}
 	request.attempts = append(request.attempts, attempt)
 	c.requests.withinObjective[request.Class] = append(c.requests.withinObjective[request.Class], attempt)
-	if backend.load.inFlight == 0 {
-		backend.health.unansweredSince = c.clock.activeTime
-	}
+	backend.health.expectAnswer(c.clock.activeTime, backend.load.inFlight)
 	backend.load.add()
 	request.customer.inFlight++
 	return attempt
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -85,7 +85,7 @@
 // attemptDeadline is when the request's newest attempt is given up for another one, 0 if there is
 // no budget, capacity or time for another.
 func (c *Controller) attemptDeadline(request *request) Time {
-	class, latency := &c.settings.Classes[request.Class], Time(c.latency.byClass[request.Class].value)
+	class, latency := &c.settings.Classes[request.Class], Time(c.latency.ofClass(request.Class))
 	deadline := c.clock.now + attemptTimeoutFactor*latency
 	if class.Idempotency == NotIdempotent || c.retryBudget < ranRetryCost ||
 		len(request.attempts) == c.settings.MaxAttempts || c.atCapacity(borrowCapacityShare) ||
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -37,7 +37,9 @@
 		snapshot.Customers = append(snapshot.Customers, encodeCustomer(customer))
 	}
 	snapshot.Backends = convertAll(c.backends.inOrder, encodeBackend)
-	snapshot.Stamps = convertAll(c.backends.inOrder, func(b *backend) []Time { return b.slowStart.stamps.known })
+	for _, backend := range c.backends.inOrder {
+		snapshot.Stamps = append(snapshot.Stamps, backend.slowStart.stamps.known)
+	}
 	snapshot.Now = c.clock.now
 	for _, request := range c.requests.byID {
 		if request.hasPending() {
--- a/policy/snapshot_codec.go
+++ b/policy/snapshot_codec.go
@@ -252,12 +252,13 @@
 }
 
 func encodeBackend(backend *backend) BackendState {
+	health := &backend.health
 	return BackendState{
 		Backend: backend.ID, Started: backend.slowStart.startedAt,
-		Quiet: backend.health.unansweredSince, SlowAt: backend.latency.updatedAt,
-		Left: backend.health.ejectedAt, Wait: backend.health.ejectionTime, TrialAt: backend.health.nextProbeAt,
-		Slow: backend.latency.ratio, Errs: backend.health.errorRate, Down: backend.health.down, Silent: backend.health.unresponsive,
-		Breaks: encodeSum(backend.health.connectionFailures), Words: encodeFaults(&backend.faults),
+		Quiet: health.unansweredSince, SlowAt: backend.latency.updatedAt,
+		Left: health.ejectedAt, Wait: health.ejectionTime, TrialAt: health.nextProbeAt,
+		Slow: backend.latency.ratio, Errs: health.errorRate, Down: health.down, Silent: health.unresponsive,
+		Breaks: encodeSum(health.connectionFailures), Words: encodeFaults(&backend.faults),
 		Cold: encodeBucket(backend.slowStart.bucket),
 	}
 }
@@ -265,10 +266,13 @@
 // decodeInto sets a backend's state but for its start, and for its fault reports, whose indices differ
 // between processes.
 func (s *BackendState) decodeInto(backend *backend) {
-	backend.health.unansweredSince, backend.latency.ratio, backend.latency.updatedAt = s.Quiet, s.Slow, s.SlowAt
-	backend.health.errorRate, backend.health.connectionFailures = s.Errs, decodeSum(s.Breaks)
-	backend.health.ejectedAt, backend.health.ejectionTime, backend.health.nextProbeAt = s.Left, s.Wait, s.TrialAt
-	backend.health.down, backend.health.unresponsive, backend.slowStart.bucket = s.Down, s.Silent, decodeBucket(s.Cold)
+	health := &backend.health
+	health.unansweredSince, health.errorRate = s.Quiet, s.Errs
+	health.connectionFailures = decodeSum(s.Breaks)
+	health.ejectedAt, health.ejectionTime, health.nextProbeAt = s.Left, s.Wait, s.TrialAt
+	health.down, health.unresponsive = s.Down, s.Silent
+	backend.latency = latencyRatio{ratio: s.Slow, updatedAt: s.SlowAt}
+	backend.slowStart.bucket = decodeBucket(s.Cold)
 }
 
 // encodeFaults converts fault reports, those of the plans after those of the classes.
--- a/policy/stats.go
+++ b/policy/stats.go
@@ -2,6 +2,11 @@
 
 import "math"
 
+const (
+	fleetSampleWeight = 0.02 // the weight of a sample in averages over all backends,
+	sampleWeight      = 0.1  // and in all others
+)
+
 // decayingSum is a sum whose terms decay exponentially with age. The time constant is passed with
 // each call and must be the same in all of them.
 type decayingSum struct {
--- a/policy/stepped_clock_test.go
+++ b/policy/stepped_clock_test.go
@@ -179,12 +179,13 @@
 			h.serve(0, 7, 1) // a customer, by whose bucket an older snapshot shows its time
 			h.at += settings.SlowStartTime / 4
 			h.TimerFired(h.at, gossipTimer)
-			h.recordConnectionFailure(h.backends.byID[1], false)
+			h.connectionFailed(h.backends.byID[1], false)
 			next := h.handOverStepped(t, settings, step, older)
 			share := h.slowStartShare(h.backends.byID[4])
 			assertNear(t, "share", next.slowStartShare(next.backends.byID[4]), share)
 			ejected, was := next.backends.byID[1], h.backends.byID[1]
-			assertNear(t, "ejection", float64(ejected.health.nextProbeAt-next.at), float64(was.health.nextProbeAt-h.at))
+			left, leftBefore := ejected.health.nextProbeAt-next.at, was.health.nextProbeAt-h.at
+			assertNear(t, "ejection", float64(left), float64(leftBefore))
 		}
 	})
 }
