--- a/policy/backendtable.go
+++ b/policy/backendtable.go
@@ -1,6 +1,7 @@
 package policy
 
 import (
+	"math"
 	"math/rand/v2"
 	"slices"
 )
@@ -140,6 +141,18 @@
 	return count
 }
 
+// effectiveInFlight is how many of this gateway's attempts load the backends, where the given share of all
+// answers is late. Attempts at a backend that is down don't count, those at a slow one count less.
+func (t *backendTable) effectiveInFlight(now Time, lateShare float64) float64 {
+	total := 0.0
+	for _, backend := range t.inOrder {
+		if !backend.health.down && backend.load.inFlight > 0 {
+			total += backend.load.effective(lateShare) / math.Max(1, backend.latency.slowness(now)/2)
+		}
+	}
+	return total
+}
+
 // warmingUp is how many ready backends are in slow start.
 func (t *backendTable) warmingUp(now Time, parameters *slowStartParameters) int {
 	count := 0
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -36,7 +36,7 @@
 	}
 	assertNear(t, "in flight with other answers on time", h.effectiveInFlight(), 0)
 	for range 200 {
-		h.load.lateShare.add(1, sampleWeight)
+		h.limit.lateShare.add(1, sampleWeight)
 	}
 	assertNear(t, "in flight with all other answers late", h.effectiveInFlight(), 4)
 }
@@ -47,7 +47,7 @@
 		h := newHarness(t, testSettings())
 		h.TimerFired(h.at, gossipTimer)
 		for range 200 {
-			h.load.lateShare.add(late, sampleWeight)
+			h.limit.lateShare.add(late, sampleWeight)
 		}
 		for n := range 100 {
 			if _, sent := h.request(1, 1, uint64(n), 1); !sent {
@@ -75,7 +75,7 @@
 	assertNear(t, "on time", view.onTimeRate, 40)
 	assertNear(t, "gateways", view.gateways, 2)
 	for range 800 {
-		h.load.onTime.add(h.clock.activeTime, second, 1)
+		h.limit.onTime.add(h.clock.activeTime, second, 1)
 	}
 	if view = h.loadView(); view.inFlight > 0.1 || view.gateways > 1.02 {
 		t.Errorf("with many answers of its own: %g in flight by peers, %g gateways",
@@ -116,14 +116,14 @@
 	for range 100 {
 		step(ResultOK, true)
 	}
-	before, lateBefore := h.loadView().onTimeRate, h.load.lateShare.value
+	before, lateBefore := h.loadView().onTimeRate, h.limit.lateShare.value
 	for range 50 {
 		step(ResultOverloaded, false)
 	}
 	if after := h.loadView().onTimeRate; after >= before {
 		t.Errorf("%g answers on time a second after rejections alone, %g before", after, before)
 	}
-	if after := h.load.lateShare.value; after <= lateBefore {
+	if after := h.limit.lateShare.value; after <= lateBefore {
 		t.Errorf("late share %g after rejections alone, %g before", after, lateBefore)
 	}
 }
--- a/policy/controller.go
+++ b/policy/controller.go
@@ -35,7 +35,7 @@
 	watch     discoveryWatch
 	slowStart slowStartParameters
 	pace      slowStartPace
-	load      loadEstimate
+	limit     concurrencyLimit
 	latency   latencyEstimate
 	priority  priorityAverage
 
--- a/policy/backends.go
+++ b/policy/controller_backends.go
@@ -109,3 +109,40 @@
 		backend.health.recordFailedProbe(now, result == ResultConnectFailed)
 	}
 }
+
+// loadView is this gateway's own load and that of its peers.
+func (c *Controller) loadView() loadView {
+	ownInFlight := c.backends.effectiveInFlight(c.clock.now, c.limit.lateShare.value)
+	return c.limit.view(c.clock.activeTime, ownInFlight)
+}
+
+// atCapacity reports whether the given part of the backends' capacity is in use.
+func (c *Controller) atCapacity(part float64) bool {
+	c.refreshBackendHealth()
+	ownInFlight := c.backends.effectiveInFlight(c.clock.now, c.limit.lateShare.value)
+	return c.limit.isReached(c.clock.activeTime, ownInFlight, part, backendCapacity{
+		healthy: c.backends.healthy, gateways: c.settings.Gateways,
+		allowedLatency: c.latency.allowed(c.settings.Classes, c.shortestObjective),
+	})
+}
+
+// refreshBackendHealth finds overdue attempts and unresponsive backends, and counts the others.
+func (c *Controller) refreshBackendHealth() {
+	for class := range c.requests.withinObjective {
+		c.markOverdue(class, c.settings.Classes[class].LatencyObjective)
+	}
+	c.backends.healthy = 0
+	warm := 0
+	for _, backend := range c.backends.inOrder {
+		share := backend.slowStart.share(c.clock.now, &c.slowStart)
+		c.logEjection(backend, backend.health.detectUnresponsive(
+			c.clock.now, c.clock.activeTime, backend.load.overdue, share, c.shortestObjective))
+		if backend.ready() && c.isHealthy(backend) {
+			c.backends.healthy++
+		}
+		if c.isWarm(backend) {
+			warm++
+		}
+	}
+	c.pace.setWarmBackends(c.clock.now, warm)
+}
--- a/policy/controller_gossip.go
+++ b/policy/controller_gossip.go
@@ -93,7 +93,7 @@
 		return
 	}
 	received := c.gossip.receive(from, c.clock.activeTime, &message)
-	c.recordPeerLoad(received.weight, &message)
+	c.limit.recordPeer(c.clock.activeTime, received.weight, message.inFlight, message.onTimeRate)
 	if received.restarted {
 		c.reportAllTo(from)
 	}
@@ -111,14 +111,6 @@
 	}
 }
 
-// recordPeerLoad adds a peer's load view to those of all, with a weight below 1 for a peer that sent one
-// shortly before.
-func (c *Controller) recordPeerLoad(weight float64, message *gossipMessage) {
-	c.load.peers.add(c.clock.activeTime, second, weight)
-	c.load.peersInFlight.add(c.clock.activeTime, second, weight*message.inFlight)
-	c.load.peersOnTime.add(c.clock.activeTime, second, weight*message.onTimeRate)
-}
-
 // applyUsage applies a peer's usage entry, and answers its quota request or corrects its grant.
 func (c *Controller) applyUsage(sender usageSender, entry *usageEntry) {
 	if entry.plan >= len(c.settings.Plans) || entry.replicas < 1 || entry.replicas > c.sharing.gateways {
--- a/policy/outcomes.go
+++ b/policy/controller_outcomes.go
@@ -12,8 +12,7 @@
 	isLate := outcome.Latency > objective || outcome.Result == ResultOverloaded
 	answered := outcome.Result == ResultOK || outcome.Result == ResultOverloaded
 	if !attempt.overlappedStall && (answered || outcome.Result == ResultTimedOut && isLate) {
-		c.load.lateShare.add(indicator(isLate), sampleWeight)
-		c.load.onTime.add(c.clock.activeTime, second, indicator(!isLate))
+		c.limit.recordAnswer(c.clock.activeTime, isLate)
 	}
 	if answered || outcome.Result == ResultFailed {
 		attempt.backend.health.recordAnswer(c.clock.now, c.clock.activeTime)
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -251,6 +251,11 @@
 	return down
 }
 
+// effectiveInFlight is how many of the gateway's attempts load the backends as of the last event.
+func (h *harness) effectiveInFlight() float64 {
+	return h.backends.effectiveInFlight(h.clock.now, h.limit.lateShare.value)
+}
+
 // lastAttempt is the last attempt of an open request.
 func (h *harness) lastAttempt(id uint64) *attempt {
 	h.t.Helper()
--- a/policy/report.go
+++ b/policy/report.go
@@ -17,7 +17,7 @@
 		slog.Float64("in_flight", view.inFlight),
 		slog.Float64("on_time_per_second", view.onTimeRate),
 		slog.Float64("gateways", view.gateways),
-		slog.Float64("late_share", c.load.lateShare.value),
+		slog.Float64("late_share", c.limit.lateShare.value),
 		slog.Float64("mean_latency_milliseconds", c.latency.all.value/microsecondsPerMillisecond),
 		slog.Int("healthy_backends", c.backends.healthy),
 		slog.Int("backends", len(c.backends.inOrder)))
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -16,11 +16,11 @@
 		Born:    c.clock.startedAt, Still: c.clock.stalledTime, Woke: c.clock.resumedAt,
 		Swept: c.customers.sweptAt, Boot: c.gossip.incarnation, Turn: c.gossip.sequence,
 		Lend: encodeBucket(c.shared.tokenBucket), IdleSpill: c.shared.idleOverflow,
-		InTime: encodeSum(c.load.onTime), Peers: encodeSum(c.load.peers),
-		PeersHeld: encodeSum(c.load.peersInFlight), PeersInTime: encodeSum(c.load.peersOnTime),
+		InTime: encodeSum(c.limit.onTime), Peers: encodeSum(c.limit.peers),
+		PeersHeld: encodeSum(c.limit.peersInFlight), PeersInTime: encodeSum(c.limit.peersOnTime),
 		Pace: encodeSum(c.pace.answerRate),
 		Mean: encodeAverage(c.latency.all), ColdMean: encodeAverage(c.latency.slowStart),
-		Late: encodeAverage(c.load.lateShare), Worth: encodeAverage(c.priority.movingAverage),
+		Late: encodeAverage(c.limit.lateShare), Worth: encodeAverage(c.priority.movingAverage),
 		Base: convertAll(c.latency.byClass, encodeAverage), Again: float64(c.retryBudget),
 	}
 	for i := range c.gossip.peers {
@@ -74,9 +74,9 @@
 	c.clock.restore(snapshot.Born, snapshot.Woke, snapshot.Still)
 	c.customers.sweptAt = snapshot.Swept
 	c.gossip.restore(snapshot.Boot, snapshot.Turn, snapshot.peers())
-	c.load.onTime, c.load.peers = decodeSum(snapshot.InTime), decodeSum(snapshot.Peers)
-	c.load.peersInFlight, c.load.peersOnTime = decodeSum(snapshot.PeersHeld), decodeSum(snapshot.PeersInTime)
-	c.load.lateShare, c.pace.answerRate = decodeAverage(snapshot.Late), decodeSum(snapshot.Pace)
+	c.limit.onTime, c.limit.peers = decodeSum(snapshot.InTime), decodeSum(snapshot.Peers)
+	c.limit.peersInFlight, c.limit.peersOnTime = decodeSum(snapshot.PeersHeld), decodeSum(snapshot.PeersInTime)
+	c.limit.lateShare, c.pace.answerRate = decodeAverage(snapshot.Late), decodeSum(snapshot.Pace)
 	c.priority.movingAverage, c.retryBudget = decodeAverage(snapshot.Worth), retryBudget(snapshot.Again)
 	c.importLatency(snapshot, indices)
 	c.shared.restore(decodeBucket(snapshot.Lend), snapshot.IdleSpill, indices.plan)
--- a/policy/stats.go
+++ b/policy/stats.go
@@ -34,18 +34,3 @@
 	m.samples++
 	m.value += math.Max(weight, 1/m.samples) * (x - m.value)
 }
-
-// loadEstimate is what this gateway and its peers saw of the backends' load. The sums have a time
-// constant of a second.
-type loadEstimate struct {
-	onTime                            decayingSum   // answers within their objective
-	lateShare                         movingAverage // the share of answers after their objective
-	peers, peersInFlight, peersOnTime decayingSum   // peers that reported, their attempts, their onTime
-}
-
-// loadView is the load on the backends by all gateways that reported theirs.
-type loadView struct {
-	inFlight   float64 // attempts
-	onTimeRate float64 // answers a second within their objective
-	gateways   float64 // how many gateways the figures cover
-}
