--- a/internal/gateway/client.go
+++ b/internal/gateway/client.go
@@ -54,6 +54,7 @@
 	inheritedInput  []byte    // read by the process before, which did not decide on it
 	readAheadInput  []byte    // read while the reader waited; counted in queuedBytes
 	midCommand      bool      // a command has begun to arrive
+	identified      bool      // a well-formed command was read
 	commandDeadline time.Time // by when it has to be complete
 }
 
--- a/internal/gateway/client_commands.go
+++ b/internal/gateway/client_commands.go
@@ -25,136 +25,228 @@
 	errIDIsOpen          = errors.New("id: that request is open")
 )
 
-// commandReceived is a command that a client has sent, or the error in its place.
-type commandReceived struct {
-	client       *client
-	receivedAt   policy.Time
-	request      command.Request // without Args: it is none
-	size         int             // bytes that it holds, counted in memoryUse.queued
-	reply        []byte          // to be sent without a decision of the policy; nil: none
-	malformed    bool            // it counts as an error of the connection's
-	framingLost  bool            // nothing behind it can be read
-	disconnected bool            // the connection has ended instead
-	overMemory   bool            // it was dropped for lack of memory
-	body         *body           // a large one that is still to be read; nil: none
-	args         [][]byte        // as read
-	config       *config.Config  // by which it was parsed
+// unknownCommandError is a command that there is not: its name. The text is sent to the client.
+type unknownCommandError []byte
+
+func (e unknownCommandError) Error() string { return fmt.Sprintf("unknown command %.32q", []byte(e)) }
+
+// receivedCommand is what a client's reader posts for each command: requestReceived, requestDropped or
+// commandAnswered.
+type receivedCommand interface {
+	event
+	common() commandHead
+}
+
+// commandHead is what all commands have in common.
+type commandHead struct {
+	client     *client
+	receivedAt policy.Time
+	size       int      // bytes that it holds, counted in memoryUse.queued
+	args       [][]byte // as read; nil: they were not read, or were dropped for lack of memory
+	body       *body    // a large one that is still to be read; nil: none
 }
 
+func (h commandHead) common() commandHead { return h }
+
 // maxQueuedBytes is how many bytes of input may wait for the loop.
 func maxQueuedBytes(cfg *config.Config) int64 {
 	return int64(cfg.MemoryMB) * bytesPerMB / queuedMemoryDivisor
 }
 
-// readFrom reads one command. It runs in the client's reader.
-func (e *commandReceived) readFrom(l *Loop, in *resp.Reader) {
+// readCommand reads one command; the error is that of the connection. It runs in the client's reader.
+func (c *client) readCommand(l *Loop, in *resp.Reader) (receivedCommand, error) {
 	args, bodySize, err := in.ReadCommandHead()
-	e.receivedAt = l.clock.Now()
+	head := commandHead{client: c, receivedAt: l.clock.Now()}
 	switch {
 	case errors.Is(err, resp.ErrTooLarge):
-		e.reply, e.malformed = errorReply(err), true
-		return
+		return commandAnswered{commandHead: head, reply: errorReply(err), malformed: true}, nil
 	case errors.Is(err, resp.ErrProtocol):
-		e.reply, e.malformed, e.framingLost = errorReply(err), true, true
-		return
+		return head.withLostFraming(err), nil
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		e.reply, e.malformed, e.framingLost = errorReply(errCommandIncomplete), true, true
-		return
+		return head.withLostFraming(errCommandIncomplete), nil
 	case err != nil:
-		e.disconnected = true
-		return
+		return nil, err
 	}
-	e.parse(l.publishedConfig.Load(), args)
-	e.size, e.args = command.Size(args), args
+	head.size, head.args = command.Size(args), args
 	if bodySize > 0 {
-		e.body = &body{size: bodySize, destination: make(chan *backendConn, 1)}
+		head.body = &body{size: bodySize, destination: make(chan *backendConn, 1)}
 	}
-	if l.memory.queued.Add(int64(e.size)) > maxQueuedBytes(e.config) {
-		l.memory.queued.Add(-int64(e.size))
-		e.request.Args, e.args, e.size, e.overMemory = nil, nil, 0, true
+	cfg := l.publishedConfig.Load()
+	if l.memory.queued.Add(int64(head.size)) > maxQueuedBytes(cfg) {
+		l.memory.queued.Add(-int64(head.size))
+		head.args, head.size = nil, 0
 	}
+	return head.parse(cfg, args), nil
+}
+
+// withLostFraming returns the reply to input behind which nothing can be read.
+func (h commandHead) withLostFraming(err error) commandAnswered {
+	return commandAnswered{commandHead: h, reply: errorReply(err), malformed: true, framingLost: true}
 }
 
-// parse sets the request, or the reply to what is none.
-func (e *commandReceived) parse(cfg *config.Config, args [][]byte) {
-	e.config = cfg
+// parse returns a request or, for what is none, the reply. Args are those of the command, also where the head
+// has dropped them.
+func (h commandHead) parse(cfg *config.Config, args [][]byte) receivedCommand {
+	name := args[command.NameArg]
 	switch {
-	case command.IsRequest(args[command.NameArg]):
-		request, err := command.Parse(cfg, args)
-		if err != nil {
-			// A client may still use a class that a reload has removed: no error of the connection's.
-			e.reply, e.malformed = errorReply(err), !errors.Is(err, command.ErrUnknownClass)
-			return
-		}
-		e.request = request
-	case command.IsPing(args[command.NameArg]):
-		e.reply = pongReply
-	default:
-		e.reply, e.malformed = errorReply(fmt.Errorf("unknown command %.32q", args[command.NameArg])), true
+	case command.IsPing(name):
+		return commandAnswered{commandHead: h, reply: pongReply}
+	case !command.IsRequest(name):
+		return commandAnswered{commandHead: h, reply: errorReply(unknownCommandError(name)), malformed: true}
+	}
+	request, err := command.Parse(cfg, args)
+	switch {
+	case err != nil:
+		// A client may still use a class that a reload has removed: no error of the connection's.
+		malformed := !errors.Is(err, command.ErrUnknownClass)
+		return commandAnswered{commandHead: h, reply: errorReply(err), malformed: malformed}
+	case h.args == nil:
+		return requestDropped{commandHead: h, clientID: request.ClientID}
 	}
+	return requestReceived{commandHead: h, request: request, config: cfg}
 }
 
-func (e commandReceived) Handle(l *Loop) {
-	c, now := e.client, l.events.Now()
-	l.memory.queued.Add(-int64(e.size))
+// begin reports whether a command is to be handled. One that arrived while its connection was being closed is
+// not: the client sends it again.
+func (h commandHead) begin(l *Loop) bool {
+	c := h.client
+	l.memory.queued.Add(-int64(h.size))
 	if c.closed || c.writeClosed || c.ignoreInput.Load() {
-		// It arrived while the connection was being closed: the client sends it again.
-		e.body.discard()
+		h.body.discard()
 		<-c.pipelineSlots
-		return
-	}
-	if l.handover.isActive() && e.args != nil && e.body == nil {
-		l.handover.queue(e) // the process that takes over decides on it
-		return
-	}
-	if e.request.Args != nil && e.config != l.config {
-		// Parsed before a reload: its class may have another number now, or none.
-		args := e.request.Args
-		e.request = command.Request{}
-		e.parse(l.config, args)
+		return false
 	}
+	return true
+}
+
+// isForSuccessor reports whether the process that takes over decides on a command. It does not get a large
+// body, which can't be handed over, nor a command that was not kept.
+func (h commandHead) isForSuccessor(l *Loop) bool {
+	return l.handover.isActive() && h.args != nil && h.body == nil
+}
+
+// append makes the request of a command, which may have nothing in it but its place in the client's
+// pipeline, and appends it there.
+func (h commandHead) append(l *Loop, parsed command.Request) *request {
+	c := h.client
 	if c.closeAfterNextCommand {
 		c.closeWhenDrained = true
-		if e.body == nil {
+		if h.body == nil {
 			c.ignoreInput.Store(true)
 		}
 	}
-	r := l.appendRequest(&e)
-	c.lastCommandAt = now
-	if e.reply == nil && l.requests.openByClientID[r.clientID] != nil {
-		// Two open requests of one id can't be told apart behind this gateway.
-		e.reply, e.malformed = errorReply(errIDIsOpen), true
-	}
-	c.countCommand(e.malformed, e.framingLost)
-	if e.reply == nil {
-		// A large body can't be handed over, so its request is rejected during a handover.
-		e.reply = l.capacityRejection(c, e.overMemory || l.handover.isActive())
-	}
-	if e.reply != nil {
-		l.answer(r, e.reply)
-		return
-	}
-	l.admitRequest(r, e.request.Details, e.receivedAt)
-}
-
-// appendRequest makes the request of a command and appends it to its client's pipeline.
-func (l *Loop) appendRequest(e *commandReceived) *request {
 	r := &request{
-		client: e.client, body: e.body, args: e.request.Args, timeoutSpan: e.request.TimeoutSpan,
-		clientID: e.request.ClientID,
+		client: c, body: h.body,
+		args: parsed.Args, timeoutSpan: parsed.TimeoutSpan, clientID: parsed.ClientID,
 	}
-	if e.body != nil {
-		e.body.request = r
+	if h.body != nil {
+		h.body.request = r
 	}
 	if r.args != nil {
-		r.metrics = l.classMetrics[e.request.Details.Class]
+		r.metrics = l.classMetrics[parsed.Details.Class]
 		l.metrics.OpenRequests.Add(1)
 	}
-	r.client.pipeline = append(r.client.pipeline, r)
+	c.pipeline = append(c.pipeline, r)
 	l.requests.open++
+	c.lastCommandAt = l.events.Now()
 	return r
 }
 
+// commandAnswered is a command that is answered without a decision of the policy: PING, and what is no valid
+// command.
+type commandAnswered struct {
+	commandHead
+	reply       []byte
+	malformed   bool // it counts as an error of the connection's
+	framingLost bool // nothing behind it can be read
+}
+
+func (e commandAnswered) Handle(l *Loop) {
+	switch {
+	case !e.begin(l):
+	case e.isForSuccessor(l):
+		l.handover.queue(e)
+	default:
+		e.answer(l)
+	}
+}
+
+// answer sends the reply in its turn.
+func (e commandAnswered) answer(l *Loop) {
+	r := e.append(l, command.Request{})
+	e.client.countCommand(e.malformed, e.framingLost)
+	l.answer(r, e.reply)
+}
+
+// requestDropped is a request that was dropped for lack of memory.
+type requestDropped struct {
+	commandHead
+	clientID uint64
+}
+
+func (e requestDropped) Handle(l *Loop) {
+	if e.begin(l) {
+		r := e.append(l, command.Request{ClientID: e.clientID})
+		l.rejectOrCount(r, true)
+	}
+}
+
+// requestReceived is a request that a client has sent.
+type requestReceived struct {
+	commandHead
+	request command.Request
+	config  *config.Config // by which it was parsed
+}
+
+func (e requestReceived) Handle(l *Loop) {
+	switch {
+	case !e.begin(l):
+	case e.isForSuccessor(l):
+		l.handover.queue(e)
+	case e.config != l.config:
+		e.handleAfterReload(l)
+	default:
+		e.admit(l)
+	}
+}
+
+// handleAfterReload handles a request that was parsed before a reload: its class may have another number now,
+// or none.
+func (e requestReceived) handleAfterReload(l *Loop) {
+	switch parsed := e.parse(l.config, e.args).(type) {
+	case requestReceived:
+		parsed.admit(l)
+	case commandAnswered:
+		parsed.answer(l)
+	}
+}
+
+// admit has the policy decide on a request, unless the gateway itself rejects it. A large body can't be
+// handed over, so its request is rejected during a handover.
+func (e requestReceived) admit(l *Loop) {
+	r := e.append(l, e.request)
+	if !l.rejectOrCount(r, l.handover.isActive()) {
+		l.admitRequest(r, e.request.Details, e.receivedAt)
+	}
+}
+
+// rejectOrCount counts a request as a command of its connection's. It reports whether it has rejected it.
+func (l *Loop) rejectOrCount(r *request, overMemory bool) (rejected bool) {
+	if l.requests.openByClientID[r.clientID] != nil {
+		// Two open requests of one id can't be told apart behind this gateway.
+		r.client.countCommand(true, false)
+		l.answer(r, errorReply(errIDIsOpen))
+		return true
+	}
+	r.client.countCommand(false, false)
+	reply := l.capacityRejection(r.client, overMemory)
+	if reply == nil {
+		return false
+	}
+	l.answer(r, reply)
+	return true
+}
+
 // countCommand counts a well-formed or a malformed command. A connection with too many malformed ones in a
 // row is closed after the reply, as each costs as much as a request; one that has lost its framing is
 // closed too.
--- a/internal/gateway/client_read.go
+++ b/internal/gateway/client_read.go
@@ -24,48 +24,60 @@
 func (c *client) readCommands(l *Loop, identified bool) {
 	defer c.discardReadAhead(l)
 	in := resp.NewReader(c)
+	c.identified = identified
 	c.commandDeadline = c.openedAt.Add(firstCommandTimeout)
 	if !identified {
 		c.setReadDeadline(c.commandDeadline)
 	}
 	for {
-		switch err := c.awaitCommand(in); {
-		case errors.Is(err, errHandingOver):
+		err := c.awaitCommand(in)
+		if errors.Is(err, errHandingOver) {
 			l.events.Post(clientReaderStopped{client: c})
 			return
-		case err != nil:
-			c.disconnect(l)
-			return
-		}
-		if identified {
-			c.commandDeadline = time.Now().Add(commandTimeout)
-			c.setReadDeadline(c.commandDeadline)
 		}
-		e := commandReceived{client: c}
-		e.readFrom(l, in)
-		if e.disconnected {
+		if err != nil {
 			c.disconnect(l)
 			return
 		}
-		identified = identified || !e.malformed
-		if identified {
-			c.setReadDeadline(time.Time{})
-		}
-		if !c.acquireSlot(l, identified) {
-			l.memory.queued.Add(-int64(e.size))
-			return
-		}
-		l.events.Post(e)
-		if e.body != nil && !c.forwardBody(l, in, e.body) {
-			return
-		}
-		if e.framingLost || c.ignoreInput.Load() {
-			c.readAheadWhile(l, func() { <-c.done }) // the loop closes it after its last reply
+		if !c.readNext(l, in) {
 			return
 		}
 	}
 }
 
+// readNext reads one command, which has begun to arrive, and posts it. It reports whether another one may
+// follow.
+func (c *client) readNext(l *Loop, in *resp.Reader) bool {
+	if c.identified {
+		c.commandDeadline = time.Now().Add(commandTimeout)
+		c.setReadDeadline(c.commandDeadline)
+	}
+	e, err := c.readCommand(l, in)
+	if err != nil {
+		c.disconnect(l)
+		return false
+	}
+	answered, _ := e.(commandAnswered)
+	c.identified = c.identified || !answered.malformed
+	if c.identified {
+		c.setReadDeadline(time.Time{})
+	}
+	head := e.common()
+	if !c.acquireSlot(l) {
+		l.memory.queued.Add(-int64(head.size))
+		return false
+	}
+	l.events.Post(e)
+	if head.body != nil && !c.forwardBody(l, in, head.body) {
+		return false
+	}
+	if answered.framingLost || c.ignoreInput.Load() {
+		c.readAheadWhile(l, func() { <-c.done }) // the loop closes it after its last reply
+		return false
+	}
+	return true
+}
+
 // awaitCommand waits for the first byte of a command. It returns errHandingOver if the connection is to be
 // handed over instead.
 func (c *client) awaitCommand(in *resp.Reader) error {
@@ -84,7 +96,7 @@
 }
 
 // acquireSlot waits for a slot in the pipeline and reports whether the connection is still of use.
-func (c *client) acquireSlot(l *Loop, identified bool) bool {
+func (c *client) acquireSlot(l *Loop) bool {
 	select {
 	case c.pipelineSlots <- struct{}{}:
 		return true
@@ -98,7 +110,7 @@
 		case <-c.done:
 		}
 	})
-	if !identified {
+	if !c.identified {
 		c.setReadDeadline(c.commandDeadline)
 	}
 	return acquired && !c.disconnected.Load()
--- a/internal/gateway/handover.go
+++ b/internal/gateway/handover.go
@@ -70,7 +70,7 @@
 	// resumeOwnership serves again after a successor has decided.
 	resumeOwnership()
 	// handleQueued handles a command that was read while nobody decided.
-	handleQueued(commandReceived)
+	handleQueued(receivedCommand)
 	// endIfIdle ends the gateway where it shuts down and nothing is open.
 	endIfIdle()
 	// setStateTimeout has expire called when the successor has had its time to accept the state.
@@ -84,7 +84,7 @@
 	phase          phase.Machine[handoverPhase]
 	listener       *handover.Listener // where a successor asks; nil: nowhere
 	link           successorLink      // nil: none
-	queuedCommands []commandReceived  // for the successor, read since the state was exported
+	queuedCommands []receivedCommand  // for the successor, read since the state was exported
 	gateway        handoverGateway
 	log            *slog.Logger
 }
@@ -174,13 +174,14 @@
 }
 
 // queue sets a command aside that the successor is to decide on.
-func (h *outgoingHandover) queue(e commandReceived) {
+func (h *outgoingHandover) queue(e receivedCommand) {
 	if !h.hasGivenOwnership() {
 		h.queuedCommands = append(h.queuedCommands, e)
 		return
 	}
-	e.client.handoverInput = appendCommand(e.client.handoverInput, e.args)
-	<-e.client.pipelineSlots
+	head := e.common()
+	head.client.handoverInput = appendCommand(head.client.handoverInput, head.args)
+	<-head.client.pipelineSlots
 }
 
 func appendCommand(b []byte, args [][]byte) []byte {
@@ -363,8 +364,8 @@
 	}
 }
 
-func (l loopHandover) handleQueued(command commandReceived) {
-	l.memory.queued.Add(int64(command.size)) // which its handling subtracts a second time
+func (l loopHandover) handleQueued(command receivedCommand) {
+	l.memory.queued.Add(int64(command.common().size)) // which its handling subtracts a second time
 	command.Handle(l.Loop)
 }
 
--- a/internal/gateway/handover_phase_test.go
+++ b/internal/gateway/handover_phase_test.go
@@ -64,7 +64,7 @@
 func (f *fakeHandoverGateway) stopReading()                  { f.record("stopReading") }
 func (f *fakeHandoverGateway) retainOwnership()              { f.record("retainOwnership") }
 func (f *fakeHandoverGateway) resumeOwnership()              { f.record("resumeOwnership") }
-func (f *fakeHandoverGateway) handleQueued(commandReceived)  { f.record("handleQueued") }
+func (f *fakeHandoverGateway) handleQueued(receivedCommand)  { f.record("handleQueued") }
 func (f *fakeHandoverGateway) endIfIdle()                    { f.record("endIfIdle") }
 func (f *fakeHandoverGateway) setStateTimeout(successorLink) { f.record("setStateTimeout") }
 
@@ -87,7 +87,7 @@
 	}
 	c := &client{pipelineSlots: make(chan struct{}, 1)}
 	c.pipelineSlots <- struct{}{}
-	h.queue(commandReceived{client: c, args: [][]byte{[]byte("PING")}})
+	h.queue(commandAnswered{commandHead: commandHead{client: c, args: [][]byte{[]byte("PING")}}})
 	h.accept(link)
 	wantPhase(t, &h.phase, handoverAccepted)
 	f.want(t, "giveUpOwnership", "stopReading", "endIfIdle")
@@ -116,7 +116,7 @@
 			h, f, illegal := newFakeHandover()
 			link := &fakeLink{}
 			h.offer(link)
-			h.queue(commandReceived{})
+			h.queue(commandAnswered{})
 			f.want(t, "pauseServing", "setStateTimeout")
 			end(h, link)
 			wantPhase(t, &h.phase, handoverNone)
