--- a/cmd/gateway/hanging_test.go
+++ b/cmd/gateway/hanging_test.go
@@ -23,8 +23,8 @@
 	socket  int
 }
 
-// listenHanging returns a listener at an IPv4 address, "IP:PORT", that the caller closes. It ends the test where
-// it can't listen there.
+// listenHanging returns a listener at an IPv4 address, "IP:PORT", that the caller closes. It ends the test
+// where it can't listen there.
 func listenHanging(tb testing.TB, address string) *hangingListener {
 	tb.Helper()
 	addressAndPort, err := netip.ParseAddrPort(address)
@@ -36,7 +36,8 @@
 		tb.Fatal(err)
 	}
 	ip, port := addressAndPort.Addr().As4(), int(addressAndPort.Port())
-	// The filter, which accepts 0 bytes of each packet, is there before the socket listens: no dial gets ahead.
+	// The filter, which accepts 0 bytes of each packet, is there before the socket listens: no dial gets
+	// ahead.
 	dropAll := unix.SockFprog{Len: 1, Filter: &unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: 0}}
 	err = errors.Join(
 		unix.SetsockoptSockFprog(socket, unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, &dropAll),
@@ -62,8 +63,8 @@
 // close ends the listener. Dials that hang are refused when the kernel repeats them.
 func (h *hangingListener) close() { _ = unix.Close(h.socket) }
 
-// The tests of slow start and of discovery rely on it: a dial neither succeeds nor fails until the listener is
-// closed, not even the first one.
+// The tests of slow start and of discovery rely on it: a dial neither succeeds nor fails until the listener
+// is closed, not even the first one.
 func TestDialToHangingListenerHangsUntilItIsClosed(t *testing.T) {
 	listener := listenHanging(t, porttest.Reserve(t))
 	dialed := make(chan error, 1)
--- a/internal/gateway/fake_backend_test.go
+++ b/internal/gateway/fake_backend_test.go
@@ -10,16 +10,19 @@
 	"sparspread/internal/resp"
 )
 
-// fakeBackend records commands, which the test replies to.
+// fakeBackend is a backend that hands each command to the test, which replies to it. It is safe for
+// concurrent use.
 type fakeBackend struct {
 	listener  net.Listener
-	calls     chan *backendCall
-	closed    chan error // how each connection ended
-	conns     sync.Map   // those that are open
-	bodySizes chan int   // sizes of large bodies whose command has begun to arrive
+	calls     chan *backendCall // complete commands
+	closed    chan error        // how each connection ended
+	bodySizes chan int          // sizes of large bodies whose command has begun to arrive, in bytes
+
+	mu    sync.Mutex // guards conns
+	conns map[net.Conn]struct{}
 }
 
-// backendCall is one complete command.
+// backendCall is one complete command, and the connection to reply on.
 type backendCall struct {
 	args [][]byte
 	conn net.Conn
@@ -33,63 +36,95 @@
 	}
 }
 
-// replyValue replies with a value.
+// replyValue replies with a value, without a load report and usage.
 func (c *backendCall) replyValue(tb testing.TB, value string) {
 	tb.Helper()
 	c.reply(tb, fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(value), value))
 }
 
-// newBackend starts a backend, which ends with the test.
+// The lengths of a fake backend's queues are larger than what any test leaves in them.
+const (
+	maxQueuedCalls  = 1024
+	maxQueuedBodies = 16
+)
+
+// newBackend starts a backend, which accepts connections until the test ends.
 func newBackend(tb testing.TB) *fakeBackend {
 	tb.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := (&net.ListenConfig{}).Listen(tb.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		tb.Fatal(err)
 	}
+	tb.Cleanup(func() { _ = listener.Close() })
 	b := &fakeBackend{
-		listener: l, calls: make(chan *backendCall, 1024), closed: make(chan error, 1024),
-		bodySizes: make(chan int, 16),
+		listener: listener, calls: make(chan *backendCall, maxQueuedCalls),
+		closed: make(chan error, maxQueuedCalls), bodySizes: make(chan int, maxQueuedBodies),
+		conns: map[net.Conn]struct{}{},
 	}
-	tb.Cleanup(func() { _ = l.Close() })
-	go func() {
-		for {
-			conn, err := l.Accept()
-			if err != nil {
-				return
-			}
-			b.conns.Store(conn, nil)
-			go func() {
-				defer b.conns.Delete(conn)
-				in := resp.NewReader(conn)
-				for {
-					args, large, err := in.ReadCommandHead()
-					if err == nil && large > 0 {
-						b.bodySizes <- large
-						var body []byte
-						body, err = readBody(in, large)
-						args = append(args, body)
-					}
-					if err != nil {
-						_ = conn.Close()
-						b.closed <- err
-						return
-					}
-					b.calls <- &backendCall{args, conn}
-				}
-			}()
-		}
-	}()
+	go b.acceptConnections()
 	return b
 }
 
-// readBody reads a large body.
+// acceptConnections serves connections until the listener is closed.
+func (b *fakeBackend) acceptConnections() {
+	for {
+		conn, err := b.listener.Accept()
+		if err != nil {
+			return
+		}
+		b.mu.Lock()
+		b.conns[conn] = struct{}{}
+		b.mu.Unlock()
+		go b.serve(conn)
+	}
+}
+
+// closeConnections closes all connections that are open.
+func (b *fakeBackend) closeConnections() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for conn := range b.conns {
+		_ = conn.Close()
+	}
+}
+
+// serve hands the commands of a connection to the test until the connection ends.
+func (b *fakeBackend) serve(conn net.Conn) {
+	in := resp.NewReader(conn)
+	for {
+		args, err := b.readCommand(in)
+		if err != nil {
+			b.mu.Lock()
+			delete(b.conns, conn)
+			b.mu.Unlock()
+			_ = conn.Close()
+			b.closed <- err
+			return
+		}
+		b.calls <- &backendCall{args: args, conn: conn}
+	}
+}
+
+// readCommand reads a command to its end. It reports the size of a large body before it reads that.
+func (b *fakeBackend) readCommand(in *resp.Reader) ([][]byte, error) {
+	args, bodySize, err := in.ReadCommandHead()
+	if err != nil || bodySize == 0 {
+		return args, err
+	}
+	b.bodySizes <- bodySize
+	body, err := readBody(in, bodySize)
+	return append(args, body), err
+}
+
+// readBody reads a large body of a size in bytes, and the line end behind it.
 func readBody(in *resp.Reader, size int) ([]byte, error) {
 	body := make([]byte, size)
-	for come := 0; come < size; {
-		n, err := in.ReadValueBytes(body[come:])
-		if come += n; err != nil {
+	for received := 0; received < size; {
+		n, err := in.ReadValueBytes(body[received:])
+		if err != nil {
 			return nil, err
 		}
+		received += n
 	}
 	return body, in.ReadValueEnd()
 }
@@ -105,7 +140,7 @@
 	return fmt.Sprintf(format, id, address, phase)
 }
 
-// nextCall waits for a command.
+// nextCall waits for the next complete command.
 func (b *fakeBackend) nextCall(tb testing.TB) *backendCall {
 	tb.Helper()
 	return wait(tb, b.calls, "a command at the backend")
--- a/internal/gateway/fake_discovery_test.go
+++ b/internal/gateway/fake_discovery_test.go
@@ -4,32 +4,37 @@
 	"fmt"
 	"net/http"
 	"net/http/httptest"
+	"strconv"
 	"strings"
 	"sync"
 	"testing"
 )
 
-// fakeDiscovery is a discovery service whose list the test sets.
+// fakeDiscovery is a discovery service whose list the test sets. It is safe for concurrent use.
 type fakeDiscovery struct {
 	*httptest.Server
-	mu       sync.Mutex
+	calls chan string // queries of the calls, as far as the test reads them
+
+	mu       sync.Mutex // guards the fields below
 	revision int
-	list     string
-	changed  chan struct{}
-	calls    chan string
+	list     string        // its entries
+	changed  chan struct{} // closed by the next change
 }
 
-// newFakeDiscovery starts a discovery service, which ends with the test.
+// maxQueuedQueries is how many queries of calls are kept for the test; further ones are lost.
+const maxQueuedQueries = 1024
+
+// newFakeDiscovery starts a discovery service with a list, which ends with the test.
 func newFakeDiscovery(tb testing.TB, entries ...string) *fakeDiscovery {
 	tb.Helper()
-	d := &fakeDiscovery{changed: make(chan struct{}), calls: make(chan string, 1024)}
+	d := &fakeDiscovery{changed: make(chan struct{}), calls: make(chan string, maxQueuedQueries)}
 	d.setEntries(entries...)
 	d.Server = httptest.NewServer(d)
 	tb.Cleanup(func() { d.CloseClientConnections(); d.Close() })
 	return d
 }
 
-// setEntries replaces the list.
+// setEntries replaces the list by a new revision, of which the gateways that watch are told.
 func (d *fakeDiscovery) setEntries(entries ...string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -50,6 +55,8 @@
 	}
 }
 
+// ServeHTTP answers with the list: a watch once there is another revision than it names, a call without one
+// at once and with the complete list.
 func (d *fakeDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	select {
 	case d.calls <- r.URL.RawQuery:
@@ -59,7 +66,7 @@
 		d.mu.Lock()
 		revision, list, changed := d.revision, d.list, d.changed
 		d.mu.Unlock()
-		if index := r.URL.Query().Get("index"); index == "" || index != fmt.Sprint(revision) {
+		if index := r.URL.Query().Get("index"); index == "" || index != strconv.Itoa(revision) {
 			_, _ = fmt.Fprintf(w, `{"revision":%d,"complete":%t,"members":[%s]}`, revision, index == "", list)
 			return
 		}
--- a/internal/gateway/handover_test.go
+++ b/internal/gateway/handover_test.go
@@ -22,11 +22,14 @@
 	return configureReplaceable(t, d), b
 }
 
-// useShortTempDir gives the test a directory of its own with a short path: the path of a Unix socket has 108
-// bytes at most.
+// makeShortDir makes a directory with a short path, unlike testing.T.TempDir: the path of a Unix socket in
+// it has 108 bytes at most.
+func makeShortDir() (string, error) { return os.MkdirTemp("", "h") }
+
+// useShortTempDir makes a directory with a short path the test's $TMPDIR.
 func useShortTempDir(t *testing.T) {
 	t.Helper()
-	dir, err := os.MkdirTemp("", "h")
+	dir, err := makeShortDir()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gateway/ops_test.go
+++ b/internal/gateway/ops_test.go
@@ -16,7 +16,8 @@
 // operate makes a GET request as an operator, and returns the status and the body.
 func operate(tb testing.TB, r *rig, path string) (int, string) {
 	tb.Helper()
-	req, err := http.NewRequest(http.MethodGet, "http://"+r.loop.ops.Addr().String()+path, nil)
+	url := "http://" + r.loop.ops.Addr().String() + path
+	req, err := http.NewRequestWithContext(tb.Context(), http.MethodGet, url, http.NoBody)
 	if err != nil {
 		tb.Fatal(err)
 	}
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -3,8 +3,8 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"io"
+	"io/fs"
 	"net/http"
 	"net/http/httptest"
 	"strings"
@@ -39,7 +39,7 @@
 // A configuration that can't be read leaves the gateway as it was: it goes on watching the endpoint list.
 func TestFailedReloadKeepsTheConfiguration(t *testing.T) {
 	r, _, d := startWithBackend(t, nil)
-	r.reloadWith(config.Config{}, errors.New("no such file"))
+	r.reloadWith(config.Config{}, fs.ErrNotExist)
 	d.awaitWatch(t)
 	second := newBackend(t)
 	d.setEntries(second.listEntry("s-00000002", "Ready"), second.listEntry("s-00000001", "Gone"))
@@ -83,7 +83,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = l.listening.listener.Close() })
-	ctx, cancel := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go l.counter.Run(ctx)
 	l.IncrementCounter(1, 1, 1e6)
--- a/internal/gateway/request_body_test.go
+++ b/internal/gateway/request_body_test.go
@@ -4,7 +4,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"net"
 	"os"
 	"testing"
 	"time"
@@ -20,8 +19,8 @@
 // bodyPrefix is how much of a large body beginBody writes, in bytes.
 const bodyPrefix = 5000
 
-// beginBody has a client write a request up to the first bytes of its large body, waits until the backend reads
-// that body, and returns the rest of the command.
+// beginBody has a client write a request up to the first bytes of its large body, waits until the backend
+// reads that body, and returns the rest of the command.
 func (c *testClient) beginBody(b *fakeBackend, id int) (rest string) {
 	c.t.Helper()
 	_, body := largeHead()
@@ -92,10 +91,7 @@
 	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
 	rest := c.beginBody(b, 1)
-	b.conns.Range(func(conn, _ any) bool {
-		_ = conn.(net.Conn).Close()
-		return true
-	})
+	b.closeConnections()
 	c.wantRejected()
 	c.write(rest)
 	c.sendOnce(2, "team")
--- a/internal/gateway/test_client_test.go
+++ b/internal/gateway/test_client_test.go
@@ -13,14 +13,14 @@
 	"sparspread/internal/resp"
 )
 
-// testClient is a client's connection.
+// testClient is a client's connection to a gateway. Its methods end the test where the connection fails.
 type testClient struct {
 	t    testing.TB
 	conn *net.TCPConn
 	in   *bufio.Reader
 }
 
-// client connects a client.
+// client connects a client, whose connection ends with the test.
 func (r *rig) client(tb testing.TB) *testClient {
 	tb.Helper()
 	address, err := net.ResolveTCPAddr("tcp", r.addr)
@@ -44,17 +44,17 @@
 	}
 }
 
-// send writes a command.
+// send writes a command with the given arguments.
 func (c *testClient) send(args ...string) {
 	c.t.Helper()
-	b := resp.AppendArray(nil, len(args))
-	for _, a := range args {
-		b = resp.AppendBulk(b, []byte(a))
+	command := resp.AppendArray(nil, len(args))
+	for _, arg := range args {
+		command = resp.AppendBulk(command, []byte(arg))
 	}
-	c.write(string(b))
+	c.write(string(command))
 }
 
-// sendLookup sends an idempotent request.
+// sendLookup sends an idempotent request, which has to be answered within a number of milliseconds.
 func (c *testClient) sendLookup(id int, timeoutMS string) {
 	c.t.Helper()
 	fields := "c=lookup,t=team,d=" + timeoutMS + ",units=1,spread=1,first=0"
@@ -68,8 +68,8 @@
 	return b.nextCall(c.t)
 }
 
-// wantServed has the backend answer the next request that reaches it with a value, checks that the client gets
-// that value, and returns the request as the backend got it.
+// wantServed has the backend answer the next request that reaches it with a value, checks that the client
+// gets that value, and returns the request as the backend got it.
 func (c *testClient) wantServed(b *fakeBackend, value string) *backendCall {
 	c.t.Helper()
 	call := b.nextCall(c.t)
@@ -78,26 +78,26 @@
 	return call
 }
 
-// readLine reads a line.
+// readLine reads a line and returns it without its end.
 func (c *testClient) readLine() string {
 	c.t.Helper()
-	s, err := c.in.ReadString('\n')
+	line, err := c.in.ReadString('\n')
 	if err != nil {
 		c.t.Fatal("reading a reply: ", err)
 	}
-	return strings.TrimSuffix(s, "\r\n")
+	return strings.TrimSuffix(line, "\r\n")
 }
 
 // wantLine reads a line and checks it.
-func (c *testClient) wantLine(line string) {
+func (c *testClient) wantLine(want string) {
 	c.t.Helper()
-	if got := c.readLine(); got != line {
-		c.t.Fatalf("reply %q, want %q", got, line)
+	if got := c.readLine(); got != want {
+		c.t.Fatalf("reply %q, want %q", got, want)
 	}
 }
 
-// Replies of the gateway's own: a rejection, with or without a time to wait in milliseconds, and an error, which
-// says what is wrong.
+// Replies of the gateway's own: a rejection, with or without a time to wait in milliseconds, and an error,
+// which says what is wrong.
 var (
 	rejection = regexp.MustCompile(`^-BUSY( [1-9][0-9]*)?$`)
 	anyError  = regexp.MustCompile(`^-ERR .+$`)
@@ -138,7 +138,8 @@
 	}
 }
 
-// ended waits until the gateway has ended the connection in any way, and checks that nothing came before.
+// wantEnded waits until the gateway has ended the connection in any way, by a reset too, and checks that
+// nothing came before.
 func (c *testClient) wantEnded() {
 	c.t.Helper()
 	if b, _ := io.ReadAll(c.in); len(b) > 0 {
@@ -156,11 +157,11 @@
 	return string(b)
 }
 
-// wantLargeValue reads a large value and checks it.
-func (c *testClient) wantLargeValue(value string) {
+// wantLargeValue reads a bulk string and checks it. A failure does not print the value, unlike wantValue's.
+func (c *testClient) wantLargeValue(want string) {
 	c.t.Helper()
-	c.wantLine(fmt.Sprintf("$%d", len(value)))
-	if got := c.read(len(value)); got != value {
+	c.wantLine(fmt.Sprintf("$%d", len(want)))
+	if got := c.read(len(want)); got != want {
 		c.t.Fatal("the value is another")
 	}
 	c.wantLine("")
--- a/internal/porttest/porttest.go
+++ b/internal/porttest/porttest.go
@@ -23,8 +23,8 @@
 		tb.Fatal(os.NewSyscallError("socket", err))
 	}
 	tb.Cleanup(func() { _ = unix.Close(socket) })
-	// A socket that is bound and does not listen keeps its port. SO_REUSEADDR, which net.Listen sets too, lets
-	// the test listen at the port beside it.
+	// A socket that is bound and does not listen keeps its port. SO_REUSEADDR, which net.Listen sets too,
+	// lets the test listen at the port beside it.
 	loopback := netip.AddrFrom4([4]byte{127, 0, 0, 1})
 	err = errors.Join(
 		os.NewSyscallError("setsockopt", unix.SetsockoptInt(socket, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)),
