--- a/policy/reload_test.go
+++ b/policy/reload_test.go
@@ -35,6 +35,13 @@
 	if h.requests.byID[stricter] != nil {
 		t.Error("a new request of the stricter class was retried")
 	}
+	assertUnneededClassesDropped(t, h, settings)
+}
+
+// assertUnneededClassesDropped checks that another reload of the settings leaves their three classes alone in
+// force, and that settings without classes are rejected and leave them too.
+func assertUnneededClassesDropped(t *testing.T, h *harness, settings Settings) {
+	t.Helper()
 	if err := h.Reload(h.at, settings); err != nil || len(h.settings.Classes) != 3 {
 		t.Errorf("%d classes, %v: what nothing needs any more is dropped", len(h.settings.Classes), err)
 	}
--- a/policy/simulation_test.go
+++ b/policy/simulation_test.go
@@ -71,7 +71,13 @@
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
 }
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
+
+func (q *eventQueue) Push(x any) {
+	if added, ok := x.(event); ok {
+		*q = append(*q, added)
+	}
+}
+
 func (q *eventQueue) Pop() any {
 	last := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
@@ -87,7 +93,8 @@
 // run plays all events up to the end.
 func (s *simulation) run() {
 	for len(s.queue) > 0 && s.queue[0].at < start+simulatedEnd {
-		next := heap.Pop(&s.queue).(event)
+		next := s.queue[0]
+		heap.Pop(&s.queue)
 		s.now = next.at
 		next.do()
 	}
