--- a/cmd/gateway/descriptors_test.go
+++ b/cmd/gateway/descriptors_test.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"io"
 	"os/exec"
-	"strconv"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -93,50 +92,71 @@
 	}
 }
 
+// runSideBySide runs all cases of a test at once, as they mostly wait, and returns when they have ended. The
+// test itself does not run beside others: their processes would take the machine from it.
+func runSideBySide[Case any](t *testing.T, cases []Case, run func(t *testing.T, c Case)) {
+	t.Helper()
+	for _, c := range cases {
+		t.Run(fmt.Sprint(c), func(t *testing.T) {
+			t.Parallel()
+			run(t, c)
+		})
+	}
+}
+
 // While discovery is down idle clients take all the room there is, and as many again try to connect.
 // Everybody else is served: the gateway hears discovery when it returns and follows its list, operators and
 // other clients are answered, and no call fails for want of a descriptor.
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
-	for _, c := range []struct {
-		descriptors  int
-		unresponsive bool // discovery accepts calls and does not answer; else it refuses them
-	}{{32, true}, {64, false}, {256, true}, {1024, false}} {
-		name := fmt.Sprintf("%d descriptors, unresponsive %t", c.descriptors, c.unresponsive)
-		t.Run(name, func(t *testing.T) {
-			t.Parallel() // the cases mostly wait
-			host := randomHost()
-			draining, added := newBackend(t), newBackend(t)
-			draining.startAnswering()
-			added.startAnswering()
-			discovery := newDiscoveryServer(t, host)
-			if c.unresponsive {
-				discovery.acceptWithoutAnswer()
-			}
-			known := withKnownEndpoints(draining.entry(1, phaseReady))
-			g := newSaturatedGateway(t, host, c.descriptors, c.descriptors, known)
-			g.requireServed(t, 2)
-			g.requireReachable(t)
-
-			discovery.serve(draining.entry(1, phaseTerminating), added.entry(2, phaseReady))
-			discovery.waitForWatch()
-			before := len(draining.received)
-			for range 5 { // as many at once as the smallest limit leaves room for
-				g.requireServed(t, 2)
-			}
-			g.requireReachable(t)
-			if n := len(draining.received) - before; n > 0 || len(added.received) < 10 {
-				t.Errorf("%d requests reached the draining backend, want 0; %d the added one, want 10",
-					n, len(added.received))
-			}
-			g.process.requireDescriptors(t)
-			if n := g.rejected.Load(); n > 0 {
-				t.Errorf("requests were rejected %d times", n)
-			}
-			t.Logf("at most %d of %d descriptors; %d idle clients closed; %d resent requests; %d log lines",
-				g.maxDescriptors, c.descriptors, g.idle.closedByServer.Load(), g.resent.Load(),
-				strings.Count(g.process.logText(), "\n"))
-		})
+	cases := []idleClientsCase{{32, true}, {64, false}, {256, true}, {1024, false}}
+	runSideBySide(t, cases, saturateWithoutDiscovery)
+}
+
+// idleClientsCase is a run of a gateway with more idle clients than it has room for.
+type idleClientsCase struct {
+	descriptors  int
+	unresponsive bool // discovery accepts calls and does not answer; else it refuses them
+}
+
+// String names the case.
+func (c idleClientsCase) String() string {
+	return fmt.Sprintf("%d descriptors, unresponsive %t", c.descriptors, c.unresponsive)
+}
+
+// saturateWithoutDiscovery checks a saturated gateway before and after discovery returns.
+func saturateWithoutDiscovery(t *testing.T, c idleClientsCase) {
+	t.Helper()
+	host := randomHost()
+	draining, added := newBackend(t), newBackend(t)
+	draining.startAnswering()
+	added.startAnswering()
+	discovery := newDiscoveryServer(t, host)
+	if c.unresponsive {
+		discovery.acceptWithoutAnswer()
+	}
+	known := withKnownEndpoints(draining.entry(1, phaseReady))
+	g := newSaturatedGateway(t, host, c.descriptors, c.descriptors, known)
+	g.requireServed(t, 2)
+	g.requireReachable(t)
+
+	discovery.serve(draining.entry(1, phaseTerminating), added.entry(2, phaseReady))
+	discovery.waitForWatch()
+	before := len(draining.received)
+	for range 5 { // as many at once as the smallest limit leaves room for
+		g.requireServed(t, 2)
 	}
+	g.requireReachable(t)
+	if n := len(draining.received) - before; n > 0 || len(added.received) < 10 {
+		t.Errorf("%d requests reached the draining backend, want 0; %d the added one, want 10",
+			n, len(added.received))
+	}
+	g.process.requireDescriptors(t)
+	if n := g.rejected.Load(); n > 0 {
+		t.Errorf("requests were rejected %d times", n)
+	}
+	t.Logf("at most %d of %d descriptors; %d idle clients closed; %d resent requests; %d log lines",
+		g.maxDescriptors, c.descriptors, g.idle.closedByServer.Load(), g.resent.Load(),
+		strings.Count(g.process.logText(), "\n"))
 }
 
 // openConnection connects, sends a text and keeps the connection until the test ends.
@@ -154,12 +174,7 @@
 // handover's socket, and two addresses of discovery, one of which hangs. The sum stays within the limit, and
 // the gateway can still read a new configuration.
 func TestAllPartsAtOnceStayWithinDescriptorLimit(t *testing.T) {
-	for _, descriptors := range []int{32, 64, 256, 1024} {
-		t.Run(strconv.Itoa(descriptors), func(t *testing.T) {
-			t.Parallel()
-			useAllPartsAtOnce(t, descriptors)
-		})
-	}
+	runSideBySide(t, []int{32, 64, 256, 1024}, useAllPartsAtOnce)
 }
 
 // useAllPartsAtOnce has every part of a gateway with a limit take all that it may.
