--- a/internal/descriptors/limit.go
+++ b/internal/descriptors/limit.go
@@ -15,14 +15,21 @@
 // ProcessLimit returns how many descriptors the process may open, and an error if those are too few for a
 // gateway. A limit that can't be read is none: the configuration's number holds.
 func ProcessLimit() (int, error) {
-	var limit syscall.Rlimit
-	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit) != nil {
+	limit, known := openFileLimit()
+	if !known {
 		return math.MaxInt32, nil
 	}
-	if limit.Cur < config.MinSockets {
-		return 0, fmt.Errorf("limit of open files: %d, %w", limit.Cur, errTooFewFiles)
+	if limit < config.MinSockets {
+		return 0, fmt.Errorf("limit of open files: %d, %w", limit, errTooFewFiles)
 	}
-	return int(min(limit.Cur, math.MaxInt32)), nil
+	return int(min(limit, math.MaxInt32)), nil
+}
+
+// openFileLimit reads the soft limit of open files.
+func openFileLimit() (limit uint64, known bool) {
+	var rlimit syscall.Rlimit
+	err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &rlimit)
+	return rlimit.Cur, err == nil
 }
 
 // Usable returns how many descriptors the configuration and the process's limit allow together, and logs
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -40,6 +40,9 @@
 // listPath is the resource on the service that lists the endpoints.
 const listPath = "/catalog/members"
 
+// seedHalfBits is how far the seed of the configuration is shifted for the second seed of the random source.
+const seedHalfBits = 32
+
 // memoryFraction is the part of the memory that the text of an update may have: what is kept of an update
 // takes three times its text.
 const memoryFraction = 8
@@ -85,7 +88,7 @@
 func New(config Config, log *slog.Logger, notify func(context.Context, Event)) *Client {
 	c := &Client{
 		config: config, log: log, notify: notify,
-		random:     rand.New(rand.NewPCG(config.Seed, config.Seed>>32)),
+		random:     rand.New(rand.NewPCG(config.Seed, config.Seed>>seedHalfBits)),
 		slack:      maxAnswerSlack,
 		maxBackoff: baseBackoff,
 		maxBytes:   config.MemoryBytes / memoryFraction,
--- a/internal/testfill/testfill.go
+++ b/internal/testfill/testfill.go
@@ -7,6 +7,9 @@
 	"reflect"
 )
 
+// fraction is what floating-point numbers have beyond theirs, so that a conversion to an integer shows.
+const fraction = 0.5
+
 // itemCount is how many items a filled slice has: enough to tell one item from the next.
 const itemCount = 2
 
@@ -73,7 +76,7 @@
 	case reflect.String:
 		v.SetString(f.style.Text(f.number))
 	case reflect.Float32, reflect.Float64:
-		v.SetFloat(float64(f.number) + 0.5) // a fraction, so that a conversion to an integer shows
+		v.SetFloat(float64(f.number) + fraction)
 	case reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
 		v.SetUint(f.unsigned(v.Type().Bits()))
 	default:
--- a/scale/internal/model/experiment.go
+++ b/scale/internal/model/experiment.go
@@ -85,13 +85,20 @@
 	defaultIdle              = 3 * time.Second
 	defaultControl           = 5 * time.Second
 	defaultLoad              = 5 * time.Second
+
+	defaultBackends = 46
+	defaultChanges  = 1  // a second
+	defaultRequests = 86 // a second, at each real gateway
 )
 
 // defaultReplicaCounts are the sizes of replica sets where an experiment states none.
 var defaultReplicaCounts = []int{2, 3, 4}
 
 // defaultBase is the tier of today: what an experiment does not state of its base.
-var defaultBase = Point{Backends: 46, Gateways: 4, Changes: 1, Requests: 86}
+var defaultBase = Point{
+	Backends: defaultBackends, Gateways: defaultRealGateways,
+	Changes: defaultChanges, Requests: defaultRequests,
+}
 
 // quotaRequestTimeout is how long a real gateway waits for a coordinator's answer under the settings:
 // simulated gateways that are later than that no longer stand for real ones.
