--- a/internal/gateway/client_eviction_test.go
+++ b/internal/gateway/client_eviction_test.go
@@ -1,7 +1,6 @@
 package gateway
 
 import (
-	"net"
 	"strings"
 	"testing"
 
@@ -12,10 +11,7 @@
 // addClient adds a connection to a loop that the test runs itself.
 func addClient(t *testing.T, l *Loop, commands int, lastCommandAt policy.Time) *client {
 	t.Helper()
-	conn, err := net.DialTCP("tcp", nil, l.listening.listener.Addr().(*net.TCPAddr))
-	if err != nil {
-		t.Fatal(err)
-	}
+	conn := dialClient(t, l.listening.listener.Addr().String()).conn
 	c := &client{
 		conn: conn, writer: sockwriter.New(conn), done: make(chan struct{}),
 		commands: commands, lastCommandAt: lastCommandAt,
--- a/internal/gateway/client_read_ahead_test.go
+++ b/internal/gateway/client_read_ahead_test.go
@@ -37,8 +37,8 @@
 	l := newTestLoop(t, newFakeDiscovery(t))
 	l.listening.resume()
 	t.Cleanup(l.listening.pause)
-	far := (&rig{addr: l.listening.listener.Addr().String()}).client(t)
-	near := wait(t, l.events.Queue(), "the connection").(clientConnected).conn
+	far := dialClient(t, l.listening.listener.Addr().String())
+	near := eventAs[clientConnected](t, wait(t, l.events.Queue(), "the connection")).conn
 	defer func() { _ = near.Close() }()
 	go func() { _, _ = far.conn.Write(make([]byte, 2*maxReadAhead)) }()
 	limit := maxQueuedBytes(l.config) / 2
--- a/internal/gateway/handover_older_test.go
+++ b/internal/gateway/handover_older_test.go
@@ -13,6 +13,7 @@
 	"sparspread/internal/config"
 	"sparspread/internal/handover"
 	"sparspread/internal/handover/olderform"
+	"sparspread/internal/porttest"
 	"sparspread/policy"
 )
 
@@ -38,24 +39,10 @@
 	t.Helper()
 	cold := strings.Replace(b.listEntry("s-00000003", "Ready"), `"up_since_ms":0`,
 		fmt.Sprintf(`"up_since_ms":%d`, startedAt/1000), 1)
-	listening := b.listener.Addr().String()
-	refusing := strings.Replace(b.listEntry("s-00000002", "Ready"), listening, unusedAddress(t), 1)
+	refusing := listEntry("s-00000002", porttest.Reserve(t), "Ready")
 	return []string{b.listEntry("s-00000001", "Ready"), b.listEntry("s-00000004", "Ready"), refusing, cold}
 }
 
-// unusedAddress returns an address at which nothing listens.
-func unusedAddress(t *testing.T) string {
-	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := listener.Close(); err != nil {
-		t.Fatal(err)
-	}
-	return listener.Addr().String()
-}
-
 // configureRecorded returns the configuration of the recorded session, with another address for clients.
 func configureRecorded(t *testing.T, d *fakeDiscovery, listen string) config.Config {
 	t.Helper()
@@ -155,7 +142,7 @@
 		p.t.Fatal(err)
 	}
 	defer func() { _ = side.Close() }()
-	p.clients = append(p.clients, (&rig{addr: side.Addr().String()}).client(p.t))
+	p.clients = append(p.clients, dialClient(p.t, side.Addr().String()))
 	conn, err := side.AcceptTCP()
 	if err != nil {
 		p.t.Fatal(err)
@@ -278,7 +265,7 @@
 	useShortTempDir(t)
 	b := newBackend(t)
 	d := newFakeDiscovery(t, b.listEntry("s-00000001", "Ready"))
-	s := &recordedSituation{cfg: configureRecorded(t, d, unusedAddress(t)), backend: b}
+	s := &recordedSituation{cfg: configureRecorded(t, d, porttest.Reserve(t)), backend: b}
 	s.rig = startGateway(t, s.cfg)
 	s.idle, s.spent, s.open = s.rig.client(t), s.rig.client(t), s.rig.client(t)
 	s.spent.sendOnce(1, "tiny")
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -92,7 +92,7 @@
 	l.IncrementCounter(1, 1, 1e6)
 	wait(t, secondCalls, "a call at the second counter")
 	for _, total := range []float64{1, 2} {
-		e := wait(t, l.events.Queue(), "an answer").(counterAnswered)
+		e := eventAs[counterAnswered](t, wait(t, l.events.Queue(), "an answer"))
 		if e.Result != policy.ResultOK || e.Total != total {
 			t.Errorf("got answer %+v, want the total %g", e, total)
 		}
--- a/internal/gateway/request_body_test.go
+++ b/internal/gateway/request_body_test.go
@@ -122,7 +122,7 @@
 			l, b := newLoopWithBackend(t)
 			l.listening.resume()
 			t.Cleanup(l.listening.pause)
-			client := (&rig{addr: l.listening.listener.Addr().String()}).client(t)
+			client := dialClient(t, l.listening.listener.Addr().String())
 			handleNext(t, l, "the connection")
 			_, body := largeHead()
 			client.write(bodyHead(1, "team", len(body)) + body + "\r\n")
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -4,7 +4,6 @@
 	"context"
 	"encoding/json"
 	"fmt"
-	"io"
 	"log/slog"
 	"strings"
 	"sync"
@@ -31,7 +30,8 @@
 	}
 }
 
-// settingsText is a file of settings.
+// settingsText is a file of settings, with a class of requests of each kind and two plans, of which tiny
+// has a bucket of one unit.
 const settingsText = `{"self-index":0,"balancers":1,"az":0,"granularity-us":4000,"localities":["a"],
  "ceilings":{"peers":false,"probes":false,"second-copies":true,"retry-after":true,"max-attempts":3,
   "max-retry-after-us":2000000,"max-open":20000,"dial-timeout-us":250000,"idle-close-us":30000000},
@@ -45,28 +45,46 @@
  "tariffs":[{"name":"team","rate":1000,"burst":1000,"value-factor":1},
   {"name":"tiny","rate":0.1,"burst":1,"value-factor":1}]}`
 
-// withSettings replaces parts of the settings: an old part, what takes its place, and so on.
+// withSettings returns a change of a configuration's keys for newConfig, which replaces parts of the
+// settings: an old part, what takes its place, and so on.
 func withSettings(tb testing.TB, changes ...string) func(map[string]any) {
 	tb.Helper()
 	return func(file map[string]any) { file["settings"] = settingsWith(tb, changes...) }
 }
 
-// discardLog is a log that is discarded, but for an illegal step of a state machine, which panics.
-func discardLog() *slog.Logger {
-	return slog.New(illegalStepPanics{slog.NewTextHandler(io.Discard, nil)})
+// eventAs returns an event as the type that the test expects it to have.
+func eventAs[T event](tb testing.TB, e event) T {
+	tb.Helper()
+	typed, ok := e.(T)
+	if !ok {
+		tb.Fatalf("event %T, want %T", e, typed)
+	}
+	return typed
 }
 
-// illegalStepPanics is a log handler that panics on an illegal step of a state machine.
-type illegalStepPanics struct{ slog.Handler }
+// discardLog is a log that is discarded, but for an illegal step of a state machine, which panics.
+func discardLog() *slog.Logger { return slog.New(illegalStepPanics{}) }
+
+// illegalStepPanics is a log handler that panics on an illegal step of a state machine and discards all else.
+type illegalStepPanics struct{}
+
+// Enabled implements slog.Handler: records of every level are looked at.
+func (illegalStepPanics) Enabled(context.Context, slog.Level) bool { return true }
 
 // Handle implements slog.Handler.
-func (h illegalStepPanics) Handle(ctx context.Context, record slog.Record) error {
+func (illegalStepPanics) Handle(_ context.Context, record slog.Record) error {
 	if record.Message == illegalStepMessage {
 		record.Attrs(func(a slog.Attr) bool { panic(fmt.Sprint(illegalStepMessage, ": ", a.Value)) })
 	}
-	return h.Handler.Handle(ctx, record)
+	return nil
 }
 
+// WithAttrs implements slog.Handler: a logger with attributes panics in the same way.
+func (h illegalStepPanics) WithAttrs([]slog.Attr) slog.Handler { return h }
+
+// WithGroup implements slog.Handler like WithAttrs.
+func (h illegalStepPanics) WithGroup(string) slog.Handler { return h }
+
 // fakeClock is a loop's clock that stands still, unless the test advances it or starts it.
 type fakeClock struct {
 	shown        atomic.Int64 // while it stands still
@@ -103,23 +121,25 @@
 
 // rig is a running gateway between a fake discovery service and fake backends.
 type rig struct {
-	addr    string
+	addr    string // for clients
 	loop    *Loop
 	clock   *fakeClock
-	reload  chan struct{}
+	reload  chan struct{}                      // receives each request to reload
 	configs chan func() (config.Config, error) // what the next reload reads
-	once    sync.Once
-	stopped chan struct{}
-	ended   chan struct{}
+	once    sync.Once                          // guards the closing of stopped
+	stopped chan struct{}                      // closed to begin a planned shutdown
+	ended   chan struct{}                      // closed when the loop has ended
 }
 
 // advance advances the clock in steps: the policy would take a jump for a stall of the gateway.
-func (r *rig) advance(tb testing.TB, time policy.Time) {
+func (r *rig) advance(tb testing.TB, period policy.Time) {
 	tb.Helper()
-	for step := policy.Time(0); time > 0; time -= step {
-		step = min(time, 4000) // as the settings' granularity
+	const longestStep policy.Time = 4000 // as the settings' granularity
+	for remaining := period; remaining > 0; {
+		step := min(remaining, longestStep)
 		r.clock.shown.Add(step)
 		r.sync(tb)
+		remaining -= step
 	}
 }
 
@@ -130,7 +150,7 @@
 	r.loop.events.Post(inspect(func(*Loop) {}))
 }
 
-// turn waits until the loop has handled what was posted before, and the timers that are due.
+// sync waits until the loop has handled what was posted before, and the timers that are due.
 func (r *rig) sync(tb testing.TB) {
 	tb.Helper()
 	for range 2 { // timers run between two events
@@ -138,7 +158,7 @@
 	}
 }
 
-// waitUntil waits until a condition holds, which runs on the loop's goroutine.
+// waitUntil waits until a condition holds. It is called on the loop's goroutine, again and again.
 func (r *rig) waitUntil(tb testing.TB, condition func(*Loop) bool) {
 	tb.Helper()
 	result := make(chan bool, 1)
@@ -169,12 +189,12 @@
 	r.once.Do(func() { close(r.stopped) })
 }
 
-// shutDownFor begins a planned shutdown and advances the clock.
-func (r *rig) shutDownFor(tb testing.TB, time policy.Time) {
+// shutDownFor begins a planned shutdown and advances the clock by a period from its start on.
+func (r *rig) shutDownFor(tb testing.TB, period policy.Time) {
 	tb.Helper()
 	r.once.Do(func() { close(r.stopped) })
 	r.waitUntil(tb, func(l *Loop) bool { return l.shutdown.hasStarted() })
-	r.advance(tb, time)
+	r.advance(tb, period)
 }
 
 // reloadWith has the gateway load another configuration, or fail to.
@@ -232,7 +252,7 @@
 	return r
 }
 
-// serveLoop runs a gateway's loop until the test ends.
+// serveLoop runs a gateway's loop until the test ends, and checks that it ends then.
 func serveLoop(tb testing.TB, l *Loop) *rig {
 	tb.Helper()
 	r := &rig{
@@ -254,7 +274,7 @@
 	return r
 }
 
-// startWithBackend starts a gateway with one backend that is ready.
+// startWithBackend starts a gateway with one backend that is ready; change may edit its configuration's keys.
 func startWithBackend(t *testing.T, change func(map[string]any)) (*rig, *fakeBackend, *fakeDiscovery) {
 	t.Helper()
 	b := newBackend(t)
@@ -262,8 +282,8 @@
 	return startGateway(t, newConfig(t, d, change)), b, d
 }
 
-// startWithFourBackends starts a gateway with four backends at one address: the policy allows more requests
-// in flight.
+// startWithFourBackends starts a gateway that may open a number of descriptors, with four backends at one
+// address: the policy allows more requests in flight than with one.
 func startWithFourBackends(t *testing.T, sockets int) (*rig, *fakeBackend) {
 	t.Helper()
 	b := newBackend(t)
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -10,6 +10,7 @@
 	"testing"
 
 	"sparspread/internal/discovery"
+	"sparspread/internal/porttest"
 	"sparspread/policy"
 )
 
@@ -21,16 +22,16 @@
 }
 
 // serveFaulty listens and does the same with each connection.
-func serveFaulty(t *testing.T, serve func(net.Conn)) faultyDiscovery {
+func serveFaulty(t *testing.T, serve func(*net.TCPConn)) faultyDiscovery {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for {
-			conn, err := listener.Accept()
+			conn, err := listener.AcceptTCP()
 			if err != nil {
 				return
 			}
@@ -45,32 +46,27 @@
 var discoveryFaults = map[string]func(t *testing.T, called chan<- string) faultyDiscovery{
 	"refuses": func(t *testing.T, called chan<- string) faultyDiscovery {
 		t.Helper()
-		listener, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		_ = listener.Close()
 		control := func(string, string, syscall.RawConn) error {
 			called <- "dial"
 			return nil
 		}
-		return faultyDiscovery{listener.Addr().String(), control}
+		return faultyDiscovery{porttest.Reserve(t), control}
 	},
 	"resets": func(t *testing.T, called chan<- string) faultyDiscovery {
 		t.Helper()
-		return serveFaulty(t, func(conn net.Conn) {
-			_ = conn.(*net.TCPConn).SetLinger(0)
+		return serveFaulty(t, func(conn *net.TCPConn) {
+			_ = conn.SetLinger(0)
 			_ = conn.Close()
 			called <- "reset"
 		})
 	},
 	"is silent": func(t *testing.T, called chan<- string) faultyDiscovery {
 		t.Helper()
-		return serveFaulty(t, func(net.Conn) { called <- "call" })
+		return serveFaulty(t, func(*net.TCPConn) { called <- "call" })
 	},
 	"breaks off amid a list": func(t *testing.T, called chan<- string) faultyDiscovery {
 		t.Helper()
-		return serveFaulty(t, func(conn net.Conn) {
+		return serveFaulty(t, func(conn *net.TCPConn) {
 			const half = "HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n{\"revision\":9,\"members\":["
 			_, _ = fmt.Fprint(conn, half) // a gateway that has gone fails the test elsewhere
 			called <- "half a list"
@@ -99,7 +95,7 @@
 			const endpoints = 3000
 			l := newLoopWithKnownList(t, faulty, endpoints)
 			defer func() { _ = l.listening.listener.Close() }()
-			ctx, cancel := context.WithCancel(context.Background())
+			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			l.start(ctx)
 			wait(t, called, "discovery's first call")
--- a/internal/gateway/test_client_test.go
+++ b/internal/gateway/test_client_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"io"
 	"net"
+	"net/netip"
 	"regexp"
 	"strings"
 	"testing"
@@ -23,11 +24,17 @@
 // client connects a client, whose connection ends with the test.
 func (r *rig) client(tb testing.TB) *testClient {
 	tb.Helper()
-	address, err := net.ResolveTCPAddr("tcp", r.addr)
+	return dialClient(tb, r.addr)
+}
+
+// dialClient connects a client to an address, "IP:PORT". Its connection ends with the test.
+func dialClient(tb testing.TB, address string) *testClient {
+	tb.Helper()
+	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
 		tb.Fatal(err)
 	}
-	conn, err := net.DialTCP("tcp", nil, address)
+	conn, err := net.DialTCP("tcp", nil, net.TCPAddrFromAddrPort(parsed))
 	if err != nil {
 		tb.Fatal(err)
 	}
