--- a/policy/admission.go
+++ b/policy/admission.go
@@ -63,7 +63,7 @@
 
 // ownUnits is the source of a request's units where no coordinator was asked.
 func (c *Controller) ownUnits(request *request) unitSource {
-	settling := c.clock.age() < c.sharing.settleTime()
+	settling := c.sharing.isSettling(c.clock.age())
 	if request.customer.withinQuota(c.clock.now, &c.sharing, settling, request.Cost) {
 		return unitsFromShare
 	}
@@ -113,7 +113,7 @@
 	customer, now := request.customer, c.clock.now
 	c.counters.countOverQuota(&customer.bucket, request.Cost)
 	rate := customer.quotaShare(now, &c.sharing) * c.settings.Plans[request.Plan].Rate
-	available := customer.availableUnits(now, &c.sharing, c.clock.age() < c.sharing.settleTime())
+	available := customer.availableUnits(now, &c.sharing, c.sharing.isSettling(c.clock.age()))
 	c.reject(request.ID, rejectOverQuota, timeUntil(available, rate, request.Cost))
 }
 
--- a/policy/quotasharing.go
+++ b/policy/quotasharing.go
@@ -79,8 +79,10 @@
 	return max(window, s.receiveTime(account.replicas))
 }
 
-// settleTime is the time after this gateway's start in which peers may not have reported all buckets yet.
-func (s *quotaSharing) settleTime() Time { return min(maxSettleTime, settlePeriods*s.gossipPeriod) }
+// isSettling reports whether peers may not have reported all buckets yet to a gateway that started so long ago.
+func (s *quotaSharing) isSettling(age Time) bool {
+	return age < min(maxSettleTime, settlePeriods*s.gossipPeriod)
+}
 
 // replica is the gateway at a position in the account's set.
 func (s *quotaSharing) replica(account *account, position int) int {
--- a/policy/quotasharing_test.go
+++ b/policy/quotasharing_test.go
@@ -198,6 +198,22 @@
 	}
 }
 
+func TestGatewaySettlesUntilItHasHeardOfAllBuckets(t *testing.T) {
+	cases := []struct {
+		name      string
+		perSecond float64
+		want      Time
+	}{{"some gossip periods", 400, 4 * second / 30}, {"half a second at most", 40, second / 2}}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			sharing := newQuotaSharing(&Settings{Gateways: 12, Gossip: true, GossipPerSecond: c.perSecond})
+			if !sharing.isSettling(c.want-2) || sharing.isSettling(c.want) {
+				t.Errorf("settled at %d: %t, want so from %d on", c.want, !sharing.isSettling(c.want), c.want)
+			}
+		})
+	}
+}
+
 func TestStartIsAnnouncedToTheNextGateways(t *testing.T) {
 	sharing := wideSharing(10, Plan{})
 	for gateway := range 12 {
