--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -26,7 +26,7 @@
 	a := &attempt{request: r, number: r.attempts, sentAt: l.events.Now(), expiresAt: until}
 	r.attempts++
 	r.attemptsInFlight++
-	return l.backends.startAttempt(l, a, backend)
+	return l.backends.startAttempt(a, backend)
 }
 
 // Reject gives a request the final reply that nothing ran; after (0: none) advises when to retry.
@@ -55,7 +55,7 @@
 func (l *Loop) HealthCheck(backend uint32) {
 	now := l.events.Now()
 	a := &attempt{sentAt: now, expiresAt: now + l.config.Host.DialTimeout}
-	l.backends.startAttempt(l, a, backend)
+	l.backends.startAttempt(a, backend)
 }
 
 // WatchEndpoints has discovery report the endpoint list and its changes from now on.
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -39,15 +39,15 @@
 
 // startAttempt sends an attempt or health check to a backend. It reports whether the attempt waits for a
 // connection.
-func (bs *backends) startAttempt(l *Loop, a *attempt, number uint32) (waiting bool) {
+func (bs *backends) startAttempt(a *attempt, number uint32) (waiting bool) {
 	a.backend = number
 	b := bs.byNumber[number]
-	a.timeout = l.events.Schedule(a.expiresAt, attemptTimeout{attempt: a})
+	a.timeout = bs.events.Schedule(a.expiresAt, attemptTimeout{attempt: a})
 	if b == nil || b.state != policy.EndpointReady || !a.canBeSent() {
-		l.endAttempt(a, policy.ResultNotSent)
+		bs.endAttempt(a, policy.ResultNotSent)
 		return false
 	}
-	return bs.assign(l, b, a)
+	return bs.assign(b, a)
 }
 
 // canBeSent reports whether the client still waits, and a large body has not gone to an earlier attempt: it
@@ -68,21 +68,21 @@
 		a.request.valueConn = nil // the replies before it were not sent in time
 	}
 	if a.conn == nil {
-		l.backends.cancelWaiting(l, a)
+		l.backends.cancelWaiting(a)
 		return
 	}
 	a.conn.attempt = nil
 	l.backends.close(a.conn, closeTimedOut)
-	l.endAttempt(a, policy.ResultTimedOut)
+	l.backends.endAttempt(a, policy.ResultTimedOut)
 }
 
 // endAttempt ends an attempt without a reply.
-func (l *Loop) endAttempt(a *attempt, result policy.Result) {
-	l.endAttemptWithAnswer(a, result, backendAnswer{})
+func (bs *backends) endAttempt(a *attempt, result policy.Result) {
+	bs.endAttemptWithAnswer(a, result, backendAnswer{})
 }
 
 // endAttemptWithAnswer ends an attempt: the first call decides, and defers the attempt's one outcome.
-func (l *Loop) endAttemptWithAnswer(a *attempt, result policy.Result, answer backendAnswer) {
+func (bs *backends) endAttemptWithAnswer(a *attempt, result policy.Result, answer backendAnswer) {
 	if a.ended {
 		return
 	}
@@ -97,10 +97,10 @@
 	} else if a.request != nil && a.conn != nil && !a.fullyWritten && a.conn.writer.Idle() {
 		a.markFullyWritten() // the writer has written the rest since
 	}
-	l.events.Cancel(a.timeout)
+	bs.events.Cancel(a.timeout)
 	a.timeout, a.conn = nil, nil
-	latency := l.events.Now() - a.sentAt
-	l.events.Defer(attemptEnded{attempt: a, result: result, backendAnswer: answer, latency: latency})
+	latency := bs.events.Now() - a.sentAt
+	bs.events.Defer(attemptEnded{attempt: a, result: result, backendAnswer: answer, latency: latency})
 }
 
 // attemptEnded is the outcome of an attempt: exactly one for each.
--- a/internal/gateway/backend.go
+++ b/internal/gateway/backend.go
@@ -11,6 +11,7 @@
 
 	"sparspread/internal/config"
 	"sparspread/internal/discovery"
+	"sparspread/internal/eventloop"
 	"sparspread/internal/sockwriter"
 	"sparspread/policy"
 )
@@ -50,8 +51,19 @@
 	readTimeout time.Duration // for more input amid a reply; 0: no limit
 }
 
-// backends holds all backends and the connections to them. It belongs to the loop, but for dial.
+// attemptSource is what backends need of the gateway that makes attempts.
+type attemptSource interface {
+	// mayStillSend reports whether an attempt that has waited for a connection is still wanted.
+	mayStillSend(*attempt) bool
+	// attemptCommand returns what an attempt writes, but for a large body.
+	attemptCommand(*attempt) []byte
+}
+
+// backends holds all backends and the connections to them, and ends attempts: each gets one attemptEnded. It
+// belongs to the loop, but for dial.
 type backends struct {
+	events      *eventloop.Loop[*Loop]
+	attempts    attemptSource
 	byNumber    map[uint32]*backend
 	byID        map[string]*backend
 	idleTimeout idleTimeoutEstimate
@@ -61,9 +73,12 @@
 	dial        net.Dialer
 }
 
-func newBackends(cfg *config.Config, limit int) *backends {
+func newBackends(
+	cfg *config.Config, limit int, events *eventloop.Loop[*Loop], attempts attemptSource,
+) *backends {
 	dialTimeout := time.Duration(cfg.Host.DialTimeout) * time.Microsecond
 	return &backends{
+		events: events, attempts: attempts,
 		byNumber: map[uint32]*backend{}, byID: map[string]*backend{}, limit: limit,
 		idleTimeout: idleTimeoutEstimate{upperLimit: cfg.Host.IdleClose / idleCloseDivisor},
 		dial:        net.Dialer{Timeout: dialTimeout, KeepAlive: -1},
@@ -95,8 +110,11 @@
 	return hash.Sum32()
 }
 
-// updateEndpoints applies discovery's list, or its changes, and has the policy decide by it.
-func (bs *backends) updateEndpoints(l *Loop, kind policy.UpdateKind, list []discovery.Endpoint) {
+// applyList applies discovery's list, or its changes. It returns the entries as the policy gets them, which
+// has to decide by them before cleanUpUnready is called.
+func (bs *backends) applyList(
+	kind policy.UpdateKind, list []discovery.Endpoint, zoneNumber func(name string) int,
+) []policy.Endpoint {
 	if kind != policy.UpdateIncremental {
 		for _, b := range bs.byNumber {
 			b.state = policy.EndpointRemoved // unless the list names it
@@ -106,22 +124,25 @@
 	for _, e := range list {
 		b := bs.updateEndpoint(e)
 		endpoints = append(endpoints, policy.Endpoint{
-			ID: b.number, Zone: l.endpoints.zoneNumber(e.Zone), Cell: e.Cell, State: b.state,
+			ID: b.number, Zone: zoneNumber(e.Zone), Cell: e.Cell, State: b.state,
 			CapacityHint: e.CapacityHint, StartedAt: e.UpSinceMS * millisecond,
 		})
 	}
-	l.controller.UpdateEndpoints(l.events.Now(), kind, endpoints)
-	listed := int64(0)
+	return endpoints
+}
+
+// cleanUpUnready closes what backends that are not ready no longer need. It returns the number of backends
+// that are listed.
+func (bs *backends) cleanUpUnready() (listed int64) {
 	for id, b := range bs.byID {
 		if b.state != policy.EndpointRemoved {
 			listed++
 		}
 		if b.state != policy.EndpointReady {
-			bs.cleanUp(l, id, b)
+			bs.cleanUp(id, b)
 		}
 	}
-	l.metrics.Endpoints.Store(listed)
-	l.metrics.UnavailableEndpoints.Store(int64(l.controller.UnavailableBackends()))
+	return listed
 }
 
 // updateEndpoint applies one entry of discovery's list.
@@ -137,10 +158,10 @@
 }
 
 // cleanUp closes what a backend that is not ready no longer needs, and deletes one that was removed.
-func (bs *backends) cleanUp(l *Loop, id string, b *backend) {
+func (bs *backends) cleanUp(id string, b *backend) {
 	bs.closeIdle(b)
 	for len(b.waiting) > 0 {
-		bs.cancelWaiting(l, b.waiting[0]) // it can go to another backend at once
+		bs.cancelWaiting(b.waiting[0]) // it can go to another backend at once
 	}
 	if b.state == policy.EndpointRemoved && len(b.waiting) == 0 && b.dialing == 0 && !b.dialPaused {
 		delete(bs.byID, id)
@@ -149,11 +170,11 @@
 }
 
 // cancelWaiting ends an attempt that waits for a connection, as not sent; nil: there is none.
-func (bs *backends) cancelWaiting(l *Loop, a *attempt) {
+func (bs *backends) cancelWaiting(a *attempt) {
 	if a == nil {
 		return
 	}
 	b := bs.byNumber[a.backend]
 	b.waiting = slices.DeleteFunc(b.waiting, func(w *attempt) bool { return w == a })
-	l.endAttempt(a, policy.ResultNotSent)
+	bs.endAttempt(a, policy.ResultNotSent)
 }
--- a/internal/gateway/backend_dial.go
+++ b/internal/gateway/backend_dial.go
@@ -16,7 +16,7 @@
 )
 
 // dialForWaiting dials until there are as many dials under way as attempts wait.
-func (bs *backends) dialForWaiting(l *Loop, b *backend) {
+func (bs *backends) dialForWaiting(b *backend) {
 	for b.dialing < len(b.waiting) && !b.dialPaused {
 		if bs.open >= bs.limit && !bs.evict() {
 			// A lack of file descriptors is not the backend's fault: nothing was sent, nothing is learnt of
@@ -24,24 +24,24 @@
 			last := len(b.waiting) - 1
 			a := b.waiting[last]
 			b.waiting = b.waiting[:last]
-			l.endAttempt(a, policy.ResultNotSent)
+			bs.endAttempt(a, policy.ResultNotSent)
 			continue
 		}
 		b.dialing++
 		bs.open++
 		bs.counts.dials++
-		go bs.dialBackend(l, dialEnded{backend: b, address: b.address, startedAtMS: b.startedAtMS})
+		go bs.dialBackend(dialEnded{backend: b, address: b.address, startedAtMS: b.startedAtMS})
 	}
 }
 
 // dialBackend dials the address of an event and posts it with the result. Its goroutine ends with the dial,
 // which has a timeout.
-func (bs *backends) dialBackend(l *Loop, e dialEnded) {
+func (bs *backends) dialBackend(e dialEnded) {
 	conn, err := bs.dial.DialContext(context.Background(), "tcp", e.address)
 	if e.err = err; err == nil {
 		e.conn = conn.(*net.TCPConn)
 	}
-	l.events.Post(e)
+	bs.events.Post(e)
 }
 
 // dialEnded is the result of a dial.
@@ -61,7 +61,7 @@
 		fault := classifyDial(e.err)
 		bs.counts.dialsFailed[fault]++
 		bs.counts.lastDialError = e.err
-		bs.dialFailed(l, b, fault)
+		bs.dialFailed(b, fault)
 		return
 	}
 	b.shortages = 0
@@ -71,20 +71,20 @@
 	}
 	if e.address != b.address || e.startedAtMS != b.startedAtMS {
 		bs.close(c, closeNotReady) // the backend has moved or restarted since
-		bs.dialForWaiting(l, b)
+		bs.dialForWaiting(b)
 		return
 	}
 	go c.readReplies(l)
-	bs.release(l, c)
+	bs.release(c)
 }
 
 // dialFailed ends the attempt that has waited longest if more attempts wait than dials are under way.
-func (bs *backends) dialFailed(l *Loop, b *backend, fault dialFault) {
+func (bs *backends) dialFailed(b *backend, fault dialFault) {
 	if len(b.waiting) <= b.dialing {
 		return
 	}
 	if fault == dialOwnShortage {
-		bs.pauseDials(l, b)
+		bs.pauseDials(b)
 		return
 	}
 	a := b.waiting[0]
@@ -92,29 +92,29 @@
 		// Something listens there, else the dial would have been refused. Nothing was sent, so a second dial
 		// is safe.
 		a.redialed = true
-		bs.dialForWaiting(l, b)
+		bs.dialForWaiting(b)
 		return
 	}
 	b.waiting = b.waiting[1:]
 	a.unanswered = fault == dialUnanswered
-	l.endAttempt(a, policy.ResultConnectFailed)
+	bs.endAttempt(a, policy.ResultConnectFailed)
 }
 
 // pauseDials has the waiting attempts' dials repeated after a pause. What this machine lacks says nothing of
 // the backend: after some pauses the attempts end as not sent.
-func (bs *backends) pauseDials(l *Loop, b *backend) {
+func (bs *backends) pauseDials(b *backend) {
 	if b.dialPaused {
 		return // by another dial that failed
 	}
 	if b.shortages >= maxShortagePauses {
 		b.shortages = 0
 		for len(b.waiting) > b.dialing {
-			bs.cancelWaiting(l, b.waiting[0])
+			bs.cancelWaiting(b.waiting[0])
 		}
 		return
 	}
 	b.dialPaused = true
-	l.events.After(firstShortagePause<<b.shortages, dialPauseEnded{backend: b})
+	bs.events.After(firstShortagePause<<b.shortages, dialPauseEnded{backend: b})
 	b.shortages++
 }
 
@@ -123,5 +123,5 @@
 
 func (e dialPauseEnded) Handle(l *Loop) {
 	e.backend.dialPaused = false
-	l.backends.dialForWaiting(l, e.backend)
+	l.backends.dialForWaiting(e.backend)
 }
--- a/internal/gateway/backend_dial_test.go
+++ b/internal/gateway/backend_dial_test.go
@@ -70,7 +70,7 @@
 	l, b := newLoopWithBackend(t)
 	dialing, unblock := blockDials(l)
 	a := newHealthCheck(l)
-	l.backends.startAttempt(l, a, 1)
+	l.backends.startAttempt(a, 1)
 	wait(t, dialing, "the dial")
 	restarted := b.endpoint()
 	restarted.UpSinceMS = 1_000_000_000_000
@@ -108,7 +108,7 @@
 func TestResetDialIsRepeatedOnce(t *testing.T) {
 	l, _ := newLoopWithBackend(t)
 	a := newHealthCheck(l)
-	l.backends.startAttempt(l, a, 1)
+	l.backends.startAttempt(a, 1)
 	for i, want := range []bool{false, true} {
 		e := wait(t, l.events.Queue(), "a dial").(dialEnded)
 		if e.err != nil {
--- a/internal/gateway/backend_drain_test.go
+++ b/internal/gateway/backend_drain_test.go
@@ -35,7 +35,7 @@
 func TestDrainDuringDialSendsNothing(t *testing.T) {
 	l, b := newLoopWithBackend(t)
 	a := newHealthCheck(l)
-	l.backends.startAttempt(l, a, 1)
+	l.backends.startAttempt(a, 1)
 	draining := b.endpoint()
 	draining.Phase = "Terminating"
 	l.updateEndpoint(policy.UpdateIncremental, draining)
@@ -61,7 +61,7 @@
 	for i := range 3 {
 		a := newHealthCheck(l)
 		a.number = i
-		l.backends.startAttempt(l, a, 1)
+		l.backends.startAttempt(a, 1)
 	}
 	draining := b.endpoint()
 	draining.Phase = "Terminating"
--- a/internal/gateway/backend_pool.go
+++ b/internal/gateway/backend_pool.go
@@ -33,9 +33,9 @@
 
 // assign writes an attempt to an idle connection; without one it waits for a dial. It reports whether the
 // attempt waits.
-func (bs *backends) assign(l *Loop, b *backend, a *attempt) (waiting bool) {
-	for c := bs.takeIdle(l, b); c != nil; c = bs.takeIdle(l, b) {
-		if bs.write(l, c, a) {
+func (bs *backends) assign(b *backend, a *attempt) (waiting bool) {
+	for c := bs.takeIdle(b); c != nil; c = bs.takeIdle(b) {
+		if bs.write(c, a) {
 			return false
 		}
 	}
@@ -43,15 +43,15 @@
 	if a.request != nil {
 		a.request.waitingAttempt = a
 	}
-	bs.awaitQuiescence(l, b)
-	bs.dialForWaiting(l, b)
+	bs.awaitQuiescence(b)
+	bs.dialForWaiting(b)
 	return true
 }
 
 // takeIdle removes and returns the most recently used idle connection that is not quiescing; nil: there is
 // none. Connections that have been idle for longer than the idle timeout estimate are closed.
-func (bs *backends) takeIdle(l *Loop, b *backend) *backendConn {
-	now := l.events.Now()
+func (bs *backends) takeIdle(b *backend) *backendConn {
+	now := bs.events.Now()
 	oldest := now - bs.idleTimeout.current(now)
 	for i := len(b.idle) - 1; i >= 0; i-- {
 		switch c := b.idle[i]; {
@@ -68,14 +68,14 @@
 
 // awaitQuiescence has the waiting attempts look for an idle connection again as soon as one has ended its
 // quiescence period: a dial may take longer.
-func (bs *backends) awaitQuiescence(l *Loop, b *backend) {
+func (bs *backends) awaitQuiescence(b *backend) {
 	if len(b.waiting) == 0 || b.quiesceTimerSet {
 		return
 	}
 	for _, c := range b.idle {
-		if c.isQuiescing(l.events.Now()) {
+		if c.isQuiescing(bs.events.Now()) {
 			b.quiesceTimerSet = true
-			l.events.Schedule(c.idleSince+quiescencePeriod, connectionQuiesced{backend: b})
+			bs.events.Schedule(c.idleSince+quiescencePeriod, connectionQuiesced{backend: b})
 			return
 		}
 	}
@@ -88,24 +88,24 @@
 	bs, b := l.backends, e.backend
 	b.quiesceTimerSet = false
 	for len(b.waiting) > 0 {
-		c := bs.takeIdle(l, b)
+		c := bs.takeIdle(b)
 		if c == nil {
 			break
 		}
-		bs.assignToWaiting(l, c)
+		bs.assignToWaiting(c)
 	}
-	bs.awaitQuiescence(l, b)
+	bs.awaitQuiescence(b)
 }
 
 // release makes a connection available: to the attempt that has waited longest if it is new, and after its
 // quiescence period if it has carried a reply.
-func (bs *backends) release(l *Loop, c *backendConn) {
+func (bs *backends) release(c *backendConn) {
 	b := c.backend
 	if !c.writer.Idle() {
 		// The reply came before the whole request was written, and the next request would be written into the
 		// rest of it.
 		bs.close(c, closeIncomplete)
-		bs.dialForWaiting(l, b)
+		bs.dialForWaiting(b)
 		return
 	}
 	if b.state != policy.EndpointReady && len(b.waiting) == 0 {
@@ -113,33 +113,33 @@
 		return
 	}
 	if !c.hasCarriedReply() {
-		bs.assignToWaiting(l, c)
+		bs.assignToWaiting(c)
 		return
 	}
-	bs.addIdle(l, c)
-	bs.awaitQuiescence(l, b)
+	bs.addIdle(c)
+	bs.awaitQuiescence(b)
 }
 
 // assignToWaiting writes the attempt that has waited longest to a connection, or keeps the connection idle.
-func (bs *backends) assignToWaiting(l *Loop, c *backendConn) {
+func (bs *backends) assignToWaiting(c *backendConn) {
 	b := c.backend
 	for len(b.waiting) > 0 {
 		a := b.waiting[0]
 		b.waiting = b.waiting[1:]
-		if !l.mayStillSend(a) {
-			l.endAttempt(a, policy.ResultNotSent)
+		if !bs.attempts.mayStillSend(a) {
+			bs.endAttempt(a, policy.ResultNotSent)
 			continue
 		}
-		if bs.write(l, c, a) {
+		if bs.write(c, a) {
 			return
 		}
 		if c.closed {
 			b.waiting = slices.Insert(b.waiting, 0, a)
-			bs.dialForWaiting(l, b)
+			bs.dialForWaiting(b)
 			return
 		}
 	}
-	bs.addIdle(l, c)
+	bs.addIdle(c)
 }
 
 // mayStillSend reports whether an attempt that has waited for a connection is still wanted.
@@ -152,8 +152,8 @@
 }
 
 // addIdle keeps a connection for a later attempt.
-func (bs *backends) addIdle(l *Loop, c *backendConn) {
-	c.idleSince = l.events.Now()
+func (bs *backends) addIdle(c *backendConn) {
+	c.idleSince = bs.events.Now()
 	c.backend.idle = append(c.backend.idle, c)
 }
 
@@ -172,9 +172,9 @@
 	return true
 }
 
-// sweep closes connections that have been idle for too long.
-func (bs *backends) sweep(l *Loop) {
-	oldest := l.events.Now() - l.config.Host.IdleClose/idleCloseDivisor
+// sweep closes connections that have been idle for too long, by when backends close them.
+func (bs *backends) sweep(idleClose policy.Time) {
+	oldest := bs.events.Now() - idleClose/idleCloseDivisor
 	for _, b := range bs.byNumber {
 		for len(b.idle) > 0 && b.idle[0].idleSince <= oldest {
 			bs.close(b.idle[0], closeOutlived)
--- a/internal/gateway/backend_pool_test.go
+++ b/internal/gateway/backend_pool_test.go
@@ -105,7 +105,7 @@
 		t.Run(name, func(t *testing.T) {
 			l, b := newLoopWithBackend(t)
 			first := newHealthCheck(l)
-			l.backends.startAttempt(l, first, 1)
+			l.backends.startAttempt(first, 1)
 			wait(t, l.events.Queue(), "the dial").Handle(l)
 			used := first.conn
 			call := b.nextCall(t)
@@ -115,7 +115,7 @@
 			answered := wait(t, l.events.Queue(), "the reply")
 			answered.Handle(l)
 			second := newHealthCheck(l)
-			l.backends.startAttempt(l, second, 1)
+			l.backends.startAttempt(second, 1)
 			if second.conn != nil {
 				t.Fatal("the connection was used at once")
 			}
--- a/internal/gateway/backend_read.go
+++ b/internal/gateway/backend_read.go
@@ -88,22 +88,22 @@
 		return
 	}
 	if reused {
-		l.backends.reusedConnectionBroke(l, c, a)
+		l.backends.reusedConnectionBroke(c, a)
 	}
 	// The request was written, or may have been: it may have run.
-	l.endAttempt(a, policy.ResultReset)
+	l.backends.endAttempt(a, policy.ResultReset)
 }
 
 // reusedConnectionBroke takes note that a reused connection ended under an attempt. Those that have been idle
 // for longer are most likely broken too, though nothing shows it, and are closed.
-func (bs *backends) reusedConnectionBroke(l *Loop, c *backendConn, a *attempt) {
+func (bs *backends) reusedConnectionBroke(c *backendConn, a *attempt) {
 	b, idle := c.backend, a.sentAt-c.idleSince
-	explained := bs.idleTimeout.explains(l.events.Now(), idle)
+	explained := bs.idleTimeout.explains(bs.events.Now(), idle)
 	for explained && len(b.idle) > 0 && b.idle[0].idleSince <= c.idleSince {
 		bs.close(b.idle[0], closeOutlived)
 	}
-	if l.events.Now()-a.sentAt < staleReuseWindow {
-		bs.idleTimeout.recordBroken(l.events.Now(), idle)
+	if bs.events.Now()-a.sentAt < staleReuseWindow {
+		bs.idleTimeout.recordBroken(bs.events.Now(), idle)
 	}
 }
 
@@ -124,12 +124,13 @@
 	if !reply.wellFormed || e.malformed || e.more || bodyPending {
 		// What comes next on this connection may belong to no request. The others to the backend go on.
 		l.backends.close(c, closeMalformed)
-		l.backends.dialForWaiting(l, c.backend)
+		l.backends.dialForWaiting(c.backend)
 	}
-	l.endAttemptWithAnswer(a, reply.result, backendAnswer{
-		value: reply.value, cost: l.actualCost(reply.usage), loadReport: l.loadReport(reply.load),
+	l.backends.endAttemptWithAnswer(a, reply.result, backendAnswer{
+		value: reply.value, cost: actualCost(l.config, reply.usage),
+		loadReport: loadReport(l.config, reply.load),
 	})
 	if !c.closed {
-		l.backends.release(l, c)
+		l.backends.release(c)
 	}
 }
--- a/internal/gateway/backend_reply.go
+++ b/internal/gateway/backend_reply.go
@@ -7,6 +7,7 @@
 	"strings"
 
 	"sparspread/internal/command"
+	"sparspread/internal/config"
 	"sparspread/internal/resp"
 	"sparspread/policy"
 )
@@ -69,8 +70,8 @@
 
 // actualCost parses the cost in the usage part of a reply; 0: none is given, or one that no request can have,
 // which must not reach a customer's token bucket.
-func (l *Loop) actualCost(usage string) float64 {
-	if !l.config.Settings.SettlesCost {
+func actualCost(cfg *config.Config, usage string) float64 {
+	if !cfg.Settings.SettlesCost {
 		return 0
 	}
 	for pair := range strings.SplitSeq(usage, ",") {
@@ -79,7 +80,7 @@
 			continue
 		}
 		cost, err := strconv.ParseFloat(value, 64)
-		if err == nil && cost > 0 && cost <= command.MaxCost(l.config) {
+		if err == nil && cost > 0 && cost <= command.MaxCost(cfg) {
 			return cost
 		}
 		return 0
@@ -89,9 +90,9 @@
 
 // loadReport parses a load report into the order of the settings; nil: it is none. One that is incomplete or
 // holds impossible values must not reach the decisions: it would draw all requests to its backend, or none.
-func (l *Loop) loadReport(text string) []float32 {
-	names := l.config.Host.ReportNames
-	if len(l.config.Settings.LoadReport) == 0 || !strings.Contains(text, "=") {
+func loadReport(cfg *config.Config, text string) []float32 {
+	names := cfg.Host.ReportNames
+	if len(cfg.Settings.LoadReport) == 0 || !strings.Contains(text, "=") {
 		return nil
 	}
 	load, present := make([]float32, len(names)), 0 // present: a bit for each name
--- a/internal/gateway/backend_reply_test.go
+++ b/internal/gateway/backend_reply_test.go
@@ -17,7 +17,7 @@
 		t.Run(name, func(t *testing.T) {
 			l, b := newLoopWithBackend(t)
 			first := newHealthCheck(l)
-			l.backends.startAttempt(l, first, 1)
+			l.backends.startAttempt(first, 1)
 			wait(t, l.events.Queue(), "the dial").Handle(l)
 			used := first.conn
 			call := b.nextCall(t) // a health check, whose reply is read like any other
@@ -29,7 +29,7 @@
 				late = wait(t, l.events.Queue(), "the duplicate") // read, but not handled yet
 			}
 			second := newHealthCheck(l)
-			l.backends.startAttempt(l, second, 1)
+			l.backends.startAttempt(second, 1)
 			if late != nil {
 				late.Handle(l)
 			}
@@ -87,15 +87,15 @@
 func TestLoadReport(t *testing.T) {
 	cfg := newConfig(t, newFakeDiscovery(t), withSettings(t,
 		`"names":[],"via":"silent"`, `"names":["busy_reqs","pending"],"via":"piggyback"`))
-	l := &Loop{config: &cfg}
-	if got := l.loadReport("pending=2,busy_reqs=7,other=1"); len(got) != 2 || got[0] != 7 || got[1] != 2 {
+	got := loadReport(&cfg, "pending=2,busy_reqs=7,other=1")
+	if len(got) != 2 || got[0] != 7 || got[1] != 2 {
 		t.Errorf("a good report: %v", got)
 	}
 	for _, text := range []string{
 		"", "=,=", "busy_reqs=7", "busy_reqs=7,pending=", "busy_reqs=NaN,pending=1", "busy_reqs=-1,pending=1",
 		"busy_reqs=1,pending=+Inf", "busy_reqs=1,pending=1e99",
 	} {
-		if got := l.loadReport(text); got != nil {
+		if got := loadReport(&cfg, text); got != nil {
 			t.Errorf("%q: %v", text, got)
 		}
 	}
--- a/internal/gateway/backend_write.go
+++ b/internal/gateway/backend_write.go
@@ -16,10 +16,10 @@
 
 // write writes an attempt to an idle connection. It reports whether the attempt is on its way or ended; if
 // not, the connection proved broken, nothing was sent, and the attempt may go on another one.
-func (bs *backends) write(l *Loop, c *backendConn, a *attempt) bool {
+func (bs *backends) write(c *backendConn, a *attempt) bool {
 	if c.backend.state != policy.EndpointReady {
 		// The backend began to drain while the attempt waited for its connection.
-		l.endAttempt(a, policy.ResultNotSent)
+		bs.endAttempt(a, policy.ResultNotSent)
 		bs.close(c, closeNotReady)
 		return true
 	}
@@ -27,7 +27,7 @@
 		bs.close(c, closeUnsolicitedInput)
 		return false
 	}
-	command := l.attemptCommand(a)
+	command := bs.attempts.attemptCommand(a)
 	n, err := c.writer.TryWrite(command)
 	if err != nil {
 		bs.close(c, closeWriteFailed)
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -114,7 +114,10 @@
 type loopEndpoints struct{ *Loop }
 
 func (l loopEndpoints) updateEndpoints(kind policy.UpdateKind, list []discovery.Endpoint) {
-	l.backends.updateEndpoints(l.Loop, kind, list)
+	endpoints := l.backends.applyList(kind, list, l.endpoints.zoneNumber)
+	l.controller.UpdateEndpoints(l.events.Now(), kind, endpoints)
+	l.metrics.Endpoints.Store(l.backends.cleanUpUnready())
+	l.metrics.UnavailableEndpoints.Store(int64(l.controller.UnavailableBackends()))
 }
 
 func (l loopEndpoints) reportUnavailable() {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -58,7 +58,7 @@
 	l.applyConfig(&cfg)
 	limitMemory(&cfg, 1)
 	budget := descriptors.NewBudget(descriptors.Usable(&cfg, log), l.counter != nil)
-	l.backends = newBackends(&cfg, budget.PerSide)
+	l.backends = newBackends(&cfg, budget.PerSide, l.events, l)
 	l.clients = newClients(budget)
 	l.listening = newListening(l.clients.slots, l.events.Post, log)
 	var err error
@@ -86,7 +86,7 @@
 // start applies the configured endpoint list and starts reading from discovery, peers and operators.
 // Clients are accepted after discovery's first list, or readinessWait.
 func (l *Loop) start(ctx context.Context) {
-	l.backends.updateEndpoints(l, policy.UpdateStale, l.config.Known.Endpoints)
+	loopEndpoints{l}.updateEndpoints(policy.UpdateStale, l.config.Known.Endpoints)
 	l.events.HandleDeferred()
 	go l.ops.Serve()
 	l.events.After(readinessWait, readinessTimeout{})
@@ -103,7 +103,7 @@
 
 func (sweepTimer) Handle(l *Loop) {
 	l.clients.sweep(l)
-	l.backends.sweep(l)
+	l.backends.sweep(l.config.Host.IdleClose)
 	l.metrics.UnavailableEndpoints.Store(int64(l.controller.UnavailableBackends()))
 	l.events.After(sweepInterval, sweepTimer{})
 }
--- a/internal/gateway/loop_rig_test.go
+++ b/internal/gateway/loop_rig_test.go
@@ -65,7 +65,7 @@
 
 // updateEndpoint applies a list of one endpoint, or a change of one.
 func (l *Loop) updateEndpoint(kind policy.UpdateKind, e discovery.Endpoint) {
-	l.backends.updateEndpoints(l, kind, []discovery.Endpoint{e})
+	loopEndpoints{l}.updateEndpoints(kind, []discovery.Endpoint{e})
 }
 
 // newHealthCheck makes a health check that does not time out during a test.
--- a/internal/gateway/request_body.go
+++ b/internal/gateway/request_body.go
@@ -178,9 +178,9 @@
 	}
 	c := r.body.conn
 	if a := c.attempt; a != nil && a.request == r && a.bodyIncomplete() {
-		l.endAttempt(a, policy.ResultNotSent)
+		l.backends.endAttempt(a, policy.ResultNotSent)
 		c.attempt = nil
 		l.backends.close(c, closeIncomplete)
-		l.backends.dialForWaiting(l, c.backend)
+		l.backends.dialForWaiting(c.backend)
 	}
 }
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -70,7 +70,7 @@
 	l.events.Cancel(r.guard)
 	r.guard = nil
 	r.body.discard()
-	l.backends.cancelWaiting(l, r.waitingAttempt)
+	l.backends.cancelWaiting(r.waitingAttempt)
 	if l.requests.openByClientID[r.clientID] == r {
 		delete(l.requests.openByClientID, r.clientID)
 	}
--- a/internal/gateway/scale_test.go
+++ b/internal/gateway/scale_test.go
@@ -33,12 +33,12 @@
 			}
 			defer func() { _ = l.listening.listener.Close() }()
 			list := endpoints(n)
-			l.backends.updateEndpoints(l, policy.UpdateComplete, list)
+			loopEndpoints{l}.updateEndpoints(policy.UpdateComplete, list)
 			one := list[:1]
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				one[0].Phase = [...]string{"Ready", "Terminating"}[i%2]
-				l.backends.updateEndpoints(l, policy.UpdateIncremental, one)
+				loopEndpoints{l}.updateEndpoints(policy.UpdateIncremental, one)
 			}
 		})
 	}
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -17,7 +17,7 @@
 	t.Helper()
 	b := newBackend(t)
 	l := newTestLoop(t, newFakeDiscovery(t))
-	l.backends.updateEndpoints(l, policy.UpdateComplete, []discovery.Endpoint{
+	loopEndpoints{l}.updateEndpoints(policy.UpdateComplete, []discovery.Endpoint{
 		{ID: "s-00000001", Address: b.listener.Addr().String(), Phase: "Ready"},
 	})
 	shutdownRequested{}.Handle(l)
--- a/internal/gateway/value_stream.go
+++ b/internal/gateway/value_stream.go
@@ -92,7 +92,7 @@
 		l.backends.close(c, closeCancelled)
 		c.attempt = nil
 		if a != nil {
-			l.endAttempt(a, policy.ResultCancelled)
+			l.backends.endAttempt(a, policy.ResultCancelled)
 		}
 		return
 	}
@@ -142,7 +142,7 @@
 	r.valueConn = nil
 	if a := c.attempt; a != nil {
 		c.attempt = nil
-		l.endAttempt(a, policy.ResultCancelled)
+		l.backends.endAttempt(a, policy.ResultCancelled)
 	}
 	l.backends.close(c, closeCancelled)
 }
@@ -157,16 +157,16 @@
 	if !r.answered {
 		l.finishValue(r, e.err)
 	}
-	if cost := l.actualCost(itemText(e.reply, replyUsage)); cost > 0 {
+	if cost := actualCost(l.config, itemText(e.reply, replyUsage)); cost > 0 {
 		l.settleCost(r.customer, cost-r.estimatedCost)
 	}
 	l.releaseRequest(r)
 	if e.err != nil || e.malformed || e.more {
 		l.backends.close(c, closeIncomplete)
-		l.backends.dialForWaiting(l, c.backend)
+		l.backends.dialForWaiting(c.backend)
 		return
 	}
-	l.backends.release(l, c)
+	l.backends.release(c)
 }
 
 // settleCost reports to the policy, and to a process that takes over, by how much a cost was underestimated.
