--- a/policy/admission.go
+++ b/policy/admission.go
@@ -99,7 +99,7 @@
 		customer.ceiling.level -= request.Cost
 	}
 	c.retryBudget.deposit()
-	c.requests.byID[request.ID] = request
+	c.requests.add(request)
 	c.send(request, backend)
 }
 
--- a/policy/balancing.go
+++ b/policy/balancing.go
@@ -70,7 +70,8 @@
 // faultPenalty is how much the faults reported of a backend for a request's class and plan raise
 // its score.
 func (c *Controller) faultPenalty(backend *backend, request *request) float64 {
-	return c.limit.peerWeight(c.clock.activeTime) * backend.faults.value(c.clock.now, request.Class, request.Plan)
+	reports := backend.faults.value(c.clock.now, request.Class, request.Plan)
+	return c.limit.peerWeight(c.clock.activeTime) * reports
 }
 
 // sameDedupScope reports whether two backends drop each other's repeats.
--- a/policy/controller.go
+++ b/policy/controller.go
@@ -93,11 +93,10 @@
 // excludeStall has the latency of the attempts that were pending in a stall count for nothing: it says
 // nothing about the backends.
 func (c *Controller) excludeStall() {
-	for class := range c.requests.withinObjective {
-		for _, attempt := range c.requests.withinObjective[class] {
-			attempt.overlappedStall = true
-		}
-		c.markOverdue(class, -1)
+	const anyAge = -1
+	c.requests.overlapStall()
+	for class := range c.settings.Classes {
+		c.markOverdue(class, anyAge)
 	}
 }
 
--- a/policy/attempts.go
+++ b/policy/controller_attempts.go
@@ -11,6 +11,16 @@
 	c.chargeSlowStart(attempt, waiting)
 }
 
+// recordSend adds an attempt to a request and to the load of its backend and its customer.
+func (c *Controller) recordSend(request *request, backend *backend) *attempt {
+	attempt := request.addAttempt(backend, c.clock.now)
+	c.requests.addAttempt(request.Class, attempt)
+	backend.health.expectAnswer(c.clock.activeTime, backend.load.inFlight)
+	backend.load.add()
+	request.customer.inFlight++
+	return attempt
+}
+
 // ConfirmSend reports whether an attempt that had to wait may be written now: its request is open, its
 // backend ready, it repeats nothing that may have run and must not run twice, and the slow start of its
 // backend, which may have begun since, has an attempt left, which it takes.
@@ -22,7 +32,7 @@
 		return false
 	}
 	others := slices.Delete(slices.Clone(request.attempts), attemptNumber, attemptNumber+1)
-	rule, class := c.ruleFor(request, others, now), &c.settings.Classes[request.Class]
+	rule, class := c.settings.retryRule(request.Class, others, now), &c.settings.Classes[request.Class]
 	return rule.allowed && attempt.backend.ready() &&
 		(rule.within == nil || class.sameDedupScope(rule.within.backend, attempt.backend)) &&
 		c.confirmSlowStart(attempt)
@@ -59,11 +69,11 @@
 	if request.hasPending() {
 		return
 	}
-	rule := c.ruleFor(request, request.attempts, now)
+	rule := c.settings.retryRule(request.Class, request.attempts, now)
 	if !request.answered && c.retry(request, attempt, outcome.Result, rule, now) {
 		return
 	}
-	delete(c.requests.byID, outcome.RequestID)
+	c.requests.remove(outcome.RequestID)
 	c.refund(request)
 	switch {
 	case request.answered:
@@ -73,3 +83,53 @@
 		c.actions.Fail(outcome.RequestID)
 	}
 }
+
+// retry sends another attempt if the rule, the number of attempts, the budget and the time that is
+// left allow it and there is a backend. It reports whether it did.
+func (c *Controller) retry(
+	request *request, last *attempt, lastResult Result, rule retryRule, now Time,
+) bool {
+	cost := retryCost(last, lastResult)
+	minTime := c.settings.Classes[request.Class].LatencyObjective / minRetryTime
+	if !rule.allowed || len(request.attempts) >= c.settings.MaxAttempts || !c.retryBudget.affords(cost) ||
+		request.deadline-now <= minTime {
+		return false
+	}
+	backend := c.chooseBackend(request, rule.within)
+	if backend == nil {
+		return false
+	}
+	c.retryBudget.spend(cost)
+	c.counters.retriesAfter[lastResult]++
+	c.send(request, backend)
+	return true
+}
+
+// attemptDeadline is when the request's newest attempt is given up for another one, 0 if there is
+// no budget, capacity or time for another.
+func (c *Controller) attemptDeadline(request *request) Time {
+	class, latency := &c.settings.Classes[request.Class], Time(c.latency.ofClass(request.Class))
+	deadline := c.clock.now + attemptTimeoutFactor*latency
+	if class.Idempotency == NotIdempotent || !c.retryBudget.affords(ranRetryCost) ||
+		len(request.attempts) == c.settings.MaxAttempts || c.atCapacity(borrowCapacityShare) ||
+		latency == 0 || deadline+latency > request.attempts[0].sentAt+class.LatencyObjective {
+		return 0
+	}
+	return deadline
+}
+
+// ResponseStarted notes that the client gets a streamed answer: no other attempt may follow.
+func (c *Controller) ResponseStarted(now Time, id uint64) {
+	c.advanceClock(now)
+	if request := c.requests.byID[id]; request != nil {
+		request.answered = true
+	}
+}
+
+// RequestCancelled notes that the client has disconnected or its deadline has passed.
+func (c *Controller) RequestCancelled(now Time, id uint64) {
+	c.ResponseStarted(now, id)
+	if request := c.requests.byID[id]; request != nil && !request.hasPending() {
+		c.requests.remove(id)
+	}
+}
--- a/policy/controller_backends.go
+++ b/policy/controller_backends.go
@@ -128,7 +128,7 @@
 
 // refreshBackendHealth finds overdue attempts and unresponsive backends, and counts the others.
 func (c *Controller) refreshBackendHealth() {
-	for class := range c.requests.withinObjective {
+	for class := range c.settings.Classes {
 		c.markOverdue(class, c.settings.Classes[class].LatencyObjective)
 	}
 	c.backends.healthy = 0
@@ -146,3 +146,10 @@
 	}
 	c.pace.setWarmBackends(c.clock.now, warm)
 }
+
+// markOverdue marks the pending attempts of a class that are older than the given age.
+func (c *Controller) markOverdue(class int, age Time) {
+	for _, attempt := range c.requests.takeOlder(class, c.clock.now, age) {
+		attempt.markOverdue()
+	}
+}
--- a/policy/controller_quota.go
+++ b/policy/controller_quota.go
@@ -99,7 +99,7 @@
 	peer := c.sharing.coordinator(&customer.account, request.coordinator)
 	c.actions.SendGossip(peer, entry.appendTo(c.gossip.newMessage(c.loadView())))
 	c.actions.SetTimer(request.grantDeadline, quotaRequestTimer)
-	c.requests.byID[request.ID] = request
+	c.requests.add(request)
 	c.grants.add(request)
 }
 
@@ -109,7 +109,7 @@
 	c.grants.dropClosed(c.requests.byID)
 	for _, ended := range c.grants.answered(c.clock.now, &c.sharing, customer, answer) {
 		request := ended.request
-		delete(c.requests.byID, request.ID)
+		c.requests.remove(request.ID)
 		switch ended.result {
 		case quotaApproved:
 			request.customer.grant.units += request.Cost // consumed at once
--- a/policy/ownership.go
+++ b/policy/ownership.go
@@ -9,7 +9,7 @@
 	c.advanceClock(now)
 	c.retired = true
 	for _, request := range c.grants.takeOpen(c.requests.byID) {
-		delete(c.requests.byID, request.ID)
+		c.requests.remove(request.ID)
 		c.reject(request.ID, rejectOverQuota, c.shortestObjective/retryAfterPart)
 	}
 }
@@ -54,13 +54,7 @@
 // PredecessorExited notes that the former process has ended, and its pending attempts with it.
 func (c *Controller) PredecessorExited(now Time) {
 	c.advanceClock(now)
-	for _, request := range c.requests.ofPredecessor {
-		for _, attempt := range request.attempts {
-			if attempt.pending {
-				attempt.pending = false
-				attempt.release(request.customer)
-			}
-		}
+	for _, request := range c.requests.takeOfPredecessor() {
+		request.releasePending()
 	}
-	clear(c.requests.ofPredecessor)
 }
--- a/policy/reload.go
+++ b/policy/reload.go
@@ -11,15 +11,12 @@
 		return err
 	}
 	c.advanceClock(now)
-	c.retainFixedSettings(&settings)
+	settings.retainFixed(&c.settings)
 	classes, plans := c.mapClasses(&settings), c.mapPlans(&settings)
 	if err := settings.validate(); err != nil {
 		return err // what must be kept does not fit
 	}
-	c.renumberClasses(&settings, classes)
-	c.renumberPlans(&settings, plans)
-	c.renumberRequests(classes, plans)
-	c.backends.renumberFaults(c.oldClassIndices(&settings, classes), plans, len(settings.Plans))
+	c.renumber(&settings, classes, plans)
 	for _, customer := range c.customers.inOrder {
 		c.refillBuckets(customer) // at the old rate
 	}
@@ -34,15 +31,27 @@
 	return nil
 }
 
-// retainFixedSettings copies what only a restart can change from the settings in force. It also copies
-// the lists, which are appended to.
-func (c *Controller) retainFixedSettings(settings *Settings) {
-	old := &c.settings
-	settings.Self, settings.Gateways, settings.Zone = old.Self, old.Gateways, old.Zone
-	settings.PollEndpoints, settings.LoadReport = old.PollEndpoints, old.LoadReport
-	settings.Gossip, settings.SharedCounter = old.Gossip, old.SharedCounter
-	settings.MeterPeriod = old.MeterPeriod
-	settings.Classes, settings.Plans = slices.Clone(settings.Classes), slices.Clone(settings.Plans)
+// renumber moves all state to the indices that classes and plans have in the new settings, given by their
+// index until now. What was learnt of a class holds for the class of its name, whatever else of it has changed.
+func (c *Controller) renumber(settings *Settings, classes, plans []int) {
+	oldClasses := oldClassIndices(c.settings.Classes, settings.Classes, classes)
+	c.latency.renumber(oldClasses)
+	c.clientTimeouts.renumberClasses(oldClasses)
+	c.clientTimeouts = c.clientTimeouts.renumberPlans(len(settings.Plans), len(settings.Classes), plans)
+	c.backends.renumberFaults(oldClasses, plans, len(settings.Plans))
+	c.requests.renumber(classes, plans, len(settings.Classes))
+	c.shared.renumberPlans(c.settings.Plans, settings.Plans, plans)
+	c.gossip.dropFaults() // they name classes by their old index
+}
+
+// retainFixed copies what only a restart can change from the settings in force. It also copies the lists,
+// which are appended to.
+func (s *Settings) retainFixed(inForce *Settings) {
+	s.Self, s.Gateways, s.Zone = inForce.Self, inForce.Gateways, inForce.Zone
+	s.PollEndpoints, s.LoadReport = inForce.PollEndpoints, inForce.LoadReport
+	s.Gossip, s.SharedCounter = inForce.Gossip, inForce.SharedCounter
+	s.MeterPeriod = inForce.MeterPeriod
+	s.Classes, s.Plans = slices.Clone(s.Classes), slices.Clone(s.Plans)
 }
 
 // indexByName is the index of the item of that name; -1: none.
@@ -64,7 +73,7 @@
 			continue
 		}
 		indices[i] = -1
-		if c.hasRequestOf(i) {
+		if c.requests.hasClass(i) {
 			indices[i] = len(settings.Classes)
 			settings.Classes = append(settings.Classes, class)
 		}
@@ -85,51 +94,12 @@
 	return indices
 }
 
-func (c *Controller) hasRequestOf(class int) bool {
-	found := false
-	c.eachRequest(func(request *request) { found = found || request.Class == class })
-	return found
-}
-
-// eachRequest calls do for each open request, this process's and the predecessor's.
-func (c *Controller) eachRequest(do func(*request)) {
-	for _, requests := range []map[uint64]*request{c.requests.byID, c.requests.ofPredecessor} {
-		for _, request := range requests {
-			do(request)
-		}
-	}
-}
-
-func (c *Controller) renumberRequests(classes, plans []int) {
-	c.eachRequest(func(request *request) {
-		request.Class, request.Plan = classes[request.Class], plans[request.Plan]
-	})
-}
-
-// renumberClasses moves the state of each class to its new index. What was learnt of a class holds
-// for the class of its name, whatever else of it has changed.
-func (c *Controller) renumberClasses(settings *Settings, classes []int) {
-	count := len(settings.Classes)
-	withinObjective := make([][]*attempt, count)
-	oldIndices := c.oldClassIndices(settings, classes)
-	c.latency.renumber(oldIndices)
-	for i, attempts := range c.requests.withinObjective {
-		if class := classes[i]; class >= 0 {
-			withinObjective[class] = append(withinObjective[class], attempts...)
-			slices.SortStableFunc(withinObjective[class], bySendTime)
-		}
-	}
-	c.clientTimeouts.renumberClasses(oldIndices)
-	c.requests.withinObjective = withinObjective
-	c.gossip.dropFaults() // they name classes by their old index
-}
-
 // oldClassIndices is the inverse of the indices from mapClasses, completed by name; -1: new.
-func (c *Controller) oldClassIndices(settings *Settings, classes []int) []int {
-	indices := make([]int, len(settings.Classes))
+func oldClassIndices(old, classes []Class, newIndices []int) []int {
+	indices := make([]int, len(classes))
 	for i := range indices {
-		if indices[i] = slices.Index(classes, i); indices[i] < 0 {
-			indices[i] = indexByName(c.settings.Classes, className, settings.Classes[i].Name)
+		if indices[i] = slices.Index(newIndices, i); indices[i] < 0 {
+			indices[i] = indexByName(old, className, classes[i].Name)
 		}
 	}
 	return indices
@@ -144,12 +114,6 @@
 	}
 }
 
-// renumberPlans moves the state of each plan to its new index, once the classes have theirs.
-func (c *Controller) renumberPlans(settings *Settings, plans []int) {
-	c.clientTimeouts = c.clientTimeouts.renumberPlans(len(settings.Plans), len(settings.Classes), plans)
-	c.shared.renumberPlans(c.settings.Plans, settings.Plans, plans)
-}
-
 // deriveFromSettings computes what follows from the settings alone.
 func (c *Controller) deriveFromSettings() {
 	c.sharing = newQuotaSharing(&c.settings)
--- a/policy/request.go
+++ b/policy/request.go
@@ -2,21 +2,6 @@
 
 import "slices"
 
-// requestTable holds the open requests.
-type requestTable struct {
-	byID            map[uint64]*request // with pending attempts or waiting for a grant
-	ofPredecessor   map[uint64]*request // those that the former process carries to their end
-	withinObjective [][]*attempt        // by class, oldest first: attempts not found overdue yet
-}
-
-func newRequestTable(classes int) requestTable {
-	return requestTable{
-		byID:            map[uint64]*request{},
-		ofPredecessor:   map[uint64]*request{},
-		withinObjective: make([][]*attempt, classes),
-	}
-}
-
 // request is a request that was admitted or waits for a coordinator's grant.
 type request struct {
 	Request
@@ -35,7 +20,7 @@
 	chargedCeiling bool // its units were taken from the ceiling of this gateway
 }
 
-// attempt is one attempt of a request.
+// attempt is one attempt of a request. While it is pending it counts as load of its backend and its customer.
 type attempt struct {
 	backend         *backend
 	sentAt          Time
@@ -68,47 +53,33 @@
 	return slices.ContainsFunc(r.attempts, func(attempt *attempt) bool { return attempt.backend == backend })
 }
 
-// release removes an ended attempt from the load of its backend and its customer.
-func (a *attempt) release(customer *customer) {
-	a.backend.load.remove(a.overdue)
-	customer.inFlight--
-}
-
-// recordSend adds an attempt to a request and to the load of its backend and its customer.
-func (c *Controller) recordSend(request *request, backend *backend) *attempt {
-	attempt := &attempt{backend: backend, sentAt: c.clock.now, pending: true, mayHaveRun: true}
-	request.attempts = append(request.attempts, attempt)
-	c.requests.withinObjective[request.Class] = append(c.requests.withinObjective[request.Class], attempt)
-	backend.health.expectAnswer(c.clock.activeTime, backend.load.inFlight)
-	backend.load.add()
-	request.customer.inFlight++
-	return attempt
-}
-
-// markOverdue marks the pending attempts of a class that are older than the given age.
-func (c *Controller) markOverdue(class int, age Time) {
-	attempts := c.requests.withinObjective[class]
-	for ; len(attempts) > 0 && c.clock.now-attempts[0].sentAt > age; attempts = attempts[1:] {
-		if attempt := attempts[0]; attempt.pending {
-			attempt.overdue = true
-			attempt.backend.load.markOverdue()
+// releasePending ends the pending attempts, as the process that sent them has ended.
+func (r *request) releasePending() {
+	for _, attempt := range r.attempts {
+		if attempt.pending {
+			attempt.pending = false
+			attempt.release(r.customer)
 		}
 	}
-	c.requests.withinObjective[class] = attempts
 }
 
-// ResponseStarted notes that the client gets a streamed answer: no other attempt may follow.
-func (c *Controller) ResponseStarted(now Time, id uint64) {
-	c.advanceClock(now)
-	if request := c.requests.byID[id]; request != nil {
-		request.answered = true
-	}
+// addAttempt adds an attempt at a backend, which is sent now.
+func (r *request) addAttempt(backend *backend, now Time) *attempt {
+	added := &attempt{backend: backend, sentAt: now, pending: true, mayHaveRun: true}
+	r.attempts = append(r.attempts, added)
+	return added
 }
 
-// RequestCancelled notes that the client has disconnected or its deadline has passed.
-func (c *Controller) RequestCancelled(now Time, id uint64) {
-	c.ResponseStarted(now, id)
-	if request := c.requests.byID[id]; request != nil && !request.hasPending() {
-		delete(c.requests.byID, id)
+// markOverdue notes that an attempt has missed its objective, if it is still pending.
+func (a *attempt) markOverdue() {
+	if a.pending {
+		a.overdue = true
+		a.backend.load.markOverdue()
 	}
 }
+
+// release removes an ended attempt from the load of its backend and its customer.
+func (a *attempt) release(customer *customer) {
+	a.backend.load.remove(a.overdue)
+	customer.inFlight--
+}
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -12,11 +12,33 @@
 	dedupMarginEvents    = 4    // least event intervals by which a deduplication window ends early
 )
 
-// retryBudget limits retries to a ratio of the requests admitted.
+// retryBudget limits retries to a ratio of the requests admitted: it is never more than maxRetryBudget.
 type retryBudget float64
 
-func (budget *retryBudget) deposit() {
-	*budget = retryBudget(math.Min(maxRetryBudget, float64(*budget)+retryRatio))
+// deposit adds what an admitted request pays for.
+func (b *retryBudget) deposit() {
+	*b = retryBudget(math.Min(maxRetryBudget, float64(*b)+retryRatio))
+}
+
+// affords reports whether the budget has the cost of a retry.
+func (b *retryBudget) affords(cost retryBudget) bool { return *b >= cost }
+
+// spend takes the cost of a retry.
+func (b *retryBudget) spend(cost retryBudget) { *b -= cost }
+
+// split halves the budget between two processes that may retry for a while.
+func (b *retryBudget) split() { *b /= 2 }
+
+// retryCost is the cost of a retry after an attempt that ended with the result.
+func retryCost(last *attempt, result Result) retryBudget {
+	switch {
+	case last.mayHaveRun:
+		return ranRetryCost
+	case result == ResultNotSent:
+		return 0
+	default:
+		return notRunRetryCost
+	}
 }
 
 // retryRule says what may follow the attempts that a request has had.
@@ -49,48 +71,8 @@
 	return rule
 }
 
-// ruleFor applies the request's class to the given attempts of it.
-func (c *Controller) ruleFor(request *request, attempts []*attempt, now Time) retryRule {
-	margin := dedupMarginEvents * c.settings.MinEventInterval
-	return c.settings.Classes[request.Class].retryRule(attempts, c.settings.Hedging, now, margin)
-}
-
-// retry sends another attempt if the rule, the number of attempts, the budget and the time that is
-// left allow it and there is a backend. It reports whether it did.
-func (c *Controller) retry(
-	request *request, last *attempt, lastResult Result, rule retryRule, now Time,
-) bool {
-	cost := retryBudget(notRunRetryCost)
-	switch {
-	case last.mayHaveRun:
-		cost = ranRetryCost
-	case lastResult == ResultNotSent:
-		cost = 0
-	}
-	minTime := c.settings.Classes[request.Class].LatencyObjective / minRetryTime
-	if !rule.allowed || len(request.attempts) >= c.settings.MaxAttempts || c.retryBudget < cost ||
-		request.deadline-now <= minTime {
-		return false
-	}
-	backend := c.chooseBackend(request, rule.within)
-	if backend == nil {
-		return false
-	}
-	c.retryBudget -= cost
-	c.counters.retriesAfter[lastResult]++
-	c.send(request, backend)
-	return true
-}
-
-// attemptDeadline is when the request's newest attempt is given up for another one, 0 if there is
-// no budget, capacity or time for another.
-func (c *Controller) attemptDeadline(request *request) Time {
-	class, latency := &c.settings.Classes[request.Class], Time(c.latency.ofClass(request.Class))
-	deadline := c.clock.now + attemptTimeoutFactor*latency
-	if class.Idempotency == NotIdempotent || c.retryBudget < ranRetryCost ||
-		len(request.attempts) == c.settings.MaxAttempts || c.atCapacity(borrowCapacityShare) ||
-		latency == 0 || deadline+latency > request.attempts[0].sentAt+class.LatencyObjective {
-		return 0
-	}
-	return deadline
+// retryRule applies a class of the settings to the given attempts of a request.
+func (s *Settings) retryRule(class int, attempts []*attempt, now Time) retryRule {
+	margin := dedupMarginEvents * s.MinEventInterval
+	return s.Classes[class].retryRule(attempts, s.Hedging, now, margin)
 }
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -60,6 +60,45 @@
 	}
 }
 
+func TestRetryBudgetIsFilledByRequestsUpToItsMost(t *testing.T) {
+	var budget retryBudget
+	for range 5 {
+		if budget.affords(ranRetryCost) {
+			t.Errorf("%g pays for a retry", budget)
+		}
+		budget.deposit()
+	}
+	if !budget.affords(ranRetryCost) {
+		t.Errorf("%g pays for no retry after five requests", budget)
+	}
+	budget.spend(ranRetryCost)
+	assertNear(t, "after a retry", float64(budget), 0)
+	for range 1000 {
+		budget.deposit()
+	}
+	assertNear(t, "after many requests", float64(budget), maxRetryBudget)
+	budget.split()
+	assertNear(t, "after a handover", float64(budget), maxRetryBudget/2)
+}
+
+func TestRetryCostsByWhatTheAttemptCost(t *testing.T) {
+	for _, c := range []struct {
+		result     Result
+		mayHaveRun bool
+		want       retryBudget
+	}{
+		{ResultFailed, true, ranRetryCost},
+		{ResultReset, true, ranRetryCost},
+		{ResultOverloaded, false, notRunRetryCost},
+		{ResultConnectFailed, false, notRunRetryCost},
+		{ResultNotSent, false, 0},
+	} {
+		if got := retryCost(&attempt{mayHaveRun: c.mayHaveRun}, c.result); got != c.want {
+			t.Errorf("after result %d: got %g, want %g", c.result, got, c.want)
+		}
+	}
+}
+
 // Guards against waiting for a backend that leaves one request unanswered.
 func TestAttemptIsGivenUpWhileThereIsTimeForAnother(t *testing.T) {
 	h := newHarness(t, testSettings())
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -1,15 +1,10 @@
 package policy
 
-import (
-	"cmp"
-	"slices"
-)
-
 // Export returns the state that the process which takes over needs. The retry budget is halved, as
 // both processes may retry for a while.
 func (c *Controller) Export(now Time) *Snapshot {
 	c.advanceClock(now)
-	c.retryBudget /= 2
+	c.retryBudget.split()
 	snapshot := &Snapshot{
 		Classes: convertAll(c.settings.Classes, func(class Class) string { return class.Name }),
 		Plans:   convertAll(c.settings.Plans, func(plan Plan) string { return plan.Name }),
@@ -41,27 +36,10 @@
 		snapshot.Stamps = append(snapshot.Stamps, backend.slowStart.stamps.known)
 	}
 	snapshot.Now = c.clock.now
-	for _, request := range c.requests.byID {
-		if request.hasPending() {
-			snapshot.Open = append(snapshot.Open, encodeRequest(request))
-		}
-	}
-	slices.SortFunc(snapshot.Open, func(a, b OpenState) int { return int(int64(a.ID) - int64(b.ID)) })
+	snapshot.Open = convertAll(c.requests.withPending(), encodeRequest)
 	return snapshot
 }
 
-// snapshotIndices maps the indices of a snapshot to those of this controller; -1: not in its
-// settings.
-type snapshotIndices struct{ class, plan []int }
-
-func (c *Controller) indicesOf(snapshot *Snapshot) snapshotIndices {
-	classIndex := func(name string) int { return indexByName(c.settings.Classes, className, name) }
-	planIndex := func(name string) int { return indexByName(c.settings.Plans, planName, name) }
-	return snapshotIndices{
-		class: convertAll(snapshot.Classes, classIndex), plan: convertAll(snapshot.Plans, planIndex),
-	}
-}
-
 // Import imports the state of another process, whose classes and plans it knows by name. The
 // controller must not have decided on anything yet.
 func (c *Controller) Import(now Time, snapshot *Snapshot) error {
@@ -70,26 +48,23 @@
 	}
 	c.advanceClock(now)
 	snapshot.rebase(c.clock.now)
-	indices := c.indicesOf(snapshot)
+	indices := snapshot.indicesIn(&c.settings)
 	c.clock.restore(snapshot.Born, snapshot.Woke, snapshot.Still)
 	c.customers.sweptAt = snapshot.Swept
 	c.gossip.restore(snapshot.Boot, snapshot.Turn, snapshot.peers())
-	c.limit.onTime, c.limit.peers = decodeSum(snapshot.InTime), decodeSum(snapshot.Peers)
-	c.limit.peersInFlight, c.limit.peersOnTime = decodeSum(snapshot.PeersHeld), decodeSum(snapshot.PeersInTime)
-	c.limit.lateShare, c.pace.answerRate = decodeAverage(snapshot.Late), decodeSum(snapshot.Pace)
+	c.limit, c.pace.answerRate = snapshot.decodeLimit(), decodeSum(snapshot.Pace)
 	c.priority.movingAverage, c.retryBudget = decodeAverage(snapshot.Worth), retryBudget(snapshot.Again)
-	c.importLatency(snapshot, indices)
+	snapshot.decodeLatency(indices, &c.latency)
+	snapshot.decodeTimeouts(indices, c.clientTimeouts)
 	c.shared.restore(decodeBucket(snapshot.Lend), snapshot.IdleSpill, indices.plan)
 	for i := range snapshot.Customers {
 		c.importCustomer(&snapshot.Customers[i], indices)
 	}
 	for i := range snapshot.Backends {
-		backend := c.importBackend(&snapshot.Backends[i], indices)
-		var stamps startStamps
-		if i < len(snapshot.Stamps) {
-			stamps.known = snapshot.Stamps[i]
-		}
-		backend.slowStart.restore(min(snapshot.Backends[i].Started, c.clock.now), stamps)
+		state := &snapshot.Backends[i]
+		backend := c.backends.unlisted(state.Backend, c.clock.now, c.random)
+		state.decodeInto(backend, indices)
+		backend.slowStart.restore(min(state.Started, c.clock.now), snapshot.stampsOf(i))
 	}
 	for i := range snapshot.Open {
 		c.importRequest(&snapshot.Open[i], indices)
@@ -97,22 +72,6 @@
 	return nil
 }
 
-func (c *Controller) importLatency(snapshot *Snapshot, indices snapshotIndices) {
-	c.latency.all, c.latency.slowStart = decodeAverage(snapshot.Mean), decodeAverage(snapshot.ColdMean)
-	for i, state := range snapshot.Base {
-		if class := indices.class[i]; class >= 0 {
-			c.latency.byClass[class] = decodeAverage(state)
-		}
-	}
-	for i, row := range snapshot.Grace {
-		for j, state := range row {
-			if plan, class := indices.plan[i], indices.class[j]; plan >= 0 && class >= 0 {
-				c.clientTimeouts[plan][class] = decodeAverage(state)
-			}
-		}
-	}
-}
-
 func (c *Controller) importCustomer(state *CustomerState, indices snapshotIndices) {
 	planIndex := indices.plan[state.Plan]
 	if planIndex < 0 || state.Spread < 1 || state.Spread > c.settings.Gateways {
@@ -131,13 +90,7 @@
 	}
 }
 
-func (c *Controller) importBackend(state *BackendState, indices snapshotIndices) *backend {
-	backend := c.backends.unlisted(state.Backend, c.clock.now, c.random)
-	state.decodeInto(backend)
-	decodeFaults(state.Words, indices, &backend.faults)
-	return backend
-}
-
+// importRequest adds a request that the other process carries to its end, as load.
 func (c *Controller) importRequest(state *OpenState, indices snapshotIndices) {
 	customer := c.customers.byID[state.Customer]
 	class, plan := indices.class[state.Class], indices.plan[state.Plan]
@@ -161,12 +114,7 @@
 		customer.inFlight++
 		if attempt.overdue {
 			backend.load.markOverdue()
-		} else {
-			c.requests.withinObjective[class] = append(c.requests.withinObjective[class], attempt)
 		}
 	}
-	slices.SortStableFunc(c.requests.withinObjective[class], bySendTime)
-	c.requests.ofPredecessor[request.ID] = request
+	c.requests.addOfPredecessor(request)
 }
-
-func bySendTime(a, b *attempt) int { return cmp.Compare(a.sentAt, b.sentAt) }
--- a/policy/snapshot_codec.go
+++ b/policy/snapshot_codec.go
@@ -263,9 +263,9 @@
 	}
 }
 
-// decodeInto sets a backend's state but for its start, and for its fault reports, whose indices differ
-// between processes.
-func (s *BackendState) decodeInto(backend *backend) {
+// decodeInto sets a backend's state but for its start. Its fault reports are those on classes and plans that
+// this process has too.
+func (s *BackendState) decodeInto(backend *backend, indices snapshotIndices) {
 	health := &backend.health
 	health.unansweredSince, health.errorRate = s.Quiet, s.Errs
 	health.connectionFailures = decodeSum(s.Breaks)
@@ -273,6 +273,53 @@
 	health.down, health.unresponsive = s.Down, s.Silent
 	backend.latency = latencyRatio{ratio: s.Slow, updatedAt: s.SlowAt}
 	backend.slowStart.bucket = decodeBucket(s.Cold)
+	decodeFaults(s.Words, indices, &backend.faults)
+}
+
+// snapshotIndices are the indices that a snapshot's classes and plans have in a process; -1: they are not in
+// its settings.
+type snapshotIndices struct{ class, plan []int }
+
+func (s *Snapshot) indicesIn(settings *Settings) snapshotIndices {
+	classIndex := func(name string) int { return indexByName(settings.Classes, className, name) }
+	planIndex := func(name string) int { return indexByName(settings.Plans, planName, name) }
+	return snapshotIndices{class: convertAll(s.Classes, classIndex), plan: convertAll(s.Plans, planIndex)}
+}
+
+func (s *Snapshot) decodeLimit() concurrencyLimit {
+	return concurrencyLimit{
+		onTime: decodeSum(s.InTime), lateShare: decodeAverage(s.Late), peers: decodeSum(s.Peers),
+		peersInFlight: decodeSum(s.PeersHeld), peersOnTime: decodeSum(s.PeersInTime),
+	}
+}
+
+// decodeLatency sets the averages, those of classes that this process has too among them.
+func (s *Snapshot) decodeLatency(indices snapshotIndices, latency *latencyEstimate) {
+	latency.all, latency.slowStart = decodeAverage(s.Mean), decodeAverage(s.ColdMean)
+	for i, state := range s.Base {
+		if class := indices.class[i]; class >= 0 {
+			latency.byClass[class] = decodeAverage(state)
+		}
+	}
+}
+
+// decodeTimeouts sets the averages of plans and classes that this process has too.
+func (s *Snapshot) decodeTimeouts(indices snapshotIndices, timeouts clientTimeouts) {
+	for i, row := range s.Grace {
+		for j, state := range row {
+			if plan, class := indices.plan[i], indices.class[j]; plan >= 0 && class >= 0 {
+				timeouts[plan][class] = decodeAverage(state)
+			}
+		}
+	}
+}
+
+// stampsOf are the stamps of the backend at an index, none in old snapshots.
+func (s *Snapshot) stampsOf(i int) startStamps {
+	if i >= len(s.Stamps) {
+		return startStamps{}
+	}
+	return startStamps{known: s.Stamps[i]}
 }
 
 // encodeFaults converts fault reports, those of the plans after those of the classes.
