--- a/internal/gateway/handover_older_test.go
+++ b/internal/gateway/handover_older_test.go
@@ -192,6 +192,7 @@
 	if l == nil {
 		t.FailNow()
 	}
+	l.backends.dial.Timeout = testTimeout
 	useFakeClock(t, l).shown.Store(old.recording.At)
 	r := serveLoop(t, l)
 	old.link.Expect(olderTakeover)
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -107,18 +107,27 @@
 	return now
 }
 
-// useFakeClock returns the fake clock that a loop was made with. Dials, which use the real clock, get a long
-// timeout.
+// useFakeClock returns the fake clock that a loop was made with.
 func useFakeClock(tb testing.TB, l *Loop) *fakeClock {
 	tb.Helper()
 	clock, ok := l.clock.(*fakeClock)
 	if !ok {
 		tb.Fatalf("the loop has a clock of type %T", l.clock)
 	}
-	l.backends.dial.Timeout = testTimeout
 	return clock
 }
 
+// newFakeClockLoop makes a loop with a fake clock. Dials, which use the real clock, get a long timeout.
+func newFakeClockLoop(tb testing.TB, cfg config.Config) *Loop {
+	tb.Helper()
+	l, err := newLoop(cfg, discardLog(), newFakeClock())
+	if err != nil {
+		tb.Fatal(err)
+	}
+	l.backends.dial.Timeout = testTimeout
+	return l
+}
+
 // rig is a running gateway between a fake discovery service and fake backends.
 type rig struct {
 	addr    string // for clients
@@ -228,11 +237,7 @@
 // newTestLoop makes a loop that the test runs itself.
 func newTestLoop(tb testing.TB, d *fakeDiscovery) *Loop {
 	tb.Helper()
-	l, err := newLoop(newConfig(tb, d, nil), discardLog(), newFakeClock())
-	if err != nil {
-		tb.Fatal(err)
-	}
-	useFakeClock(tb, l)
+	l := newFakeClockLoop(tb, newConfig(tb, d, nil))
 	tb.Cleanup(func() { _ = l.listening.listener.Close() })
 	return l
 }
@@ -240,11 +245,7 @@
 // startGateway starts a gateway and waits until it is ready. The test's end stops it.
 func startGateway(tb testing.TB, cfg config.Config) *rig {
 	tb.Helper()
-	l, err := newLoop(cfg, discardLog(), newFakeClock())
-	if err != nil {
-		tb.Fatal(err)
-	}
-	r := serveLoop(tb, l)
+	r := serveLoop(tb, newFakeClockLoop(tb, cfg))
 	c := r.client(tb)
 	c.send("PING")
 	c.wantLine("+PONG")
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -133,10 +133,7 @@
 		list := `{"revision":1,"complete":true,"members":[` + strings.Join(entries, ",") + `]}`
 		f["known"] = json.RawMessage(list)
 	})
-	l, err := newLoop(cfg, discardLog(), newFakeClock())
-	if err != nil {
-		t.Fatal(err)
-	}
+	l := newFakeClockLoop(t, cfg)
 	if faulty.control != nil {
 		c := discoveryConfig(&cfg)
 		c.DialContext = (&net.Dialer{Control: faulty.control}).DialContext
