--- a/policy/controller_gossip.go
+++ b/policy/controller_gossip.go
@@ -12,8 +12,8 @@
 	}
 	c.customers.dropReported()
 	for index := range c.gossip.peers {
-		if message := c.gossip.takeMessage(index); len(message) > 0 {
-			c.actions.SendGossip(index, message)
+		if c.gossip.hasMessage(index) {
+			c.actions.SendGossip(index, c.gossip.takeMessage(index))
 		}
 	}
 }
