--- a/policy/backendhealth.go
+++ b/policy/backendhealth.go
@@ -52,6 +52,31 @@
 	h.unansweredSince, h.lastAnswerAt = activeTime, now
 }
 
+// recordResult learns from how an attempt that was sent at a time ended, where the host was not stalled
+// meanwhile also from its success.
+func (h *backendHealth) recordResult(
+	now, sentAt Time, outcome *Outcome, overlappedStall bool,
+) ejectionReason {
+	switch outcome.Result {
+	case ResultOK, ResultTimedOut:
+		if !overlappedStall {
+			h.recordSuccess()
+		}
+	case ResultFailed:
+		return h.recordError(now)
+	case ResultConnectFailed, ResultReset:
+		// A dial that was not answered while other attempts were is late, no sign of a restart.
+		isLate := outcome.Unanswered && h.lastAnswerAt > sentAt
+		down, ejected := h.recordConnectionFailure(now, isLate || outcome.Result == ResultReset)
+		if !down {
+			return h.recordError(now)
+		}
+		return ejected
+	case ResultOverloaded, ResultCancelled, ResultNotSent:
+	}
+	return notEjected
+}
+
 // recordSuccess notes that an attempt ended without an error.
 func (h *backendHealth) recordSuccess() { h.errorRate += sampleWeight * (0 - h.errorRate) }
 
--- a/policy/backendhealth_test.go
+++ b/policy/backendhealth_test.go
@@ -177,3 +177,37 @@
 		}
 	}
 }
+
+func TestResultsCountForTheHealthOfABackend(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		outcome Outcome
+		stalled bool
+		want    ejectionReason
+		errors  float64 // the error rate, from a half
+	}{
+		{name: "answer", outcome: Outcome{Result: ResultOK}, errors: 0.45},
+		{name: "answer after a stall", outcome: Outcome{Result: ResultOK}, stalled: true, errors: 0.5},
+		{name: "late", outcome: Outcome{Result: ResultTimedOut}, errors: 0.45},
+		{name: "error", outcome: Outcome{Result: ResultFailed}, want: ejectedErrors, errors: 0.55},
+		{name: "full", outcome: Outcome{Result: ResultOverloaded}, errors: 0.5},
+		{name: "reset", outcome: Outcome{Result: ResultReset}, want: ejectedErrors, errors: 0.55},
+		{
+			name: "refused", outcome: Outcome{Result: ResultConnectFailed}, want: ejectedConnectionsFailed,
+			errors: 0.5,
+		},
+		{
+			name: "dial unanswered while others were", want: ejectedErrors, errors: 0.55,
+			outcome: Outcome{Result: ResultConnectFailed, Unanswered: true},
+		},
+		{name: "not sent", outcome: Outcome{Result: ResultNotSent}, errors: 0.5},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			health := backendHealth{errorRate: 0.5, lastAnswerAt: start + 1}
+			if got := health.recordResult(start+2, start, &c.outcome, c.stalled); got != c.want {
+				t.Errorf("got %v, want %v", got, c.want)
+			}
+			assertNear(t, "error rate", health.errorRate, c.errors)
+		})
+	}
+}
--- a/policy/backendtable.go
+++ b/policy/backendtable.go
@@ -23,6 +23,17 @@
 // ready reports whether service discovery lists the backend as ready.
 func (b *backend) ready() bool { return b.listed && b.State == EndpointReady }
 
+// acceptsAttempts reports whether the backend's health lets it have another attempt.
+func (b *backend) acceptsAttempts(now Time, healthChecks bool) bool {
+	return b.health.acceptsAttempts(now, b.load.inFlight, healthChecks)
+}
+
+// isWarm reports whether the backend shows what a warm one serves this gateway.
+func (b *backend) isWarm(now Time, healthChecks bool, parameters *slowStartParameters) bool {
+	return b.ready() && b.inSubset && b.acceptsAttempts(now, healthChecks) &&
+		b.slowStart.share(now, parameters) == 1
+}
+
 // update applies an entry of the endpoint list. It reports whether that tells of a start that was not known:
 // what was learnt of the process before holds no more.
 func (b *backend) update(endpoint Endpoint) (started bool) {
@@ -130,6 +141,28 @@
 	}
 }
 
+// warmedUp returns the backends whose slow start has ended since it was last asked.
+func (t *backendTable) warmedUp(now Time, parameters *slowStartParameters) []*backend {
+	var ended []*backend
+	for _, backend := range t.inOrder {
+		if backend.slowStart.warmedUp(now, parameters) {
+			ended = append(ended, backend)
+		}
+	}
+	return ended
+}
+
+// startProbes returns the ready backends whose health check is due, and notes that it begins now.
+func (t *backendTable) startProbes(now Time) []*backend {
+	var due []*backend
+	for _, backend := range t.inOrder {
+		if backend.ready() && backend.health.startProbe(now) {
+			due = append(due, backend)
+		}
+	}
+	return due
+}
+
 // unavailable is how many listed backends get no attempts, as they are draining or ejected.
 func (t *backendTable) unavailable() int {
 	count := 0
--- a/policy/controller.go
+++ b/policy/controller.go
@@ -96,7 +96,7 @@
 	const anyAge = -1
 	c.requests.overlapStall()
 	for class := range c.settings.Classes {
-		c.markOverdue(class, anyAge)
+		markOverdue(c.requests.takeOlder(class, c.clock.now, anyAge))
 	}
 }
 
@@ -114,7 +114,9 @@
 	}
 	c.scheduleTick()
 	if c.customers.sweepIsDue(now) {
-		c.logWarmedUp()
+		for _, backend := range c.backends.warmedUp(c.clock.now, &c.slowStart) {
+			logWarm(c.actions, backend.ID, backend.slowStart.attempts)
+		}
 		c.logCounters()
 		c.queueLoadView(loadViewPeers) // peers hear of it also while this gateway sends nothing
 		c.sweepCustomers()
@@ -123,7 +125,11 @@
 	if !c.retired {
 		c.runGossipRound()
 	}
-	c.startHealthChecks(now)
+	if c.settings.HealthChecks {
+		for _, backend := range c.backends.startProbes(now) {
+			c.actions.HealthCheck(backend.ID)
+		}
+	}
 	if c.settings.PollEndpoints && c.watch.isDue(now, c.settings.PollWithin) {
 		c.requestWatch()
 	}
--- a/policy/controller_attempts.go
+++ b/policy/controller_attempts.go
@@ -2,6 +2,45 @@
 
 import "slices"
 
+// chooseBackend picks the backend for a request's next attempt: the least loaded healthy one not tried
+// yet, else any ready one, else nil; where within is set only from its deduplication scope.
+func (c *Controller) chooseBackend(request *request, within *attempt) *backend {
+	if backend := c.chooseLeastLoaded(request, within, false); backend != nil {
+		return backend
+	}
+	return c.chooseLeastLoaded(request, within, true)
+}
+
+// chooseLeastLoaded picks the least loaded backend; only if that is allowed also an unhealthy one, or one
+// that the request has tried.
+func (c *Controller) chooseLeastLoaded(request *request, within *attempt, allowUnhealthy bool) *backend {
+	class, prices := &c.settings.Classes[request.Class], c.settings.loadPrices()
+	rule := retryRule{within: within}
+	var best leastLoaded
+	for _, backend := range c.backends.inOrder {
+		if !backend.ready() {
+			continue
+		}
+		if !c.slowStartAllows(backend) {
+			c.counters.slowStartDenied++
+			continue
+		}
+		if !rule.permits(class, backend) || !allowUnhealthy &&
+			(!backend.acceptsAttempts(c.clock.now, c.settings.HealthChecks) || request.tried(backend)) {
+			continue
+		}
+		faults := backend.faults.value(c.clock.now, request.Class, request.Plan)
+		candidate := candidate{
+			inFlight: backend.load.inFlight, slowness: backend.latency.slowness(c.clock.now),
+			share:       backend.slowStart.share(c.clock.now, &c.slowStart),
+			isOtherZone: backend.Zone != c.settings.Zone, inSubset: backend.inSubset,
+			capacityHint: backend.CapacityHint, faults: c.limit.peerWeight(c.clock.activeTime) * faults,
+		}
+		best.offer(backend, prices.score(&candidate), c.random)
+	}
+	return best.backend
+}
+
 // send starts a request's next attempt.
 func (c *Controller) send(request *request, backend *backend) {
 	attempt := c.recordSend(request, backend)
@@ -33,17 +72,11 @@
 	}
 	others := slices.Delete(slices.Clone(request.attempts), attemptNumber, attemptNumber+1)
 	rule, class := c.settings.retryRule(request.Class, others, now), &c.settings.Classes[request.Class]
-	return rule.allowed && attempt.backend.ready() &&
-		(rule.within == nil || class.sameDedupScope(rule.within.backend, attempt.backend)) &&
-		c.confirmSlowStart(attempt)
-}
-
-// confirmSlowStart takes a waiting attempt of the slow start if the backend is in one, and reports whether
-// there was one to take. The backend may have been warm when it was chosen.
-func (c *Controller) confirmSlowStart(attempt *attempt) bool {
-	backend := attempt.backend
-	attempt.slowStart = backend.slowStart.release(attempt.slowStart, attempt.sentAt, false)
-	if !c.slowStartAllows(backend) {
+	if !attempt.backend.ready() || !rule.allowed || !rule.permits(class, attempt.backend) {
+		return false
+	}
+	attempt.slowStart = attempt.backend.slowStart.release(attempt.slowStart, attempt.sentAt, false)
+	if !c.slowStartAllows(attempt.backend) { // it may have been warm when it was chosen
 		c.counters.slowStartDenied++
 		return false
 	}
--- a/policy/controller_backends.go
+++ b/policy/controller_backends.go
@@ -22,7 +22,7 @@
 		}
 	}
 	c.backends.prune(c.clock.now, &c.slowStart)
-	c.selectSubset()
+	c.backends.selectSubset(c.settings.Self, c.settings.Gateways, c.settings.HandshakePrice)
 }
 
 // UnavailableBackends is how many listed backends get no attempts, as they are draining or ejected.
@@ -42,15 +42,6 @@
 	}
 }
 
-// logWarmedUp logs which backends have ended their slow start.
-func (c *Controller) logWarmedUp() {
-	for _, backend := range c.backends.inOrder {
-		if backend.slowStart.warmedUp(c.clock.now, &c.slowStart) {
-			logWarm(c.actions, backend.ID, backend.slowStart.attempts)
-		}
-	}
-}
-
 // slowStartAllows reports whether a backend may get one more attempt. One in slow start gets its share of
 // what a warm one answers this gateway.
 func (c *Controller) slowStartAllows(backend *backend) bool {
@@ -77,26 +68,6 @@
 	}
 }
 
-// isWarm reports whether a backend shows what a warm one serves this gateway.
-func (c *Controller) isWarm(backend *backend) bool {
-	return backend.ready() && backend.inSubset && c.isHealthy(backend) &&
-		backend.slowStart.share(c.clock.now, &c.slowStart) == 1
-}
-
-// isHealthy reports whether a backend's health lets it have another attempt.
-func (c *Controller) isHealthy(backend *backend) bool {
-	return backend.health.acceptsAttempts(c.clock.now, backend.load.inFlight, c.settings.HealthChecks)
-}
-
-// startHealthChecks starts the health checks that are due.
-func (c *Controller) startHealthChecks(now Time) {
-	for _, backend := range c.backends.inOrder {
-		if c.settings.HealthChecks && backend.ready() && backend.health.startProbe(now) {
-			c.actions.HealthCheck(backend.ID)
-		}
-	}
-}
-
 // HealthCheckEnded handles the result of a health check. The load report that came with it is unused.
 func (c *Controller) HealthCheckEnded(now Time, id uint32, result Result, _ []float32) {
 	c.advanceClock(now)
@@ -129,27 +100,19 @@
 // refreshBackendHealth finds overdue attempts and unresponsive backends, and counts the others.
 func (c *Controller) refreshBackendHealth() {
 	for class := range c.settings.Classes {
-		c.markOverdue(class, c.settings.Classes[class].LatencyObjective)
+		objective := c.settings.Classes[class].LatencyObjective
+		markOverdue(c.requests.takeOlder(class, c.clock.now, objective))
 	}
 	c.backends.healthy = 0
 	warm := 0
 	for _, backend := range c.backends.inOrder {
 		share := backend.slowStart.share(c.clock.now, &c.slowStart)
-		c.logEjection(backend, backend.health.detectUnresponsive(
+		logEjection(c.actions, backend.ID, backend.health.detectUnresponsive(
 			c.clock.now, c.clock.activeTime, backend.load.overdue, share, c.shortestObjective))
-		if backend.ready() && c.isHealthy(backend) {
+		if backend.ready() && backend.acceptsAttempts(c.clock.now, c.settings.HealthChecks) {
 			c.backends.healthy++
-		}
-		if c.isWarm(backend) {
-			warm++
+			warm += int(indicator(backend.inSubset && share == 1))
 		}
 	}
 	c.pace.setWarmBackends(c.clock.now, warm)
 }
-
-// markOverdue marks the pending attempts of a class that are older than the given age.
-func (c *Controller) markOverdue(class int, age Time) {
-	for _, attempt := range c.requests.takeOlder(class, c.clock.now, age) {
-		attempt.markOverdue()
-	}
-}
--- a/policy/controller_outcomes.go
+++ b/policy/controller_outcomes.go
@@ -18,7 +18,9 @@
 		attempt.backend.health.recordAnswer(c.clock.now, c.clock.activeTime)
 	}
 	c.recordResult(attempt, request.Class, outcome)
-	c.reportOutcomeFault(request, attempt, outcome.Result)
+	if subject, isFault := request.faultOf(attempt, outcome.Result); isFault {
+		c.reportFault(attempt.backend, subject)
+	}
 	request.customer.readMeter(c.clock.now, &c.sharing, outcome.MeterReading)
 	if c.settings.SettlesCost && outcome.Result == ResultOK && outcome.ActualCost > 0 {
 		c.refillBuckets(request.customer)
@@ -29,31 +31,24 @@
 
 // recordResult updates what is known of a backend by how an attempt ended.
 func (c *Controller) recordResult(attempt *attempt, class int, outcome *Outcome) {
-	backend := attempt.backend
-	switch outcome.Result {
-	case ResultOK:
-		if c.isWarm(backend) {
-			c.pace.recordAnswer(c.clock.now)
+	backend, now := attempt.backend, c.clock.now
+	if outcome.Result == ResultOK {
+		if backend.isWarm(now, c.settings.HealthChecks, &c.slowStart) {
+			c.pace.recordAnswer(now)
 		}
 		c.reinstate(backend)
-		c.recordLatency(attempt, class, outcome)
-	case ResultTimedOut:
-		c.recordLatency(attempt, class, outcome)
-	case ResultFailed:
-		c.logEjection(backend, backend.health.recordError(c.clock.now))
-	case ResultConnectFailed, ResultReset:
-		c.recordConnectionFailure(attempt, outcome)
-	case ResultOverloaded, ResultCancelled, ResultNotSent:
+	}
+	ejected := backend.health.recordResult(now, attempt.sentAt, outcome, attempt.overlappedStall)
+	logEjection(c.actions, backend.ID, ejected)
+	hasLatency := outcome.Result == ResultOK || outcome.Result == ResultTimedOut
+	if hasLatency && !attempt.overlappedStall {
+		c.recordLatency(backend, class, outcome)
 	}
 }
 
-// recordLatency learns from the latency of an answer, or of an attempt that timed out without one. In a stall
-// it means nothing.
-func (c *Controller) recordLatency(attempt *attempt, class int, outcome *Outcome) {
-	if attempt.overlappedStall {
-		return
-	}
-	backend, latency := attempt.backend, float64(outcome.Latency)
+// recordLatency learns from the latency of an answer, or of an attempt that timed out without one.
+func (c *Controller) recordLatency(backend *backend, class int, outcome *Outcome) {
+	latency := float64(outcome.Latency)
 	share := backend.slowStart.share(c.clock.now, &c.slowStart)
 	if outcome.Result == ResultOK {
 		c.latency.record(class, latency, share)
@@ -61,20 +56,6 @@
 	if usual := c.latency.ofClass(class); usual > 0 {
 		backend.latency.record(c.clock.now, latency*share/usual)
 	}
-	backend.health.recordSuccess()
-}
-
-// recordConnectionFailure learns from a connection that failed or was reset. One that does not show the
-// backend to be down counts as an error.
-func (c *Controller) recordConnectionFailure(attempt *attempt, outcome *Outcome) {
-	backend, health := attempt.backend, &attempt.backend.health
-	// A dial that was not answered while other attempts were is late, no sign of a restart.
-	isLate := outcome.Unanswered && health.lastAnswerAt > attempt.sentAt
-	down, ejected := health.recordConnectionFailure(c.clock.now, isLate || outcome.Result == ResultReset)
-	if !down {
-		ejected = health.recordError(c.clock.now)
-	}
-	c.logEjection(backend, ejected)
 }
 
 // reinstate takes a backend that was down back into rotation. One that may have restarted is in slow start,
@@ -90,26 +71,3 @@
 	}
 	logReinstated(c.actions, backend.ID)
 }
-
-// reportOutcomeFault reports a backend's fault with one class or plan to all gateways, as each of
-// them meets it only rarely. They prefer other backends until the report has decayed.
-func (c *Controller) reportOutcomeFault(request *request, attempt *attempt, result Result) {
-	switch result {
-	case ResultOverloaded:
-		c.reportFault(attempt.backend, planSubject(request.Plan))
-	case ResultFailed:
-		c.reportFault(attempt.backend, classSubject(request.Class))
-	case ResultTimedOut:
-		if !attempt.overlappedStall {
-			c.reportFault(attempt.backend, classSubject(request.Class))
-		}
-	case ResultOK, ResultConnectFailed, ResultReset, ResultCancelled, ResultNotSent:
-	}
-}
-
-// logEjection logs that a backend was ejected, if it was.
-func (c *Controller) logEjection(backend *backend, reason ejectionReason) {
-	if reason != notEjected {
-		logEjected(c.actions, backend.ID, reason)
-	}
-}
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -243,7 +243,9 @@
 }
 
 // unhealthy reports whether a backend gets no attempts as of the last event.
-func (h *harness) unhealthy(backend *backend) bool { return !h.isHealthy(backend) }
+func (h *harness) unhealthy(backend *backend) bool {
+	return !backend.acceptsAttempts(h.clock.now, h.settings.HealthChecks)
+}
 
 // connectionFailed has a connection to a backend fail, and reports whether it is down.
 func (h *harness) connectionFailed(backend *backend, mayRun bool) bool {
--- /dev/null
+++ b/policy/leastloaded_test.go
@@ -0,0 +1,91 @@
+package policy
+
+import (
+	"math/rand/v2"
+	"testing"
+)
+
+// idle is a warm backend of this gateway's zone and subset that has nothing to do.
+var idle = candidate{slowness: 1, share: 1, inSubset: true, capacityHint: 2}
+
+func TestScoreIsTheLoadAndWhatAnAttemptCosts(t *testing.T) {
+	prices := loadPrices{crossZone: 0.1, handshake: 0.2}
+	for _, c := range []struct {
+		name   string
+		prices loadPrices
+		change func(*candidate)
+		want   float64
+	}{
+		{name: "idle", prices: prices, change: func(*candidate) {}, want: 1},
+		{name: "busy", prices: prices, change: func(c *candidate) { c.inFlight = 3 }, want: 4},
+		{name: "slow", prices: prices, change: func(c *candidate) { c.slowness = 2.5 }, want: 2.5},
+		{name: "in slow start", prices: prices, change: func(c *candidate) { c.share = 0.25 }, want: 0.25},
+		{
+			name: "another zone", prices: prices, change: func(c *candidate) { c.isOtherZone = true },
+			want: 1.5,
+		},
+		{
+			name: "outside the subset", prices: prices, change: func(c *candidate) { c.inSubset = false },
+			want: 2,
+		},
+		{name: "faulty", prices: prices, change: func(c *candidate) { c.faults = 3 }, want: 4},
+		{name: "a hint", prices: loadPrices{useCapacityHints: true}, change: func(*candidate) {}, want: 0.5},
+		{
+			name: "no hint", prices: loadPrices{useCapacityHints: true},
+			change: func(c *candidate) { c.capacityHint = 0 }, want: 1,
+		},
+	} {
+		of := idle
+		c.change(&of)
+		assertNear(t, c.name, c.prices.score(&of), c.want)
+	}
+}
+
+func TestLeastLoadedIsDrawnAmongTies(t *testing.T) {
+	random := rand.New(rand.NewPCG(1, 2))
+	backends := []*backend{{}, {}, {}, {}, {}}
+	scores := []float64{2, 1, 3, 1, 1}
+	const draws = 3000
+	chosen := map[*backend]int{}
+	for range draws {
+		var best leastLoaded
+		for i, backend := range backends {
+			best.offer(backend, scores[i], random)
+		}
+		chosen[best.backend]++
+	}
+	for i, backend := range backends {
+		got, want := chosen[backend], draws/3*int(indicator(scores[i] == 1))
+		if got < want*9/10 || got > want*11/10 {
+			t.Errorf("backend %d of score %g was chosen %d times, want about %d", i, scores[i], got, want)
+		}
+	}
+	var none leastLoaded
+	if none.backend != nil {
+		t.Error("a backend was chosen of none")
+	}
+}
+
+func TestAttemptsStayInTheDeduplicationScopeOfTheirRule(t *testing.T) {
+	first := &backend{Endpoint: Endpoint{Zone: 1, Cell: 1}}
+	sameCell, sameZone := &backend{Endpoint: first.Endpoint}, &backend{Endpoint: Endpoint{Zone: 1, Cell: 2}}
+	elsewhere := &backend{Endpoint: Endpoint{Zone: 2, Cell: 3}}
+	for _, c := range []struct {
+		scope DedupScope
+		want  [3]bool // same cell, same zone, elsewhere
+	}{
+		{DedupAll, [3]bool{true, true, true}},
+		{DedupZone, [3]bool{true, true, false}},
+		{DedupCell, [3]bool{true, false, false}},
+	} {
+		class, rule := &Class{DedupScope: c.scope}, retryRule{within: &attempt{backend: first}}
+		for i, backend := range []*backend{sameCell, sameZone, elsewhere} {
+			if got := rule.permits(class, backend); got != c.want[i] {
+				t.Errorf("scope %d, backend %d: permitted %t", c.scope, i, got)
+			}
+			if anywhere := (retryRule{}); !anywhere.permits(class, backend) {
+				t.Errorf("scope %d, backend %d: not permitted without a rule", c.scope, i)
+			}
+		}
+	}
+}
--- a/policy/logevent.go
+++ b/policy/logevent.go
@@ -78,7 +78,11 @@
 	actions.Log(messageWarm, backendAttr(id), slog.Int("attempts", attempts))
 }
 
-func logEjected(actions Actions, id uint32, reason ejectionReason) {
+// logEjection logs that a backend was ejected, if it was.
+func logEjection(actions Actions, id uint32, reason ejectionReason) {
+	if reason == notEjected {
+		return
+	}
 	actions.Log(messageEjected, backendAttr(id), slog.String(reasonKey, reason.String()))
 }
 
--- a/policy/reload.go
+++ b/policy/reload.go
@@ -22,7 +22,7 @@
 	}
 	c.settings = settings
 	c.deriveFromSettings()
-	c.selectSubset()
+	c.backends.selectSubset(c.settings.Self, c.settings.Gateways, c.settings.HandshakePrice)
 	c.shared.updateRate(now)
 	c.shared.limitToCapacity()
 	for _, customer := range c.customers.inOrder {
@@ -32,7 +32,8 @@
 }
 
 // renumber moves all state to the indices that classes and plans have in the new settings, given by their
-// index until now. What was learnt of a class holds for the class of its name, whatever else of it has changed.
+// index until now. What was learnt of a class holds for the class of its name, whatever else of it has
+// changed.
 func (c *Controller) renumber(settings *Settings, classes, plans []int) {
 	oldClasses := oldClassIndices(c.settings.Classes, settings.Classes, classes)
 	c.latency.renumber(oldClasses)
--- a/policy/request.go
+++ b/policy/request.go
@@ -53,6 +53,19 @@
 	return slices.ContainsFunc(r.attempts, func(attempt *attempt) bool { return attempt.backend == backend })
 }
 
+// faultOf returns the class or plan of the request with which an attempt's result shows a fault of its
+// backend, if it does. Each gateway meets such faults only rarely.
+func (r *request) faultOf(attempt *attempt, result Result) (subject faultSubject, isFault bool) {
+	switch {
+	case result == ResultOverloaded:
+		return planSubject(r.Plan), true
+	case result == ResultFailed, result == ResultTimedOut && !attempt.overlappedStall:
+		return classSubject(r.Class), true
+	default:
+		return 0, false
+	}
+}
+
 // releasePending ends the pending attempts, as the process that sent them has ended.
 func (r *request) releasePending() {
 	for _, attempt := range r.attempts {
@@ -70,11 +83,13 @@
 	return added
 }
 
-// markOverdue notes that an attempt has missed its objective, if it is still pending.
-func (a *attempt) markOverdue() {
-	if a.pending {
-		a.overdue = true
-		a.backend.load.markOverdue()
+// markOverdue notes that attempts have missed their objective, as far as they are still pending.
+func markOverdue(attempts []*attempt) {
+	for _, attempt := range attempts {
+		if attempt.pending {
+			attempt.overdue = true
+			attempt.backend.load.markOverdue()
+		}
 	}
 }
 
--- a/policy/requesttable.go
+++ b/policy/requesttable.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// requestTable holds the open requests, and which of their attempts may still meet their objectives. A request
-// is in one of byID and ofPredecessor, or in none.
+// requestTable holds the open requests, and which of their attempts may still meet their objectives. A
+// request is in one of byID and ofPredecessor, or in none.
 type requestTable struct {
 	byID            map[uint64]*request // with pending attempts or waiting for a grant
 	ofPredecessor   map[uint64]*request // those that the former process carries to their end
--- a/policy/requesttable_test.go
+++ b/policy/requesttable_test.go
@@ -85,7 +85,7 @@
 	}
 	want := []*attempt{carried.attempts[0], own.attempts[0]}
 	if len(table.withinObjective) != 2 || !slices.Equal(table.withinObjective[1], want) {
-		t.Errorf("attempts by class %v, want both under the one class, the older first", table.withinObjective)
+		t.Errorf("attempts by class %v, want both under one class, the older first", table.withinObjective)
 	}
 }
 
@@ -97,12 +97,12 @@
 		at.load.add()
 		of.inFlight++
 	}
-	sent.attempts[0].markOverdue()
+	markOverdue(sent.attempts[:1])
 	if want := (backendLoad{inFlight: 2, overdue: 1}); at.load != want {
 		t.Errorf("load %+v, want %+v", at.load, want)
 	}
 	sent.releasePending()
-	sent.attempts[1].markOverdue()
+	markOverdue(sent.attempts[1:])
 	if at.load != (backendLoad{}) || of.inFlight != 0 || sent.hasPending() {
 		t.Errorf("load %+v and %d of the customer after the end", at.load, of.inFlight)
 	}
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -48,6 +48,11 @@
 	rejectable bool     // the request may be rejected, as it did not run or may run again
 }
 
+// permits reports whether another attempt may be made at the backend, if one may be made.
+func (r *retryRule) permits(class *Class, backend *backend) bool {
+	return r.within == nil || class.sameDedupScope(r.within.backend, backend)
+}
+
 // retryRule applies a class's idempotency to the attempts that a request has had. Hedging allows an
 // attempt while another is pending.
 func (c *Class) retryRule(attempts []*attempt, hedging bool, now, dedupMargin Time) retryRule {
