--- a/internal/handover/codec.go
+++ b/internal/handover/codec.go
@@ -170,14 +170,12 @@
 
 // DecodeClientConnection decodes the message that is sent with a client's socket.
 func DecodeClientConnection(b []byte) (ClientConnection, error) {
-	var form clientConnectionForm
-	if err := decodeMessage(b, &form); err != nil {
-		return ClientConnection{}, err
-	}
-	return ClientConnection{
-		Requests: form.Asked, OpenedAt: time.UnixMicro(form.Opened),
-		Age: time.Duration(form.Age) * time.Microsecond,
-	}, nil
+	return decodeMessage(b, func(form clientConnectionForm) ClientConnection {
+		return ClientConnection{
+			Requests: form.Asked, OpenedAt: time.UnixMicro(form.Opened),
+			Age: time.Duration(form.Age) * time.Microsecond,
+		}
+	})
 }
 
 // EncodeAttemptSent encodes the report of a further attempt.
@@ -187,11 +185,9 @@
 
 // DecodeAttemptSent decodes the report of a further attempt.
 func DecodeAttemptSent(b []byte) (AttemptSent, error) {
-	var form attemptSentForm
-	if err := decodeMessage(b, &form); err != nil {
-		return AttemptSent{}, err
-	}
-	return AttemptSent{RequestID: form.ID, Backend: form.Backend}, nil
+	return decodeMessage(b, func(form attemptSentForm) AttemptSent {
+		return AttemptSent{RequestID: form.ID, Backend: form.Backend}
+	})
 }
 
 // EncodeAttemptEnded encodes the outcome of an attempt.
@@ -204,15 +200,13 @@
 
 // DecodeAttemptEnded decodes the outcome of an attempt.
 func DecodeAttemptEnded(b []byte) (policy.Outcome, error) {
-	var form attemptEndedForm
-	if err := decodeMessage(b, &form); err != nil {
-		return policy.Outcome{}, err
-	}
-	return policy.Outcome{
-		RequestID: form.ID, Attempt: form.Attempt, Backend: form.Backend, Result: policy.Result(form.Result),
-		Latency: form.Took, Answered: form.Over, MeterReading: form.Metered, ActualCost: form.TrueUnits,
-		LoadReport: form.Load,
-	}, nil
+	return decodeMessage(b, func(form attemptEndedForm) policy.Outcome {
+		return policy.Outcome{
+			RequestID: form.ID, Attempt: form.Attempt, Backend: form.Backend,
+			Result: policy.Result(form.Result), Latency: form.Took, Answered: form.Over,
+			MeterReading: form.Metered, ActualCost: form.TrueUnits, LoadReport: form.Load,
+		}
+	})
 }
 
 // EncodeCostSettled encodes the settlement of a cost.
@@ -222,11 +216,9 @@
 
 // DecodeCostSettled decodes the settlement of a cost.
 func DecodeCostSettled(b []byte) (CostSettled, error) {
-	var form costSettledForm
-	if err := decodeMessage(b, &form); err != nil {
-		return CostSettled{}, err
-	}
-	return CostSettled{Customer: form.Customer, Extra: form.More}, nil
+	return decodeMessage(b, func(form costSettledForm) CostSettled {
+		return CostSettled{Customer: form.Customer, Extra: form.More}
+	})
 }
 
 // encodeMessage encodes the frozen form of a message.
@@ -238,10 +230,12 @@
 	return b, nil
 }
 
-// decodeMessage decodes the frozen form of a message into form, a pointer.
-func decodeMessage(b []byte, form any) error {
-	if err := json.Unmarshal(b, form); err != nil {
-		return fmt.Errorf("handover: decode a message: %w", err)
+// decodeMessage decodes the frozen form of a message and converts it.
+func decodeMessage[Form, Message any](b []byte, convert func(Form) Message) (Message, error) {
+	var form Form
+	if err := json.Unmarshal(b, &form); err != nil {
+		var none Message
+		return none, fmt.Errorf("handover: decode a message: %w", err)
 	}
-	return nil
+	return convert(form), nil
 }
