--- a/internal/counter/counter_test.go
+++ b/internal/counter/counter_test.go
@@ -10,34 +10,21 @@
 	"time"
 
 	"sparspread/internal/porttest"
+	"sparspread/internal/waittest"
 	"sparspread/policy"
 )
 
-// testTimeout bounds every wait for something that has to happen.
-const testTimeout = 30 * time.Second
-
 // newTestClient returns a client of a test server, which collects its answers.
 func newTestClient(server *httptest.Server) (*Client, <-chan Answer) {
 	answers := make(chan Answer, queueLength)
-	client := New(Config{Address: address(server), Timeout: testTimeout}, func(a Answer) { answers <- a })
+	config := Config{Address: address(server), Timeout: waittest.Timeout}
+	client := New(config, func(a Answer) { answers <- a })
 	return client, answers
 }
 
 // address is where a test server listens.
 func address(server *httptest.Server) string { return strings.TrimPrefix(server.URL, "http://") }
 
-// receive waits for a value that has to come.
-func receive[T any](t *testing.T, from <-chan T, what string) T {
-	t.Helper()
-	select {
-	case value := <-from:
-		return value
-	case <-time.After(testTimeout):
-		t.Fatal("timed out waiting for ", what)
-		panic("unreachable")
-	}
-}
-
 // dropConnection ends a call's connection without a response.
 func dropConnection(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
@@ -110,13 +97,13 @@
 			client, _ := newTestClient(server)
 			total, result := client.post(expired, call{
 				Increment: Increment{Name: 0xab, Amount: -2.5, TTL: 4e6},
-				baseURL:   client.baseURL, deadline: time.Now().Add(testTimeout),
+				baseURL:   client.baseURL, deadline: time.Now().Add(waittest.Timeout),
 			})
 			if total != test.total || result != test.result {
 				t.Errorf("got total %g, result %d, want %g, %d", total, result, test.total, test.result)
 			}
 			const want = "POST /v1/count/ab?add=-2.5&ttl_ms=4000"
-			if got := receive(t, requests, "a request"); got != want || len(requests) > 0 {
+			if got := waittest.Receive(t, requests, "a request"); got != want || len(requests) > 0 {
 				t.Errorf("got request %s and %d more, want %s", got, len(requests), want)
 			}
 			if test.result == policy.ResultTimedOut {
@@ -137,8 +124,8 @@
 	if result != policy.ResultConnectFailed {
 		t.Errorf("after the deadline: got result %d, want %d", result, policy.ResultConnectFailed)
 	}
-	refused := New(Config{Address: porttest.Reserve(t), Timeout: testTimeout}, func(Answer) {})
-	deadline := time.Now().Add(testTimeout)
+	refused := New(Config{Address: porttest.Reserve(t), Timeout: waittest.Timeout}, func(Answer) {})
+	deadline := time.Now().Add(waittest.Timeout)
 	_, result = refused.post(context.Background(), call{baseURL: refused.baseURL, deadline: deadline})
 	if result != policy.ResultConnectFailed {
 		t.Errorf("no listener: got result %d, want %d", result, policy.ResultConnectFailed)
@@ -160,7 +147,7 @@
 	}()
 	defer func() {
 		cancel()
-		receive(t, ended, "the end of Run")
+		waittest.Receive(t, ended, "the end of Run")
 	}()
 	const calls = 16
 	for i := range calls {
@@ -170,7 +157,7 @@
 	}
 	for i := range calls {
 		want := Answer{Name: 1, Result: policy.ResultOK, Total: float64(i)}
-		if got := receive(t, answers, "an answer"); got != want {
+		if got := waittest.Receive(t, answers, "an answer"); got != want {
 			t.Errorf("got %+v, want %+v", got, want)
 		}
 	}
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -9,6 +9,8 @@
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"sparspread/internal/waittest"
 )
 
 // After a watch that the agent left unanswered, it is asked for what it has, without a wait, rather than
@@ -75,9 +77,5 @@
 		close(responseEnd)
 		<-ended
 	}()
-	select {
-	case <-events:
-	case <-time.After(testTimeout):
-		t.Error("the update was not reported before its response ended")
-	}
+	waittest.Receive(t, events, "the update, before its response ends")
 }
--- a/internal/discovery/fake_test.go
+++ b/internal/discovery/fake_test.go
@@ -19,7 +19,6 @@
 	testAddress  = "127.0.0.1:1" // never dialed: tests replace the transport
 	testURL      = "http://" + testAddress + listPath
 	testRevision = 7 // of oneEndpoint and listJSON
-	testTimeout  = 30 * time.Second
 
 	oneEndpoint = `{"revision":7,"complete":false,"members":[{"id":"s-00000001","phase":"Terminating"}]}`
 )
--- a/internal/gossip/transport_test.go
+++ b/internal/gossip/transport_test.go
@@ -6,10 +6,9 @@
 	"net/netip"
 	"testing"
 	"time"
-)
 
-// testTimeout bounds every wait for something that has to happen.
-const testTimeout = 30 * time.Second
+	"sparspread/internal/waittest"
+)
 
 // received is a message that a transport has passed on.
 type received struct {
@@ -25,7 +24,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(waittest.Timeout)); err != nil {
 		t.Fatal(err)
 	}
 	return conn
@@ -69,13 +68,8 @@
 // expect waits for the next message and compares it.
 func expect(t *testing.T, messages <-chan received, want received) {
 	t.Helper()
-	select {
-	case got := <-messages:
-		if got != want {
-			t.Errorf("got %+v, want %+v", got, want)
-		}
-	case <-time.After(testTimeout):
-		t.Fatal("timed out waiting for a message")
+	if got := waittest.Receive(t, messages, "a message"); got != want {
+		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
 
--- a/internal/ops/server_test.go
+++ b/internal/ops/server_test.go
@@ -8,12 +8,13 @@
 	"net/http"
 	"testing"
 	"time"
+
+	"sparspread/internal/waittest"
 )
 
 const (
 	testStats          = "edge_relay.open_requests=3\n"
 	testMaxConnections = 4
-	testTimeout        = 30 * time.Second
 )
 
 // startServer starts a server that ends with the test.
@@ -30,11 +31,7 @@
 	}()
 	t.Cleanup(func() {
 		s.Close()
-		select {
-		case <-ended:
-		case <-time.After(testTimeout):
-			t.Error("Serve did not end with Close")
-		}
+		waittest.Receive(t, ended, "the end of Serve after Close")
 	})
 	return s
 }
@@ -109,7 +106,7 @@
 			t.Fatal(err)
 		}
 		defer func() { _ = conn.Close() }()
-		if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
+		if err := conn.SetDeadline(time.Now().Add(waittest.Timeout)); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := fmt.Fprint(conn, "GET /ops/st"); err != nil {
--- a/internal/sockwriter/writer_test.go
+++ b/internal/sockwriter/writer_test.go
@@ -9,10 +9,9 @@
 	"os"
 	"testing"
 	"time"
-)
 
-// testTimeout bounds every wait of a test. No test asserts a speed.
-const testTimeout = 30 * time.Second
+	"sparspread/internal/waittest"
+)
 
 // connect returns the two ends of a connection; the test's end closes them.
 func connect(t *testing.T) (near, far *net.TCPConn) {
@@ -32,7 +31,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _, _ = near.Close(), far.Close() })
-	_ = far.SetDeadline(time.Now().Add(testTimeout))
+	_ = far.SetDeadline(time.Now().Add(waittest.Timeout))
 	return near, far
 }
 
@@ -99,7 +98,7 @@
 	if _, err := far.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	for deadline := time.Now().Add(testTimeout); w.NoInput(); {
+	for deadline := time.Now().Add(waittest.Timeout); w.NoInput(); {
 		if time.Now().After(deadline) {
 			t.Fatal("input is not noticed")
 		}
