--- a/internal/gateway/backend_dial_test.go
+++ b/internal/gateway/backend_dial_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"net"
+	"slices"
 	"syscall"
 	"testing"
 
@@ -33,7 +34,7 @@
 				t.Errorf("%d attempts wait, %d requests remain", n, len(l.requests.byID))
 			}
 			close(unblock)
-			if e := handleNext(t, l, "the dial's end").(dialEnded); e.err != nil {
+			if e := eventAs[dialEnded](t, handleNext(t, l, "the dial's end")); e.err != nil {
 				t.Fatal(e.err)
 			}
 			l.backends.closeIdle(l.backends.byNumber[1])
@@ -64,21 +65,25 @@
 	}
 }
 
+// restartDuringDial has the backend restart while a dial to it is blocked, and handles the ends of that
+// dial and of the one that repeats it.
+func restartDuringDial(t *testing.T, l *Loop, b *fakeBackend, unblock chan<- struct{}) {
+	t.Helper()
+	b.reportRestart(l)
+	close(unblock)
+	handleNext(t, l, "the dial's end")
+	_ = wait(t, b.closed, "the end of the first connection")
+	handleNext(t, l, "the second dial's end")
+}
+
 // A backend restarts during a dial to it: the connection may lead to the process before, and another is
 // dialed.
 func TestDialOfARestartedBackendIsRepeated(t *testing.T) {
 	l, b := newLoopWithBackend(t)
 	dialing, unblock := blockDials(l)
-	a := newHealthCheck(l)
-	l.backends.startAttempt(a, 1)
+	a := startHealthCheck(l)
 	wait(t, dialing, "the dial")
-	restarted := b.endpoint()
-	restarted.UpSinceMS = 1_000_000_000_000
-	l.updateEndpoint(policy.UpdateIncremental, restarted)
-	close(unblock)
-	handleNext(t, l, "the dial's end")
-	_ = wait(t, b.closed, "the end of the first connection")
-	handleNext(t, l, "the second dial's end")
+	restartDuringDial(t, l, b, unblock)
 	if b.nextCall(t); len(b.calls) > 0 || a.conn == nil {
 		t.Errorf("%d further commands, connection %v", len(b.calls), a.conn)
 	}
@@ -90,13 +95,7 @@
 	l, b, dialing, unblock := newLoopWithBlockedDials(t)
 	c := connectWithRequest(t, l, "c=once")
 	wait(t, dialing, "the dial")
-	restarted := b.endpoint()
-	restarted.UpSinceMS = 1_000_000_000_000
-	l.updateEndpoint(policy.UpdateIncremental, restarted)
-	close(unblock)
-	handleNext(t, l, "the dial's end")
-	_ = wait(t, b.closed, "the end of the first connection")
-	handleNext(t, l, "the second dial's end")
+	restartDuringDial(t, l, b, unblock)
 	c.wantLine("-BUSY 2000")
 	if len(b.calls) > 0 {
 		t.Error("written")
@@ -107,10 +106,9 @@
 // there.
 func TestResetDialIsRepeatedOnce(t *testing.T) {
 	l, _ := newLoopWithBackend(t)
-	a := newHealthCheck(l)
-	l.backends.startAttempt(a, 1)
+	a := startHealthCheck(l)
 	for i, want := range []bool{false, true} {
-		e := wait(t, l.events.Queue(), "a dial").(dialEnded)
+		e := eventAs[dialEnded](t, wait(t, l.events.Queue(), "a dial"))
 		if e.err != nil {
 			t.Fatal(e.err)
 		}
@@ -121,8 +119,8 @@
 			t.Fatalf("after %d resets the attempt has ended: %t", i+1, a.ended)
 		}
 	}
-	outcomes := l.events.Deferred()
-	if got := outcomes[len(outcomes)-1].(attemptEnded).result; got != policy.ResultConnectFailed {
-		t.Errorf("result %d", got)
+	want := []policy.Result{policy.ResultConnectFailed}
+	if got := endedResults(t, l); !slices.Equal(got, want) {
+		t.Errorf("results %v, want %v", got, want)
 	}
 }
--- a/internal/gateway/backend_drain_test.go
+++ b/internal/gateway/backend_drain_test.go
@@ -34,18 +34,15 @@
 // connection.
 func TestDrainDuringDialSendsNothing(t *testing.T) {
 	l, b := newLoopWithBackend(t)
-	a := newHealthCheck(l)
-	l.backends.startAttempt(a, 1)
-	draining := b.endpoint()
-	draining.Phase = "Terminating"
-	l.updateEndpoint(policy.UpdateIncremental, draining)
-	up := wait(t, l.events.Queue(), "the dial").(dialEnded)
-	if up.err != nil {
-		t.Fatal(up.err)
+	startHealthCheck(l)
+	b.reportDrain(l)
+	dialed := eventAs[dialEnded](t, wait(t, l.events.Queue(), "the dial"))
+	if dialed.err != nil {
+		t.Fatal(dialed.err)
 	}
-	up.Handle(l)
-	if len(l.events.Deferred()) != 1 || l.events.Deferred()[0].(attemptEnded).result != policy.ResultNotSent {
-		t.Errorf("outcomes %+v, want one that was not sent", l.events.Deferred())
+	dialed.Handle(l)
+	if got, want := endedResults(t, l), []policy.Result{policy.ResultNotSent}; !slices.Equal(got, want) {
+		t.Errorf("results %v, want %v", got, want)
 	}
 	if err := wait(t, b.closed, "the connection's end"); !errors.Is(err, io.EOF) || len(b.calls) > 0 {
 		t.Errorf("the connection ended with %v after %d commands", err, len(b.calls))
@@ -63,15 +60,9 @@
 		a.number = i
 		l.backends.startAttempt(a, 1)
 	}
-	draining := b.endpoint()
-	draining.Phase = "Terminating"
-	l.updateEndpoint(policy.UpdateIncremental, draining)
-	var got []policy.Result
-	for _, e := range l.events.Deferred() {
-		got = append(got, e.(attemptEnded).result)
-	}
+	b.reportDrain(l)
 	want := []policy.Result{policy.ResultNotSent, policy.ResultNotSent, policy.ResultNotSent}
-	if !slices.Equal(got, want) {
-		t.Errorf("outcomes %v, want %v", got, want)
+	if got := endedResults(t, l); !slices.Equal(got, want) {
+		t.Errorf("results %v, want %v", got, want)
 	}
 }
--- a/internal/gateway/backend_pool_test.go
+++ b/internal/gateway/backend_pool_test.go
@@ -104,18 +104,13 @@
 	for name, late := range map[string]bool{"nothing follows": false, "a second answer": true} {
 		t.Run(name, func(t *testing.T) {
 			l, b := newLoopWithBackend(t)
-			first := newHealthCheck(l)
-			l.backends.startAttempt(first, 1)
-			wait(t, l.events.Queue(), "the dial").Handle(l)
+			first, call := dialWithHealthCheck(t, l, b)
 			used := first.conn
-			call := b.nextCall(t)
 			call.reply(t, "+PONG\r\n")
 			_, unblock := blockDials(l)
 			defer close(unblock)
-			answered := wait(t, l.events.Queue(), "the reply")
-			answered.Handle(l)
-			second := newHealthCheck(l)
-			l.backends.startAttempt(second, 1)
+			wait(t, l.events.Queue(), "the reply").Handle(l)
+			second := startHealthCheck(l)
 			if second.conn != nil {
 				t.Fatal("the connection was used at once")
 			}
--- a/internal/gateway/backend_reply_test.go
+++ b/internal/gateway/backend_reply_test.go
@@ -16,11 +16,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, b := newLoopWithBackend(t)
-			first := newHealthCheck(l)
-			l.backends.startAttempt(first, 1)
-			wait(t, l.events.Queue(), "the dial").Handle(l)
+			first, call := dialWithHealthCheck(t, l, b)
 			used := first.conn
-			call := b.nextCall(t) // a health check, whose reply is read like any other
 			call.reply(t, replies[0])
 			wait(t, l.events.Queue(), "the reply").Handle(l)
 			var late event
@@ -28,8 +25,7 @@
 				call.reply(t, replies[1])
 				late = wait(t, l.events.Queue(), "the duplicate") // read, but not handled yet
 			}
-			second := newHealthCheck(l)
-			l.backends.startAttempt(second, 1)
+			second := startHealthCheck(l)
 			if late != nil {
 				late.Handle(l)
 			}
@@ -47,12 +43,20 @@
 
 // A malformed reply fails one attempt and closes one connection. The others to the backend stay in use.
 func TestMalformedReplyClosesOneConnection(t *testing.T) {
-	for _, reply := range []string{
-		"?\r\n", ":5\r\n", "+OK\r\n", "$2\r\nno\r\n", "*3\r\n*3\r\n*3\r\n", "*3\r\n$-7\r\n$-1\r\n$-1\r\n",
-		"*1000000000\r\n", "*3\r\n$4\r\nabcdefgh\r\n$-1\r\n$-1\r\n", "*3\r\n$3221225472\r\nxxxx",
-		strings.Repeat("x", 4096), "*3\r\n$100\r\nends here",
+	for name, reply := range map[string]string{
+		"unknown type":         "?\r\n",
+		"number":               ":5\r\n",
+		"simple string":        "+OK\r\n",
+		"bulk string":          "$2\r\nno\r\n",
+		"nested arrays":        "*3\r\n*3\r\n*3\r\n",
+		"negative length":      "*3\r\n$-7\r\n$-1\r\n$-1\r\n",
+		"huge array":           "*1000000000\r\n",
+		"longer than it says":  "*3\r\n$4\r\nabcdefgh\r\n$-1\r\n$-1\r\n",
+		"huge value":           "*3\r\n$3221225472\r\nxxxx",
+		"endless line":         strings.Repeat("x", 4096),
+		"shorter than it says": "*3\r\n$100\r\nends here",
 	} {
-		t.Run(reply[:min(len(reply), 12)], func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			r, b, _ := startWithBackend(t, nil)
 			c, other := r.client(t), r.client(t)
 			malformed := c.openLookup(b, 1)
--- a/internal/gateway/loop_rig_test.go
+++ b/internal/gateway/loop_rig_test.go
@@ -1,7 +1,9 @@
 package gateway
 
 import (
+	"maps"
 	"runtime"
+	"slices"
 	"syscall"
 	"testing"
 
@@ -12,6 +14,7 @@
 // inspect is an event that runs on the loop's goroutine.
 type inspect func(l *Loop)
 
+// Handle implements event.
 func (f inspect) Handle(l *Loop) { f(l) }
 
 // blockDials has the loop's dials wait until unblock is closed or receives. Each sends its address to
@@ -36,12 +39,12 @@
 }
 
 // connectWithRequest connects a client to a loop that the test runs itself, and has one request of the
-// client's handled.
+// client's handled. The fields of the request begin with the given ones, which name its class.
 func connectWithRequest(t *testing.T, l *Loop, fields string) *testClient {
 	t.Helper()
 	l.listening.resume()
 	t.Cleanup(l.listening.pause)
-	c := (&rig{addr: l.listening.listener.Addr().String()}).client(t)
+	c := dialClient(t, l.listening.listener.Addr().String())
 	handleNext(t, l, "the connection")
 	fields += ",t=team,d=60000,units=1,spread=1,first=0"
 	c.send("API.WRITE", "0000000000000007", "00000000000000a1", fields, "x")
@@ -68,11 +71,55 @@
 	loopEndpoints{l}.updateEndpoints(kind, []discovery.Endpoint{e})
 }
 
+// restartedAtMS is a start of a backend that is later than the one that a fake backend is listed with, in
+// milliseconds since 1970.
+const restartedAtMS = 1_000_000_000_000
+
+// reportRestart has discovery report that the only backend has started anew.
+func (b *fakeBackend) reportRestart(l *Loop) {
+	restarted := b.endpoint()
+	restarted.UpSinceMS = restartedAtMS
+	l.updateEndpoint(policy.UpdateIncremental, restarted)
+}
+
+// reportDrain has discovery report that the only backend is draining.
+func (b *fakeBackend) reportDrain(l *Loop) {
+	draining := b.endpoint()
+	draining.Phase = "Terminating"
+	l.updateEndpoint(policy.UpdateIncremental, draining)
+}
+
 // newHealthCheck makes a health check that does not time out during a test.
 func newHealthCheck(l *Loop) *attempt {
 	return &attempt{sentAt: l.events.Now(), expiresAt: l.events.Now() + 1000*second}
 }
 
+// startHealthCheck sends a health check to the only backend, which is read and answered like a request.
+func startHealthCheck(l *Loop) *attempt {
+	check := newHealthCheck(l)
+	l.backends.startAttempt(check, 1)
+	return check
+}
+
+// dialWithHealthCheck sends a health check to the only backend, to which no connection is open, and returns
+// it as the backend got it.
+func dialWithHealthCheck(t *testing.T, l *Loop, b *fakeBackend) (*attempt, *backendCall) {
+	t.Helper()
+	check := startHealthCheck(l)
+	wait(t, l.events.Queue(), "the dial").Handle(l)
+	return check, b.nextCall(t)
+}
+
+// endedResults returns the results of attempts that have ended, and that the loop has not handled yet.
+func endedResults(t *testing.T, l *Loop) []policy.Result {
+	t.Helper()
+	var results []policy.Result
+	for _, e := range l.events.Deferred() {
+		results = append(results, eventAs[attemptEnded](t, e).result)
+	}
+	return results
+}
+
 // newLoopWithBlockedDials makes a loop that the test runs itself, with one backend, the dials to which are
 // blocked.
 func newLoopWithBlockedDials(t *testing.T) (
@@ -84,15 +131,15 @@
 	return l, b, dialing, unblock
 }
 
-// awaitQueued waits until there are n events in the queue of a loop that the test runs itself.
+// awaitQueued waits until there are n events or more in the queue of a loop that the test runs itself.
 func awaitQueued(l *Loop, n int) {
 	for len(l.events.Queue()) < n {
 		runtime.Gosched()
 	}
 }
 
-// wantNothingSent checks that no attempt waits, unblocks the dials and checks that nothing is written to
-// the connection.
+// wantNothingSent checks that no attempt waits, unblocks the dials and checks that nothing is written to the
+// connection that comes up.
 func wantNothingSent(t *testing.T, l *Loop, b *fakeBackend, unblock chan struct{}) {
 	t.Helper()
 	if n := len(l.backends.byNumber[1].waiting); n != 0 {
@@ -107,10 +154,5 @@
 	}
 }
 
-// clientList lists the connected clients.
-func clientList(l *Loop) (list []*client) {
-	for c := range l.clients.conns {
-		list = append(list, c)
-	}
-	return list
-}
+// clientList lists the connected clients, in any order.
+func clientList(l *Loop) []*client { return slices.Collect(maps.Keys(l.clients.conns)) }
--- a/internal/gateway/scale_test.go
+++ b/internal/gateway/scale_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"strconv"
 	"testing"
 
 	"sparspread/internal/discovery"
@@ -25,7 +26,7 @@
 // The cost of an update of one endpoint in the loop, the policy included. docs/CAPACITY.md uses the figures.
 func BenchmarkChangeByMembers(b *testing.B) {
 	for _, n := range []int{46, 830, 8300, 83000} {
-		b.Run(fmt.Sprint(n), func(b *testing.B) {
+		b.Run(strconv.Itoa(n), func(b *testing.B) {
 			cfg := newConfig(b, newFakeDiscovery(b), nil)
 			l, err := newLoop(cfg, discardLog(), eventloop.SystemClock())
 			if err != nil {
