--- a/cmd/gateway/descriptors_test.go
+++ b/cmd/gateway/descriptors_test.go
@@ -107,7 +107,7 @@
 // While discovery is down idle clients take all the room there is, and as many again try to connect.
 // Everybody else is served: the gateway hears discovery when it returns and follows its list, operators and
 // other clients are answered, and no call fails for want of a descriptor.
-func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
+func TestIdleClientsKeepNobodyOutWhileDiscoveryIsDown(t *testing.T) {
 	cases := []idleClientsCase{{32, true}, {64, false}, {256, true}, {1024, false}}
 	runSideBySide(t, cases, saturateWithoutDiscovery)
 }
--- a/internal/counter/counter_test.go
+++ b/internal/counter/counter_test.go
@@ -53,7 +53,7 @@
 }
 
 // A result tells "nothing was added" from "the amount may have been added".
-func TestResultOfACall(t *testing.T) {
+func TestResultTellsWhetherTheAmountMayHaveBeenAdded(t *testing.T) {
 	expired, release := make(expiringContext), make(chan struct{})
 	respond := func(body string) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprint(w, body) }
@@ -114,7 +114,7 @@
 	}
 }
 
-func TestCallThatWasNotSent(t *testing.T) {
+func TestCallThatWasNotSentAddedNothing(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		t.Error("called after the deadline")
 	}))
--- a/internal/gateway/backend_pool_test.go
+++ b/internal/gateway/backend_pool_test.go
@@ -61,12 +61,12 @@
 func TestRestartedBackendGetsNewConnections(t *testing.T) {
 	r, b, d := startWithBackend(t, withSettings(t, `"cold-us":16000000`, `"cold-us":0`))
 	c := r.client(t)
-	c.sendLookup(1, "60000")
+	c.sendLookup(1)
 	first := c.wantServed(b, "ok")
 	entry := b.listEntry("s-00000001", "Ready")
 	d.setEntries(strings.Replace(entry, `"up_since_ms":0`, `"up_since_ms":1000000000000`, 1))
 	d.awaitWatch(t)
-	c.sendLookup(2, "60000")
+	c.sendLookup(2)
 	second := c.wantServed(b, "ok")
 	if second.conn == first.conn {
 		t.Error("the old connection was used")
@@ -78,7 +78,7 @@
 func TestIdleConnectionIsClosedBeforeItsBackendDoes(t *testing.T) {
 	r, b, _ := startWithBackend(t, withSettings(t, `"idle-close-us":30000000`, `"idle-close-us":200000`))
 	c := r.client(t)
-	c.sendLookup(1, "60000")
+	c.sendLookup(1)
 	c.wantServed(b, "ok")
 	r.advance(t, 200_000)
 	if err := wait(t, b.closed, "the idle connection's end"); !errors.Is(err, io.EOF) {
@@ -94,7 +94,7 @@
 		defer c.openLookup(b, id).replyValue(t, "ok")
 	}
 	other := r.client(t)
-	other.sendLookup(9, "80000000")
+	other.sendLookupWithin(9, "80000000")
 	other.wantRejected()
 }
 
--- a/internal/gateway/backend_reply_test.go
+++ b/internal/gateway/backend_reply_test.go
@@ -60,7 +60,7 @@
 			r, b, _ := startWithBackend(t, nil)
 			c, other := r.client(t), r.client(t)
 			malformed := c.openLookup(b, 1)
-			other.sendLookup(2, "60000")
+			other.sendLookup(2)
 			healthy := other.wantServed(b, "fine")
 			r.awaitQuiescence(t)
 			malformed.reply(t, reply)
@@ -81,14 +81,14 @@
 	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
 	for id, tail := range []string{"$-1\r\n$3\r\n=,=\r\n", ":12\r\n$-1\r\n", "$x\r\n$-1\r\n", "*9\r\n", "?"} {
-		c.sendLookup(id, "60000")
+		c.sendLookup(id)
 		b.nextCall(t).reply(t, "*3\r\n$4\r\ngood\r\n"+tail+"\r\n")
 		c.wantValue("good")
 	}
 }
 
 // A load report that is incomplete or holds impossible values is ignored.
-func TestLoadReport(t *testing.T) {
+func TestIncompleteOrImpossibleLoadReportIsIgnored(t *testing.T) {
 	cfg := newConfig(t, newFakeDiscovery(t), withSettings(t,
 		`"names":[],"via":"silent"`, `"names":["busy_reqs","pending"],"via":"piggyback"`))
 	got := loadReport(&cfg, "pending=2,busy_reqs=7,other=1")
--- a/internal/gateway/client_eviction_test.go
+++ b/internal/gateway/client_eviction_test.go
@@ -22,7 +22,7 @@
 }
 
 // Connections without a command are evicted first, then those with one.
-func TestEvictionOrder(t *testing.T) {
+func TestConnectionsWithoutACommandAreEvictedFirst(t *testing.T) {
 	d := newFakeDiscovery(t)
 	l := newTestLoop(t, d)
 	now := l.events.Now()
@@ -59,7 +59,7 @@
 	r, b := startWithFourBackends(t, 40) // 6 clients, and 4 that may be rejected
 	for id := range 30 {
 		c := r.client(t)
-		c.sendLookup(id, "60000")
+		c.sendLookup(id)
 		c.wantServed(b, "ok")
 	}
 }
@@ -135,7 +135,7 @@
 func TestDisconnectFreesTheCapacityOfItsRequest(t *testing.T) {
 	r, b, _ := startWithBackend(t, withSettings(t, `"max-open":20000`, `"max-open":1`))
 	c := r.client(t)
-	c.sendLookup(1, "80000000")
+	c.sendLookupWithin(1, "80000000")
 	b.nextCall(t)
 	_ = c.conn.Close()
 	served := make(chan bool, 1)
@@ -146,7 +146,7 @@
 	}()
 	next := r.client(t)
 	for id := 2; ; id++ {
-		next.sendLookup(id, "80000000")
+		next.sendLookupWithin(id, "80000000")
 		if line := next.readLine(); line == "$2" {
 			next.wantLine("ok")
 			break
@@ -170,7 +170,7 @@
 	idle.wantClosed()
 	_ = idle.conn.Close()
 	surplus := r.client(t)
-	surplus.sendLookup(9, "60000")
+	surplus.sendLookup(9)
 	if got := surplus.readLine(); !strings.HasPrefix(got, "-BUSY ") {
 		t.Errorf("reply %q", got)
 	}
--- a/internal/gateway/discovery_watch_test.go
+++ b/internal/gateway/discovery_watch_test.go
@@ -57,7 +57,7 @@
 	wait(t, reported, "the watch that hangs") // before it the unchanged list would count as the last
 	d.awaitWatch(t)
 	c := r.client(t)
-	c.sendLookup(1, "60000")
+	c.sendLookup(1)
 	c.wantServed(second, "ok")
 }
 
@@ -80,7 +80,7 @@
 		}
 	}
 	c := r.client(t)
-	c.sendLookup(1, "60000")
+	c.sendLookup(1)
 	c.wantServed(second, "ok")
 }
 
@@ -96,7 +96,7 @@
 }
 
 // The complete list is read where discovery does not know the revision at hand, or knows only an older one.
-func TestDiscoveryReadsTheCompleteListWhereItMust(t *testing.T) {
+func TestUnknownOrOlderRevisionHasTheCompleteListRead(t *testing.T) {
 	for name, answer := range map[string]func(http.ResponseWriter){
 		"unknown": func(w http.ResponseWriter) { w.WriteHeader(http.StatusGone) },
 		"older": func(w http.ResponseWriter) {
@@ -123,7 +123,7 @@
 			}
 			d.awaitWatch(t)
 			c := r.client(t)
-			c.sendLookup(1, "60000")
+			c.sendLookup(1)
 			c.wantServed(b, "ok")
 		})
 	}
--- a/internal/gateway/handover_older_situation_test.go
+++ b/internal/gateway/handover_older_situation_test.go
@@ -42,7 +42,7 @@
 	unavailable := func(l *Loop) int { return l.controller.UnavailableBackends() }
 	for id := 100; inspectLoop(t, s.rig, unavailable) == 0; id++ {
 		c := s.rig.client(t)
-		c.sendLookup(id, "60000")
+		c.sendLookup(id)
 		c.wantServed(b, "ok")
 		closeConn(t, c.conn)
 		s.admitted++
--- a/internal/gateway/handover_older_test.go
+++ b/internal/gateway/handover_older_test.go
@@ -60,7 +60,7 @@
 	if cost := want.Store[0] - got.Store[0]; cost != 0.5 {
 		t.Errorf("the open request's answer cost %g more than its estimate, want 0.5", cost)
 	}
-	old.clients[2].sendLookup(6, "60000") // the connection came after its answer
+	old.clients[2].sendLookup(6) // the connection came after its answer
 	old.clients[2].wantServed(b, "ok")
 }
 
--- a/internal/gateway/reload_settings_test.go
+++ b/internal/gateway/reload_settings_test.go
@@ -27,7 +27,7 @@
 	awaitMetric(t, r, "cfg_accepted=1")
 	c2 := r.client(t)
 	for range 2 * maxConsecutiveErrors { // the client is not to blame: its connection stays
-		c2.sendLookup(2, "60000")
+		c2.sendLookup(2)
 		if got := c2.readLine(); !strings.HasPrefix(got, "-ERR") {
 			t.Fatalf("a class that vanished: got reply %q, want an error", got)
 		}
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -29,7 +29,7 @@
 	moved.awaitWatch(t)
 	call.replyValue(t, "old")
 	c.wantValue("old")
-	c.sendLookup(2, "60000")
+	c.sendLookup(2)
 	c.wantServed(after, "new")
 	if len(before.calls) > 0 {
 		t.Error("a request went where the new list does not lead")
@@ -45,7 +45,7 @@
 	d.setEntries(second.listEntry("s-00000002", "Ready"), second.listEntry("s-00000001", "Gone"))
 	d.awaitWatch(t)
 	c := r.client(t)
-	c.sendLookup(1, "60000")
+	c.sendLookup(1)
 	c.wantServed(second, "ok")
 }
 
--- a/internal/gateway/request_body_test.go
+++ b/internal/gateway/request_body_test.go
@@ -100,7 +100,7 @@
 
 // A backend replies, fails or closes before the loop handles that the body was written: the request may
 // have run, and its reply does not deny it.
-func TestReplyHandledBeforeTheEndOfItsBody(t *testing.T) {
+func TestReplyHandledBeforeTheEndOfItsBodyIsPassedOn(t *testing.T) {
 	for name, c := range map[string]struct {
 		end  func(testing.TB, *backendCall)
 		want string
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -45,7 +45,7 @@
 	second := c.openLookup(b, 2) // read although the first has no answer
 	c.send("PING")
 	second.replyValue(t, "second")
-	c.sendLookup(3, "60000")
+	c.sendLookup(3)
 	b.nextCall(t).replyValue(t, "third") // by now the second is answered at the gateway
 	first.replyValue(t, "first")
 	c.wantValue("first")
@@ -125,12 +125,12 @@
 func TestRequestIsAnsweredByItsDeadline(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
-	c.sendLookup(1, "300")
+	c.sendLookupWithin(1, "300")
 	late := b.nextCall(t)
 	r.advance(t, 300_000)
 	c.wantRejected()
 	_, _ = late.conn.Write([]byte("*3\r\n$4\r\nlate\r\n$-1\r\n$-1\r\n"))
-	c.sendLookup(2, "60000")
+	c.sendLookup(2)
 	c.wantServed(b, "second")
 }
 
@@ -222,11 +222,11 @@
 	r, b, _ := startWithBackend(t, nil)
 	c, other := r.client(t), r.client(t)
 	call := c.openLookup(b, 1)
-	other.sendLookup(1, "60000")
+	other.sendLookup(1)
 	other.wantError()
 	call.replyValue(t, "ok")
 	c.wantValue("ok")
-	c.sendLookup(1, "60000") // it is open no more
+	c.sendLookup(1) // it is open no more
 	c.wantServed(b, "again")
 }
 
@@ -236,7 +236,7 @@
 	c := r.client(t)
 	const many = 50
 	for id := range many {
-		c.sendLookup(id, "80000000")
+		c.sendLookupWithin(id, "80000000")
 		c.wantServed(b, "ok")
 	}
 	remaining := make(chan string, 1)
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -44,7 +44,7 @@
 func TestShutdownServesConnectionsInTheBacklog(t *testing.T) {
 	l, b := newStoppingLoop(t)
 	c := (&rig{addr: l.listening.listener.Addr().String()}).client(t)
-	c.sendLookup(1, "60000") // in the kernel, as nothing accepts yet
+	c.sendLookup(1) // in the kernel, as nothing accepts yet
 	advance(t, l, acceptPeriod)
 	handleUntil(t, l, "the request", func() bool { return l.requests.open == 1 })
 	handleUntil(t, l, "the listener to close", l.listening.isClosed)
@@ -135,7 +135,7 @@
 func TestShutdownFailsUnansweredRequests(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
-	c.sendLookup(1, "80000000")
+	c.sendLookupWithin(1, "80000000")
 	b.nextCall(t)
 	r.shutDownFor(t, maxLongestTimeout+answerMargin)
 	c.wantLine("-ERR failed")
--- a/internal/gateway/test_client_test.go
+++ b/internal/gateway/test_client_test.go
@@ -61,17 +61,23 @@
 	c.write(string(command))
 }
 
-// sendLookup sends an idempotent request, which has to be answered within a number of milliseconds.
-func (c *testClient) sendLookup(id int, timeoutMS string) {
+// sendLookup sends an idempotent request with a timeout that no test reaches.
+func (c *testClient) sendLookup(id int) {
+	c.t.Helper()
+	c.sendLookupWithin(id, "60000")
+}
+
+// sendLookupWithin sends an idempotent request with a timeout in milliseconds.
+func (c *testClient) sendLookupWithin(id int, timeoutMS string) {
 	c.t.Helper()
 	fields := "c=lookup,t=team,d=" + timeoutMS + ",units=1,spread=1,first=0"
 	c.send("API.READ", "0000000000000007", fmt.Sprintf("%016x", id), fields)
 }
 
-// openLookup sends an idempotent request with a long timeout, and returns it as the backend got it.
+// openLookup sends an idempotent request like sendLookup, and returns it as the backend got it.
 func (c *testClient) openLookup(b *fakeBackend, id int) *backendCall {
 	c.t.Helper()
-	c.sendLookup(id, "60000")
+	c.sendLookup(id)
 	return b.nextCall(c.t)
 }
 
--- a/internal/gateway/value_stream_test.go
+++ b/internal/gateway/value_stream_test.go
@@ -138,11 +138,11 @@
 func TestLargeValueOutlastsDeadlineAndShutdown(t *testing.T) {
 	r, b := startWithFourBackends(t, 1024)
 	c, other := r.client(t), r.client(t)
-	c.sendLookup(1, "400")
+	c.sendLookupWithin(1, "400")
 	call := b.nextCall(t)
 	value := call.beginLargeValue(t)
 	c.wantLargeHead()
-	other.sendLookup(2, "500") // ends later than the deadline of the first
+	other.sendLookupWithin(2, "500") // ends later than the deadline of the first
 	b.nextCall(t)
 	r.advance(t, 500_000)
 	if got := other.readLine(); got[0] != '-' {
