--- a/internal/gateway/backend_dial.go
+++ b/internal/gateway/backend_dial.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"net"
 
 	"sparspread/internal/sockwriter"
@@ -39,7 +40,11 @@
 func (bs *backends) dialBackend(e dialEnded) {
 	conn, err := bs.dial.DialContext(context.Background(), "tcp", e.address)
 	if e.err = err; err == nil {
-		e.conn = conn.(*net.TCPConn)
+		tcp, ok := conn.(*net.TCPConn)
+		if !ok {
+			panic(fmt.Sprintf("a dial over TCP made a %T", conn))
+		}
+		e.conn = tcp
 	}
 	bs.events.Post(e)
 }
--- a/internal/gateway/client_eviction.go
+++ b/internal/gateway/client_eviction.go
@@ -9,6 +9,7 @@
 const (
 	// maxUnfinishedPercent is the percentage of the limit that connections without a complete command may be.
 	maxUnfinishedPercent = 75
+	wholePercent         = 100
 
 	newcomerAge     = 100 * millisecond // a connection this old may be expected to have sent something
 	idleNewcomerAge = 300 * millisecond // and one this old should have
@@ -39,7 +40,7 @@
 // nothing yet) any idle connection may be closed.
 func (cs *clients) evict(l *Loop, requester *client) bool {
 	now := l.events.Now()
-	excess := cs.unfinishedCount() > cs.limit*maxUnfinishedPercent/100
+	excess := cs.unfinishedCount() > cs.limit*maxUnfinishedPercent/wholePercent
 	var victim *client
 	lowest := rankSpared
 	for c := range cs.conns {
@@ -54,16 +55,21 @@
 	if victim == nil {
 		return false
 	}
+	cs.counts.countEviction(victim)
+	victim.closeNow(l)
+	return true
+}
+
+// countEviction counts a connection that is evicted, by what its client has sent.
+func (counts *clientCounts) countEviction(c *client) {
 	switch {
-	case victim.commands > 0:
-		cs.counts.closedIdle++
-	case victim.lastInputAt.Load() != 0:
-		cs.counts.closedMidCommand++
+	case c.commands > 0:
+		counts.closedIdle++
+	case c.lastInputAt.Load() != 0:
+		counts.closedMidCommand++
 	default:
-		cs.counts.closedBeforeInput++
+		counts.closedBeforeInput++
 	}
-	victim.closeNow(l)
-	return true
 }
 
 // unfinishedCount counts the connections without a complete command so far.
--- a/internal/gateway/client_read_ahead.go
+++ b/internal/gateway/client_read_ahead.go
@@ -13,6 +13,8 @@
 const (
 	maxReadAhead  = 2 * resp.MaxValue // bytes that are read while the reader waits
 	readAheadStep = 4096              // bytes by which their buffer grows at least
+
+	readAheadDivisor = 2 // the part of the memory for queued input at which no more is read ahead
 )
 
 // readAheadWhile calls wait, which blocks, in the reader goroutine. Meanwhile another goroutine, which ends
@@ -34,7 +36,7 @@
 // where all that waits for the loop takes half of its memory: the other half is for input that is read in
 // order. The end of the connection is not noticed behind that.
 func (c *client) readAhead(l *Loop, waitOver <-chan struct{}) {
-	maxQueued := maxQueuedBytes(l.publishedConfig.Load()) / 2
+	maxQueued := maxQueuedBytes(l.publishedConfig.Load()) / readAheadDivisor
 	for len(c.readAheadInput) < maxReadAhead && l.memory.queued.Load() < maxQueued {
 		err := c.readAheadOnce(l)
 		switch {
--- a/internal/gateway/idle_timeout.go
+++ b/internal/gateway/idle_timeout.go
@@ -17,6 +17,8 @@
 	staleReuseWindow    = 20 * millisecond // in which a connection that was broken before its reuse ends
 	minIdleTimeout      = 30 * millisecond // the least estimate
 	idleTimeoutRecovery = 2 * second       // in which the estimate doubles, and in which two breaks count
+
+	brokenIdleDivisor = 2 // the part of the idle time of a broken connection that is trusted from then on
 )
 
 // current is the estimate: for how long a connection may have been idle to be reused.
@@ -53,7 +55,7 @@
 		return
 	}
 	if e.lastBrokenAt != 0 && now-e.lastBrokenAt < idleTimeoutRecovery {
-		e.learned = max(minIdleTimeout, min(e.current(now), idle/2))
+		e.learned = max(minIdleTimeout, min(e.current(now), idle/brokenIdleDivisor))
 		e.learnedAt = now
 	}
 	e.lastBrokenAt = now
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -71,11 +71,14 @@
 // Enabled implements slog.Handler: records of every level are looked at.
 func (illegalStepPanics) Enabled(context.Context, slog.Level) bool { return true }
 
-// Handle implements slog.Handler.
+// Handle implements slog.Handler. It formats all values, as a log that is kept does.
 func (illegalStepPanics) Handle(_ context.Context, record slog.Record) error {
-	if record.Message == illegalStepMessage {
-		record.Attrs(func(a slog.Attr) bool { panic(fmt.Sprint(illegalStepMessage, ": ", a.Value)) })
-	}
+	record.Attrs(func(a slog.Attr) bool {
+		if text := a.Value.String(); record.Message == illegalStepMessage {
+			panic(illegalStepMessage + ": " + text)
+		}
+		return true
+	})
 	return nil
 }
 
