--- a/policy/clienttimeouts.go
+++ b/policy/clienttimeouts.go
@@ -14,9 +14,14 @@
 	return timeouts
 }
 
-// record learns from how long a request's client waits.
-func (t clientTimeouts) record(req *Request) {
-	t[req.Plan][req.Class].add(float64(req.Timeout), sampleWeight)
+// hasExpired reports whether a request that was received as this gateway resumed after a stall arrived so long
+// ago that an answer after the usual latency misses the objective. It learns from any other request.
+func (t clientTimeouts) hasExpired(req *Request, isResuming bool, usualLatency float64, objective Time) bool {
+	if !isResuming {
+		t[req.Plan][req.Class].add(float64(req.Timeout), sampleWeight)
+		return false
+	}
+	return t.waited(req)+usualLatency > float64(objective)
 }
 
 // waited is for how long a request has waited before it was received: what it lacks of the usual timeout.
--- a/policy/clienttimeouts_test.go
+++ b/policy/clienttimeouts_test.go
@@ -5,18 +5,42 @@
 func TestWaitIsWhatATimeoutLacksOfTheUsualOne(t *testing.T) {
 	timeouts := newClientTimeouts(2, 2)
 	usual := &Request{Plan: 1, Class: 1, Timeout: 4 * second}
-	timeouts.record(usual)
-	timeouts.record(usual)
+	timeouts.hasExpired(usual, false, 0, second)
+	timeouts.hasExpired(usual, false, 0, second)
 	late := &Request{Plan: 1, Class: 1, Timeout: second}
 	assertNear(t, "wait", timeouts.waited(late), float64(3*second))
 	other := &Request{Plan: 0, Class: 1, Timeout: second}
 	assertNear(t, "wait in a plan without requests", timeouts.waited(other), -float64(second))
 }
 
+func TestRequestExpiresInAStallOnceItsAnswerMissesTheObjective(t *testing.T) {
+	cases := []struct {
+		name       string
+		timeout    Time
+		isResuming bool
+		want       bool
+	}{
+		{"it waited for long", 2 * second, true, true},
+		{"it waited as long as there is time", 3 * second, true, false},
+		{"it has just come", 4 * second, true, false},
+		{"no stall", 2 * second, false, false},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			timeouts := newClientTimeouts(1, 1)
+			timeouts.hasExpired(&Request{Timeout: 4 * second}, false, 0, 0)
+			req := &Request{Timeout: c.timeout}
+			if got := timeouts.hasExpired(req, c.isResuming, float64(second), 2*second); got != c.want {
+				t.Errorf("expired: %t, want %t", got, c.want)
+			}
+		})
+	}
+}
+
 func TestTimeoutsMoveWithClassesAndPlans(t *testing.T) {
 	timeouts := newClientTimeouts(2, 2)
-	timeouts.record(&Request{Plan: 0, Class: 1, Timeout: 3})
-	timeouts.record(&Request{Plan: 1, Class: 0, Timeout: 5})
+	timeouts.hasExpired(&Request{Plan: 0, Class: 1, Timeout: 3}, false, 0, second)
+	timeouts.hasExpired(&Request{Plan: 1, Class: 0, Timeout: 5}, false, 0, second)
 	timeouts.renumberClasses([]int{1, -1, 0})
 	timeouts = timeouts.renumberPlans(2, 3, []int{1, -1}) // the second plan is gone
 	want := [][]float64{{0, 0, 0}, {3, 0, 0}}
--- a/policy/clock.go
+++ b/policy/clock.go
@@ -50,9 +50,6 @@
 // tells of may have happened long ago.
 func (c *clock) isResuming() bool { return c.now <= c.resumedAt }
 
-// age is the time since the start.
-func (c *clock) age() Time { return c.now - c.startedAt }
-
 // restart has the clock's owner start now: what it knew before is as old as after a restart.
 func (c *clock) restart() { c.startedAt = c.now }
 
--- a/policy/controller_quota.go
+++ b/policy/controller_quota.go
@@ -119,7 +119,8 @@
 		case quotaUnanswered:
 			c.counters.unanswered++
 			request.customer.grant.addRequested(request.Cost)
-			c.admit(request, c.ownUnits(request))
+			source := request.customer.ownUnits(c.clock.now, c.clock.startedAt, &c.sharing, request.Cost)
+			c.admit(request, source)
 		case quotaAskAgain:
 			c.counters.unanswered++
 			c.admitOrRequestQuota(request)
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -99,9 +99,9 @@
 
 // availableUnits is what this gateway may grant now: its share of the bucket as of the last gossip round
 // less its use since, or, if more, what the peers are not expected to use before they report again: a share
-// of a small burst may be less than one request. A gateway that is settling may not know yet what was used
-// before it started.
-func (c *customer) availableUnits(now Time, sharing *quotaSharing, settling bool) float64 {
+// of a small burst may be less than one request. A gateway that has just started may not know yet what was
+// used before.
+func (c *customer) availableUnits(now, startedAt Time, sharing *quotaSharing) float64 {
 	switch {
 	case sharing.isParticipant(&c.account) && c.grant.isLimited():
 		return c.grant.units
@@ -113,14 +113,37 @@
 	expected := c.demand.atPeers(now) * delay / float64(c.demand.window)
 	share := c.quotaShare(now, sharing)*(c.bucket.level+unreported) - unreported
 	level := math.Max(share, c.bucket.level-expected)
-	if settling { // an even share, so that a restart grants no second burst
+	if sharing.isSettling(now - startedAt) { // an even share, so that a restart grants no second burst
 		level = math.Min(level, c.bucket.capacity/float64(c.replicas)-c.usage.consumed)
 	}
 	return level
 }
 
+// unitSource says which quota covers the cost of a request.
+type unitSource uint8
+
+const (
+	unitsMissing   unitSource = iota // the request is beyond the quota
+	unitsFromShare                   // this gateway's share of the quota
+	unitsFromGrant                   // a coordinator's grant, which is inside the ceiling too
+)
+
+// ownUnits is the source of a request's units where no coordinator was asked.
+func (c *customer) ownUnits(now, startedAt Time, sharing *quotaSharing, units float64) unitSource {
+	if c.withinQuota(now, startedAt, sharing, units) {
+		return unitsFromShare
+	}
+	return unitsMissing
+}
+
+// timeUntilAvailable is the time until this gateway may grant the units of a plan with the rate, if demand
+// stays as it is.
+func (c *customer) timeUntilAvailable(now, startedAt Time, sharing *quotaSharing, rate, units float64) Time {
+	return timeUntil(c.availableUnits(now, startedAt, sharing), c.quotaShare(now, sharing)*rate, units)
+}
+
 // withinQuota reports whether the quota and the concurrency limit admit the units.
-func (c *customer) withinQuota(now Time, sharing *quotaSharing, settling bool, units float64) bool {
+func (c *customer) withinQuota(now, startedAt Time, sharing *quotaSharing, units float64) bool {
 	plan := sharing.plan(&c.account)
 	if plan.ConcurrencyLimit > 0 {
 		limit := math.Max(1, math.Round(c.quotaShare(now, sharing)*float64(plan.ConcurrencyLimit)))
@@ -128,7 +151,7 @@
 			return false
 		}
 	}
-	return plan.Rate == 0 || c.availableUnits(now, sharing, settling) >= units
+	return plan.Rate == 0 || c.availableUnits(now, startedAt, sharing) >= units
 }
 
 // recordDemand counts the units of a request before it is decided on. Under a grant each request
--- a/policy/customer_test.go
+++ b/policy/customer_test.go
@@ -129,24 +129,24 @@
 	cases := []struct {
 		name                        string
 		own, peers, level, consumed float64
-		settling                    bool
+		startedAt                   Time
 		want                        float64
 	}{
 		{name: "all of the demand", own: 4, level: 24, want: 24},
 		{name: "what peers will hardly use soon", own: 4, peers: 4, level: 24, want: 24 - 4*delay},
 		{name: "half of a large demand", own: 400, peers: 400, level: 24, want: 12},
 		{name: "half less what was used of it", own: 400, peers: 400, level: 19, consumed: 5, want: 12 - 5},
-		{name: "a gateway that has just started", own: 4, level: 24, settling: true, want: 8},
-		{name: "and has used some", own: 4, level: 21, consumed: 3, settling: true, want: 8 - 3},
+		{name: "a gateway that has just started", own: 4, level: 24, startedAt: second, want: 8},
+		{name: "and has used some", own: 4, level: 21, consumed: 3, startedAt: second, want: 8 - 3},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			customer := newCustomer(0, 0, &sharing, account{id: 9, replicas: 3})
-			customer.demand.addOwn(0, c.own)
-			customer.demand.addPeers(0, c.peers)
+			customer.demand.addOwn(second, c.own)
+			customer.demand.addPeers(second, c.peers)
 			customer.demand.window = second
 			customer.bucket.level, customer.usage.consumed = c.level, c.consumed
-			assertNear(t, "units", customer.availableUnits(0, &sharing, c.settling), c.want)
+			assertNear(t, "units", customer.availableUnits(second, c.startedAt, &sharing), c.want)
 		})
 	}
 }
@@ -155,10 +155,10 @@
 	sharing, set := askedSharing(t)
 	customer := newCustomer(0, 0, sharing, set)
 	customer.grant.units = 2
-	assertNear(t, "units without a limit", customer.availableUnits(0, sharing, false), customer.bucket.level)
+	assertNear(t, "units without a limit", customer.availableUnits(second, 0, sharing), customer.bucket.level)
 	customer.receiveGrant(sharing, 0.5, rand.New(rand.NewPCG(1, 2)))
 	customer.grant.units = 2
-	assertNear(t, "units under a grant", customer.availableUnits(0, sharing, false), 2)
+	assertNear(t, "units under a grant", customer.availableUnits(second, 0, sharing), 2)
 }
 
 func TestQuotaAdmitsWithinTheConcurrencyLimit(t *testing.T) {
@@ -181,7 +181,7 @@
 			sharing := newQuotaSharing(&Settings{Gateways: 3, Plans: []Plan{c.plan}})
 			customer := newCustomer(0, 0, &sharing, account{id: 9, replicas: 3})
 			customer.inFlight, customer.bucket.level = c.inFlight, c.level
-			if got := customer.withinQuota(0, &sharing, false, 5); got != c.want {
+			if got := customer.withinQuota(second, 0, &sharing, 5); got != c.want {
 				t.Errorf("within the quota: %t, want %t", got, c.want)
 			}
 		})
--- a/policy/priority_test.go
+++ b/policy/priority_test.go
@@ -5,7 +5,7 @@
 func TestMoreOfTheCapacityIsOpenToHigherPriorities(t *testing.T) {
 	var average priorityAverage
 	for range 1000 {
-		average.openCapacity(2)
+		average.openCapacity(20, 10)
 	}
 	cases := []struct {
 		name           string
@@ -19,7 +19,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			copied := average
-			got := copied.openCapacity(c.priority)
+			got := copied.openCapacity(10*c.priority, 10)
 			if difference := got - c.want; difference < -0.02 || difference > 0.02 {
 				t.Errorf("open part %g, want about %g", got, c.want)
 			}
@@ -29,6 +29,7 @@
 
 func TestFirstPriorityIsTheAverage(t *testing.T) {
 	var average priorityAverage
-	assertNear(t, "open part", average.openCapacity(3), 1)
-	assertNear(t, "open part without a priority", new(priorityAverage).openCapacity(0), baseCapacityShare)
+	assertNear(t, "open part", average.openCapacity(3, 1), 1)
+	assertNear(t, "open part without a known latency", average.openCapacity(1, 0), 1)
+	assertNear(t, "open part without a priority", new(priorityAverage).openCapacity(0, 1), baseCapacityShare)
 }
