--- a/policy/activitycounters.go
+++ b/policy/activitycounters.go
@@ -20,8 +20,8 @@
 	rejectReasonCount
 )
 
-// activityCounters count what happened since the last log event of counters. Each decision is counted once, by
-// the event that made it.
+// activityCounters count what happened since the last log event of counters. Each decision is counted once,
+// by the event that made it.
 type activityCounters struct {
 	since         Time
 	sent          int // attempts
@@ -62,9 +62,23 @@
 // request.
 func (n *activityCounters) isDue(now Time) bool { return now-n.since >= counterLogInterval }
 
-// take returns the attributes of a log event, among them the groups that the counters don't know, and begins
-// to count anew.
-func (n *activityCounters) take(now Time, load, slowStart slog.Attr) []slog.Attr {
+// loadFigures is the load view, of the given number of gateways, and the backends' health.
+type loadFigures struct {
+	view              loadView
+	lateShare         float64 // the share of answers after their objective
+	meanLatency       float64 // of successful answers, in microseconds
+	healthy, backends int
+}
+
+// slowStartFigures are the backends in slow start, and the answers of warm ones, from which their rate
+// derives.
+type slowStartFigures struct {
+	backends, warmBackends int
+	answersOfWarm          float64 // successful answers a second of a warm backend
+}
+
+// take returns the attributes of a log event and begins to count anew.
+func (n *activityCounters) take(now Time, load loadFigures, slowStart slowStartFigures) []slog.Attr {
 	attributes := []slog.Attr{
 		slog.Int("attempts_sent", n.sent),
 		slog.Int("consecutive_to_one_backend", n.consecutive),
@@ -74,8 +88,8 @@
 		slog.Int("quota_requests", n.quotaRequests),
 		slog.Int("quota_requests_unanswered", n.unanswered),
 		resultsAttr("results", &n.results),
-		load,
-		slowStart,
+		loadAttr(&load),
+		n.slowStartAttr(&slowStart),
 		resultsAttr("retries_after", &n.retriesAfter),
 	}
 	*n = activityCounters{since: now}
@@ -104,3 +118,25 @@
 		slog.Int("reset", counts[ResultReset]),
 		slog.Int("not_sent", counts[ResultNotSent]))
 }
+
+func loadAttr(load *loadFigures) slog.Attr {
+	const microsecondsPerMillisecond = 1000
+	return slog.Group("load",
+		slog.Float64("in_flight", load.view.inFlight),
+		slog.Float64("on_time_per_second", load.view.onTimeRate),
+		slog.Float64("gateways", load.view.gateways),
+		slog.Float64("late_share", load.lateShare),
+		slog.Float64("mean_latency_milliseconds", load.meanLatency/microsecondsPerMillisecond),
+		slog.Int("healthy_backends", load.healthy),
+		slog.Int("backends", load.backends))
+}
+
+// slowStartAttr groups what backends in slow start got, and the figures on them.
+func (n *activityCounters) slowStartAttr(slowStart *slowStartFigures) slog.Attr {
+	return slog.Group("slow_start",
+		slog.Int("backends", slowStart.backends),
+		slog.Int("attempts", n.slowStartAttempts),
+		slog.Int("denied", n.slowStartDenied),
+		slog.Float64("answers_of_warm_per_second", slowStart.answersOfWarm),
+		slog.Int("warm_backends", slowStart.warmBackends))
+}
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -51,7 +51,8 @@
 	if request.borrowed &&
 		(!c.shared.mayLend(c.clock.now, plan, request.Cost) || c.atCapacity(borrowCapacityShare)) {
 		c.counters.countOverQuota(&customer.bucket, request.Cost)
-		wait := customer.timeUntilAvailable(c.clock.now, c.clock.startedAt, &c.sharing, plan.Rate, request.Cost)
+		now, startedAt := c.clock.now, c.clock.startedAt
+		wait := customer.timeUntilAvailable(now, startedAt, &c.sharing, plan.Rate, request.Cost)
 		c.reject(request.ID, rejectOverQuota, wait)
 		return
 	}
--- a/policy/clienttimeouts.go
+++ b/policy/clienttimeouts.go
@@ -14,8 +14,8 @@
 	return timeouts
 }
 
-// hasExpired reports whether a request that was received as this gateway resumed after a stall arrived so long
-// ago that an answer after the usual latency misses the objective. It learns from any other request.
+// hasExpired reports whether a request that was received as this gateway resumed after a stall arrived so
+// long ago that an answer after the usual latency misses the objective. It learns from any other request.
 func (t clientTimeouts) hasExpired(req *Request, isResuming bool, usualLatency float64, objective Time) bool {
 	if !isResuming {
 		t[req.Plan][req.Class].add(float64(req.Timeout), sampleWeight)
--- a/policy/controller_gossip.go
+++ b/policy/controller_gossip.go
@@ -113,7 +113,7 @@
 
 // applyUsage applies a peer's usage entry, and answers its quota request or corrects its grant.
 func (c *Controller) applyUsage(sender usageSender, entry *usageEntry) {
-	if entry.plan >= len(c.settings.Plans) || entry.replicas < 1 || entry.replicas > c.sharing.gateways {
+	if !hasIndex(c.settings.Plans, entry.plan) || !c.sharing.isSetSize(entry.replicas) {
 		return
 	}
 	account := c.sharing.newAccount(entry.customer, entry.plan, entry.firstReplica, entry.replicas)
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -218,6 +218,16 @@
 	c.demand.window = sharing.demandWindow(&c.account)
 }
 
+// fitToPlan gives the record of another process, which may have had other settings, what follows from its
+// plan here. A bucket of a share of the quota is fitted with the next refill.
+func (c *customer) fitToPlan(sharing *quotaSharing) {
+	c.demand.window = sharing.demandWindow(&c.account)
+	if plan := sharing.plan(&c.account); sharing.sharesUsage {
+		c.bucket.resize(plan.Rate, plan.Burst)
+	}
+	c.limitToCoordinatorShare(sharing)
+}
+
 // limitToCoordinatorShare limits a coordinator's bucket to its part of the burst.
 func (c *customer) limitToCoordinatorShare(sharing *quotaSharing) {
 	if sharing.grantsQuota(&c.account) {
--- a/policy/customertable.go
+++ b/policy/customertable.go
@@ -26,6 +26,15 @@
 	t.inOrder = append(t.inOrder, customer)
 }
 
+// restore adds the record of another process, whose unreported use is to be reported.
+func (t *customerTable) restore(sharing *quotaSharing, customer *customer) {
+	customer.fitToPlan(sharing)
+	t.add(customer)
+	if customer.usage.hasUnreported() {
+		t.scheduleReport(sharing, customer)
+	}
+}
+
 // recordDemand counts the units of a customer's request before it is decided on.
 func (t *customerTable) recordDemand(now Time, sharing *quotaSharing, customer *customer, units float64) {
 	customer.recordDemand(now, sharing, units)
--- a/policy/customertable_test.go
+++ b/policy/customertable_test.go
@@ -95,3 +95,23 @@
 		}
 	}
 }
+
+func TestRestoredCustomerFitsThePlanAndIsReported(t *testing.T) {
+	sharing := meshSharing()
+	table := newCustomerTable()
+	restored := &customer{
+		account: account{id: 1, replicas: 3}, grant: newQuotaGrant(),
+		bucket: tokenBucket{level: 4, rate: 1, capacity: 5},
+		usage:  usageLedger{customerUsage: customerUsage{consumed: 3}},
+	}
+	table.restore(&sharing, restored)
+	if want := (tokenBucket{level: 4, rate: 12, capacity: 24}); restored.bucket != want {
+		t.Errorf("bucket %+v, want %+v", restored.bucket, want)
+	}
+	if window := sharing.demandWindow(&restored.account); restored.demand.window != window {
+		t.Errorf("demand is measured over %d, want %d", restored.demand.window, window)
+	}
+	if len(table.reporting) != 1 || table.byID[1] != restored {
+		t.Errorf("%d customers to report of %d, want the one", len(table.reporting), len(table.byID))
+	}
+}
--- a/policy/priority.go
+++ b/policy/priority.go
@@ -16,9 +16,9 @@
 	return s.Classes[req.Class].PriorityWeight * s.Plans[req.Plan].ValueFactor * req.Cost
 }
 
-// openCapacity is the part of the capacity that is open to a request of a value and with a usual latency, 0 if
-// that is unknown. Its priority is the value by the work, which the latency stands for: the higher that is in
-// relation to the average, which it enters, the more is open.
+// openCapacity is the part of the capacity that is open to a request of a value and with a usual latency, 0
+// if that is unknown. Its priority is the value by the work, which the latency stands for: the higher that is
+// in relation to the average, which it enters, the more is open.
 func (p *priorityAverage) openCapacity(value, latency float64) float64 {
 	if latency == 0 {
 		return 1
--- a/policy/quotasharing.go
+++ b/policy/quotasharing.go
@@ -60,6 +60,9 @@
 	}
 }
 
+// isSetSize reports whether a replica set may have so many gateways.
+func (s *quotaSharing) isSetSize(replicas int) bool { return replicas >= 1 && replicas <= s.gateways }
+
 // plan is the account's plan.
 func (s *quotaSharing) plan(account *account) *Plan { return &s.plans[account.plan] }
 
@@ -79,7 +82,7 @@
 	return max(window, s.receiveTime(account.replicas))
 }
 
-// isSettling reports whether peers may not have reported all buckets yet to a gateway that started so long ago.
+// isSettling reports whether peers may not have reported all buckets yet to a gateway of the age.
 func (s *quotaSharing) isSettling(age Time) bool {
 	return age < min(maxSettleTime, settlePeriods*s.gossipPeriod)
 }
--- a/policy/reload.go
+++ b/policy/reload.go
@@ -12,7 +12,8 @@
 	}
 	c.advanceClock(now)
 	settings.retainFixed(&c.settings)
-	classes, plans := c.mapClasses(&settings), c.mapPlans(&settings)
+	classes := mapClasses(c.settings.Classes, &settings, c.requests.hasClass)
+	plans := mapPlans(c.settings.Plans, &settings, c.customers.hasPlan)
 	if err := settings.validate(); err != nil {
 		return err // what must be kept does not fit
 	}
@@ -63,18 +64,18 @@
 func className(class *Class) string { return class.Name }
 func planName(plan *Plan) string    { return plan.Name }
 
-// mapClasses returns the new index of each class, -1 where nothing needs it any more. It appends
-// the classes that open requests still need to the new settings.
-func (c *Controller) mapClasses(settings *Settings) []int {
+// mapClasses returns the new index of each old class, -1 where nothing needs it any more. It appends
+// those that are still needed, by open requests, to the new settings.
+func mapClasses(old []Class, settings *Settings, isNeeded func(class int) bool) []int {
 	configured := len(settings.Classes)
-	indices := make([]int, len(c.settings.Classes))
-	for i, class := range c.settings.Classes {
+	indices := make([]int, len(old))
+	for i, class := range old {
 		indices[i] = indexByName(settings.Classes[:configured], className, class.Name)
 		if indices[i] >= 0 && settings.Classes[indices[i]] == class {
 			continue
 		}
 		indices[i] = -1
-		if c.requests.hasClass(i) {
+		if isNeeded(i) {
 			indices[i] = len(settings.Classes)
 			settings.Classes = append(settings.Classes, class)
 		}
@@ -83,11 +84,11 @@
 }
 
 // mapPlans is the same for plans, which are needed while customers have them.
-func (c *Controller) mapPlans(settings *Settings) []int {
-	indices := make([]int, len(c.settings.Plans))
-	for i, plan := range c.settings.Plans {
+func mapPlans(old []Plan, settings *Settings, isNeeded func(plan int) bool) []int {
+	indices := make([]int, len(old))
+	for i, plan := range old {
 		indices[i] = indexByName(settings.Plans, planName, plan.Name)
-		if indices[i] < 0 && c.customers.hasPlan(i) {
+		if indices[i] < 0 && isNeeded(i) {
 			indices[i] = len(settings.Plans)
 			settings.Plans = append(settings.Plans, plan)
 		}
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -58,7 +58,10 @@
 	snapshot.decodeTimeouts(indices, c.clientTimeouts)
 	c.shared.restore(decodeBucket(snapshot.Lend), snapshot.IdleSpill, indices.plan)
 	for i := range snapshot.Customers {
-		c.importCustomer(&snapshot.Customers[i], indices)
+		state := &snapshot.Customers[i]
+		if plan := indices.plan[state.Plan]; plan >= 0 && c.sharing.isSetSize(state.Spread) {
+			c.customers.restore(&c.sharing, decodeCustomer(state, plan))
+		}
 	}
 	for i := range snapshot.Backends {
 		state := &snapshot.Backends[i]
@@ -72,24 +75,6 @@
 	return nil
 }
 
-func (c *Controller) importCustomer(state *CustomerState, indices snapshotIndices) {
-	planIndex := indices.plan[state.Plan]
-	if planIndex < 0 || state.Spread < 1 || state.Spread > c.settings.Gateways {
-		return
-	}
-	customer, plan := decodeCustomer(state), &c.settings.Plans[planIndex]
-	customer.plan = planIndex
-	customer.demand.window = c.sharing.demandWindow(&customer.account)
-	if c.sharing.sharesUsage {
-		customer.bucket.resize(plan.Rate, plan.Burst)
-	}
-	customer.limitToCoordinatorShare(&c.sharing)
-	c.customers.add(customer)
-	if customer.usage.hasUnreported() {
-		c.customers.scheduleReport(&c.sharing, customer)
-	}
-}
-
 // importRequest adds a request that the other process carries to its end, as load.
 func (c *Controller) importRequest(state *OpenState, indices snapshotIndices) {
 	customer := c.customers.byID[state.Customer]
--- a/policy/snapshot_codec.go
+++ b/policy/snapshot_codec.go
@@ -214,11 +214,10 @@
 	}
 }
 
-// decodeCustomer converts all but the plan, whose index differs between processes, and what follows
-// from it.
-func decodeCustomer(state *CustomerState) *customer {
-	customer := &customer{
-		account: account{id: state.ID, firstReplica: state.First, replicas: state.Spread},
+// decodeCustomer converts all but what follows from the plan, which has the given index here.
+func decodeCustomer(state *CustomerState, plan int) *customer {
+	return &customer{
+		account: account{id: state.ID, plan: plan, firstReplica: state.First, replicas: state.Spread},
 		bucket:  decodeBucket(state.Store), ceiling: decodeBucket(state.Ceiling),
 		demand: customerDemand{own: decodeSum(state.Use), peers: decodeSum(state.Others)},
 		usage:  decodeLedger(state),
@@ -230,7 +229,6 @@
 		counter: sharedCounter{total: state.Total},
 		meter:   usageMeter{demand: decodeSum(state.Metered), share: state.Part},
 	}
-	return customer
 }
 
 func decodeLedger(state *CustomerState) usageLedger {
