--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -24,7 +24,9 @@
 // valid until the next call.
 func (a *adapter) handleBatch(batch *simproto.Batch) ([]byte, error) {
 	a.reply.Reset(batch.Index)
-	err := batch.Decode(func(event *simproto.Event) { a.handleEvent(batch.Now, event) })
+	err := batch.Decode(func(instance uint16, event simproto.Event) {
+		a.handleEvent(batch.Now, instance, event)
+	})
 	if err != nil {
 		return nil, err
 	}
@@ -33,21 +35,21 @@
 
 // handleEvent passes one event to its instance; events of instances that do not run are ignored. An instance
 // that panics is removed and reported as failed.
-func (a *adapter) handleEvent(now policy.Time, event *simproto.Event) {
-	a.reply.SetInstance(event.Instance)
+func (a *adapter) handleEvent(now policy.Time, instance uint16, event simproto.Event) {
+	a.reply.SetInstance(instance)
 	defer func() {
 		if reason := recover(); reason != nil {
-			delete(a.controllers, event.Instance)
+			delete(a.controllers, instance)
 			a.reply.InstanceFailed(fmt.Sprint("panic: ", reason))
 		}
 	}()
-	switch event.Kind {
+	switch e := event.(type) {
 	case simproto.InstanceStarted:
-		a.startInstance(event)
+		a.startInstance(instance, e)
 	case simproto.InstanceStopped:
-		delete(a.controllers, event.Instance)
+		delete(a.controllers, instance)
 	default:
-		if controller := a.controllers[event.Instance]; controller != nil {
+		if controller := a.controllers[instance]; controller != nil {
 			deliver(controller, now, event)
 		}
 	}
@@ -55,18 +57,18 @@
 
 // startInstance makes a controller from the event's settings, in place of any that the instance had. Settings
 // that cannot be served are reported as a failure of the instance.
-func (a *adapter) startInstance(event *simproto.Event) {
+func (a *adapter) startInstance(instance uint16, event simproto.InstanceStarted) {
 	controller, err := a.newController(event)
 	if err != nil {
-		delete(a.controllers, event.Instance)
+		delete(a.controllers, instance)
 		a.reply.InstanceFailed(err.Error())
 		return
 	}
-	a.controllers[event.Instance] = controller
+	a.controllers[instance] = controller
 }
 
 // newController makes the controller of an instance from its settings.
-func (a *adapter) newController(event *simproto.Event) (*policy.Controller, error) {
+func (a *adapter) newController(event simproto.InstanceStarted) (*policy.Controller, error) {
 	parsed, err := settings.ParseText(event.Settings)
 	if err != nil {
 		return nil, err
@@ -74,28 +76,26 @@
 	return policy.New(parsed, event.Seed, &a.reply)
 }
 
-// deliver calls the controller's method for an event.
-func deliver(controller *policy.Controller, now policy.Time, event *simproto.Event) {
-	switch event.Kind {
+// deliver calls the controller's method for an event that happens to a running instance.
+func deliver(controller *policy.Controller, now policy.Time, event simproto.Event) {
+	switch e := event.(type) {
 	case simproto.EndpointsUpdated:
-		controller.UpdateEndpoints(now, event.UpdateKind, event.Endpoints)
+		controller.UpdateEndpoints(now, e.Kind, e.Endpoints)
 	case simproto.RequestReceived:
-		controller.RequestReceived(now, event.Request)
+		controller.RequestReceived(now, e.Request)
 	case simproto.ResponseStarted:
-		controller.ResponseStarted(now, event.Outcome.RequestID)
+		controller.ResponseStarted(now, e.RequestID)
 	case simproto.AttemptEnded:
-		controller.AttemptEnded(now, event.Outcome)
+		controller.AttemptEnded(now, e.Outcome)
 	case simproto.RequestCancelled:
-		controller.RequestCancelled(now, event.Outcome.RequestID)
+		controller.RequestCancelled(now, e.RequestID)
 	case simproto.TimerFired:
-		controller.TimerFired(now, event.TimerToken)
+		controller.TimerFired(now, e.Token)
 	case simproto.HealthCheckEnded:
-		controller.HealthCheckEnded(now, event.Backend, event.Result, event.LoadReport)
+		controller.HealthCheckEnded(now, e.Backend, e.Result, e.LoadReport)
 	case simproto.GossipReceived:
-		controller.GossipReceived(now, event.Sender, event.Gossip)
+		controller.GossipReceived(now, e.Sender, e.Message)
 	case simproto.CounterAnswered:
-		controller.CounterAnswered(now, event.CounterName, event.Result, event.CounterTotal)
-	case simproto.InstanceStarted, simproto.InstanceStopped:
-		// Events of the adapter itself: handleEvent has handled them.
+		controller.CounterAnswered(now, e.Name, e.Result, e.Total)
 	}
 }
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -68,7 +68,7 @@
 	a := newAdapter()
 	a.controllers[4] = &policy.Controller{} // panics, as policy.New did not make it
 	a.reply.Reset(1)
-	a.handleEvent(1, &simproto.Event{Kind: simproto.TimerFired, Instance: 4})
+	a.handleEvent(1, 4, simproto.TimerFired{})
 	if got := string(a.reply.Bytes()); !strings.Contains(got, "panic") {
 		t.Errorf("reply %q, want one that reports a panic", got)
 	}
--- a/internal/simproto/batch.go
+++ b/internal/simproto/batch.go
@@ -63,17 +63,17 @@
 	return nil
 }
 
-// Decode calls handle with each event of the batch, in order. The event is valid until handle returns. The
+// Decode calls handle with each event of the batch, in order, and the instance that it happened to. The
 // events before a malformed record have been handled when Decode returns its error.
-func (b *Batch) Decode(handle func(*Event)) error {
+func (b *Batch) Decode(handle func(instance uint16, event Event)) error {
 	r := recordReader{data: b.Body}
 	for i := uint32(0); i < b.Count; i++ {
-		event := Event{Kind: Kind(r.uint8()), Instance: r.uint16()}
-		r.readEvent(&event)
+		code, instance := r.uint8(), r.uint16()
+		event := r.readEvent(code)
 		if r.err != nil {
 			return fmt.Errorf("batch %d, record %d: %w", b.Index, i, r.err)
 		}
-		handle(&event)
+		handle(instance, event)
 	}
 	if remaining := r.remaining(); remaining > 0 {
 		return fmt.Errorf("batch %d: %w: %d after the last record", b.Index, ErrTrailingBytes, remaining)
--- a/internal/simproto/codes.go
+++ b/internal/simproto/codes.go
@@ -21,22 +21,19 @@
 	ErrTrailingBytes = errors.New("trailing bytes")
 )
 
-// Kind is the code of an event's kind.
-type Kind uint8
-
-// The kinds of events, each with its name in the protocol's specification.
+// The codes of the events, each with its name in the protocol's specification.
 const (
-	GossipReceived   Kind = 1  // heard
-	HealthCheckEnded Kind = 2  // sampled
-	RequestReceived  Kind = 3  // ingress
-	TimerFired       Kind = 4  // wake
-	InstanceStarted  Kind = 5  // provision
-	InstanceStopped  Kind = 6  // crash_now
-	AttemptEnded     Kind = 7  // done
-	EndpointsUpdated Kind = 8  // backends_changed
-	RequestCancelled Kind = 9  // dropped
-	ResponseStarted  Kind = 10 // first
-	CounterAnswered  Kind = 11 // ledger_reply
+	codeGossipReceived   = 1  // heard
+	codeHealthCheckEnded = 2  // sampled
+	codeRequestReceived  = 3  // ingress
+	codeTimerFired       = 4  // wake
+	codeInstanceStarted  = 5  // provision
+	codeInstanceStopped  = 6  // crash_now
+	codeAttemptEnded     = 7  // done
+	codeEndpointsUpdated = 8  // backends_changed
+	codeRequestCancelled = 9  // dropped
+	codeResponseStarted  = 10 // first
+	codeCounterAnswered  = 11 // ledger_reply
 )
 
 // The codes of the actions, each with its name in the protocol's specification.
--- a/internal/simproto/event.go
+++ b/internal/simproto/event.go
@@ -6,75 +6,113 @@
 	"sparspread/policy"
 )
 
-// Event is one record of a batch. Only the fields of its kind are set.
-type Event struct {
-	Kind     Kind
-	Instance uint16 // the gateway that it happened to
+// Event is what happened to an instance: a value of one of the types below. What it holds of the batch's
+// memory is valid as long as the batch is.
+type Event interface{ event() }
 
-	// InstanceStarted.
-	Seed     uint64
+// InstanceStarted begins an instance, in place of any of the same number.
+type InstanceStarted struct {
+	Seed     uint64 // of its random numbers
 	Settings []byte // lines of key=value, for settings.ParseText
+}
+
+// InstanceStopped ends an instance.
+type InstanceStopped struct{}
+
+// EndpointsUpdated is an update of the endpoint list.
+type EndpointsUpdated struct {
+	Kind      policy.UpdateKind
+	Endpoints []policy.Endpoint
+}
+
+// RequestReceived is a request of a client.
+type RequestReceived struct{ Request policy.Request }
 
-	// EndpointsUpdated.
-	UpdateKind policy.UpdateKind
-	Endpoints  []policy.Endpoint
+// ResponseStarted says that the answer to an attempt begins to arrive.
+type ResponseStarted struct {
+	RequestID uint64
+	Backend   uint32
+	Attempt   int
+	Latency   policy.Time // since the attempt was sent
+}
 
-	// RequestReceived.
-	Request policy.Request
+// AttemptEnded is the outcome of an attempt.
+type AttemptEnded struct{ Outcome policy.Outcome }
 
-	// AttemptEnded. ResponseStarted and RequestCancelled set the request's ID only.
-	Outcome policy.Outcome
+// RequestCancelled says that a client no longer waits.
+type RequestCancelled struct{ RequestID uint64 }
 
-	// TimerFired.
-	TimerToken uint32
+// TimerFired says that the time of a timer has come.
+type TimerFired struct{ Token uint32 }
 
-	// HealthCheckEnded. CounterAnswered sets Result too.
+// HealthCheckEnded is the outcome of a health check.
+type HealthCheckEnded struct {
 	Backend    uint32
 	Result     policy.Result
 	LoadReport []float32
+}
+
+// GossipReceived is a message of another gateway.
+type GossipReceived struct {
+	Sender  int // its number
+	Message []byte
+}
+
+// CounterAnswered is the answer to a call of the shared counter.
+type CounterAnswered struct {
+	Name   uint64
+	Result policy.Result
+	Total  float64
+}
 
-	// GossipReceived.
-	Sender int
-	Gossip []byte
-
-	// CounterAnswered.
-	CounterName  uint64
-	CounterTotal float64
-}
-
-// fieldReaders read the fields of an event, by its kind.
-var fieldReaders = [...]func(r *recordReader, e *Event){
-	InstanceStarted: func(r *recordReader, e *Event) {
-		e.Seed = r.uint64()
-		e.Settings = r.bytes(int(r.uint32()))
-	},
-	InstanceStopped:  func(*recordReader, *Event) {}, // has no fields
-	EndpointsUpdated: (*recordReader).readEndpointsUpdated,
-	RequestReceived:  func(r *recordReader, e *Event) { r.readRequest(&e.Request) },
-	ResponseStarted:  func(r *recordReader, e *Event) { r.readResponseStarted(&e.Outcome) },
-	AttemptEnded:     func(r *recordReader, e *Event) { r.readAttemptEnded(&e.Outcome) },
-	RequestCancelled: func(r *recordReader, e *Event) { e.Outcome.RequestID = r.uint64() },
-	TimerFired:       func(r *recordReader, e *Event) { e.TimerToken = r.uint32() },
-	HealthCheckEnded: (*recordReader).readHealthCheckEnded,
-	GossipReceived: func(r *recordReader, e *Event) {
-		e.Sender = int(r.uint16())
-		e.Gossip = r.bytes(int(r.uint16()))
-	},
-	CounterAnswered: (*recordReader).readCounterAnswered,
-}
-
-// readEvent reads the fields of an event whose kind and instance are set.
-func (r *recordReader) readEvent(e *Event) {
-	if int(e.Kind) >= len(fieldReaders) || fieldReaders[e.Kind] == nil {
-		r.fail(fmt.Errorf("%w: event %d", ErrUnknownCode, e.Kind))
-		return
+func (InstanceStarted) event()  {}
+func (InstanceStopped) event()  {}
+func (EndpointsUpdated) event() {}
+func (RequestReceived) event()  {}
+func (ResponseStarted) event()  {}
+func (AttemptEnded) event()     {}
+func (RequestCancelled) event() {}
+func (TimerFired) event()       {}
+func (HealthCheckEnded) event() {}
+func (GossipReceived) event()   {}
+func (CounterAnswered) event()  {}
+
+// eventReaders read the fields of an event, by its code.
+var eventReaders = [...]func(r *recordReader) Event{
+	codeInstanceStarted:  (*recordReader).readInstanceStarted,
+	codeInstanceStopped:  func(*recordReader) Event { return InstanceStopped{} }, // has no fields
+	codeEndpointsUpdated: (*recordReader).readEndpointsUpdated,
+	codeRequestReceived:  (*recordReader).readRequestReceived,
+	codeResponseStarted:  (*recordReader).readResponseStarted,
+	codeAttemptEnded:     (*recordReader).readAttemptEnded,
+	codeRequestCancelled: func(r *recordReader) Event { return RequestCancelled{RequestID: r.uint64()} },
+	codeTimerFired:       func(r *recordReader) Event { return TimerFired{Token: r.uint32()} },
+	codeHealthCheckEnded: (*recordReader).readHealthCheckEnded,
+	codeGossipReceived:   (*recordReader).readGossipReceived,
+	codeCounterAnswered:  (*recordReader).readCounterAnswered,
+}
+
+// readEvent reads the fields of an event whose code was read.
+func (r *recordReader) readEvent(code uint8) Event {
+	if int(code) >= len(eventReaders) || eventReaders[code] == nil {
+		r.fail(fmt.Errorf("%w: event %d", ErrUnknownCode, code))
+		return nil
 	}
-	fieldReaders[e.Kind](r, e)
+	return eventReaders[code](r)
+}
+
+// readInstanceStarted reads the start of an instance.
+func (r *recordReader) readInstanceStarted() Event {
+	var e InstanceStarted
+	e.Seed = r.uint64()
+	e.Settings = r.bytes(int(r.uint32()))
+	return e
 }
 
 // readEndpointsUpdated reads an update of the endpoint list.
-func (r *recordReader) readEndpointsUpdated(e *Event) {
-	e.UpdateKind = readCode(r, updateKindByCode, "list mode")
+func (r *recordReader) readEndpointsUpdated() Event {
+	var e EndpointsUpdated
+	e.Kind = readCode(r, updateKindByCode, "list mode")
 	r.uint64() // version of the list
 	count := int(r.uint32())
 	if count > r.remaining()/endpointSize {
@@ -83,6 +121,7 @@
 	for i := 0; i < count && r.err == nil; i++ {
 		e.Endpoints = append(e.Endpoints, r.readEndpoint())
 	}
+	return e
 }
 
 // readEndpoint reads one entry of an endpoint list.
@@ -96,8 +135,9 @@
 	return endpoint
 }
 
-// readRequest reads a request as it was received.
-func (r *recordReader) readRequest(request *policy.Request) {
+// readRequestReceived reads a request as it was received.
+func (r *recordReader) readRequestReceived() Event {
+	var request policy.Request
 	request.ID = r.uint64()
 	r.uint8() // flags for a client's retry and for a write: no decision depends on them
 	request.Cost = r.float32()
@@ -107,18 +147,22 @@
 	request.Class = int(r.uint16())
 	request.FirstReplica = int(r.float32())
 	request.Customer = r.uint64()
+	return RequestReceived{Request: request}
 }
 
 // readResponseStarted reads which attempt of a request is being answered.
-func (r *recordReader) readResponseStarted(outcome *policy.Outcome) {
-	outcome.RequestID = r.uint64()
-	outcome.Backend = r.uint32()
-	outcome.Attempt = int(r.uint16())
-	outcome.Latency = policy.Time(r.uint32())
+func (r *recordReader) readResponseStarted() Event {
+	var e ResponseStarted
+	e.RequestID = r.uint64()
+	e.Backend = r.uint32()
+	e.Attempt = int(r.uint16())
+	e.Latency = policy.Time(r.uint32())
+	return e
 }
 
 // readAttemptEnded reads the outcome of an attempt.
-func (r *recordReader) readAttemptEnded(outcome *policy.Outcome) {
+func (r *recordReader) readAttemptEnded() Event {
+	var outcome policy.Outcome
 	outcome.RequestID = r.uint64()
 	outcome.Attempt = int(r.uint16())
 	outcome.Backend = r.uint32()
@@ -128,20 +172,33 @@
 	outcome.MeterReading = int(r.uint16())
 	outcome.ActualCost = float64(r.uint16())
 	outcome.LoadReport = r.loadReport()
+	return AttemptEnded{Outcome: outcome}
 }
 
 // readHealthCheckEnded reads the outcome of a health check.
-func (r *recordReader) readHealthCheckEnded(e *Event) {
+func (r *recordReader) readHealthCheckEnded() Event {
+	var e HealthCheckEnded
 	e.Backend = r.uint32()
 	e.Result = r.result()
 	r.uint32() // latency: no decision depends on it
 	e.LoadReport = r.loadReport()
+	return e
+}
+
+// readGossipReceived reads a message of another gateway.
+func (r *recordReader) readGossipReceived() Event {
+	var e GossipReceived
+	e.Sender = int(r.uint16())
+	e.Message = r.bytes(int(r.uint16()))
+	return e
 }
 
 // readCounterAnswered reads the answer to a call of the shared counter.
-func (r *recordReader) readCounterAnswered(e *Event) {
-	e.CounterTotal = r.float32()
+func (r *recordReader) readCounterAnswered() Event {
+	var e CounterAnswered
+	e.Total = r.float32()
 	e.Result = r.result()
-	e.CounterName = r.uint64()
+	e.Name = r.uint64()
 	r.uint32() // latency: no decision depends on it
+	return e
 }
--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/simproto_test.go
@@ -33,51 +33,44 @@
 
 // eventCase is the record of one event and what it is decoded to.
 type eventCase struct {
-	name   string
-	record string // in hexadecimal
-	want   Event
+	name     string
+	record   string // in hexadecimal
+	instance uint16
+	want     Event
 }
 
 // eventCases has each kind of event.
 var eventCases = []eventCase{
 	{
-		name: "request received",
-		record: "03 0300 c4913a5d7f250800 01 00000040 80a90300 0100 00004040 0200 0000803f" +
+		"request received",
+		"03 0300 c4913a5d7f250800 01 00000040 80a90300 0100 00004040 0200 0000803f" +
 			"640ad2557c3bf091",
-		want: Event{Kind: RequestReceived, Instance: 3, Request: policy.Request{
+		3,
+		RequestReceived{policy.Request{
 			ID: 0x8257f5d3a91c4, Cost: 2, Timeout: 240000,
 			Plan: 1, Replicas: 3, Class: 2, FirstReplica: 1, Customer: 0x91f03b7c55d20a64,
 		}},
 	},
+	{"timer fired", "04 0300 4d000000", 3, TimerFired{Token: 77}},
+	{"request cancelled", "09 0500 192b6f0e23e80e00", 5, RequestCancelled{RequestID: 0x0ee8230e6f2b19}},
 	{
-		name:   "timer fired",
-		record: "04 0300 4d000000",
-		want:   Event{Kind: TimerFired, Instance: 3, TimerToken: 77},
-	},
-	{
-		name:   "request cancelled",
-		record: "09 0500 192b6f0e23e80e00",
-		want: Event{
-			Kind: RequestCancelled, Instance: 5,
-			Outcome: policy.Outcome{RequestID: 0x0ee8230e6f2b19},
-		},
-	},
-	{
-		name:   "attempt ended",
-		record: "07 0300 c4913a5d7f250800 0100 074a1203 03 44480000 01 5600 0300 01 0000803f",
-		want: Event{Kind: AttemptEnded, Instance: 3, Outcome: policy.Outcome{
+		"attempt ended",
+		"07 0300 c4913a5d7f250800 0100 074a1203 03 44480000 01 5600 0300 01 0000803f",
+		3,
+		AttemptEnded{policy.Outcome{
 			RequestID: 0x8257f5d3a91c4, Attempt: 1, Backend: 0x03124a07,
 			Result: policy.ResultOverloaded, Latency: 18500, Answered: true,
 			MeterReading: 86, ActualCost: 3, LoadReport: []float32{1},
 		}},
 	},
 	{
-		name: "endpoints updated",
-		record: "08 0300 01 2900000000000000 02000000" +
+		"endpoints updated",
+		"08 0300 01 2900000000000000 02000000" +
 			"074a1203 0000 00 0000 01 0000803f 0000000000000000" +
 			"f211902c 0100 01 0300 02 0000c03f 20145d0000000000",
-		want: Event{
-			Kind: EndpointsUpdated, Instance: 3, UpdateKind: policy.UpdateStale,
+		3,
+		EndpointsUpdated{
+			Kind: policy.UpdateStale,
 			Endpoints: []policy.Endpoint{
 				{ID: 0x03124a07, CapacityHint: 1},
 				{
@@ -88,41 +81,31 @@
 		},
 	},
 	{
-		name:   "counter answered",
-		record: "0b 0300 00001842 01 90f6890000000000 66080000",
-		want: Event{
-			Kind: CounterAnswered, Instance: 3,
-			CounterTotal: 38, Result: policy.ResultOK, CounterName: 0x89f690,
-		},
-	},
-	{
-		name:   "health check ended",
-		record: "02 0100 09000000 04 01000000 00",
-		want:   Event{Kind: HealthCheckEnded, Instance: 1, Backend: 9, Result: policy.ResultTimedOut},
+		"counter answered", "0b 0300 00001842 01 90f6890000000000 66080000",
+		3,
+		CounterAnswered{Total: 38, Result: policy.ResultOK, Name: 0x89f690},
 	},
 	{
-		name:   "gossip received",
-		record: "01 0200 0100 0300 616263",
-		want:   Event{Kind: GossipReceived, Instance: 2, Sender: 1, Gossip: []byte("abc")},
+		"health check ended", "02 0100 09000000 04 01000000 00",
+		1,
+		HealthCheckEnded{Backend: 9, Result: policy.ResultTimedOut},
 	},
 	{
-		name:   "response started",
-		record: "0a 0100 0500000000000000 09000000 0100 02000000",
-		want: Event{
-			Kind: ResponseStarted, Instance: 1,
-			Outcome: policy.Outcome{RequestID: 5, Backend: 9, Attempt: 1, Latency: 2},
-		},
+		"gossip received", "01 0200 0100 0300 616263",
+		2,
+		GossipReceived{Sender: 1, Message: []byte("abc")},
 	},
 	{
-		name:   "instance started",
-		record: "05 0100 0700000000000000 03000000 613d31",
-		want:   Event{Kind: InstanceStarted, Instance: 1, Seed: 7, Settings: []byte("a=1")},
+		"response started", "0a 0100 0500000000000000 09000000 0100 02000000",
+		1,
+		ResponseStarted{RequestID: 5, Backend: 9, Attempt: 1, Latency: 2},
 	},
 	{
-		name:   "instance stopped",
-		record: "06 0100",
-		want:   Event{Kind: InstanceStopped, Instance: 1},
+		"instance started", "05 0100 0700000000000000 03000000 613d31",
+		1,
+		InstanceStarted{Seed: 7, Settings: []byte("a=1")},
 	},
+	{"instance stopped", "06 0100", 1, InstanceStopped{}},
 }
 
 func TestDecodeReadsEachKindOfEvent(t *testing.T) {
@@ -133,15 +116,16 @@
 			if err != nil || batch.Index != 12 || batch.Now != 99 {
 				t.Fatalf("batch %+v: %v", batch, err)
 			}
+			var instance uint16
 			var got Event
-			if err := batch.Decode(func(e *Event) { got = *e }); err != nil {
+			if err := batch.Decode(func(i uint16, e Event) { instance, got = i, e }); err != nil {
 				t.Error(err)
-			} else if !reflect.DeepEqual(got, c.want) {
-				t.Errorf("got\n%+v, want\n%+v", got, c.want)
+			} else if instance != c.instance || !reflect.DeepEqual(got, c.want) {
+				t.Errorf("got instance %d,\n%#v, want %d,\n%#v", instance, got, c.instance, c.want)
 			}
 			for size := range body {
 				short := Batch{Count: 1, Body: body[:size]}
-				if err := short.Decode(func(*Event) {}); !errors.Is(err, ErrTruncated) {
+				if err := short.Decode(func(uint16, Event) {}); !errors.Is(err, ErrTruncated) {
 					t.Errorf("cut to %d bytes: error %v, want %v", size, err, ErrTruncated)
 				}
 			}
@@ -181,7 +165,7 @@
 		{"fewer records than announced", 2, "06 0100", ErrTruncated},
 	} {
 		batch := Batch{Count: c.count, Body: fromHex(t, c.record)}
-		if err := batch.Decode(func(*Event) {}); !errors.Is(err, c.want) {
+		if err := batch.Decode(func(uint16, Event) {}); !errors.Is(err, c.want) {
 			t.Errorf("%s: error %v, want %v", c.name, err, c.want)
 		}
 	}
@@ -232,7 +216,7 @@
 	f.Fuzz(func(t *testing.T, count uint32, body []byte) {
 		batch := Batch{Count: count, Body: body}
 		decoded := 0
-		err := batch.Decode(func(*Event) { decoded++ })
+		err := batch.Decode(func(uint16, Event) { decoded++ })
 		if err == nil && uint32(decoded) != count {
 			t.Errorf("%d of %d records decoded without an error", decoded, count)
 		}
