--- a/policy/concurrencylimit.go
+++ b/policy/concurrencylimit.go
@@ -33,6 +33,17 @@
 	allowedLatency float64 // the average latency, in microseconds, at which all objectives are still met
 }
 
+// recordOutcome learns from how an attempt ended whether backends answer within the objective of its class. A
+// backend that rejects is full: however soon it says so, that is no answer on time. An attempt that timed out
+// counts only if it was late by then.
+func (l *concurrencyLimit) recordOutcome(activeTime, objective Time, outcome *Outcome) {
+	isLate := outcome.Latency > objective || outcome.Result == ResultOverloaded
+	isAnswer := outcome.Result == ResultOK || outcome.Result == ResultOverloaded
+	if isAnswer || outcome.Result == ResultTimedOut && isLate {
+		l.recordAnswer(activeTime, isLate)
+	}
+}
+
 // recordAnswer learns from an answer, or from an attempt that timed out, which counts as a late one.
 func (l *concurrencyLimit) recordAnswer(activeTime Time, isLate bool) {
 	l.lateShare.add(indicator(isLate), sampleWeight)
--- a/policy/concurrencylimit_test.go
+++ b/policy/concurrencylimit_test.go
@@ -89,3 +89,29 @@
 		t.Errorf("with eight answers: got %+v, want %+v", got, want)
 	}
 }
+
+func TestOutcomesCountAsAnswersOnTimeOrLate(t *testing.T) {
+	for _, c := range []struct {
+		name            string
+		result          Result
+		latency         Time
+		counted, onTime bool
+	}{
+		{"answer on time", ResultOK, second, true, true},
+		{"late answer", ResultOK, second + 1, true, false},
+		{"rejection at once", ResultOverloaded, 1, true, false},
+		{"timeout before the objective", ResultTimedOut, second, false, false},
+		{"timeout after the objective", ResultTimedOut, second + 1, true, false},
+		{"error", ResultFailed, 1, false, false},
+		{"reset", ResultReset, 1, false, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			var limit concurrencyLimit
+			limit.recordOutcome(start, second, &Outcome{Result: c.result, Latency: c.latency})
+			if got := limit.lateShare.samples == 1; got != c.counted {
+				t.Errorf("counted %t, want %t", got, c.counted)
+			}
+			assertNear(t, "answers on time", limit.onTime.value(start, second), indicator(c.onTime))
+		})
+	}
+}
--- a/policy/controller.go
+++ b/policy/controller.go
@@ -8,7 +8,10 @@
 	quotaRequestTimer        // a quota request may have timed out
 )
 
-const halfSeedBits = 32 // bits of each half of a seed
+const (
+	halfSeedBits  = 32 // bits of each half of a seed
+	loadViewPeers = 6  // random peers that get this gateway's load view at each sweep
+)
 
 // Controller makes the decisions of one gateway. It is not safe for concurrent use; see the package
 // documentation for what its host must do.
@@ -76,27 +79,24 @@
 	case clockStarted:
 		c.start(now)
 	case clockResumed:
-		c.excludeStall()
+		c.requests.excludeStall(c.clock.now)
 	}
 }
 
-// start begins the controller's work at its first event.
+// start begins the controller's work at its first event. It announces to this gateway's neighbours that it
+// has started without any state.
 func (c *Controller) start(now Time) {
 	c.customers.sweptAt, c.shared.updatedAt, c.counters.since = now, now, now
 	c.scheduleTick()
 	if c.settings.PollEndpoints {
-		c.requestWatch()
+		c.watch.request(c.clock.now)
+		c.actions.WatchEndpoints()
 	}
-	c.announceStart()
-}
-
-// excludeStall has the latency of the attempts that were pending in a stall count for nothing: it says
-// nothing about the backends.
-func (c *Controller) excludeStall() {
-	const anyAge = -1
-	c.requests.overlapStall()
-	for class := range c.settings.Classes {
-		markOverdue(c.requests.takeOlder(class, c.clock.now, anyAge))
+	c.gossip.start(now)
+	for index := range c.sharing.gateways {
+		if c.sharing.announcesTo(index) {
+			c.actions.SendGossip(index, c.gossip.newMessage(c.loadView()))
+		}
 	}
 }
 
@@ -118,7 +118,9 @@
 			logWarm(c.actions, backend.ID, backend.slowStart.attempts)
 		}
 		c.logCounters()
-		c.queueLoadView(loadViewPeers) // peers hear of it also while this gateway sends nothing
+		for _, peer := range c.sharing.drawPeers(loadViewPeers, c.random) {
+			c.prepareMessage(peer) // with the load view, also while this gateway sends nothing
+		}
 		c.sweepCustomers()
 		c.backends.sweepDeparted(c.clock.now)
 	}
@@ -131,6 +133,7 @@
 		}
 	}
 	if c.settings.PollEndpoints && c.watch.isDue(now, c.settings.PollWithin) {
-		c.requestWatch()
+		c.watch.request(c.clock.now)
+		c.actions.WatchEndpoints()
 	}
 }
--- a/policy/controller_backends.go
+++ b/policy/controller_backends.go
@@ -28,12 +28,6 @@
 // UnavailableBackends is how many listed backends get no attempts, as they are draining or ejected.
 func (c *Controller) UnavailableBackends() int { return c.backends.unavailable() }
 
-// requestWatch asks service discovery for the endpoint list and its changes.
-func (c *Controller) requestWatch() {
-	c.watch.request(c.clock.now)
-	c.actions.WatchEndpoints()
-}
-
 // beginSlowStart notes that a backend has started, or may have.
 func (c *Controller) beginSlowStart(backend *backend, startedAt Time, reason slowStartReason) {
 	share := backend.slowStart.begin(startedAt, c.clock.now, c.random.Float64(), &c.slowStart)
--- a/policy/controller_gossip.go
+++ b/policy/controller_gossip.go
@@ -1,7 +1,5 @@
 package policy
 
-const loadViewPeers = 6 // random peers that get this gateway's load view at each sweep
-
 // runGossipRound reports the customers whose use has changed to peers, or else to the shared counter.
 func (c *Controller) runGossipRound() {
 	c.customers.sortReporting()
@@ -58,15 +56,6 @@
 	c.gossip.addGrant(index, grant{customer: customer.id, fraction: customer.grant.fraction})
 }
 
-// queueLoadView has messages with this gateway's load view go to some random peers.
-func (c *Controller) queueLoadView(count int) {
-	for range count {
-		if index := c.random.IntN(c.sharing.gateways); c.sharing.gossip && index != c.sharing.self {
-			c.prepareMessage(index)
-		}
-	}
-}
-
 // prepareMessage begins a message for a peer unless one is in preparation. The load view is taken at this
 // moment only, as reading a decaying sum rounds it.
 func (c *Controller) prepareMessage(index int) {
@@ -75,16 +64,6 @@
 	}
 }
 
-// announceStart announces to this gateway's neighbours that it has started without any state.
-func (c *Controller) announceStart() {
-	c.gossip.start(c.clock.now)
-	for index := range c.sharing.gateways {
-		if c.sharing.announcesTo(index) {
-			c.actions.SendGossip(index, c.gossip.newMessage(c.loadView()))
-		}
-	}
-}
-
 // GossipReceived handles a peer's message. A malformed one is ignored.
 func (c *Controller) GossipReceived(now Time, from int, raw []byte) {
 	c.advanceClock(now)
@@ -95,7 +74,10 @@
 	received := c.gossip.receive(from, c.clock.activeTime, &message)
 	c.limit.recordPeer(c.clock.activeTime, received.weight, message.inFlight, message.onTimeRate)
 	if received.restarted {
-		c.reportAllTo(from)
+		for _, customer := range c.customers.inOrder {
+			c.refillBuckets(customer)
+			c.customers.reportTo(from, &c.sharing, customer)
+		}
 	}
 	sender := usageSender{gateway: from, incarnation: message.incarnation, newest: received.newest}
 	for i := range message.usage {
@@ -143,27 +125,9 @@
 	}
 }
 
-// reportAllTo schedules reports of the customers that a gateway which has just started shares and
-// whose buckets are not full.
-func (c *Controller) reportAllTo(gateway int) {
-	for _, customer := range c.customers.inOrder {
-		c.refillBuckets(customer)
-		account, isFull := &customer.account, customer.bucket.level >= customer.bucket.capacity
-		if !isFull && !c.sharing.isWide(account) && c.sharing.isReplica(account, gateway) {
-			c.customers.scheduleReport(&c.sharing, customer)
-		}
-	}
-}
-
 // AdvertiseAll schedules reports of all customers, as messages may have been lost.
 func (c *Controller) AdvertiseAll() {
 	for _, customer := range c.customers.inOrder {
 		c.customers.scheduleReport(&c.sharing, customer)
 	}
 }
-
-// reportFault notes a fault of a backend with a class or plan and sends it with the next messages.
-func (c *Controller) reportFault(backend *backend, subject faultSubject) {
-	backend.faults.add(c.clock.now, subject)
-	c.gossip.addFault(faultReport{backend: backend.ID, subject: subject})
-}
--- a/policy/controller_outcomes.go
+++ b/policy/controller_outcomes.go
@@ -7,19 +7,17 @@
 	attempt.release(request.customer)
 	slowStart := &attempt.backend.slowStart
 	attempt.slowStart = slowStart.release(attempt.slowStart, attempt.sentAt, outcome.Result == ResultNotSent)
-	// A backend that rejects is full: however soon it says so, that is no answer on time.
-	objective := c.settings.Classes[request.Class].LatencyObjective
-	isLate := outcome.Latency > objective || outcome.Result == ResultOverloaded
-	answered := outcome.Result == ResultOK || outcome.Result == ResultOverloaded
-	if !attempt.overlappedStall && (answered || outcome.Result == ResultTimedOut && isLate) {
-		c.limit.recordAnswer(c.clock.activeTime, isLate)
+	if !attempt.overlappedStall {
+		objective := c.settings.Classes[request.Class].LatencyObjective
+		c.limit.recordOutcome(c.clock.activeTime, objective, outcome)
 	}
-	if answered || outcome.Result == ResultFailed {
+	if outcome.Result.isAnswer() {
 		attempt.backend.health.recordAnswer(c.clock.now, c.clock.activeTime)
 	}
 	c.recordResult(attempt, request.Class, outcome)
 	if subject, isFault := request.faultOf(attempt, outcome.Result); isFault {
-		c.reportFault(attempt.backend, subject)
+		attempt.backend.faults.add(c.clock.now, subject)
+		c.gossip.addFault(faultReport{backend: attempt.backend.ID, subject: subject}) // others meet it rarely
 	}
 	request.customer.readMeter(c.clock.now, &c.sharing, outcome.MeterReading)
 	if c.settings.SettlesCost && outcome.Result == ResultOK && outcome.ActualCost > 0 {
--- a/policy/customertable.go
+++ b/policy/customertable.go
@@ -54,6 +54,16 @@
 	}
 }
 
+// reportTo schedules a report of a customer to a gateway that has just started, if that one shares the
+// customer and needs to know: a bucket that is not reported counts as full.
+func (t *customerTable) reportTo(gateway int, sharing *quotaSharing, customer *customer) {
+	account := &customer.account
+	isFull := customer.bucket.level >= customer.bucket.capacity
+	if !isFull && !sharing.isWide(account) && sharing.isReplica(account, gateway) {
+		t.scheduleReport(sharing, customer)
+	}
+}
+
 // sortReporting orders the customers to report: those that consumed the largest part of their burst come
 // first.
 func (t *customerTable) sortReporting() {
--- a/policy/customertable_test.go
+++ b/policy/customertable_test.go
@@ -73,6 +73,30 @@
 	assertNear(t, "consumed", table.byID[2].usage.consumed, 2)
 }
 
+func TestStartedGatewayHearsOfBucketsThatAreNotFull(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		gateway int
+		spent   float64
+		want    bool
+	}{
+		{"a replica, spent bucket", 2, 1, true},
+		{"a replica, full bucket", 2, 0, false},
+		{"another gateway, spent bucket", 3, 1, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			sharing := newQuotaSharing(&Settings{Gateways: 6, Gossip: true, Plans: []Plan{sharedPlan()}})
+			table := tableOf(&sharing, 1)
+			customer := table.byID[1]
+			customer.bucket.level = customer.bucket.capacity - c.spent
+			table.reportTo(c.gateway, &sharing, customer)
+			if got := len(table.reporting) > 0; got != c.want {
+				t.Errorf("reported %t, want %t", got, c.want)
+			}
+		})
+	}
+}
+
 func TestCustomersOfOneGatewayAreNotReported(t *testing.T) {
 	sharing := meshSharing()
 	table := newCustomerTable()
--- a/policy/leastloaded.go
+++ b/policy/leastloaded.go
@@ -72,6 +72,7 @@
 		return a.Zone == b.Zone
 	case DedupCell:
 		return a.Cell == b.Cell
+	default: // DedupAll
+		return true
 	}
-	return true
 }
--- a/policy/quotasharing.go
+++ b/policy/quotasharing.go
@@ -1,6 +1,9 @@
 package policy
 
-import "math"
+import (
+	"math"
+	"math/rand/v2"
+)
 
 const (
 	gossipReceiveShare   = 0.5         // the part of a receiver's message limit that gossip may fill
@@ -181,6 +184,17 @@
 	return account.replicas > 1 && s.sharesUsage && !s.requiresGrant(account)
 }
 
+// drawPeers draws other gateways at random; there are fewer than count where this one was drawn.
+func (s *quotaSharing) drawPeers(count int, random *rand.Rand) []int {
+	var peers []int
+	for range count {
+		if index := random.IntN(s.gateways); s.gossip && index != s.self {
+			peers = append(peers, index)
+		}
+	}
+	return peers
+}
+
 // announcesTo reports whether a gateway is one of the neighbours that hear of this one's start.
 func (s *quotaSharing) announcesTo(gateway int) bool {
 	distance := (gateway - s.self + s.gateways) % s.gateways
--- a/policy/quotasharing_test.go
+++ b/policy/quotasharing_test.go
@@ -1,6 +1,9 @@
 package policy
 
-import "testing"
+import (
+	"math/rand/v2"
+	"testing"
+)
 
 // wideSharing is a deployment of 12 gateways that exchange gossip, with one plan.
 func wideSharing(self int, plan Plan) quotaSharing {
@@ -30,6 +33,27 @@
 	}
 }
 
+func TestPeersAreDrawnAmongTheOtherGateways(t *testing.T) {
+	sharing, random := wideSharing(3, Plan{}), rand.New(rand.NewPCG(1, 2))
+	drawn := map[int]bool{}
+	for range 100 {
+		peers := sharing.drawPeers(4, random)
+		if len(peers) > 4 {
+			t.Fatalf("%d peers, want 4 at most", len(peers))
+		}
+		for _, peer := range peers {
+			drawn[peer] = true
+		}
+	}
+	if drawn[3] || len(drawn) != 11 {
+		t.Errorf("drew %v, want each gateway but 3", drawn)
+	}
+	alone := newQuotaSharing(&Settings{Gateways: 12, SharedCounter: true})
+	if peers := alone.drawPeers(4, random); len(peers) > 0 {
+		t.Errorf("drew %v without gossip", peers)
+	}
+}
+
 func TestGossipPeriodLeavesReceiversTimeForAllPeersOfASet(t *testing.T) {
 	cases := []struct {
 		name      string
--- a/policy/request.go
+++ b/policy/request.go
@@ -31,6 +31,11 @@
 	slowStart       slowStartCharge
 }
 
+// isAnswer reports whether the backend answered the attempt, in whatever way.
+func (r Result) isAnswer() bool {
+	return r == ResultOK || r == ResultFailed || r == ResultOverloaded
+}
+
 // provesNotRun reports whether a request did not run at the backend.
 func (r Result) provesNotRun() bool {
 	return r == ResultOverloaded || r == ResultConnectFailed || r == ResultNotSent
--- a/policy/requesttable.go
+++ b/policy/requesttable.go
@@ -44,12 +44,15 @@
 	return attempts[:count]
 }
 
-// overlapStall notes that this gateway was stalled while the attempts were pending.
-func (t *requestTable) overlapStall() {
-	for _, attempts := range t.withinObjective {
+// excludeStall notes that this gateway was stalled until now while the attempts were pending: their latency
+// says nothing about the backends. All of them count as overdue.
+func (t *requestTable) excludeStall(now Time) {
+	const anyAge = -1
+	for class, attempts := range t.withinObjective {
 		for _, attempt := range attempts {
 			attempt.overlappedStall = true
 		}
+		markOverdue(t.takeOlder(class, now, anyAge))
 	}
 }
 
--- a/policy/requesttable_test.go
+++ b/policy/requesttable_test.go
@@ -26,13 +26,28 @@
 	if got := table.takeOlder(1, start+9, 7); !slices.Equal(got, attempts[:2]) {
 		t.Errorf("took %d attempts older than 7 of 9, 8 and 7, want two", len(got))
 	}
-	table.overlapStall()
-	if got := table.takeOlder(1, start+9, -1); !slices.Equal(got, attempts[2:]) {
+	if got := table.takeOlder(1, start+9, 6); !slices.Equal(got, attempts[2:]) {
 		t.Errorf("took %d attempts, want the one that is left", len(got))
 	}
-	if attempts[1].overlappedStall || !attempts[2].overlappedStall {
+}
+
+func TestAttemptsOfAStallAreOverdueAndTellNothing(t *testing.T) {
+	table := newRequestTable(1)
+	attempts := sentAt(start, start+1, start+2)
+	for _, attempt := range attempts {
+		table.addAttempt(0, attempt)
+	}
+	table.takeOlder(0, start+2, 1)
+	table.excludeStall(start + 2)
+	if attempts[0].overlappedStall || !attempts[1].overlappedStall || !attempts[2].overlappedStall {
 		t.Error("want a stall noted for those within their objective")
 	}
+	if attempts[0].overdue || !attempts[1].overdue || !attempts[2].overdue {
+		t.Error("want those within their objective overdue, also one that was sent just now")
+	}
+	if left := table.takeOlder(0, start+9, -1); len(left) != 0 {
+		t.Errorf("%d attempts are still within their objective", len(left))
+	}
 }
 
 func TestTableListsRequestsWithPendingAttemptsByID(t *testing.T) {
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -76,7 +76,7 @@
 	for range 1000 {
 		budget.deposit()
 	}
-	assertNear(t, "after many requests", float64(budget), maxRetryBudget)
+	assertNear(t, "after many requests", float64(budget), 10)
 	budget.split()
 	assertNear(t, "after a handover", float64(budget), maxRetryBudget/2)
 }
--- /dev/null
+++ b/policy/settingschange_test.go
@@ -0,0 +1,64 @@
+package policy
+
+import (
+	"slices"
+	"testing"
+)
+
+func TestClassesAndPlansAreMatchedByName(t *testing.T) {
+	inForce, settings := namedSettings(), namedSettings()
+	settings.Classes = []Class{{Name: "new"}, settings.Classes[1], {Name: "c"}} // a is gone, c has changed
+	settings.Plans = []Plan{settings.Plans[2], {Name: "p", Rate: 99}}           // q is gone, p has changed
+	for _, c := range []struct {
+		name           string
+		needed         bool
+		classes, plans []int
+		oldClasses     []int
+	}{
+		{
+			name: "needed", needed: true,
+			classes: []int{3, 1, 4}, plans: []int{1, 2, 0}, oldClasses: []int{-1, 1, 2, 0, 2},
+		},
+		{
+			name:    "not needed",
+			classes: []int{-1, 1, -1}, plans: []int{1, -1, 0}, oldClasses: []int{-1, 1, 2},
+		},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			changed := settings
+			changed.Classes, changed.Plans = slices.Clone(settings.Classes), slices.Clone(settings.Plans)
+			isNeeded := func(int) bool { return c.needed }
+			got := matchSettings(&inForce, &changed, isNeeded, isNeeded)
+			if !slices.Equal(got.classes, c.classes) || !slices.Equal(got.plans, c.plans) {
+				t.Errorf("classes %v, plans %v; want %v, %v", got.classes, got.plans, c.classes, c.plans)
+			}
+			if !slices.Equal(got.oldClasses, c.oldClasses) || len(changed.Classes) != len(c.oldClasses) {
+				t.Errorf("old classes %v of %d, want %v", got.oldClasses, len(changed.Classes), c.oldClasses)
+			}
+		})
+	}
+}
+
+func TestSettingsThatNeedARestartAreRetained(t *testing.T) {
+	inForce, changed := namedSettings(), namedSettings()
+	changed.Gateways, changed.Zone, changed.Gossip, changed.MaxAttempts = 9, 1, false, 7
+	changed.retainFixed(&inForce)
+	if changed.Gateways != inForce.Gateways || changed.Zone != inForce.Zone || !changed.Gossip {
+		t.Errorf("%d gateways, zone %d, gossip %t", changed.Gateways, changed.Zone, changed.Gossip)
+	}
+	if changed.MaxAttempts != 7 {
+		t.Errorf("%d attempts, want those of the new settings", changed.MaxAttempts)
+	}
+	changed.Classes[0].Name = "changed"
+	if inForce.Classes[0].Name != "a" {
+		t.Error("a change of the new settings reached those in force")
+	}
+}
+
+func TestShortestObjectiveIsThatOfAnyClass(t *testing.T) {
+	settings := namedSettings()
+	settings.Classes[2].LatencyObjective = second / 10
+	if got := settings.shortestObjective(); got != second/10 {
+		t.Errorf("got %d, want %d", got, second/10)
+	}
+}
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -70,36 +70,30 @@
 		backend.slowStart.restore(min(state.Started, c.clock.now), snapshot.stampsOf(i))
 	}
 	for i := range snapshot.Open {
-		c.importRequest(&snapshot.Open[i], indices)
+		state := &snapshot.Open[i]
+		request := decodeRequest(state, indices, c.customers.byID[state.Customer])
+		if request == nil {
+			continue
+		}
+		for j := range state.Attempts {
+			backend := c.backends.unlisted(state.Attempts[j].Backend, c.clock.now, c.random)
+			request.restore(decodeAttempt(&state.Attempts[j], backend))
+		}
+		c.requests.addOfPredecessor(request)
 	}
 	return nil
 }
 
-// importRequest adds a request that the other process carries to its end, as load.
-func (c *Controller) importRequest(state *OpenState, indices snapshotIndices) {
-	customer := c.customers.byID[state.Customer]
-	class, plan := indices.class[state.Class], indices.plan[state.Plan]
-	if customer == nil || class < 0 || plan < 0 {
+// restore adds an attempt of the former process to a request, as load of its backend and its customer while
+// it is pending.
+func (r *request) restore(attempt *attempt) {
+	r.attempts = append(r.attempts, attempt)
+	if !attempt.pending {
 		return
 	}
-	request := &request{
-		Request: Request{
-			ID: state.ID, Class: class, Plan: plan, Customer: state.Customer, Cost: state.Units,
-		},
-		customer: customer,
-	}
-	for i := range state.Attempts {
-		backend := c.backends.unlisted(state.Attempts[i].Backend, c.clock.now, c.random)
-		attempt := decodeAttempt(&state.Attempts[i], backend)
-		request.attempts = append(request.attempts, attempt)
-		if !attempt.pending {
-			continue
-		}
-		backend.load.add()
-		customer.inFlight++
-		if attempt.overdue {
-			backend.load.markOverdue()
-		}
+	attempt.backend.load.add()
+	r.customer.inFlight++
+	if attempt.overdue {
+		attempt.backend.load.markOverdue()
 	}
-	c.requests.addOfPredecessor(request)
 }
--- a/policy/snapshot_codec.go
+++ b/policy/snapshot_codec.go
@@ -346,6 +346,21 @@
 	}
 }
 
+// decodeRequest converts all but the attempts of a request that the former process carries to its end; nil
+// if its class, plan or customer is unknown here.
+func decodeRequest(state *OpenState, indices snapshotIndices, customer *customer) *request {
+	class, plan := indices.class[state.Class], indices.plan[state.Plan]
+	if customer == nil || class < 0 || plan < 0 {
+		return nil
+	}
+	return &request{
+		Request: Request{
+			ID: state.ID, Class: class, Plan: plan, Customer: state.Customer, Cost: state.Units,
+		},
+		customer: customer,
+	}
+}
+
 func encodeAttempt(attempt *attempt) AttemptState {
 	return AttemptState{
 		Backend: attempt.backend.ID, At: attempt.sentAt,
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -32,10 +32,17 @@
 	}
 }
 
+// The step between the arcs of neighbours, as a part of all gateways: near the golden ratio, whose multiples
+// are spread evenly.
+const (
+	arcStepNumerator   = 5
+	arcStepDenominator = 8
+)
+
 // arcStep is the distance between the arcs of two neighbours, in arcs. Neighbours serve the same
 // customers, so it is large; it has no common divisor with the number of gateways.
 func arcStep(gateways int) int {
-	step := gateways*5/8 | 1
+	step := gateways*arcStepNumerator/arcStepDenominator | 1
 	for greatestCommonDivisor(step, gateways) > 1 {
 		step += 2
 	}
