--- a/internal/gateway/backend.go
+++ b/internal/gateway/backend.go
@@ -11,7 +11,6 @@
 
 	"sparspread/internal/config"
 	"sparspread/internal/discovery"
-	"sparspread/internal/eventloop"
 	"sparspread/internal/sockwriter"
 	"sparspread/policy"
 )
@@ -36,9 +35,9 @@
 type backendConn struct {
 	conn        *net.TCPConn
 	writer      *sockwriter.Writer
-	bytesRead   atomic.Int64  // by the reader goroutine
-	done        chan struct{} // closed by the loop with the connection
-	valueClient chan *client  // from the loop to the reader: which client a large value goes to
+	bytesRead   atomic.Int64            // by the reader goroutine
+	done        chan struct{}           // closed by the loop with the connection
+	destination chan *sockwriter.Writer // from the loop to the reader: where a large value goes
 
 	// The loop's.
 	backend   *backend
@@ -62,7 +61,7 @@
 // backends holds all backends and the connections to them, and ends attempts: each gets one attemptEnded. It
 // belongs to the loop, but for dial.
 type backends struct {
-	events      *eventloop.Loop[*Loop]
+	events      *eventLoop
 	attempts    attemptSource
 	byNumber    map[uint32]*backend
 	byID        map[string]*backend
@@ -74,7 +73,7 @@
 }
 
 func newBackends(
-	cfg *config.Config, limit int, events *eventloop.Loop[*Loop], attempts attemptSource,
+	cfg *config.Config, limit int, events *eventLoop, attempts attemptSource,
 ) *backends {
 	dialTimeout := time.Duration(cfg.Host.DialTimeout) * time.Microsecond
 	return &backends{
--- a/internal/gateway/backend_dial.go
+++ b/internal/gateway/backend_dial.go
@@ -72,14 +72,14 @@
 	b.shortages = 0
 	c := &backendConn{
 		backend: b, conn: e.conn, writer: sockwriter.New(e.conn), done: make(chan struct{}),
-		valueClient: make(chan *client, 1),
+		destination: make(chan *sockwriter.Writer, 1),
 	}
 	if e.address != b.address || e.startedAtMS != b.startedAtMS {
 		bs.close(c, closeNotReady) // the backend has moved or restarted since
 		bs.dialForWaiting(b)
 		return
 	}
-	go c.readReplies(l)
+	go c.readReplies(bs.events)
 	bs.release(c)
 }
 
--- a/internal/gateway/backend_read.go
+++ b/internal/gateway/backend_read.go
@@ -30,14 +30,14 @@
 
 // readReplies posts a backend's replies until the connection ends or the framing is lost. It runs in the
 // connection's reader goroutine, which closing the connection ends.
-func (c *backendConn) readReplies(l *Loop) {
+func (c *backendConn) readReplies(events *eventLoop) {
 	in := resp.NewReader(c)
 	for {
 		e := replyReceived{conn: c}
 		if e.err = in.Await(); e.err == nil {
 			c.readTimeout = replyTimeout
 			e.reply, e.err = in.ReadReply()
-			if e.err == nil && e.reply.StreamedSize > 0 && !c.streamValue(l, in, &e) {
+			if e.err == nil && e.reply.StreamedSize > 0 && !c.streamValue(events, in, &e) {
 				return
 			}
 			c.readTimeout = 0
@@ -46,7 +46,7 @@
 		}
 		buffered := in.Buffered()
 		e.bytesUsed, e.more = c.bytesRead.Load()-int64(buffered), buffered > 0
-		l.events.Post(e)
+		events.Post(e)
 		if e.err != nil || e.more {
 			return
 		}
--- a/internal/gateway/counter.go
+++ b/internal/gateway/counter.go
@@ -21,7 +21,7 @@
 
 // IncrementCounter adds to a counter that all gateways share. The answer comes as an event. It implements
 // policy.Actions.
-func (l *Loop) IncrementCounter(name uint64, amount float64, ttl policy.Time) {
+func (l policyActions) IncrementCounter(name uint64, amount float64, ttl policy.Time) {
 	if l.counter != nil && l.counter.Increment(counter.Increment{Name: name, Amount: amount, TTL: ttl}) {
 		return
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -62,7 +62,7 @@
 	l.clients = newClients(budget)
 	l.listening = newListening(l.clients.slots, l.events.Post, log)
 	var err error
-	if l.controller, err = policy.New(cfg.Settings, cfg.Seed, l); err != nil {
+	if l.controller, err = policy.New(cfg.Settings, cfg.Seed, policyActions{l}); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
 	if l.ops, err = ops.Listen(cfg.Ops, budget.Operators, l.metrics.Page); err != nil {
--- a/internal/gateway/gossip.go
+++ b/internal/gateway/gossip.go
@@ -35,7 +35,7 @@
 }
 
 // SendGossip sends a message to a peer, unless a successor is taking over. It implements policy.Actions.
-func (l *Loop) SendGossip(peer int, message []byte) {
+func (l policyActions) SendGossip(peer int, message []byte) {
 	if !l.handover.isActive() {
 		l.gossip.Send(peer, message)
 	}
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -17,6 +17,9 @@
 // event is something that happened, or that is due. The goroutine that saw it posts it to the loop.
 type event = eventloop.Event[*Loop]
 
+// eventLoop runs the events.
+type eventLoop = eventloop.Loop[*Loop]
+
 // timer is an event that is scheduled for a time.
 type timer = eventloop.Timer[*Loop]
 
@@ -26,7 +29,7 @@
 type Loop struct {
 	log             *slog.Logger
 	clock           eventloop.Clock // of events, for any goroutine
-	events          *eventloop.Loop[*Loop]
+	events          *eventLoop
 	controller      *policy.Controller
 	config          *config.Config                // in force
 	publishedConfig atomic.Pointer[config.Config] // the same, for other goroutines
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -86,10 +86,10 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go l.counter.Run(ctx)
-	l.IncrementCounter(1, 1, 1e6)
+	policyActions{l}.IncrementCounter(1, 1, 1e6)
 	wait(t, firstCalls, "a call at the first counter")
 	configLoaded{configWith(second)}.Handle(l)
-	l.IncrementCounter(1, 1, 1e6)
+	policyActions{l}.IncrementCounter(1, 1, 1e6)
 	wait(t, secondCalls, "a call at the second counter")
 	for _, total := range []float64{1, 2} {
 		e := eventAs[counterAnswered](t, wait(t, l.events.Queue(), "an answer"))
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -193,7 +193,7 @@
 		l.requests.byID[r.id] = r
 		r.attemptsInFlight = 2
 		attemptEnded{attempt: &attempt{request: r, backend: 5}, result: policy.ResultReset}.Handle(l)
-		l.Fail(r.id)
+		policyActions{l}.Fail(r.id)
 		l.requests.nextTraceAt[traceFailed] += 3600e6 // however long the test takes
 	}
 	if text := log.String(); strings.Count(text, "msg=trace") != 1 || !strings.Contains(text, "id=id-0") ||
--- a/internal/gateway/value_stream.go
+++ b/internal/gateway/value_stream.go
@@ -18,7 +18,9 @@
 // streamValue offers a large value to the loop and forwards it to the client, a buffer at a time: a slow
 // client delays the reading, and nothing else. It runs in the connection's reader and reports whether the
 // event is still to be posted.
-func (c *backendConn) streamValue(l *Loop, in *resp.Reader, e *replyReceived) bool {
+func (c *backendConn) streamValue(
+	events *eventLoop, in *resp.Reader, e *replyReceived,
+) bool {
 	size := e.reply.StreamedSize
 	buf := make([]byte, transferBufferSize)
 	buffered := 0
@@ -31,11 +33,10 @@
 		}
 	}
 	c.setReadDeadline(time.Time{})
-	l.events.Post(valueOffered{conn: c})
+	events.Post(valueOffered{conn: c})
 	var destination *sockwriter.Writer
 	select {
-	case client := <-c.valueClient:
-		destination = client.writer
+	case destination = <-c.destination:
 	case <-c.done:
 		return false
 	}
@@ -113,7 +114,7 @@
 	l.events.Cancel(r.guard)
 	l.events.Cancel(a.timeout)
 	r.guard, a.timeout = nil, nil
-	c.valueClient <- r.client
+	c.destination <- r.client.writer
 	l.events.Defer(valueStarted{attempt: a, latency: l.events.Now() - a.sentAt})
 }
 
