--- a/internal/gateway/backend.go
+++ b/internal/gateway/backend.go
@@ -52,8 +52,8 @@
 
 // attemptSource is what backends need of the gateway that makes attempts.
 type attemptSource interface {
-	// mayStillSend reports whether an attempt that has waited for a connection is still wanted.
-	mayStillSend(*attempt) bool
+	// isAttemptWanted reports whether an attempt that has waited for a connection is still wanted.
+	isAttemptWanted(*attempt) bool
 	// attemptCommand returns what an attempt writes, but for a large body.
 	attemptCommand(*attempt) []byte
 }
--- a/internal/gateway/backend_pool.go
+++ b/internal/gateway/backend_pool.go
@@ -126,7 +126,7 @@
 	for len(b.waiting) > 0 {
 		a := b.waiting[0]
 		b.waiting = b.waiting[1:]
-		if !bs.attempts.mayStillSend(a) {
+		if !bs.attempts.isAttemptWanted(a) {
 			bs.endAttempt(a, policy.ResultNotSent)
 			continue
 		}
@@ -142,8 +142,8 @@
 	bs.addIdle(c)
 }
 
-// mayStillSend reports whether an attempt that has waited for a connection is still wanted.
-func (l *Loop) mayStillSend(a *attempt) bool {
+// isAttemptWanted reports whether an attempt that has waited for a connection is still wanted.
+func (l *Loop) isAttemptWanted(a *attempt) bool {
 	r := a.request
 	if r == nil {
 		return true
--- a/internal/gateway/client_eviction.go
+++ b/internal/gateway/client_eviction.go
@@ -9,7 +9,7 @@
 const (
 	// maxUnfinishedPercent is the percentage of the limit that connections without a complete command may be.
 	maxUnfinishedPercent = 75
-	wholePercent         = 100
+	hundredPercent       = 100
 
 	newcomerAge     = 100 * millisecond // a connection this old may be expected to have sent something
 	idleNewcomerAge = 300 * millisecond // and one this old should have
@@ -40,7 +40,7 @@
 // nothing yet) any idle connection may be closed.
 func (cs *clients) evict(l *Loop, requester *client) bool {
 	now := l.events.Now()
-	excess := cs.unfinishedCount() > cs.limit*maxUnfinishedPercent/wholePercent
+	excess := cs.unfinishedCount() > cs.limit*maxUnfinishedPercent/hundredPercent
 	var victim *client
 	lowest := rankSpared
 	for c := range cs.conns {
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -17,17 +17,17 @@
 
 const (
 	endpointsConfigured endpointPhase = iota // from the configuration
-	endpointsInherited                       // from a predecessor's state
+	endpointsImported                        // from a predecessor's state
 	endpointsReceived                        // from discovery
 )
 
 // String is the phase as the log has it.
-func (p endpointPhase) String() string { return [...]string{"configured", "inherited", "received"}[p] }
+func (p endpointPhase) String() string { return [...]string{"configured", "imported", "received"}[p] }
 
 // endpointSteps are the legal steps: a list never gives way to an older source.
 var endpointSteps = phase.Steps[endpointPhase]{
-	endpointsConfigured: {endpointsInherited, endpointsReceived},
-	endpointsInherited:  {endpointsReceived},
+	endpointsConfigured: {endpointsImported, endpointsReceived},
+	endpointsImported:   {endpointsReceived},
 }
 
 // endpointGateway is what endpoint updates need of the gateway.
@@ -68,9 +68,9 @@
 	return len(e.zones) - 1
 }
 
-// inherit applies the list of a predecessor, unless discovery has sent one already.
-func (e *endpointList) inherit(endpoints []discovery.Endpoint) {
-	if !e.phase.Is(endpointsReceived) && e.phase.Step(endpointsInherited) {
+// importList applies the list of a predecessor, unless discovery has sent one already.
+func (e *endpointList) importList(endpoints []discovery.Endpoint) {
+	if !e.phase.Is(endpointsReceived) && e.phase.Step(endpointsImported) {
 		e.gateway.updateEndpoints(policy.UpdateStale, endpoints)
 	}
 }
--- a/internal/gateway/endpoints_phase_test.go
+++ b/internal/gateway/endpoints_phase_test.go
@@ -45,8 +45,8 @@
 	e.handle(discovery.Event{Kind: policy.UpdateUnavailable})
 	wantPhase(t, &e.phase, endpointsConfigured)
 	f.want(t, "reportUnavailable")
-	e.inherit(nil)
-	wantPhase(t, &e.phase, endpointsInherited)
+	e.importList(nil)
+	wantPhase(t, &e.phase, endpointsImported)
 	f.want(t, "updateEndpoints")
 	for range 2 {
 		e.handle(listed(1))
@@ -61,7 +61,7 @@
 	e, f, illegal := newFakeEndpoints()
 	e.handle(listed(1))
 	f.want(t, "updateEndpoints", "startAccepting")
-	e.inherit(nil)
+	e.importList(nil)
 	wantPhase(t, &e.phase, endpointsReceived)
 	f.want(t)
 	wantIllegal(t, illegal)
@@ -69,12 +69,12 @@
 
 func TestEndpointsRefuseIllegalSteps(t *testing.T) {
 	e, f, illegal := newFakeEndpoints()
-	e.inherit(nil)
+	e.importList(nil)
 	f.want(t, "updateEndpoints")
-	e.inherit(nil)
-	wantPhase(t, &e.phase, endpointsInherited)
+	e.importList(nil)
+	wantPhase(t, &e.phase, endpointsImported)
 	f.want(t)
-	wantIllegal(t, illegal, "endpoints: no step from inherited to inherited")
+	wantIllegal(t, illegal, "endpoints: no step from imported to imported")
 }
 
 // An update of an older revision does not end a drain, but a restart since then does.
--- a/internal/gateway/takeover.go
+++ b/internal/gateway/takeover.go
@@ -130,7 +130,7 @@
 type loopTakeover struct{ *Loop }
 
 func (l loopTakeover) importState(state *handover.State) {
-	l.endpoints.inherit(state.Endpoints)
+	l.endpoints.importList(state.Endpoints)
 	if err := l.controller.Import(l.events.Now(), state.Policy); err != nil {
 		l.log.Error("handover: beginning as after a restart", "error", err)
 	}
