--- a/policy/backendhealth.go
+++ b/policy/backendhealth.go
@@ -152,14 +152,11 @@
 	return reinstatedRestarted
 }
 
-// startProbe reports whether a health check is due, and notes that it begins now.
-func (h *backendHealth) startProbe(now Time) bool {
-	if !h.down || now < h.nextProbeAt {
-		return false
-	}
-	h.nextProbeAt = now + maxEjectionTime
-	return true
-}
+// isProbeDue reports whether the time for a health check has come.
+func (h *backendHealth) isProbeDue(now Time) bool { return h.down && now >= h.nextProbeAt }
+
+// startProbe notes that a health check begins now.
+func (h *backendHealth) startProbe(now Time) { h.nextProbeAt = now + maxEjectionTime }
 
 // recordFailedProbe notes that a health check failed: the ejection goes on.
 func (h *backendHealth) recordFailedProbe(now Time, connectFailed bool) {
--- a/policy/backendtable.go
+++ b/policy/backendtable.go
@@ -156,7 +156,8 @@
 func (t *backendTable) startProbes(now Time) []*backend {
 	var due []*backend
 	for _, backend := range t.inOrder {
-		if backend.ready() && backend.health.startProbe(now) {
+		if backend.health.isProbeDue(now) && backend.ready() {
+			backend.health.startProbe(now)
 			due = append(due, backend)
 		}
 	}
--- a/policy/attempts_test.go
+++ b/policy/controller_attempts_test.go
@@ -90,3 +90,27 @@
 		})
 	}
 }
+
+// Guards against waiting for a backend that leaves one request unanswered.
+func TestAttemptIsGivenUpWhileThereIsTimeForAnother(t *testing.T) {
+	h := newHarness(t, testSettings())
+	for _, class := range []int{0, 1} {
+		h.latency.byClass[class].add(float64(second/50), fleetSampleWeight)
+	}
+	for _, c := range []struct {
+		name  string
+		class int
+		want  Time // from now; 0: not before the client's deadline
+	}{
+		{name: "idempotent", class: 0, want: attemptTimeoutFactor * second / 50},
+		{name: "not idempotent", class: 1, want: 0},
+	} {
+		h.take()
+		if _, sent := h.request(c.class, 1, 9, 1); !sent {
+			t.Fatalf("%s: not sent", c.name)
+		}
+		if got := max(0, ofKind(h.performed, sendAction)[0].at-h.at); got != c.want {
+			t.Errorf("%s: given up after %d, want %d", c.name, got, c.want)
+		}
+	}
+}
--- a/policy/controller_backends.go
+++ b/policy/controller_backends.go
@@ -98,15 +98,15 @@
 		markOverdue(c.requests.takeOlder(class, c.clock.now, objective))
 	}
 	c.backends.healthy = 0
-	warm := 0
+	warmBackends := 0
 	for _, backend := range c.backends.inOrder {
 		share := backend.slowStart.share(c.clock.now, &c.slowStart)
 		logEjection(c.actions, backend.ID, backend.health.detectUnresponsive(
 			c.clock.now, c.clock.activeTime, backend.load.overdue, share, c.shortestObjective))
 		if backend.ready() && backend.acceptsAttempts(c.clock.now, c.settings.HealthChecks) {
 			c.backends.healthy++
-			warm += int(indicator(backend.inSubset && share == 1))
+			warmBackends += int(indicator(backend.inSubset && share == 1))
 		}
 	}
-	c.pace.setWarmBackends(c.clock.now, warm)
+	c.pace.setWarmBackends(c.clock.now, warmBackends)
 }
--- /dev/null
+++ b/policy/controller_slowstart_test.go
@@ -0,0 +1,250 @@
+package policy
+
+import (
+	"slices"
+	"testing"
+)
+
+// serveFor has customers send 100 requests a second, each of which takes a tenth of a second, and
+// counts the attempts by backend.
+func (h *harness) serveFor(seconds int) map[uint32]int {
+	h.t.Helper()
+	attempts := map[uint32]int{}
+	var open []uint64
+	for id := range h.requests.byID {
+		open = append(open, id)
+	}
+	slices.Sort(open)
+	for i := range seconds * 100 {
+		h.at += second / 100
+		if id, sent := h.request(0, 1, uint64(i), 1); sent {
+			attempts[h.lastAttempt(id).backend.ID]++
+			open = append(open, id)
+		}
+		for len(open) > 0 && h.at-h.lastAttempt(open[0]).sentAt >= second/10 {
+			h.end(open[0], ResultOK, true)
+			open = open[1:]
+		}
+	}
+	return attempts
+}
+
+func TestBackendsInSlowStartGetTheirShare(t *testing.T) {
+	h := newHarness(t, testSettings())
+	h.serveFor(8)
+	h.UpdateEndpoints(h.at, UpdateIncremental, []Endpoint{{ID: 4, Cell: 1, StartedAt: h.at}})
+	got := h.serveFor(1)
+	warm := float64(got[1]+got[2]+got[3]) / 3
+	if starting := float64(got[4]); starting > 0.6*warm || starting == 0 {
+		t.Errorf("the backend in slow start got %g where a warm one got %g", starting, warm)
+	}
+	// All start at once: the limit holds all the same.
+	list := endpoints(4)
+	for i := range list {
+		list[i].StartedAt = h.at
+	}
+	h.UpdateEndpoints(h.at, UpdateComplete, list)
+	got = h.serveFor(1)
+	if n := got[1] + got[2] + got[3] + got[4]; n > 60 {
+		t.Errorf("%d of 100 requests sent to backends that are all in slow start", n)
+	}
+}
+
+// Guards against backends that get nothing until they are warm because each of many gateways sends
+// too little to save up one attempt for it (i47ec98).
+func TestBackendsInSlowStartAreUsedByManySlowGateways(t *testing.T) {
+	sent := 0
+	for seed := range uint64(60) {
+		h := newUnstartedHarness(t, testSettings(), seed, start)
+		list := endpoints(4)
+		list[3].StartedAt = start
+		h.UpdateEndpoints(start, UpdateComplete, list)
+		for i := range 12 { // one request in half a second, to one starting backend of four
+			h.at += second / 2
+			h.TimerFired(h.at, gossipTimer)
+			id, ok := h.request(0, 1, uint64(i), 1)
+			if ok && h.lastAttempt(id).backend.ID == 4 {
+				sent++
+			}
+			if ok {
+				h.end(id, ResultOK, true)
+			}
+		}
+	}
+	// A warm one gets a quarter of the 720; a starting one its share of that, a fifth to two thirds.
+	if sent < 20 || sent > 130 {
+		t.Errorf("%d attempts to the starting backend by 60 gateways", sent)
+	}
+}
+
+// waitingFor are the requests with an attempt that waits for a connection to a backend, oldest first.
+func (h *harness) waitingFor(backend uint32) []uint64 {
+	var ids []uint64
+	for id, request := range h.requests.byID {
+		attempt := h.lastAttempt(id)
+		if attempt.pending && attempt.backend.ID == backend && !request.answered {
+			ids = append(ids, id)
+		}
+	}
+	slices.Sort(ids)
+	return ids
+}
+
+// Connections that come up late do so all at once: what was chosen over seconds is not written in a moment.
+func TestWaitingAttemptsAreChargedToSlowStartAsTheyAreWritten(t *testing.T) {
+	settings := testSettings()
+	settings.OverloadFactor, settings.OverloadWindow, settings.SlowStartFloor = 2.5, 2*second, 0.25
+	h := newHarness(t, settings)
+	h.serveFor(8)
+	h.UpdateEndpoints(h.at, UpdateIncremental, []Endpoint{{ID: 4, Cell: 1, StartedAt: h.at}})
+	h.noConnection = 4
+	var open []uint64 // at the warm backends, which take so long that the starting one is preferred
+	for range 400 {
+		h.at += second / 100
+		h.TimerFired(h.at, gossipTimer)
+		if id, sent := h.request(0, 1, 1, 1); sent && h.lastAttempt(id).backend.ID != 4 {
+			open = append(open, id)
+		}
+		for len(open) > 0 && h.at-h.lastAttempt(open[0]).sentAt >= second/4 {
+			h.end(open[0], ResultOK, true)
+			open = open[1:]
+		}
+	}
+	waiting := h.waitingFor(4)
+	capacity := h.backends.byID[4].slowStart.bucket.capacity
+	written := 0.0
+	for _, id := range waiting {
+		written += indicator(h.ConfirmSend(h.at, id, len(h.requests.byID[id].attempts)-1))
+	}
+	h.noConnection = 0
+	for range 20 { // at the same moment
+		id, sent := h.request(0, 1, 1, 1)
+		if sent && h.lastAttempt(id).backend.ID == 4 {
+			written++
+		}
+	}
+	if written == 0 || written > capacity {
+		t.Errorf("%g attempts written at one moment, want 1 to %g", written, capacity)
+	}
+}
+
+// An attempt was chosen while its backend was warm and waits for a connection; the backend restarts.
+func TestAttemptThatWaitedIsNotWrittenUnchargedToARestartedBackend(t *testing.T) {
+	h := newHarness(t, slowStartSettings())
+	h.UpdateEndpoints(h.at, UpdateComplete, endpoints(1))
+	h.noConnection = 1
+	id, _ := h.request(0, 0, 9, 1)
+	h.UpdateEndpoints(h.at, UpdateIncremental, []Endpoint{{ID: 1, Cell: 1, StartedAt: h.at}})
+	if h.ConfirmSend(h.at, id, 0) {
+		t.Error("written, though the slow start has saved up no attempt yet")
+	}
+	h.backends.byID[1].slowStart.bucket.level = 1
+	if !h.ConfirmSend(h.at, id, 0) {
+		t.Fatal("not written, though the slow start has an attempt left")
+	}
+	if level := h.backends.byID[1].slowStart.bucket.level; level >= 1 {
+		t.Errorf("%g attempts left after one was written", level)
+	}
+}
+
+// What was held or charged for an attempt that was not written is given back.
+func TestAttemptThatIsNotSentGivesItsSlowStartBack(t *testing.T) {
+	for _, noConnection := range []uint32{0, 1} {
+		h := newHarness(t, slowStartSettings())
+		h.UpdateEndpoints(h.at, UpdateComplete, endpoints(1))
+		h.UpdateEndpoints(h.at, UpdateIncremental, []Endpoint{{ID: 1, Cell: 1, StartedAt: h.at}})
+		backend := h.backends.byID[1]
+		backend.slowStart.bucket.level, h.noConnection = 1, noConnection
+		id, sent := h.request(0, 0, 9, 1)
+		if !sent || h.slowStartAllows(backend) {
+			t.Fatalf("sent %t, and another is allowed", sent)
+		}
+		h.end(id, ResultNotSent, true)
+		if !h.slowStartAllows(backend) || backend.slowStart.reserved != 0 {
+			t.Errorf("level %g, %d held after the attempt was not sent",
+				backend.slowStart.bucket.level, backend.slowStart.reserved)
+		}
+	}
+}
+
+// Guards against starting backends that are idle while the few warm ones are overloaded: what many
+// gateways save up for one is used at once, and all together stay within what it bears.
+func TestBackendsInSlowStartStayWithinTheFleetsBudget(t *testing.T) {
+	const gateways, backends, warm, perSecond, window = 60, 20, 8, 8, 3
+	settings := testSettings()
+	settings.OverloadFactor, settings.OverloadWindow, settings.SlowStartFloor = 2.5, window*second, 0.25
+	list := endpoints(backends)
+	var fleet []*harness
+	for seed := range uint64(gateways) {
+		h := newUnstartedHarness(t, settings, seed, start)
+		h.UpdateEndpoints(start, UpdateComplete, list)
+		fleet = append(fleet, h)
+	}
+	customer := uint64(0)
+	serve := func(seconds int) map[uint32]float64 {
+		attempts := map[uint32]float64{}
+		for range seconds * perSecond {
+			for i, h := range fleet {
+				h.at += second / perSecond
+				h.TimerFired(h.at, gossipTimer)
+				customer++
+				if id, ok := h.request(0, 1, customer*gateways+uint64(i), 1); ok {
+					attempts[h.lastAttempt(id).backend.ID]++
+					h.end(id, ResultOK, true)
+				}
+				h.take()
+			}
+		}
+		return attempts
+	}
+	each := serve(4)[1] / 4
+	for i := range list[warm:] {
+		list[warm+i].StartedAt = fleet[0].at
+	}
+	for _, h := range fleet {
+		h.UpdateEndpoints(h.at, UpdateComplete, list)
+	}
+	got, average := serve(window), 0.0
+	budget := settings.OverloadFactor * settings.SlowStartFloor * each * backends / warm * window
+	for _, starting := range list[warm:] {
+		if got[starting.ID] > budget {
+			t.Errorf("starting backend %d got %.0f in %d s, %.0f at most",
+				starting.ID, got[starting.ID], window, budget)
+		}
+		average += got[starting.ID] / (backends - warm) / window
+	}
+	if average < settings.SlowStartFloor*each {
+		t.Errorf("a starting backend got %.1f a second, a warm one before %.1f: want its share at least",
+			average, each)
+	}
+}
+
+// Guards against a rate that takes all that backends outside the subset get for that of one
+// warm backend in it.
+func TestAnswerRateStandsWhileNoWarmBackendIsInTheSubset(t *testing.T) {
+	settings := testSettings()
+	settings.Gateways, settings.HandshakePrice = 80, 0.08
+	h := newHarness(t, settings)
+	list := endpoints(20)
+	h.UpdateEndpoints(h.at, UpdateComplete, list)
+	for range 200 {
+		h.at += second / 20
+		h.serve(1, 9, 1)
+	}
+	for i := range list {
+		if h.backends.byID[list[i].ID].inSubset {
+			list[i].StartedAt = h.at
+		}
+	}
+	before := h.pace.answerRate.value(h.at, answerRateDecay)
+	h.UpdateEndpoints(h.at, UpdateComplete, list)
+	sent := 0
+	for i := range 100 {
+		h.at += second / 20
+		sent += int(indicator(h.serve(1, uint64(i), 1)))
+	}
+	if sent < 50 || before == 0 {
+		t.Fatalf("%d of 100 sent, the rate was %g: want the other backends used", sent, before)
+	}
+	assertNear(t, "answer rate", h.pace.answerRate.value(h.at, answerRateDecay), before)
+}
--- a/policy/reload_test.go
+++ b/policy/reload_test.go
@@ -1,6 +1,9 @@
 package policy
 
-import "testing"
+import (
+	"slices"
+	"testing"
+)
 
 // Classes and plans are matched by name: their indices shift, an open request keeps its class as it
 // was, and new figures of a plan bring no fresh burst.
@@ -77,3 +80,31 @@
 		t.Errorf("%d classes, plan %d of the open request", len(h.settings.Classes), request.Plan)
 	}
 }
+
+func TestClassesInUseStayAsTheyWere(t *testing.T) {
+	inForce := []Class{{Name: "a"}, {Name: "b"}, {Name: "c"}, {Name: "d"}}
+	settings := Settings{Classes: []Class{
+		{Name: "b", PriorityWeight: 2}, {Name: "a"}, {Name: "c", PriorityWeight: 2},
+	}}
+	isUsed := func(class int) bool { return class <= 1 }
+	got := matchClasses(&Settings{Classes: inForce}, &settings, isUsed)
+	if want := []int{1, 3, -1, -1}; !slices.Equal(got, want) {
+		t.Errorf("indices %d, want %d", got, want)
+	}
+	if len(settings.Classes) != 4 || settings.Classes[3] != inForce[1] {
+		t.Errorf("classes %+v, want the one that has changed and is in use last", settings.Classes)
+	}
+	old := oldClassIndices(inForce, settings.Classes, got)
+	if want := []int{1, 0, 2, 1}; !slices.Equal(old, want) {
+		t.Errorf("old indices %d, want %d: what was learnt holds for the name", old, want)
+	}
+}
+
+func TestPlansInUseStay(t *testing.T) {
+	inForce := []Plan{{Name: "p"}, {Name: "q"}, {Name: "r"}}
+	settings := Settings{Plans: []Plan{{Name: "r", Rate: 5}}}
+	got := matchPlans(&Settings{Plans: inForce}, &settings, func(plan int) bool { return plan != 0 })
+	if want := []int{-1, 1, 0}; !slices.Equal(got, want) || len(settings.Plans) != 2 {
+		t.Errorf("indices %d of %d plans, want %d", got, len(settings.Plans), want)
+	}
+}
