--- a/policy/backendhealth_test.go
+++ b/policy/backendhealth_test.go
@@ -4,7 +4,9 @@
 
 const testObjective = second / 2
 
-func TestErrorsEjectFromTheirRateOn(t *testing.T) {
+// ejectedByErrors is the health of a backend that errors have just ejected.
+func ejectedByErrors(t *testing.T) *backendHealth {
+	t.Helper()
 	var health backendHealth
 	errors := 0
 	for health.recordError(start) == notEjected {
@@ -12,6 +14,11 @@
 			t.Fatal("not ejected for 20 errors")
 		}
 	}
+	return &health
+}
+
+func TestErrorsEjectFromTheirRateOn(t *testing.T) {
+	health := ejectedByErrors(t)
 	if !health.failing() || health.down {
 		t.Errorf("error rate %g, down %t: want it failing, and tried again", health.errorRate, health.down)
 	}
@@ -21,6 +28,10 @@
 	if reason := health.recordError(start + 1); reason != notEjected {
 		t.Errorf("ejected again for reason %v while it is ejected", reason)
 	}
+}
+
+func TestBackendWithErrorsGetsOneAttemptAtATime(t *testing.T) {
+	health := ejectedByErrors(t)
 	after := start + minEjectionTime
 	if !health.acceptsAttempts(after, 0, true) || health.acceptsAttempts(after, 1, true) {
 		t.Error("want one attempt at a time after the ejection")
