--- a/policy/activitycounters.go
+++ b/policy/activitycounters.go
@@ -4,7 +4,7 @@
 
 const (
 	counterLogInterval = 5 * second // the least time between two log events of counters
-	halfFullPart       = 2          // the part of a bucket, 1/n, that counts as half full
+	halfFullDivisor    = 2          // the part of a bucket, 1/n, that counts as half full
 )
 
 // rejectReason says why a request was rejected.
@@ -53,7 +53,7 @@
 		return
 	}
 	n.shareTooSmall++
-	if bucket.level >= bucket.capacity/halfFullPart {
+	if bucket.level >= bucket.capacity/halfFullDivisor {
 		n.halfFull++
 	}
 }
@@ -62,23 +62,23 @@
 // request.
 func (n *activityCounters) isDue(now Time) bool { return now-n.since >= counterLogInterval }
 
-// loadFigures is the load view, of the given number of gateways, and the backends' health.
-type loadFigures struct {
+// loadMetrics is the load view, of the given number of gateways, and the backends' health.
+type loadMetrics struct {
 	view              loadView
 	lateShare         float64 // the share of answers after their objective
 	meanLatency       float64 // of successful answers, in microseconds
 	healthy, backends int
 }
 
-// slowStartFigures are the backends in slow start, and the answers of warm ones, from which their rate
+// slowStartMetrics are the backends in slow start, and the answers of warm ones, from which their rate
 // derives.
-type slowStartFigures struct {
+type slowStartMetrics struct {
 	backends, warmBackends int
 	answersOfWarm          float64 // successful answers a second of a warm backend
 }
 
 // take returns the attributes of a log event and begins to count anew.
-func (n *activityCounters) take(now Time, load loadFigures, slowStart slowStartFigures) []slog.Attr {
+func (n *activityCounters) take(now Time, load loadMetrics, slowStart slowStartMetrics) []slog.Attr {
 	attributes := []slog.Attr{
 		slog.Int("attempts_sent", n.sent),
 		slog.Int("consecutive_to_one_backend", n.consecutive),
@@ -119,7 +119,7 @@
 		slog.Int("not_sent", counts[ResultNotSent]))
 }
 
-func loadAttr(load *loadFigures) slog.Attr {
+func loadAttr(load *loadMetrics) slog.Attr {
 	const microsecondsPerMillisecond = 1000
 	return slog.Group("load",
 		slog.Float64("in_flight", load.view.inFlight),
@@ -132,7 +132,7 @@
 }
 
 // slowStartAttr groups what backends in slow start got, and the figures on them.
-func (n *activityCounters) slowStartAttr(slowStart *slowStartFigures) slog.Attr {
+func (n *activityCounters) slowStartAttr(slowStart *slowStartMetrics) slog.Attr {
 	return slog.Group("slow_start",
 		slog.Int("backends", slowStart.backends),
 		slog.Int("attempts", n.slowStartAttempts),
--- a/policy/activitycounters_test.go
+++ b/policy/activitycounters_test.go
@@ -12,7 +12,7 @@
 	}
 	counters.quotaRequests = 3
 	now := second + counterLogInterval
-	attributes := counters.take(now, loadFigures{}, slowStartFigures{})
+	attributes := counters.take(now, loadMetrics{}, slowStartMetrics{})
 	found := false
 	for _, attribute := range attributes {
 		found = found || attribute.Equal(slog.Int("quota_requests", 3))
@@ -35,7 +35,7 @@
 		"over_quota_bucket_half_full", "quota_requests", "quota_requests_unanswered", "results", "load",
 		"slow_start", "retries_after",
 	}
-	got := new(activityCounters).take(0, loadFigures{}, slowStartFigures{})
+	got := new(activityCounters).take(0, loadMetrics{}, slowStartMetrics{})
 	if len(got) != len(want) {
 		t.Fatalf("%d attributes, want %d", len(got), len(want))
 	}
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -2,7 +2,7 @@
 
 const (
 	borrowCapacityShare = 0.8 // the share of the capacity up to which the shared bucket lends
-	retryAfterPart      = 2   // the part of the shortest objective, 1/n, after which a request may come again
+	retryAfterDivisor   = 2   // the part of the shortest objective, 1/n, after which a request may come again
 )
 
 // RequestReceived admits a request, rejects it, or holds it until a coordinator has answered.
@@ -19,14 +19,14 @@
 		return
 	}
 	if c.retired {
-		c.reject(req.ID, rejectOverQuota, c.shortestObjective/retryAfterPart)
+		c.reject(req.ID, rejectOverQuota, c.shortestObjective/retryAfterDivisor)
 		return
 	}
 	customer := c.customerRecord(c.sharing.newAccount(req.Customer, req.Plan, req.FirstReplica, req.Replicas))
 	c.customers.recordDemand(c.clock.now, &c.sharing, customer, req.Cost)
 	request := &request{Request: req, deadline: now + req.Timeout, customer: customer}
 	if c.atCapacity(c.priority.openCapacity(c.settings.valueOf(&req), usualLatency)) {
-		c.reject(req.ID, rejectAtCapacity, c.shortestObjective/retryAfterPart)
+		c.reject(req.ID, rejectAtCapacity, c.shortestObjective/retryAfterDivisor)
 		return
 	}
 	c.admitOrRequestQuota(request)
@@ -49,7 +49,7 @@
 	customer, plan := request.customer, &c.settings.Plans[request.Plan]
 	request.borrowed = source == unitsMissing
 	if request.borrowed &&
-		(!c.shared.mayLend(c.clock.now, plan, request.Cost) || c.atCapacity(borrowCapacityShare)) {
+		(!c.shared.mayBorrow(c.clock.now, plan, request.Cost) || c.atCapacity(borrowCapacityShare)) {
 		c.counters.countOverQuota(&customer.bucket, request.Cost)
 		now, startedAt := c.clock.now, c.clock.startedAt
 		wait := customer.timeUntilAvailable(now, startedAt, &c.sharing, plan.Rate, request.Cost)
@@ -64,11 +64,11 @@
 	}
 	backend := c.chooseBackend(request, nil)
 	if backend == nil {
-		c.reject(request.ID, rejectNoBackend, c.shortestObjective/retryAfterPart)
+		c.reject(request.ID, rejectNoBackend, c.shortestObjective/retryAfterDivisor)
 		return
 	}
 	if request.borrowed {
-		c.shared.lend(request.Cost)
+		c.shared.borrow(request.Cost)
 	} else {
 		c.customers.consume(&c.sharing, customer, request.coordinator, request.Cost)
 	}
--- a/policy/controller_gossip.go
+++ b/policy/controller_gossip.go
@@ -33,7 +33,7 @@
 func (c *Controller) queueUsage(customer *customer) bool {
 	first, count := c.sharing.reportReceivers(&customer.account)
 	for i := range count {
-		if !c.gossip.hasRoom((first+i)%c.sharing.gateways, usageSize) {
+		if !c.gossip.fits((first+i)%c.sharing.gateways, usageSize) {
 			return false
 		}
 	}
@@ -49,7 +49,7 @@
 
 // queueGrant adds a customer's grant to the message for a peer. A full message is sent first.
 func (c *Controller) queueGrant(index int, customer *customer) {
-	if !c.gossip.hasRoom(index, grantSize) {
+	if !c.gossip.fits(index, grantSize) {
 		c.actions.SendGossip(index, c.gossip.takeMessage(index))
 	}
 	c.prepareMessage(index)
--- a/policy/controller_quota.go
+++ b/policy/controller_quota.go
@@ -15,9 +15,9 @@
 // refillBuckets brings a customer's buckets up to now. What overflows goes to the shared bucket.
 func (c *Controller) refillBuckets(customer *customer) {
 	account := &customer.account
-	allHeard := c.sharing.plan(account).CeilingRate > 0 && c.sharing.isFullMesh(account) &&
-		c.gossip.hearsAll(&c.sharing, account, c.clock.activeTime)
-	c.shared.deposit(customer.refill(c.clock.now, &c.sharing, allHeard))
+	allActive := c.sharing.plan(account).CeilingRate > 0 && c.sharing.isFullMesh(account) &&
+		c.gossip.allActive(&c.sharing, account, c.clock.activeTime)
+	c.shared.deposit(customer.refill(c.clock.now, &c.sharing, allActive))
 }
 
 // sweepCustomers refills all buckets and drops the records of idle customers, whose overflow goes
@@ -90,7 +90,7 @@
 func (c *Controller) requestQuota(request *request) {
 	customer := request.customer
 	request.quotaRequest = customer.grant.nextRequest()
-	timeout := min(Time(quotaRequestTimeout*float64(c.shortestObjective)), request.Timeout/maxWaitPart)
+	timeout := min(Time(quotaRequestTimeout*float64(c.shortestObjective)), request.Timeout/maxWaitDivisor)
 	request.grantDeadline = c.clock.now + timeout
 	isRepeated := request.quotaRequestsSent > 0
 	request.quotaRequestsSent++
@@ -121,7 +121,7 @@
 			request.customer.grant.addRequested(request.Cost)
 			source := request.customer.ownUnits(c.clock.now, c.clock.startedAt, &c.sharing, request.Cost)
 			c.admit(request, source)
-		case quotaAskAgain:
+		case quotaRetry:
 			c.counters.unanswered++
 			c.admitOrRequestQuota(request)
 		}
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	evenCeilingShare   = 0.5  // the part of a ceiling that is split evenly; the rest follows demand
-	gossipDelayPeriods = 2    // gossip periods until what a peer consumes now is known here
-	initialSlackPart   = 2    // the part of a ceiling's slack, 1/n, that is open after a start
-	coordinatorReserve = 0.75 // the part of a burst that is kept for variance in what the set requests
+	evenCeilingShare    = 0.5  // the part of a ceiling that is split evenly; the rest follows demand
+	gossipDelayPeriods  = 2    // gossip periods until what a peer consumes now is known here
+	initialSlackDivisor = 2    // the part of a ceiling's slack, 1/n, that is open after a start
+	coordinatorReserve  = 0.75 // the part of a burst that is kept for variance in what the set requests
 )
 
 // customer is what this gateway knows of one customer, and decides which of its requests are within the
@@ -37,7 +37,7 @@
 		grant:   newQuotaGrant(),
 		bucket:  tokenBucket{level: plan.Burst, rate: plan.Rate, capacity: plan.Burst, updatedAt: now},
 		ceiling: tokenBucket{
-			level: plan.CeilingSlack / even / initialSlackPart, rate: plan.CeilingRate / even,
+			level: plan.CeilingSlack / even / initialSlackDivisor, rate: plan.CeilingRate / even,
 			capacity: plan.CeilingBurst / even, updatedAt: startedAt,
 		},
 	}
@@ -74,11 +74,11 @@
 }
 
 // refill brings the buckets up to now, and returns what overflowed of this gateway's share of the quota.
-// All replicas heard means that the peers' demand is known well enough for the ceiling to follow it.
-func (c *customer) refill(now Time, sharing *quotaSharing, allReplicasHeard bool) (overflow float64) {
+// allReplicasActive says that the peers' demand is known well enough for the ceiling to follow it.
+func (c *customer) refill(now Time, sharing *quotaSharing, allReplicasActive bool) (overflow float64) {
 	plan, share := sharing.plan(&c.account), c.quotaShare(now, sharing)
 	ceilingShare := 1 / float64(c.replicas)
-	if plan.CeilingRate > 0 && allReplicasHeard {
+	if plan.CeilingRate > 0 && allReplicasActive {
 		ceilingShare = evenCeilingShare*ceilingShare + (1-evenCeilingShare)*share
 	}
 	switch {
@@ -241,7 +241,7 @@
 func (c *customer) limitToRestart(sharing *quotaSharing) {
 	plan, even := sharing.plan(&c.account), float64(c.replicas)
 	c.bucket.level = min(c.bucket.level, plan.Burst/even)
-	c.ceiling.level = min(c.ceiling.level, plan.CeilingSlack/even/initialSlackPart)
+	c.ceiling.level = min(c.ceiling.level, plan.CeilingSlack/even/initialSlackDivisor)
 }
 
 // scheduleReport has the use reported in the next rounds, if it is reported at all, and reports whether none
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -3,8 +3,8 @@
 import "math"
 
 const (
-	faultRepeats       = 8          // messages that carry a fault report
-	replicaHeardWindow = second / 2 // within which a replica must have been heard to rely on its demand
+	faultRepeats   = 8          // messages that carry a fault report
+	replicaTimeout = second / 2 // after which the demand of a replica that sends nothing is not relied on
 )
 
 // gossipState is this gateway's side of the gossip between gateways: the messages that it prepares, and what
@@ -35,7 +35,7 @@
 	return gossipState{incarnation: incarnation, peers: make([]peer, gateways)}
 }
 
-// start counts all peers as heard at this gateway's start.
+// start counts all peers as active at this gateway's start.
 func (g *gossipState) start(now Time) {
 	for i := range g.peers {
 		g.peers[i].lastReceivedAt = now
@@ -75,8 +75,8 @@
 // hasMessage reports whether a message for a peer is in preparation.
 func (g *gossipState) hasMessage(peer int) bool { return len(g.peers[peer].message) > 0 }
 
-// hasRoom reports whether an item of a size fits into the message for a peer.
-func (g *gossipState) hasRoom(peer, size int) bool {
+// fits reports whether an item of a size fits into the message for a peer.
+func (g *gossipState) fits(peer, size int) bool {
 	return len(g.peers[peer].message)+size <= maxMessageSize
 }
 
@@ -140,13 +140,13 @@
 	return true
 }
 
-// hearsAll reports whether all other gateways of an account have sent messages recently.
-func (g *gossipState) hearsAll(sharing *quotaSharing, account *account, activeTime Time) bool {
+// allActive reports whether all other gateways of an account have sent messages recently.
+func (g *gossipState) allActive(sharing *quotaSharing, account *account, activeTime Time) bool {
 	for i := range account.replicas {
 		index := sharing.replica(account, i)
 		peer := &g.peers[index]
 		if index != sharing.self &&
-			(peer.incarnation == 0 || activeTime-peer.lastReceivedAt > replicaHeardWindow) {
+			(peer.incarnation == 0 || activeTime-peer.lastReceivedAt > replicaTimeout) {
 			return false
 		}
 	}
--- a/policy/gossipstate_test.go
+++ b/policy/gossipstate_test.go
@@ -61,7 +61,7 @@
 func TestMessageIsPreparedUntilItIsFull(t *testing.T) {
 	gossip, entries := newGossipState(7, 3), 0
 	gossip.begin(1, loadView{gateways: 1})
-	for gossip.hasRoom(1, usageSize) {
+	for gossip.fits(1, usageSize) {
 		gossip.addUsage(1, &usageEntry{customer: uint64(entries), replicas: 3})
 		entries++
 	}
@@ -75,7 +75,7 @@
 	if got := len(decoded(t, raw).usage); got != entries || got < 10 {
 		t.Errorf("%d of %d entries in the message", got, entries)
 	}
-	if gossip.hasMessage(1) || !gossip.hasRoom(1, usageSize) {
+	if gossip.hasMessage(1) || !gossip.fits(1, usageSize) {
 		t.Error("a message that was taken is still in preparation")
 	}
 	gossip.begin(1, loadView{gateways: 1})
@@ -119,20 +119,20 @@
 	}
 }
 
-func TestReplicaSetIsHeardWhileEachPeerSends(t *testing.T) {
+func TestReplicaSetIsActiveWhileEachPeerSends(t *testing.T) {
 	sharing := newQuotaSharing(&Settings{Gateways: 4, Gossip: true})
 	set, gossip := &account{id: 9, replicas: 3}, newGossipState(7, 4)
 	gossip.start(second)
-	if gossip.hearsAll(&sharing, set, second) {
-		t.Error("peers that sent nothing since the start are heard")
+	if gossip.allActive(&sharing, set, second) {
+		t.Error("peers that sent nothing since the start count as active")
 	}
 	gossip.receive(1, second, &gossipMessage{incarnation: 1})
-	gossip.receive(2, second+replicaHeardWindow/2, &gossipMessage{incarnation: 1})
-	if !gossip.hearsAll(&sharing, set, second+replicaHeardWindow) {
-		t.Error("peers that have sent within the window are not heard")
+	gossip.receive(2, second+replicaTimeout/2, &gossipMessage{incarnation: 1})
+	if !gossip.allActive(&sharing, set, second+replicaTimeout) {
+		t.Error("peers that have sent within the timeout are not active")
 	}
-	if gossip.hearsAll(&sharing, set, second+replicaHeardWindow+1) {
-		t.Error("a peer that was silent for longer than the window is heard")
+	if gossip.allActive(&sharing, set, second+replicaTimeout+1) {
+		t.Error("a peer that was silent for longer than the timeout is active")
 	}
 }
 
--- a/policy/grantrequests.go
+++ b/policy/grantrequests.go
@@ -7,7 +7,7 @@
 
 const (
 	quotaRequestTimeout = 0.1    // in shortest latency objectives,
-	maxWaitPart         = 2      // and at most the part, 1/n, of the time for which the client waits
+	maxWaitDivisor      = 2      // and at most the part, 1/n, of the time for which the client waits
 	unresponsiveTime    = second // for which a coordinator that did not answer is avoided
 )
 
@@ -71,7 +71,7 @@
 	quotaApproved   quotaResult = iota // the coordinator granted the units
 	quotaDenied                        // it did not
 	quotaUnanswered                    // it did not answer in time: what the last grant left decides
-	quotaAskAgain                      // it did not answer in time: another one is to be asked, once
+	quotaRetry                         // it did not answer in time: another one is to be asked, once
 )
 
 // endedQuotaRequest is a request that waits no more.
@@ -85,18 +85,18 @@
 func (g *grantRequests) answered(
 	now Time, sharing *quotaSharing, customer *customer, answer grant,
 ) []endedQuotaRequest {
-	var ended, askAgain []endedQuotaRequest
+	var ended, retries []endedQuotaRequest
 	g.awaiting = slices.DeleteFunc(g.awaiting, func(request *request) bool {
 		result, isEnded := g.resultOf(now, sharing, request, customer, answer)
 		switch {
-		case result == quotaAskAgain:
-			askAgain = append(askAgain, endedQuotaRequest{request, result})
+		case result == quotaRetry:
+			retries = append(retries, endedQuotaRequest{request, result})
 		case isEnded:
 			ended = append(ended, endedQuotaRequest{request, result})
 		}
 		return isEnded
 	})
-	return append(ended, askAgain...)
+	return append(ended, retries...)
 }
 
 // resultOf is how a request's quota request has ended, if it has. It notes coordinators that did not answer.
@@ -115,7 +115,7 @@
 	g.unresponsiveAt[sharing.coordinator(account, request.coordinator)] = now
 	hasOther := sharing.requiresGrant(account) && sharing.coordinatorCount(account) > 1
 	if request.quotaRequestsSent == 1 && hasOther {
-		return quotaAskAgain, true
+		return quotaRetry, true
 	}
 	return quotaUnanswered, true
 }
--- a/policy/grantrequests_test.go
+++ b/policy/grantrequests_test.go
@@ -81,23 +81,23 @@
 		want     []quotaResult
 		waiting  int
 	}{
-		{"no answer", nil, grant{}, []quotaResult{quotaUnanswered, quotaAskAgain}, 2},
+		{"no answer", nil, grant{}, []quotaResult{quotaUnanswered, quotaRetry}, 2},
 		{
 			"approved", asking,
 			grant{quotaRequest: 3, approved: true},
-			[]quotaResult{quotaApproved, quotaUnanswered, quotaAskAgain},
+			[]quotaResult{quotaApproved, quotaUnanswered, quotaRetry},
 			1,
 		},
 		{
 			"denied", asking,
 			grant{quotaRequest: 4},
-			[]quotaResult{quotaUnanswered, quotaDenied, quotaAskAgain},
+			[]quotaResult{quotaUnanswered, quotaDenied, quotaRetry},
 			1,
 		},
 		{
 			"of another customer", &customer{},
 			grant{quotaRequest: 3},
-			[]quotaResult{quotaUnanswered, quotaAskAgain},
+			[]quotaResult{quotaUnanswered, quotaRetry},
 			2,
 		},
 		{
--- a/policy/ownership.go
+++ b/policy/ownership.go
@@ -10,7 +10,7 @@
 	c.retired = true
 	for _, request := range c.grants.takeOpen(c.requests.byID) {
 		c.requests.remove(request.ID)
-		c.reject(request.ID, rejectOverQuota, c.shortestObjective/retryAfterPart)
+		c.reject(request.ID, rejectOverQuota, c.shortestObjective/retryAfterDivisor)
 	}
 }
 
--- a/policy/report.go
+++ b/policy/report.go
@@ -6,11 +6,11 @@
 	if !c.counters.isDue(now) {
 		return
 	}
-	load := loadFigures{
+	load := loadMetrics{
 		view: c.loadView(), lateShare: c.limit.lateShare.value, meanLatency: c.latency.all.value,
 		healthy: c.backends.healthy, backends: len(c.backends.inOrder),
 	}
-	starts := slowStartFigures{
+	starts := slowStartMetrics{
 		backends: c.backends.warmingUp(now, &c.slowStart), warmBackends: c.pace.warmBackends,
 		answersOfWarm: c.pace.answersPerSecond(now),
 	}
--- a/policy/sharedbucket.go
+++ b/policy/sharedbucket.go
@@ -17,14 +17,14 @@
 // overagePays reports whether use beyond the quota earns more than it costs.
 func (p *Plan) overagePays() bool { return p.OverageRevenue > p.OverageCost }
 
-// mayLend reports whether the bucket holds a request's cost and lends to customers of its plan.
-func (b *sharedBucket) mayLend(now Time, plan *Plan, cost float64) bool {
+// mayBorrow reports whether the bucket holds a request's cost and lends to customers of its plan.
+func (b *sharedBucket) mayBorrow(now Time, plan *Plan, cost float64) bool {
 	b.refill(now)
 	return plan.overagePays() && b.level >= cost
 }
 
-// lend takes the cost of a request.
-func (b *sharedBucket) lend(cost float64) { b.level -= cost }
+// borrow takes the cost of a request.
+func (b *sharedBucket) borrow(cost float64) { b.level -= cost }
 
 // fitTo sets the capacity by the plans that may borrow.
 func (b *sharedBucket) fitTo(plans []Plan) {
--- a/policy/sharedbucket_test.go
+++ b/policy/sharedbucket_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// lendingPlans are a plan whose overage pays, one whose doesn't, and one that has no overage.
-func lendingPlans() []Plan {
+// borrowingPlans are a plan whose overage pays, one whose doesn't, and one that has no overage.
+func borrowingPlans() []Plan {
 	return []Plan{
 		{Name: "a", Rate: 10, Burst: 20, OverageRevenue: 2, OverageCost: 1},
 		{Name: "b", Rate: 10, Burst: 90, OverageRevenue: 1, OverageCost: 2},
@@ -16,35 +16,35 @@
 
 func TestSharedBucketHoldsTheLargestBurstOfPlansThatMayBorrow(t *testing.T) {
 	bucket := newSharedBucket(3)
-	bucket.fitTo(lendingPlans())
+	bucket.fitTo(borrowingPlans())
 	assertNear(t, "capacity", bucket.capacity, 20)
-	bucket.fitTo(lendingPlans()[1:])
+	bucket.fitTo(borrowingPlans()[1:])
 	assertNear(t, "capacity without such a plan", bucket.capacity, 0)
 }
 
-func TestSharedBucketLendsWhatItHoldsToPlansWhoseOveragePays(t *testing.T) {
-	plans, bucket := lendingPlans(), newSharedBucket(3)
+func TestPlansWhoseOveragePaysBorrowWhatTheSharedBucketHolds(t *testing.T) {
+	plans, bucket := borrowingPlans(), newSharedBucket(3)
 	bucket.fitTo(plans)
 	bucket.deposit(5)
-	if !bucket.mayLend(0, &plans[0], 5) {
-		t.Error("5 of 5 units are not lent")
+	if !bucket.mayBorrow(0, &plans[0], 5) {
+		t.Error("5 of 5 units are not available")
 	}
-	if bucket.mayLend(0, &plans[0], 6) {
-		t.Error("6 of 5 units are lent")
+	if bucket.mayBorrow(0, &plans[0], 6) {
+		t.Error("6 of 5 units are available")
 	}
-	if bucket.mayLend(0, &plans[1], 1) || bucket.mayLend(0, &plans[2], 1) {
+	if bucket.mayBorrow(0, &plans[1], 1) || bucket.mayBorrow(0, &plans[2], 1) {
 		t.Error("a plan whose overage does not pay borrows")
 	}
-	bucket.lend(3)
+	bucket.borrow(3)
 	assertNear(t, "level", bucket.level, 2)
 	bucket.rate = 1
-	if !bucket.mayLend(second, &plans[0], 3) {
-		t.Error("3 units are not lent after a refill from 2 at 1 a second")
+	if !bucket.mayBorrow(second, &plans[0], 3) {
+		t.Error("3 units are not available after a refill from 2 at 1 a second")
 	}
 }
 
 func TestIdleCustomersFeedTheSharedBucket(t *testing.T) {
-	plans, bucket := lendingPlans(), newSharedBucket(3)
+	plans, bucket := borrowingPlans(), newSharedBucket(3)
 	bucket.fitTo(plans)
 	split := &account{id: 1, plan: 0, replicas: 2}
 	bucket.addIdle(split, &plans[0])
@@ -59,7 +59,7 @@
 }
 
 func TestReloadMovesIdleOverflowToTheNewPlans(t *testing.T) {
-	from, bucket := lendingPlans(), newSharedBucket(3)
+	from, bucket := borrowingPlans(), newSharedBucket(3)
 	copy(bucket.idleOverflow, []float64{5, 7, 2})
 	to := []Plan{{Name: "c", Rate: 8}, {Name: "new", Rate: 1}, {Name: "a", Rate: 10}}
 	bucket.renumberPlans(from, to, []int{2, -1, 0})
@@ -70,7 +70,7 @@
 
 func TestRestoredSharedBucketKeepsItsCapacity(t *testing.T) {
 	bucket := newSharedBucket(3)
-	bucket.fitTo(lendingPlans())
+	bucket.fitTo(borrowingPlans())
 	bucket.restore(tokenBucket{level: 50, rate: 3, capacity: 60, updatedAt: 7}, []float64{1, 2}, []int{2, -1})
 	if want := (tokenBucket{level: 20, rate: 3, capacity: 20, updatedAt: 7}); bucket.tokenBucket != want {
 		t.Errorf("got %+v, want %+v", bucket.tokenBucket, want)
