--- a/policy/activitycounters.go
+++ b/policy/activitycounters.go
@@ -98,7 +98,7 @@
 
 // rejectionAttr groups the rejected requests by reason.
 func rejectionAttr(rejected *[rejectReasonCount]int) slog.Attr {
-	return slog.Group("rejected",
+	return slog.GroupAttrs("rejected",
 		slog.Int("expired", rejected[rejectExpired]),
 		slog.Int("at_capacity", rejected[rejectAtCapacity]),
 		slog.Int("over_quota", rejected[rejectOverQuota]),
@@ -109,7 +109,7 @@
 
 // resultsAttr groups attempts by their result.
 func resultsAttr(key string, counts *[ResultNotSent + 1]int) slog.Attr {
-	return slog.Group(key,
+	return slog.GroupAttrs(key,
 		slog.Int("ok", counts[ResultOK]),
 		slog.Int("failed", counts[ResultFailed]),
 		slog.Int("overloaded", counts[ResultOverloaded]),
@@ -121,7 +121,7 @@
 
 func loadAttr(load *loadMetrics) slog.Attr {
 	const microsecondsPerMillisecond = 1000
-	return slog.Group("load",
+	return slog.GroupAttrs("load",
 		slog.Float64("in_flight", load.view.inFlight),
 		slog.Float64("on_time_per_second", load.view.onTimeRate),
 		slog.Float64("gateways", load.view.gateways),
@@ -133,7 +133,7 @@
 
 // slowStartAttr groups what backends in slow start got, and the figures on them.
 func (n *activityCounters) slowStartAttr(slowStart *slowStartMetrics) slog.Attr {
-	return slog.Group("slow_start",
+	return slog.GroupAttrs("slow_start",
 		slog.Int("backends", slowStart.backends),
 		slog.Int("attempts", n.slowStartAttempts),
 		slog.Int("denied", n.slowStartDenied),
--- a/policy/controller.go
+++ b/policy/controller.go
@@ -118,8 +118,10 @@
 			logWarm(c.actions, backend.ID, backend.slowStart.attempts)
 		}
 		c.logCounters()
-		for _, peer := range c.sharing.drawPeers(loadViewPeers, c.random) {
-			c.prepareMessage(peer) // with the load view, also while this gateway sends nothing
+		for range loadViewPeers {
+			if peer, isPeer := c.sharing.drawPeer(c.random); isPeer {
+				c.prepareMessage(peer) // with the load view, also while this gateway sends nothing
+			}
 		}
 		c.sweepCustomers()
 		c.backends.sweepDeparted(c.clock.now)
--- a/policy/controller_quota.go
+++ b/policy/controller_quota.go
@@ -27,9 +27,9 @@
 		c.refillBuckets(customer)
 		c.updateGrant(customer)
 	}
-	for _, account := range c.customers.removeIdle(c.clock.now) {
-		c.shared.addIdle(&account, c.sharing.plan(&account))
-	}
+	c.customers.removeIdle(c.clock.now, func(account *account) {
+		c.shared.addIdle(account, c.sharing.plan(account))
+	})
 	c.shared.updateRate(c.clock.now)
 }
 
--- a/policy/customertable.go
+++ b/policy/customertable.go
@@ -82,18 +82,17 @@
 // sweepIsDue reports whether it is time to search for idle customers.
 func (t *customerTable) sweepIsDue(now Time) bool { return now-t.sweptAt >= sweepInterval }
 
-// removeIdle drops the records of idle customers and returns their accounts.
-func (t *customerTable) removeIdle(now Time) (idle []account) {
+// removeIdle drops the records of idle customers, and calls removed with the account of each.
+func (t *customerTable) removeIdle(now Time, removed func(*account)) {
 	t.sweptAt = now
 	t.inOrder = slices.DeleteFunc(t.inOrder, func(customer *customer) bool {
 		if !customer.idle(now) {
 			return false
 		}
 		delete(t.byID, customer.id)
-		idle = append(idle, customer.account)
+		removed(&customer.account)
 		return true
 	})
-	return idle
 }
 
 // hasPlan reports whether any customer has the plan of that index.
--- a/policy/customertable_test.go
+++ b/policy/customertable_test.go
@@ -24,7 +24,8 @@
 	sharing := meshSharing()
 	table := tableOf(&sharing, 5, 3, 8, 1)
 	table.byID[3].inFlight, table.byID[1].inFlight = 1, 1
-	idle := convertAll(table.removeIdle(second), func(account account) uint64 { return account.id })
+	var idle []uint64
+	table.removeIdle(second, func(account *account) { idle = append(idle, account.id) })
 	if want := []uint64{5, 8}; !slices.Equal(idle, want) {
 		t.Errorf("idle: %v, want %v", idle, want)
 	}
--- a/policy/quotasharing.go
+++ b/policy/quotasharing.go
@@ -184,15 +184,10 @@
 	return account.replicas > 1 && s.sharesUsage && !s.requiresGrant(account)
 }
 
-// drawPeers draws other gateways at random; there are fewer than count where this one was drawn.
-func (s *quotaSharing) drawPeers(count int, random *rand.Rand) []int {
-	var peers []int
-	for range count {
-		if index := random.IntN(s.gateways); s.gossip && index != s.self {
-			peers = append(peers, index)
-		}
-	}
-	return peers
+// drawPeer draws a gateway at random. It is no peer if it is this one, or if gateways exchange no gossip.
+func (s *quotaSharing) drawPeer(random *rand.Rand) (gateway int, isPeer bool) {
+	gateway = random.IntN(s.gateways)
+	return gateway, s.gossip && gateway != s.self
 }
 
 // announcesTo reports whether a gateway is one of the neighbours that hear of this one's start.
--- a/policy/quotasharing_test.go
+++ b/policy/quotasharing_test.go
@@ -36,12 +36,8 @@
 func TestPeersAreDrawnAmongTheOtherGateways(t *testing.T) {
 	sharing, random := wideSharing(3, Plan{}), rand.New(rand.NewPCG(1, 2))
 	drawn := map[int]bool{}
-	for range 100 {
-		peers := sharing.drawPeers(4, random)
-		if len(peers) > 4 {
-			t.Fatalf("%d peers, want 4 at most", len(peers))
-		}
-		for _, peer := range peers {
+	for range 400 {
+		if peer, isPeer := sharing.drawPeer(random); isPeer {
 			drawn[peer] = true
 		}
 	}
@@ -49,8 +45,8 @@
 		t.Errorf("drew %v, want each gateway but 3", drawn)
 	}
 	alone := newQuotaSharing(&Settings{Gateways: 12, SharedCounter: true})
-	if peers := alone.drawPeers(4, random); len(peers) > 0 {
-		t.Errorf("drew %v without gossip", peers)
+	if peer, isPeer := alone.drawPeer(random); isPeer {
+		t.Errorf("drew %d without gossip", peer)
 	}
 }
 
