--- a/policy/controller_attempts.go
+++ b/policy/controller_attempts.go
@@ -15,7 +15,6 @@
 // that the request has tried.
 func (c *Controller) chooseLeastLoaded(request *request, within *attempt, allowUnhealthy bool) *backend {
 	class, prices := &c.settings.Classes[request.Class], c.settings.loadPrices()
-	rule := retryRule{within: within}
 	var best leastLoaded
 	for _, backend := range c.backends.inOrder {
 		if !backend.ready() {
@@ -25,7 +24,7 @@
 			c.counters.slowStartDenied++
 			continue
 		}
-		if !rule.permits(class, backend) || !allowUnhealthy &&
+		if !class.permits(within, backend) || !allowUnhealthy &&
 			(!backend.acceptsAttempts(c.clock.now, c.settings.HealthChecks) || request.tried(backend)) {
 			continue
 		}
@@ -72,7 +71,7 @@
 	}
 	others := slices.Delete(slices.Clone(request.attempts), attemptNumber, attemptNumber+1)
 	rule, class := c.settings.retryRule(request.Class, others, now), &c.settings.Classes[request.Class]
-	if !attempt.backend.ready() || !rule.allowed || !rule.permits(class, attempt.backend) {
+	if !attempt.backend.ready() || !rule.allowed || !class.permits(rule.within, attempt.backend) {
 		return false
 	}
 	attempt.slowStart = attempt.backend.slowStart.release(attempt.slowStart, attempt.sentAt, false)
--- a/policy/leastloaded.go
+++ b/policy/leastloaded.go
@@ -64,15 +64,3 @@
 		l.backend, l.score = backend, score
 	}
 }
-
-// sameDedupScope reports whether two backends drop each other's repeats.
-func (c *Class) sameDedupScope(a, b *backend) bool {
-	switch c.DedupScope {
-	case DedupZone:
-		return a.Zone == b.Zone
-	case DedupCell:
-		return a.Cell == b.Cell
-	default: // DedupAll
-		return true
-	}
-}
--- a/policy/leastloaded_test.go
+++ b/policy/leastloaded_test.go
@@ -65,27 +65,3 @@
 		t.Error("a backend was chosen of none")
 	}
 }
-
-func TestAttemptsStayInTheDeduplicationScopeOfTheirRule(t *testing.T) {
-	first := &backend{Endpoint: Endpoint{Zone: 1, Cell: 1}}
-	sameCell, sameZone := &backend{Endpoint: first.Endpoint}, &backend{Endpoint: Endpoint{Zone: 1, Cell: 2}}
-	elsewhere := &backend{Endpoint: Endpoint{Zone: 2, Cell: 3}}
-	for _, c := range []struct {
-		scope DedupScope
-		want  [3]bool // same cell, same zone, elsewhere
-	}{
-		{DedupAll, [3]bool{true, true, true}},
-		{DedupZone, [3]bool{true, true, false}},
-		{DedupCell, [3]bool{true, false, false}},
-	} {
-		class, rule := &Class{DedupScope: c.scope}, retryRule{within: &attempt{backend: first}}
-		for i, backend := range []*backend{sameCell, sameZone, elsewhere} {
-			if got := rule.permits(class, backend); got != c.want[i] {
-				t.Errorf("scope %d, backend %d: permitted %t", c.scope, i, got)
-			}
-			if anywhere := (retryRule{}); !anywhere.permits(class, backend) {
-				t.Errorf("scope %d, backend %d: not permitted without a rule", c.scope, i)
-			}
-		}
-	}
-}
--- a/policy/request.go
+++ b/policy/request.go
@@ -50,10 +50,12 @@
 	return r.attempts[number]
 }
 
+// hasPending reports whether an attempt is pending.
 func (r *request) hasPending() bool {
 	return slices.ContainsFunc(r.attempts, func(attempt *attempt) bool { return attempt.pending })
 }
 
+// tried reports whether the request has had an attempt at the backend.
 func (r *request) tried(backend *backend) bool {
 	return slices.ContainsFunc(r.attempts, func(attempt *attempt) bool { return attempt.backend == backend })
 }
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -48,9 +48,22 @@
 	rejectable bool     // the request may be rejected, as it did not run or may run again
 }
 
-// permits reports whether another attempt may be made at the backend, if one may be made.
-func (r *retryRule) permits(class *Class, backend *backend) bool {
-	return r.within == nil || class.sameDedupScope(r.within.backend, backend)
+// permits reports whether an attempt at the backend stays in the deduplication scope of an earlier one; nil:
+// it may go anywhere.
+func (c *Class) permits(within *attempt, backend *backend) bool {
+	return within == nil || c.sameDedupScope(within.backend, backend)
+}
+
+// sameDedupScope reports whether two backends drop each other's repeats.
+func (c *Class) sameDedupScope(a, b *backend) bool {
+	switch c.DedupScope {
+	case DedupZone:
+		return a.Zone == b.Zone
+	case DedupCell:
+		return a.Cell == b.Cell
+	default: // DedupAll
+		return true
+	}
 }
 
 // retryRule applies a class's idempotency to the attempts that a request has had. Hedging allows an
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -98,3 +98,27 @@
 		}
 	}
 }
+
+func TestAttemptsStayInTheDeduplicationScopeOfAnEarlierOne(t *testing.T) {
+	first := &backend{Endpoint: Endpoint{Zone: 1, Cell: 1}}
+	sameCell, sameZone := &backend{Endpoint: first.Endpoint}, &backend{Endpoint: Endpoint{Zone: 1, Cell: 2}}
+	elsewhere := &backend{Endpoint: Endpoint{Zone: 2, Cell: 3}}
+	for _, c := range []struct {
+		scope DedupScope
+		want  [3]bool // same cell, same zone, elsewhere
+	}{
+		{DedupAll, [3]bool{true, true, true}},
+		{DedupZone, [3]bool{true, true, false}},
+		{DedupCell, [3]bool{true, false, false}},
+	} {
+		class := &Class{DedupScope: c.scope}
+		for i, backend := range []*backend{sameCell, sameZone, elsewhere} {
+			if got := class.permits(&attempt{backend: first}, backend); got != c.want[i] {
+				t.Errorf("scope %d, backend %d: permitted %t", c.scope, i, got)
+			}
+			if !class.permits(nil, backend) {
+				t.Errorf("scope %d, backend %d: not permitted without an earlier attempt", c.scope, i)
+			}
+		}
+	}
+}
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -37,8 +37,8 @@
 }
 
 // slowStart is the slow start of one backend: the attempts that this gateway may send it until it is warm.
-// It never holds more than what the backend's share yields in half of the overload window, or one attempt if
-// that is less than one. An attempt takes its part once, when it is written; until then it is reserved.
+// It holds at most what its rate yields in half of the overload window, and one attempt more where that is
+// less than one. An attempt is taken once, when it is written; until then it may be reserved.
 type slowStart struct {
 	startedAt Time        // by this gateway's clock; 0: long ago
 	stamps    startStamps // of its starts
@@ -94,8 +94,8 @@
 // backend no more than a warm one can serve.
 func (s *slowStart) allows(now Time, share, rate float64, parameters *slowStartParameters) bool {
 	s.bucket.rate = parameters.margin * math.Max(rate, parameters.minRate(share))
-	// What can't be saved up to one attempt in that time is dropped and comes at the least rate: else many
-	// slow gateways would each hold an attempt for the backend and send them all at once.
+	// Where that is less than one attempt, one that has come together is dropped if it is not used within as
+	// long again: else many slow gateways would each hold an attempt and send them all at once.
 	saved := s.bucket.rate * parameters.window / 2
 	if s.bucket.capacity = saved; saved < 1 {
 		s.bucket.capacity = 1 + saved
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// What can't be saved up to one attempt comes at the least rate and is never more than one at once.
+// Where half a window yields less than one attempt, attempts come at the least rate, one at a moment.
 func TestSlowStartOfASlowGatewayHoldsAtMostOneAttempt(t *testing.T) {
 	parameters := slowStartParameters{floor: 0.5, duration: 1e9 * second, window: 2, margin: 1, gateways: 10}
 	var s slowStart
