--- a/internal/gateway/client_commands_test.go
+++ b/internal/gateway/client_commands_test.go
@@ -76,3 +76,24 @@
 	}
 	c.wantEnded()
 }
+
+// A command that is dropped for lack of memory is rejected if it is a request, and answered if no decision is
+// due on it. Nothing of it stays counted.
+func TestCommandDroppedForLackOfMemoryIsAnswered(t *testing.T) {
+	r, b, _ := startWithBackend(t, nil)
+	c := r.client(t)
+	full := maxQueuedBytes(r.loop.publishedConfig.Load())
+	r.loop.memory.queued.Add(full)
+	c.sendLookup(1)
+	c.wantLine("-BUSY 500")
+	c.send("PING")
+	c.wantLine("+PONG")
+	c.send("NONE")
+	c.wantLine(`-ERR unknown command "NONE"`)
+	if n := r.loop.memory.queued.Add(-full); n != 0 {
+		t.Errorf("%d bytes are counted", n)
+	}
+	call := c.openLookup(b, 1) // the id is free again
+	call.replyValue(t, "ok")
+	c.wantValue("ok")
+}
--- a/internal/gateway/handover.go
+++ b/internal/gateway/handover.go
@@ -116,6 +116,7 @@
 		return
 	}
 	if !h.phase.Step(handoverOffered) {
+		link.Close()
 		return
 	}
 	h.link = link
