--- /dev/null
+++ b/internal/gateway/capacity.go
@@ -0,0 +1,55 @@
+package gateway
+
+import (
+	"sparspread/internal/config"
+	"sparspread/policy"
+)
+
+// This file is what the gateway itself has no capacity for, whatever the policy says.
+
+const (
+	overloadRetryAfter = 500 * millisecond // advice to a client rejected for lack of capacity
+
+	queuedMemoryDivisor   = 8 // the part of the memory limit that input waiting for the loop may take
+	retainedMemoryDivisor = 4 // and the part that open requests and unsent replies may take
+)
+
+// maxQueuedBytes is how many bytes of input may wait for the loop.
+func maxQueuedBytes(cfg *config.Config) int64 {
+	return int64(cfg.MemoryMB) * bytesPerMB / queuedMemoryDivisor
+}
+
+// capacityRejection is the reply to a request for which the gateway itself has no capacity; nil: it has.
+func (l *Loop) capacityRejection(c *client, overMemory bool) []byte {
+	cs := l.clients
+	for c.commands == 1 && len(cs.conns) > cs.limit {
+		if !cs.evict(l, c) {
+			// Connections that have only just come are not closed, but neither do they keep out a client with
+			// a request.
+			c.overLimit = cs.busyCount() > cs.limit
+			break
+		}
+	}
+	overMemory = overMemory || l.overCapacity()
+	if !overMemory && !c.overLimit && !l.shutdown.hasAnsweredAll() {
+		return nil
+	}
+	c.closeWhenDrained = c.closeWhenDrained || c.overLimit
+	if c.overLimit {
+		cs.counts.rejectedOverLimit++
+	} else {
+		cs.counts.rejectedOverMemory++
+	}
+	after := policy.Time(0)
+	if l.config.Settings.RetryAfterAdvice {
+		after = min(overloadRetryAfter, l.config.Settings.MaxRetryAfter)
+	}
+	return busyReply(after)
+}
+
+// overCapacity reports whether the open requests are too many, or hold too much memory.
+func (l *Loop) overCapacity() bool {
+	maxOpen := l.config.Host.MaxOpen
+	return maxOpen > 0 && l.requests.open > maxOpen ||
+		l.memory.retained >= l.config.MemoryMB*bytesPerMB/retainedMemoryDivisor
+}
--- a/internal/gateway/client_commands.go
+++ b/internal/gateway/client_commands.go
@@ -11,13 +11,8 @@
 	"sparspread/policy"
 )
 
-const (
-	maxConsecutiveErrors = 5                 // malformed commands in a row that a connection may send
-	overloadRetryAfter   = 500 * millisecond // advice to a client rejected for lack of capacity
-
-	queuedMemoryDivisor   = 8 // the part of the memory limit that input waiting for the loop may take
-	retainedMemoryDivisor = 4 // and the part that open requests and unsent replies may take
-)
+// maxConsecutiveErrors is how many malformed commands in a row a connection may send.
+const maxConsecutiveErrors = 5
 
 // Errors whose text is sent to the client.
 var (
@@ -48,11 +43,6 @@
 
 func (h commandHead) common() commandHead { return h }
 
-// maxQueuedBytes is how many bytes of input may wait for the loop.
-func maxQueuedBytes(cfg *config.Config) int64 {
-	return int64(cfg.MemoryMB) * bytesPerMB / queuedMemoryDivisor
-}
-
 // readCommand reads one command; the error is that of the connection. It runs in the client's reader.
 func (c *client) readCommand(l *Loop, in *resp.Reader) (receivedCommand, error) {
 	args, bodySize, err := in.ReadCommandHead()
@@ -277,38 +267,3 @@
 	details.ID, details.Timeout = r.id, max(0, r.deadline-now)
 	l.controller.RequestReceived(now, details)
 }
-
-// capacityRejection is the reply to a request for which the gateway itself has no capacity; nil: it has.
-func (l *Loop) capacityRejection(c *client, overMemory bool) []byte {
-	cs := l.clients
-	for c.commands == 1 && len(cs.conns) > cs.limit {
-		if !cs.evict(l, c) {
-			// Connections that have only just come are not closed, but neither do they keep out a client with
-			// a request.
-			c.overLimit = cs.busyCount() > cs.limit
-			break
-		}
-	}
-	overMemory = overMemory || l.overCapacity()
-	if !overMemory && !c.overLimit && !l.shutdown.hasAnsweredAll() {
-		return nil
-	}
-	c.closeWhenDrained = c.closeWhenDrained || c.overLimit
-	if c.overLimit {
-		cs.counts.rejectedOverLimit++
-	} else {
-		cs.counts.rejectedOverMemory++
-	}
-	after := policy.Time(0)
-	if l.config.Settings.RetryAfterAdvice {
-		after = min(overloadRetryAfter, l.config.Settings.MaxRetryAfter)
-	}
-	return busyReply(after)
-}
-
-// overCapacity reports whether the open requests are too many, or hold too much memory.
-func (l *Loop) overCapacity() bool {
-	maxOpen := l.config.Host.MaxOpen
-	return maxOpen > 0 && l.requests.open > maxOpen ||
-		l.memory.retained >= l.config.MemoryMB*bytesPerMB/retainedMemoryDivisor
-}
