--- a/internal/gateway/discovery_watch_test.go
+++ b/internal/gateway/discovery_watch_test.go
@@ -4,7 +4,6 @@
 	"encoding/json"
 	"fmt"
 	"net/http"
-	"net/http/httptest"
 	"strconv"
 	"strings"
 	"sync/atomic"
@@ -34,7 +33,7 @@
 	var d *fakeDiscovery
 	reported := make(chan struct{})
 	second := newBackend(t)
-	hung := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	hung := newHTTPServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Has("index") && !held.Swap(true) {
 			wait, err := strconv.Atoi(r.URL.Query().Get("wait"))
 			const slack = time.Second // for the answer, by the discovery client
@@ -49,11 +48,8 @@
 		}
 		d.ServeHTTP(w, r)
 	}))
-	t.Cleanup(func() { hung.CloseClientConnections(); hung.Close() })
 	d = newFakeDiscovery(t)
-	r := startGateway(t, newConfig(t, d, func(f map[string]any) {
-		f["discovery"] = strings.TrimPrefix(hung.URL, "http://")
-	}))
+	r := startGateway(t, newConfig(t, d, withDiscovery(hung)))
 	wait(t, reported, "the watch that hangs") // before it the unchanged list would count as the last
 	d.awaitWatch(t)
 	c := r.client(t)
@@ -106,16 +102,15 @@
 		t.Run(name, func(t *testing.T) {
 			b := newBackend(t)
 			d := newFakeDiscovery(t, b.listEntry("s-00000001", "Ready"))
-			front := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			front := newHTTPServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				if r.URL.Query().Get("index") == "41" {
 					answer(w)
 					return
 				}
 				d.ServeHTTP(w, r)
 			}))
-			t.Cleanup(func() { front.CloseClientConnections(); front.Close() })
 			r := startGateway(t, newConfig(t, d, func(f map[string]any) {
-				f["discovery"] = strings.TrimPrefix(front.URL, "http://")
+				withDiscovery(front)(f)
 				f["known"] = json.RawMessage(`{"revision":41,"complete":true,"members":[]}`)
 			}))
 			if query := wait(t, d.calls, "another call"); query != "" {
--- a/internal/gateway/fake_discovery_test.go
+++ b/internal/gateway/fake_discovery_test.go
@@ -29,11 +29,26 @@
 	tb.Helper()
 	d := &fakeDiscovery{changed: make(chan struct{}), calls: make(chan string, maxQueuedQueries)}
 	d.setEntries(entries...)
-	d.Server = httptest.NewServer(d)
-	tb.Cleanup(func() { d.CloseClientConnections(); d.Close() })
+	d.Server = newHTTPServer(tb, d)
 	return d
 }
 
+// newHTTPServer starts a server. It ends with the test, whatever calls it still serves.
+func newHTTPServer(tb testing.TB, handler http.Handler) *httptest.Server {
+	tb.Helper()
+	server := httptest.NewServer(handler)
+	tb.Cleanup(func() {
+		server.CloseClientConnections()
+		server.Close()
+	})
+	return server
+}
+
+// withDiscovery returns a change of a configuration's keys for newConfig: the service at a server is watched.
+func withDiscovery(server *httptest.Server) func(map[string]any) {
+	return func(file map[string]any) { file["discovery"] = server.Listener.Addr().String() }
+}
+
 // setEntries replaces the list by a new revision, of which the gateways that watch are told.
 func (d *fakeDiscovery) setEntries(entries ...string) {
 	d.mu.Lock()
--- a/internal/gateway/handover_older_conn_test.go
+++ b/internal/gateway/handover_older_conn_test.go
@@ -29,6 +29,7 @@
 	olderSettled      = 'u'
 )
 
+// The largest packet of the older program and its control data, in bytes.
 const (
 	olderMaxPacket  = 32<<10 + 1
 	olderMaxControl = 128
@@ -84,6 +85,7 @@
 	return newOlderConn(tb, conn)
 }
 
+// newOlderConn makes a link of a connection. It ends with the test, whose waits for messages it bounds.
 func newOlderConn(tb testing.TB, conn *net.UnixConn) *olderConn {
 	tb.Helper()
 	c := &olderConn{tb: tb, conn: conn}
@@ -132,6 +134,7 @@
 	return olderMessage{Kind: packet[0], Body: packet[1:n], Files: c.files(control[:controlBytes])}
 }
 
+// files returns the sockets that came with a packet's control data. They are closed with the test.
 func (c *olderConn) files(control []byte) (files []*os.File) {
 	c.tb.Helper()
 	messages, err := syscall.ParseSocketControlMessage(control)
