--- a/internal/gateway/handover_older_test.go
+++ b/internal/gateway/handover_older_test.go
@@ -94,6 +94,9 @@
 		t.Errorf("input %q, want %q", input, recordedInput)
 	}
 
+	s.rig.waitUntil(t, func(l *Loop) bool { // else the last client would follow behind its attempt's end
+		return !slices.ContainsFunc(clientList(l), func(c *client) bool { return !c.readerStopped })
+	})
 	s.rig.runClock()
 	s.openCall.reply(t, "-ERR failed\r\n")
 	wantOlderMessage(t, link, olderAttemptOver, olderform.AttemptEnded{
