--- /dev/null
+++ b/docs/logkeys_test.go
@@ -0,0 +1,279 @@
+package docs
+
+import (
+	"errors"
+	"fmt"
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"maps"
+	"slices"
+	"strings"
+	"testing"
+)
+
+// The event of counters has a section of its own, whose tables list its keys under keyColumn as they are
+// logged: those of a group as GROUP.KEY.
+const (
+	countersMessage = "decision counters"
+	countersHeading = "## Decision counters"
+	keyColumn       = "| key |"
+	decisionFolder  = "../policy"
+)
+
+var (
+	errNoAttribute    = errors.New("no attribute that can be read")
+	errKeyNotConstant = errors.New("the key is no constant")
+)
+
+// Each key of the event of counters is in the tables of its section, and the tables have no other keys.
+func TestOperationsPageListsTheKeysOfTheCounters(t *testing.T) {
+	logged := decisionEvents(t)[countersMessage]
+	if len(logged) == 0 {
+		t.Fatalf("%q: no keys in the program", countersMessage)
+	}
+	listed := firstColumn(t, sectionOf(t, logPage, countersHeading), keyColumn)
+	for _, key := range logged {
+		if !slices.Contains(listed, key) {
+			t.Errorf("%s: the section %q does not list %s", logPage, countersHeading, key)
+		}
+	}
+	for _, key := range listed {
+		if !slices.Contains(logged, key) {
+			t.Errorf("%s: the section %q lists %s, which is not logged", logPage, countersHeading, key)
+		}
+	}
+	if len(slices.Compact(slices.Sorted(slices.Values(listed)))) != len(listed) {
+		t.Errorf("%s: the section %q lists a key twice: %q", logPage, countersHeading, listed)
+	}
+}
+
+// Each key of the other events of the decisions is named in the row of its event.
+func TestOperationsPageNamesTheKeysOfDecisionEvents(t *testing.T) {
+	events := decisionEvents(t)
+	if len(events) < 2 {
+		t.Fatalf("events %q, want several", slices.Collect(maps.Keys(events)))
+	}
+	page := readPage(t, logPage)
+	for message, keys := range events {
+		if message == countersMessage {
+			continue
+		}
+		_, row, found := strings.Cut(page, "\n| `"+message+"`")
+		if !found {
+			t.Errorf("%s: no row for %q", logPage, message)
+		}
+		row, _, _ = strings.Cut(row, "\n")
+		for _, key := range keys {
+			if !strings.Contains(row, "`"+key+"`") {
+				t.Errorf("%s: the row of %q does not name %s", logPage, message, key)
+			}
+		}
+	}
+}
+
+func TestAttributeKeysAreFound(t *testing.T) {
+	const program = `package p
+const plainKey = "plain"
+func (c *Controller) log(i int) {
+	c.actions.Log("grouped", c.counters.take(i)...)
+	c.actions.Log("single", plainAttr(i), slog.String("text", "value"))
+	c.actions.Log("unknown", attributes...)
+}
+func (n *counters) take(i int) []slog.Attr {
+	attributes := []slog.Attr{slog.Int("total", i), groupAttr("first", i), groupAttr("second", i)}
+	return attributes
+}
+func groupAttr(key string, i int) slog.Attr {
+	return slog.Group(key, slog.Int("inner", i), plainAttr(i))
+}
+func plainAttr(i int) slog.Attr { return slog.Int(plainKey, i) }
+func (g *grants) take(i int) []*request { return nil }
+`
+	file, err := parser.ParseFile(token.NewFileSet(), "p.go", program, parser.SkipObjectResolution)
+	if err != nil {
+		t.Fatal(err)
+	}
+	source := newSource()
+	source.addFile(".", file)
+	want := map[string][]string{
+		"grouped": {"total", "first.inner", "first.plain", "second.inner", "second.plain"},
+		"single":  {"plain", "text"},
+	}
+	for _, call := range source.logCalls {
+		message, _ := textOf(call.message)
+		keys, err := source.attributeKeys(call)
+		if !slices.Equal(keys, want[message]) {
+			t.Errorf("%s: keys %q, want %q", message, keys, want[message])
+		}
+		if isUnknown := message == "unknown"; (err != nil) != isUnknown {
+			t.Errorf("%s: error %v", message, err)
+		}
+	}
+}
+
+// decisionEvents returns the keys of each event that the decisions log, by its message.
+func decisionEvents(t *testing.T) map[string][]string {
+	t.Helper()
+	source := sourceIn(t, []string{decisionFolder})
+	events := map[string][]string{}
+	for _, call := range source.logCalls {
+		message, ok := source.messageOf(call)
+		if !ok {
+			continue // not a call that logs
+		}
+		keys, err := source.attributeKeys(call)
+		if err != nil {
+			t.Errorf("%q: %v", message, err)
+		}
+		events[message] = keys
+	}
+	return events
+}
+
+// attributeKeys returns the keys of a log call's attributes, in order.
+func (s *source) attributeKeys(call logCall) ([]string, error) {
+	var keys []string
+	for _, attribute := range call.attributes {
+		more, err := s.keysOf(call.folder, attribute, nil)
+		if err != nil {
+			return nil, err
+		}
+		keys = append(keys, more...)
+	}
+	return keys, nil
+}
+
+// keysOf returns the keys of an attribute, or of a list of them: a call of slog, or of a function that
+// returns what is made by such calls. Parameters have the texts of the parameters of the function that it
+// stands in.
+func (s *source) keysOf(folder string, expression ast.Expr, parameters map[string]string) ([]string, error) {
+	switch expression := expression.(type) {
+	case *ast.CompositeLit:
+		return s.keysOfAll(folder, expression.Elts, parameters)
+	case *ast.CallExpr:
+		name, inSlog := calledName(expression)
+		if inSlog {
+			return s.keysOfSlog(folder, name, expression.Args, parameters)
+		}
+		if function := s.functions[folder+"."+name]; function != nil {
+			return s.keysOfFunction(folder, function, expression.Args, parameters)
+		}
+	}
+	return nil, fmt.Errorf("%w: %T", errNoAttribute, expression)
+}
+
+func (s *source) keysOfAll(folder string, list []ast.Expr, parameters map[string]string) ([]string, error) {
+	var keys []string
+	for _, expression := range list {
+		more, err := s.keysOf(folder, expression, parameters)
+		if err != nil {
+			return nil, err
+		}
+		keys = append(keys, more...)
+	}
+	return keys, nil
+}
+
+// keysOfSlog returns the key of an attribute that slog makes, or the keys of the attributes of a group.
+func (s *source) keysOfSlog(
+	folder, constructor string, arguments []ast.Expr, parameters map[string]string,
+) ([]string, error) {
+	key, ok := s.constantText(folder, arguments[0], parameters)
+	if !ok {
+		return nil, fmt.Errorf("slog.%s: %w", constructor, errKeyNotConstant)
+	}
+	if constructor != "Group" {
+		return []string{key}, nil
+	}
+	keys, err := s.keysOfAll(folder, arguments[1:], parameters)
+	for i := range keys {
+		keys[i] = key + "." + keys[i]
+	}
+	return keys, err
+}
+
+// keysOfFunction returns the keys of the attributes that a function makes: those of the first attribute or
+// list of attributes in its body.
+func (s *source) keysOfFunction(
+	folder string, function *ast.FuncDecl, arguments []ast.Expr, parameters map[string]string,
+) ([]string, error) {
+	texts := map[string]string{}
+	position := 0
+	for _, field := range function.Type.Params.List {
+		for _, name := range field.Names {
+			if text, ok := s.constantText(folder, arguments[position], parameters); ok {
+				texts[name.Name] = text
+			}
+			position++
+		}
+	}
+	for _, statement := range function.Body.List {
+		var values []ast.Expr
+		switch statement := statement.(type) {
+		case *ast.AssignStmt:
+			values = statement.Rhs
+		case *ast.ReturnStmt:
+			values = statement.Results
+		}
+		if len(values) != 1 {
+			continue
+		}
+		if keys, err := s.keysOf(folder, values[0], texts); err == nil {
+			return keys, nil
+		}
+	}
+	return nil, fmt.Errorf("%s: %w", function.Name.Name, errNoAttribute)
+}
+
+// constantText is the text of a literal, a constant or a parameter.
+func (s *source) constantText(
+	folder string, expression ast.Expr, parameters map[string]string,
+) (string, bool) {
+	name, isName := expression.(*ast.Ident)
+	if !isName {
+		return textOf(expression)
+	}
+	if text, ok := parameters[name.Name]; ok {
+		return text, true
+	}
+	text, ok := s.constants[folder+"."+name.Name]
+	return text, ok
+}
+
+// returnsAttributes reports whether a function returns one attribute or a list of them.
+func returnsAttributes(function *ast.FuncDecl) bool {
+	results := function.Type.Results
+	if results == nil || len(results.List) != 1 {
+		return false
+	}
+	result := results.List[0].Type
+	if list, isList := result.(*ast.ArrayType); isList {
+		result = list.Elt
+	}
+	attribute, ok := result.(*ast.SelectorExpr)
+	return ok && attribute.Sel.Name == "Attr"
+}
+
+// calledName is the name of the function or method that is called, and whether it is one of package slog.
+func calledName(call *ast.CallExpr) (name string, inSlog bool) {
+	switch function := call.Fun.(type) {
+	case *ast.Ident:
+		return function.Name, false
+	case *ast.SelectorExpr:
+		of, isName := function.X.(*ast.Ident)
+		return function.Sel.Name, isName && of.Name == "slog"
+	}
+	return "", false
+}
+
+// sectionOf returns the part of a page below a heading.
+func sectionOf(t *testing.T, page, heading string) string {
+	t.Helper()
+	_, section, found := strings.Cut(readPage(t, page), "\n"+heading+"\n")
+	if !found {
+		t.Fatalf("%s: no heading %q", page, heading)
+	}
+	section, _, _ = strings.Cut(section, "\n## ")
+	return section
+}
--- a/docs/loglines_test.go
+++ b/docs/loglines_test.go
@@ -43,7 +43,7 @@
 // Each line of the log that the page lists is logged, word by word, and the page lists each that is logged.
 func TestOperationsPageListsTheLogLines(t *testing.T) {
 	logged := sourceIn(t, loggingFolders).messages()
-	listed := listedLogLines(t)
+	listed := firstColumn(t, readPage(t, logPage), logColumn)
 	for _, message := range listed {
 		if !slices.Contains(logged, message) {
 			t.Errorf("%s: %q is not logged", logPage, message)
@@ -113,18 +113,24 @@
 
 // source is what programs log and which texts they contain.
 type source struct {
-	constants map[string]string // by folder and name
-	literals  map[string]bool   // all texts, and the JSON names of fields
+	constants map[string]string        // by folder and name
+	functions map[string]*ast.FuncDecl // the same, methods too: those that return attributes
+	literals  map[string]bool          // all texts, and the JSON names of fields
 	logCalls  []logCall
 }
 
 // logCall is a call of a log method.
 type logCall struct {
-	folder  string
-	message ast.Expr
+	folder     string
+	message    ast.Expr
+	attributes []ast.Expr // what follows the message
 }
 
-func newSource() *source { return &source{constants: map[string]string{}, literals: map[string]bool{}} }
+func newSource() *source {
+	return &source{
+		constants: map[string]string{}, functions: map[string]*ast.FuncDecl{}, literals: map[string]bool{},
+	}
+}
 
 // sourceIn parses the programs' files below some folders.
 func sourceIn(t *testing.T, folders []string) *source {
@@ -154,6 +160,10 @@
 		switch node := node.(type) {
 		case *ast.ValueSpec:
 			s.addConstants(folder, node)
+		case *ast.FuncDecl:
+			if returnsAttributes(node) {
+				s.functions[folder+"."+node.Name.Name] = node
+			}
 		case *ast.CallExpr:
 			s.addCall(folder, node)
 		case *ast.BasicLit:
@@ -177,7 +187,7 @@
 		return
 	}
 	if i, ok := messageArgument[selector.Sel.Name]; ok && i < len(call.Args) {
-		s.logCalls = append(s.logCalls, logCall{folder, call.Args[i]})
+		s.logCalls = append(s.logCalls, logCall{folder, call.Args[i], call.Args[i+1:]})
 	}
 }
 
@@ -207,11 +217,7 @@
 func (s *source) messages() []string {
 	var messages []string
 	for _, call := range s.logCalls {
-		text, ok := textOf(call.message)
-		if name, isName := call.message.(*ast.Ident); isName {
-			text, ok = s.constants[call.folder+"."+name.Name]
-		}
-		if ok {
+		if text, ok := s.messageOf(call); ok {
 			messages = append(messages, text)
 		}
 	}
@@ -219,6 +225,11 @@
 	return slices.Compact(messages)
 }
 
+// messageOf returns the message of a log call if it is constant.
+func (s *source) messageOf(call logCall) (string, bool) {
+	return s.constantText(call.folder, call.message, nil)
+}
+
 // hasKey reports whether a key is in the programs, whole or as a prefix that ends in "_" and the rest.
 func (s *source) hasKey(key string) bool {
 	if s.literals[key] {
@@ -232,24 +243,27 @@
 	return false
 }
 
-// listedLogLines returns the first columns of the page's tables of log lines.
-func listedLogLines(t *testing.T) []string {
+// firstColumn returns the quoted texts in the first column of those tables whose header begins with a text.
+// Each row has one at least, with which it begins.
+func firstColumn(t *testing.T, page, header string) []string {
 	t.Helper()
 	var lines []string
 	inTable := false
-	for line := range strings.SplitSeq(readPage(t, logPage), "\n") {
+	for line := range strings.SplitSeq(page, "\n") {
 		switch {
-		case strings.HasPrefix(line, logColumn):
+		case strings.HasPrefix(line, header):
 			inTable = true
 		case !strings.HasPrefix(line, "|"):
 			inTable = false
 		case inTable && !strings.HasPrefix(line, "| ---"):
-			match := firstQuoted.FindStringSubmatch(line)
-			if match == nil {
-				t.Errorf("%s: the first column has no quoted message: %s", logPage, line)
+			if !firstQuoted.MatchString(line) {
+				t.Errorf("%s: the first column has no quoted text: %s", logPage, line)
 				continue
 			}
-			lines = append(lines, match[1])
+			cell, _, _ := strings.Cut(strings.TrimPrefix(line, "|"), "|")
+			for _, match := range quoted.FindAllStringSubmatch(cell, -1) {
+				lines = append(lines, match[1])
+			}
 		}
 	}
 	return lines
--- a/docs/names_test.go
+++ b/docs/names_test.go
@@ -27,12 +27,13 @@
 	unqualified map[string]bool // the same without package and type
 	packages    map[string]bool
 	tests       map[string]bool // tests and benchmarks, by name
+	logKeys     map[string]bool // keys of the decisions' log events, those of a group as GROUP.KEY
 }
 
 func newDeclarations() declarations {
 	return declarations{
 		names: map[string]bool{}, unqualified: map[string]bool{},
-		packages: map[string]bool{}, tests: map[string]bool{},
+		packages: map[string]bool{}, tests: map[string]bool{}, logKeys: map[string]bool{},
 	}
 }
 
@@ -46,6 +47,9 @@
 
 func TestPagesNameOnlyWhatExists(t *testing.T) {
 	declared := declaredIn(t, "..")
+	for _, keys := range decisionEvents(t) {
+		declared.addLogKeys(keys)
+	}
 	for _, page := range checkedPages {
 		t.Run(page, func(t *testing.T) {
 			raw, err := os.ReadFile(page)
@@ -66,11 +70,13 @@
 	declared.packages["policy"] = true
 	declared.add("policy", "Controller", "Reload")
 	declared.tests["TestHere"] = true
+	declared.addLogKeys([]string{"policy.key"})
 	line := "`policy.Controller.Reload`, policy.Gone, policy.Controller.Gone, limits.sockets, " +
 		"policy.json, `gone/file.go`, `names_test.go`, `bin/gone`, `bin/gateway`, " +
-		"`goneFunction`, TestHere, TestGone"
+		"`goneFunction`, TestHere, TestGone, policy.key, policy.gone_key"
 	want := []string{
-		"policy.Gone", "policy.Controller.Gone", "gone/file.go", "bin/gone", "goneFunction", "TestGone",
+		"policy.Gone", "policy.Controller.Gone", "policy.gone_key", "gone/file.go", "bin/gone",
+		"goneFunction", "TestGone",
 	}
 	if got := declared.missingIn(line); !slices.Equal(got, want) {
 		t.Errorf("missing %q, want %q", got, want)
@@ -89,7 +95,7 @@
 		if member != "" {
 			full += "." + member
 		}
-		if !d.names[full] {
+		if !d.names[full] && !d.logKeys[full] {
 			missing = append(missing, full)
 		}
 	}
@@ -172,6 +178,13 @@
 	}
 }
 
+// addLogKeys adds keys of a log event.
+func (d declarations) addLogKeys(keys []string) {
+	for _, key := range keys {
+		d.logKeys[key] = true
+	}
+}
+
 // addTests adds the tests and benchmarks of a file.
 func (d declarations) addTests(file *ast.File) {
 	for _, declaration := range file.Decls {
