--- a/policy/admission.go
+++ b/policy/admission.go
@@ -18,7 +18,7 @@
 		c.reject(req.ID, rejectExpired, 0)
 		return
 	}
-	if c.retired {
+	if c.gaveUpOwnership { // the buckets are the successor's, so that no quota is left here
 		c.reject(req.ID, rejectOverQuota, c.shortestObjective/retryAfterDivisor)
 		return
 	}
@@ -35,7 +35,7 @@
 // admitOrRequestQuota admits a request unless a coordinator other than this gateway decides on it.
 func (c *Controller) admitOrRequestQuota(request *request) {
 	account := &request.customer.account
-	request.coordinator = c.grants.pickCoordinator(c.clock.now, &c.sharing, account, request, c.random)
+	request.coordinator = c.quotaRequests.pickCoordinator(c.clock.now, &c.sharing, account, request, c.random)
 	if c.sharing.asksAnother(account, request.coordinator) {
 		c.requestQuota(request)
 		return
@@ -47,17 +47,17 @@
 // its ceiling allows it. It rejects the request otherwise.
 func (c *Controller) admit(request *request, source unitSource) {
 	customer, plan := request.customer, &c.settings.Plans[request.Plan]
-	request.borrowed = source == unitsMissing
-	if request.borrowed &&
-		(!c.shared.mayBorrow(c.clock.now, plan, request.Cost) || c.atCapacity(borrowCapacityShare)) {
+	mustBorrow := source == unitsMissing
+	if mustBorrow &&
+		(!c.sharedBucket.mayBorrow(c.clock.now, plan, request.Cost) || c.atCapacity(borrowCapacityShare)) {
 		c.counters.countOverQuota(&customer.bucket, request.Cost)
 		now, startedAt := c.clock.now, c.clock.startedAt
 		wait := customer.timeUntilAvailable(now, startedAt, &c.sharing, plan.Rate, request.Cost)
 		c.reject(request.ID, rejectOverQuota, wait)
 		return
 	}
-	request.chargedCeiling = plan.CeilingRate > 0 && source != unitsFromGrant
-	if request.chargedCeiling && customer.ceiling.level < request.Cost {
+	countsAgainstCeiling := plan.CeilingRate > 0 && source != unitsFromGrant
+	if countsAgainstCeiling && customer.ceiling.level < request.Cost {
 		wait := timeUntil(customer.ceiling.level, customer.ceiling.rate, request.Cost)
 		c.reject(request.ID, rejectOverCeiling, wait)
 		return
@@ -67,12 +67,13 @@
 		c.reject(request.ID, rejectNoBackend, c.shortestObjective/retryAfterDivisor)
 		return
 	}
-	if request.borrowed {
-		c.shared.borrow(request.Cost)
+	request.borrowed, request.chargedCeiling = mustBorrow, countsAgainstCeiling
+	if mustBorrow {
+		c.sharedBucket.borrow(request.Cost)
 	} else {
 		c.customers.consume(&c.sharing, customer, request.coordinator, request.Cost)
 	}
-	if request.chargedCeiling {
+	if countsAgainstCeiling {
 		customer.ceiling.level -= request.Cost
 	}
 	c.retryBudget.deposit()
--- a/policy/api.go
+++ b/policy/api.go
@@ -170,8 +170,8 @@
 	Reject(id uint64, after Time)
 	// Fail answers with an error that promises nothing.
 	Fail(id uint64)
-	// SetTimer asks for a call of TimerFired with the token at the given time.
-	SetTimer(at Time, token uint32)
+	// SetTimer asks for a call of TimerFired with the timer's ID at the given time.
+	SetTimer(at Time, timerID uint32)
 	// HealthCheck asks a backend whether it is alive.
 	HealthCheck(backend uint32)
 	// SendGossip sends a message of at most 256 bytes to a peer; it may arrive late or never.
--- a/policy/backendhealth.go
+++ b/policy/backendhealth.go
@@ -97,6 +97,7 @@
 	if mayRun && h.connectionFailures.sum < maxConnectionFailures {
 		return false, notEjected
 	}
+	// It stays taken for running only if every failure since it is down leaves that open.
 	h.unresponsive = mayRun && (h.unresponsive || !h.down)
 	if h.down && now < h.nextProbeAt {
 		return true, notEjected
@@ -112,8 +113,8 @@
 func (h *backendHealth) detectUnresponsive(
 	now, activeTime Time, overdue int, share float64, objective Time,
 ) ejectionReason {
-	evidence := math.Min(1, float64(overdue)/2)
-	silence := float64(activeTime-h.unansweredSince) * share * evidence
+	weight := math.Min(1, float64(overdue)/2) // 0, a half, or 1 for two and more
+	silence := float64(activeTime-h.unansweredSince) * share * weight
 	if h.down || silence <= unresponsiveObjectives*float64(objective) {
 		return notEjected
 	}
--- a/policy/controller.go
+++ b/policy/controller.go
@@ -2,7 +2,7 @@
 
 import "math/rand/v2"
 
-// The tokens of the timers.
+// The IDs of the timers, which SetTimer passes to TimerFired.
 const (
 	gossipTimer       = iota // a gossip round, and what else is done periodically
 	quotaRequestTimer        // a quota request may have timed out
@@ -24,14 +24,14 @@
 	random            *rand.Rand
 	shortestObjective Time // the tightest latency objective of all classes
 	clock             clock
-	retired           bool // another process owns the buckets and admits requests
+	gaveUpOwnership   bool // another process owns the buckets and admits requests
 
 	// Customers and their quotas.
-	customers customerTable
-	shared    sharedBucket
-	sharing   quotaSharing
-	grants    grantRequests
-	gossip    gossipState
+	customers     customerTable
+	sharedBucket  sharedBucket
+	sharing       quotaSharing
+	quotaRequests quotaRequests
+	gossip        gossipState
 
 	// Backends.
 	backends  backendTable
@@ -59,8 +59,8 @@
 	c := &Controller{
 		settings: settings, actions: actions, random: rand.New(rand.NewPCG(seed, seed>>halfSeedBits)),
 		customers:      newCustomerTable(),
-		shared:         newSharedBucket(len(settings.Plans)),
-		grants:         newGrantRequests(settings.Gateways),
+		sharedBucket:   newSharedBucket(len(settings.Plans)),
+		quotaRequests:  newQuotaRequests(settings.Gateways),
 		gossip:         newGossipState(uint32(seed>>halfSeedBits)^uint32(seed), settings.Gateways),
 		backends:       newBackendTable(len(settings.Classes), len(settings.Plans)),
 		requests:       newRequestTable(len(settings.Classes)),
@@ -86,7 +86,7 @@
 // start begins the controller's work at its first event. It announces to this gateway's neighbours that it
 // has started without any state.
 func (c *Controller) start(now Time) {
-	c.customers.sweptAt, c.shared.updatedAt, c.counters.since = now, now, now
+	c.customers.sweptAt, c.sharedBucket.updatedAt, c.counters.since = now, now, now
 	c.scheduleTick()
 	if c.settings.PollEndpoints {
 		c.watch.request(c.clock.now)
@@ -106,10 +106,10 @@
 }
 
 // TimerFired handles a timer that was set by SetTimer.
-func (c *Controller) TimerFired(now Time, token uint32) {
+func (c *Controller) TimerFired(now Time, timerID uint32) {
 	c.advanceClock(now)
-	if token != gossipTimer {
-		c.resolveQuotaRequests(nil, grant{})
+	if timerID != gossipTimer {
+		c.resolveQuotaRequests(nil, grant{}) // without an answer: those that have timed out
 		return
 	}
 	c.scheduleTick()
@@ -126,7 +126,7 @@
 		c.sweepCustomers()
 		c.backends.sweepDeparted(c.clock.now)
 	}
-	if !c.retired {
+	if !c.gaveUpOwnership {
 		c.runGossipRound()
 	}
 	if c.settings.HealthChecks {
--- a/policy/controller_backends.go
+++ b/policy/controller_backends.go
@@ -40,7 +40,7 @@
 // what a warm one answers this gateway.
 func (c *Controller) slowStartAllows(backend *backend) bool {
 	share := backend.slowStart.share(c.clock.now, &c.slowStart)
-	if share == 1 || c.retired { // what was saved up belongs to the process that took over
+	if share == 1 || c.gaveUpOwnership { // what was saved up belongs to the process that took over
 		return share == 1
 	}
 	rate := 0.0 // left to the gateways that prefer it
--- a/policy/controller_quota.go
+++ b/policy/controller_quota.go
@@ -5,7 +5,7 @@
 	customer := c.customers.byID[account.id]
 	if customer == nil {
 		customer = newCustomer(c.clock.now, c.clock.startedAt, &c.sharing, account)
-		c.shared.removeIdle(&account, c.sharing.plan(&account))
+		c.sharedBucket.removeIdle(&account, c.sharing.plan(&account))
 		c.customers.add(customer)
 	}
 	c.refillBuckets(customer)
@@ -17,7 +17,7 @@
 	account := &customer.account
 	allActive := c.sharing.plan(account).CeilingRate > 0 && c.sharing.isFullMesh(account) &&
 		c.gossip.allActive(&c.sharing, account, c.clock.activeTime)
-	c.shared.deposit(customer.refill(c.clock.now, &c.sharing, allActive))
+	c.sharedBucket.deposit(customer.refill(c.clock.now, &c.sharing, allActive))
 }
 
 // sweepCustomers refills all buckets and drops the records of idle customers, whose overflow goes
@@ -28,9 +28,9 @@
 		c.updateGrant(customer)
 	}
 	c.customers.removeIdle(c.clock.now, func(account *account) {
-		c.shared.addIdle(account, c.sharing.plan(account))
+		c.sharedBucket.addIdle(account, c.sharing.plan(account))
 	})
-	c.shared.updateRate(c.clock.now)
+	c.sharedBucket.updateRate(c.clock.now)
 }
 
 // updateGrant has a coordinator set a customer's grant, and advertise it to the set if it has changed.
@@ -52,7 +52,7 @@
 	}
 	c.refillBuckets(request.customer)
 	if request.borrowed {
-		c.shared.deposit(request.Cost)
+		c.sharedBucket.deposit(request.Cost)
 	} else {
 		c.customers.consume(&c.sharing, request.customer, request.coordinator, -request.Cost)
 	}
@@ -100,14 +100,14 @@
 	c.actions.SendGossip(peer, entry.appendTo(c.gossip.newMessage(c.loadView())))
 	c.actions.SetTimer(request.grantDeadline, quotaRequestTimer)
 	c.requests.add(request)
-	c.grants.add(request)
+	c.quotaRequests.add(request)
 }
 
 // resolveQuotaRequests decides on the requests that an answer is for and on those whose answer is
 // overdue. The latter ask another coordinator once, or else use what the last grant left.
 func (c *Controller) resolveQuotaRequests(customer *customer, answer grant) {
-	c.grants.dropClosed(c.requests.byID)
-	for _, ended := range c.grants.answered(c.clock.now, &c.sharing, customer, answer) {
+	c.quotaRequests.dropClosed(c.requests.byID)
+	for _, ended := range c.quotaRequests.answered(c.clock.now, &c.sharing, customer, answer) {
 		request := ended.request
 		c.requests.remove(request.ID)
 		switch ended.result {
--- a/policy/coordinator_test.go
+++ b/policy/coordinator_test.go
@@ -242,15 +242,16 @@
 			pair := newCoordinatorPair(t)
 			participant := pair.participant
 			id := pair.receive(0, 9)
-			if len(participant.grants.awaiting) != 1 {
-				t.Fatalf("%d requests wait for the coordinator, want 1", len(participant.grants.awaiting))
+			if len(participant.quotaRequests.awaiting) != 1 {
+				t.Fatalf("%d requests wait for the coordinator, want 1",
+					len(participant.quotaRequests.awaiting))
 			}
 			participant.RequestCancelled(participant.at, id)
 			participant.take()
 			resolve(participant)
-			if len(participant.performed) != 0 || len(participant.grants.awaiting) != 0 {
+			if len(participant.performed) != 0 || len(participant.quotaRequests.awaiting) != 0 {
 				t.Errorf("acted for a disconnected client: %+v, %d waiting",
-					participant.performed, len(participant.grants.awaiting))
+					participant.performed, len(participant.quotaRequests.awaiting))
 			}
 		})
 	}
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -103,20 +103,20 @@
 // used before.
 func (c *customer) availableUnits(now, startedAt Time, sharing *quotaSharing) float64 {
 	switch {
-	case sharing.isParticipant(&c.account) && c.grant.isLimited():
+	case sharing.isParticipant(&c.account) && c.grant.isLimited(): // what a coordinator has granted
 		return c.grant.units
-	case !sharing.sharesUsage || sharing.isWide(&c.account):
+	case !sharing.sharesUsage || sharing.isWide(&c.account): // the bucket is this gateway's share already
 		return c.bucket.level
 	}
 	unreported := c.usage.unreported()
 	delay := float64(gossipDelayPeriods * sharing.gossipPeriod)
 	expected := c.demand.atPeers(now) * delay / float64(c.demand.window)
 	share := c.quotaShare(now, sharing)*(c.bucket.level+unreported) - unreported
-	level := math.Max(share, c.bucket.level-expected)
+	available := math.Max(share, c.bucket.level-expected)
 	if sharing.isSettling(now - startedAt) { // an even share, so that a restart grants no second burst
-		level = math.Min(level, c.bucket.capacity/float64(c.replicas)-c.usage.consumed)
+		available = math.Min(available, c.bucket.capacity/float64(c.replicas)-c.usage.consumed)
 	}
-	return level
+	return available
 }
 
 // unitSource says which quota covers the cost of a request.
@@ -142,7 +142,7 @@
 	return timeUntil(c.availableUnits(now, startedAt, sharing), c.quotaShare(now, sharing)*rate, units)
 }
 
-// withinQuota reports whether the quota and the concurrency limit admit the units.
+// withinQuota reports whether the quota, and the plan's limit of attempts in flight, admit the units.
 func (c *customer) withinQuota(now, startedAt Time, sharing *quotaSharing, units float64) bool {
 	plan := sharing.plan(&c.account)
 	if plan.ConcurrencyLimit > 0 {
@@ -171,7 +171,7 @@
 	c.meter.read(now, sharing.meterPeriod, sharing.plan(&c.account).Rate, reading)
 }
 
-// consume charges units that the coordinator of that index granted, 0 if none did.
+// consume charges units that the coordinator of that index granted. Units that none granted go under index 0.
 func (c *customer) consume(sharing *quotaSharing, coordinator int, units float64) {
 	c.usage.consume(coordinator, units)
 	if !sharing.asksAnother(&c.account, coordinator) {
--- a/policy/ownership.go
+++ b/policy/ownership.go
@@ -7,8 +7,8 @@
 // now on. Requests that wait for a coordinator's grant are rejected: its answer goes to the other.
 func (c *Controller) GiveUpOwnership(now Time) {
 	c.advanceClock(now)
-	c.retired = true
-	for _, request := range c.grants.takeOpen(c.requests.byID) {
+	c.gaveUpOwnership = true
+	for _, request := range c.quotaRequests.takeOpen(c.requests.byID) {
 		c.requests.remove(request.ID)
 		c.reject(request.ID, rejectOverQuota, c.shortestObjective/retryAfterDivisor)
 	}
@@ -19,13 +19,13 @@
 func (c *Controller) ResumeOwnership(now Time) {
 	c.advanceClock(now)
 	c.clock.restart()
-	c.retired = false
+	c.gaveUpOwnership = false
 	for _, customer := range c.customers.inOrder {
 		c.refillBuckets(customer)
 		customer.limitToRestart(&c.sharing)
 		c.customers.scheduleReport(&c.sharing, customer)
 	}
-	c.shared.level = 0
+	c.sharedBucket.level = 0
 }
 
 // PredecessorSent counts another attempt that the former process has sent.
--- a/policy/grantrequests.go
+++ b/policy/quotarequests.go
@@ -11,22 +11,22 @@
 	unresponsiveTime    = second // for which a coordinator that did not answer is avoided
 )
 
-// grantRequests are the requests of this gateway that wait for a coordinator's answer to a quota request, and
+// quotaRequests are the requests of this gateway that wait for a coordinator's answer to a quota request, and
 // which coordinators left one unanswered.
-type grantRequests struct {
+type quotaRequests struct {
 	awaiting       []*request // oldest first
 	unresponsiveAt []Time     // by gateway: when it last left a quota request unanswered
 }
 
-func newGrantRequests(gateways int) grantRequests {
-	return grantRequests{unresponsiveAt: make([]Time, gateways)}
+func newQuotaRequests(gateways int) quotaRequests {
+	return quotaRequests{unresponsiveAt: make([]Time, gateways)}
 }
 
 // add has a request wait for an answer until its grant deadline.
-func (g *grantRequests) add(request *request) { g.awaiting = append(g.awaiting, request) }
+func (g *quotaRequests) add(request *request) { g.awaiting = append(g.awaiting, request) }
 
 // takeOpen removes all requests, and returns those that are still open.
-func (g *grantRequests) takeOpen(open map[uint64]*request) []*request {
+func (g *quotaRequests) takeOpen(open map[uint64]*request) []*request {
 	g.dropClosed(open)
 	waiting := g.awaiting
 	g.awaiting = nil
@@ -34,7 +34,7 @@
 }
 
 // dropClosed drops the requests that ended while they waited.
-func (g *grantRequests) dropClosed(open map[uint64]*request) {
+func (g *quotaRequests) dropClosed(open map[uint64]*request) {
 	g.awaiting = slices.DeleteFunc(g.awaiting, func(request *request) bool {
 		return open[request.ID] != request
 	})
@@ -42,7 +42,7 @@
 
 // pickCoordinator draws which of an account's coordinators a request asks, by index, also at a coordinator:
 // another one than it asked before, and none that was recently unresponsive if there is another.
-func (g *grantRequests) pickCoordinator(
+func (g *quotaRequests) pickCoordinator(
 	now Time, sharing *quotaSharing, account *account, request *request, random *rand.Rand,
 ) int {
 	if !sharing.requiresGrant(account) {
@@ -82,7 +82,7 @@
 
 // answered removes the requests of a customer that an answer is for, nil if there is none, and those whose
 // answer is overdue. It returns them in their order, but those that are to be asked again last.
-func (g *grantRequests) answered(
+func (g *quotaRequests) answered(
 	now Time, sharing *quotaSharing, customer *customer, answer grant,
 ) []endedQuotaRequest {
 	var ended, retries []endedQuotaRequest
@@ -100,7 +100,7 @@
 }
 
 // resultOf is how a request's quota request has ended, if it has. It notes coordinators that did not answer.
-func (g *grantRequests) resultOf(
+func (g *quotaRequests) resultOf(
 	now Time, sharing *quotaSharing, request *request, customer *customer, answer grant,
 ) (result quotaResult, ended bool) {
 	account := &request.customer.account
--- a/policy/grantrequests_test.go
+++ b/policy/quotarequests_test.go
@@ -22,7 +22,7 @@
 
 func TestAnotherCoordinatorIsAskedTheSecondTime(t *testing.T) {
 	sharing, set := askedSharing(t)
-	grants, random := newGrantRequests(12), rand.New(rand.NewPCG(1, 2))
+	grants, random := newQuotaRequests(12), rand.New(rand.NewPCG(1, 2))
 	seen := map[int]bool{}
 	for range 60 {
 		first := &request{}
@@ -41,7 +41,7 @@
 
 func TestUnresponsiveCoordinatorIsAvoidedForAWhile(t *testing.T) {
 	sharing, set := askedSharing(t)
-	grants, random := newGrantRequests(12), rand.New(rand.NewPCG(1, 2))
+	grants, random := newQuotaRequests(12), rand.New(rand.NewPCG(1, 2))
 	grants.unresponsiveAt[sharing.coordinator(&set, 1)] = 10 * second
 	counts := func(at Time) (ofUnresponsive int) {
 		for range 60 {
@@ -109,7 +109,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			grants := newGrantRequests(12)
+			grants := newQuotaRequests(12)
 			grants.add(waiting(1, 1, second, 1))   // may ask another coordinator
 			grants.add(waiting(3, 3, 3*second, 1)) // is not overdue
 			grants.add(waiting(2, 2, second, 2))   // has asked another one
@@ -135,7 +135,7 @@
 
 func TestTimeoutMarksTheCoordinatorAsUnresponsive(t *testing.T) {
 	sharing, set := askedSharing(t)
-	grants := newGrantRequests(12)
+	grants := newQuotaRequests(12)
 	grants.add(&request{customer: &customer{account: set}, coordinator: 2, grantDeadline: second})
 	grants.answered(2*second, sharing, nil, grant{})
 	for gateway, at := range grants.unresponsiveAt {
@@ -154,7 +154,7 @@
 	asking := &customer{account: set}
 	ended := &request{Request: Request{ID: 1}, customer: asking, quotaRequest: 1}
 	open := &request{Request: Request{ID: 2}, customer: asking, quotaRequest: 2, grantDeadline: 9 * second}
-	grants := newGrantRequests(12)
+	grants := newQuotaRequests(12)
 	grants.add(ended)
 	grants.add(open)
 	grants.dropClosed(map[uint64]*request{2: open})
--- a/policy/quotashare_test.go
+++ b/policy/quotashare_test.go
@@ -98,7 +98,7 @@
 			gateways[i/250%2] = restart(i/250%2, at)
 		}
 		for _, h := range gateways {
-			h.at, h.shared.level = at, 100 // more than the shared bucket would lend
+			h.at, h.sharedBucket.level = at, 100 // more than the shared bucket would lend
 			if h.serve(2, 9, 1) {
 				sent++
 				truth.refill(at)
--- a/policy/reload.go
+++ b/policy/reload.go
@@ -21,8 +21,8 @@
 	c.settings = settings
 	c.deriveFromSettings()
 	c.backends.selectSubset(c.settings.Self, c.settings.Gateways, c.settings.HandshakePrice)
-	c.shared.updateRate(now)
-	c.shared.limitToCapacity()
+	c.sharedBucket.updateRate(now)
+	c.sharedBucket.limitToCapacity()
 	for _, customer := range c.customers.inOrder {
 		customer.setPlan(&c.sharing, change.plans[customer.plan])
 	}
@@ -38,7 +38,7 @@
 	c.clientTimeouts = c.clientTimeouts.renumberPlans(planCount, classCount, change.plans)
 	c.backends.renumberFaults(change.oldClasses, change.plans, planCount)
 	c.requests.renumber(change.classes, change.plans, classCount)
-	c.shared.renumberPlans(c.settings.Plans, settings.Plans, change.plans)
+	c.sharedBucket.renumberPlans(c.settings.Plans, settings.Plans, change.plans)
 	c.gossip.dropFaults() // they name classes by their old index
 }
 
@@ -47,5 +47,5 @@
 	c.sharing = newQuotaSharing(&c.settings)
 	c.slowStart = c.settings.slowStartParameters()
 	c.shortestObjective = c.settings.shortestObjective()
-	c.shared.fitTo(c.settings.Plans)
+	c.sharedBucket.fitTo(c.settings.Plans)
 }
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -10,7 +10,7 @@
 		Plans:   convertAll(c.settings.Plans, func(plan Plan) string { return plan.Name }),
 		Born:    c.clock.startedAt, Still: c.clock.stalledTime, Woke: c.clock.resumedAt,
 		Swept: c.customers.sweptAt, Boot: c.gossip.incarnation, Turn: c.gossip.sequence,
-		Lend: encodeBucket(c.shared.tokenBucket), IdleSpill: c.shared.idleOverflow,
+		Lend: encodeBucket(c.sharedBucket.tokenBucket), IdleSpill: c.sharedBucket.idleOverflow,
 		InTime: encodeSum(c.limit.onTime), Peers: encodeSum(c.limit.peers),
 		PeersHeld: encodeSum(c.limit.peersInFlight), PeersInTime: encodeSum(c.limit.peersOnTime),
 		Pace: encodeSum(c.pace.answerRate),
@@ -56,7 +56,7 @@
 	c.priority.movingAverage, c.retryBudget = decodeAverage(snapshot.Worth), retryBudget(snapshot.Again)
 	snapshot.decodeLatency(indices, &c.latency)
 	snapshot.decodeTimeouts(indices, c.clientTimeouts)
-	c.shared.restore(decodeBucket(snapshot.Lend), snapshot.IdleSpill, indices.plan)
+	c.sharedBucket.restore(decodeBucket(snapshot.Lend), snapshot.IdleSpill, indices.plan)
 	for i := range snapshot.Customers {
 		state := &snapshot.Customers[i]
 		if plan := indices.plan[state.Plan]; plan >= 0 && c.sharing.isSetSize(state.Spread) {
--- a/policy/tokenbucket_test.go
+++ b/policy/tokenbucket_test.go
@@ -29,8 +29,8 @@
 	h.serve(1, 1, 1)
 	h.at += 10 * second // the bucket of customer 1 is full and overflows
 	h.serve(1, 1, 1)
-	if h.shared.level < 10 {
-		t.Fatalf("the shared bucket holds %g after ten seconds of overflow", h.shared.level)
+	if h.sharedBucket.level < 10 {
+		t.Fatalf("the shared bucket holds %g after ten seconds of overflow", h.sharedBucket.level)
 	}
 	countServed := func(plan int, customer uint64) int {
 		served := 0
@@ -44,7 +44,7 @@
 	if got := countServed(1, 2); got <= 20 {
 		t.Errorf("a customer whose overage pays got %d units, want more than its burst of 20", got)
 	}
-	h.shared.level = 10
+	h.sharedBucket.level = 10
 	if got := countServed(0, 3); got != 8 {
 		t.Errorf("a customer whose overage does not pay got %d units, want its burst of 8", got)
 	}
@@ -68,8 +68,8 @@
 		t.Errorf("%d records of idle customers are kept", n)
 	}
 	// A customer that comes counts as one of those dropped, known or not.
-	if h.shared.rate <= 100 || h.shared.rate > 3000 {
-		t.Errorf("the shared bucket gets %g a second from 3000 idle shares of 1", h.shared.rate)
+	if h.sharedBucket.rate <= 100 || h.sharedBucket.rate > 3000 {
+		t.Errorf("the shared bucket gets %g a second from 3000 idle shares of 1", h.sharedBucket.rate)
 	}
 }
 
@@ -110,17 +110,18 @@
 
 func TestBorrowedUnitsAreRefundedToTheSharedBucket(t *testing.T) {
 	h := newHarness(t, testSettings())
-	h.shared.level = h.shared.capacity
-	for h.serve(1, 9, 2) && h.shared.level == h.shared.capacity {
+	h.sharedBucket.level = h.sharedBucket.capacity
+	for h.serve(1, 9, 2) && h.sharedBucket.level == h.sharedBucket.capacity {
 		continue
 	}
-	before := h.shared.level
+	before := h.sharedBucket.level
 	id, sent := h.request(0, 1, 9, 2)
-	if !sent || h.shared.level >= before {
-		t.Fatalf("sent %t, shared bucket from %g to %g: nothing was borrowed", sent, before, h.shared.level)
+	if !sent || h.sharedBucket.level >= before {
+		t.Fatalf("sent %t, shared bucket from %g to %g: nothing was borrowed",
+			sent, before, h.sharedBucket.level)
 	}
 	h.end(id, ResultNotSent, true)
-	assertNear(t, "shared bucket", h.shared.level, before)
+	assertNear(t, "shared bucket", h.sharedBucket.level, before)
 }
 
 func TestCostIsSettledAndConcurrencyLimitHolds(t *testing.T) {
