--- a/docs/logkeys_test.go
+++ b/docs/logkeys_test.go
@@ -21,6 +21,14 @@
 	decisionFolder  = "../policy"
 )
 
+// The functions of slog that make an attribute of one value, and of a group of attributes.
+var (
+	valueConstructors = []string{
+		"Any", "Bool", "Duration", "Float64", "Int", "Int64", "String", "Time", "Uint64",
+	}
+	groupConstructors = []string{"Group", "GroupAttrs"}
+)
+
 var (
 	errNoAttribute    = errors.New("no attribute that can be read")
 	errKeyNotConstant = errors.New("the key is no constant")
@@ -79,13 +87,17 @@
 	c.actions.Log("grouped", c.counters.take(i)...)
 	c.actions.Log("single", plainAttr(i), slog.String("text", "value"))
 	c.actions.Log("unknown", attributes...)
+	c.actions.Log("unknown", slog.Other("key", 1))
 }
 func (n *counters) take(i int) []slog.Attr {
 	attributes := []slog.Attr{slog.Int("total", i), groupAttr("first", i), groupAttr("second", i)}
 	return attributes
 }
 func groupAttr(key string, i int) slog.Attr {
-	return slog.Group(key, slog.Int("inner", i), plainAttr(i))
+	if key == "first" {
+		i++
+	}
+	return slog.GroupAttrs(key, slog.Int("inner", i), plainAttr(i), slog.Group("of", slog.Bool("bool", true)))
 }
 func plainAttr(i int) slog.Attr { return slog.Int(plainKey, i) }
 func (g *grants) take(i int) []*request { return nil }
@@ -97,8 +109,11 @@
 	source := newSource()
 	source.addFile(".", file)
 	want := map[string][]string{
-		"grouped": {"total", "first.inner", "first.plain", "second.inner", "second.plain"},
-		"single":  {"plain", "text"},
+		"grouped": {
+			"total", "first.inner", "first.plain", "first.of.bool",
+			"second.inner", "second.plain", "second.of.bool",
+		},
+		"single": {"plain", "text"},
 	}
 	for _, call := range source.logCalls {
 		message, _ := textOf(call.message)
@@ -183,9 +198,12 @@
 	if !ok {
 		return nil, fmt.Errorf("slog.%s: %w", constructor, errKeyNotConstant)
 	}
-	if constructor != "Group" {
+	if slices.Contains(valueConstructors, constructor) {
 		return []string{key}, nil
 	}
+	if !slices.Contains(groupConstructors, constructor) {
+		return nil, fmt.Errorf("%w: slog.%s", errNoAttribute, constructor)
+	}
 	keys, err := s.keysOfAll(folder, arguments[1:], parameters)
 	for i := range keys {
 		keys[i] = key + "." + keys[i]
