--- a/docs/quickstart_test.go
+++ b/docs/quickstart_test.go
@@ -42,8 +42,9 @@
 func TestQuickStartWorksWhenPasted(t *testing.T) {
 	commands := strings.Join(indentedCommands(t, quickStartHeading), "\n")
 	dir := t.TempDir()
-	config := writeExampleConfig(t, dir)
+	config, host := writeExampleConfig(t, dir)
 	replaced := replaceAll(t, commands, exampleConfig, config)
+	replaced = replaceAll(t, replaced, exampleHost, host)
 	replaced = replaceAll(t, replaced, "bin/", filepath.Join(dir, "bin")+"/")
 	replaced = replaceAll(t, replaced, "mkdir -p bin ", "mkdir -p "+filepath.Join(dir, "bin")+" ")
 
@@ -62,6 +63,57 @@
 			t.Errorf("no %q in:\n%s", line, output)
 		}
 	}
+	for _, metric := range []string{"edge_relay.fulfilled.read=5", "edge_relay.throttled.read=3"} {
+		if !slices.Contains(lines, metric) {
+			t.Errorf("no %q in:\n%s", metric, output)
+		}
+	}
+	for _, shown := range shownOutput(t, quickStartHeading) {
+		if !isPrinted(shown, host, lines) {
+			t.Errorf("README.md shows %q, which is not printed:\n%s", shown, output)
+		}
+	}
+}
+
+// mayDiffer are the lines of the output that README.md shows but a run may lack: the gateway logs the first
+// only if it starts before the discovery service.
+var mayDiffer = []string{`msg="discovery call failed"`}
+
+// isPrinted reports whether a line that README.md shows is in the output: each of its words, in order, as a
+// log line is shown without some attributes. Which backend answers may differ.
+func isPrinted(shown, host string, lines []string) bool {
+	for _, text := range mayDiffer {
+		if strings.Contains(shown, text) {
+			return true
+		}
+	}
+	shown = strings.ReplaceAll(shown, exampleHost, host)
+	shown, _, _ = strings.Cut(shown, " by backend ")
+	return slices.ContainsFunc(lines, func(line string) bool {
+		for _, word := range strings.Fields(shown) {
+			_, rest, found := strings.Cut(line, word)
+			if !found {
+				return false
+			}
+			line = rest
+		}
+		return true
+	})
+}
+
+func TestShownOutputIsComparedWordByWord(t *testing.T) {
+	lines := []string{
+		"time=1 level=INFO msg=ready gateway=a listen=127.1.1.1:1 backends=2", "request 1 by backend 1",
+	}
+	for shown, want := range map[string]bool{
+		"level=INFO msg=ready listen=127.0.0.1:1": true, "request 1 by backend 0": true,
+		"msg=ready level=INFO": false, "msg=ready backends=3": false, "request 2 by backend 1": false,
+		`level=WARN msg="discovery call failed"`: true,
+	} {
+		if got := isPrinted(shown, "127.1.1.1", lines); got != want {
+			t.Errorf("%q: printed %t, want %t", shown, got, want)
+		}
+	}
 }
 
 // Every file that a command of README.md names exists.
@@ -113,6 +165,25 @@
 	return commands
 }
 
+// shownOutput returns the lines of README.md's fenced blocks below a heading and up to the next one.
+func shownOutput(t *testing.T, heading string) []string {
+	t.Helper()
+	const fence = "```"
+	var lines []string
+	fenced := false
+	for line := range strings.SplitSeq(sectionOf(t, readmePath, heading), "\n") {
+		if strings.HasPrefix(line, fence) {
+			fenced = !fenced
+		} else if fenced {
+			lines = append(lines, line)
+		}
+	}
+	if len(lines) == 0 {
+		t.Fatalf("README.md shows no output below %q", heading)
+	}
+	return lines
+}
+
 // replaceAll replaces a text that has to be there.
 func replaceAll(t *testing.T, text, from, to string) string {
 	t.Helper()
@@ -123,20 +194,20 @@
 }
 
 // writeExampleConfig writes the example's configuration with a loopback address of the test's own, as its
-// ports may be in use at the usual one.
-func writeExampleConfig(t *testing.T, dir string) string {
+// ports may be in use at the usual one. It returns the file's path and the address.
+func writeExampleConfig(t *testing.T, dir string) (path, host string) {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("..", exampleConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
-	host := fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(250), rand.IntN(250), 1+rand.IntN(250))
-	path := filepath.Join(dir, "config.json")
+	host = fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(250), rand.IntN(250), 1+rand.IntN(250))
+	path = filepath.Join(dir, "config.json")
 	raw = bytes.ReplaceAll(raw, []byte(exampleHost), []byte(host))
 	if err := os.WriteFile(path, raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return path
+	return path, host
 }
 
 // runInShell runs commands in the repository's root and returns what they and the programs that they start
