--- a/policy/backendhealth_test.go
+++ b/policy/backendhealth_test.go
@@ -58,6 +58,7 @@
 		{name: "one reset", mayRun: []bool{true}},
 		{name: "two resets", mayRun: []bool{true, true}},
 		{name: "three resets", mayRun: []bool{true, true, true}, down: true, unresponsive: true},
+		{name: "one refused and resets", mayRun: []bool{false, true, true, true}, down: true},
 		{name: "resets and one refused", mayRun: []bool{true, true, true, false}, down: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -64,6 +64,22 @@
 	}
 }
 
+// An attempt that has come together is dropped half a window later; what has come since counts for the next.
+func TestSlowStartOfASlowGatewayDropsWhatIsNotUsed(t *testing.T) {
+	parameters := slowStartParameters{floor: 0.5, duration: 1e9 * second, window: 2, margin: 1, gateways: 1}
+	const rate = 0.25 // attempts a second: a quarter of one in half of the window
+	for _, c := range []struct {
+		after Time
+		want  bool
+	}{{3 * second, false}, {4 * second, true}, {5 * second, true}, {7 * second, false}, {8 * second, true}} {
+		var s slowStart
+		s.begin(start, start, 0, &parameters)
+		if got := s.allows(start+c.after, 0.5, rate, &parameters); got != c.want {
+			t.Errorf("after %d s: allowed %t, want %t", c.after/second, got, c.want)
+		}
+	}
+}
+
 func TestSlowStartReservesForAttemptsThatWait(t *testing.T) {
 	parameters := slowStartParameters{floor: 0.5, duration: 10 * second, window: 4, margin: 1, gateways: 1}
 	var s slowStart
