--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -2,8 +2,8 @@
 // act on needs no lock.
 //
 // Events are handled in this order: timers that are due come first, before each event; then urgent events,
-// then the others, each kind in the order of posting. What an event or a timer defers is handled right after
-// it.
+// then the others, each kind in the order of posting. Where the loop waits and two kinds arrive at one moment, it
+// takes either first. What an event or a timer defers is handled right after it.
 package eventloop
 
 import "context"
@@ -86,7 +86,7 @@
 		case e := <-l.queue:
 			l.HandleEvent(e)
 		case <-l.timers.wakeup.C:
-			l.timers.armedFor = 0
+			l.timers.armedFor = 0 // the wakeup has fired: the next RunTimers arms it again
 		}
 	}
 }
--- a/internal/gateway/handover.go
+++ b/internal/gateway/handover.go
@@ -10,9 +10,9 @@
 	"sparspread/policy"
 )
 
-// This file is the process that hands over. Each step can be the last one. Until the successor has accepted
-// the state and was told to go on, this process serves; from then on the successor does. Only one of them
-// grants at any time.
+// This file is the process that hands over. Each step can be the last one. Until it offers its state this
+// process decides, and the successor from the moment it has accepted the state and was told to go on; in
+// between nobody decides, and commands are queued. Only one of them grants at any time.
 
 // stateTimeout is how long a successor may take to accept the state.
 const stateTimeout = 1 * second
@@ -53,7 +53,7 @@
 
 // handoverGateway is what a handover needs of the gateway.
 type handoverGateway interface {
-	// mayHandOver reports whether this process has clients to hand over.
+	// mayHandOver reports whether this process has begun to accept clients, and is not shutting down yet.
 	mayHandOver() bool
 	// exportState returns the encoded state.
 	exportState() ([]byte, error)
@@ -172,7 +172,8 @@
 	h.gateway.endIfIdle()
 }
 
-// queue sets a command aside that the successor is to decide on.
+// queue sets a command aside that the successor is to decide on. Once that one has the state, the command is
+// added to the unread input that follows with its connection, and leaves the connection's pipeline here.
 func (h *outgoingHandover) queue(e receivedCommand) {
 	if !h.hasGivenOwnership() {
 		h.queuedCommands = append(h.queuedCommands, e)
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -16,14 +16,14 @@
 	maxLongestTimeout = 3 * second        // the longest client timeout that the platform waits for
 	answerMargin      = 200 * millisecond // beyond the longest timeout, until everything open is answered
 	closePeriod       = 300 * millisecond // after the last answer, for the other side to close
-	killMargin        = 650 * millisecond // beyond the longest timeout: SIGKILL is near
+	exitMargin        = 650 * millisecond // beyond the longest timeout, until the process exits, before SIGKILL
 )
 
 // longestTimeout returns the longest client timeout of the settings, as far as the platform waits for it.
 func longestTimeout(c *config.Config) policy.Time {
 	longest := policy.Time(0)
 	for _, limit := range c.Host.ClientTimeouts {
-		if limit == 0 {
+		if limit == 0 { // unknown
 			limit = maxLongestTimeout
 		}
 		longest = max(longest, limit)
@@ -39,7 +39,7 @@
 
 // exitWithin returns how long after SIGTERM the process ends, whatever is open.
 func exitWithin(c *config.Config) policy.Time {
-	return min(answerWithin(c)+closePeriod, longestTimeout(c)+killMargin)
+	return min(answerWithin(c)+closePeriod, longestTimeout(c)+exitMargin)
 }
 
 // shutdownPhase is how far a planned shutdown has come.
--- a/internal/gateway/takeover.go
+++ b/internal/gateway/takeover.go
@@ -119,7 +119,8 @@
 	}
 }
 
-// close ends the link: nothing more is received.
+// close ends the link as this process ends: nothing more is received. The predecessor goes on with its open
+// requests, as after abandon.
 func (t *takeover) close() {
 	if t.phase.Is(takeoverWatching, takeoverComplete) {
 		t.link.Abandon()
--- a/policy/activitycounters.go
+++ b/policy/activitycounters.go
@@ -28,7 +28,7 @@
 	consecutive   int // attempts to the same backend as the one before: many show herding
 	lastBackend   *backend
 	rejected      [rejectReasonCount]int
-	shareTooSmall int // over quota for this gateway's share alone: the whole bucket held the units
+	shareTooSmall int // over quota, or over the limit in flight, while the whole bucket held the units
 	halfFull      int // those of them with at least half of the bucket left
 	quotaRequests int
 	unanswered    int // quota requests that timed out
@@ -47,7 +47,8 @@
 	n.lastBackend = backend
 }
 
-// countOverQuota counts a request over quota that a peer could have admitted.
+// countOverQuota counts a request that was rejected although the whole bucket held its units: for this gateway's
+// share of it, for the plan's limit of attempts in flight, or by a coordinator.
 func (n *activityCounters) countOverQuota(bucket *tokenBucket, units float64) {
 	if bucket.level < units {
 		return
