--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -2,8 +2,8 @@
 // act on needs no lock.
 //
 // Events are handled in this order: timers that are due come first, before each event; then urgent events,
-// then the others, each kind in the order of posting. Where the loop waits and two kinds arrive at one moment, it
-// takes either first. What an event or a timer defers is handled right after it.
+// then the others, each kind in the order of posting. Where the loop waits and two kinds arrive together,
+// it takes either first. What an event or a timer defers is handled right after it.
 package eventloop
 
 import "context"
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -16,7 +16,7 @@
 	maxLongestTimeout = 3 * second        // the longest client timeout that the platform waits for
 	answerMargin      = 200 * millisecond // beyond the longest timeout, until everything open is answered
 	closePeriod       = 300 * millisecond // after the last answer, for the other side to close
-	exitMargin        = 650 * millisecond // beyond the longest timeout, until the process exits, before SIGKILL
+	exitMargin        = 650 * millisecond // beyond the longest timeout, the process exits: SIGKILL is near
 )
 
 // longestTimeout returns the longest client timeout of the settings, as far as the platform waits for it.
--- a/policy/activitycounters.go
+++ b/policy/activitycounters.go
@@ -47,8 +47,8 @@
 	n.lastBackend = backend
 }
 
-// countOverQuota counts a request that was rejected although the whole bucket held its units: for this gateway's
-// share of it, for the plan's limit of attempts in flight, or by a coordinator.
+// countOverQuota counts a request that was rejected although the whole bucket held its units: for this
+// gateway's share of it, for the plan's limit of attempts in flight, or by a coordinator.
 func (n *activityCounters) countOverQuota(bucket *tokenBucket, units float64) {
 	if bucket.level < units {
 		return
