--- a/internal/gateway/handover_older_situation_test.go
+++ b/internal/gateway/handover_older_situation_test.go
@@ -19,8 +19,12 @@
 	admitted          int          // requests of recordedCustomer, of one unit each
 }
 
+// recordedClients is how many clients are connected in that situation.
+const recordedClients = 3
+
 // bringAboutRecorded brings a gateway to that situation: a customer has emptied its bucket, one backend is
-// ejected, one is cold, and a request is open.
+// ejected, one is cold, and a request is open. The gateway has noticed that all other clients have
+// disconnected.
 func bringAboutRecorded(t *testing.T) *recordedSituation {
 	t.Helper()
 	useShortTempDir(t)
@@ -47,6 +51,7 @@
 		closeConn(t, c.conn)
 		s.admitted++
 	}
+	s.rig.waitUntil(t, func(l *Loop) bool { return len(l.clients.conns) == recordedClients })
 	return s
 }
 
