--- a/policy/controller_attempts.go
+++ b/policy/controller_attempts.go
@@ -110,7 +110,7 @@
 	switch {
 	case request.answered:
 	case rule.rejectable:
-		c.reject(outcome.RequestID, rejectNeverRan, c.shortestObjective/2)
+		c.reject(outcome.RequestID, rejectNeverRan, c.shortestObjective/retryAfterDivisor)
 	default:
 		c.actions.Fail(outcome.RequestID)
 	}
--- a/policy/slowstart_fleet_test.go
+++ b/policy/slowstart_fleet_test.go
@@ -143,6 +143,7 @@
 // Guards the rule on starting backends: through all gateways together none gets more in a window of
 // the settings' length than it bears and chance adds, and each is of use meanwhile.
 func TestStartingBackendsStayWithinTheBudgetOfTheWholeFleet(t *testing.T) {
+	t.Parallel()
 	for _, c := range slowStartScenarios {
 		for _, gateways := range []int{3, 20, 30, 300} {
 			t.Run(fmt.Sprintf("%s/%d", c.name, gateways), func(t *testing.T) {
