--- a/policy/gossip_codec.go
+++ b/policy/gossip_codec.go
@@ -24,6 +24,7 @@
 	faultSize    = 6
 	sequenceSize = 2
 
+	initialMessageSize  = 16 // holds the header and a sequence number; most messages have no more
 	maxMessageSize      = 256
 	maxFaultsPerMessage = 3
 	countsPerUnit       = 8.0 // units are sent as whole eighths; totals wrap
@@ -94,7 +95,8 @@
 
 // messageHeader begins a message.
 func messageHeader(incarnation uint32, inFlight, onTimeRate float64) []byte {
-	message := binary.LittleEndian.AppendUint32([]byte{gossipVersion}, incarnation)
+	message := make([]byte, 0, initialMessageSize)
+	message = binary.LittleEndian.AppendUint32(append(message, gossipVersion), incarnation)
 	message = binary.LittleEndian.AppendUint16(message, packLoad(inFlight))
 	return binary.LittleEndian.AppendUint16(message, packLoad(onTimeRate))
 }
