--- a/policy/admission.go
+++ b/policy/admission.go
@@ -36,20 +36,20 @@
 func (c *Controller) admitOrRequestQuota(request *request) {
 	account := &request.customer.account
 	request.coordinator = c.quotaRequests.pickCoordinator(c.clock.now, &c.sharing, account, request, c.random)
-	if c.sharing.asksAnother(account, request.coordinator) {
+	if c.sharing.needsRemoteGrant(account, request.coordinator) {
 		c.requestQuota(request)
 		return
 	}
-	c.admit(request, request.customer.ownUnits(c.clock.now, c.clock.startedAt, &c.sharing, request.Cost))
+	c.admit(request, request.customer.localUnitSource(c.clock.now, c.clock.startedAt, &c.sharing, request.Cost))
 }
 
 // admit sends a request to a backend if its quota, or else the shared bucket, covers its cost and
 // its ceiling allows it. It rejects the request otherwise.
 func (c *Controller) admit(request *request, source unitSource) {
 	customer, plan := request.customer, &c.settings.Plans[request.Plan]
-	mustBorrow := source == unitsMissing
+	mustBorrow := source == unitsUnavailable
 	if mustBorrow &&
-		(!c.sharedBucket.mayBorrow(c.clock.now, plan, request.Cost) || c.atCapacity(borrowCapacityShare)) {
+		(!c.sharedBucket.canLend(c.clock.now, plan, request.Cost) || c.atCapacity(borrowCapacityShare)) {
 		c.counters.countOverQuota(&customer.bucket, request.Cost)
 		now, startedAt := c.clock.now, c.clock.startedAt
 		wait := customer.timeUntilAvailable(now, startedAt, &c.sharing, plan.Rate, request.Cost)
@@ -69,7 +69,7 @@
 	}
 	request.borrowed, request.chargedCeiling = mustBorrow, countsAgainstCeiling
 	if mustBorrow {
-		c.sharedBucket.borrow(request.Cost)
+		c.sharedBucket.lend(request.Cost)
 	} else {
 		c.customers.consume(&c.sharing, customer, request.coordinator, request.Cost)
 	}
--- a/policy/controller.go
+++ b/policy/controller.go
@@ -94,7 +94,7 @@
 	}
 	c.gossip.start(now)
 	for index := range c.sharing.gateways {
-		if c.sharing.announcesTo(index) {
+		if c.sharing.announcesStartTo(index) {
 			c.actions.SendGossip(index, c.gossip.newMessage(c.loadView()))
 		}
 	}
@@ -119,7 +119,7 @@
 		}
 		c.logCounters()
 		for range loadViewPeers {
-			if peer, isPeer := c.sharing.drawPeer(c.random); isPeer {
+			if peer, isPeer := c.sharing.randomPeer(c.random); isPeer {
 				c.prepareMessage(peer) // with the load view, also while this gateway sends nothing
 			}
 		}
--- a/policy/controller_gossip.go
+++ b/policy/controller_gossip.go
@@ -2,13 +2,13 @@
 
 // runGossipRound reports the customers whose use has changed to peers, or else to the shared counter.
 func (c *Controller) runGossipRound() {
-	c.customers.sortReporting()
-	for _, customer := range c.customers.reporting {
+	c.customers.sortReportQueue()
+	for _, customer := range c.customers.reportQueue {
 		c.refillBuckets(customer)
 		c.updateGrant(customer)
 		c.reportUsage(customer)
 	}
-	c.customers.dropReported()
+	c.customers.pruneReportQueue()
 	for index := range c.gossip.peers {
 		if c.gossip.hasMessage(index) {
 			c.actions.SendGossip(index, c.gossip.takeMessage(index))
@@ -21,11 +21,11 @@
 	switch {
 	case !customer.reportIsDue(c.clock.now, &c.sharing):
 	case !c.sharing.gossip:
-		if units := customer.countUsage(); units > 0 {
+		if units := customer.startCounterCall(); units > 0 {
 			c.actions.IncrementCounter(customer.id, units, counterLifetime)
 		}
 	case c.queueUsage(customer):
-		customer.reported(c.clock.now, &c.sharing)
+		customer.markReported(c.clock.now, &c.sharing)
 	}
 }
 
@@ -76,7 +76,7 @@
 	if received.restarted {
 		for _, customer := range c.customers.inOrder {
 			c.refillBuckets(customer)
-			c.customers.reportTo(from, &c.sharing, customer)
+			c.customers.scheduleReportTo(from, &c.sharing, customer)
 		}
 	}
 	sender := usageSender{gateway: from, incarnation: message.incarnation, newest: received.newest}
@@ -95,7 +95,7 @@
 
 // applyUsage applies a peer's usage entry, and answers its quota request or corrects its grant.
 func (c *Controller) applyUsage(sender usageSender, entry *usageEntry) {
-	if !hasIndex(c.settings.Plans, entry.plan) || !c.sharing.isSetSize(entry.replicas) {
+	if !hasIndex(c.settings.Plans, entry.plan) || !c.sharing.isValidSetSize(entry.replicas) {
 		return
 	}
 	account := c.sharing.newAccount(entry.customer, entry.plan, entry.firstReplica, entry.replicas)
@@ -108,7 +108,7 @@
 	case entry.quotaRequest > 0:
 		answer := customer.answerQuotaRequest(&c.sharing, sender.gateway, entry)
 		c.actions.SendGossip(sender.gateway, answer.appendTo(c.gossip.newMessage(c.loadView())))
-	case c.sharing.isWide(&customer.account) && customer.grant.isOff(entry.remaining):
+	case c.sharing.isWide(&customer.account) && customer.grant.needsCorrection(entry.remaining):
 		c.queueGrant(sender.gateway, customer)
 	}
 }
--- a/policy/controller_outcomes.go
+++ b/policy/controller_outcomes.go
@@ -19,7 +19,7 @@
 		attempt.backend.faults.add(c.clock.now, subject)
 		c.gossip.addFault(faultReport{backend: attempt.backend.ID, subject: subject}) // others meet it rarely
 	}
-	request.customer.readMeter(c.clock.now, &c.sharing, outcome.MeterReading)
+	request.customer.applyMeterReading(c.clock.now, &c.sharing, outcome.MeterReading)
 	if c.settings.SettlesCost && outcome.Result == ResultOK && outcome.ActualCost > 0 {
 		c.refillBuckets(request.customer)
 		more := outcome.ActualCost - request.Cost
--- a/policy/controller_quota.go
+++ b/policy/controller_quota.go
@@ -5,7 +5,7 @@
 	customer := c.customers.byID[account.id]
 	if customer == nil {
 		customer = newCustomer(c.clock.now, c.clock.startedAt, &c.sharing, account)
-		c.sharedBucket.removeIdle(&account, c.sharing.plan(&account))
+		c.sharedBucket.removeIdleCustomer(&account, c.sharing.plan(&account))
 		c.customers.add(customer)
 	}
 	c.refillBuckets(customer)
@@ -28,7 +28,7 @@
 		c.updateGrant(customer)
 	}
 	c.customers.removeIdle(c.clock.now, func(account *account) {
-		c.sharedBucket.addIdle(account, c.sharing.plan(account))
+		c.sharedBucket.addIdleCustomer(account, c.sharing.plan(account))
 	})
 	c.sharedBucket.updateRate(c.clock.now)
 }
@@ -79,9 +79,9 @@
 	if customer == nil {
 		return
 	}
-	if byPeers, ok := customer.counter.answered(result, total); ok {
+	if byPeers, ok := customer.counter.applyAnswer(result, total); ok {
 		c.refillBuckets(customer)
-		customer.consumedByPeers(byPeers)
+		customer.chargePeerUsage(byPeers)
 		customer.demand.addPeers(now, byPeers)
 	}
 }
@@ -89,13 +89,13 @@
 // requestQuota asks a coordinator for a request's units and holds the request until it answers.
 func (c *Controller) requestQuota(request *request) {
 	customer := request.customer
-	request.quotaRequest = customer.grant.nextRequest()
-	timeout := min(Time(quotaRequestTimeout*float64(c.shortestObjective)), request.Timeout/maxWaitDivisor)
+	request.quotaRequest = customer.grant.nextRequestNumber()
+	timeout := min(Time(quotaRequestTimeoutShare*float64(c.shortestObjective)), request.Timeout/maxWaitDivisor)
 	request.grantDeadline = c.clock.now + timeout
 	isRepeated := request.quotaRequestsSent > 0
 	request.quotaRequestsSent++
 	c.counters.quotaRequests++
-	entry := customer.quotaRequest(&c.sharing, request, isRepeated)
+	entry := customer.quotaRequestEntry(&c.sharing, request, isRepeated)
 	peer := c.sharing.coordinator(&customer.account, request.coordinator)
 	c.actions.SendGossip(peer, entry.appendTo(c.gossip.newMessage(c.loadView())))
 	c.actions.SetTimer(request.grantDeadline, quotaRequestTimer)
@@ -107,7 +107,7 @@
 // overdue. The latter ask another coordinator once, or else use what the last grant left.
 func (c *Controller) resolveQuotaRequests(customer *customer, answer grant) {
 	c.quotaRequests.dropClosed(c.requests.byID)
-	for _, ended := range c.quotaRequests.answered(c.clock.now, &c.sharing, customer, answer) {
+	for _, ended := range c.quotaRequests.removeEnded(c.clock.now, &c.sharing, customer, answer) {
 		request := ended.request
 		c.requests.remove(request.ID)
 		switch ended.result {
@@ -115,11 +115,11 @@
 			request.customer.grant.units += request.Cost // consumed at once
 			c.admit(request, unitsFromGrant)
 		case quotaDenied:
-			c.admit(request, unitsMissing)
+			c.admit(request, unitsUnavailable)
 		case quotaUnanswered:
 			c.counters.unanswered++
-			request.customer.grant.addRequested(request.Cost)
-			source := request.customer.ownUnits(c.clock.now, c.clock.startedAt, &c.sharing, request.Cost)
+			request.customer.grant.creditRequest(request.Cost)
+			source := request.customer.localUnitSource(c.clock.now, c.clock.startedAt, &c.sharing, request.Cost)
 			c.admit(request, source)
 		case quotaRetry:
 			c.counters.unanswered++
--- a/policy/coordinator_test.go
+++ b/policy/coordinator_test.go
@@ -179,7 +179,7 @@
 		return peers
 	}
 	request := Request{Customer: 9, Cost: 2, Timeout: 4 * second, Replicas: 12}
-	timeout := Time(quotaRequestTimeout * float64(h.shortestObjective))
+	timeout := Time(quotaRequestTimeoutShare * float64(h.shortestObjective))
 	h.take()
 	first, _ := h.receive(request)
 	h.at += timeout
@@ -242,16 +242,16 @@
 			pair := newCoordinatorPair(t)
 			participant := pair.participant
 			id := pair.receive(0, 9)
-			if len(participant.quotaRequests.awaiting) != 1 {
+			if len(participant.quotaRequests.pending) != 1 {
 				t.Fatalf("%d requests wait for the coordinator, want 1",
-					len(participant.quotaRequests.awaiting))
+					len(participant.quotaRequests.pending))
 			}
 			participant.RequestCancelled(participant.at, id)
 			participant.take()
 			resolve(participant)
-			if len(participant.performed) != 0 || len(participant.quotaRequests.awaiting) != 0 {
+			if len(participant.performed) != 0 || len(participant.quotaRequests.pending) != 0 {
 				t.Errorf("acted for a disconnected client: %+v, %d waiting",
-					participant.performed, len(participant.quotaRequests.awaiting))
+					participant.performed, len(participant.quotaRequests.pending))
 			}
 		})
 	}
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -52,7 +52,7 @@
 }
 
 // idle reports whether nothing is lost when the record is dropped.
-func (c *customer) idle(now Time) bool {
+func (c *customer) isIdle(now Time) bool {
 	return c.demand.isNegligible(now) &&
 		c.inFlight == 0 && c.usage.reportsLeft == 0 && c.counter.isIdle() && c.grant.isDefault() &&
 		c.bucket.level >= c.bucket.capacity && c.ceiling.level >= c.ceiling.capacity
@@ -61,12 +61,12 @@
 // quotaShare is the share of the quota that this gateway may use: its share of the recent demand. Gateways
 // without reports count as idle.
 func (c *customer) quotaShare(now Time, sharing *quotaSharing) float64 {
-	own := c.demand.atOwn(now)
+	own := c.demand.ownDemand(now)
 	switch {
 	case c.replicas == 1:
 		return 1
 	case sharing.sharesUsage && own > 0 && !sharing.isParticipant(&c.account):
-		return own / (own + c.demand.atPeers(now))
+		return own / (own + c.demand.peerDemand(now))
 	case !sharing.sharesUsage && c.meter.share > 0:
 		return c.meter.share
 	}
@@ -110,7 +110,7 @@
 	}
 	unreported := c.usage.unreported()
 	delay := float64(gossipDelayPeriods * sharing.gossipPeriod)
-	expected := c.demand.atPeers(now) * delay / float64(c.demand.window)
+	expected := c.demand.peerDemand(now) * delay / float64(c.demand.window)
 	share := c.quotaShare(now, sharing)*(c.bucket.level+unreported) - unreported
 	available := math.Max(share, c.bucket.level-expected)
 	if sharing.isSettling(now - startedAt) { // an even share, so that a restart grants no second burst
@@ -123,17 +123,17 @@
 type unitSource uint8
 
 const (
-	unitsMissing   unitSource = iota // the request is beyond the quota
-	unitsFromShare                   // this gateway's share of the quota
-	unitsFromGrant                   // a coordinator's grant, which is inside the ceiling too
+	unitsUnavailable unitSource = iota // the request is beyond the quota
+	unitsFromShare                     // this gateway's share of the quota
+	unitsFromGrant                     // a coordinator's grant, which is inside the ceiling too
 )
 
 // ownUnits is the source of a request's units where no coordinator was asked.
-func (c *customer) ownUnits(now, startedAt Time, sharing *quotaSharing, units float64) unitSource {
+func (c *customer) localUnitSource(now, startedAt Time, sharing *quotaSharing, units float64) unitSource {
 	if c.withinQuota(now, startedAt, sharing, units) {
 		return unitsFromShare
 	}
-	return unitsMissing
+	return unitsUnavailable
 }
 
 // timeUntilAvailable is the time until this gateway may grant the units of a plan with the rate, if demand
@@ -162,26 +162,26 @@
 	c.usage.requested += units
 	c.grant.lastRequestCost = units
 	if !sharing.requiresGrant(&c.account) {
-		c.grant.addRequested(units)
+		c.grant.creditRequest(units)
 	}
 }
 
 // readMeter sets the quota share by a reading of the use through all gateways.
-func (c *customer) readMeter(now Time, sharing *quotaSharing, reading int) {
-	c.meter.read(now, sharing.meterPeriod, sharing.plan(&c.account).Rate, reading)
+func (c *customer) applyMeterReading(now Time, sharing *quotaSharing, reading int) {
+	c.meter.applyReading(now, sharing.meterPeriod, sharing.plan(&c.account).Rate, reading)
 }
 
 // consume charges units that the coordinator of that index granted. Units that none granted go under index 0.
 func (c *customer) consume(sharing *quotaSharing, coordinator int, units float64) {
 	c.usage.consume(coordinator, units)
-	if !sharing.asksAnother(&c.account, coordinator) {
+	if !sharing.needsRemoteGrant(&c.account, coordinator) {
 		c.bucket.level -= units
 	}
 	c.grant.consume(units)
 }
 
 // consumedByPeers charges units that other gateways have consumed.
-func (c *customer) consumedByPeers(units float64) {
+func (c *customer) chargePeerUsage(units float64) {
 	c.bucket.level = math.Max(0, c.bucket.level-units)
 }
 
@@ -196,14 +196,14 @@
 	}
 	refill := c.bucket.rate * float64(c.demand.window) / float64(second)
 	spendable := refill + c.bucket.level - coordinatorReserve*c.bucket.capacity
-	c.grant.set(spendable, c.demand.total(now))
+	c.grant.setFraction(spendable, c.demand.total(now))
 	return !sharing.requiresGrant(&c.account) && c.grant.advertise(now, c.demand.window)
 }
 
 // receiveGrant has a participant apply a coordinator's grant of the fraction.
 func (c *customer) receiveGrant(sharing *quotaSharing, fraction float64, random *rand.Rand) {
 	if sharing.isParticipant(&c.account) {
-		c.grant.receive(fraction, random)
+		c.grant.receiveFraction(fraction, random)
 	}
 }
 
@@ -238,7 +238,7 @@
 
 // limitToRestart limits the buckets to what they hold after a restart, as what was admitted since the last
 // refill is unknown.
-func (c *customer) limitToRestart(sharing *quotaSharing) {
+func (c *customer) limitToRestartLevels(sharing *quotaSharing) {
 	plan, even := sharing.plan(&c.account), float64(c.replicas)
 	c.bucket.level = min(c.bucket.level, plan.Burst/even)
 	c.ceiling.level = min(c.ceiling.level, plan.CeilingSlack/even/initialSlackDivisor)
--- a/policy/customer_test.go
+++ b/policy/customer_test.go
@@ -196,7 +196,7 @@
 	customer.consume(&sharing, 1, 2)
 	assertNear(t, "level of one of three coordinators", customer.bucket.level, 8-3)
 	assertNear(t, "consumed", customer.usage.consumed, 5)
-	assertNear(t, "consumed under the other coordinator", customer.usage.under(1).consumed, 2)
+	assertNear(t, "consumed under the other coordinator", customer.usage.forCoordinator(1).consumed, 2)
 }
 
 func TestCoordinatorGrantsWhatTheBucketHoldsBeyondItsReserve(t *testing.T) {
@@ -284,11 +284,11 @@
 	sharing := meshSharing()
 	customer := newCustomer(0, 0, &sharing, account{id: 9, replicas: 3})
 	customer.ceiling.level = 40
-	customer.limitToRestart(&sharing)
+	customer.limitToRestartLevels(&sharing)
 	assertNear(t, "bucket", customer.bucket.level, 8)
 	assertNear(t, "ceiling", customer.ceiling.level, 8)
 	customer.bucket.level, customer.ceiling.level = 1, 2
-	customer.limitToRestart(&sharing)
+	customer.limitToRestartLevels(&sharing)
 	assertNear(t, "bucket below the limit", customer.bucket.level, 1)
 	assertNear(t, "ceiling below the limit", customer.ceiling.level, 2)
 }
@@ -304,9 +304,9 @@
 		{"demand", func(c *customer) { c.demand.addOwn(0, 1) }, false},
 		{"attempts", func(c *customer) { c.inFlight = 1 }, false},
 		{"a report left", func(c *customer) { c.usage.scheduleReports() }, false},
-		{"a call of the counter", func(c *customer) { c.counter.increment(1) }, false},
+		{"a call of the counter", func(c *customer) { c.counter.recordCall(1) }, false},
 		{"a grant", func(c *customer) { c.grant.fraction = 0.5 }, false},
-		{"an advertised grant", func(c *customer) { c.grant.advertised = 0.5 }, false},
+		{"an advertised grant", func(c *customer) { c.grant.advertisedFraction = 0.5 }, false},
 		{"a bucket that fills", func(c *customer) { c.bucket.level-- }, false},
 		{"a ceiling that fills", func(c *customer) { c.ceiling.level = 0 }, false},
 	}
@@ -315,7 +315,7 @@
 			customer := newCustomer(0, 0, &sharing, account{id: 9, replicas: 3})
 			customer.ceiling.level = customer.ceiling.capacity
 			c.change(customer)
-			if got := customer.idle(0); got != c.want {
+			if got := customer.isIdle(0); got != c.want {
 				t.Errorf("idle: %t, want %t", got, c.want)
 			}
 		})
--- a/policy/customerreport.go
+++ b/policy/customerreport.go
@@ -25,15 +25,15 @@
 }
 
 // reported notes that a round has reported the use to all receivers.
-func (c *customer) reported(now Time, sharing *quotaSharing) {
+func (c *customer) markReported(now Time, sharing *quotaSharing) {
 	c.usage.markReported(!sharing.isWide(&c.account))
 	c.grant.nextReportAt = now + sharing.receiveTime(c.replicas)
 }
 
 // countUsage returns the units to add to the shared counter, 0 if none, and notes the call that adds them.
-func (c *customer) countUsage() (units float64) {
+func (c *customer) startCounterCall() (units float64) {
 	if units = c.usage.unreported(); units > 0 {
-		c.counter.increment(units)
+		c.counter.recordCall(units)
 	}
 	c.usage.markCounted()
 	c.usage.reportsLeft = 0
@@ -93,15 +93,15 @@
 	if returned && isWide {
 		consumed, entry.consumed = 0, last.consumed // granted units that it did not use
 	}
-	c.consumedByPeers(float64(int16(consumed)) / countsPerUnit)
+	c.chargePeerUsage(float64(int16(consumed)) / countsPerUnit)
 	c.demand.addPeers(now, unpackUnits(requested))
 	return true
 }
 
 // quotaRequest is the entry that asks a request's coordinator for its units. The demand of a request that
 // asks again is counted once.
-func (c *customer) quotaRequest(sharing *quotaSharing, request *request, isRepeated bool) usageEntry {
-	usage := c.usage.under(request.coordinator)
+func (c *customer) quotaRequestEntry(sharing *quotaSharing, request *request, isRepeated bool) usageEntry {
+	usage := c.usage.forCoordinator(request.coordinator)
 	if !isRepeated {
 		usage.requested += request.Cost
 	}
--- a/policy/customerreport_test.go
+++ b/policy/customerreport_test.go
@@ -77,7 +77,7 @@
 			t.Errorf("%s: applied %t, want %t", step.name, got, step.applied)
 		}
 		assertNear(t, "level after "+step.name, customer.bucket.level, step.level)
-		assertNear(t, "demand of peers after "+step.name, customer.demand.atPeers(0), step.peersDemand)
+		assertNear(t, "demand of peers after "+step.name, customer.demand.peerDemand(0), step.peersDemand)
 	}
 }
 
@@ -87,7 +87,7 @@
 	customer.applyUsage(0, &sharing, sender, &usageEntry{consumed: 65530, requested: 65530, remaining: 1})
 	customer.applyUsage(0, &sharing, sender, &usageEntry{consumed: 2, requested: 10})
 	assertNear(t, "level after 8 counts", customer.bucket.level, 19)
-	assertNear(t, "demand after 16 counts", customer.demand.atPeers(0), 2)
+	assertNear(t, "demand after 16 counts", customer.demand.peerDemand(0), 2)
 }
 
 func TestParticipantAppliesNoUsage(t *testing.T) {
@@ -121,7 +121,7 @@
 func TestParticipantUnderAGrantReportsAsOftenAsItsCoordinatorCanReceive(t *testing.T) {
 	sharing, set := askedSharing(t)
 	customer := newCustomer(0, 0, sharing, set)
-	customer.reported(second, sharing)
+	customer.markReported(second, sharing)
 	next := second + sharing.receiveTime(12)
 	if !customer.reportIsDue(next-1, sharing) {
 		t.Error("a report without a limit is not due")
@@ -143,12 +143,12 @@
 		sharing *quotaSharing
 		account account
 		want    int
-	}{{"a small set", &mesh, account{id: 9, replicas: 3}, usageRepeats - 1}, {"a wide set", wide, set, 0}}
+	}{{"a small set", &mesh, account{id: 9, replicas: 3}, usageReportRounds - 1}, {"a wide set", wide, set, 0}}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			customer := newCustomer(0, 0, c.sharing, c.account)
 			customer.usage.scheduleReports()
-			customer.reported(0, c.sharing)
+			customer.markReported(0, c.sharing)
 			if customer.usage.reportsLeft != c.want {
 				t.Errorf("%d reports left, want %d", customer.usage.reportsLeft, c.want)
 			}
@@ -160,14 +160,14 @@
 	customer, _ := reportedCustomer()
 	customer.usage.consumed = 3
 	customer.usage.scheduleReports()
-	assertNear(t, "units for the counter", customer.countUsage(), 3)
+	assertNear(t, "units for the counter", customer.startCounterCall(), 3)
 	if customer.counter.isIdle() || customer.usage.reportsLeft != 0 {
 		t.Error("the call is not noted, or the use is reported again")
 	}
-	if units := customer.countUsage(); units > 0 {
+	if units := customer.startCounterCall(); units > 0 {
 		t.Errorf("%g units for the counter a second time", units)
 	}
-	if n := len(customer.counter.calls); n != 1 {
+	if n := len(customer.counter.pendingCalls); n != 1 {
 		t.Errorf("%d calls of the counter, want 1", n)
 	}
 }
@@ -176,7 +176,7 @@
 	sharing, set := askedSharing(t)
 	customer := newCustomer(0, 0, sharing, set)
 	request := &request{Request: Request{Cost: 2.25}, quotaRequest: 7, coordinator: 1}
-	entry := customer.quotaRequest(sharing, request, false)
+	entry := customer.quotaRequestEntry(sharing, request, false)
 	if entry.wantedHalves != 5 || entry.quotaRequest != 7 {
 		t.Errorf("%d halves wanted by request %d, want 5 by 7", entry.wantedHalves, entry.quotaRequest)
 	}
@@ -184,7 +184,7 @@
 		t.Errorf("newly requested %d, want all", entry.newlyRequested)
 	}
 	request.coordinator = 2
-	entry = customer.quotaRequest(sharing, request, true)
+	entry = customer.quotaRequestEntry(sharing, request, true)
 	if entry.newlyRequested != 0 || entry.requested != 0 {
 		t.Errorf("a request that asks again counts as %d more", entry.newlyRequested)
 	}
--- a/policy/customertable.go
+++ b/policy/customertable.go
@@ -10,10 +10,10 @@
 // customerTable holds the records of the customers that have been active of late. byID and inOrder hold the
 // same records; reporting holds those with reports left, each once.
 type customerTable struct {
-	byID      map[uint64]*customer
-	inOrder   []*customer // oldest first
-	reporting []*customer // those whose use the next gossip round is to report
-	sweptAt   Time        // when it was last searched for idle customers
+	byID        map[uint64]*customer
+	inOrder     []*customer // oldest first
+	reportQueue []*customer // those whose use the next gossip round is to report
+	sweptAt     Time        // when it was last searched for idle customers
 }
 
 func newCustomerTable() customerTable {
@@ -27,7 +27,7 @@
 }
 
 // restore adds the record of another process, whose unreported use is to be reported.
-func (t *customerTable) restore(sharing *quotaSharing, customer *customer) {
+func (t *customerTable) importCustomer(sharing *quotaSharing, customer *customer) {
 	customer.fitToPlan(sharing)
 	t.add(customer)
 	if customer.usage.hasUnreported() {
@@ -50,13 +50,13 @@
 // scheduleReport has a customer's use reported in the next rounds.
 func (t *customerTable) scheduleReport(sharing *quotaSharing, customer *customer) {
 	if customer.scheduleReport(sharing) {
-		t.reporting = append(t.reporting, customer)
+		t.reportQueue = append(t.reportQueue, customer)
 	}
 }
 
 // reportTo schedules a report of a customer to a gateway that has just started, if that one shares the
 // customer and needs to know: a bucket that is not reported counts as full.
-func (t *customerTable) reportTo(gateway int, sharing *quotaSharing, customer *customer) {
+func (t *customerTable) scheduleReportTo(gateway int, sharing *quotaSharing, customer *customer) {
 	account := &customer.account
 	isFull := customer.bucket.level >= customer.bucket.capacity
 	if !isFull && !sharing.isWide(account) && sharing.isReplica(account, gateway) {
@@ -66,15 +66,15 @@
 
 // sortReporting orders the customers to report: those that consumed the largest part of their burst come
 // first.
-func (t *customerTable) sortReporting() {
-	slices.SortStableFunc(t.reporting, func(a, b *customer) int {
+func (t *customerTable) sortReportQueue() {
+	slices.SortStableFunc(t.reportQueue, func(a, b *customer) int {
 		return cmp.Compare(b.usage.unreported()*a.bucket.capacity, a.usage.unreported()*b.bucket.capacity)
 	})
 }
 
 // dropReported drops the customers that have no reports left from those to report.
-func (t *customerTable) dropReported() {
-	t.reporting = slices.DeleteFunc(t.reporting, func(customer *customer) bool {
+func (t *customerTable) pruneReportQueue() {
+	t.reportQueue = slices.DeleteFunc(t.reportQueue, func(customer *customer) bool {
 		return customer.usage.reportsLeft <= 0
 	})
 }
@@ -86,7 +86,7 @@
 func (t *customerTable) removeIdle(now Time, removed func(*account)) {
 	t.sweptAt = now
 	t.inOrder = slices.DeleteFunc(t.inOrder, func(customer *customer) bool {
-		if !customer.idle(now) {
+		if !customer.isIdle(now) {
 			return false
 		}
 		delete(t.byID, customer.id)
--- a/policy/customertable_test.go
+++ b/policy/customertable_test.go
@@ -51,13 +51,13 @@
 		table.scheduleReport(&sharing, customer)
 		table.scheduleReport(&sharing, customer) // a second change adds no second entry
 	}
-	table.sortReporting()
-	if got, want := idsOf(table.reporting), []uint64{2, 4, 1, 3}; !slices.Equal(got, want) {
+	table.sortReportQueue()
+	if got, want := idsOf(table.reportQueue), []uint64{2, 4, 1, 3}; !slices.Equal(got, want) {
 		t.Errorf("reporting %v, want %v", got, want)
 	}
 	table.byID[4].usage.reportsLeft = 0
-	table.dropReported()
-	if got, want := idsOf(table.reporting), []uint64{2, 1, 3}; !slices.Equal(got, want) {
+	table.pruneReportQueue()
+	if got, want := idsOf(table.reportQueue), []uint64{2, 1, 3}; !slices.Equal(got, want) {
 		t.Errorf("left to report %v, want %v", got, want)
 	}
 }
@@ -67,7 +67,7 @@
 	table := tableOf(&sharing, 1, 2)
 	table.recordDemand(0, &sharing, table.byID[1], 2)
 	table.consume(&sharing, table.byID[2], 0, 2)
-	if got, want := idsOf(table.reporting), []uint64{1, 2}; !slices.Equal(got, want) {
+	if got, want := idsOf(table.reportQueue), []uint64{1, 2}; !slices.Equal(got, want) {
 		t.Errorf("reporting %v, want %v", got, want)
 	}
 	assertNear(t, "requested", table.byID[1].usage.requested, 2)
@@ -90,8 +90,8 @@
 			table := tableOf(&sharing, 1)
 			customer := table.byID[1]
 			customer.bucket.level = customer.bucket.capacity - c.spent
-			table.reportTo(c.gateway, &sharing, customer)
-			if got := len(table.reporting) > 0; got != c.want {
+			table.scheduleReportTo(c.gateway, &sharing, customer)
+			if got := len(table.reportQueue) > 0; got != c.want {
 				t.Errorf("reported %t, want %t", got, c.want)
 			}
 		})
@@ -104,9 +104,9 @@
 	alone := newCustomer(0, 0, &sharing, account{id: 1, replicas: 1})
 	table.add(alone)
 	table.consume(&sharing, alone, 0, 2)
-	if len(table.reporting) != 0 || alone.usage.unreported() != 0 {
+	if len(table.reportQueue) != 0 || alone.usage.unreported() != 0 {
 		t.Errorf("%d customers to report, %g units unreported; want none",
-			len(table.reporting), alone.usage.unreported())
+			len(table.reportQueue), alone.usage.unreported())
 	}
 }
 
@@ -129,14 +129,14 @@
 		bucket: tokenBucket{level: 4, rate: 1, capacity: 5},
 		usage:  usageLedger{customerUsage: customerUsage{consumed: 3}},
 	}
-	table.restore(&sharing, restored)
+	table.importCustomer(&sharing, restored)
 	if want := (tokenBucket{level: 4, rate: 12, capacity: 24}); restored.bucket != want {
 		t.Errorf("bucket %+v, want %+v", restored.bucket, want)
 	}
 	if window := sharing.demandWindow(&restored.account); restored.demand.window != window {
 		t.Errorf("demand is measured over %d, want %d", restored.demand.window, window)
 	}
-	if len(table.reporting) != 1 || table.byID[1] != restored {
-		t.Errorf("%d customers to report of %d, want the one", len(table.reporting), len(table.byID))
+	if len(table.reportQueue) != 1 || table.byID[1] != restored {
+		t.Errorf("%d customers to report of %d, want the one", len(table.reportQueue), len(table.byID))
 	}
 }
--- a/policy/demand_test.go
+++ b/policy/demand_test.go
@@ -10,8 +10,8 @@
 	demand.addOwn(0, 6)
 	demand.addPeers(0, 3)
 	assertNear(t, "total at once", demand.total(0), 9)
-	assertNear(t, "own after a window", demand.atOwn(2*second), 6/math.E)
-	assertNear(t, "of peers after two windows", demand.atPeers(4*second), 3/math.E/math.E)
+	assertNear(t, "own after a window", demand.ownDemand(2*second), 6/math.E)
+	assertNear(t, "of peers after two windows", demand.peerDemand(4*second), 3/math.E/math.E)
 }
 
 func TestDemandBecomesNegligible(t *testing.T) {
--- a/policy/meter.go
+++ b/policy/meter.go
@@ -16,7 +16,7 @@
 
 // read sets the share by a reading, 1 more than the percentage of the rate. Without a period, a rate or a
 // reading the share stays.
-func (m *usageMeter) read(now, period Time, rate float64, reading int) {
+func (m *usageMeter) applyReading(now, period Time, rate float64, reading int) {
 	if period == 0 || reading == 0 || rate == 0 {
 		return
 	}
--- a/policy/meter_test.go
+++ b/policy/meter_test.go
@@ -21,7 +21,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			meter := usageMeter{share: 0.5}
 			meter.recordDemand(second, c.period, 2)
-			meter.read(second, c.period, c.rate, c.reading)
+			meter.applyReading(second, c.period, c.rate, c.reading)
 			assertNear(t, "share", meter.share, c.want)
 		})
 	}
--- a/policy/ownership.go
+++ b/policy/ownership.go
@@ -8,7 +8,7 @@
 func (c *Controller) GiveUpOwnership(now Time) {
 	c.advanceClock(now)
 	c.gaveUpOwnership = true
-	for _, request := range c.quotaRequests.takeOpen(c.requests.byID) {
+	for _, request := range c.quotaRequests.removeOpen(c.requests.byID) {
 		c.requests.remove(request.ID)
 		c.reject(request.ID, rejectOverQuota, c.shortestObjective/retryAfterDivisor)
 	}
@@ -22,7 +22,7 @@
 	c.gaveUpOwnership = false
 	for _, customer := range c.customers.inOrder {
 		c.refillBuckets(customer)
-		customer.limitToRestart(&c.sharing)
+		customer.limitToRestartLevels(&c.sharing)
 		c.customers.scheduleReport(&c.sharing, customer)
 	}
 	c.sharedBucket.level = 0
--- a/policy/quotagrant_test.go
+++ b/policy/quotagrant_test.go
@@ -8,10 +8,10 @@
 func TestGrantedUnitsAreSavedUpToAFewRequests(t *testing.T) {
 	grant := newQuotaGrant()
 	grant.fraction = 0.5
-	grant.addRequested(4)
+	grant.creditRequest(4)
 	assertNear(t, "units after a request", grant.units, 2)
 	for range 20 {
-		grant.addRequested(4)
+		grant.creditRequest(4)
 	}
 	assertNear(t, "units after many requests", grant.units, maxGrantedRequests*4)
 	grant.consume(10)
@@ -24,13 +24,13 @@
 	for range 20 {
 		grant := newQuotaGrant()
 		grant.units, grant.lastRequestCost = 8, 4
-		grant.receive(0.5, random)
+		grant.receiveFraction(0.5, random)
 		if grant.units < 0 || grant.units >= 4 {
 			t.Errorf("%g units, want less than the last request's 4", grant.units)
 		}
 		drawn[grant.units] = true
 		units := grant.units
-		if grant.receive(0.25, random); grant.units != units {
+		if grant.receiveFraction(0.25, random); grant.units != units {
 			t.Errorf("a limit that changes sets %g units, want %g", grant.units, units)
 		}
 		if !grant.isLimited() || grant.fraction != 0.25 {
@@ -49,13 +49,13 @@
 	}{
 		{"more than is requested", 10, 5, 1},
 		{"half", 5, 10, 0.5},
-		{"nothing left", -3, 10, minGrant},
+		{"nothing left", -3, 10, minGrantFraction},
 		{"no demand", 1, 0, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			grant := newQuotaGrant()
-			grant.set(c.spendable, c.demand)
+			grant.setFraction(c.spendable, c.demand)
 			assertNear(t, "fraction", grant.fraction, c.want)
 		})
 	}
@@ -91,7 +91,7 @@
 
 func TestGrantOfAllIsAdvertisedHoweverSmallTheChange(t *testing.T) {
 	grant := newQuotaGrant()
-	grant.advertised = 0.9
+	grant.advertisedFraction = 0.9
 	if !grant.advertise(second, second) {
 		t.Error("a change from 0.9 to 1 is not advertised")
 	}
@@ -100,7 +100,7 @@
 func TestQuotaRequestsAreNeverNumberedZero(t *testing.T) {
 	grant := newQuotaGrant()
 	for i := range 600 {
-		if grant.nextRequest() == 0 {
+		if grant.nextRequestNumber() == 0 {
 			t.Fatalf("request %d has the number 0", i)
 		}
 	}
@@ -110,7 +110,7 @@
 	grant := quotaGrant{fraction: 0.5}
 	isOff := map[float64]bool{0.5: false, 0.46: false, 0.54: false, 0.44: true, 0.56: true}
 	for fraction, want := range isOff {
-		if got := grant.isOff(fraction); got != want {
+		if got := grant.needsCorrection(fraction); got != want {
 			t.Errorf("%g in place of 0.5 is off: %t, want %t", fraction, got, want)
 		}
 	}
--- a/policy/quotarequests.go
+++ b/policy/quotarequests.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	quotaRequestTimeout = 0.1    // in shortest latency objectives,
-	maxWaitDivisor      = 2      // and at most the part, 1/n, of the time for which the client waits
-	unresponsiveTime    = second // for which a coordinator that did not answer is avoided
+	quotaRequestTimeoutShare = 0.1    // in shortest latency objectives,
+	maxWaitDivisor           = 2      // and at most the part, 1/n, of the time for which the client waits
+	unresponsiveTime         = second // for which a coordinator that did not answer is avoided
 )
 
 // quotaRequests are the requests of this gateway that wait for a coordinator's answer to a quota request, and
 // which coordinators left one unanswered.
 type quotaRequests struct {
-	awaiting       []*request // oldest first
+	pending        []*request // oldest first
 	unresponsiveAt []Time     // by gateway: when it last left a quota request unanswered
 }
 
@@ -23,19 +23,19 @@
 }
 
 // add has a request wait for an answer until its grant deadline.
-func (g *quotaRequests) add(request *request) { g.awaiting = append(g.awaiting, request) }
+func (g *quotaRequests) add(request *request) { g.pending = append(g.pending, request) }
 
 // takeOpen removes all requests, and returns those that are still open.
-func (g *quotaRequests) takeOpen(open map[uint64]*request) []*request {
+func (g *quotaRequests) removeOpen(open map[uint64]*request) []*request {
 	g.dropClosed(open)
-	waiting := g.awaiting
-	g.awaiting = nil
+	waiting := g.pending
+	g.pending = nil
 	return waiting
 }
 
 // dropClosed drops the requests that ended while they waited.
 func (g *quotaRequests) dropClosed(open map[uint64]*request) {
-	g.awaiting = slices.DeleteFunc(g.awaiting, func(request *request) bool {
+	g.pending = slices.DeleteFunc(g.pending, func(request *request) bool {
 		return open[request.ID] != request
 	})
 }
@@ -82,11 +82,11 @@
 
 // answered removes the requests of a customer that an answer is for, nil if there is none, and those whose
 // answer is overdue. It returns them in their order, but those that are to be asked again last.
-func (g *quotaRequests) answered(
+func (g *quotaRequests) removeEnded(
 	now Time, sharing *quotaSharing, customer *customer, answer grant,
 ) []endedQuotaRequest {
 	var ended, retries []endedQuotaRequest
-	g.awaiting = slices.DeleteFunc(g.awaiting, func(request *request) bool {
+	g.pending = slices.DeleteFunc(g.pending, func(request *request) bool {
 		result, isEnded := g.resultOf(now, sharing, request, customer, answer)
 		switch {
 		case result == quotaRetry:
--- a/policy/quotarequests_test.go
+++ b/policy/quotarequests_test.go
@@ -115,7 +115,7 @@
 			grants.add(waiting(2, 2, second, 2))   // has asked another one
 			grants.add(waiting(4, 4, 3*second, 1))
 			var results []quotaResult
-			for _, ended := range grants.answered(2*second, sharing, c.customer, c.answer) {
+			for _, ended := range grants.removeEnded(2*second, sharing, c.customer, c.answer) {
 				results = append(results, ended.result)
 			}
 			if len(results) != len(c.want) {
@@ -126,8 +126,8 @@
 					t.Errorf("results %v, want %v", results, c.want)
 				}
 			}
-			if len(grants.awaiting) != c.waiting {
-				t.Errorf("%d still wait, want %d", len(grants.awaiting), c.waiting)
+			if len(grants.pending) != c.waiting {
+				t.Errorf("%d still wait, want %d", len(grants.pending), c.waiting)
 			}
 		})
 	}
@@ -137,7 +137,7 @@
 	sharing, set := askedSharing(t)
 	grants := newQuotaRequests(12)
 	grants.add(&request{customer: &customer{account: set}, coordinator: 2, grantDeadline: second})
-	grants.answered(2*second, sharing, nil, grant{})
+	grants.removeEnded(2*second, sharing, nil, grant{})
 	for gateway, at := range grants.unresponsiveAt {
 		want := Time(0)
 		if gateway == sharing.coordinator(&set, 2) {
@@ -158,13 +158,13 @@
 	grants.add(ended)
 	grants.add(open)
 	grants.dropClosed(map[uint64]*request{2: open})
-	if got := grants.answered(second, sharing, asking, grant{quotaRequest: 1}); len(got) != 0 {
+	if got := grants.removeEnded(second, sharing, asking, grant{quotaRequest: 1}); len(got) != 0 {
 		t.Errorf("%d quota requests ended, want none", len(got))
 	}
-	if taken := grants.takeOpen(map[uint64]*request{2: open}); len(taken) != 1 || taken[0] != open {
+	if taken := grants.removeOpen(map[uint64]*request{2: open}); len(taken) != 1 || taken[0] != open {
 		t.Errorf("%d requests taken, want the open one", len(taken))
 	}
-	if len(grants.awaiting) != 0 {
-		t.Errorf("%d still wait", len(grants.awaiting))
+	if len(grants.pending) != 0 {
+		t.Errorf("%d still wait", len(grants.pending))
 	}
 }
--- a/policy/quotasharing.go
+++ b/policy/quotasharing.go
@@ -9,7 +9,7 @@
 	gossipReceiveShare   = 0.5         // the part of a receiver's message limit that gossip may fill
 	minGossipPeriod      = second / 30 // the least time between two rounds
 	demandWindowFraction = 0.5         // the demand window, in times in which a plan's burst refills
-	maxFullMeshPeers     = 4           // gateways of a set that still all report to one another
+	maxFullMeshSize      = 4           // gateways of a set that still all report to one another
 	quotaRequestShare    = 1.0         // the part of a receiver's gossip that quota requests may fill
 	coordinatorLoadShare = 0.4         // the part from which on they are spread over several coordinators
 	settlePeriods        = 4           // gossip periods until a new gateway has received all levels
@@ -50,7 +50,7 @@
 		meterPeriod: settings.MeterPeriod, maxCost: settings.MaxCost, plans: settings.Plans,
 	}
 	if s.gossipPerSecond > 0 {
-		s.gossipPeriod = max(s.gossipPeriod, s.receiveTime(min(s.gateways-1, maxFullMeshPeers)))
+		s.gossipPeriod = max(s.gossipPeriod, s.receiveTime(min(s.gateways-1, maxFullMeshSize)))
 	}
 	return s
 }
@@ -64,7 +64,9 @@
 }
 
 // isSetSize reports whether a replica set may have so many gateways.
-func (s *quotaSharing) isSetSize(replicas int) bool { return replicas >= 1 && replicas <= s.gateways }
+func (s *quotaSharing) isValidSetSize(replicas int) bool {
+	return replicas >= 1 && replicas <= s.gateways
+}
 
 // plan is the account's plan.
 func (s *quotaSharing) plan(account *account) *Plan { return &s.plans[account.plan] }
@@ -108,7 +110,7 @@
 
 // isWide reports whether an account's gateways are too many for all to report to all.
 func (s *quotaSharing) isWide(account *account) bool {
-	return s.gossip && account.replicas > maxFullMeshPeers
+	return s.gossip && account.replicas > maxFullMeshSize
 }
 
 // isFullMesh reports whether the account's gateways all report to one another by gossip.
@@ -166,7 +168,7 @@
 
 // asksAnother reports whether a request's units are asked for at another gateway, its coordinator of that
 // index.
-func (s *quotaSharing) asksAnother(account *account, coordinator int) bool {
+func (s *quotaSharing) needsRemoteGrant(account *account, coordinator int) bool {
 	return s.requiresGrant(account) && s.coordinator(account, coordinator) != s.self
 }
 
@@ -185,13 +187,13 @@
 }
 
 // drawPeer draws a gateway at random. It is no peer if it is this one, or if gateways exchange no gossip.
-func (s *quotaSharing) drawPeer(random *rand.Rand) (gateway int, isPeer bool) {
+func (s *quotaSharing) randomPeer(random *rand.Rand) (gateway int, isPeer bool) {
 	gateway = random.IntN(s.gateways)
 	return gateway, s.gossip && gateway != s.self
 }
 
 // announcesTo reports whether a gateway is one of the neighbours that hear of this one's start.
-func (s *quotaSharing) announcesTo(gateway int) bool {
+func (s *quotaSharing) announcesStartTo(gateway int) bool {
 	distance := (gateway - s.self + s.gateways) % s.gateways
-	return s.gossip && distance > 0 && distance <= maxFullMeshPeers
+	return s.gossip && distance > 0 && distance <= maxFullMeshSize
 }
--- a/policy/quotasharing_test.go
+++ b/policy/quotasharing_test.go
@@ -37,7 +37,7 @@
 	sharing, random := wideSharing(3, Plan{}), rand.New(rand.NewPCG(1, 2))
 	drawn := map[int]bool{}
 	for range 400 {
-		if peer, isPeer := sharing.drawPeer(random); isPeer {
+		if peer, isPeer := sharing.randomPeer(random); isPeer {
 			drawn[peer] = true
 		}
 	}
@@ -45,7 +45,7 @@
 		t.Errorf("drew %v, want each gateway but 3", drawn)
 	}
 	alone := newQuotaSharing(&Settings{Gateways: 12, SharedCounter: true})
-	if peer, isPeer := alone.drawPeer(random); isPeer {
+	if peer, isPeer := alone.randomPeer(random); isPeer {
 		t.Errorf("drew %d without gossip", peer)
 	}
 }
@@ -156,7 +156,7 @@
 			if grants {
 				coordinators++
 			}
-			if first := sharing.coordinator(set, 0); sharing.asksAnother(set, 0) == (first == self) {
+			if first := sharing.coordinator(set, 0); sharing.needsRemoteGrant(set, 0) == (first == self) {
 				t.Errorf("customer %d: gateway %d asks its coordinator %d: %t",
 					id, self, first, first == self)
 			}
@@ -238,7 +238,7 @@
 	sharing := wideSharing(10, Plan{})
 	for gateway := range 12 {
 		want := gateway == 11 || gateway <= 2
-		if got := sharing.announcesTo(gateway); got != want {
+		if got := sharing.announcesStartTo(gateway); got != want {
 			t.Errorf("announced to %d: %t, want %t", gateway, got, want)
 		}
 	}
--- a/policy/reload.go
+++ b/policy/reload.go
@@ -47,5 +47,5 @@
 	c.sharing = newQuotaSharing(&c.settings)
 	c.slowStart = c.settings.slowStartParameters()
 	c.shortestObjective = c.settings.shortestObjective()
-	c.sharedBucket.fitTo(c.settings.Plans)
+	c.sharedBucket.setCapacity(c.settings.Plans)
 }
--- a/policy/sharedbucket.go
+++ b/policy/sharedbucket.go
@@ -15,22 +15,22 @@
 }
 
 // overagePays reports whether use beyond the quota earns more than it costs.
-func (p *Plan) overagePays() bool { return p.OverageRevenue > p.OverageCost }
+func (p *Plan) overageIsProfitable() bool { return p.OverageRevenue > p.OverageCost }
 
 // mayBorrow reports whether the bucket holds a request's cost and lends to customers of its plan.
-func (b *sharedBucket) mayBorrow(now Time, plan *Plan, cost float64) bool {
+func (b *sharedBucket) canLend(now Time, plan *Plan, cost float64) bool {
 	b.refill(now)
-	return plan.overagePays() && b.level >= cost
+	return plan.overageIsProfitable() && b.level >= cost
 }
 
 // borrow takes the cost of a request.
-func (b *sharedBucket) borrow(cost float64) { b.level -= cost }
+func (b *sharedBucket) lend(cost float64) { b.level -= cost }
 
 // fitTo sets the capacity by the plans that may borrow.
-func (b *sharedBucket) fitTo(plans []Plan) {
+func (b *sharedBucket) setCapacity(plans []Plan) {
 	b.capacity = 0
 	for i := range plans {
-		if plans[i].overagePays() {
+		if plans[i].overageIsProfitable() {
 			b.capacity = math.Max(b.capacity, plans[i].Burst)
 		}
 	}
@@ -38,12 +38,12 @@
 
 // addIdle adds the overflow of a customer whose record was dropped. The rate follows with the next
 // updateRate.
-func (b *sharedBucket) addIdle(account *account, plan *Plan) {
+func (b *sharedBucket) addIdleCustomer(account *account, plan *Plan) {
 	b.idleOverflow[account.plan] += plan.Rate / float64(account.replicas)
 }
 
 // removeIdle removes the overflow of a customer that has a record again.
-func (b *sharedBucket) removeIdle(account *account, plan *Plan) {
+func (b *sharedBucket) removeIdleCustomer(account *account, plan *Plan) {
 	idle := &b.idleOverflow[account.plan]
 	*idle = math.Max(0, *idle-plan.Rate/float64(account.replicas))
 }
@@ -71,7 +71,7 @@
 
 // restore sets the bucket and the overflow by plan from another process's, as far as they fit the capacity
 // and the plans; indices are those of its plans here, -1 for none.
-func (b *sharedBucket) restore(bucket tokenBucket, idleOverflow []float64, indices []int) {
+func (b *sharedBucket) importState(bucket tokenBucket, idleOverflow []float64, indices []int) {
 	capacity := b.capacity
 	b.tokenBucket = bucket
 	b.capacity, b.level = capacity, min(b.level, capacity)
--- a/policy/sharedbucket_test.go
+++ b/policy/sharedbucket_test.go
@@ -16,43 +16,43 @@
 
 func TestSharedBucketHoldsTheLargestBurstOfPlansThatMayBorrow(t *testing.T) {
 	bucket := newSharedBucket(3)
-	bucket.fitTo(borrowingPlans())
+	bucket.setCapacity(borrowingPlans())
 	assertNear(t, "capacity", bucket.capacity, 20)
-	bucket.fitTo(borrowingPlans()[1:])
+	bucket.setCapacity(borrowingPlans()[1:])
 	assertNear(t, "capacity without such a plan", bucket.capacity, 0)
 }
 
 func TestPlansWhoseOveragePaysBorrowWhatTheSharedBucketHolds(t *testing.T) {
 	plans, bucket := borrowingPlans(), newSharedBucket(3)
-	bucket.fitTo(plans)
+	bucket.setCapacity(plans)
 	bucket.deposit(5)
-	if !bucket.mayBorrow(0, &plans[0], 5) {
+	if !bucket.canLend(0, &plans[0], 5) {
 		t.Error("5 of 5 units are not available")
 	}
-	if bucket.mayBorrow(0, &plans[0], 6) {
+	if bucket.canLend(0, &plans[0], 6) {
 		t.Error("6 of 5 units are available")
 	}
-	if bucket.mayBorrow(0, &plans[1], 1) || bucket.mayBorrow(0, &plans[2], 1) {
+	if bucket.canLend(0, &plans[1], 1) || bucket.canLend(0, &plans[2], 1) {
 		t.Error("a plan whose overage does not pay borrows")
 	}
-	bucket.borrow(3)
+	bucket.lend(3)
 	assertNear(t, "level", bucket.level, 2)
 	bucket.rate = 1
-	if !bucket.mayBorrow(second, &plans[0], 3) {
+	if !bucket.canLend(second, &plans[0], 3) {
 		t.Error("3 units are not available after a refill from 2 at 1 a second")
 	}
 }
 
 func TestIdleCustomersFeedTheSharedBucket(t *testing.T) {
 	plans, bucket := borrowingPlans(), newSharedBucket(3)
-	bucket.fitTo(plans)
+	bucket.setCapacity(plans)
 	split := &account{id: 1, plan: 0, replicas: 2}
-	bucket.addIdle(split, &plans[0])
-	bucket.addIdle(&account{id: 2, plan: 2, replicas: 1}, &plans[2])
+	bucket.addIdleCustomer(split, &plans[0])
+	bucket.addIdleCustomer(&account{id: 2, plan: 2, replicas: 1}, &plans[2])
 	bucket.updateRate(0)
 	assertNear(t, "rate of two idle customers", bucket.rate, 5+4)
-	bucket.removeIdle(split, &plans[0])
-	bucket.removeIdle(split, &plans[0])
+	bucket.removeIdleCustomer(split, &plans[0])
+	bucket.removeIdleCustomer(split, &plans[0])
 	bucket.updateRate(second)
 	assertNear(t, "level after a second", bucket.level, 9)
 	assertNear(t, "rate once one is active", bucket.rate, 4)
@@ -70,8 +70,8 @@
 
 func TestRestoredSharedBucketKeepsItsCapacity(t *testing.T) {
 	bucket := newSharedBucket(3)
-	bucket.fitTo(borrowingPlans())
-	bucket.restore(tokenBucket{level: 50, rate: 3, capacity: 60, updatedAt: 7}, []float64{1, 2}, []int{2, -1})
+	bucket.setCapacity(borrowingPlans())
+	bucket.importState(tokenBucket{level: 50, rate: 3, capacity: 60, updatedAt: 7}, []float64{1, 2}, []int{2, -1})
 	if want := (tokenBucket{level: 20, rate: 3, capacity: 20, updatedAt: 7}); bucket.tokenBucket != want {
 		t.Errorf("got %+v, want %+v", bucket.tokenBucket, want)
 	}
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -56,11 +56,11 @@
 	c.priority.movingAverage, c.retryBudget = decodeAverage(snapshot.Worth), retryBudget(snapshot.Again)
 	snapshot.decodeLatency(indices, &c.latency)
 	snapshot.decodeTimeouts(indices, c.clientTimeouts)
-	c.sharedBucket.restore(decodeBucket(snapshot.Lend), snapshot.IdleSpill, indices.plan)
+	c.sharedBucket.importState(decodeBucket(snapshot.Lend), snapshot.IdleSpill, indices.plan)
 	for i := range snapshot.Customers {
 		state := &snapshot.Customers[i]
-		if plan := indices.plan[state.Plan]; plan >= 0 && c.sharing.isSetSize(state.Spread) {
-			c.customers.restore(&c.sharing, decodeCustomer(state, plan))
+		if plan := indices.plan[state.Plan]; plan >= 0 && c.sharing.isValidSetSize(state.Spread) {
+			c.customers.importCustomer(&c.sharing, decodeCustomer(state, plan))
 		}
 	}
 	for i := range snapshot.Backends {
--- a/policy/snapshot_codec.go
+++ b/policy/snapshot_codec.go
@@ -203,14 +203,14 @@
 		Taken: customer.usage.consumed, Told: customer.usage.consumedReported,
 		Asked: customer.usage.requested, AskedTold: customer.usage.requestedReported,
 		LastAsk: customer.grant.lastRequestCost, Grant: customer.grant.fraction,
-		Slice: customer.grant.units, Granted: customer.grant.advertised,
+		Slice: customer.grant.units, Granted: customer.grant.advertisedFraction,
 		Total: customer.counter.total, Part: customer.meter.share,
 		Use: encodeSum(customer.demand.own), Others: encodeSum(customer.demand.peers),
 		Metered: encodeSum(customer.meter.demand),
 		Heard:   convertAll(customer.usage.peers, encodePeerUsage),
 		Tallies: convertAll(customer.usage.byCoordinator, encodeUsage),
-		GrantAt: customer.grant.nextAt, TellAt: customer.grant.nextReportAt,
-		Asks: customer.grant.quotaRequests,
+		GrantAt: customer.grant.nextAdvertisementAt, TellAt: customer.grant.nextReportAt,
+		Asks: customer.grant.lastRequestNumber,
 	}
 }
 
@@ -223,8 +223,8 @@
 		usage:  decodeLedger(state),
 		grant: quotaGrant{
 			fraction: state.Grant, units: state.Slice, lastRequestCost: state.LastAsk,
-			nextReportAt: state.TellAt, quotaRequests: state.Asks,
-			advertised: state.Granted, nextAt: state.GrantAt,
+			nextReportAt: state.TellAt, lastRequestNumber: state.Asks,
+			advertisedFraction: state.Granted, nextAdvertisementAt: state.GrantAt,
 		},
 		counter: sharedCounter{total: state.Total},
 		meter:   usageMeter{demand: decodeSum(state.Metered), share: state.Part},
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -85,8 +85,8 @@
 	if n := h.sharing.coordinatorCount(&customer.account); n < 2 {
 		t.Fatalf("%d coordinators, want several", n)
 	}
-	*customer.usage.under(1) = customerUsage{consumed: 5, requested: 8, requestedReported: 7}
-	*customer.usage.under(0) = customerUsage{consumed: 2, requested: 3, requestedReported: 3}
+	*customer.usage.forCoordinator(1) = customerUsage{consumed: 5, requested: 8, requestedReported: 7}
+	*customer.usage.forCoordinator(0) = customerUsage{consumed: 2, requested: 3, requestedReported: 3}
 	customer.usage.customerUsage = customerUsage{consumed: 7, requested: 11, requestedReported: 10}
 	got := h.successor(t, settings).customers.byID[9].usage.byCoordinator
 	if !slices.Equal(got, customer.usage.byCoordinator) {
--- a/policy/usageledger.go
+++ b/policy/usageledger.go
@@ -1,6 +1,6 @@
 package policy
 
-const usageRepeats = 2 // rounds that report a change: one more than needed, against loss
+const usageReportRounds = 2 // rounds that report a change: one more than needed, against loss
 
 // customerUsage counts the units of a customer at this gateway.
 type customerUsage struct {
@@ -32,7 +32,7 @@
 }
 
 // under is what was counted under the customer's coordinator of that index.
-func (l *usageLedger) under(coordinator int) *customerUsage {
+func (l *usageLedger) forCoordinator(coordinator int) *customerUsage {
 	for len(l.byCoordinator) <= coordinator {
 		l.byCoordinator = append(l.byCoordinator, customerUsage{})
 	}
@@ -49,7 +49,7 @@
 
 // consume counts units that the coordinator of that index granted, 0 if none did.
 func (l *usageLedger) consume(coordinator int, units float64) {
-	l.under(coordinator).consumed += units
+	l.forCoordinator(coordinator).consumed += units
 	l.consumed += units
 }
 
@@ -64,7 +64,7 @@
 // scheduleReports has the next rounds report the use, and reports whether none was to do so before.
 func (l *usageLedger) scheduleReports() (first bool) {
 	first = l.reportsLeft == 0
-	l.reportsLeft = usageRepeats
+	l.reportsLeft = usageReportRounds
 	return first
 }
 
--- a/policy/usageledger_test.go
+++ b/policy/usageledger_test.go
@@ -25,7 +25,7 @@
 	ledger.consume(2, 3)
 	ledger.consume(0, 1)
 	for coordinator, want := range []float64{1, 0, 3} {
-		assertNear(t, "consumed under a coordinator", ledger.under(coordinator).consumed, want)
+		assertNear(t, "consumed under a coordinator", ledger.forCoordinator(coordinator).consumed, want)
 	}
 	assertNear(t, "consumed in total", ledger.consumed, 4)
 }
@@ -38,9 +38,9 @@
 	if ledger.scheduleReports() {
 		t.Error("a second change is scheduled anew")
 	}
-	for round := range usageRepeats {
+	for round := range usageReportRounds {
 		if ledger.reportsLeft == 0 {
-			t.Fatalf("%d rounds report a change, want %d", round, usageRepeats)
+			t.Fatalf("%d rounds report a change, want %d", round, usageReportRounds)
 		}
 		ledger.markReported(true)
 	}
