--- a/policy/controller_quota.go
+++ b/policy/controller_quota.go
@@ -1,6 +1,7 @@
 package policy
 
-// customerRecord returns an account's record with its buckets refilled. It makes a missing one.
+// customerRecord returns the record of an account's customer with its buckets refilled. It creates the record
+// if there is none.
 func (c *Controller) customerRecord(account account) *customer {
 	customer := c.customers.byID[account.id]
 	if customer == nil {
@@ -12,7 +13,7 @@
 	return customer
 }
 
-// refillBuckets brings a customer's buckets up to now. What overflows goes to the shared bucket.
+// refillBuckets refills a customer's buckets. Units that overflow go to the shared bucket.
 func (c *Controller) refillBuckets(customer *customer) {
 	account := &customer.account
 	allActive := c.sharing.plan(account).CeilingRate > 0 && c.sharing.isFullMesh(account) &&
@@ -20,8 +21,8 @@
 	c.sharedBucket.deposit(customer.refill(c.clock.now, &c.sharing, allActive))
 }
 
-// sweepCustomers refills all buckets and drops the records of idle customers, whose overflow goes
-// on feeding the shared bucket.
+// sweepCustomers refills all buckets, updates all grants, and removes the records of idle customers. The
+// quota of a customer without a record continues to overflow into the shared bucket.
 func (c *Controller) sweepCustomers() {
 	for _, customer := range c.customers.inOrder {
 		c.refillBuckets(customer)
@@ -33,7 +34,7 @@
 	c.sharedBucket.updateRate(c.clock.now)
 }
 
-// updateGrant has a coordinator set a customer's grant, and advertise it to the set if it has changed.
+// updateGrant recomputes a customer's grant at its coordinator, and sends a changed one to the replica set.
 func (c *Controller) updateGrant(customer *customer) {
 	if !customer.updateGrant(c.clock.now, &c.sharing) {
 		return
@@ -45,7 +46,7 @@
 	}
 }
 
-// refund returns the units of a request that never reached a backend.
+// refund returns a request's units to the buckets if it never reached a backend.
 func (c *Controller) refund(request *request) {
 	if request.reachedBackend {
 		return
@@ -61,41 +62,43 @@
 	}
 }
 
-// CostSettled charges a customer for what a request cost beyond its estimate, where that becomes
-// known only after its outcome.
-func (c *Controller) CostSettled(now Time, id uint64, more float64) {
+// CostSettled charges a customer the difference between a request's actual cost and its estimate, if the
+// actual cost becomes known only after the outcome.
+func (c *Controller) CostSettled(now Time, customerID uint64, difference float64) {
 	c.advanceClock(now)
-	if customer := c.customers.byID[id]; customer != nil && c.settings.SettlesCost {
+	if customer := c.customers.byID[customerID]; customer != nil && c.settings.SettlesCost {
 		c.refillBuckets(customer)
-		c.customers.consume(&c.sharing, customer, 0, more)
+		c.customers.consume(&c.sharing, customer, 0, difference)
 	}
 }
 
-// CounterAnswered applies the total of a customer's use through all gateways, where gateways share a
-// counter instead of gossip.
+// CounterAnswered applies an answer of the shared counter, which gateways use in place of gossip. The
+// counter's name is the customer's ID, and its total is the customer's usage at all gateways.
 func (c *Controller) CounterAnswered(now Time, name uint64, result Result, total float64) {
 	c.advanceClock(now)
 	customer := c.customers.byID[name]
 	if customer == nil {
 		return
 	}
-	if byPeers, ok := customer.counter.applyAnswer(result, total); ok {
+	if peerUnits, ok := customer.counter.applyAnswer(result, total); ok {
 		c.refillBuckets(customer)
-		customer.chargePeerUsage(byPeers)
-		customer.demand.addPeers(now, byPeers)
+		customer.chargePeerUsage(peerUnits)
+		customer.demand.addPeers(now, peerUnits)
 	}
 }
 
-// requestQuota asks a coordinator for a request's units and holds the request until it answers.
+// requestQuota asks a coordinator to grant a request's units, and holds the request until the coordinator
+// answers or the quota request times out.
 func (c *Controller) requestQuota(request *request) {
 	customer := request.customer
 	request.quotaRequest = customer.grant.nextRequestNumber()
-	timeout := min(Time(quotaRequestTimeoutShare*float64(c.shortestObjective)), request.Timeout/maxWaitDivisor)
+	timeout := min(Time(quotaRequestTimeoutShare*float64(c.shortestObjective)),
+		request.Timeout/maxWaitDivisor)
 	request.grantDeadline = c.clock.now + timeout
 	isRepeated := request.quotaRequestsSent > 0
 	request.quotaRequestsSent++
 	c.counters.quotaRequests++
-	entry := customer.quotaRequestEntry(&c.sharing, request, isRepeated)
+	entry := customer.quotaRequest(&c.sharing, request, isRepeated)
 	peer := c.sharing.coordinator(&customer.account, request.coordinator)
 	c.actions.SendGossip(peer, entry.appendTo(c.gossip.newMessage(c.loadView())))
 	c.actions.SetTimer(request.grantDeadline, quotaRequestTimer)
@@ -103,8 +106,9 @@
 	c.quotaRequests.add(request)
 }
 
-// resolveQuotaRequests decides on the requests that an answer is for and on those whose answer is
-// overdue. The latter ask another coordinator once, or else use what the last grant left.
+// resolveQuotaRequests decides on the requests that an answer is for, and on those whose quota request has
+// timed out. The latter ask another coordinator once; after that, the units left under the last grant decide.
+// The customer is nil if there is no answer.
 func (c *Controller) resolveQuotaRequests(customer *customer, answer grant) {
 	c.quotaRequests.dropClosed(c.requests.byID)
 	for _, ended := range c.quotaRequests.removeEnded(c.clock.now, &c.sharing, customer, answer) {
@@ -112,14 +116,15 @@
 		c.requests.remove(request.ID)
 		switch ended.result {
 		case quotaApproved:
-			request.customer.grant.units += request.Cost // consumed at once
+			request.customer.grant.units += request.Cost // admit consumes them at once
 			c.admit(request, unitsFromGrant)
 		case quotaDenied:
 			c.admit(request, unitsUnavailable)
 		case quotaUnanswered:
 			c.counters.unanswered++
 			request.customer.grant.creditRequest(request.Cost)
-			source := request.customer.localUnitSource(c.clock.now, c.clock.startedAt, &c.sharing, request.Cost)
+			source := request.customer.localUnitSource(c.clock.now, c.clock.startedAt, &c.sharing,
+				request.Cost)
 			c.admit(request, source)
 		case quotaRetry:
 			c.counters.unanswered++
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -6,60 +6,60 @@
 )
 
 const (
-	evenCeilingShare    = 0.5  // the part of a ceiling that is split evenly; the rest follows demand
-	gossipDelayPeriods  = 2    // gossip periods until what a peer consumes now is known here
-	initialSlackDivisor = 2    // the part of a ceiling's slack, 1/n, that is open after a start
-	coordinatorReserve  = 0.75 // the part of a burst that is kept for variance in what the set requests
+	evenCeilingShare    = 0.5  // share of a ceiling that is split evenly; the rest follows demand
+	gossipDelayPeriods  = 2    // gossip periods until units that a peer consumes are known here
+	initialSlackDivisor = 2    // a new record starts with the ceiling's slack divided by this
+	coordinatorReserve  = 0.75 // share of a burst that a coordinator reserves for variation in demand
 )
 
-// customer is what this gateway knows of one customer, and decides which of its requests are within the
-// quota. Its decisions are as of the last refill: whoever uses the buckets refills them first.
+// customer is this gateway's record of one customer. It decides which of the customer's requests are within
+// the quota, as of the last refill: callers refill the buckets first.
 type customer struct {
 	account
-	inFlight int         // attempts
-	bucket   tokenBucket // the whole quota as far as it is known; if use is not shared, this gateway's share
+	inFlight int         // number of attempts in flight
+	bucket   tokenBucket // the whole quota as far as it is known; this gateway's share if usage is not shared
 	ceiling  tokenBucket // this gateway's share of the ceiling
 	demand   customerDemand
 	usage    usageLedger
-	grant    quotaGrant    // in wide replica sets
-	counter  sharedCounter // where gateways share a counter
-	meter    usageMeter    // where backends report a meter
+	grant    quotaGrant    // used in wide replica sets
+	counter  sharedCounter // used if gateways share a counter
+	meter    usageMeter    // used if backends report a meter
 }
 
-// newCustomer makes the record of a customer at a gateway that started at the given time. Its bucket is
-// full: peers report those that are not. The ceiling begins with half of its slack, as the rest may have been
-// used before a restart.
+// newCustomer returns the record of a customer at a gateway that started at startedAt. The quota bucket is
+// full, because peers report buckets that are not. The ceiling starts with half of its slack, because the
+// rest may have been used before a restart.
 func newCustomer(now, startedAt Time, sharing *quotaSharing, account account) *customer {
-	plan, even := sharing.plan(&account), float64(account.replicas)
+	plan, replicas := sharing.plan(&account), float64(account.replicas)
 	customer := &customer{
 		account: account,
 		demand:  customerDemand{window: sharing.demandWindow(&account)},
 		grant:   newQuotaGrant(),
 		bucket:  tokenBucket{level: plan.Burst, rate: plan.Rate, capacity: plan.Burst, updatedAt: now},
 		ceiling: tokenBucket{
-			level: plan.CeilingSlack / even / initialSlackDivisor, rate: plan.CeilingRate / even,
-			capacity: plan.CeilingBurst / even, updatedAt: startedAt,
+			level: plan.CeilingSlack / replicas / initialSlackDivisor, rate: plan.CeilingRate / replicas,
+			capacity: plan.CeilingBurst / replicas, updatedAt: startedAt,
 		},
 	}
 	switch {
 	case !sharing.sharesUsage:
-		customer.bucket.level /= even
+		customer.bucket.level /= replicas
 	case sharing.grantsQuota(&account):
 		customer.bucket.level /= float64(sharing.coordinatorCount(&account))
-		customer.ceiling.level *= even / float64(sharing.coordinatorCount(&account))
+		customer.ceiling.level *= replicas / float64(sharing.coordinatorCount(&account))
 	}
 	return customer
 }
 
-// idle reports whether nothing is lost when the record is dropped.
+// isIdle reports whether the record can be removed without losing state.
 func (c *customer) isIdle(now Time) bool {
 	return c.demand.isNegligible(now) &&
 		c.inFlight == 0 && c.usage.reportsLeft == 0 && c.counter.isIdle() && c.grant.isDefault() &&
 		c.bucket.level >= c.bucket.capacity && c.ceiling.level >= c.ceiling.capacity
 }
 
-// quotaShare is the share of the quota that this gateway may use: its share of the recent demand. Gateways
-// without reports count as idle.
+// quotaShare returns the share of the quota that this gateway may use: its share of the recent demand if that
+// is known, otherwise an even share. Gateways that report nothing count as idle.
 func (c *customer) quotaShare(now Time, sharing *quotaSharing) float64 {
 	own := c.demand.ownDemand(now)
 	switch {
@@ -73,8 +73,8 @@
 	return 1 / float64(c.replicas)
 }
 
-// refill brings the buckets up to now, and returns what overflowed of this gateway's share of the quota.
-// allReplicasActive says that the peers' demand is known well enough for the ceiling to follow it.
+// refill refills the buckets, and returns the units that overflowed from this gateway's share of the quota.
+// allReplicasActive means that the peers' demand is known, so that a part of the ceiling follows demand.
 func (c *customer) refill(now Time, sharing *quotaSharing, allReplicasActive bool) (overflow float64) {
 	plan, share := sharing.plan(&c.account), c.quotaShare(now, sharing)
 	ceilingShare := 1 / float64(c.replicas)
@@ -86,7 +86,7 @@
 		c.bucket.resize(share*plan.Rate, share*plan.Burst)
 		share = 1
 	case sharing.grantsQuota(&c.account):
-		// The coordinators share all of the ceiling, since every gateway asks them.
+		// The coordinators share the whole ceiling, because every gateway asks them for units.
 		ceilingShare = 1 / float64(sharing.coordinatorCount(&c.account))
 		c.bucket.resize(ceilingShare*plan.Rate, ceilingShare*plan.Burst)
 	case sharing.isParticipant(&c.account) && sharing.requiresGrant(&c.account):
@@ -97,15 +97,15 @@
 	return share * c.bucket.refill(now)
 }
 
-// availableUnits is what this gateway may grant now: its share of the bucket as of the last gossip round
-// less its use since, or, if more, what the peers are not expected to use before they report again: a share
-// of a small burst may be less than one request. A gateway that has just started may not know yet what was
-// used before.
+// availableUnits returns the units that this gateway may grant now: its share of the bucket as of the last
+// gossip round less its own usage since then or, if more, the units that peers are not expected to use before
+// their next report. The second term is needed because a share of a small burst may be less than one request.
+// Soon after a start the result is limited to an even share, because earlier usage may not be known yet.
 func (c *customer) availableUnits(now, startedAt Time, sharing *quotaSharing) float64 {
 	switch {
-	case sharing.isParticipant(&c.account) && c.grant.isLimited(): // what a coordinator has granted
+	case sharing.isParticipant(&c.account) && c.grant.isLimited(): // a coordinator's grant is the limit
 		return c.grant.units
-	case !sharing.sharesUsage || sharing.isWide(&c.account): // the bucket is this gateway's share already
+	case !sharing.sharesUsage || sharing.isWide(&c.account): // the bucket holds only this gateway's share
 		return c.bucket.level
 	}
 	unreported := c.usage.unreported()
@@ -113,22 +113,22 @@
 	expected := c.demand.peerDemand(now) * delay / float64(c.demand.window)
 	share := c.quotaShare(now, sharing)*(c.bucket.level+unreported) - unreported
 	available := math.Max(share, c.bucket.level-expected)
-	if sharing.isSettling(now - startedAt) { // an even share, so that a restart grants no second burst
+	if sharing.isSettling(now - startedAt) { // an even share, so that a restart does not grant a second burst
 		available = math.Min(available, c.bucket.capacity/float64(c.replicas)-c.usage.consumed)
 	}
 	return available
 }
 
-// unitSource says which quota covers the cost of a request.
+// unitSource identifies the quota that covers the cost of a request.
 type unitSource uint8
 
 const (
-	unitsUnavailable unitSource = iota // the request is beyond the quota
+	unitsUnavailable unitSource = iota // no quota covers the request
 	unitsFromShare                     // this gateway's share of the quota
-	unitsFromGrant                     // a coordinator's grant, which is inside the ceiling too
+	unitsFromGrant                     // a coordinator's grant, which is within the ceiling too
 )
 
-// ownUnits is the source of a request's units where no coordinator was asked.
+// localUnitSource returns the source of a request's units if no coordinator was asked.
 func (c *customer) localUnitSource(now, startedAt Time, sharing *quotaSharing, units float64) unitSource {
 	if c.withinQuota(now, startedAt, sharing, units) {
 		return unitsFromShare
@@ -136,13 +136,13 @@
 	return unitsUnavailable
 }
 
-// timeUntilAvailable is the time until this gateway may grant the units of a plan with the rate, if demand
-// stays as it is.
+// timeUntilAvailable returns the time until this gateway may grant the units under a plan with the given
+// rate, if demand does not change.
 func (c *customer) timeUntilAvailable(now, startedAt Time, sharing *quotaSharing, rate, units float64) Time {
 	return timeUntil(c.availableUnits(now, startedAt, sharing), c.quotaShare(now, sharing)*rate, units)
 }
 
-// withinQuota reports whether the quota, and the plan's limit of attempts in flight, admit the units.
+// withinQuota reports whether the quota and the plan's limit of concurrent attempts admit the units.
 func (c *customer) withinQuota(now, startedAt Time, sharing *quotaSharing, units float64) bool {
 	plan := sharing.plan(&c.account)
 	if plan.ConcurrencyLimit > 0 {
@@ -154,8 +154,8 @@
 	return plan.Rate == 0 || c.availableUnits(now, startedAt, sharing) >= units
 }
 
-// recordDemand counts the units of a request before it is decided on. Under a grant each request
-// adds the granted fraction of its units to those that this gateway may use.
+// recordDemand counts the units of a request before it is decided on. Under a grant, each request adds the
+// granted fraction of its units to the units that this gateway may admit.
 func (c *customer) recordDemand(now Time, sharing *quotaSharing, units float64) {
 	c.demand.addOwn(now, units)
 	c.meter.recordDemand(now, sharing.meterPeriod, units)
@@ -166,12 +166,12 @@
 	}
 }
 
-// readMeter sets the quota share by a reading of the use through all gateways.
+// applyMeterReading sets the quota share from a meter reading, which covers the usage at all gateways.
 func (c *customer) applyMeterReading(now Time, sharing *quotaSharing, reading int) {
 	c.meter.applyReading(now, sharing.meterPeriod, sharing.plan(&c.account).Rate, reading)
 }
 
-// consume charges units that the coordinator of that index granted. Units that none granted go under index 0.
+// consume charges units that the coordinator with the given index granted. The index is 0 for other units.
 func (c *customer) consume(sharing *quotaSharing, coordinator int, units float64) {
 	c.usage.consume(coordinator, units)
 	if !sharing.needsRemoteGrant(&c.account, coordinator) {
@@ -180,15 +180,14 @@
 	c.grant.consume(units)
 }
 
-// consumedByPeers charges units that other gateways have consumed.
+// chargePeerUsage charges units that other gateways have consumed.
 func (c *customer) chargePeerUsage(units float64) {
 	c.bucket.level = math.Max(0, c.bucket.level-units)
 }
 
-// updateGrant has a coordinator set the fraction of what is requested that it grants: the rate and
-// what the bucket holds beyond the reserve, spent over the demand window, divided by the demand.
-// It reports whether the grant has changed and is to be advertised to the set, which a set that asks before
-// each request does not need.
+// updateGrant recomputes a coordinator's grant: the units that refill within a demand window and those that
+// the bucket holds beyond the reserve, divided by the demand. It returns whether the grant has changed and is
+// to be advertised to the replica set. A set whose gateways ask before each request needs no advertisement.
 func (c *customer) updateGrant(now Time, sharing *quotaSharing) (advertise bool) {
 	isCoordinator := sharing.isWide(&c.account) && !sharing.isParticipant(&c.account)
 	if !isCoordinator || sharing.plan(&c.account).Rate == 0 {
@@ -200,15 +199,15 @@
 	return !sharing.requiresGrant(&c.account) && c.grant.advertise(now, c.demand.window)
 }
 
-// receiveGrant has a participant apply a coordinator's grant of the fraction.
+// receiveGrant applies the fraction that a coordinator grants to this gateway if it is a participant.
 func (c *customer) receiveGrant(sharing *quotaSharing, fraction float64, random *rand.Rand) {
 	if sharing.isParticipant(&c.account) {
 		c.grant.receiveFraction(fraction, random)
 	}
 }
 
-// setPlan gives the customer another plan, or the same one with other figures. Its bucket holds no more than
-// before: a larger burst fills at the plan's rate.
+// setPlan gives the customer another plan, or the same plan with changed limits. The bucket's level does not
+// rise: a larger burst fills at the plan's rate.
 func (c *customer) setPlan(sharing *quotaSharing, plan int) {
 	c.plan = plan
 	rate, burst := sharing.plan(&c.account).Rate, sharing.plan(&c.account).Burst
@@ -218,8 +217,8 @@
 	c.demand.window = sharing.demandWindow(&c.account)
 }
 
-// fitToPlan gives the record of another process, which may have had other settings, what follows from its
-// plan here. A bucket of a share of the quota is fitted with the next refill.
+// fitToPlan applies the plan's limits to a record from another process, which may have had other settings. A
+// bucket that holds a share of the quota is resized by the next refill.
 func (c *customer) fitToPlan(sharing *quotaSharing) {
 	c.demand.window = sharing.demandWindow(&c.account)
 	if plan := sharing.plan(&c.account); sharing.sharesUsage {
@@ -228,25 +227,25 @@
 	c.limitToCoordinatorShare(sharing)
 }
 
-// limitToCoordinatorShare limits a coordinator's bucket to its part of the burst.
+// limitToCoordinatorShare limits a coordinator's bucket to its share of the burst.
 func (c *customer) limitToCoordinatorShare(sharing *quotaSharing) {
 	if sharing.grantsQuota(&c.account) {
-		part := sharing.plan(&c.account).Burst / float64(sharing.coordinatorCount(&c.account))
-		c.bucket.level = math.Min(c.bucket.level, part)
+		share := sharing.plan(&c.account).Burst / float64(sharing.coordinatorCount(&c.account))
+		c.bucket.level = math.Min(c.bucket.level, share)
 	}
 }
 
-// limitToRestart limits the buckets to what they hold after a restart, as what was admitted since the last
-// refill is unknown.
+// limitToRestartLevels limits the buckets to their levels after a restart, because the units admitted since
+// the last refill are unknown.
 func (c *customer) limitToRestartLevels(sharing *quotaSharing) {
-	plan, even := sharing.plan(&c.account), float64(c.replicas)
-	c.bucket.level = min(c.bucket.level, plan.Burst/even)
-	c.ceiling.level = min(c.ceiling.level, plan.CeilingSlack/even/initialSlackDivisor)
+	plan, replicas := sharing.plan(&c.account), float64(c.replicas)
+	c.bucket.level = min(c.bucket.level, plan.Burst/replicas)
+	c.ceiling.level = min(c.ceiling.level, plan.CeilingSlack/replicas/initialSlackDivisor)
 }
 
-// scheduleReport has the use reported in the next rounds, if it is reported at all, and reports whether none
-// was to do so before.
-func (c *customer) scheduleReport(sharing *quotaSharing) (first bool) {
+// scheduleReport makes the next gossip rounds report the usage, if it is reported at all. It returns whether
+// no report was scheduled before.
+func (c *customer) scheduleReport(sharing *quotaSharing) (newlyScheduled bool) {
 	if !sharing.reportsUsage(&c.account) {
 		c.usage.markCounted()
 		return false
--- a/policy/customerreport.go
+++ b/policy/customerreport.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-const maxUsageIncrease = math.MaxUint16 / 2 // a larger step of a wrapping usage count is a step back
+const maxUsageIncrease = math.MaxUint16 / 2 // a larger step of a wrapping usage count is a decrease
 
-// usageEntry is the entry that reports the given use of the customer to peers.
+// usageEntry returns the entry that reports the given usage of the customer to peers.
 func (c *customer) usageEntry(sharing *quotaSharing, usage customerUsage) usageEntry {
 	remaining := c.bucket.level / math.Max(c.bucket.capacity, minDemand)
 	if sharing.isWide(&c.account) {
@@ -18,19 +18,20 @@
 	}
 }
 
-// reportIsDue reports whether a round is to report the use now: a participant under a grant reports no more
-// often than its coordinator can receive.
+// reportIsDue reports whether a gossip round at the given time includes the customer's usage. A participant
+// under a grant reports no more often than its coordinator can receive reports.
 func (c *customer) reportIsDue(now Time, sharing *quotaSharing) bool {
 	return now >= c.grant.nextReportAt || !c.grant.isLimited() || !sharing.isParticipant(&c.account)
 }
 
-// reported notes that a round has reported the use to all receivers.
+// markReported records that a gossip round has reported the usage to all receivers.
 func (c *customer) markReported(now Time, sharing *quotaSharing) {
 	c.usage.markReported(!sharing.isWide(&c.account))
 	c.grant.nextReportAt = now + sharing.receiveTime(c.replicas)
 }
 
-// countUsage returns the units to add to the shared counter, 0 if none, and notes the call that adds them.
+// startCounterCall returns the units to add to the shared counter, zero if there are none, and records the
+// call that adds them.
 func (c *customer) startCounterCall() (units float64) {
 	if units = c.usage.unreported(); units > 0 {
 		c.counter.recordCall(units)
@@ -40,8 +41,8 @@
 	return units
 }
 
-// applyUsage applies a peer's usage entry to the bucket and reports whether it did: an entry that arrived out
-// of order, or that is not for this gateway, is ignored.
+// applyUsage applies a peer's usage entry to the bucket and the demand. It returns false for an entry that it
+// ignores, because the entry arrived out of order or is not for this gateway.
 func (c *customer) applyUsage(now Time, sharing *quotaSharing, sender usageSender, entry *usageEntry) bool {
 	if !sharing.isReplica(&c.account, sender.gateway) || sharing.isParticipant(&c.account) {
 		return false
@@ -57,20 +58,20 @@
 	return true
 }
 
-// usageSender is the peer that sent a usage entry.
+// usageSender identifies the peer that sent a usage entry.
 type usageSender struct {
 	gateway     int
 	incarnation uint32
-	newest      bool // the entry's message is the newest one of the peer so far
+	newest      bool // the entry's message is the newest one received from the peer
 }
 
-// peerUsage is what a gateway of the replica set last reported.
+// peerUsage returns the usage that a gateway of the replica set last reported.
 func (c *customer) peerUsage(sharing *quotaSharing, gateway int) *peerUsage {
 	return c.usage.peer(sharing.position(&c.account, gateway), c.replicas)
 }
 
-// applyFirstUsage applies the first entry of a peer's incarnation. There is no earlier count to
-// subtract: what the peer believes to be left bounds the level.
+// applyFirstUsage applies the first entry of a peer's incarnation. There is no earlier count to subtract, so
+// the peer's view of the remaining quota limits the level.
 func (c *customer) applyFirstUsage(now Time, isWide bool, entry *usageEntry) {
 	remaining := entry.remaining*c.bucket.capacity - c.usage.unreported()
 	if isWide && entry.remaining == 1 {
@@ -80,8 +81,8 @@
 	c.demand.addPeers(now, unpackUnits(entry.newlyRequested))
 }
 
-// applyIncrease applies what a peer has consumed and requested since its last entry. It
-// returns false for an entry that arrived out of order. Consumed units may also have been returned.
+// applyIncrease applies the units that a peer has consumed and requested since its last entry. It returns
+// false for an entry that arrived out of order. The consumed count also decreases when units are returned.
 func (c *customer) applyIncrease(
 	now Time, isWide bool, last *peerUsage, entry *usageEntry, newest bool,
 ) bool {
@@ -91,16 +92,16 @@
 		return false
 	}
 	if returned && isWide {
-		consumed, entry.consumed = 0, last.consumed // granted units that it did not use
+		consumed, entry.consumed = 0, last.consumed // the peer did not use all units granted to it
 	}
 	c.chargePeerUsage(float64(int16(consumed)) / countsPerUnit)
 	c.demand.addPeers(now, unpackUnits(requested))
 	return true
 }
 
-// quotaRequest is the entry that asks a request's coordinator for its units. The demand of a request that
-// asks again is counted once.
-func (c *customer) quotaRequestEntry(sharing *quotaSharing, request *request, isRepeated bool) usageEntry {
+// quotaRequest returns the entry that asks a request's coordinator for its units. The demand of a
+// request is counted once, even if it asks again.
+func (c *customer) quotaRequest(sharing *quotaSharing, request *request, isRepeated bool) usageEntry {
 	usage := c.usage.forCoordinator(request.coordinator)
 	if !isRepeated {
 		usage.requested += request.Cost
@@ -112,7 +113,7 @@
 	return entry
 }
 
-// answerQuotaRequest has a coordinator grant the units that an entry asks for if the buckets hold them.
+// answerQuotaRequest grants, as a coordinator, the units that an entry asks for if the buckets hold them.
 func (c *customer) answerQuotaRequest(sharing *quotaSharing, from int, entry *usageEntry) grant {
 	units := float64(entry.wantedHalves) / halvesPerUnit
 	hasCeiling := sharing.plan(&c.account).CeilingRate > 0 && sharing.requiresGrant(&c.account)
--- a/policy/customerreport_test.go
+++ b/policy/customerreport_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// reportedCustomer is a customer of three gateways as gateway 0 has it, with 20 of 24 units left.
+// reportedCustomer returns gateway 0's record of a customer of three gateways, with 20 of 24 units left.
 func reportedCustomer() (*customer, quotaSharing) {
 	sharing := meshSharing()
 	customer := newCustomer(0, 0, &sharing, account{id: 9, replicas: 3})
@@ -10,7 +10,7 @@
 	return customer, sharing
 }
 
-func TestPeersUseIsTakenFromTheBucket(t *testing.T) {
+func TestApplyUsageChargesBucket(t *testing.T) {
 	first := usageEntry{
 		consumed: packUnits(3), requested: packUnits(4), newlyRequested: packUnits(4), remaining: 0.75,
 	}
@@ -23,30 +23,30 @@
 		peersDemand float64
 	}{
 		{
-			"the first entry bounds the level",
+			"first entry limits the level",
 			usageSender{1, 5, true},
 			first, true, 18, 4,
 		},
 		{
-			"an increase",
+			"increase",
 			usageSender{1, 5, true},
 			usageEntry{consumed: packUnits(5), requested: packUnits(7)},
 			true, 16, 7,
 		},
 		{
-			"a repeat",
+			"repeated entry",
 			usageSender{1, 5, false},
 			usageEntry{consumed: packUnits(5), requested: packUnits(7)},
 			true, 16, 7,
 		},
 		{
-			"a late entry",
+			"entry out of order",
 			usageSender{1, 5, false},
 			usageEntry{consumed: packUnits(4), requested: packUnits(6)},
 			false, 16, 7,
 		},
 		{
-			"units returned, in a late message",
+			"units returned, in a message out of order",
 			usageSender{1, 5, false},
 			usageEntry{consumed: packUnits(4), requested: packUnits(7)},
 			false, 16, 7,
@@ -58,13 +58,13 @@
 			true, 17, 7,
 		},
 		{
-			"a restarted peer that knows no better",
+			"restarted peer with a full bucket",
 			usageSender{1, 6, true},
 			usageEntry{remaining: 1},
 			true, 17, 7,
 		},
 		{
-			"a gateway that is not of the set",
+			"gateway outside the replica set",
 			usageSender{3, 5, true},
 			usageEntry{consumed: packUnits(9)},
 			false, 17, 7,
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestUseThatWrapsIsAnIncrease(t *testing.T) {
+func TestApplyUsageHandlesWrappedCounts(t *testing.T) {
 	customer, sharing := reportedCustomer()
 	sender := usageSender{gateway: 1, incarnation: 5, newest: true}
 	customer.applyUsage(0, &sharing, sender, &usageEntry{consumed: 65530, requested: 65530, remaining: 1})
@@ -90,16 +90,16 @@
 	assertNear(t, "demand after 16 counts", customer.demand.peerDemand(0), 2)
 }
 
-func TestParticipantAppliesNoUsage(t *testing.T) {
-	sharing, set := askedSharing(t)
+func TestApplyUsageIgnoredAtParticipant(t *testing.T) {
+	sharing, set := participantSharing(t)
 	customer := newCustomer(0, 0, sharing, set)
 	sender := usageSender{gateway: (sharing.self + 1) % 12, incarnation: 5, newest: true}
 	if customer.applyUsage(0, sharing, sender, &usageEntry{consumed: 8}) {
-		t.Error("a participant applies a peer's use")
+		t.Error("a participant applied a peer's usage")
 	}
 }
 
-func TestUsageEntryTellsWhatIsLeft(t *testing.T) {
+func TestUsageEntryReportsRemainingQuota(t *testing.T) {
 	customer, sharing := reportedCustomer()
 	customer.usage.customerUsage = customerUsage{consumed: 4, requested: 6, requestedReported: 5}
 	customer.grant.fraction = 0.5
@@ -109,41 +109,41 @@
 		consumed: packUnits(4), requested: packUnits(6), newlyRequested: packUnits(1), remaining: 20. / 24,
 	}
 	if entry != want {
-		t.Errorf("in a small set: got %+v, want %+v", entry, want)
+		t.Errorf("small set: got %+v, want %+v", entry, want)
 	}
-	wide, set := askedSharing(t)
+	wide, set := participantSharing(t)
 	customer.account = set
 	if entry := customer.usageEntry(wide, customer.usage.customerUsage); entry.remaining != 0.5 {
-		t.Errorf("in a wide set %g is left, want the grant", entry.remaining)
+		t.Errorf("wide set: remaining %g, want the granted fraction 0.5", entry.remaining)
 	}
 }
 
-func TestParticipantUnderAGrantReportsAsOftenAsItsCoordinatorCanReceive(t *testing.T) {
-	sharing, set := askedSharing(t)
+func TestReportIsDueAtCoordinatorReceiveRate(t *testing.T) {
+	sharing, set := participantSharing(t)
 	customer := newCustomer(0, 0, sharing, set)
 	customer.markReported(second, sharing)
 	next := second + sharing.receiveTime(12)
 	if !customer.reportIsDue(next-1, sharing) {
-		t.Error("a report without a limit is not due")
+		t.Error("a report without a limited grant is not due")
 	}
 	customer.grant.fraction = 0.5
 	if customer.reportIsDue(next-1, sharing) {
-		t.Error("a report is due before its time")
+		t.Error("a report under a grant is due too early")
 	}
 	if !customer.reportIsDue(next, sharing) {
-		t.Error("a report is not due at its time")
+		t.Error("a report under a grant is not due after the receive time")
 	}
 }
 
-func TestWideSetsReportAChangeOnce(t *testing.T) {
-	wide, set := askedSharing(t)
+func TestMarkReportedRepeatsOnlyInSmallSets(t *testing.T) {
+	wide, set := participantSharing(t)
 	mesh := meshSharing()
 	cases := []struct {
 		name    string
 		sharing *quotaSharing
 		account account
 		want    int
-	}{{"a small set", &mesh, account{id: 9, replicas: 3}, usageReportRounds - 1}, {"a wide set", wide, set, 0}}
+	}{{"small set", &mesh, account{id: 9, replicas: 3}, usageReportRounds - 1}, {"wide set", wide, set, 0}}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			customer := newCustomer(0, 0, c.sharing, c.account)
@@ -156,41 +156,41 @@
 	}
 }
 
-func TestNewUseGoesToTheSharedCounterOnce(t *testing.T) {
+func TestUsageIsAddedToSharedCounterOnce(t *testing.T) {
 	customer, _ := reportedCustomer()
 	customer.usage.consumed = 3
 	customer.usage.scheduleReports()
 	assertNear(t, "units for the counter", customer.startCounterCall(), 3)
 	if customer.counter.isIdle() || customer.usage.reportsLeft != 0 {
-		t.Error("the call is not noted, or the use is reported again")
+		t.Error("no call is pending, or the usage is to be reported again")
 	}
 	if units := customer.startCounterCall(); units > 0 {
-		t.Errorf("%g units for the counter a second time", units)
+		t.Errorf("%g units for the counter a second time, want none", units)
 	}
 	if n := len(customer.counter.pendingCalls); n != 1 {
-		t.Errorf("%d calls of the counter, want 1", n)
+		t.Errorf("%d pending calls of the counter, want 1", n)
 	}
 }
 
-func TestQuotaRequestCountsARequestOnce(t *testing.T) {
-	sharing, set := askedSharing(t)
+func TestQuotaRequestEntryCountsDemandOnce(t *testing.T) {
+	sharing, set := participantSharing(t)
 	customer := newCustomer(0, 0, sharing, set)
 	request := &request{Request: Request{Cost: 2.25}, quotaRequest: 7, coordinator: 1}
-	entry := customer.quotaRequestEntry(sharing, request, false)
+	entry := customer.quotaRequest(sharing, request, false)
 	if entry.wantedHalves != 5 || entry.quotaRequest != 7 {
-		t.Errorf("%d halves wanted by request %d, want 5 by 7", entry.wantedHalves, entry.quotaRequest)
+		t.Errorf("%d half units for quota request %d, want 5 for 7", entry.wantedHalves, entry.quotaRequest)
 	}
 	if entry.newlyRequested != packUnits(2.25) {
-		t.Errorf("newly requested %d, want all", entry.newlyRequested)
+		t.Errorf("newly requested %d counts, want all of the request", entry.newlyRequested)
 	}
 	request.coordinator = 2
-	entry = customer.quotaRequestEntry(sharing, request, true)
+	entry = customer.quotaRequest(sharing, request, true)
 	if entry.newlyRequested != 0 || entry.requested != 0 {
-		t.Errorf("a request that asks again counts as %d more", entry.newlyRequested)
+		t.Errorf("a repeated quota request counts as %d more, want 0", entry.newlyRequested)
 	}
 }
 
-func TestCoordinatorGrantsWhatItsBucketsHold(t *testing.T) {
+func TestAnswerQuotaRequestChecksBucketAndCeiling(t *testing.T) {
 	cases := []struct {
 		name                   string
 		level, ceiling         float64
@@ -198,12 +198,12 @@
 		wantLevel, wantCeiling float64
 		consumed               uint16
 	}{
-		{"both hold it", 5, 4, true, 1, 0, packUnits(4)},
-		{"the bucket does not", 3, 4, false, 3, 4, 0},
-		{"the ceiling does not", 5, 3, false, 5, 3, 0},
+		{"both hold the units", 5, 4, true, 1, 0, packUnits(4)},
+		{"bucket too low", 3, 4, false, 3, 4, 0},
+		{"ceiling too low", 5, 3, false, 5, 3, 0},
 	}
 	wide := account{id: 9, replicas: 12}
-	sharing := coordinatorOf(&wide, Plan{Rate: 18, Burst: 24, CeilingRate: 24, CeilingBurst: 48})
+	sharing := coordinatorSharing(&wide, Plan{Rate: 18, Burst: 24, CeilingRate: 24, CeilingBurst: 48})
 	from := (sharing.self + 1) % 12
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -213,7 +213,7 @@
 			answer := customer.answerQuotaRequest(&sharing, from, &entry)
 			want := grant{customer: 9, fraction: 1, quotaRequest: 3, approved: c.approved}
 			if answer != want {
-				t.Errorf("answered %+v, want %+v", answer, want)
+				t.Errorf("answer %+v, want %+v", answer, want)
 			}
 			assertNear(t, "bucket", customer.bucket.level, c.wantLevel)
 			assertNear(t, "ceiling", customer.ceiling.level, c.wantCeiling)
--- a/policy/customertable.go
+++ b/policy/customertable.go
@@ -5,28 +5,28 @@
 	"slices"
 )
 
-const sweepInterval = second // the time between two searches for idle customers
+const sweepInterval = second // time between two searches for idle customers
 
-// customerTable holds the records of the customers that have been active of late. byID and inOrder hold the
-// same records; reporting holds those with reports left, each once.
+// customerTable holds the records of the recently active customers. byID and inOrder hold the same records.
+// reportQueue holds each customer with reports left once.
 type customerTable struct {
 	byID        map[uint64]*customer
-	inOrder     []*customer // oldest first
-	reportQueue []*customer // those whose use the next gossip round is to report
-	sweptAt     Time        // when it was last searched for idle customers
+	inOrder     []*customer // oldest record first
+	reportQueue []*customer // customers whose usage the next gossip round reports
+	sweptAt     Time        // time of the last search for idle customers
 }
 
 func newCustomerTable() customerTable {
 	return customerTable{byID: map[uint64]*customer{}}
 }
 
-// add adds a record of a customer that has none.
+// add adds the record of a customer that has none.
 func (t *customerTable) add(customer *customer) {
 	t.byID[customer.id] = customer
 	t.inOrder = append(t.inOrder, customer)
 }
 
-// restore adds the record of another process, whose unreported use is to be reported.
+// importCustomer adds a record from another process and schedules the report of its unreported usage.
 func (t *customerTable) importCustomer(sharing *quotaSharing, customer *customer) {
 	customer.fitToPlan(sharing)
 	t.add(customer)
@@ -41,21 +41,22 @@
 	t.scheduleReport(sharing, customer)
 }
 
-// consume charges a customer units that its coordinator of that index granted, 0 if none did.
+// consume charges a customer units that the coordinator with the given index granted. The index is 0 for
+// other units.
 func (t *customerTable) consume(sharing *quotaSharing, customer *customer, coordinator int, units float64) {
 	customer.consume(sharing, coordinator, units)
 	t.scheduleReport(sharing, customer)
 }
 
-// scheduleReport has a customer's use reported in the next rounds.
+// scheduleReport makes the next gossip rounds report a customer's usage.
 func (t *customerTable) scheduleReport(sharing *quotaSharing, customer *customer) {
 	if customer.scheduleReport(sharing) {
 		t.reportQueue = append(t.reportQueue, customer)
 	}
 }
 
-// reportTo schedules a report of a customer to a gateway that has just started, if that one shares the
-// customer and needs to know: a bucket that is not reported counts as full.
+// scheduleReportTo schedules the report of a customer if a gateway that has just started needs it: if that
+// gateway shares the customer's quota and the bucket is not full. Without a report the bucket counts as full.
 func (t *customerTable) scheduleReportTo(gateway int, sharing *quotaSharing, customer *customer) {
 	account := &customer.account
 	isFull := customer.bucket.level >= customer.bucket.capacity
@@ -64,15 +65,15 @@
 	}
 }
 
-// sortReporting orders the customers to report: those that consumed the largest part of their burst come
-// first.
+// sortReportQueue sorts the customers to report by the share of their burst that they have consumed since
+// the last report, largest first.
 func (t *customerTable) sortReportQueue() {
 	slices.SortStableFunc(t.reportQueue, func(a, b *customer) int {
 		return cmp.Compare(b.usage.unreported()*a.bucket.capacity, a.usage.unreported()*b.bucket.capacity)
 	})
 }
 
-// dropReported drops the customers that have no reports left from those to report.
+// pruneReportQueue removes the customers that have no reports left.
 func (t *customerTable) pruneReportQueue() {
 	t.reportQueue = slices.DeleteFunc(t.reportQueue, func(customer *customer) bool {
 		return customer.usage.reportsLeft <= 0
@@ -82,20 +83,20 @@
 // sweepIsDue reports whether it is time to search for idle customers.
 func (t *customerTable) sweepIsDue(now Time) bool { return now-t.sweptAt >= sweepInterval }
 
-// removeIdle drops the records of idle customers, and calls removed with the account of each.
-func (t *customerTable) removeIdle(now Time, removed func(*account)) {
+// removeIdle removes the records of idle customers, and calls onRemove with the account of each.
+func (t *customerTable) removeIdle(now Time, onRemove func(*account)) {
 	t.sweptAt = now
 	t.inOrder = slices.DeleteFunc(t.inOrder, func(customer *customer) bool {
 		if !customer.isIdle(now) {
 			return false
 		}
 		delete(t.byID, customer.id)
-		removed(&customer.account)
+		onRemove(&customer.account)
 		return true
 	})
 }
 
-// hasPlan reports whether any customer has the plan of that index.
+// hasPlan reports whether any customer has the plan with the given index.
 func (t *customerTable) hasPlan(plan int) bool {
 	return slices.ContainsFunc(t.inOrder, func(customer *customer) bool { return customer.plan == plan })
 }
--- a/policy/demand.go
+++ b/policy/demand.go
@@ -1,9 +1,9 @@
 package policy
 
-const minDemand = 1e-9 // units: keeps ratios of demands finite
+const minDemand = 1e-9 // units; keeps ratios of demands finite
 
-// customerDemand is how many units were requested of late for a customer, here and at the other gateways of
-// its replica set. Both sums have the window as their time constant.
+// customerDemand counts the units recently requested for a customer, at this gateway and at the other
+// gateways of its replica set. The window is the time constant of both sums.
 type customerDemand struct {
 	window     Time
 	own, peers decayingSum
@@ -13,15 +13,15 @@
 
 func (d *customerDemand) addPeers(now Time, units float64) { d.peers.add(now, d.window, units) }
 
-// atOwn is the demand at this gateway.
+// ownDemand returns the demand at this gateway.
 func (d *customerDemand) ownDemand(now Time) float64 { return d.own.value(now, d.window) }
 
-// atPeers is the demand at the other gateways, as far as they reported it.
+// peerDemand returns the demand that the other gateways have reported.
 func (d *customerDemand) peerDemand(now Time) float64 { return d.peers.value(now, d.window) }
 
 func (d *customerDemand) total(now Time) float64 { return d.ownDemand(now) + d.peerDemand(now) }
 
-// isNegligible reports whether hardly anything was requested: a decaying sum never reaches 0.
+// isNegligible reports whether the demand is close to zero, which a decaying sum never reaches.
 func (d *customerDemand) isNegligible(now Time) bool {
 	const negligible = 0.01 // units
 	return d.ownDemand(now) < negligible && d.peerDemand(now) < negligible
--- a/policy/math.go
+++ b/policy/math.go
@@ -8,7 +8,7 @@
 	return total
 }
 
-// indicator is 1 where the condition holds and else 0.
+// indicator returns 1 if the condition holds, otherwise 0.
 func indicator(condition bool) float64 {
 	if condition {
 		return 1
--- a/policy/meter.go
+++ b/policy/meter.go
@@ -3,10 +3,10 @@
 import "math"
 
 // usageMeter derives this gateway's share of a customer's quota from a meter that backends report: the
-// customer's use through all gateways in a period, in percent of its rate.
+// customer's usage at all gateways in a period, as a percentage of its rate.
 type usageMeter struct {
-	demand decayingSum // units requested here, over the period
-	share  float64     // of the quota, by the last reading; 0: no reading yet
+	demand decayingSum // units requested at this gateway, with the period as the time constant
+	share  float64     // share of the quota by the last reading; zero if there is no reading yet
 }
 
 // recordDemand counts the units of a request.
@@ -14,8 +14,8 @@
 	m.demand.add(now, max(1, period), units)
 }
 
-// read sets the share by a reading, 1 more than the percentage of the rate. Without a period, a rate or a
-// reading the share stays.
+// applyReading sets the share from a reading, which is the percentage of the rate plus 1. The share does not
+// change if the period, the rate or the reading is zero.
 func (m *usageMeter) applyReading(now, period Time, rate float64, reading int) {
 	if period == 0 || reading == 0 || rate == 0 {
 		return
--- a/policy/meter_test.go
+++ b/policy/meter_test.go
@@ -2,17 +2,17 @@
 
 import "testing"
 
-func TestMeterSharesTheQuotaByUse(t *testing.T) {
+func TestMeterReadingSetsShare(t *testing.T) {
 	cases := []struct {
 		name    string
 		period  Time
 		rate    float64
-		reading int // 1 more than the percentage of the rate
+		reading int // percentage of the rate plus 1
 		want    float64
 	}{
-		{"a quarter of the use", second, 10, 81, 0.25},
-		{"all of it", second, 10, 21, 1},
-		{"a meter that is late", second, 10, 1, 1},
+		{"a quarter of the usage", second, 10, 81, 0.25},
+		{"all of the usage", second, 10, 21, 1},
+		{"reading below own usage", second, 10, 1, 1},
 		{"no reading", second, 10, 0, 0.5},
 		{"no meter", 0, 10, 81, 0.5},
 		{"no quota", second, 0, 81, 0.5},
--- a/policy/quotarequests.go
+++ b/policy/quotarequests.go
@@ -6,43 +6,44 @@
 )
 
 const (
-	quotaRequestTimeoutShare = 0.1    // in shortest latency objectives,
-	maxWaitDivisor           = 2      // and at most the part, 1/n, of the time for which the client waits
-	unresponsiveTime         = second // for which a coordinator that did not answer is avoided
+	quotaRequestTimeoutShare = 0.1    // timeout as a share of the shortest latency objective
+	maxWaitDivisor           = 2      // the timeout is at most the client's timeout divided by this
+	unresponsiveTime         = second // time for which a coordinator that did not answer is avoided
 )
 
-// quotaRequests are the requests of this gateway that wait for a coordinator's answer to a quota request, and
-// which coordinators left one unanswered.
+// quotaRequests holds the requests of this gateway that wait for a coordinator's answer to a quota request,
+// and records which coordinators did not answer in time.
 type quotaRequests struct {
 	pending        []*request // oldest first
-	unresponsiveAt []Time     // by gateway: when it last left a quota request unanswered
+	unresponsiveAt []Time     // by gateway: when a quota request to it last timed out
 }
 
 func newQuotaRequests(gateways int) quotaRequests {
 	return quotaRequests{unresponsiveAt: make([]Time, gateways)}
 }
 
-// add has a request wait for an answer until its grant deadline.
-func (g *quotaRequests) add(request *request) { g.pending = append(g.pending, request) }
+// add holds a request until its quota request is answered or its grant deadline passes.
+func (q *quotaRequests) add(request *request) { q.pending = append(q.pending, request) }
 
-// takeOpen removes all requests, and returns those that are still open.
-func (g *quotaRequests) removeOpen(open map[uint64]*request) []*request {
-	g.dropClosed(open)
-	waiting := g.pending
-	g.pending = nil
+// removeOpen removes all requests, and returns those that are still open.
+func (q *quotaRequests) removeOpen(open map[uint64]*request) []*request {
+	q.dropClosed(open)
+	waiting := q.pending
+	q.pending = nil
 	return waiting
 }
 
-// dropClosed drops the requests that ended while they waited.
-func (g *quotaRequests) dropClosed(open map[uint64]*request) {
-	g.pending = slices.DeleteFunc(g.pending, func(request *request) bool {
+// dropClosed removes the requests that ended while they waited.
+func (q *quotaRequests) dropClosed(open map[uint64]*request) {
+	q.pending = slices.DeleteFunc(q.pending, func(request *request) bool {
 		return open[request.ID] != request
 	})
 }
 
-// pickCoordinator draws which of an account's coordinators a request asks, by index, also at a coordinator:
-// another one than it asked before, and none that was recently unresponsive if there is another.
-func (g *quotaRequests) pickCoordinator(
+// pickCoordinator picks at random which of an account's coordinators a request asks, and returns its index.
+// This gateway may be one of them. Unless there is no other, pickCoordinator avoids the coordinator that the
+// request asked before and those that were recently unresponsive.
+func (q *quotaRequests) pickCoordinator(
 	now Time, sharing *quotaSharing, account *account, request *request, random *rand.Rand,
 ) int {
 	if !sharing.requiresGrant(account) {
@@ -55,7 +56,7 @@
 	}
 	for i := range count {
 		candidate := (first + i) % count
-		unresponsiveAt := g.unresponsiveAt[sharing.coordinator(account, candidate)]
+		unresponsiveAt := q.unresponsiveAt[sharing.coordinator(account, candidate)]
 		isOther := request.quotaRequestsSent == 0 || candidate != request.coordinator
 		if isOther && now-unresponsiveAt > unresponsiveTime {
 			return candidate
@@ -64,30 +65,31 @@
 	return first
 }
 
-// quotaResult says how a quota request ended.
+// quotaResult is the result of a quota request.
 type quotaResult uint8
 
 const (
 	quotaApproved   quotaResult = iota // the coordinator granted the units
-	quotaDenied                        // it did not
-	quotaUnanswered                    // it did not answer in time: what the last grant left decides
-	quotaRetry                         // it did not answer in time: another one is to be asked, once
+	quotaDenied                        // the coordinator did not grant the units
+	quotaUnanswered                    // timed out: the units left under the last grant decide
+	quotaRetry                         // timed out: another coordinator is asked, once
 )
 
-// endedQuotaRequest is a request that waits no more.
+// endedQuotaRequest is a request that no longer waits for a coordinator.
 type endedQuotaRequest struct {
 	request *request
 	result  quotaResult
 }
 
-// answered removes the requests of a customer that an answer is for, nil if there is none, and those whose
-// answer is overdue. It returns them in their order, but those that are to be asked again last.
-func (g *quotaRequests) removeEnded(
+// removeEnded removes and returns the requests that an answer is for, and those whose quota request has timed
+// out. The customer is nil if there is no answer. The requests keep their order, except that those that ask
+// another coordinator come last.
+func (q *quotaRequests) removeEnded(
 	now Time, sharing *quotaSharing, customer *customer, answer grant,
 ) []endedQuotaRequest {
 	var ended, retries []endedQuotaRequest
-	g.pending = slices.DeleteFunc(g.pending, func(request *request) bool {
-		result, isEnded := g.resultOf(now, sharing, request, customer, answer)
+	q.pending = slices.DeleteFunc(q.pending, func(request *request) bool {
+		result, isEnded := q.resultOf(now, sharing, request, customer, answer)
 		switch {
 		case result == quotaRetry:
 			retries = append(retries, endedQuotaRequest{request, result})
@@ -99,8 +101,9 @@
 	return append(ended, retries...)
 }
 
-// resultOf is how a request's quota request has ended, if it has. It notes coordinators that did not answer.
-func (g *quotaRequests) resultOf(
+// resultOf returns the result of a request's quota request, and whether it has ended. It records coordinators
+// that did not answer in time.
+func (q *quotaRequests) resultOf(
 	now Time, sharing *quotaSharing, request *request, customer *customer, answer grant,
 ) (result quotaResult, ended bool) {
 	account := &request.customer.account
@@ -112,7 +115,7 @@
 	case now < request.grantDeadline:
 		return quotaUnanswered, false
 	}
-	g.unresponsiveAt[sharing.coordinator(account, request.coordinator)] = now
+	q.unresponsiveAt[sharing.coordinator(account, request.coordinator)] = now
 	hasOther := sharing.requiresGrant(account) && sharing.coordinatorCount(account) > 1
 	if request.quotaRequestsSent == 1 && hasOther {
 		return quotaRetry, true
--- a/policy/quotarequests_test.go
+++ b/policy/quotarequests_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// askedSharing is a wide set's sharing, seen from a participant, that has several coordinators and requires a
-// grant, with its account.
-func askedSharing(t *testing.T) (*quotaSharing, account) {
+// participantSharing returns the sharing of a participant, and the account of its wide replica set, which has
+// three coordinators and requires grants.
+func participantSharing(t *testing.T) (*quotaSharing, account) {
 	t.Helper()
 	set := account{id: 9, replicas: 12}
 	for self := range 12 {
@@ -16,57 +16,57 @@
 			return &sharing, set
 		}
 	}
-	t.Fatal("no participant that asks three coordinators")
+	t.Fatal("no gateway is a participant of a set with three coordinators")
 	return nil, set
 }
 
-func TestAnotherCoordinatorIsAskedTheSecondTime(t *testing.T) {
-	sharing, set := askedSharing(t)
-	grants, random := newQuotaRequests(12), rand.New(rand.NewPCG(1, 2))
+func TestPickCoordinatorPicksAnotherOnRetry(t *testing.T) {
+	sharing, set := participantSharing(t)
+	requests, random := newQuotaRequests(12), rand.New(rand.NewPCG(1, 2))
 	seen := map[int]bool{}
 	for range 60 {
 		first := &request{}
-		first.coordinator = grants.pickCoordinator(10*second, sharing, &set, first, random)
+		first.coordinator = requests.pickCoordinator(10*second, sharing, &set, first, random)
 		seen[first.coordinator] = true
 		first.quotaRequestsSent = 1
-		again := grants.pickCoordinator(10*second, sharing, &set, first, random)
+		again := requests.pickCoordinator(10*second, sharing, &set, first, random)
 		if again == first.coordinator {
-			t.Errorf("coordinator %d is asked twice", again)
+			t.Errorf("coordinator %d is picked again for a retry", again)
 		}
 	}
 	if len(seen) != 3 {
-		t.Errorf("%d of 3 coordinators were asked", len(seen))
+		t.Errorf("%d of 3 coordinators were picked", len(seen))
 	}
 }
 
-func TestUnresponsiveCoordinatorIsAvoidedForAWhile(t *testing.T) {
-	sharing, set := askedSharing(t)
-	grants, random := newQuotaRequests(12), rand.New(rand.NewPCG(1, 2))
-	grants.unresponsiveAt[sharing.coordinator(&set, 1)] = 10 * second
-	counts := func(at Time) (ofUnresponsive int) {
+func TestPickCoordinatorAvoidsUnresponsive(t *testing.T) {
+	sharing, set := participantSharing(t)
+	requests, random := newQuotaRequests(12), rand.New(rand.NewPCG(1, 2))
+	requests.unresponsiveAt[sharing.coordinator(&set, 1)] = 10 * second
+	countPicked := func(at Time) (picked int) {
 		for range 60 {
-			if grants.pickCoordinator(at, sharing, &set, &request{}, random) == 1 {
-				ofUnresponsive++
+			if requests.pickCoordinator(at, sharing, &set, &request{}, random) == 1 {
+				picked++
 			}
 		}
-		return ofUnresponsive
+		return picked
 	}
-	if n := counts(10*second + unresponsiveTime); n != 0 {
-		t.Errorf("%d of 60 requests ask a coordinator that did not answer", n)
+	if n := countPicked(10*second + unresponsiveTime); n != 0 {
+		t.Errorf("%d of 60 requests ask the unresponsive coordinator, want none", n)
 	}
-	if n := counts(10*second + unresponsiveTime + 1); n == 0 {
-		t.Error("no request asks the coordinator again")
+	if n := countPicked(10*second + unresponsiveTime + 1); n == 0 {
+		t.Error("no request asks the coordinator after it was avoided for long enough")
 	}
 	for i := range 3 {
-		grants.unresponsiveAt[sharing.coordinator(&set, i)] = 20 * second
+		requests.unresponsiveAt[sharing.coordinator(&set, i)] = 20 * second
 	}
-	if n := counts(20 * second); n == 0 || n == 60 {
-		t.Errorf("%d of 60 requests ask one of three that do not answer", n)
+	if n := countPicked(20 * second); n == 0 || n == 60 {
+		t.Errorf("%d of 60 requests ask one of three unresponsive coordinators, want some", n)
 	}
 }
 
-func TestAnswersAndTimeoutsEndQuotaRequests(t *testing.T) {
-	sharing, set := askedSharing(t)
+func TestRemoveEndedByAnswerAndTimeout(t *testing.T) {
+	sharing, set := participantSharing(t)
 	asking := &customer{account: set}
 	waiting := func(id uint64, quotaRequest byte, deadline Time, sent int) *request {
 		return &request{
@@ -95,13 +95,13 @@
 			1,
 		},
 		{
-			"of another customer", &customer{},
+			"answer for another customer", &customer{},
 			grant{quotaRequest: 3},
 			[]quotaResult{quotaUnanswered, quotaRetry},
 			2,
 		},
 		{
-			"for an overdue one", asking,
+			"approved after the deadline", asking,
 			grant{quotaRequest: 1, approved: true},
 			[]quotaResult{quotaApproved, quotaUnanswered},
 			2,
@@ -109,13 +109,13 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			grants := newQuotaRequests(12)
-			grants.add(waiting(1, 1, second, 1))   // may ask another coordinator
-			grants.add(waiting(3, 3, 3*second, 1)) // is not overdue
-			grants.add(waiting(2, 2, second, 2))   // has asked another one
-			grants.add(waiting(4, 4, 3*second, 1))
+			requests := newQuotaRequests(12)
+			requests.add(waiting(1, 1, second, 1))   // may ask another coordinator
+			requests.add(waiting(3, 3, 3*second, 1)) // is not overdue
+			requests.add(waiting(2, 2, second, 2))   // has asked another coordinator before
+			requests.add(waiting(4, 4, 3*second, 1))
 			var results []quotaResult
-			for _, ended := range grants.removeEnded(2*second, sharing, c.customer, c.answer) {
+			for _, ended := range requests.removeEnded(2*second, sharing, c.customer, c.answer) {
 				results = append(results, ended.result)
 			}
 			if len(results) != len(c.want) {
@@ -126,45 +126,45 @@
 					t.Errorf("results %v, want %v", results, c.want)
 				}
 			}
-			if len(grants.pending) != c.waiting {
-				t.Errorf("%d still wait, want %d", len(grants.pending), c.waiting)
+			if len(requests.pending) != c.waiting {
+				t.Errorf("%d requests still wait, want %d", len(requests.pending), c.waiting)
 			}
 		})
 	}
 }
 
-func TestTimeoutMarksTheCoordinatorAsUnresponsive(t *testing.T) {
-	sharing, set := askedSharing(t)
-	grants := newQuotaRequests(12)
-	grants.add(&request{customer: &customer{account: set}, coordinator: 2, grantDeadline: second})
-	grants.removeEnded(2*second, sharing, nil, grant{})
-	for gateway, at := range grants.unresponsiveAt {
+func TestQuotaRequestTimeoutRecordsUnresponsiveCoordinator(t *testing.T) {
+	sharing, set := participantSharing(t)
+	requests := newQuotaRequests(12)
+	requests.add(&request{customer: &customer{account: set}, coordinator: 2, grantDeadline: second})
+	requests.removeEnded(2*second, sharing, nil, grant{})
+	for gateway, at := range requests.unresponsiveAt {
 		want := Time(0)
 		if gateway == sharing.coordinator(&set, 2) {
 			want = 2 * second
 		}
 		if at != want {
-			t.Errorf("gateway %d is unresponsive since %d, want %d", gateway, at, want)
+			t.Errorf("gateway %d was last unresponsive at %d, want %d", gateway, at, want)
 		}
 	}
 }
 
-func TestRequestsThatEndedAreNotAnswered(t *testing.T) {
-	sharing, set := askedSharing(t)
+func TestClosedRequestsAreDropped(t *testing.T) {
+	sharing, set := participantSharing(t)
 	asking := &customer{account: set}
 	ended := &request{Request: Request{ID: 1}, customer: asking, quotaRequest: 1}
 	open := &request{Request: Request{ID: 2}, customer: asking, quotaRequest: 2, grantDeadline: 9 * second}
-	grants := newQuotaRequests(12)
-	grants.add(ended)
-	grants.add(open)
-	grants.dropClosed(map[uint64]*request{2: open})
-	if got := grants.removeEnded(second, sharing, asking, grant{quotaRequest: 1}); len(got) != 0 {
+	requests := newQuotaRequests(12)
+	requests.add(ended)
+	requests.add(open)
+	requests.dropClosed(map[uint64]*request{2: open})
+	if got := requests.removeEnded(second, sharing, asking, grant{quotaRequest: 1}); len(got) != 0 {
 		t.Errorf("%d quota requests ended, want none", len(got))
 	}
-	if taken := grants.removeOpen(map[uint64]*request{2: open}); len(taken) != 1 || taken[0] != open {
-		t.Errorf("%d requests taken, want the open one", len(taken))
+	if removed := requests.removeOpen(map[uint64]*request{2: open}); len(removed) != 1 || removed[0] != open {
+		t.Errorf("%d requests removed, want the open one", len(removed))
 	}
-	if len(grants.pending) != 0 {
-		t.Errorf("%d still wait", len(grants.pending))
+	if len(requests.pending) != 0 {
+		t.Errorf("%d requests still wait, want none", len(requests.pending))
 	}
 }
