--- a/policy/admission.go
+++ b/policy/admission.go
@@ -1,8 +1,8 @@
 package policy
 
 const (
-	borrowCapacityShare = 0.8 // the share of the capacity up to which the shared bucket lends
-	retryAfterDivisor   = 2   // the part of the shortest objective, 1/n, after which a request may come again
+	borrowCapacityShare = 0.8 // the shared bucket lends while less than this share of the capacity is in use
+	retryAfterDivisor   = 2   // the advised wait is the shortest latency objective divided by this
 )
 
 // RequestReceived admits a request, rejects it, or holds it until a coordinator has answered.
@@ -18,7 +18,7 @@
 		c.reject(req.ID, rejectExpired, 0)
 		return
 	}
-	if c.gaveUpOwnership { // the buckets are the successor's, so that no quota is left here
+	if c.gaveUpOwnership { // the successor owns the buckets, so no quota is left here
 		c.reject(req.ID, rejectOverQuota, c.shortestObjective/retryAfterDivisor)
 		return
 	}
@@ -32,7 +32,7 @@
 	c.admitOrRequestQuota(request)
 }
 
-// admitOrRequestQuota admits a request unless a coordinator other than this gateway decides on it.
+// admitOrRequestQuota decides on a request, or asks its coordinator first if that is another gateway.
 func (c *Controller) admitOrRequestQuota(request *request) {
 	account := &request.customer.account
 	request.coordinator = c.quotaRequests.pickCoordinator(c.clock.now, &c.sharing, account, request, c.random)
@@ -40,11 +40,12 @@
 		c.requestQuota(request)
 		return
 	}
-	c.admit(request, request.customer.localUnitSource(c.clock.now, c.clock.startedAt, &c.sharing, request.Cost))
+	c.admit(request,
+		request.customer.localUnitSource(c.clock.now, c.clock.startedAt, &c.sharing, request.Cost))
 }
 
 // admit sends a request to a backend if its quota, or else the shared bucket, covers its cost and
-// its ceiling allows it. It rejects the request otherwise.
+// its ceiling allows it. Otherwise it rejects the request.
 func (c *Controller) admit(request *request, source unitSource) {
 	customer, plan := request.customer, &c.settings.Plans[request.Plan]
 	mustBorrow := source == unitsUnavailable
@@ -81,9 +82,9 @@
 	c.send(request, backend)
 }
 
-// reject rejects a request. The advice when to retry stays within what the settings allow.
-func (c *Controller) reject(id uint64, why rejectReason, after Time) {
-	c.counters.rejected[why]++
+// reject rejects a request. The advised wait is at most MaxRetryAfter, and zero without RetryAfterAdvice.
+func (c *Controller) reject(id uint64, reason rejectReason, after Time) {
+	c.counters.rejected[reason]++
 	if !c.settings.RetryAfterAdvice {
 		after = 0
 	}
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestRequestsBeyondTheQuotaAreRejectedWithAdvice(t *testing.T) {
+func TestAdmissionRejectsOverQuotaWithRetryAfter(t *testing.T) {
 	h := newHarness(t, testSettings())
 	for i := range 4 {
 		if !h.serve(0, 9, 2) {
@@ -13,21 +13,21 @@
 		}
 	}
 	if h.serve(0, 9, 2) {
-		t.Fatal("a request beyond the quota was sent, though overage does not pay")
+		t.Fatal("a request beyond the quota was sent, though overage is not profitable")
 	}
 	want := action{kind: rejectAction, request: 5, at: second}
 	if got := h.last(); !reflect.DeepEqual(got, want) {
-		t.Errorf("got %+v, want %+v: until the bucket holds 2 units", got, want)
+		t.Errorf("last action %+v, want %+v: retry once the bucket holds 2 units", got, want)
 	}
 	h.at += second
 	if !h.serve(0, 9, 2) {
-		t.Error("not sent after the bucket has refilled")
+		t.Error("request was not sent after the bucket had refilled")
 	}
 }
 
-// Guards against work for answers that come too late: what a gateway reads after a stall has
-// waited.
-func TestRequestsThatExpiredInAStallAreRejected(t *testing.T) {
+// Guards against work on requests whose clients have given up: a request that a gateway reads after a
+// stall may have waited since the stall began.
+func TestAdmissionRejectsRequestsExpiredDuringStall(t *testing.T) {
 	h := newHarness(t, testSettings())
 	for range 60 {
 		h.at += second / 50
@@ -41,17 +41,17 @@
 		sent    bool
 	}{
 		{name: "waited for most of the stall", timeout: 2*second - second*9/10, sent: false},
-		{name: "came at its end", timeout: 2*second - second/10, sent: true},
+		{name: "arrived at the end of the stall", timeout: 2*second - second/10, sent: true},
 	} {
 		_, sent := h.receive(Request{Plan: 1, Customer: 9, Cost: 1, Timeout: c.timeout, Replicas: 2})
 		if sent != c.sent {
-			t.Errorf("%s, %d left of 2000000: sent %t, want %t", c.name, c.timeout, sent, c.sent)
+			t.Errorf("%s, %d of 2000000 µs left: sent %t, want %t", c.name, c.timeout, sent, c.sent)
 		}
 	}
 }
 
-// Guards against a replica set whose first gateway is no valid index.
-func TestAnyReplicaSetIsServed(t *testing.T) {
+// Guards against an invalid index for a replica set whose first gateway is out of range.
+func TestAdmissionServesOutOfRangeReplicaSets(t *testing.T) {
 	settings := testSettings()
 	settings.Gateways = 12
 	for _, first := range []int{-9, -1, 8, 1 << 40} {
@@ -63,7 +63,7 @@
 			h.TimerFired(h.at+second, quotaRequestTimer)
 			h.TimerFired(h.at+second, gossipTimer)
 			if h.countSent(id) != 1 {
-				t.Errorf("first %d, replicas %d: %+v", first, replicas, h.performed)
+				t.Errorf("first replica %d of %d: got %+v, want one attempt", first, replicas, h.performed)
 			}
 		}
 	}
--- a/policy/coordinator_test.go
+++ b/policy/coordinator_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// coordinatorPair is a coordinator and a participant of the replica sets of two customers: 9 has a
-// small quota, which takes a quota request for each request, and 10 a large one.
+// coordinatorPair is a coordinator and a participant of the replica sets of two customers. Customer 9
+// has a small quota, which needs a quota request for each request. Customer 10 has a large quota.
 type coordinatorPair struct {
 	coordinator, participant *harness
-	firstReplicas            map[uint64]int // by customer
+	firstReplicas            map[uint64]int // by customer ID
 }
 
 func newCoordinatorPair(t *testing.T) *coordinatorPair {
@@ -30,7 +30,7 @@
 	return pair
 }
 
-// receive has the participant receive a request.
+// receive passes a request to the participant and returns the request's ID.
 func (p *coordinatorPair) receive(plan int, customer uint64) (id uint64) {
 	id, _ = p.participant.receive(Request{
 		Plan: plan, Customer: customer, Cost: 1,
@@ -39,8 +39,8 @@
 	return id
 }
 
-// serve has the participant receive a request and both gateways decide on it. It reports whether it
-// was sent.
+// serve passes a request to the participant, delivers the messages of both gateways, and reports
+// whether the request was sent.
 func (p *coordinatorPair) serve(plan int, customer uint64) bool {
 	p.participant.take()
 	id := p.receive(plan, customer)
@@ -54,14 +54,14 @@
 	return true
 }
 
-// Guards against use beyond the quota through many gateways, none of which sees more than a little
-// of it: by quota requests, and by grants where quota requests would be too many.
-func TestWideReplicaSetKeepsToItsQuota(t *testing.T) {
+// Guards against usage beyond the quota through many gateways, each of which sees only little of it.
+// Quota requests limit a small quota. Grants limit a large one, which would need too many quota requests.
+func TestWideReplicaSetKeepsQuota(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		plan      int
 		customer  uint64
-		requests  int // in each tenth of a second
+		requests  int // per tenth of a second
 		rate      float64
 		tolerance float64
 	}{
@@ -82,21 +82,20 @@
 				deliver(pair.coordinator, pair.participant)
 			}
 			if got := float64(sent) / 30; math.Abs(got-c.rate) > c.tolerance*c.rate {
-				t.Errorf("%.2f units a second sent, want about %g", got, c.rate)
+				t.Errorf("sent %.2f units per second, want about %g", got, c.rate)
 			}
 		})
 	}
 }
 
-// largePlan has a quota that is split over several coordinators.
+// largePlan returns a plan whose quota is split over several coordinators.
 func largePlan() Plan {
 	return Plan{Name: "large", Rate: 40, Burst: 64, ValueFactor: 1}
 }
 
-// Guards against a quota, a burst or a ceiling that counts once for each coordinator, and against
-// one that uneven demand can't use up: each request draws a coordinator, also one that comes to a
-// coordinator.
-func TestCoordinatorsShareOneQuotaAndCeiling(t *testing.T) {
+// Guards against a quota, burst or ceiling that every coordinator grants in full, and against one that
+// uneven demand cannot use up. Each request picks a random coordinator, even if a coordinator receives it.
+func TestCoordinatorsSplitQuotaAndCeiling(t *testing.T) {
 	for _, gateways := range []int{7, 12, 80} {
 		settings := testSettings()
 		settings.Gateways, settings.GossipPerSecond, settings.MaxCost = gateways, 40, 8
@@ -107,11 +106,11 @@
 		fleet.deliverAll()
 		coordinators := fleet[0].sharing.coordinatorCount(&account{id: 9, plan: 0, replicas: gateways})
 		if coordinators < 2 || coordinators > 4 {
-			t.Fatalf("%d coordinators, want some that hold two of the largest requests each", coordinators)
+			t.Fatalf("%d coordinators, want 2 to 4 that hold two of the largest requests", coordinators)
 		}
 		const seconds = 20
 		sent := 0.0
-		for i := range seconds * 50 { // 100 units a second, half of them at one gateway
+		for i := range seconds * 50 { // 100 units per second, half of them at gateway 0
 			receiver := 0
 			if i%2 == 1 {
 				receiver = i % gateways
@@ -122,18 +121,19 @@
 			}
 		}
 		quota, ceiling := fleet.totals(9)
-		assertNear(t, "rate over all coordinators", quota.rate, 40)
-		assertNear(t, "burst over all coordinators", quota.capacity, 64)
-		assertNear(t, "rate of the ceiling over all", ceiling.rate, 80)
-		assertNear(t, "burst of the ceiling over all", ceiling.capacity, 128)
+		assertNear(t, "rate of all coordinators", quota.rate, 40)
+		assertNear(t, "burst of all coordinators", quota.capacity, 64)
+		assertNear(t, "ceiling rate of all gateways", ceiling.rate, 80)
+		assertNear(t, "ceiling burst of all gateways", ceiling.capacity, 128)
 		if most := 64 + 40.0*seconds; sent > most || sent < 0.9*most {
-			t.Errorf("%d gateways sent %.0f units in %d s, want most of %.0f", gateways, sent, seconds, most)
+			t.Errorf("%d gateways sent %.0f units in %d s, want 90%% to 100%% of %.0f",
+				gateways, sent, seconds, most)
 		}
 	}
 }
 
-// serveLarge has a gateway serve a request of 2 units of customer 9, whose replicas are all
-// gateways. It reports whether it was sent.
+// serveLarge passes a gateway a request of 2 units by customer 9, whose replica set is all gateways. It
+// reports whether the request was sent.
 func (f gatewayFleet) serveLarge(receiver int) bool {
 	h := f[receiver]
 	h.take()
@@ -146,7 +146,7 @@
 	return true
 }
 
-// totals adds up a customer's buckets over its coordinators, and its ceilings over all gateways.
+// totals sums a customer's buckets over its coordinators, and its ceilings over all gateways.
 func (f gatewayFleet) totals(id uint64) (quota, ceiling tokenBucket) {
 	for _, h := range f {
 		customer := h.customers.byID[id]
@@ -161,18 +161,19 @@
 	return quota, ceiling
 }
 
-// Guards against a request that waits twice for a coordinator that has ended: it asks another one.
-func TestAnotherCoordinatorIsAskedWhereOneIsUnresponsive(t *testing.T) {
+// Guards against a request that waits twice for a coordinator that has exited, instead of asking
+// another one.
+func TestQuotaRequestRetriesAtAnotherCoordinator(t *testing.T) {
 	settings := testSettings()
 	settings.Gateways, settings.GossipPerSecond, settings.MaxCost = 12, 40, 8
 	settings.Plans[0] = largePlan()
 	customer := &account{id: 9, plan: 0, replicas: 12}
 	h := newHarness(t, settings)
-	for h.sharing.grantsQuota(customer) { // until it is a participant
+	for h.sharing.grantsQuota(customer) { // until the gateway is a participant
 		settings.Self++
 		h = newHarness(t, settings)
 	}
-	asked := func() (peers []int) {
+	askedPeers := func() (peers []int) {
 		for _, a := range ofKind(h.performed, gossipAction) {
 			peers = append(peers, a.peer)
 		}
@@ -184,26 +185,27 @@
 	first, _ := h.receive(request)
 	h.at += timeout
 	h.TimerFired(h.at, quotaRequestTimer)
-	if peers := asked(); len(peers) != 2 || peers[0] == peers[1] {
-		t.Fatalf("asked %v, want two coordinators", peers)
+	if peers := askedPeers(); len(peers) != 2 || peers[0] == peers[1] {
+		t.Fatalf("asked gateways %v, want two different coordinators", peers)
 	}
-	unresponsive := asked()[0]
+	unresponsive := askedPeers()[0]
 	h.take()
 	for range 20 {
 		h.receive(request)
 	}
-	if peers := asked(); len(peers) != 20 || slices.Contains(peers, unresponsive) {
-		t.Errorf("asked %v, want none of the unresponsive coordinator %d", peers, unresponsive)
+	if peers := askedPeers(); len(peers) != 20 || slices.Contains(peers, unresponsive) {
+		t.Errorf("asked gateways %v, want 20 without the unresponsive coordinator %d", peers, unresponsive)
 	}
 	h.at += timeout
 	h.TimerFired(h.at, quotaRequestTimer)
 	if h.countSent(first) != 1 {
-		t.Errorf("%+v, want the first request decided by the share", h.performed)
+		t.Errorf("actions %+v, want the first request sent from this gateway's share", h.performed)
 	}
 }
 
-// Guards against a coordinator that does not answer: the share decides, in time.
-func TestUnresponsiveCoordinatorKeepsNoRequestWaiting(t *testing.T) {
+// Guards against requests that wait for a coordinator that does not answer: after the timeout, this
+// gateway's share of the quota decides.
+func TestQuotaRequestTimeoutFallsBackToOwnShare(t *testing.T) {
 	pair := newCoordinatorPair(t)
 	participant := pair.participant
 	participant.take()
@@ -211,31 +213,31 @@
 	requests := ofKind(participant.performed, gossipAction)
 	if participant.count(sendAction) != 0 || len(requests) != 1 || requests[0].peer != 0 ||
 		participant.count(timerAction) != 1 {
-		t.Fatalf("%+v, want a quota request and a timer", participant.performed)
+		t.Fatalf("actions %+v, want a quota request and a timer", participant.performed)
 	}
 	participant.TimerFired(participant.at+second/10, quotaRequestTimer)
 	if participant.countSent(id) != 1 {
-		t.Errorf("%+v, want it sent", participant.performed)
+		t.Errorf("actions %+v, want the request sent", participant.performed)
 	}
 	participant.take()
-	participant.GossipReceived(participant.at+second/5, 0, answerTo(1, true))
+	participant.GossipReceived(participant.at+second/5, 0, quotaAnswer(1, true))
 	if len(participant.performed) != 0 {
-		t.Errorf("a late answer acted: %+v", participant.performed)
+		t.Errorf("a late answer caused actions: %+v", participant.performed)
 	}
 }
 
-// answerTo is a coordinator's answer to a quota request of customer 9.
-func answerTo(quotaRequest byte, approved bool) []byte {
+// quotaAnswer returns a coordinator's answer to a quota request for customer 9.
+func quotaAnswer(quotaRequest byte, approved bool) []byte {
 	answer := grant{customer: 9, fraction: 1, quotaRequest: quotaRequest, approved: approved}
 	return answer.appendTo(messageHeader(1, 0, 0))
 }
 
-// Guards against answering a client that has disconnected while its quota request was pending: the
-// coordinator then approves or denies it, or does not answer.
-func TestDisconnectedClientIsNotAnswered(t *testing.T) {
+// Guards against answering a client that disconnected while its quota request was pending, whether the
+// coordinator then approves the quota request, denies it, or does not answer.
+func TestQuotaRequestOfDisconnectedClientIsDropped(t *testing.T) {
 	for name, resolve := range map[string]func(participant *harness){
-		"approved":   func(h *harness) { h.GossipReceived(h.at, 0, answerTo(1, true)) },
-		"denied":     func(h *harness) { h.GossipReceived(h.at, 0, answerTo(1, false)) },
+		"approved":   func(h *harness) { h.GossipReceived(h.at, 0, quotaAnswer(1, true)) },
+		"denied":     func(h *harness) { h.GossipReceived(h.at, 0, quotaAnswer(1, false)) },
 		"unanswered": func(h *harness) { h.TimerFired(h.at+second/10, quotaRequestTimer) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -250,7 +252,7 @@
 			participant.take()
 			resolve(participant)
 			if len(participant.performed) != 0 || len(participant.quotaRequests.pending) != 0 {
-				t.Errorf("acted for a disconnected client: %+v, %d waiting",
+				t.Errorf("actions for a disconnected client: %+v, %d requests wait; want none",
 					participant.performed, len(participant.quotaRequests.pending))
 			}
 		})
