--- a/policy/quotagrant.go
+++ b/policy/quotagrant.go
@@ -6,48 +6,48 @@
 )
 
 const (
-	grantChangeFactor  = 1.25 // by which a grant must change to be advertised to the set
-	minGrantFraction   = 0.01 // the least grant, so that no customer is locked out
-	grantTolerance     = 0.1  // by which a participant's grant may be off before it is corrected
-	grantsPerWindow    = 4    // the most advertisements of a grant in a demand window
-	maxGrantedRequests = 2.0  // requests' worth of units saved up under a grant
+	grantChangeFactor  = 1.25 // factor by which a grant must change to be advertised to the replica set
+	minGrantFraction   = 0.01 // lowest fraction that is granted, so that no customer is locked out
+	grantTolerance     = 0.1  // relative error of a participant's fraction above which it is corrected
+	grantsPerWindow    = 4    // highest number of advertisements of a grant in a demand window
+	maxGrantedRequests = 2.0  // limit of the units saved up under a grant, in requests
 )
 
-// quotaGrant is what a coordinator of a wide replica set lets the set's gateways admit of a customer. A
-// coordinator sets its fraction and advertises it; a participant gets it and saves up units under it.
-// Without a grant the fraction is 1, which limits nothing.
+// quotaGrant limits how much of a customer's demand the gateways of a wide replica set admit. A coordinator
+// sets the fraction and advertises it; a participant receives it and saves up units under it. A fraction of
+// 1 means no limit.
 type quotaGrant struct {
-	fraction float64 // of the requested units that may be granted, above 0
+	fraction float64 // share of the requested units that may be granted, above 0
 
-	// A participant's.
-	units             float64 // that may be admitted under a fraction below 1
-	lastRequestCost   float64 // of the customer's last request
-	nextReportAt      Time    // when a participant under a grant reports again
-	lastRequestNumber byte    // the number of the last quota request; wraps
+	// Used at a participant.
+	units             float64 // units that may be admitted while the fraction is below 1
+	lastRequestCost   float64
+	nextReportAt      Time // earliest time of the next report under a grant
+	lastRequestNumber byte // number of the last quota request; wraps
 
-	// A coordinator's.
-	advertisedFraction  float64 // the fraction as last sent to the set
-	nextAdvertisementAt Time    // when it may be sent again
+	// Used at a coordinator.
+	advertisedFraction  float64 // fraction last sent to the replica set
+	nextAdvertisementAt Time    // earliest time of the next advertisement
 }
 
 func newQuotaGrant() quotaGrant { return quotaGrant{fraction: 1, advertisedFraction: 1} }
 
-// isLimited reports whether less may be admitted than is requested.
+// isLimited reports whether less than the requested units may be admitted.
 func (g *quotaGrant) isLimited() bool { return g.fraction < 1 }
 
-// isDefault reports whether the grant is as without a record of the customer.
+// isDefault reports whether the grant equals that of a new customer.
 func (g *quotaGrant) isDefault() bool { return g.fraction == 1 && g.advertisedFraction == 1 }
 
-// addRequested adds the granted fraction of a request's units to those that may be admitted.
+// creditRequest adds the granted fraction of a request's units to the units that may be admitted.
 func (g *quotaGrant) creditRequest(units float64) {
 	g.units = math.Min(g.units+g.fraction*units, maxGrantedRequests*units)
 }
 
-// consume takes admitted units, which may be more than were saved up.
+// consume removes the units of an admitted request, which may be more than were saved up.
 func (g *quotaGrant) consume(units float64) { g.units = math.Max(0, g.units-units) }
 
-// receive applies a coordinator's fraction. The units saved up under a new limit are drawn, so that not all
-// participants can admit, or must reject, at once.
+// receiveFraction applies a coordinator's fraction. When a limit begins, the saved units are drawn at random,
+// so that the participants do not all admit, or all reject, at once.
 func (g *quotaGrant) receiveFraction(fraction float64, random *rand.Rand) {
 	if g.fraction == 1 && fraction < 1 {
 		g.units = random.Float64() * g.lastRequestCost
@@ -55,19 +55,20 @@
 	g.fraction = fraction
 }
 
-// nextRequest is the number of the next quota request. It is never 0.
+// nextRequestNumber returns the number of the next quota request, which is never 0.
 func (g *quotaGrant) nextRequestNumber() byte {
 	g.lastRequestNumber++
 	return max(1, g.lastRequestNumber)
 }
 
-// set sets a coordinator's fraction to what may be spent of the demand, both in units of a window.
+// setFraction sets a coordinator's fraction to the units that may be spent divided by the demand, both over
+// a demand window.
 func (g *quotaGrant) setFraction(spendable, demand float64) {
 	g.fraction = math.Min(1, math.Max(minGrantFraction, spendable/math.Max(demand, minDemand)))
 }
 
-// advertise reports whether the fraction has changed enough to be sent to the set, and its time has come. It
-// notes that it is sent.
+// advertise reports whether the fraction is to be sent to the replica set: it has changed enough, and the
+// time of the next advertisement has come. It records the fraction as sent.
 func (g *quotaGrant) advertise(now, window Time) bool {
 	raised := g.fraction > g.advertisedFraction*grantChangeFactor
 	lowered := g.fraction < g.advertisedFraction/grantChangeFactor
@@ -79,7 +80,7 @@
 	return true
 }
 
-// isOff reports whether a participant's fraction needs to be corrected.
+// needsCorrection reports whether a participant's fraction is too far from the coordinator's.
 func (g *quotaGrant) needsCorrection(fraction float64) bool {
 	return math.Abs(fraction-g.fraction) > grantTolerance*g.fraction
 }
--- a/policy/quotagrant_test.go
+++ b/policy/quotagrant_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestGrantedUnitsAreSavedUpToAFewRequests(t *testing.T) {
+func TestGrantSavesUnitsOfFewRequests(t *testing.T) {
 	grant := newQuotaGrant()
 	grant.fraction = 0.5
 	grant.creditRequest(4)
@@ -18,38 +18,38 @@
 	assertNear(t, "units after a larger request", grant.units, 0)
 }
 
-// Guards against participants that all admit, or all reject, as a coordinator begins to limit them.
-func TestUnitsUnderANewLimitAreDrawn(t *testing.T) {
+// Guards against participants that all admit, or all reject, when a coordinator begins to limit them.
+func TestGrantDrawsUnitsWhenLimitBegins(t *testing.T) {
 	random, drawn := rand.New(rand.NewPCG(1, 2)), map[float64]bool{}
 	for range 20 {
 		grant := newQuotaGrant()
 		grant.units, grant.lastRequestCost = 8, 4
 		grant.receiveFraction(0.5, random)
 		if grant.units < 0 || grant.units >= 4 {
-			t.Errorf("%g units, want less than the last request's 4", grant.units)
+			t.Errorf("%g units, want at least 0 and less than the 4 of the last request", grant.units)
 		}
 		drawn[grant.units] = true
 		units := grant.units
 		if grant.receiveFraction(0.25, random); grant.units != units {
-			t.Errorf("a limit that changes sets %g units, want %g", grant.units, units)
+			t.Errorf("%g units after the limit has changed, want %g as before", grant.units, units)
 		}
 		if !grant.isLimited() || grant.fraction != 0.25 {
 			t.Errorf("fraction %g, want 0.25", grant.fraction)
 		}
 	}
 	if len(drawn) < 10 {
-		t.Errorf("%d different draws of 20", len(drawn))
+		t.Errorf("%d different values in 20 draws, want at least 10", len(drawn))
 	}
 }
 
-func TestCoordinatorsFractionIsWhatMayBeSpentOfTheDemand(t *testing.T) {
+func TestGrantFractionIsSpendableShareOfDemand(t *testing.T) {
 	cases := []struct {
 		name                    string
 		spendable, demand, want float64
 	}{
-		{"more than is requested", 10, 5, 1},
-		{"half", 5, 10, 0.5},
-		{"nothing left", -3, 10, minGrantFraction},
+		{"more than the demand", 10, 5, 1},
+		{"half of the demand", 5, 10, 0.5},
+		{"nothing to spend", -3, 10, minGrantFraction},
 		{"no demand", 1, 0, 1},
 	}
 	for _, c := range cases {
@@ -61,21 +61,21 @@
 	}
 }
 
-func TestGrantIsAdvertisedOnceItHasChangedAndNotTooOften(t *testing.T) {
+func TestGrantAdvertisementLimits(t *testing.T) {
 	steps := []struct {
 		name     string
 		at       Time
 		fraction float64
 		want     bool
 	}{
-		{"no change", second, 1, false},
-		{"a small change", second, 0.85, false},
+		{"unchanged", second, 1, false},
+		{"lowered by less than the factor", second, 0.85, false},
 		{"lowered", second, 0.5, true},
-		{"lowered again at once", second, 0.25, false},
-		{"and after its time", 2 * second, 0.25, true},
+		{"lowered again before the next advertisement is due", second, 0.25, false},
+		{"lowered again when the next advertisement is due", 2 * second, 0.25, true},
 		{"raised by less than the factor", 3 * second, 0.3, false},
 		{"raised", 3 * second, 0.4, true},
-		{"raised to all of it", 4 * second, 1, true},
+		{"raised to 1", 4 * second, 1, true},
 	}
 	grant := newQuotaGrant()
 	for _, step := range steps {
@@ -85,11 +85,11 @@
 		}
 	}
 	if !grant.isDefault() {
-		t.Error("a grant of all, advertised, is not the default")
+		t.Error("an advertised fraction of 1 is not the default grant")
 	}
 }
 
-func TestGrantOfAllIsAdvertisedHoweverSmallTheChange(t *testing.T) {
+func TestGrantOfOneIsAlwaysAdvertised(t *testing.T) {
 	grant := newQuotaGrant()
 	grant.advertisedFraction = 0.9
 	if !grant.advertise(second, second) {
@@ -97,7 +97,7 @@
 	}
 }
 
-func TestQuotaRequestsAreNeverNumberedZero(t *testing.T) {
+func TestNextRequestNumberIsNeverZero(t *testing.T) {
 	grant := newQuotaGrant()
 	for i := range 600 {
 		if grant.nextRequestNumber() == 0 {
@@ -106,12 +106,12 @@
 	}
 }
 
-func TestGrantIsOffBeyondTheTolerance(t *testing.T) {
+func TestGrantNeedsCorrectionBeyondTolerance(t *testing.T) {
 	grant := quotaGrant{fraction: 0.5}
-	isOff := map[float64]bool{0.5: false, 0.46: false, 0.54: false, 0.44: true, 0.56: true}
-	for fraction, want := range isOff {
+	needsCorrection := map[float64]bool{0.5: false, 0.46: false, 0.54: false, 0.44: true, 0.56: true}
+	for fraction, want := range needsCorrection {
 		if got := grant.needsCorrection(fraction); got != want {
-			t.Errorf("%g in place of 0.5 is off: %t, want %t", fraction, got, want)
+			t.Errorf("%g in place of 0.5 needs correction: %t, want %t", fraction, got, want)
 		}
 	}
 }
--- a/policy/quotashare_fleet_test.go
+++ b/policy/quotashare_fleet_test.go
@@ -2,17 +2,17 @@
 
 import "testing"
 
-// lossyFleet is a large set of gateways that share customer 9's quota. A tenth of their messages is
+// lossyFleet is a large set of gateways that share customer 9's quota. A tenth of their messages are
 // lost, and single gateways restart.
 type lossyFleet struct {
 	t        *testing.T
 	settings Settings
 	gateways []*harness
-	replicas int // the customer's gateways: the first ones
-	messages int // sent so far
+	replicas int // size of the customer's replica set, which starts at gateway 0
+	messages int // number of messages sent so far
 
-	truth                      tokenBucket // the quota as it is
-	requested, within, outside float64     // units requested, sent within the quota and beyond it
+	reference                         tokenBucket // the quota as a single gateway would limit it
+	requested, sentWithin, sentBeyond float64     // units requested; units sent within and beyond the quota
 }
 
 func newLossyFleet(t *testing.T, gateways int) *lossyFleet {
@@ -22,7 +22,7 @@
 	settings.Plans[0] = Plan{Name: "large", Rate: 40, Burst: 64, ValueFactor: 1, OverageCost: 1}
 	f := &lossyFleet{
 		t: t, settings: settings, gateways: make([]*harness, gateways), replicas: min(gateways, 40),
-		truth: tokenBucket{level: 64, rate: 40, capacity: 64, updatedAt: start},
+		reference: tokenBucket{level: 64, rate: 40, capacity: 64, updatedAt: start},
 	}
 	for i := range f.gateways {
 		f.restart(i, start)
@@ -30,7 +30,7 @@
 	return f
 }
 
-// restart starts a gateway with another seed, and so with another incarnation.
+// restart starts a gateway with a new seed and therefore a new incarnation.
 func (f *lossyFleet) restart(i int, at Time) {
 	f.t.Helper()
 	settings := f.settings
@@ -39,13 +39,13 @@
 	f.gateways[i].UpdateEndpoints(at, UpdateStale, endpoints(4))
 }
 
-// deliver delivers nine in ten messages until none is left.
+// deliver delivers nine of ten messages until none is left.
 func (f *lossyFleet) deliver(at Time) {
 	for delivered := true; delivered; {
 		delivered = false
 		for from, h := range f.gateways[:f.replicas] {
 			for _, a := range h.take() {
-				if a.kind == gossipAction && f.deliverOne(at, from, a) {
+				if a.kind == gossipAction && f.deliverMessage(at, from, a) {
 					delivered = true
 				}
 			}
@@ -53,7 +53,7 @@
 	}
 }
 
-func (f *lossyFleet) deliverOne(at Time, from int, a action) bool {
+func (f *lossyFleet) deliverMessage(at Time, from int, a action) bool {
 	f.messages++
 	if f.messages%10 == 0 || a.peer >= f.replicas {
 		return false
@@ -62,7 +62,7 @@
 	return true
 }
 
-// runRounds has all replicas run a gossip round.
+// runRounds runs a gossip round at all replicas.
 func (f *lossyFleet) runRounds(at Time) {
 	for _, h := range f.gateways[:f.replicas] {
 		h.TimerFired(at, gossipTimer)
@@ -70,7 +70,7 @@
 	f.deliver(at)
 }
 
-// serve has a gateway receive a request of 2 units, and counts it if it is sent.
+// serve passes a request of 2 units to a gateway, and counts the units if the request is sent.
 func (f *lossyFleet) serve(gateway int, id uint64, at Time) {
 	f.t.Helper()
 	const cost = 2
@@ -88,22 +88,22 @@
 	if request := h.requests.byID[id]; request == nil || len(request.attempts) == 0 {
 		return
 	}
-	if f.truth.refill(at); f.truth.level >= cost {
-		f.truth.level -= cost
-		f.within += cost
+	if f.reference.refill(at); f.reference.level >= cost {
+		f.reference.level -= cost
+		f.sentWithin += cost
 	} else {
-		f.outside += cost
+		f.sentBeyond += cost
 	}
 	h.endWith(id, Outcome{Result: ResultOK, Answered: true})
 }
 
-// Guards against units beyond the quota over the whole fleet: with a replica set that is new to all,
-// traffic that shifts, a tenth of all messages lost, and gateways that restart.
-func TestFleetKeepsAQuotaThroughShiftsLossesAndRestarts(t *testing.T) {
+// Guards against usage beyond the quota across the whole fleet, if no gateway knows the customer at first,
+// traffic moves between gateways, a tenth of all messages are lost, and gateways restart.
+func TestFleetKeepsQuotaWithLossAndRestarts(t *testing.T) {
 	for _, gateways := range []int{3, 40, 300} {
 		f := newLossyFleet(t, gateways)
 		const seconds, step = 20, second / 50
-		for i := range seconds * 50 { // 100 units a second, that come to other gateways every four seconds
+		for i := range seconds * 50 { // 100 units per second, at other gateways every four seconds
 			at := start + second + Time(i)*step
 			if i%250 == 249 {
 				f.restart(i%f.replicas, at)
@@ -114,9 +114,9 @@
 			f.serve((i/200*7+i%3)%f.replicas, uint64(i+1), at)
 		}
 		most := 64 + 40.0*seconds
-		if f.outside > 0.1*most || f.within < 0.6*most {
-			t.Errorf("%d gateways: of %.0f units %.0f were sent within the quota of %.0f, and %.0f beyond it",
-				gateways, f.requested, f.within, most, f.outside)
+		if f.sentBeyond > 0.1*most || f.sentWithin < 0.6*most {
+			t.Errorf("%d gateways: of %.0f units, %.0f were sent within the quota of %.0f and %.0f beyond it",
+				gateways, f.requested, f.sentWithin, most, f.sentBeyond)
 		}
 	}
 }
--- a/policy/quotasharing.go
+++ b/policy/quotasharing.go
@@ -6,39 +6,40 @@
 )
 
 const (
-	gossipReceiveShare   = 0.5         // the part of a receiver's message limit that gossip may fill
-	minGossipPeriod      = second / 30 // the least time between two rounds
-	demandWindowFraction = 0.5         // the demand window, in times in which a plan's burst refills
-	maxFullMeshSize      = 4           // gateways of a set that still all report to one another
-	quotaRequestShare    = 1.0         // the part of a receiver's gossip that quota requests may fill
-	coordinatorLoadShare = 0.4         // the part from which on they are spread over several coordinators
+	gossipReceiveShare   = 0.5         // share of a receiver's message limit that gossip may use
+	minGossipPeriod      = second / 30 // shortest time between two gossip rounds
+	demandWindowFraction = 0.5         // demand window as a fraction of the time that a burst takes to refill
+	maxFullMeshSize      = 4           // largest replica set whose gateways all report to one another
+	quotaRequestShare    = 1.0         // share of a receiver's gossip that quota requests may use
+	coordinatorLoadShare = 0.4         // share above which quota requests are split over more coordinators
 	settlePeriods        = 4           // gossip periods until a new gateway has received all levels
-	maxSettleTime        = second / 2  // and the longest time that is waited for them
-	minRequestsPerBurst  = 2           // the largest requests that a coordinator's part of a burst must hold
+	maxSettleTime        = second / 2  // longest time that a new gateway waits for all levels
+	minRequestsPerBurst  = 2           // largest requests that a coordinator's part of a burst must hold
 )
 
-// account identifies a customer, its plan, and its replica set: the gateways at which its requests arrive
-// and which share its quota.
+// account identifies a customer, its plan, and its replica set: the gateways that receive its requests and
+// share its quota.
 type account struct {
 	id                     uint64
 	plan                   int // index into the settings
-	firstReplica, replicas int // the set: replicas gateways in a row from firstReplica
+	firstReplica, replicas int // the replica set: consecutive gateways from firstReplica
 }
 
-// quotaSharing says which part each gateway has in sharing a customer's quota. It follows from the
-// settings alone, so that all gateways of one deployment come to the same result for an account; only a
-// reload replaces it.
+// quotaSharing determines the role of each gateway in sharing a customer's quota. It depends on the settings
+// alone, so that all gateways of a deployment come to the same result for an account. Only a reload
+// replaces it.
 //
-// The gateways of a wide replica set, too many for all to report to all, report to coordinators, which hold
-// the quota in even parts. Where a share of it can't hold one request they ask them first.
+// A wide replica set is too large for every gateway to report to every other one. Its gateways report to
+// coordinators, which hold equal parts of the quota. If the quota is so small that a gateway's share cannot
+// hold one request, the gateways ask a coordinator before they admit a request.
 type quotaSharing struct {
 	self, gateways  int
 	gossip          bool    // gateways exchange gossip messages
-	sharesUsage     bool    // gateways share their customers' use, by gossip or a counter
-	gossipPerSecond float64 // messages a second that a gateway can receive
-	gossipPeriod    Time    // between two gossip rounds
-	meterPeriod     Time    // the period that a meter reading covers; 0: no meter
-	maxCost         float64 // the largest cost of a request, in units; 0: unknown
+	sharesUsage     bool    // gateways share their customers' usage, by gossip or a counter
+	gossipPerSecond float64 // messages per second that a gateway can receive
+	gossipPeriod    Time    // time between two gossip rounds
+	meterPeriod     Time    // period that a meter reading covers; zero if there is no meter
+	maxCost         float64 // largest cost of a request, in units; zero if it is unknown
 	plans           []Plan
 }
 
@@ -55,7 +56,8 @@
 	return s
 }
 
-// newAccount is the account of a request or a usage entry, whose replica set may exceed the gateways.
+// newAccount returns the account of a request or a usage entry. It limits the replica set to the gateways
+// that exist.
 func (s *quotaSharing) newAccount(id uint64, plan, firstReplica, replicas int) account {
 	return account{
 		id: id, plan: plan, replicas: min(max(replicas, 1), s.gateways),
@@ -63,21 +65,21 @@
 	}
 }
 
-// isSetSize reports whether a replica set may have so many gateways.
+// isValidSetSize reports whether a replica set may have the given number of gateways.
 func (s *quotaSharing) isValidSetSize(replicas int) bool {
 	return replicas >= 1 && replicas <= s.gateways
 }
 
-// plan is the account's plan.
+// plan returns the account's plan.
 func (s *quotaSharing) plan(account *account) *Plan { return &s.plans[account.plan] }
 
-// receiveTime is the time in which a gateway can receive one message from each of the senders.
+// receiveTime returns the time in which a gateway can receive one message from each sender.
 func (s *quotaSharing) receiveTime(senders int) Time {
 	rate := gossipReceiveShare * math.Max(s.gossipPerSecond, 1)
 	return Time(float64(senders) / rate * float64(second))
 }
 
-// demandWindow is the time constant in which the demand of an account is measured.
+// demandWindow returns the time constant over which the demand of an account is measured.
 func (s *quotaSharing) demandWindow(account *account) Time {
 	plan := s.plan(account)
 	if plan.Rate <= 0 {
@@ -87,28 +89,28 @@
 	return max(window, s.receiveTime(account.replicas))
 }
 
-// isSettling reports whether peers may not have reported all buckets yet to a gateway of the age.
+// isSettling reports whether a gateway that started the given time ago may still miss some peers' levels.
 func (s *quotaSharing) isSettling(age Time) bool {
 	return age < min(maxSettleTime, settlePeriods*s.gossipPeriod)
 }
 
-// replica is the gateway at a position in the account's set.
+// replica returns the gateway at a position in the account's replica set.
 func (s *quotaSharing) replica(account *account, position int) int {
 	return (account.firstReplica + position) % s.gateways
 }
 
-// position is the position of a gateway in the account's set. It is account.replicas or more for a gateway
-// that is not of the set.
+// position returns the position of a gateway in the account's replica set. It is account.replicas or more for
+// a gateway outside the set.
 func (s *quotaSharing) position(account *account, gateway int) int {
 	return (gateway - account.firstReplica + s.gateways) % s.gateways
 }
 
-// isReplica reports whether a gateway is of the account's set.
+// isReplica reports whether a gateway belongs to the account's replica set.
 func (s *quotaSharing) isReplica(account *account, gateway int) bool {
 	return s.position(account, gateway) < account.replicas
 }
 
-// isWide reports whether an account's gateways are too many for all to report to all.
+// isWide reports whether the replica set is too large for every gateway to report to every other one.
 func (s *quotaSharing) isWide(account *account) bool {
 	return s.gossip && account.replicas > maxFullMeshSize
 }
@@ -118,30 +120,30 @@
 	return s.sharesUsage && s.gossip && !s.isWide(account)
 }
 
-// coordinatorCount is over how many coordinators a wide set's quota is split: as many as its requests
-// for quota need, as long as each part of the burst holds some of the largest requests.
+// coordinatorCount returns the number of coordinators that hold the quota of a wide replica set. There are as
+// many as the quota requests need, as long as each part of the burst holds some of the largest requests.
 func (s *quotaSharing) coordinatorCount(account *account) int {
 	plan := s.plan(account)
-	most := 1.0
+	maxCount := 1.0
 	if s.maxCost > 0 {
-		most = math.Max(1, math.Floor(plan.Burst/(minRequestsPerBurst*s.maxCost)))
+		maxCount = math.Max(1, math.Floor(plan.Burst/(minRequestsPerBurst*s.maxCost)))
 	}
 	needed := math.Ceil(plan.Rate * float64(s.receiveTime(1)) / (coordinatorLoadShare * float64(second)))
-	return int(math.Max(1, math.Min(math.Min(needed, most), float64(account.replicas))))
+	return int(math.Max(1, math.Min(math.Min(needed, maxCount), float64(account.replicas))))
 }
 
-// coordinator is the gateway that is the account's i-th coordinator.
+// coordinator returns the gateway that is the account's i-th coordinator.
 func (s *quotaSharing) coordinator(account *account, i int) int {
 	const (
-		multiplier = 0x9E3779B97F4A7C15 // spreads customers evenly over the set
-		lowBits    = 33                 // of the product, which depend on few bits of the ID
+		multiplier = 0x9E3779B97F4A7C15 // spreads customers evenly over the set (Fibonacci hashing)
+		lowBits    = 33                 // bits of the product to drop, as they depend on few bits of the ID
 	)
 	first := int((account.id * multiplier) >> lowBits)
 	offset := first + i*account.replicas/s.coordinatorCount(account)
 	return s.replica(account, offset%account.replicas)
 }
 
-// isParticipant reports whether this gateway is of a wide set without being a coordinator of it.
+// isParticipant reports whether the replica set is wide and this gateway is not one of its coordinators.
 func (s *quotaSharing) isParticipant(account *account) bool {
 	if !s.isWide(account) {
 		return false
@@ -154,26 +156,27 @@
 	return true
 }
 
-// requiresGrant reports whether a coordinator is asked before each request is admitted: the quota
-// is so small that no share of it holds a request, and the coordinators can receive the requests.
+// requiresGrant reports whether a coordinator is asked before each request is admitted. This is the case in a
+// wide replica set if the quota is so small that a gateway's share may not hold one request, and the
+// coordinators can receive that many quota requests.
 func (s *quotaSharing) requiresGrant(account *account) bool {
 	rate := s.plan(account).Rate / float64(s.coordinatorCount(account))
 	return s.isWide(account) && rate*float64(s.receiveTime(1)) < quotaRequestShare*float64(second)
 }
 
-// grantsQuota reports whether this gateway is a coordinator that decides on quota requests.
+// grantsQuota reports whether this gateway is a coordinator that decides on the account's quota requests.
 func (s *quotaSharing) grantsQuota(account *account) bool {
 	return s.requiresGrant(account) && !s.isParticipant(account)
 }
 
-// asksAnother reports whether a request's units are asked for at another gateway, its coordinator of that
-// index.
+// needsRemoteGrant reports whether another gateway has to grant a request's units: the account's coordinator
+// with the given index.
 func (s *quotaSharing) needsRemoteGrant(account *account, coordinator int) bool {
 	return s.requiresGrant(account) && s.coordinator(account, coordinator) != s.self
 }
 
-// reportReceivers is the row of gateways that a customer's use is reported to: its set, or the first
-// coordinator of a wide one.
+// reportReceivers returns the consecutive gateways that a customer's usage is reported to: its replica set,
+// or the first coordinator of a wide one.
 func (s *quotaSharing) reportReceivers(account *account) (first, count int) {
 	if s.isWide(account) {
 		return s.coordinator(account, 0), 1
@@ -181,18 +184,19 @@
 	return account.firstReplica, account.replicas
 }
 
-// reportsUsage reports whether an account's use is reported in gossip rounds or to the shared counter.
+// reportsUsage reports whether an account's usage is reported, in gossip rounds or to the shared counter.
 func (s *quotaSharing) reportsUsage(account *account) bool {
 	return account.replicas > 1 && s.sharesUsage && !s.requiresGrant(account)
 }
 
-// drawPeer draws a gateway at random. It is no peer if it is this one, or if gateways exchange no gossip.
+// randomPeer picks a gateway at random. isPeer is false if it picks this gateway, or if gateways exchange no
+// gossip.
 func (s *quotaSharing) randomPeer(random *rand.Rand) (gateway int, isPeer bool) {
 	gateway = random.IntN(s.gateways)
 	return gateway, s.gossip && gateway != s.self
 }
 
-// announcesTo reports whether a gateway is one of the neighbours that hear of this one's start.
+// announcesStartTo reports whether a gateway is one of the neighbours to which this one announces its start.
 func (s *quotaSharing) announcesStartTo(gateway int) bool {
 	distance := (gateway - s.self + s.gateways) % s.gateways
 	return s.gossip && distance > 0 && distance <= maxFullMeshSize
--- a/policy/quotasharing_test.go
+++ b/policy/quotasharing_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// wideSharing is a deployment of 12 gateways that exchange gossip, with one plan.
+// wideSharing returns the sharing of a gateway among 12 that exchange gossip, with one plan.
 func wideSharing(self int, plan Plan) quotaSharing {
 	return newQuotaSharing(&Settings{
 		Self: self, Gateways: 12, Gossip: true, GossipPerSecond: 40, MaxCost: 1, Plans: []Plan{plan},
 	})
 }
 
-func TestUsageIsSharedBetweenSeveralGatewaysOnly(t *testing.T) {
+func TestUsageIsSharedBetweenSeveralGateways(t *testing.T) {
 	cases := []struct {
 		name     string
 		settings Settings
@@ -33,24 +33,24 @@
 	}
 }
 
-func TestPeersAreDrawnAmongTheOtherGateways(t *testing.T) {
+func TestRandomPeerIsAnotherGateway(t *testing.T) {
 	sharing, random := wideSharing(3, Plan{}), rand.New(rand.NewPCG(1, 2))
-	drawn := map[int]bool{}
+	picked := map[int]bool{}
 	for range 400 {
 		if peer, isPeer := sharing.randomPeer(random); isPeer {
-			drawn[peer] = true
+			picked[peer] = true
 		}
 	}
-	if drawn[3] || len(drawn) != 11 {
-		t.Errorf("drew %v, want each gateway but 3", drawn)
+	if picked[3] || len(picked) != 11 {
+		t.Errorf("picked %v, want each gateway except 3", picked)
 	}
-	alone := newQuotaSharing(&Settings{Gateways: 12, SharedCounter: true})
-	if peer, isPeer := alone.randomPeer(random); isPeer {
-		t.Errorf("drew %d without gossip", peer)
+	withoutGossip := newQuotaSharing(&Settings{Gateways: 12, SharedCounter: true})
+	if peer, isPeer := withoutGossip.randomPeer(random); isPeer {
+		t.Errorf("picked peer %d without gossip", peer)
 	}
 }
 
-func TestGossipPeriodLeavesReceiversTimeForAllPeersOfASet(t *testing.T) {
+func TestGossipPeriodAllowsMessagesFromAllPeersOfSet(t *testing.T) {
 	cases := []struct {
 		name      string
 		gateways  int
@@ -58,9 +58,9 @@
 		want      Time
 	}{
 		{"no limit", 12, 0, minGossipPeriod},
-		{"more than is needed", 3, 1000, minGossipPeriod},
+		{"limit above the need", 3, 1000, minGossipPeriod},
 		{"two peers", 3, 8, second / 2},
-		{"a wide set, of which few report to one another", 12, 8, second},
+		{"wide set without full mesh", 12, 8, second},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -68,13 +68,13 @@
 				Gateways: c.gateways, Gossip: true, GossipPerSecond: c.perSecond,
 			})
 			if sharing.gossipPeriod != c.want {
-				t.Errorf("a round every %d, want %d", sharing.gossipPeriod, c.want)
+				t.Errorf("gossip period %d µs, want %d", sharing.gossipPeriod, c.want)
 			}
 		})
 	}
 }
 
-func TestAccountsKeepToTheGateways(t *testing.T) {
+func TestNewAccountLimitsReplicaSetToGateways(t *testing.T) {
 	sharing := wideSharing(0, Plan{Rate: 1, Burst: 1})
 	cases := []struct{ first, replicas, wantFirst, wantReplicas int }{
 		{first: 0, replicas: 0, wantFirst: 0, wantReplicas: 1},
@@ -85,13 +85,13 @@
 	for _, c := range cases {
 		got := sharing.newAccount(9, 0, c.first, c.replicas)
 		if got.firstReplica != c.wantFirst || got.replicas != c.wantReplicas {
-			t.Errorf("set of %d from %d: %+v, want %d from %d",
+			t.Errorf("%d replicas from gateway %d: %+v, want %d from %d",
 				c.replicas, c.first, got, c.wantReplicas, c.wantFirst)
 		}
 	}
 }
 
-func TestReplicaSetWrapsAroundTheGateways(t *testing.T) {
+func TestReplicaSetWrapsAround(t *testing.T) {
 	sharing, set := wideSharing(0, Plan{}), &account{id: 9, firstReplica: 10, replicas: 4}
 	members := map[int]bool{}
 	for i := range set.replicas {
@@ -103,26 +103,26 @@
 	}
 	for gateway := range sharing.gateways {
 		if sharing.isReplica(set, gateway) != members[gateway] {
-			t.Errorf("gateway %d of the set: %t, want %t", gateway, !members[gateway], members[gateway])
+			t.Errorf("gateway %d in the set: %t, want %t", gateway, !members[gateway], members[gateway])
 		}
 	}
 	if first, count := sharing.reportReceivers(set); first != 10 || count != 4 {
-		t.Errorf("use is reported to %d gateways from %d, want the set", count, first)
+		t.Errorf("usage is reported to %d gateways from %d, want 4 from 10", count, first)
 	}
 }
 
-func TestQuotaIsSplitOverCoordinatorsThatHoldLargeRequests(t *testing.T) {
-	// A gateway receives 20 gossip messages a second, 8 of which may come from requests for one quota.
+func TestCoordinatorCount(t *testing.T) {
+	// A gateway receives 20 gossip messages per second, 8 of which may be quota requests for one account.
 	cases := []struct {
 		name string
 		plan Plan
 		want int
 	}{
-		{"a small quota", Plan{Rate: 1, Burst: 100}, 1},
-		{"as many as its requests need", Plan{Rate: 40, Burst: 100}, 5},
-		{"as many as hold two requests", Plan{Rate: 40, Burst: 6}, 3},
-		{"no more than there are gateways", Plan{Rate: 400, Burst: 400}, 12},
-		{"a burst below one request", Plan{Rate: 40, Burst: 1}, 1},
+		{"small quota", Plan{Rate: 1, Burst: 100}, 1},
+		{"limited by quota requests", Plan{Rate: 40, Burst: 100}, 5},
+		{"limited by the burst", Plan{Rate: 40, Burst: 6}, 3},
+		{"limited by the gateways", Plan{Rate: 400, Burst: 400}, 12},
+		{"burst below two requests", Plan{Rate: 40, Burst: 1}, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -141,9 +141,9 @@
 	}
 }
 
-// Guards against gateways that take different ones for coordinators: each customer has the same number of
-// them wherever it is asked, and each gateway is either one of them or a participant.
-func TestGatewaysAgreeOnTheCoordinators(t *testing.T) {
+// Guards against gateways that disagree on the coordinators of a customer: every gateway must be either a
+// coordinator or a participant, and the number of coordinators must be the same at all gateways.
+func TestGatewaysAgreeOnCoordinators(t *testing.T) {
 	for id := uint64(1); id <= 20; id++ {
 		set, coordinators := &account{id: id, firstReplica: 2, replicas: 12}, 0
 		for self := range 12 {
@@ -157,7 +157,7 @@
 				coordinators++
 			}
 			if first := sharing.coordinator(set, 0); sharing.needsRemoteGrant(set, 0) == (first == self) {
-				t.Errorf("customer %d: gateway %d asks its coordinator %d: %t",
+				t.Errorf("customer %d: gateway %d needs a grant by coordinator %d: %t",
 					id, self, first, first == self)
 			}
 		}
@@ -168,78 +168,79 @@
 	}
 }
 
-func TestGrantsAreAskedForOnlyInWideSetsWithASmallQuota(t *testing.T) {
+func TestRequiresGrantInWideSetsWithSmallQuota(t *testing.T) {
 	cases := []struct {
-		name               string
-		plan               Plan
-		replicas           int
-		isWide, wantsGrant bool
+		name                  string
+		plan                  Plan
+		replicas              int
+		isWide, requiresGrant bool
 	}{
-		{"a small set", Plan{Rate: 1, Burst: 100}, 4, false, false},
-		{"a wide set", Plan{Rate: 1, Burst: 100}, 5, true, true},
-		{"a wide set with a large quota in few parts", Plan{Rate: 400, Burst: 4}, 12, true, false},
+		{"small set", Plan{Rate: 1, Burst: 100}, 4, false, false},
+		{"wide set, small quota", Plan{Rate: 1, Burst: 100}, 5, true, true},
+		{"wide set, large quota with few coordinators", Plan{Rate: 400, Burst: 4}, 12, true, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			sharing, set := wideSharing(0, c.plan), &account{id: 9, replicas: c.replicas}
 			if got := sharing.isWide(set); got != c.isWide {
-				t.Errorf("wide: %t, want %t", got, c.isWide)
+				t.Errorf("is wide: %t, want %t", got, c.isWide)
 			}
 			if got := sharing.isFullMesh(set); got == c.isWide {
-				t.Errorf("all report to all: %t, want %t", got, !c.isWide)
+				t.Errorf("is full mesh: %t, want %t", got, !c.isWide)
 			}
-			if got := sharing.requiresGrant(set); got != c.wantsGrant {
-				t.Errorf("requires a grant: %t, want %t", got, c.wantsGrant)
+			if got := sharing.requiresGrant(set); got != c.requiresGrant {
+				t.Errorf("requires a grant: %t, want %t", got, c.requiresGrant)
 			}
-			if got := sharing.reportsUsage(set); got == c.wantsGrant {
-				t.Errorf("reports its use: %t, want %t", got, !c.wantsGrant)
+			if got := sharing.reportsUsage(set); got == c.requiresGrant {
+				t.Errorf("reports usage: %t, want %t", got, !c.requiresGrant)
 			}
 		})
 	}
 }
 
-func TestDemandIsMeasuredOverHalfOfABurstAndAtLeastAGossipRound(t *testing.T) {
+func TestDemandWindow(t *testing.T) {
 	cases := []struct {
 		name string
 		plan Plan
 		want Time
 	}{
 		{"no quota", Plan{}, second},
-		{"half of the refill time", Plan{Rate: 1, Burst: 10}, 5 * second},
-		{"a report from each gateway", Plan{Rate: 100, Burst: 10}, 12 * second / 20},
+		{"half of the burst's refill time", Plan{Rate: 1, Burst: 10}, 5 * second},
+		{"time for a report from each gateway", Plan{Rate: 100, Burst: 10}, 12 * second / 20},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			sharing := wideSharing(0, c.plan)
 			if got := sharing.demandWindow(&account{id: 9, replicas: 12}); got != c.want {
-				t.Errorf("window of %d, want %d", got, c.want)
+				t.Errorf("demand window %d µs, want %d", got, c.want)
 			}
 		})
 	}
 }
 
-func TestGatewaySettlesUntilItHasHeardOfAllBuckets(t *testing.T) {
+func TestIsSettlingUntilAllLevelsAreReceived(t *testing.T) {
 	cases := []struct {
 		name      string
 		perSecond float64
 		want      Time
-	}{{"some gossip periods", 400, 4 * second / 30}, {"half a second at most", 40, second / 2}}
+	}{{"four gossip periods", 400, 4 * second / 30}, {"at most half a second", 40, second / 2}}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			sharing := newQuotaSharing(&Settings{Gateways: 12, Gossip: true, GossipPerSecond: c.perSecond})
 			if !sharing.isSettling(c.want-2) || sharing.isSettling(c.want) {
-				t.Errorf("settled at %d: %t, want so from %d on", c.want, !sharing.isSettling(c.want), c.want)
+				t.Errorf("settled at %d: %t, want true from %d on",
+					c.want, !sharing.isSettling(c.want), c.want)
 			}
 		})
 	}
 }
 
-func TestStartIsAnnouncedToTheNextGateways(t *testing.T) {
+func TestStartIsAnnouncedToNextGateways(t *testing.T) {
 	sharing := wideSharing(10, Plan{})
 	for gateway := range 12 {
 		want := gateway == 11 || gateway <= 2
 		if got := sharing.announcesStartTo(gateway); got != want {
-			t.Errorf("announced to %d: %t, want %t", gateway, got, want)
+			t.Errorf("announced to gateway %d: %t, want %t", gateway, got, want)
 		}
 	}
 }
