--- a/policy/sharedbucket_test.go
+++ b/policy/sharedbucket_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// borrowingPlans are a plan whose overage pays, one whose doesn't, and one that has no overage.
-func borrowingPlans() []Plan {
+// overagePlans returns plans with profitable overage, unprofitable overage, and no overage.
+func overagePlans() []Plan {
 	return []Plan{
 		{Name: "a", Rate: 10, Burst: 20, OverageRevenue: 2, OverageCost: 1},
 		{Name: "b", Rate: 10, Burst: 90, OverageRevenue: 1, OverageCost: 2},
@@ -14,37 +14,37 @@
 	}
 }
 
-func TestSharedBucketHoldsTheLargestBurstOfPlansThatMayBorrow(t *testing.T) {
+func TestSharedBucketCapacityIsLargestBorrowingBurst(t *testing.T) {
 	bucket := newSharedBucket(3)
-	bucket.setCapacity(borrowingPlans())
+	bucket.setCapacity(overagePlans())
 	assertNear(t, "capacity", bucket.capacity, 20)
-	bucket.setCapacity(borrowingPlans()[1:])
-	assertNear(t, "capacity without such a plan", bucket.capacity, 0)
+	bucket.setCapacity(overagePlans()[1:])
+	assertNear(t, "capacity without a plan that may borrow", bucket.capacity, 0)
 }
 
-func TestPlansWhoseOveragePaysBorrowWhatTheSharedBucketHolds(t *testing.T) {
-	plans, bucket := borrowingPlans(), newSharedBucket(3)
+func TestSharedBucketLendsToProfitableOverage(t *testing.T) {
+	plans, bucket := overagePlans(), newSharedBucket(3)
 	bucket.setCapacity(plans)
 	bucket.deposit(5)
 	if !bucket.canLend(0, &plans[0], 5) {
-		t.Error("5 of 5 units are not available")
+		t.Error("cannot lend 5 of 5 units")
 	}
 	if bucket.canLend(0, &plans[0], 6) {
-		t.Error("6 of 5 units are available")
+		t.Error("can lend 6 of 5 units")
 	}
 	if bucket.canLend(0, &plans[1], 1) || bucket.canLend(0, &plans[2], 1) {
-		t.Error("a plan whose overage does not pay borrows")
+		t.Error("can lend to a plan whose overage is not profitable")
 	}
 	bucket.lend(3)
 	assertNear(t, "level", bucket.level, 2)
 	bucket.rate = 1
 	if !bucket.canLend(second, &plans[0], 3) {
-		t.Error("3 units are not available after a refill from 2 at 1 a second")
+		t.Error("cannot lend 3 units after a refill from 2 at 1 per second")
 	}
 }
 
-func TestIdleCustomersFeedTheSharedBucket(t *testing.T) {
-	plans, bucket := borrowingPlans(), newSharedBucket(3)
+func TestIdleCustomersRefillSharedBucket(t *testing.T) {
+	plans, bucket := overagePlans(), newSharedBucket(3)
 	bucket.setCapacity(plans)
 	split := &account{id: 1, plan: 0, replicas: 2}
 	bucket.addIdleCustomer(split, &plans[0])
@@ -54,24 +54,25 @@
 	bucket.removeIdleCustomer(split, &plans[0])
 	bucket.removeIdleCustomer(split, &plans[0])
 	bucket.updateRate(second)
-	assertNear(t, "level after a second", bucket.level, 9)
-	assertNear(t, "rate once one is active", bucket.rate, 4)
+	assertNear(t, "level after a second at the rate of two idle customers", bucket.level, 9)
+	assertNear(t, "rate after one customer has become active", bucket.rate, 4)
 }
 
-func TestReloadMovesIdleOverflowToTheNewPlans(t *testing.T) {
-	from, bucket := borrowingPlans(), newSharedBucket(3)
+func TestRenumberPlansMovesIdleOverflow(t *testing.T) {
+	oldPlans, bucket := overagePlans(), newSharedBucket(3)
 	copy(bucket.idleOverflow, []float64{5, 7, 2})
-	to := []Plan{{Name: "c", Rate: 8}, {Name: "new", Rate: 1}, {Name: "a", Rate: 10}}
-	bucket.renumberPlans(from, to, []int{2, -1, 0})
+	newPlans := []Plan{{Name: "c", Rate: 8}, {Name: "new", Rate: 1}, {Name: "a", Rate: 10}}
+	bucket.renumberPlans(oldPlans, newPlans, []int{2, -1, 0})
 	if want := []float64{4, 0, 5}; !slices.Equal(bucket.idleOverflow, want) {
 		t.Errorf("overflow by plan: got %v, want %v", bucket.idleOverflow, want)
 	}
 }
 
-func TestRestoredSharedBucketKeepsItsCapacity(t *testing.T) {
+func TestImportedSharedBucketKeepsCapacity(t *testing.T) {
 	bucket := newSharedBucket(3)
-	bucket.setCapacity(borrowingPlans())
-	bucket.importState(tokenBucket{level: 50, rate: 3, capacity: 60, updatedAt: 7}, []float64{1, 2}, []int{2, -1})
+	bucket.setCapacity(overagePlans())
+	bucket.importState(tokenBucket{level: 50, rate: 3, capacity: 60, updatedAt: 7},
+		[]float64{1, 2}, []int{2, -1})
 	if want := (tokenBucket{level: 20, rate: 3, capacity: 20, updatedAt: 7}); bucket.tokenBucket != want {
 		t.Errorf("got %+v, want %+v", bucket.tokenBucket, want)
 	}
--- a/policy/stats.go
+++ b/policy/stats.go
@@ -3,12 +3,12 @@
 import "math"
 
 const (
-	fleetSampleWeight = 0.02 // the weight of a sample in averages over all backends,
-	sampleWeight      = 0.1  // and in all others
+	fleetSampleWeight = 0.02 // weight of a sample in averages over all backends
+	sampleWeight      = 0.1  // weight of a sample in all other averages
 )
 
-// decayingSum is a sum whose terms decay exponentially with age. The time constant is passed with
-// each call and must be the same in all of them.
+// decayingSum is a sum whose terms decay exponentially with age. Each call passes the time constant, which
+// must be the same in all of them.
 type decayingSum struct {
 	sum       float64
 	updatedAt Time
@@ -26,8 +26,8 @@
 	d.sum = d.value(now, timeConstant) + x
 }
 
-// movingAverage is the plain average of its first samples, and an exponentially weighted one
-// (EWMA) once the given weight of a sample exceeds that of a plain average.
+// movingAverage is the plain average of its first samples. It becomes an exponentially weighted average
+// (EWMA) once the given weight of a sample exceeds its weight in the plain average.
 type movingAverage struct{ value, samples float64 }
 
 func (m *movingAverage) add(x, weight float64) {
--- a/policy/stats_test.go
+++ b/policy/stats_test.go
@@ -8,14 +8,14 @@
 func TestDecayingSumDecaysExponentially(t *testing.T) {
 	var decaying decayingSum
 	decaying.add(start, second, 3)
-	assertNear(t, "at once", decaying.value(start, second), 3)
-	assertNear(t, "after a time constant", decaying.value(start+second, second), 3/math.E)
+	assertNear(t, "without decay", decaying.value(start, second), 3)
+	assertNear(t, "after one time constant", decaying.value(start+second, second), 3/math.E)
 	decaying.add(start+second, second, 1)
 	assertNear(t, "with a new term", decaying.value(start+second, second), 1+3/math.E)
 	assertNear(t, "at an earlier time", decaying.value(start, second), 1+3/math.E)
 }
 
-func TestMovingAverageBeginsAsPlainAverage(t *testing.T) {
+func TestMovingAverageStartsAsPlainAverage(t *testing.T) {
 	var average movingAverage
 	for _, x := range []float64{2, 4, 6} {
 		average.add(x, 0.1)
--- a/policy/tokenbucket.go
+++ b/policy/tokenbucket.go
@@ -2,14 +2,14 @@
 
 import "math"
 
-// tokenBucket holds units that refill at a rate in units a second, up to a capacity. Its level may
+// tokenBucket holds units that refill at a rate, in units per second, up to a capacity. Its level may
 // be negative.
 type tokenBucket struct {
 	level, rate, capacity float64
 	updatedAt             Time
 }
 
-// refill brings the level up to now and returns the units that did not fit.
+// refill adds the units for the time since the last refill, and returns those that did not fit.
 func (b *tokenBucket) refill(now Time) (overflow float64) {
 	b.level += b.rate * float64(now-b.updatedAt) / float64(second)
 	b.updatedAt = now
@@ -18,14 +18,14 @@
 	return overflow
 }
 
-// resize sets the rate and the capacity. The level changes with the next refill.
+// resize sets the rate and the capacity. The level is adjusted by the next refill.
 func (b *tokenBucket) resize(rate, capacity float64) { b.rate, b.capacity = rate, capacity }
 
-// deposit adds units as far as they fit.
+// deposit adds units up to the capacity.
 func (b *tokenBucket) deposit(units float64) { b.level = math.Min(b.capacity, b.level+units) }
 
-// timeUntil is the time until a level that rises at a rate reaches the units.
+// timeUntil returns the time until a level that rises at a rate reaches the units.
 func timeUntil(level, rate, units float64) Time {
-	const minRate = 1e-3 // units a second
+	const minRate = 1e-3 // units per second
 	return Time((units - level) / math.Max(rate, minRate) * float64(second))
 }
--- a/policy/tokenbucket_test.go
+++ b/policy/tokenbucket_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestTokenBucketRefillsToItsCapacity(t *testing.T) {
+func TestTokenBucketRefillStopsAtCapacity(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		level        float64
@@ -11,10 +11,10 @@
 		wantOverflow float64
 	}{
 		{name: "empty", level: 0, after: second, want: 2},
-		{name: "just full", level: 4.5, after: second / 4, want: 5},
-		{name: "beyond full", level: 4, after: second, want: 5, wantOverflow: 1},
-		{name: "full for long", level: 5, after: 10 * second, want: 5, wantOverflow: 20},
-		{name: "in debt", level: -3, after: second, want: -1},
+		{name: "filled exactly", level: 4.5, after: second / 4, want: 5},
+		{name: "overflow", level: 4, after: second, want: 5, wantOverflow: 1},
+		{name: "full before the refill", level: 5, after: 10 * second, want: 5, wantOverflow: 20},
+		{name: "negative level", level: -3, after: second, want: -1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			bucket := tokenBucket{level: c.level, rate: 2, capacity: 5, updatedAt: start}
@@ -24,13 +24,13 @@
 	}
 }
 
-func TestSharedBucketLendsOnlyToPlansWhoseOveragePays(t *testing.T) {
+func TestSharedBucketLendsOnlyToProfitablePlans(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.serve(1, 1, 1)
 	h.at += 10 * second // the bucket of customer 1 is full and overflows
 	h.serve(1, 1, 1)
 	if h.sharedBucket.level < 10 {
-		t.Fatalf("the shared bucket holds %g after ten seconds of overflow", h.sharedBucket.level)
+		t.Fatalf("shared bucket level %g after 10 s of overflow, want at least 10", h.sharedBucket.level)
 	}
 	countServed := func(plan int, customer uint64) int {
 		served := 0
@@ -42,15 +42,15 @@
 		return served
 	}
 	if got := countServed(1, 2); got <= 20 {
-		t.Errorf("a customer whose overage pays got %d units, want more than its burst of 20", got)
+		t.Errorf("%d units sent with profitable overage, want more than the burst of 20", got)
 	}
 	h.sharedBucket.level = 10
 	if got := countServed(0, 3); got != 8 {
-		t.Errorf("a customer whose overage does not pay got %d units, want its burst of 8", got)
+		t.Errorf("%d units sent without profitable overage, want the burst of 8", got)
 	}
 }
 
-func TestIdleCustomersAreDroppedAndGoOnOverflowing(t *testing.T) {
+func TestIdleCustomersAreRemovedAndKeepOverflowing(t *testing.T) {
 	h := newHarness(t, testSettings())
 	for id := range uint64(3000) {
 		h.serve(0, id, 1)
@@ -58,23 +58,23 @@
 		h.TimerFired(h.at, gossipTimer)
 	}
 	if n := len(h.customers.byID); n > 2500 {
-		t.Errorf("%d customers are kept of 3000 that came once in a minute", n)
+		t.Errorf("%d records of 3000 customers with one request each in a minute, want at most 2500", n)
 	}
 	for range 2 {
 		h.at += 60 * second
 		h.TimerFired(h.at, gossipTimer)
 	}
 	if n := len(h.customers.byID) + len(h.customers.inOrder); n != 0 {
-		t.Errorf("%d records of idle customers are kept", n)
+		t.Errorf("%d records of idle customers are left, want none", n)
 	}
-	// A customer that comes counts as one of those dropped, known or not.
+	// A new record reduces the idle overflow even if the customer had no record before.
 	if h.sharedBucket.rate <= 100 || h.sharedBucket.rate > 3000 {
-		t.Errorf("the shared bucket gets %g a second from 3000 idle shares of 1", h.sharedBucket.rate)
+		t.Errorf("shared bucket rate %g with 3000 idle customers, want 100 to 3000", h.sharedBucket.rate)
 	}
 }
 
-// Units of a request that never reached a backend return to the bucket and to the ceiling, once.
-func TestUnitsOfRequestsThatNeverRanAreRefunded(t *testing.T) {
+// The units of a request that never reached a backend are refunded to the bucket and the ceiling, once.
+func TestUnitsAreRefundedIfRequestNeverReachedBackend(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		plan    int
@@ -83,8 +83,8 @@
 	}{
 		{"never sent", 2, []Result{ResultNotSent}, 0},
 		{"never sent, three times", 2, []Result{ResultNotSent, ResultNotSent, ResultNotSent}, 0},
-		{"overloaded in between", 2, []Result{ResultNotSent, ResultOverloaded, ResultNotSent}, 2},
-		{"served in the end", 2, []Result{ResultNotSent, ResultOK}, 2},
+		{"overloaded at the second attempt", 2, []Result{ResultNotSent, ResultOverloaded, ResultNotSent}, 2},
+		{"served at the second attempt", 2, []Result{ResultNotSent, ResultOK}, 2},
 		{"no ceiling", 0, []Result{ResultNotSent, ResultNotSent, ResultNotSent}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -108,7 +108,7 @@
 	}
 }
 
-func TestBorrowedUnitsAreRefundedToTheSharedBucket(t *testing.T) {
+func TestBorrowedUnitsAreRefundedToSharedBucket(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.sharedBucket.level = h.sharedBucket.capacity
 	for h.serve(1, 9, 2) && h.sharedBucket.level == h.sharedBucket.capacity {
@@ -117,14 +117,14 @@
 	before := h.sharedBucket.level
 	id, sent := h.request(0, 1, 9, 2)
 	if !sent || h.sharedBucket.level >= before {
-		t.Fatalf("sent %t, shared bucket from %g to %g: nothing was borrowed",
+		t.Fatalf("sent %t, shared bucket level %g before and %g after: nothing was borrowed",
 			sent, before, h.sharedBucket.level)
 	}
 	h.end(id, ResultNotSent, true)
 	assertNear(t, "shared bucket", h.sharedBucket.level, before)
 }
 
-func TestCostIsSettledAndConcurrencyLimitHolds(t *testing.T) {
+func TestActualCostIsChargedAndConcurrencyIsLimited(t *testing.T) {
 	settings := testSettings()
 	settings.Gateways, settings.SettlesCost = 1, true
 	settings.Plans[0].ConcurrencyLimit = 2
--- a/policy/usageledger.go
+++ b/policy/usageledger.go
@@ -1,24 +1,24 @@
 package policy
 
-const usageReportRounds = 2 // rounds that report a change: one more than needed, against loss
+const usageReportRounds = 2 // gossip rounds that report a change; one is enough unless a message is lost
 
-// customerUsage counts the units of a customer at this gateway.
+// customerUsage counts a customer's units at this gateway.
 type customerUsage struct {
 	consumed, requested float64
 	requestedReported   float64 // the part of requested that was reported to peers
 }
 
-// usageLedger holds what this gateway counted of a customer's use since it started, how much of it was
-// reported, and what the peers reported of theirs. Its own counts rise but for units that are returned.
+// usageLedger counts a customer's usage at this gateway since the gateway's start, and how much of it was
+// reported. It also holds the usage that peers reported. Own counts decrease only when units are returned.
 type usageLedger struct {
-	customerUsage                    // in total
-	consumedReported float64         // the part of consumed that was reported to peers or the counter
-	reportsLeft      int             // gossip rounds that are still to report the use
-	byCoordinator    []customerUsage // a participant's in a wide set, by index of the coordinator
-	peers            []peerUsage     // by position in the replica set; nil: none reported yet
+	customerUsage                    // total over all coordinators
+	consumedReported float64         // the part of consumed that was reported to peers or the shared counter
+	reportsLeft      int             // gossip rounds that are still to report the usage
+	byCoordinator    []customerUsage // by coordinator index: the usage of a participant in a wide set
+	peers            []peerUsage     // by position in the replica set; nil if no peer has reported yet
 }
 
-// peerUsage holds the wrapping counts of a customer's use that a peer last reported.
+// peerUsage holds the wrapping counts of a customer's usage that a peer last reported.
 type peerUsage struct {
 	known       bool
 	incarnation uint32
@@ -31,7 +31,7 @@
 	u.consumed, u.requested = entry.consumed, entry.requested
 }
 
-// under is what was counted under the customer's coordinator of that index.
+// forCoordinator returns the usage counted for the customer's coordinator with the given index.
 func (l *usageLedger) forCoordinator(coordinator int) *customerUsage {
 	for len(l.byCoordinator) <= coordinator {
 		l.byCoordinator = append(l.byCoordinator, customerUsage{})
@@ -39,7 +39,7 @@
 	return &l.byCoordinator[coordinator]
 }
 
-// peer is what the gateway at a position of a set of that many replicas last reported.
+// peer returns the last report of the gateway at a position of a replica set of the given size.
 func (l *usageLedger) peer(position, replicas int) *peerUsage {
 	if l.peers == nil {
 		l.peers = make([]peerUsage, replicas)
@@ -47,13 +47,13 @@
 	return &l.peers[position]
 }
 
-// consume counts units that the coordinator of that index granted, 0 if none did.
+// consume counts units that the coordinator with the given index granted. The index is 0 for other units.
 func (l *usageLedger) consume(coordinator int, units float64) {
 	l.forCoordinator(coordinator).consumed += units
 	l.consumed += units
 }
 
-// unreported is how many of the units consumed were not reported yet.
+// unreported returns the consumed units that have not been reported yet.
 func (l *usageLedger) unreported() float64 { return l.consumed - l.consumedReported }
 
 // hasUnreported reports whether any count has changed since it was reported.
@@ -61,15 +61,16 @@
 	return l.consumed != l.consumedReported || l.requested != l.requestedReported
 }
 
-// scheduleReports has the next rounds report the use, and reports whether none was to do so before.
-func (l *usageLedger) scheduleReports() (first bool) {
-	first = l.reportsLeft == 0
+// scheduleReports makes the next gossip rounds report the usage. It returns whether no report was scheduled
+// before.
+func (l *usageLedger) scheduleReports() (newlyScheduled bool) {
+	newlyScheduled = l.reportsLeft == 0
 	l.reportsLeft = usageReportRounds
-	return first
+	return newlyScheduled
 }
 
-// markReported notes that a round has reported the use to all receivers. The next round repeats it if it is
-// to be repeated.
+// markReported records that a gossip round has reported the usage to all receivers. Unless repeat is set, no
+// further round reports it.
 func (l *usageLedger) markReported(repeat bool) {
 	l.consumedReported, l.requestedReported = l.consumed, l.requested
 	if l.reportsLeft--; !repeat {
@@ -77,5 +78,5 @@
 	}
 }
 
-// markCounted notes that the units consumed are known at the shared counter, or need not be.
+// markCounted records that the shared counter has all consumed units, or does not need them.
 func (l *usageLedger) markCounted() { l.consumedReported = l.consumed }
