--- a/policy/coordinator_test.go
+++ b/policy/coordinator_test.go
@@ -126,7 +126,7 @@
 		assertNear(t, "ceiling rate of all gateways", ceiling.rate, 80)
 		assertNear(t, "ceiling burst of all gateways", ceiling.capacity, 128)
 		if most := 64 + 40.0*seconds; sent > most || sent < 0.9*most {
-			t.Errorf("%d gateways sent %.0f units in %d s, want 90%% to 100%% of %.0f",
+			t.Errorf("%d gateways sent %.0f units in %d s, want 0.9 to 1 times %.0f",
 				gateways, sent, seconds, most)
 		}
 	}
--- a/policy/customer_test.go
+++ b/policy/customer_test.go
@@ -302,7 +302,7 @@
 	}{
 		{"new record", func(*customer) {}, true},
 		{"demand", func(c *customer) { c.demand.addOwn(0, 1) }, false},
-		{"attempt in flight", func(c *customer) { c.inFlight = 1 }, false},
+		{"attempts", func(c *customer) { c.inFlight = 1 }, false},
 		{"report left", func(c *customer) { c.usage.scheduleReports() }, false},
 		{"pending call of the shared counter", func(c *customer) { c.counter.recordCall(1) }, false},
 		{"limited grant", func(c *customer) { c.grant.fraction = 0.5 }, false},
--- a/policy/customerreport_test.go
+++ b/policy/customerreport_test.go
@@ -28,7 +28,7 @@
 			first, true, 18, 4,
 		},
 		{
-			"increase",
+			"increased counts",
 			usageSender{1, 5, true},
 			usageEntry{consumed: packUnits(5), requested: packUnits(7)},
 			true, 16, 7,
--- a/policy/demand_test.go
+++ b/policy/demand_test.go
@@ -18,7 +18,7 @@
 	cases := []struct {
 		name       string
 		own, peers float64
-	}{{"own demand", 1, 0}, {"peers' demand", 0, 1}, {"both", 1, 1}}
+	}{{"here", 1, 0}, {"at peers", 0, 1}, {"at both", 1, 1}}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			demand := customerDemand{window: second}
--- a/policy/quotagrant_test.go
+++ b/policy/quotagrant_test.go
@@ -48,7 +48,7 @@
 		spendable, demand, want float64
 	}{
 		{"more than the demand", 10, 5, 1},
-		{"half of the demand", 5, 10, 0.5},
+		{"half", 5, 10, 0.5},
 		{"nothing to spend", -3, 10, minGrantFraction},
 		{"no demand", 1, 0, 1},
 	}
@@ -68,7 +68,7 @@
 		fraction float64
 		want     bool
 	}{
-		{"unchanged", second, 1, false},
+		{"unchanged fraction", second, 1, false},
 		{"lowered by less than the factor", second, 0.85, false},
 		{"lowered", second, 0.5, true},
 		{"lowered again before the next advertisement is due", second, 0.25, false},
--- a/policy/quotasharing_test.go
+++ b/policy/quotasharing_test.go
@@ -170,10 +170,10 @@
 
 func TestRequiresGrantInWideSetsWithSmallQuota(t *testing.T) {
 	cases := []struct {
-		name                  string
-		plan                  Plan
-		replicas              int
-		isWide, requiresGrant bool
+		name              string
+		plan              Plan
+		replicas          int
+		isWide, wantGrant bool
 	}{
 		{"small set", Plan{Rate: 1, Burst: 100}, 4, false, false},
 		{"wide set, small quota", Plan{Rate: 1, Burst: 100}, 5, true, true},
@@ -188,11 +188,11 @@
 			if got := sharing.isFullMesh(set); got == c.isWide {
 				t.Errorf("is full mesh: %t, want %t", got, !c.isWide)
 			}
-			if got := sharing.requiresGrant(set); got != c.requiresGrant {
-				t.Errorf("requires a grant: %t, want %t", got, c.requiresGrant)
+			if got := sharing.requiresGrant(set); got != c.wantGrant {
+				t.Errorf("requires a grant: %t, want %t", got, c.wantGrant)
 			}
-			if got := sharing.reportsUsage(set); got == c.requiresGrant {
-				t.Errorf("reports usage: %t, want %t", got, !c.requiresGrant)
+			if got := sharing.reportsUsage(set); got == c.wantGrant {
+				t.Errorf("reports usage: %t, want %t", got, !c.wantGrant)
 			}
 		})
 	}
--- a/policy/tokenbucket_test.go
+++ b/policy/tokenbucket_test.go
@@ -12,7 +12,7 @@
 	}{
 		{name: "empty", level: 0, after: second, want: 2},
 		{name: "filled exactly", level: 4.5, after: second / 4, want: 5},
-		{name: "overflow", level: 4, after: second, want: 5, wantOverflow: 1},
+		{name: "filled beyond capacity", level: 4, after: second, want: 5, wantOverflow: 1},
 		{name: "full before the refill", level: 5, after: 10 * second, want: 5, wantOverflow: 20},
 		{name: "negative level", level: -3, after: second, want: -1},
 	} {
