--- a/policy/api.go
+++ b/policy/api.go
@@ -10,25 +10,24 @@
 // Idempotency says whether a request that may have run can be sent again.
 type Idempotency uint8
 
-// The kinds of requests: those that may run any number of times, those that backends of one
-// deduplication scope run once per key, and those that must never be sent twice.
+// The idempotency of a request.
 const (
-	Idempotent Idempotency = iota
-	IdempotentWithKey
-	NotIdempotent
+	Idempotent        Idempotency = iota // may run any number of times
+	IdempotentWithKey                    // the backends of a deduplication scope run it once per key
+	NotIdempotent                        // must not be sent again if it may have run
 )
 
-// DedupScope names the backends that together drop repeats of a request with an idempotency key.
+// DedupScope is the set of backends that together drop repeats of a request with an idempotency key.
 type DedupScope uint8
 
-// The scopes: all backends, those of one zone, those of one cell.
+// The deduplication scopes.
 const (
-	DedupAll DedupScope = iota
-	DedupZone
-	DedupCell
+	DedupAll  DedupScope = iota // all backends
+	DedupZone                   // the backends of one zone
+	DedupCell                   // the backends of one cell
 )
 
-// EndpointState is what service discovery says of an endpoint.
+// EndpointState is the state of an endpoint as reported by service discovery.
 type EndpointState uint8
 
 // The states of an endpoint.
@@ -41,7 +40,8 @@
 // Result is how an attempt, a health check or a counter call ended.
 type Result uint8
 
-// The results. Overloaded, ConnectFailed and NotSent prove that the request did not run.
+// Results of attempts, health checks and counter calls. ResultOverloaded, ResultConnectFailed and
+// ResultNotSent prove that the request did not run.
 const (
 	ResultOK Result = iota
 	ResultFailed
@@ -56,15 +56,15 @@
 // Class describes one class of requests.
 type Class struct {
 	Name             string
-	LatencyObjective Time // an answer by then earns the full value
+	LatencyObjective Time // an answer within this time earns the full value
 	Idempotency      Idempotency
 	DedupScope       DedupScope
-	DedupWindow      Time // how long the scope drops repeats of a key
+	DedupWindow      Time // how long the backends of the scope drop repeats of a key
 	PriorityWeight   float64
 }
 
-// Plan is what a customer has bought, in units and units a second. A Rate of 0 means no quota, a
-// ConcurrencyLimit of 0 no limit, a CeilingRate of 0 no ceiling.
+// Plan is what a customer has bought. Rates are in units per second, bursts and slack in units. If Rate is
+// zero, the plan has no quota; if ConcurrencyLimit or CeilingRate is zero, it has no such limit.
 type Plan struct {
 	Name                                     string
 	Rate, Burst                              float64
@@ -76,8 +76,8 @@
 // LoadMetric is the meaning of one value in a backend's load report.
 type LoadMetric uint8
 
-// The metrics. Values of no known meaning are UnusedMetric. No decision uses load reports: a
-// report is older than a request takes.
+// Metrics of a load report. Values of unknown meaning are UnusedMetric. No decision uses load reports, as a
+// report is older than the duration of a request.
 const (
 	UnusedMetric LoadMetric = iota
 	BusyMetric
@@ -86,32 +86,32 @@
 
 // Settings configure a Controller.
 type Settings struct {
-	Self, Gateways int // this gateway's index, and how many there are
+	Self, Gateways int // the index of this gateway, and the number of gateways
 	Zone           int
 	Classes        []Class
 	Plans          []Plan
 	LoadReport     []LoadMetric // the order of the values in a load report
 
-	PollEndpoints bool // service discovery sends updates only while it is watched
-	PollWithin    Time // within which an ended watch is to be renewed
+	PollEndpoints bool // service discovery sends updates only while a watch is active
+	PollWithin    Time // the time within which an ended watch must be renewed
 
 	Gossip, HealthChecks, Hedging, RetryAfterAdvice, SharedCounter, SettlesCost bool
 
-	MeterPeriod      Time    // the period that a meter reading covers; 0: no meter
-	GossipPerSecond  float64 // messages a second that a gateway can receive
-	MaxCost          float64 // the largest cost of a request, in units; 0: unknown
+	MeterPeriod      Time    // the period that a meter reading covers; zero if there is no meter
+	GossipPerSecond  float64 // the messages per second that a gateway can receive
+	MaxCost          float64 // the largest cost of a request, in units; zero if unknown
 	MaxAttempts      int
 	MaxRetryAfter    Time
-	MinEventInterval Time // the least time between two events
+	MinEventInterval Time // the minimum time between two events
 
-	SlowStartFloor float64 // the least share of its capacity that a backend starts with
-	SlowStartTime  Time    // after which a backend has all of its capacity
-	OverloadFactor float64 // the load, in capacities, that a backend in slow start fails at; 0: unknown
-	OverloadWindow Time    // over which the load on a starting backend is counted
+	SlowStartFloor float64 // the minimum share of its capacity that a backend has when it starts
+	SlowStartTime  Time    // the time from a backend's start until it has its full capacity
+	OverloadFactor float64 // the load at which a backend in slow start fails, in capacities; zero if unknown
+	OverloadWindow Time    // the time over which the load on a starting backend is counted
 
 	CrossZonePrice   float64
 	HandshakePrice   float64
-	UseCapacityHints bool // the endpoints' capacity hints can be compared
+	UseCapacityHints bool // whether the capacity hints of endpoints are comparable
 }
 
 // Endpoint is one entry of the endpoint list from service discovery.
@@ -120,19 +120,18 @@
 	Zone, Cell   int
 	State        EndpointState
 	CapacityHint float64
-	StartedAt    Time // by service discovery's clock; 0: long ago
+	StartedAt    Time // by the clock of service discovery; zero if unknown, which means warm
 }
 
-// UpdateKind says what an endpoint update holds.
+// UpdateKind is the kind of an endpoint update.
 type UpdateKind uint8
 
-// The kinds: the complete list, a complete list that may be stale, only the changed endpoints, or
-// nothing since service discovery is unavailable.
+// The kinds of endpoint updates.
 const (
-	UpdateComplete UpdateKind = iota
-	UpdateStale
-	UpdateIncremental
-	UpdateUnavailable
+	UpdateComplete    UpdateKind = iota // the complete list
+	UpdateStale                         // a complete list that may be out of date
+	UpdateIncremental                   // only the endpoints that have changed
+	UpdateUnavailable                   // no list, because service discovery is unavailable
 )
 
 // Request is a client's request.
@@ -141,46 +140,45 @@
 	Class, Plan            int // indices into the settings
 	Customer               uint64
 	Cost                   float64 // in units
-	Timeout                Time    // how long the client waits from now
-	FirstReplica, Replicas int     // the customer's gateways: Replicas in a row from FirstReplica
+	Timeout                Time    // how long the client continues to wait
+	FirstReplica, Replicas int     // the replica set: Replicas consecutive gateways from FirstReplica on
 }
 
 // Outcome reports how an attempt ended.
 type Outcome struct {
 	RequestID    uint64
-	Attempt      int // 0 is the request's first
+	Attempt      int // the index of the attempt within its request, from 0
 	Backend      uint32
 	Result       Result
 	Latency      Time
 	Answered     bool    // the client has its final answer
-	Unanswered   bool    // ResultConnectFailed: nothing came back to the dial, it was not refused
-	MeterReading int     // 1 + the customer's use through all gateways in percent of the rate; 0: none
-	ActualCost   float64 // in units; 0: not reported
+	Unanswered   bool    // with ResultConnectFailed: nothing came back to the dial, not even a refusal
+	MeterReading int     // 1 + the customer's use via all gateways, in percent of the rate; 0 if missing
+	ActualCost   float64 // in units; zero if not reported
 	LoadReport   []float32
 }
 
-// Actions carries out what a Controller decides, in the order of the calls. The methods must not
-// call the controller back.
+// Actions carries out the decisions of a Controller, in the order of the calls. Its methods must not call
+// the controller.
 type Actions interface {
-	// Send starts the next attempt of a request. The attempt is given up at until, or at the
-	// client's deadline if until is 0. Send reports whether the attempt waits, for a connection: the
-	// host then asks ConfirmSend right before it writes it.
-	Send(id uint64, backend uint32, until Time) (waiting bool)
-	// Reject answers that the request did not run and may be sent again after the given time.
-	Reject(id uint64, after Time)
-	// Fail answers with an error that promises nothing.
+	// Send starts the next attempt of a request. The attempt is abandoned at the given deadline, or
+	// at the client's deadline if it is zero. Send reports whether the attempt waits for a connection;
+	// if so, the host calls ConfirmSend right before it writes the request.
+	Send(id uint64, backend uint32, deadline Time) (waiting bool)
+	// Reject tells the client that the request did not run and may be sent again after the given time.
+	Reject(id uint64, retryAfter Time)
+	// Fail answers with an error that does not say whether the request ran.
 	Fail(id uint64)
-	// SetTimer asks for a call of TimerFired with the timer's ID at the given time.
+	// SetTimer schedules a call of TimerFired with the timer's ID at the given time.
 	SetTimer(at Time, timerID uint32)
-	// HealthCheck asks a backend whether it is alive.
+	// HealthCheck starts a health check of a backend.
 	HealthCheck(backend uint32)
-	// SendGossip sends a message of at most 256 bytes to a peer; it may arrive late or never.
+	// SendGossip sends a message of at most 256 bytes to a peer. Delivery may be late or fail.
 	SendGossip(peer int, message []byte)
 	// IncrementCounter adds to a named counter that all gateways share.
 	IncrementCounter(name uint64, units float64, lifetime Time)
-	// WatchEndpoints asks service discovery for the endpoint list and its changes from now on.
+	// WatchEndpoints requests the endpoint list and its later changes from service discovery.
 	WatchEndpoints()
-	// Log records an event for the operators. The message is constant for each kind of event, and so are
-	// the keys of its attributes.
+	// Log logs an event. The message and the attribute keys are constant for each kind of event.
 	Log(message string, attributes ...slog.Attr)
 }
--- a/policy/backendhealth.go
+++ b/policy/backendhealth.go
@@ -3,36 +3,36 @@
 import "math"
 
 const (
-	ejectionErrorRate      = 0.25       // the error rate from which on a backend is ejected
-	connectionFailureDecay = second     // the time constant in which a failed connection is forgotten
-	maxConnectionFailures  = 2.5        // recent resets from which on a backend is ejected
-	unresponsiveObjectives = 1.0        // time without an answer, in shortest objectives, until ejection
-	minEjectionTime        = second / 2 // the first ejection lasts so long, each in a row twice as long,
-	maxEjectionTime        = 4 * second // and none longer than this
+	ejectionErrorRate      = 0.25       // the error rate at which a backend is ejected
+	connectionFailureDecay = second     // the time constant of the count of recent connection failures
+	maxConnectionFailures  = 2.5        // the count of recent resets at which a backend is ejected
+	unresponsiveObjectives = 1.0        // the time without an answer until ejection, in shortest objectives
+	minEjectionTime        = second / 2 // of the first ejection; each consecutive one takes twice as long
+	maxEjectionTime        = 4 * second
 )
 
-// backendHealth is outlier detection for one backend. It is down from an ejection for silence or failed
-// connections until a health check or an attempt succeeds; an ejection for errors ends by its time. Methods
-// that may eject return why they did.
+// backendHealth is the outlier detection for one backend. A backend that is ejected because it is
+// unresponsive or its connections fail is down until a health check or an attempt succeeds. An ejection for
+// errors ends after its ejection time. Methods that may eject the backend return the reason.
 type backendHealth struct {
-	errorRate          float64     // the weighted share of errors among its answers
+	errorRate          float64     // the moving average of errors among its answers
 	connectionFailures decayingSum // over connectionFailureDecay
-	unansweredSince    Time        // active time since when it has had attempts and answered none
-	lastAnswerAt       Time        // when it last answered an attempt, in whatever way; 0: not yet
+	unansweredSince    Time        // the active time since which attempts are in flight without an answer
+	lastAnswerAt       Time        // the time of the last answer, successful or not; zero if there was none
 
 	down         bool // ejected until a health check or an attempt succeeds
-	unresponsive bool // down for silence or resets alone: its process is still running
-	ejectedAt    Time // when it was last ejected
-	ejectionTime Time // how long that ejection lasts
-	nextProbeAt  Time
+	unresponsive bool // down only for missing answers or resets, so its process may still be running
+	ejectedAt    Time // the time of the last ejection
+	ejectionTime Time // the duration of the last ejection
+	nextProbeAt  Time // the earliest time of the next health check or trial attempt
 }
 
-// failing reports whether a backend is down or has too many errors.
+// failing reports whether the backend is down or has too many errors.
 func (h *backendHealth) failing() bool { return h.down || h.errorRate >= ejectionErrorRate }
 
-// acceptsAttempts reports whether a backend with that many attempts in flight may get another one. One that
-// is down is tried again by a health check where those are allowed, and else, as after errors, by one attempt
-// at a time.
+// acceptsAttempts reports whether the backend, with the given number of attempts in flight, may get another
+// one. If health checks are allowed, a backend that is down gets none before a check succeeds. A failing
+// backend otherwise gets one attempt at a time after its ejection.
 func (h *backendHealth) acceptsAttempts(now Time, inFlight int, healthChecks bool) bool {
 	if h.down && healthChecks {
 		return false
@@ -40,20 +40,20 @@
 	return !h.failing() || now >= h.nextProbeAt && inFlight == 0
 }
 
-// expectAnswer notes that an attempt is sent to a backend with that many in flight before.
+// expectAnswer records that an attempt is sent while the given number of others are in flight.
 func (h *backendHealth) expectAnswer(activeTime Time, inFlight int) {
 	if inFlight == 0 {
 		h.unansweredSince = activeTime
 	}
 }
 
-// recordAnswer notes that an attempt was answered, in whatever way.
+// recordAnswer records an answer, successful or not.
 func (h *backendHealth) recordAnswer(now, activeTime Time) {
 	h.unansweredSince, h.lastAnswerAt = activeTime, now
 }
 
-// recordResult learns from how an attempt that was sent at a time ended, where the host was not stalled
-// meanwhile also from its success.
+// recordResult updates the health from the outcome of an attempt sent at the given time. A success is ignored
+// if the attempt overlapped a stall of this gateway.
 func (h *backendHealth) recordResult(
 	now, sentAt Time, outcome *Outcome, overlappedStall bool,
 ) ejectionReason {
@@ -65,7 +65,7 @@
 	case ResultFailed:
 		return h.recordError(now)
 	case ResultConnectFailed, ResultReset:
-		// A dial that was not answered while other attempts were is late, no sign of a restart.
+		// If other attempts were answered meanwhile, an unanswered dial is late but no sign of a restart.
 		isLate := outcome.Unanswered && h.lastAnswerAt > sentAt
 		down, ejected := h.recordConnectionFailure(now, isLate || outcome.Result == ResultReset)
 		if !down {
@@ -77,10 +77,11 @@
 	return notEjected
 }
 
-// recordSuccess notes that an attempt ended without an error.
+// recordSuccess records that an attempt ended without an error.
 func (h *backendHealth) recordSuccess() { h.errorRate += sampleWeight * (0 - h.errorRate) }
 
-// recordError notes that an attempt ended with an error, and ejects for too many of them.
+// recordError records that an attempt ended with an error, and ejects the backend if its error rate is too
+// high.
 func (h *backendHealth) recordError(now Time) ejectionReason {
 	h.errorRate += sampleWeight * (1 - h.errorRate)
 	if h.errorRate < ejectionErrorRate || now < h.nextProbeAt {
@@ -91,13 +92,14 @@
 }
 
 // recordConnectionFailure counts a connection that failed or was reset, and reports whether the backend is
-// down. After resets and late connections alone, mayRun, its process may still be running, and be warm.
+// down because of it. mayRun must be set after a reset or a late connection, as the process of the backend
+// may still be running and warm.
 func (h *backendHealth) recordConnectionFailure(now Time, mayRun bool) (down bool, ejected ejectionReason) {
 	h.connectionFailures.add(now, connectionFailureDecay, 1)
 	if mayRun && h.connectionFailures.sum < maxConnectionFailures {
 		return false, notEjected
 	}
-	// It stays taken for running only if every failure since it is down leaves that open.
+	// The process may still be running only if all failures since the backend went down allow for it.
 	h.unresponsive = mayRun && (h.unresponsive || !h.down)
 	if h.down && now < h.nextProbeAt {
 		return true, notEjected
@@ -107,13 +109,13 @@
 	return true, ejectedConnectionsFailed
 }
 
-// detectUnresponsive ejects a backend that answers nothing for longer than the objective. Only overdue
-// attempts are evidence, and one alone, which may have been lost, counts half. One in slow start has the
-// longer, the smaller its share of the capacity.
+// detectUnresponsive ejects the backend if it has not answered for longer than the objective. Only overdue
+// attempts are evidence; a single one counts half, as it may have been lost. A backend in slow start has more
+// time, in inverse proportion to its share of the capacity.
 func (h *backendHealth) detectUnresponsive(
 	now, activeTime Time, overdue int, share float64, objective Time,
 ) ejectionReason {
-	weight := math.Min(1, float64(overdue)/2) // 0, a half, or 1 for two and more
+	weight := math.Min(1, float64(overdue)/2) // two overdue attempts are full evidence
 	silence := float64(activeTime-h.unansweredSince) * share * weight
 	if h.down || silence <= unresponsiveObjectives*float64(objective) {
 		return notEjected
@@ -123,7 +125,7 @@
 	return ejectedUnresponsive
 }
 
-// eject takes the backend out of rotation, for longer each time in a row.
+// eject removes the backend from rotation, for twice as long as before if the ejections are consecutive.
 func (h *backendHealth) eject(now Time) {
 	if now-h.ejectedAt > 2*maxEjectionTime {
 		h.ejectionTime = 0
@@ -132,16 +134,16 @@
 	h.ejectedAt, h.nextProbeAt = now, now+h.ejectionTime
 }
 
-// reinstatement says whether a backend was taken back into rotation.
+// reinstatement says whether and how a backend was returned to rotation.
 type reinstatement uint8
 
 const (
-	notReinstated       reinstatement = iota // it was not down
-	reinstatedWarm                           // it ran all the time
-	reinstatedRestarted                      // it could not be connected to, and may have restarted
+	notReinstated       reinstatement = iota // the backend was not down
+	reinstatedWarm                           // the backend has kept running
+	reinstatedRestarted                      // connections had failed, so the backend may have restarted
 )
 
-// reinstate takes a backend that was down back into rotation, as an attempt or a health check succeeded.
+// reinstate returns a backend that was down to rotation after a successful attempt or health check.
 func (h *backendHealth) reinstate(activeTime Time) reinstatement {
 	if !h.down {
 		return notReinstated
@@ -153,13 +155,13 @@
 	return reinstatedRestarted
 }
 
-// isProbeDue reports whether the time for a health check has come.
+// isProbeDue reports whether a health check is due.
 func (h *backendHealth) isProbeDue(now Time) bool { return h.down && now >= h.nextProbeAt }
 
-// startProbe notes that a health check begins now.
+// startProbe records that a health check starts now.
 func (h *backendHealth) startProbe(now Time) { h.nextProbeAt = now + maxEjectionTime }
 
-// recordFailedProbe notes that a health check failed: the ejection goes on.
+// recordFailedProbe extends the ejection after a failed health check.
 func (h *backendHealth) recordFailedProbe(now Time, connectFailed bool) {
 	if !h.down {
 		return
--- a/policy/backendhealth_test.go
+++ b/policy/backendhealth_test.go
@@ -4,62 +4,62 @@
 
 const testObjective = second / 2
 
-// ejectedByErrors is the health of a backend that errors have just ejected.
+// ejectedByErrors returns the health of a backend that has just been ejected for errors.
 func ejectedByErrors(t *testing.T) *backendHealth {
 	t.Helper()
 	var health backendHealth
 	errors := 0
 	for health.recordError(start) == notEjected {
 		if errors++; errors > 20 {
-			t.Fatal("not ejected for 20 errors")
+			t.Fatal("not ejected after 20 errors")
 		}
 	}
 	return &health
 }
 
-func TestErrorsEjectFromTheirRateOn(t *testing.T) {
+func TestRecordErrorEjectsAtErrorRate(t *testing.T) {
 	health := ejectedByErrors(t)
 	if !health.failing() || health.down {
-		t.Errorf("error rate %g, down %t: want it failing, and tried again", health.errorRate, health.down)
+		t.Errorf("error rate %g, down %t: want failing and not down", health.errorRate, health.down)
 	}
 	if health.acceptsAttempts(start, 0, true) {
-		t.Error("gets an attempt as soon as it is ejected")
+		t.Error("attempt accepted right after the ejection")
 	}
 	if reason := health.recordError(start + 1); reason != notEjected {
-		t.Errorf("ejected again for reason %v while it is ejected", reason)
+		t.Errorf("ejected again with reason %v during the ejection", reason)
 	}
 }
 
-func TestBackendWithErrorsGetsOneAttemptAtATime(t *testing.T) {
+func TestFailingBackendGetsOneAttemptAtATimeAfterEjection(t *testing.T) {
 	health := ejectedByErrors(t)
 	after := start + minEjectionTime
 	if !health.acceptsAttempts(after, 0, true) || health.acceptsAttempts(after, 1, true) {
-		t.Error("want one attempt at a time after the ejection")
+		t.Error("want exactly one attempt in flight after the ejection")
 	}
 	if reason := health.recordError(after); reason != ejectedErrors {
-		t.Errorf("reason %v for another error after the ejection", reason)
+		t.Errorf("got reason %v for an error after the ejection, want ejectedErrors", reason)
 	}
 	for range 20 {
 		health.recordSuccess()
 	}
 	if health.failing() || !health.acceptsAttempts(after, 9, true) {
-		t.Errorf("error rate %g after 20 successes", health.errorRate)
+		t.Errorf("still failing after 20 successes, with error rate %g", health.errorRate)
 	}
 }
 
-func TestConnectionFailuresEject(t *testing.T) {
+func TestRecordConnectionFailureEjects(t *testing.T) {
 	for _, c := range []struct {
 		name         string
-		mayRun       []bool // of each failure, all at one moment
+		mayRun       []bool // one entry per failure; all happen at the same time
 		down         bool
-		unresponsive bool // and so reinstated warm
+		unresponsive bool // the backend is reinstated warm
 	}{
-		{name: "one refused", mayRun: []bool{false}, down: true},
+		{name: "one refusal", mayRun: []bool{false}, down: true},
 		{name: "one reset", mayRun: []bool{true}},
 		{name: "two resets", mayRun: []bool{true, true}},
 		{name: "three resets", mayRun: []bool{true, true, true}, down: true, unresponsive: true},
-		{name: "one refused and resets", mayRun: []bool{false, true, true, true}, down: true},
-		{name: "resets and one refused", mayRun: []bool{true, true, true, false}, down: true},
+		{name: "one refusal before resets", mayRun: []bool{false, true, true, true}, down: true},
+		{name: "one refusal after resets", mayRun: []bool{true, true, true, false}, down: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var health backendHealth
@@ -72,7 +72,7 @@
 				}
 			}
 			if down != c.down || health.down != c.down || health.unresponsive != c.unresponsive {
-				t.Errorf("reported down %t, %+v", down, health)
+				t.Errorf("got down %t and health %+v", down, health)
 			}
 			if want := int(indicator(c.down)); ejections != want {
 				t.Errorf("ejected %d times, want %d", ejections, want)
@@ -85,13 +85,13 @@
 				want = reinstatedWarm
 			}
 			if got := health.reinstate(start); got != want || health.down {
-				t.Errorf("reinstated %v, want %v", got, want)
+				t.Errorf("reinstate: got %v, want %v", got, want)
 			}
 		})
 	}
 }
 
-func TestSilenceEjectsByOverdueAttemptsOnly(t *testing.T) {
+func TestDetectUnresponsiveCountsOnlyOverdueAttempts(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		silence Time
@@ -99,12 +99,12 @@
 		share   float64
 		want    ejectionReason
 	}{
-		{name: "no attempt is overdue", silence: 99 * second, share: 1},
-		{name: "for an objective", silence: testObjective, overdue: 2, share: 1},
+		{name: "no attempt overdue", silence: 99 * second, share: 1},
+		{name: "for the objective", silence: testObjective, overdue: 2, share: 1},
 		{name: "for longer", silence: testObjective + 1, overdue: 2, share: 1, want: ejectedUnresponsive},
-		{name: "one attempt counts half", silence: 2 * testObjective, overdue: 1, share: 1},
+		{name: "one attempt, twice the objective", silence: 2 * testObjective, overdue: 1, share: 1},
 		{
-			name: "one attempt, twice as long", silence: 2*testObjective + 2, overdue: 1, share: 1,
+			name: "one attempt, longer than that", silence: 2*testObjective + 2, overdue: 1, share: 1,
 			want: ejectedUnresponsive,
 		},
 		{name: "in slow start", silence: 2 * testObjective, overdue: 5, share: 0.5},
@@ -124,20 +124,20 @@
 	}
 }
 
-func TestSilenceBeginsWithTheFirstAttemptInFlight(t *testing.T) {
+func TestUnansweredSinceFirstAttemptInFlight(t *testing.T) {
 	var health backendHealth
 	health.expectAnswer(start, 0)
 	health.expectAnswer(start+second, 1)
 	if health.unansweredSince != start {
 		t.Errorf("unanswered since %d, want %d", health.unansweredSince, start)
 	}
-	health.recordAnswer(start+2*second, start+second) // a second was lost in a stall
+	health.recordAnswer(start+2*second, start+second) // active time is a second behind because of a stall
 	if health.unansweredSince != start+second || health.lastAnswerAt != start+2*second {
-		t.Errorf("unanswered since %d, answered at %d", health.unansweredSince, health.lastAnswerAt)
+		t.Errorf("unanswered since %d, last answer at %d", health.unansweredSince, health.lastAnswerAt)
 	}
 }
 
-func TestEjectionTimeDoublesAndFallsBack(t *testing.T) {
+func TestEjectionTimeDoublesUpToMaximumAndResets(t *testing.T) {
 	var health backendHealth
 	now := start
 	for i, want := range []Time{second / 2, second, 2 * second, 4 * second, 4 * second} {
@@ -149,37 +149,37 @@
 	}
 	health.eject(health.ejectedAt + 2*maxEjectionTime + 1)
 	if health.ejectionTime != minEjectionTime {
-		t.Errorf("%d after long in rotation, want %d", health.ejectionTime, minEjectionTime)
+		t.Errorf("ejection time %d after long in rotation, want %d", health.ejectionTime, minEjectionTime)
 	}
 }
 
-func TestBackendThatIsDownIsProbedWhenItsTimeHasCome(t *testing.T) {
+func TestProbeIsDueAtEndOfEjection(t *testing.T) {
 	var health backendHealth
 	if health.isProbeDue(start) {
-		t.Error("probed though it is not down")
+		t.Error("probe due although the backend is not down")
 	}
 	health.recordFailedProbe(start, true)
 	if health != (backendHealth{}) {
-		t.Errorf("a late health check changed one that is not down: %+v", health)
+		t.Errorf("failed probe changed a backend that is not down: %+v", health)
 	}
 	health.recordConnectionFailure(start, false)
 	due := start + minEjectionTime
 	if health.isProbeDue(due-1) || !health.isProbeDue(due) {
-		t.Error("want a probe at the end of the ejection")
+		t.Error("probe not due exactly at the end of the ejection")
 	}
 	if health.startProbe(due); health.isProbeDue(due) {
-		t.Error("want one probe at a time")
+		t.Error("second probe due while one is in progress")
 	}
 	health.recordFailedProbe(due, false)
 	if health.nextProbeAt != due+2*minEjectionTime {
-		t.Errorf("next probe after %d, want twice the ejection", health.nextProbeAt-due)
+		t.Errorf("next probe after %d, want twice the first ejection time", health.nextProbeAt-due)
 	}
 	if health.acceptsAttempts(due+second, 0, true) || !health.acceptsAttempts(due+second, 0, false) {
-		t.Error("want attempts to one that is down only where health checks are not allowed")
+		t.Error("want attempts at a backend that is down only if health checks are not allowed")
 	}
 }
 
-func TestProbeWithoutConnectionShowsARestart(t *testing.T) {
+func TestProbeThatFailsToConnectImpliesRestart(t *testing.T) {
 	for _, connectFailed := range []bool{false, true} {
 		health := backendHealth{down: true, unresponsive: true}
 		health.recordFailedProbe(start, connectFailed)
@@ -188,18 +188,18 @@
 			want = reinstatedRestarted
 		}
 		if got := health.reinstate(start); got != want {
-			t.Errorf("connection failed %t: reinstated %v, want %v", connectFailed, got, want)
+			t.Errorf("connection failed %t: got %v, want %v", connectFailed, got, want)
 		}
 	}
 }
 
-func TestResultsCountForTheHealthOfABackend(t *testing.T) {
+func TestRecordResultUpdatesHealth(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		outcome Outcome
 		stalled bool
 		want    ejectionReason
-		errors  float64 // the error rate, from a half
+		errors  float64 // the error rate, which is 0.5 before
 	}{
 		{name: "answer", outcome: Outcome{Result: ResultOK}, errors: 0.45},
 		{name: "answer after a stall", outcome: Outcome{Result: ResultOK}, stalled: true, errors: 0.5},
@@ -212,7 +212,7 @@
 			errors: 0.5,
 		},
 		{
-			name: "dial unanswered while others were", want: ejectedErrors, errors: 0.55,
+			name: "dial unanswered while another attempt was answered", want: ejectedErrors, errors: 0.55,
 			outcome: Outcome{Result: ResultConnectFailed, Unanswered: true},
 		},
 		{name: "not sent", outcome: Outcome{Result: ResultNotSent}, errors: 0.5},
--- a/policy/backendload.go
+++ b/policy/backendload.go
@@ -1,18 +1,18 @@
 package policy
 
-// backendLoad counts the attempts in flight at a backend: overdue is at most inFlight.
+// backendLoad counts the attempts in flight at a backend.
 type backendLoad struct {
 	inFlight int
-	overdue  int // those of them that are pending for longer than their objective
+	overdue  int // the part of inFlight that is pending for longer than the latency objective
 }
 
-// add counts another attempt.
+// addAttempt counts another attempt.
 func (l *backendLoad) add() { l.inFlight++ }
 
-// markOverdue counts one of the attempts as overdue.
+// markOverdue counts an attempt in flight as overdue.
 func (l *backendLoad) markOverdue() { l.overdue++ }
 
-// remove counts an attempt as ended.
+// removeAttempt removes an attempt that has ended.
 func (l *backendLoad) remove(overdue bool) {
 	l.inFlight--
 	if overdue {
@@ -20,8 +20,9 @@
 	}
 }
 
-// effective is how many of the attempts load the backend: overdue ones as far as answers are late everywhere,
-// since they may be lost, and would else block all others.
+// effective returns the number of attempts that load the backend. Overdue attempts are weighted by the share
+// of late answers of all backends: if other answers are on time, overdue attempts are probably lost and must
+// not block new ones.
 func (l *backendLoad) effective(lateShare float64) float64 {
 	return float64(l.inFlight) - float64(l.overdue)*(1-lateShare)
 }
--- a/policy/backendtable.go
+++ b/policy/backendtable.go
@@ -6,13 +6,13 @@
 	"slices"
 )
 
-const departedRetention = 60 * second // for which a backend that is no longer listed keeps its start
+const departedRetention = 60 * second // how long the starts of a removed backend are retained
 
-// backend is one endpoint as this gateway sees it. Each of its parts has its own state.
+// backend is an endpoint with the state that this gateway has about it.
 type backend struct {
 	Endpoint
-	listed    bool // in the current endpoint list
-	inSubset  bool // preferred by this gateway
+	listed    bool // whether it is in the current endpoint list
+	inSubset  bool // whether this gateway prefers it
 	load      backendLoad
 	health    backendHealth
 	latency   latencyRatio
@@ -23,19 +23,19 @@
 // ready reports whether service discovery lists the backend as ready.
 func (b *backend) ready() bool { return b.listed && b.State == EndpointReady }
 
-// acceptsAttempts reports whether the backend's health lets it have another attempt.
+// acceptsAttempts reports whether the health of the backend allows another attempt.
 func (b *backend) acceptsAttempts(now Time, healthChecks bool) bool {
 	return b.health.acceptsAttempts(now, b.load.inFlight, healthChecks)
 }
 
-// isWarm reports whether the backend shows what a warm one serves this gateway.
+// isWarm reports whether the backend counts towards the rate at which warm backends answer this gateway.
 func (b *backend) isWarm(now Time, healthChecks bool, parameters *slowStartParameters) bool {
 	return b.ready() && b.inSubset && b.acceptsAttempts(now, healthChecks) &&
 		b.slowStart.share(now, parameters) == 1
 }
 
-// update applies an entry of the endpoint list. It reports whether that tells of a start that was not known:
-// what was learnt of the process before holds no more.
+// update applies an entry of the endpoint list. It reports whether the entry has a new start; if so, the
+// error rate and latency of the previous process are reset.
 func (b *backend) update(endpoint Endpoint) (started bool) {
 	b.Endpoint, b.listed = endpoint, endpoint.State != EndpointRemoved
 	if !b.slowStart.stamps.isNewStart(endpoint.StartedAt) {
@@ -47,23 +47,22 @@
 	return true
 }
 
-// departedBackend is what is kept of a backend that is no longer listed: a list may bring it back.
+// departedBackend is the state retained of a removed backend, in case a later list has it again.
 type departedBackend struct {
 	stamps    startStamps
 	startedAt Time
-	at        Time // when it was forgotten otherwise
+	at        Time // when the backend was removed from the table
 }
 
-// backendTable holds the backends that are listed, have attempts in flight, or are in slow start: the same
-// ones in inOrder and byID. The starts of those that it has forgotten of late are in departed, which has none
-// of the others.
+// backendTable holds the backends that are listed, have attempts in flight, or are in slow start. inOrder and
+// byID hold the same backends; departed holds the starts of recently removed ones, which are in neither.
 type backendTable struct {
-	inOrder  []*backend // in the order in which they became known
+	inOrder  []*backend // in the order in which they were added
 	byID     map[uint32]*backend
-	departed map[uint32]departedBackend // by ID: no longer listed
+	departed map[uint32]departedBackend // by ID
 	healthy  int                        // ready backends that are not ejected, as of the last count
-	classes  int                        // that have fault reports
-	plans    int
+	classes  int                        // the number of classes with fault reports
+	plans    int                        // the number of plans with fault reports
 }
 
 func newBackendTable(classes, plans int) backendTable {
@@ -72,15 +71,16 @@
 	}
 }
 
-// beginUpdate prepares for the entries of an update: a complete list has all that are listed from then on.
+// beginUpdate prepares for the entries of an update. Unless the update is incremental, only backends with an
+// entry remain listed.
 func (t *backendTable) beginUpdate(kind UpdateKind) {
 	for _, backend := range t.inOrder {
 		backend.listed = backend.listed && kind == UpdateIncremental
 	}
 }
 
-// mostlyKnows reports whether at least half of the starts in a list are known: the rest are starts since the
-// list that the table was made of. One of which most stamps are out of date is too old to tell.
+// knowsMostStarts reports whether at least half of the starts in a list are known. If so, the others happened
+// after the list that the table was built from; otherwise the table is too old to tell.
 func (t *backendTable) mostlyKnows(list []Endpoint) bool {
 	unknown := 0
 	for _, endpoint := range list {
@@ -95,8 +95,8 @@
 	return len(t.inOrder) > 0 && 2*unknown <= len(list)
 }
 
-// record returns the record of an endpoint. It makes a missing one, with the start that was known of it, and
-// draws what its slow start begins with.
+// findOrAdd returns the backend of an endpoint. If the backend is missing, it is added with a random initial
+// level of its slow start bucket and, if it was removed recently, with its previous starts.
 func (t *backendTable) record(endpoint Endpoint, now Time, random *rand.Rand) *backend {
 	if known := t.byID[endpoint.ID]; known != nil {
 		return known
@@ -112,13 +112,14 @@
 	return added
 }
 
-// unlisted returns the record of a backend that need not be in the endpoint list yet.
+// findOrAddUnlisted returns the backend with the given ID. If the backend is missing, it is added as not
+// listed.
 func (t *backendTable) unlisted(id uint32, now Time, random *rand.Rand) *backend {
 	return t.record(Endpoint{ID: id, State: EndpointRemoved}, now, random)
 }
 
-// prune forgets backends that are not listed and have nothing in flight. One in slow start is kept until it
-// is warm, as a stale list may bring it back as one that started long ago.
+// prune removes the backends that are not listed and have nothing in flight. A backend in slow start stays
+// until it is warm, because a stale list may report it again without its start.
 func (t *backendTable) prune(now Time, parameters *slowStartParameters) {
 	t.inOrder = slices.DeleteFunc(t.inOrder, func(backend *backend) bool {
 		gone := !backend.listed && backend.load.inFlight == 0 && backend.slowStart.share(now, parameters) == 1
@@ -132,7 +133,7 @@
 	})
 }
 
-// sweepDeparted forgets backends that have not been listed for long.
+// sweepDeparted drops the starts of backends that were removed more than departedRetention ago.
 func (t *backendTable) sweepDeparted(now Time) {
 	for id, departed := range t.departed {
 		if now-departed.at > departedRetention {
@@ -141,7 +142,7 @@
 	}
 }
 
-// warmedUp returns the backends whose slow start has ended since it was last asked.
+// endSlowStarts ends the slow starts of the backends that are warm now, and returns these backends.
 func (t *backendTable) warmedUp(now Time, parameters *slowStartParameters) []*backend {
 	var ended []*backend
 	for _, backend := range t.inOrder {
@@ -152,7 +153,7 @@
 	return ended
 }
 
-// startProbes returns the ready backends whose health check is due, and notes that it begins now.
+// startProbes returns the ready backends whose health check is due, and records that it starts now.
 func (t *backendTable) startProbes(now Time) []*backend {
 	var due []*backend
 	for _, backend := range t.inOrder {
@@ -164,7 +165,8 @@
 	return due
 }
 
-// unavailable is how many listed backends get no attempts, as they are draining or ejected.
+// countUnavailable returns the number of listed backends that get no attempts because they are draining or
+// ejected.
 func (t *backendTable) unavailable() int {
 	count := 0
 	for _, backend := range t.inOrder {
@@ -175,8 +177,8 @@
 	return count
 }
 
-// effectiveInFlight is how many of this gateway's attempts load the backends, where the given share of all
-// answers is late. Attempts at a backend that is down don't count, those at a slow one count less.
+// effectiveInFlight returns the number of this gateway's attempts that load the backends, given the share of
+// late answers. Attempts at a backend that is down don't count; attempts at a slow backend count less.
 func (t *backendTable) effectiveInFlight(now Time, lateShare float64) float64 {
 	total := 0.0
 	for _, backend := range t.inOrder {
@@ -187,7 +189,7 @@
 	return total
 }
 
-// warmingUp is how many ready backends are in slow start.
+// countWarmingUp returns the number of ready backends in slow start.
 func (t *backendTable) warmingUp(now Time, parameters *slowStartParameters) int {
 	count := 0
 	for _, backend := range t.inOrder {
@@ -198,7 +200,8 @@
 	return count
 }
 
-// renumberFaults moves the fault reports to other numbers of classes and plans, see faultReports.renumber.
+// renumberFaults moves the fault reports of all backends to new indices of classes and plans, as
+// faultReports.renumber does.
 func (t *backendTable) renumberFaults(oldClasses, newPlans []int, planCount int) {
 	t.classes, t.plans = len(oldClasses), planCount
 	for _, backend := range t.inOrder {
--- a/policy/backendtable_test.go
+++ b/policy/backendtable_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// testTable is a table with the listed backends, and the parameters of its slow starts.
+// testTable returns a table with the given backends, its random source, and slow start parameters.
 func testTable(list []Endpoint) (*backendTable, *rand.Rand, *slowStartParameters) {
 	settings := testSettings()
 	parameters := settings.slowStartParameters()
@@ -16,7 +16,7 @@
 	return &table, random, &parameters
 }
 
-func TestCompleteListUnlistsWhatItMisses(t *testing.T) {
+func TestCompleteListUnlistsMissingBackends(t *testing.T) {
 	for _, c := range []struct {
 		kind UpdateKind
 		want bool
@@ -25,12 +25,12 @@
 		table.beginUpdate(c.kind)
 		table.byID[1].update(Endpoint{ID: 1})
 		if got := table.byID[2].listed; got != c.want || !table.byID[1].listed {
-			t.Errorf("kind %d: the other is listed %t, want %t", c.kind, got, c.want)
+			t.Errorf("kind %d: missing backend listed %t, want %t", c.kind, got, c.want)
 		}
 	}
 }
 
-func TestBackendStartsOncePerStamp(t *testing.T) {
+func TestBackendUpdateReportsEachStartOnce(t *testing.T) {
 	table, _, _ := testTable(endpoints(1))
 	backend := table.byID[1]
 	for i, c := range []struct {
@@ -41,13 +41,13 @@
 		if got := backend.update(Endpoint{ID: 1, StartedAt: c.stamp}); got != c.want {
 			t.Errorf("update %d: started %t, want %t", i, got, c.want)
 		}
-		if isForgotten := backend.health.errorRate == 0 && backend.latency.ratio == 0; isForgotten != c.want {
-			t.Errorf("update %d: forgot what was learnt before: %t, want %t", i, isForgotten, c.want)
+		if isReset := backend.health.errorRate == 0 && backend.latency.ratio == 0; isReset != c.want {
+			t.Errorf("update %d: error rate and latency reset %t, want %t", i, isReset, c.want)
 		}
 	}
 }
 
-func TestBackendsAreForgottenOnceNothingNeedsThem(t *testing.T) {
+func TestPruneRemovesUnusedBackends(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(*backend)
@@ -56,7 +56,7 @@
 		{name: "listed", change: func(b *backend) { b.listed = true }, want: true},
 		{name: "in flight", change: func(b *backend) { b.load.inFlight = 1 }, want: true},
 		{name: "in slow start", change: func(b *backend) { b.slowStart.startedAt = start }, want: true},
-		{name: "none of these", change: func(*backend) {}},
+		{name: "not in use", change: func(*backend) {}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			table, _, parameters := testTable(endpoints(2))
@@ -65,7 +65,7 @@
 			table.prune(start, parameters)
 			_, departed := table.departed[1]
 			if got := table.byID[1] != nil; got != c.want || departed == c.want {
-				t.Errorf("kept %t and remembered as departed %t, want kept %t", got, departed, c.want)
+				t.Errorf("kept %t, departed %t; want kept %t, and departed if not", got, departed, c.want)
 			}
 			if want := 1 + int(indicator(c.want)); len(table.inOrder) != want || len(table.byID) != want {
 				t.Errorf("%d in order, %d by ID, want %d", len(table.inOrder), len(table.byID), want)
@@ -74,24 +74,24 @@
 	}
 }
 
-func TestDepartedBackendKeepsItsStartForAWhile(t *testing.T) {
+func TestDepartedBackendKeepsStartForRetentionTime(t *testing.T) {
 	for _, c := range []struct {
 		after Time
-		want  bool // it starts anew when it is listed again
+		want  bool // whether it has a new start when it is listed again
 	}{{departedRetention, false}, {departedRetention + 1, true}} {
 		endpoint := Endpoint{ID: 1, StartedAt: 5}
 		table, random, parameters := testTable([]Endpoint{endpoint})
 		table.byID[1].listed, table.byID[1].slowStart.startedAt = false, 1
 		table.prune(start, parameters)
 		table.sweepDeparted(start + c.after)
-		back := table.record(endpoint, start+c.after, random)
-		if got := back.update(endpoint); got != c.want || back.slowStart.startedAt == 1 == c.want {
-			t.Errorf("after %d: started %t at %d", c.after, got, back.slowStart.startedAt)
+		readded := table.record(endpoint, start+c.after, random)
+		if got := readded.update(endpoint); got != c.want || readded.slowStart.startedAt == 1 == c.want {
+			t.Errorf("after %d: new start %t, started at %d", c.after, got, readded.slowStart.startedAt)
 		}
 	}
 }
 
-func TestListIsKnownUnlessMostOfItsStartsAreNew(t *testing.T) {
+func TestKnowsMostStarts(t *testing.T) {
 	stamped := func(stamps ...Time) []Endpoint {
 		list := endpoints(len(stamps))
 		for i := range list {
@@ -104,12 +104,12 @@
 		before, list []Endpoint
 		want         bool
 	}{
-		{name: "nothing before", list: stamped(0, 0)},
-		{name: "the same", before: stamped(1, 1), list: stamped(1, 1), want: true},
-		{name: "half is new", before: stamped(1, 1), list: stamped(1, 2), want: true},
-		{name: "most is new", before: stamped(1, 1, 1), list: stamped(1, 2, 2)},
-		{name: "without stamps", before: stamped(1, 1), list: stamped(0, 0, 0, 0, 0), want: true},
-		{name: "other backends", before: stamped(1), list: stamped(1, 2, 2)},
+		{name: "empty table", list: stamped(0, 0)},
+		{name: "no new start", before: stamped(1, 1), list: stamped(1, 1), want: true},
+		{name: "half of the starts new", before: stamped(1, 1), list: stamped(1, 2), want: true},
+		{name: "most starts new", before: stamped(1, 1, 1), list: stamped(1, 2, 2)},
+		{name: "list without stamps", before: stamped(1, 1), list: stamped(0, 0, 0, 0, 0), want: true},
+		{name: "most backends new", before: stamped(1), list: stamped(1, 2, 2)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			table, _, _ := testTable(c.before)
@@ -120,16 +120,16 @@
 	}
 }
 
-func TestUnavailableBackendsAreThoseThatAreListedAndGetNothing(t *testing.T) {
+func TestCountUnavailableAndWarmingUpBackends(t *testing.T) {
 	table, random, parameters := testTable(endpoints(4))
 	table.byID[1].update(Endpoint{ID: 1, State: EndpointDraining})
 	table.byID[2].health.down = true
 	table.unlisted(9, start, random)
 	if got := table.unavailable(); got != 2 {
-		t.Errorf("%d unavailable, want the draining one and the one that is down", got)
+		t.Errorf("%d unavailable, want 2: the draining one and the one that is down", got)
 	}
 	table.byID[1].slowStart.startedAt, table.byID[3].slowStart.startedAt = start, start
 	if got := table.warmingUp(start, parameters); got != 1 {
-		t.Errorf("%d in slow start, want the one that is ready", got)
+		t.Errorf("%d in slow start, want 1: the ready one", got)
 	}
 }
--- a/policy/clienttimeouts.go
+++ b/policy/clienttimeouts.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// clientTimeouts are how long clients usually wait, by plan and class, in microseconds. They are learnt from
-// requests that were received as soon as they came.
+// clientTimeouts holds the average timeouts of clients in microseconds, by plan and class. It is updated by
+// the requests that were received without the delay of a stall.
 type clientTimeouts [][]movingAverage
 
 func newClientTimeouts(plans, classes int) clientTimeouts {
@@ -14,8 +14,9 @@
 	return timeouts
 }
 
-// hasExpired reports whether a request that was received as this gateway resumed after a stall arrived so
-// long ago that an answer after the usual latency misses the objective. It learns from any other request.
+// hasExpired reports whether a request that was received right after a stall has waited for so long that an
+// answer after the usual latency would miss the objective. Any other request updates the average of its plan
+// and class.
 func (t clientTimeouts) hasExpired(req *Request, isResuming bool, usualLatency float64, objective Time) bool {
 	if !isResuming {
 		t[req.Plan][req.Class].add(float64(req.Timeout), sampleWeight)
@@ -24,13 +25,14 @@
 	return t.waited(req)+usualLatency > float64(objective)
 }
 
-// waited is for how long a request has waited before it was received: what it lacks of the usual timeout.
+// waitTime returns the estimated time that a request waited before it was received: the usual timeout less
+// the remaining one.
 func (t clientTimeouts) waited(req *Request) float64 {
 	return t[req.Plan][req.Class].value - float64(req.Timeout)
 }
 
-// renumberClasses moves the averages to the indices of as many classes; oldIndices has the index of each
-// until now, -1 for a new one.
+// renumberClasses moves the averages to new indices of classes. oldIndices has the old index of each class,
+// or -1 for a new one.
 func (t clientTimeouts) renumberClasses(oldIndices []int) {
 	for plan, row := range t {
 		t[plan] = make([]movingAverage, len(oldIndices))
@@ -38,8 +40,8 @@
 	}
 }
 
-// renumberPlans moves the averages to the indices of so many plans; indices has the new index of each, -1 for
-// one that is gone.
+// renumberPlans returns the averages at the indices of new plans. indices has the new index of each old plan,
+// or -1 if the plan was removed.
 func (t clientTimeouts) renumberPlans(plans, classes int, indices []int) clientTimeouts {
 	renumbered := newClientTimeouts(plans, classes)
 	for plan := range renumbered {
--- a/policy/clienttimeouts_test.go
+++ b/policy/clienttimeouts_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestWaitIsWhatATimeoutLacksOfTheUsualOne(t *testing.T) {
+func TestWaitTimeIsUsualTimeoutLessRemainingOne(t *testing.T) {
 	timeouts := newClientTimeouts(2, 2)
 	usual := &Request{Plan: 1, Class: 1, Timeout: 4 * second}
 	timeouts.hasExpired(usual, false, 0, second)
@@ -10,19 +10,19 @@
 	late := &Request{Plan: 1, Class: 1, Timeout: second}
 	assertNear(t, "wait", timeouts.waited(late), float64(3*second))
 	other := &Request{Plan: 0, Class: 1, Timeout: second}
-	assertNear(t, "wait in a plan without requests", timeouts.waited(other), -float64(second))
+	assertNear(t, "wait under a plan without requests", timeouts.waited(other), -float64(second))
 }
 
-func TestRequestExpiresInAStallOnceItsAnswerMissesTheObjective(t *testing.T) {
+func TestHasExpiredAfterStallIfAnswerWouldMissObjective(t *testing.T) {
 	cases := []struct {
 		name       string
 		timeout    Time
 		isResuming bool
 		want       bool
 	}{
-		{"it waited for long", 2 * second, true, true},
-		{"it waited as long as there is time", 3 * second, true, false},
-		{"it has just come", 4 * second, true, false},
+		{"long wait", 2 * second, true, true},
+		{"longest wait that leaves time", 3 * second, true, false},
+		{"no wait", 4 * second, true, false},
 		{"no stall", 2 * second, false, false},
 	}
 	for _, c := range cases {
@@ -37,17 +37,17 @@
 	}
 }
 
-func TestTimeoutsMoveWithClassesAndPlans(t *testing.T) {
+func TestClientTimeoutsFollowRenumberedClassesAndPlans(t *testing.T) {
 	timeouts := newClientTimeouts(2, 2)
 	timeouts.hasExpired(&Request{Plan: 0, Class: 1, Timeout: 3}, false, 0, second)
 	timeouts.hasExpired(&Request{Plan: 1, Class: 0, Timeout: 5}, false, 0, second)
 	timeouts.renumberClasses([]int{1, -1, 0})
-	timeouts = timeouts.renumberPlans(2, 3, []int{1, -1}) // the second plan is gone
+	timeouts = timeouts.renumberPlans(2, 3, []int{1, -1}) // the second plan was removed
 	want := [][]float64{{0, 0, 0}, {3, 0, 0}}
 	for plan, row := range want {
 		for class, value := range row {
 			if got := timeouts[plan][class].value; got != value {
-				t.Errorf("plan %d, class %d: %g, want %g", plan, class, got, value)
+				t.Errorf("plan %d, class %d: got %g, want %g", plan, class, got, value)
 			}
 		}
 	}
--- a/policy/concurrencylimit.go
+++ b/policy/concurrencylimit.go
@@ -3,39 +3,40 @@
 import "math"
 
 const (
-	fullLatencyShare     = 0.35 // the average latency, in objectives, at which the backends are at capacity
-	minInFlight          = 4.0  // attempts that a backend may always hold: one a core
-	minInFlightWhenLate  = 1.0  // the same once all answers are late: an overloaded backend must drain
-	minOwnInFlight       = 2.0  // attempts that one gateway may always hold,
-	maxOwnShare          = 2.0  // and beyond these, in even parts of the capacity: arrivals are uneven
-	sufficientAnswerRate = 8.0  // answers a second at which own and peers' figures count alike
+	fullLatencyShare     = 0.35 // the average latency of backends at capacity, in allowed latencies
+	minInFlight          = 4.0  // the minimum capacity of a backend in attempts: one per core
+	minInFlightWhenLate  = 1.0  // the minimum if all answers are late, as an overloaded backend must drain
+	minOwnInFlight       = 2.0  // attempts that a gateway may have in flight in addition to maxOwnShare
+	maxOwnShare          = 2.0  // in even shares of the capacity; above 1 because arrivals are uneven
+	sufficientAnswerRate = 8.0  // own answers per second at which the figures of peers count half
 )
 
-// concurrencyLimit limits the attempts in flight by what this gateway and its peers saw of the backends' load
-// within about a second. All its times are active times; the sums have a time constant of a second.
+// concurrencyLimit limits the attempts in flight by the load on the backends that this gateway and its peers
+// have measured in about the last second. All its times are active times; the sums have a time constant of a
+// second.
 type concurrencyLimit struct {
 	onTime                            decayingSum   // answers within their objective
 	lateShare                         movingAverage // the share of answers after their objective
-	peers, peersInFlight, peersOnTime decayingSum   // peers that reported, their attempts, their onTime
+	peers, peersInFlight, peersOnTime decayingSum   // peers that reported, and totals of their reports
 }
 
-// loadView is the load on the backends by all gateways that reported theirs.
+// loadView is the load on the backends by this gateway and the peers that reported theirs.
 type loadView struct {
-	inFlight   float64 // attempts
-	onTimeRate float64 // answers a second within their objective
-	gateways   float64 // how many gateways the figures cover
+	inFlight   float64 // attempts in flight
+	onTimeRate float64 // answers per second within their objective
+	gateways   float64 // the number of gateways included
 }
 
-// backendCapacity is what is known of the backends besides their load.
+// backendCapacity has the data on the backends that the limit depends on besides their load.
 type backendCapacity struct {
 	healthy        int     // backends that get attempts
 	gateways       int     // gateways that share them
 	allowedLatency float64 // the average latency, in microseconds, at which all objectives are still met
 }
 
-// recordOutcome learns from how an attempt ended whether backends answer within the objective of its class. A
-// backend that rejects is full: however soon it says so, that is no answer on time. An attempt that timed out
-// counts only if it was late by then.
+// recordOutcome records whether an outcome was on time for the given objective. A rejection by a backend
+// counts as late however soon it arrives, because the backend is full. An attempt that timed out counts only
+// if it lasted longer than the objective.
 func (l *concurrencyLimit) recordOutcome(activeTime, objective Time, outcome *Outcome) {
 	isLate := outcome.Latency > objective || outcome.Result == ResultOverloaded
 	isAnswer := outcome.Result == ResultOK || outcome.Result == ResultOverloaded
@@ -44,26 +45,26 @@
 	}
 }
 
-// recordAnswer learns from an answer, or from an attempt that timed out, which counts as a late one.
+// recordAnswer counts an answer, or an attempt that timed out, as late or on time.
 func (l *concurrencyLimit) recordAnswer(activeTime Time, isLate bool) {
 	l.lateShare.add(indicator(isLate), sampleWeight)
 	l.onTime.add(activeTime, second, indicator(!isLate))
 }
 
-// recordPeer adds a peer's load view to those of all, with a weight below 1 for a peer that sent one shortly
-// before.
+// recordPeer adds the load view of a peer to those of the other peers. The weight is below 1 if the peer sent
+// another one shortly before.
 func (l *concurrencyLimit) recordPeer(activeTime Time, weight, inFlight, onTimeRate float64) {
 	l.peers.add(activeTime, second, weight)
 	l.peersInFlight.add(activeTime, second, weight*inFlight)
 	l.peersOnTime.add(activeTime, second, weight*onTimeRate)
 }
 
-// peerWeight is how much the peers' figures count: the less, the more this gateway sees itself.
+// peerWeight returns the weight of the figures of peers. It falls as this gateway gets more answers itself.
 func (l *concurrencyLimit) peerWeight(activeTime Time) float64 {
 	return sufficientAnswerRate / (sufficientAnswerRate + l.onTime.value(activeTime, second))
 }
 
-// view is the load by this gateway, which has so many attempts in flight, and that by its peers.
+// view returns the load by this gateway, given its attempts in flight, and by its peers.
 func (l *concurrencyLimit) view(activeTime Time, ownInFlight float64) loadView {
 	weight := l.peerWeight(activeTime)
 	return loadView{
@@ -73,8 +74,9 @@
 	}
 }
 
-// isReached reports whether the given part of the capacity is in use: of the attempts answered on time within
-// the allowed latency. All of the least capacity is open to any request.
+// isReached reports whether the given part of the capacity is in use. By Little's law, the capacity follows
+// from the rate of answers on time and the allowed latency. It has a minimum per backend, all of which is
+// open whatever the part. This gateway alone must also stay within its own share of the open capacity.
 func (l *concurrencyLimit) isReached(
 	activeTime Time, ownInFlight, part float64, capacity backendCapacity,
 ) bool {
--- a/policy/controller.go
+++ b/policy/controller.go
@@ -4,27 +4,28 @@
 
 // The IDs of the timers, which SetTimer passes to TimerFired.
 const (
-	gossipTimer       = iota // a gossip round, and what else is done periodically
-	quotaRequestTimer        // a quota request may have timed out
+	gossipTimer       = iota // starts a gossip round and other periodic work
+	quotaRequestTimer        // fires when a quota request may have timed out
 )
 
 const (
-	halfSeedBits  = 32 // bits of each half of a seed
-	loadViewPeers = 6  // random peers that get this gateway's load view at each sweep
+	halfSeedBits  = 32 // the size of each half of a seed
+	loadViewPeers = 6  // the random peers that receive this gateway's load view at each sweep
 )
 
-// Controller makes the decisions of one gateway. It is not safe for concurrent use; see the package
-// documentation for what its host must do.
+// Controller makes the decisions of one gateway. It is not safe for concurrent use; the package
+// documentation describes the duties of its host.
 //
-// It is the events, the clock, the random source and the wiring: each concern is a type with its own state,
-// which gets what it needs of the others as arguments and returns what is to be done.
+// Controller itself has the event methods, the clock and the random source, and connects its components.
+// Each component is a type with its own state; it receives the state of others as arguments and returns what
+// the controller has to do.
 type Controller struct {
 	settings          Settings
 	actions           Actions
 	random            *rand.Rand
-	shortestObjective Time // the tightest latency objective of all classes
+	shortestObjective Time // the shortest latency objective of all classes
 	clock             clock
-	gaveUpOwnership   bool // another process owns the buckets and admits requests
+	gaveUpOwnership   bool // whether another process owns the buckets and admits requests
 
 	// Customers and their quotas.
 	customers     customerTable
@@ -50,8 +51,8 @@
 	counters activityCounters // since the last log event
 }
 
-// New makes a controller that knows nothing but its settings. The seed determines all its random
-// choices and should differ between gateways and between starts.
+// New returns a controller without any state but its settings. The seed determines all random choices of the
+// controller; it should differ between gateways and between starts.
 func New(settings Settings, seed uint64, actions Actions) (*Controller, error) {
 	if err := settings.validate(); err != nil {
 		return nil, err
@@ -72,7 +73,8 @@
 	return c, nil
 }
 
-// advanceClock brings the controller to the time of an event.
+// advanceClock advances the clock to the time of an event. It also handles the first event and the end of a
+// stall.
 func (c *Controller) advanceClock(now Time) {
 	switch c.clock.advance(now, c.settings.MinEventInterval) {
 	case clockAdvanced:
@@ -83,8 +85,8 @@
 	}
 }
 
-// start begins the controller's work at its first event. It announces to this gateway's neighbours that it
-// has started without any state.
+// start is called at the first event. It starts the periodic work and announces to the neighbours of this
+// gateway that it has started without any state.
 func (c *Controller) start(now Time) {
 	c.customers.sweptAt, c.sharedBucket.updatedAt, c.counters.since = now, now, now
 	c.scheduleTick()
@@ -100,7 +102,7 @@
 	}
 }
 
-// scheduleTick sets the timer for the next gossip round.
+// scheduleGossipTimer sets the timer for the next gossip round.
 func (c *Controller) scheduleTick() {
 	c.actions.SetTimer(c.clock.scheduleTimer(c.sharing.gossipPeriod), gossipTimer)
 }
@@ -109,7 +111,7 @@
 func (c *Controller) TimerFired(now Time, timerID uint32) {
 	c.advanceClock(now)
 	if timerID != gossipTimer {
-		c.resolveQuotaRequests(nil, grant{}) // without an answer: those that have timed out
+		c.resolveQuotaRequests(nil, grant{}) // only quota requests that have timed out
 		return
 	}
 	c.scheduleTick()
@@ -120,7 +122,7 @@
 		c.logCounters()
 		for range loadViewPeers {
 			if peer, isPeer := c.sharing.drawPeer(c.random); isPeer {
-				c.prepareMessage(peer) // with the load view, also while this gateway sends nothing
+				c.prepareMessage(peer) // carries the load view even if there is nothing else to report
 			}
 		}
 		c.sweepCustomers()
--- a/policy/controller_attempts.go
+++ b/policy/controller_attempts.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// chooseBackend picks the backend for a request's next attempt: the least loaded healthy one not tried
-// yet, else any ready one, else nil; where within is set only from its deduplication scope.
+// chooseBackend returns the backend for the next attempt of a request: the least loaded healthy backend that
+// the request has not tried, else the least loaded ready one, else nil. If sameScopeAs is not nil, only
+// backends in the deduplication scope of that attempt qualify.
 func (c *Controller) chooseBackend(request *request, within *attempt) *backend {
 	if backend := c.chooseLeastLoaded(request, within, false); backend != nil {
 		return backend
@@ -11,8 +12,8 @@
 	return c.chooseLeastLoaded(request, within, true)
 }
 
-// chooseLeastLoaded picks the least loaded backend; only if that is allowed also an unhealthy one, or one
-// that the request has tried.
+// chooseLeastLoaded returns the least loaded backend, or nil if there is none. Unhealthy backends, and those
+// that the request has tried, qualify only if allowUnhealthy is set.
 func (c *Controller) chooseLeastLoaded(request *request, within *attempt, allowUnhealthy bool) *backend {
 	class, prices := &c.settings.Classes[request.Class], c.settings.loadPrices()
 	var best leastLoaded
@@ -40,7 +41,7 @@
 	return best.backend
 }
 
-// send starts a request's next attempt.
+// send starts the next attempt of a request.
 func (c *Controller) send(request *request, backend *backend) {
 	attempt := c.recordSend(request, backend)
 	deadline := c.attemptDeadline(request)
@@ -49,7 +50,7 @@
 	c.chargeSlowStart(attempt, waiting)
 }
 
-// recordSend adds an attempt to a request and to the load of its backend and its customer.
+// recordSend adds an attempt to a request, and to the load of its backend and its customer.
 func (c *Controller) recordSend(request *request, backend *backend) *attempt {
 	attempt := request.addAttempt(backend, c.clock.now)
 	c.requests.addAttempt(request.Class, attempt)
@@ -59,9 +60,9 @@
 	return attempt
 }
 
-// ConfirmSend reports whether an attempt that had to wait may be written now: its request is open, its
-// backend ready, it repeats nothing that may have run and must not run twice, and the slow start of its
-// backend, which may have begun since, has an attempt left, which it takes.
+// ConfirmSend reports whether an attempt that waited for a connection may be written now. It may if its
+// request is open, its backend is ready, the retry rule of its class allows it beside the other attempts, and
+// the slow start of its backend, if it is in one, allows an attempt, which is then charged.
 func (c *Controller) ConfirmSend(now Time, id uint64, attemptNumber int) bool {
 	c.advanceClock(now)
 	request := c.requests.byID[id]
@@ -75,7 +76,7 @@
 		return false
 	}
 	attempt.slowStart = attempt.backend.slowStart.release(attempt.slowStart, attempt.sentAt, false)
-	if !c.slowStartAllows(attempt.backend) { // it may have been warm when it was chosen
+	if !c.slowStartAllows(attempt.backend) { // the backend may have restarted since it was chosen
 		c.counters.slowStartDenied++
 		return false
 	}
@@ -83,8 +84,8 @@
 	return true
 }
 
-// AttemptEnded handles an attempt's outcome. Once no attempt is pending and the client has no answer,
-// it retries the request or gives the final answer.
+// AttemptEnded handles the outcome of an attempt. If no other attempt is pending and the client has no
+// answer yet, it retries the request or gives the final answer.
 func (c *Controller) AttemptEnded(now Time, outcome Outcome) {
 	c.advanceClock(now)
 	request := c.requests.byID[outcome.RequestID]
@@ -116,8 +117,8 @@
 	}
 }
 
-// retry sends another attempt if the rule, the number of attempts, the budget and the time that is
-// left allow it and there is a backend. It reports whether it did.
+// retry sends another attempt if the rule, the number of attempts, the retry budget and the remaining time
+// allow it and a backend is available. It reports whether it sent one.
 func (c *Controller) retry(
 	request *request, last *attempt, lastResult Result, rule retryRule, now Time,
 ) bool {
@@ -137,8 +138,9 @@
 	return true
 }
 
-// attemptDeadline is when the request's newest attempt is given up for another one, 0 if there is
-// no budget, capacity or time for another.
+// attemptDeadline returns the time at which the newest attempt of a request is abandoned in favour of another
+// one. It is zero if the class, the retry budget, the number of attempts, the capacity or the time does not
+// allow another attempt.
 func (c *Controller) attemptDeadline(request *request) Time {
 	class, latency := &c.settings.Classes[request.Class], Time(c.latency.ofClass(request.Class))
 	deadline := c.clock.now + attemptTimeoutFactor*latency
@@ -150,7 +152,8 @@
 	return deadline
 }
 
-// ResponseStarted notes that the client gets a streamed answer: no other attempt may follow.
+// ResponseStarted records that a streamed answer to the client has started, after which no other attempt may
+// follow.
 func (c *Controller) ResponseStarted(now Time, id uint64) {
 	c.advanceClock(now)
 	if request := c.requests.byID[id]; request != nil {
@@ -158,7 +161,7 @@
 	}
 }
 
-// RequestCancelled notes that the client has disconnected or its deadline has passed.
+// RequestCancelled records that the client has disconnected or its deadline has passed.
 func (c *Controller) RequestCancelled(now Time, id uint64) {
 	c.ResponseStarted(now, id)
 	if request := c.requests.byID[id]; request != nil && !request.hasPending() {
--- a/policy/controller_attempts_test.go
+++ b/policy/controller_attempts_test.go
@@ -2,18 +2,18 @@
 
 import "testing"
 
-func TestRequestGetsOneFinalAnswer(t *testing.T) {
+func TestAttemptEndedRetriesOrAnswersOnce(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		class  int
 		result Result
 		want   actionKind
 	}{
-		{"idempotent is retried after an error", 0, ResultFailed, sendAction},
-		{"not idempotent fails after an error", 1, ResultFailed, failAction},
-		{"not idempotent is retried after an overload", 1, ResultOverloaded, sendAction},
-		{"not idempotent is retried without a connection", 1, ResultConnectFailed, sendAction},
-		{"key per cell is retried after a reset", 2, ResultReset, sendAction},
+		{"idempotent, retried after an error", 0, ResultFailed, sendAction},
+		{"not idempotent, fails after an error", 1, ResultFailed, failAction},
+		{"not idempotent, retried after an overload", 1, ResultOverloaded, sendAction},
+		{"not idempotent, retried after a failed connection", 1, ResultConnectFailed, sendAction},
+		{"key per cell, retried in its cell after a reset", 2, ResultReset, sendAction},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t, testSettings())
@@ -21,21 +21,21 @@
 			first := h.lastAttempt(id).backend
 			h.end(id, c.result, false)
 			if got := h.last(); got.kind != c.want || got.request != id {
-				t.Fatalf("got %+v", got)
+				t.Fatalf("got action %+v", got)
 			}
 			if c.want != sendAction {
 				return
 			}
 			retried := h.lastAttempt(id).backend
 			if retried == first || c.class == 2 && retried.Cell != first.Cell {
-				t.Errorf("retried at backend %d of cell %d", retried.ID, retried.Cell)
+				t.Errorf("retried at the wrong backend: %d of cell %d", retried.ID, retried.Cell)
 			}
 			for h.requests.byID[id] != nil {
 				h.at += second
 				h.end(id, ResultTimedOut, false)
 			}
 			if n := h.count(failAction) + h.count(rejectAction); n != 1 {
-				t.Errorf("%d final answers", n)
+				t.Errorf("got %d final answers, want 1", n)
 			}
 		})
 	}
@@ -53,17 +53,18 @@
 	h.HealthCheckEnded(h.at, 99, ResultOK, nil)
 	h.CounterAnswered(h.at, 5, ResultOK, 1)
 	if len(h.performed) != 0 {
-		t.Errorf("unknown events acted: %+v", h.performed)
+		t.Errorf("unknown events caused actions: %+v", h.performed)
 	}
 	h.RequestCancelled(h.at, id)
 	h.end(id, ResultReset, true)
 	if h.requests.byID[id] != nil || h.count(failAction)+h.count(rejectAction) != 0 {
-		t.Error("a request whose client has disconnected was answered or kept")
+		t.Error("request answered or retained after its client disconnected")
 	}
 }
 
-// An attempt that was kept from being written may be written later only if it still may be made.
-func TestDelayedAttemptMayBeSentOnlyWhileItIsWanted(t *testing.T) {
+// Guards against an attempt that is written after a wait for a connection although its request was answered
+// or its backend no longer accepts attempts.
+func TestConfirmSendChecksRequestAndBackend(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(h *harness, id uint64)
@@ -85,14 +86,14 @@
 				t.Errorf("got %t, want %t", got, c.want)
 			}
 			if h.ConfirmSend(h.at, id, 1) || h.ConfirmSend(h.at, 999, 0) {
-				t.Error("an unknown attempt may be sent")
+				t.Error("unknown attempt confirmed")
 			}
 		})
 	}
 }
 
-// Guards against waiting for a backend that leaves one request unanswered.
-func TestAttemptIsGivenUpWhileThereIsTimeForAnother(t *testing.T) {
+// Guards against waiting until the client's deadline for a backend that leaves a single request unanswered.
+func TestAttemptDeadlineLeavesTimeForAnother(t *testing.T) {
 	h := newHarness(t, testSettings())
 	for _, class := range []int{0, 1} {
 		h.latency.byClass[class].add(float64(second/50), fleetSampleWeight)
@@ -100,7 +101,7 @@
 	for _, c := range []struct {
 		name  string
 		class int
-		want  Time // from now; 0: not before the client's deadline
+		want  Time // from now; zero for the client's deadline
 	}{
 		{name: "idempotent", class: 0, want: attemptTimeoutFactor * second / 50},
 		{name: "not idempotent", class: 1, want: 0},
@@ -110,7 +111,7 @@
 			t.Fatalf("%s: not sent", c.name)
 		}
 		if got := max(0, ofKind(h.performed, sendAction)[0].at-h.at); got != c.want {
-			t.Errorf("%s: given up after %d, want %d", c.name, got, c.want)
+			t.Errorf("%s: got attempt deadline %d, want %d", c.name, got, c.want)
 		}
 	}
 }
--- a/policy/controller_backends.go
+++ b/policy/controller_backends.go
@@ -1,9 +1,9 @@
 package policy
 
-// The events of backends: updates of the endpoint list, health checks, and what the timer finds due.
+// Methods of Controller for endpoint updates, health checks, slow start and the load of the backends.
 
-// UpdateEndpoints applies an update from service discovery. Endpoints that are draining or removed get
-// no attempts from now on.
+// UpdateEndpoints applies an update from service discovery. Endpoints that are draining or removed get no
+// further attempts.
 func (c *Controller) UpdateEndpoints(now Time, kind UpdateKind, list []Endpoint) {
 	c.advanceClock(now)
 	if kind == UpdateUnavailable {
@@ -12,7 +12,7 @@
 	}
 	listedBefore := c.watch.receive(kind)
 	c.backends.beginUpdate(kind)
-	// As this gateway starts, the list before is the one which its configuration knows, if any.
+	// Until the first current list, the known backends come from the configuration or from the predecessor.
 	isAnnounced := listedBefore || kind != UpdateStale && c.backends.mostlyKnows(list)
 	for _, endpoint := range list {
 		backend := c.backends.record(endpoint, c.clock.now, c.random)
@@ -25,10 +25,11 @@
 	c.backends.selectSubset(c.settings.Self, c.settings.Gateways, c.settings.HandshakePrice)
 }
 
-// UnavailableBackends is how many listed backends get no attempts, as they are draining or ejected.
+// UnavailableBackends returns the number of listed backends that get no attempts because they are draining
+// or ejected.
 func (c *Controller) UnavailableBackends() int { return c.backends.unavailable() }
 
-// beginSlowStart notes that a backend has started, or may have.
+// beginSlowStart begins the slow start of a backend that has, or may have, started.
 func (c *Controller) beginSlowStart(backend *backend, startedAt Time, reason slowStartReason) {
 	share := backend.slowStart.begin(startedAt, c.clock.now, c.random.Float64(), &c.slowStart)
 	if share < 1 {
@@ -36,14 +37,14 @@
 	}
 }
 
-// slowStartAllows reports whether a backend may get one more attempt. One in slow start gets its share of
-// what a warm one answers this gateway.
+// slowStartAllows reports whether a backend may get one more attempt. A backend in slow start gets attempts
+// in proportion to its capacity share and to the rate at which a warm backend answers this gateway.
 func (c *Controller) slowStartAllows(backend *backend) bool {
 	share := backend.slowStart.share(c.clock.now, &c.slowStart)
-	if share == 1 || c.gaveUpOwnership { // what was saved up belongs to the process that took over
+	if share == 1 || c.gaveUpOwnership { // the bucket belongs to the successor
 		return share == 1
 	}
-	rate := 0.0 // left to the gateways that prefer it
+	rate := 0.0 // outside the subset the minimum rate applies, as other gateways prefer the backend
 	if backend.inSubset {
 		latency := c.latency.slowStartOr(c.shortestObjective)
 		rate = c.pace.attemptRate(c.clock.now, share, latency, &c.slowStart)
@@ -51,7 +52,7 @@
 	return backend.slowStart.allows(c.clock.now, share, rate, &c.slowStart)
 }
 
-// chargeSlowStart takes an attempt of the backend's slow start, if it is in one.
+// chargeSlowStart charges an attempt to the slow start of its backend, if the backend is in one.
 func (c *Controller) chargeSlowStart(attempt *attempt, waiting bool) {
 	slowStart := &attempt.backend.slowStart
 	if slowStart.share(c.clock.now, &c.slowStart) == 1 {
@@ -62,7 +63,7 @@
 	}
 }
 
-// HealthCheckEnded handles the result of a health check. The load report that came with it is unused.
+// HealthCheckEnded handles the result of a health check. Its load report is unused.
 func (c *Controller) HealthCheckEnded(now Time, id uint32, result Result, _ []float32) {
 	c.advanceClock(now)
 	backend := c.backends.byID[id]
@@ -75,7 +76,7 @@
 	}
 }
 
-// loadView is this gateway's own load and that of its peers.
+// loadView returns the load by this gateway and its peers.
 func (c *Controller) loadView() loadView {
 	ownInFlight := c.backends.effectiveInFlight(c.clock.now, c.limit.lateShare.value)
 	return c.limit.view(c.clock.activeTime, ownInFlight)
@@ -91,7 +92,8 @@
 	})
 }
 
-// refreshBackendHealth finds overdue attempts and unresponsive backends, and counts the others.
+// refreshBackendHealth marks overdue attempts, ejects unresponsive backends, and counts the healthy and the
+// warm ones.
 func (c *Controller) refreshBackendHealth() {
 	for class := range c.settings.Classes {
 		objective := c.settings.Classes[class].LatencyObjective
--- a/policy/controller_backends_test.go
+++ b/policy/controller_backends_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestDrainingAndRemovedBackendsGetNothing(t *testing.T) {
+func TestDrainingAndRemovedBackendsGetNoAttempts(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		kind UpdateKind
@@ -22,32 +22,32 @@
 			h.UpdateEndpoints(h.at, c.kind, c.list)
 			for customer := range uint64(30) {
 				if id, sent := h.request(0, 1, customer, 1); sent && h.lastAttempt(id).backend.ID < 3 {
-					t.Fatal("sent to a backend that is draining or removed")
+					t.Fatal("attempt sent to a draining or removed backend")
 				}
 			}
 			if h.count(sendAction) == 0 {
-				t.Error("nothing was sent at all")
+				t.Error("no attempt was sent")
 			}
 		})
 	}
 }
 
-func TestFailedWatchIsRenewed(t *testing.T) {
+func TestFailedEndpointWatchIsRenewed(t *testing.T) {
 	settings := testSettings()
 	settings.PollEndpoints, settings.PollWithin = true, 10*second
 	h := newHarness(t, settings)
 	h.UpdateEndpoints(h.at, UpdateUnavailable, nil)
 	if h.count(watchAction) != 1 {
-		t.Fatal("no watch was requested at the start")
+		t.Fatal("no watch requested at the start")
 	}
 	h.at += 4 * second
 	h.TimerFired(h.at, gossipTimer)
 	if h.count(watchAction) != 2 {
-		t.Error("no watch was requested after a failure")
+		t.Error("no watch requested after a failure")
 	}
 }
 
-func TestStaleLoadReportDoesNotAttractAttempts(t *testing.T) {
+func TestLoadReportsDoNotAffectBackendChoice(t *testing.T) {
 	settings := testSettings()
 	settings.LoadReport = []LoadMetric{BusyMetric}
 	h := newHarness(t, settings)
@@ -66,12 +66,12 @@
 	}
 	for _, backend := range h.backends.inOrder {
 		if backend.load.inFlight != 1 {
-			t.Errorf("backend %d holds %d of 4 requests for 4 backends", backend.ID, backend.load.inFlight)
+			t.Errorf("backend %d has %d of 4 attempts in flight, want 1", backend.ID, backend.load.inFlight)
 		}
 	}
 }
 
-// subsetCase is a fleet of which each gateway prefers a subset of the backends of three zones.
+// subsetCase describes a fleet of gateways that each prefer a subset of the backends of three zones.
 type subsetCase struct {
 	gateways, backends int
 	handshakePrice     float64
@@ -79,8 +79,8 @@
 
 const subsetZones = 3
 
-// endpoints are the backends; those from four tenths on have other IDs by the given first one, as
-// after a release.
+// endpoints lists the backends. The IDs of the last six tenths depend on firstNew, as if these backends had
+// been replaced in a release.
 func (c subsetCase) endpoints(firstNew uint32) []Endpoint {
 	var list []Endpoint
 	for i := range uint32(c.backends) {
@@ -93,7 +93,7 @@
 	return list
 }
 
-// gatewaysPerBackend counts for each backend the gateways that prefer it.
+// gatewaysPerBackend returns the number of gateways that prefer each backend.
 func (c subsetCase) gatewaysPerBackend(t *testing.T, list []Endpoint) map[uint32]int {
 	t.Helper()
 	settings := testSettings()
@@ -108,14 +108,14 @@
 			byZone[backend.Zone] += int(indicator(backend.inSubset))
 		}
 		if len(byZone) != subsetZones || byZone[0]*byZone[1]*byZone[2] == 0 {
-			t.Fatalf("gateway %d prefers %v of the zones", settings.Self, byZone)
+			t.Fatalf("gateway %d prefers %v backends by zone, want some in each", settings.Self, byZone)
 		}
 	}
 	return preferring
 }
 
-// Guards against connections from every gateway to every backend, and against uneven subsets: each
-// backend is preferred by about as many gateways as any other, also after most were replaced.
+// Guards against connections from every gateway to every backend, and against uneven subsets, also after most
+// backends were replaced.
 func TestSubsetsCoverBackendsEvenly(t *testing.T) {
 	for _, c := range []subsetCase{{3, 12, 0.08}, {80, 60, 0}, {80, 60, 0.08}, {200, 33, 0.08}} {
 		for _, firstNew := range []uint32{1, 1000} {
@@ -127,7 +127,7 @@
 				}
 				free := c.handshakePrice == 0
 				if len(preferring) != c.backends || free && least < c.gateways {
-					t.Errorf("preferred by %d to %d gateways, want all: a handshake is free", least, most)
+					t.Errorf("preferred by %d to %d gateways, want all if handshakes are free", least, most)
 				}
 				if !free && (least < min(gatewaysPerBackend-2, c.gateways) || most > 2*gatewaysPerBackend) {
 					t.Errorf("preferred by %d to %d gateways, want about %d", least, most, gatewaysPerBackend)
@@ -137,8 +137,8 @@
 	}
 }
 
-// Guards against a gateway without backends when those of its subset are busy or gone.
-func TestBackendsOutsideTheSubsetServeWhereItDoesNot(t *testing.T) {
+// Guards against a gateway that uses no other backends when those of its subset are busy or down.
+func TestBackendsOutsideSubsetServeIfSubsetCannot(t *testing.T) {
 	settings := testSettings()
 	settings.Gateways, settings.HandshakePrice, settings.HealthChecks = 80, 0.08, false
 	h := newHarness(t, settings)
@@ -147,12 +147,12 @@
 	for range 6 {
 		backend := choose()
 		if !backend.inSubset {
-			t.Fatal("want a backend of the subset while one is idle")
+			t.Fatal("backend outside the subset chosen while one of the subset is idle")
 		}
 		backend.load.inFlight++
 	}
 	if choose().inSubset {
-		t.Error("want an idle backend, though a connection to it has a price, when the subset is busy")
+		t.Error("busy backend of the subset chosen over an idle one outside, despite its handshake price")
 	}
 	for _, backend := range h.backends.inOrder {
 		if backend.load.inFlight = 0; backend.inSubset {
@@ -160,6 +160,6 @@
 		}
 	}
 	if backend := choose(); backend == nil || backend.inSubset {
-		t.Error("want another backend when the whole subset is down")
+		t.Error("no backend outside the subset chosen while the whole subset is down")
 	}
 }
--- a/policy/controller_capacity_test.go
+++ b/policy/controller_capacity_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Guards the defence against lost attempts that use up the capacity (i62622c).
+// Guards against lost attempts that use up the capacity (issue i62622c).
 func TestOverdueAttemptsUseNoCapacity(t *testing.T) {
 	h := newHarness(t, testSettings())
 	sentOf100 := 0
@@ -12,20 +12,20 @@
 		}
 	}
 	if sentOf100 == 0 || sentOf100 == 100 {
-		t.Fatalf("%d of 100 attempts sent: the capacity is not bounded", sentOf100)
+		t.Fatalf("%d of 100 attempts sent, want a limit between", sentOf100)
 	}
 	h.at += 2 * second
 	for _, backend := range h.backends.inOrder {
-		backend.health.unansweredSince = h.at // each has answered others
+		backend.health.unansweredSince = h.at // as if each had answered other attempts
 	}
 	if _, sent := h.request(1, 1, 200, 1); !sent {
-		t.Error("overdue attempts still use up the capacity")
+		t.Error("overdue attempts use up the capacity")
 	}
 }
 
-// Guards both against hung backends that block all others and against overloaded backends that are
-// late everywhere and never get less (i62622c, i191102).
-func TestOverdueAttemptsCountAsFarAsAnswersAreLate(t *testing.T) {
+// Guards against unresponsive backends whose overdue attempts block all other backends, and against
+// overloaded backends whose load does not fall although all answers are late (issues i62622c, i191102).
+func TestOverdueAttemptsCountInProportionToLateAnswers(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.TimerFired(h.at, gossipTimer)
 	for i := range 4 {
@@ -34,15 +34,16 @@
 	for _, backend := range h.backends.inOrder {
 		backend.load.overdue = backend.load.inFlight
 	}
-	assertNear(t, "in flight with other answers on time", h.effectiveInFlight(), 0)
+	assertNear(t, "effective in flight, no late answers", h.effectiveInFlight(), 0)
 	for range 200 {
 		h.limit.lateShare.add(1, sampleWeight)
 	}
-	assertNear(t, "in flight with all other answers late", h.effectiveInFlight(), 4)
+	assertNear(t, "effective in flight, all answers late", h.effectiveInFlight(), 4)
 }
 
-// Guards against overloaded backends that never drain (i678c40).
-func TestLeastCapacityFallsAsAnswersComeLate(t *testing.T) {
+// Guards against overloaded backends that never drain because the minimum capacity keeps them full (issue
+// i678c40).
+func TestMinimumCapacityFallsWithLateAnswers(t *testing.T) {
 	capacity := func(late float64) int {
 		h := newHarness(t, testSettings())
 		h.TimerFired(h.at, gossipTimer)
@@ -57,13 +58,13 @@
 		return 100
 	}
 	if onTime, late := capacity(0), capacity(1); late >= onTime || late == 0 {
-		t.Errorf("capacity of %d attempts with answers on time, %d with all late", onTime, late)
+		t.Errorf("capacity of %d attempts with answers on time, %d with late answers", onTime, late)
 	}
 }
 
-// Guards against a gateway with a handful of attempts taking chance for overload, and against one
-// that sees enough itself relying on old figures of its peers.
-func TestPeersFiguresCountAsFarAsOwnAreFew(t *testing.T) {
+// Guards against a gateway with few attempts that mistakes random variation for overload, and against a
+// gateway with many attempts that relies on old figures of its peers.
+func TestLoadViewWeightsPeersByOwnAnswers(t *testing.T) {
 	h := newHarness(t, testSettings())
 	for range 100 {
 		h.TimerFired(h.at, gossipTimer)
@@ -78,32 +79,32 @@
 		h.limit.onTime.add(h.clock.activeTime, second, 1)
 	}
 	if view = h.loadView(); view.inFlight > 0.1 || view.gateways > 1.02 {
-		t.Errorf("with many answers of its own: %g in flight by peers, %g gateways",
+		t.Errorf("with many own answers: %g in flight by peers, %g gateways",
 			view.inFlight, view.gateways)
 	}
 }
 
-func TestLeastCapacityIsOpenToLowPriorities(t *testing.T) {
+func TestMinimumCapacityIsOpenToLowPriorities(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.settings.Plans[0].Burst, h.settings.Plans[0].Rate = 100, 100
 	for range 10 {
 		h.serve(0, 1, 8)
 	}
 	h.at += 10 * second // nothing is in flight, and no answer is recent
-	least := 4 * 4 / 2  // one for each core of 4 backends, of which half are this gateway's
+	least := 4 * 4 / 2  // one per core of 4 backends, divided between two gateways
 	for i := range least {
 		if _, sent := h.request(0, 0, 2, 1); !sent {
-			t.Fatalf("request %d of the %d that 4 backends may always hold was rejected", i, least)
+			t.Fatalf("request %d rejected, want a minimum capacity of %d", i, least)
 		}
 	}
 	if _, sent := h.request(0, 0, 2, 1); sent {
-		t.Errorf("one more than %d was sent though no answer shows more capacity", least)
+		t.Errorf("request sent beyond the minimum capacity of %d without answers", least)
 	}
 }
 
-// Rejections by full backends come at once. Taken for answers on time they raised the capacity, and with it
-// the load on the backends that were full.
-func TestRejectionsByBackendsRaiseNoCapacity(t *testing.T) {
+// Guards against rejections by full backends, which arrive immediately, being counted as answers on time.
+// That raised the capacity and so the load on the full backends.
+func TestRejectionsByBackendsDoNotRaiseCapacity(t *testing.T) {
 	h := newHarness(t, testSettings())
 	step := func(result Result, answered bool) {
 		h.at += second / 100
@@ -121,9 +122,9 @@
 		step(ResultOverloaded, false)
 	}
 	if after := h.loadView().onTimeRate; after >= before {
-		t.Errorf("%g answers on time a second after rejections alone, %g before", after, before)
+		t.Errorf("%g answers on time per second after rejections only, %g before", after, before)
 	}
 	if after := h.limit.lateShare.value; after <= lateBefore {
-		t.Errorf("late share %g after rejections alone, %g before", after, lateBefore)
+		t.Errorf("late share %g after rejections only, %g before", after, lateBefore)
 	}
 }
--- a/policy/controller_outcomes.go
+++ b/policy/controller_outcomes.go
@@ -1,8 +1,8 @@
 package policy
 
-// What is learnt from how attempts end.
+// Methods of Controller that update its state from the outcomes of attempts.
 
-// settleAttempt updates the load, the backend's health and the customer's use by an outcome.
+// settleAttempt updates the load, the health of the backend and the customer's usage from an outcome.
 func (c *Controller) settleAttempt(request *request, attempt *attempt, outcome *Outcome) {
 	attempt.release(request.customer)
 	slowStart := &attempt.backend.slowStart
@@ -15,9 +15,9 @@
 		attempt.backend.health.recordAnswer(c.clock.now, c.clock.activeTime)
 	}
 	c.recordResult(attempt, request.Class, outcome)
-	if subject, isFault := request.faultOf(attempt, outcome.Result); isFault {
+	if subject, isFault := request.faultOf(attempt, outcome.Result); isFault { // rare at each gateway
 		attempt.backend.faults.add(c.clock.now, subject)
-		c.gossip.addFault(faultReport{backend: attempt.backend.ID, subject: subject}) // others meet it rarely
+		c.gossip.addFault(faultReport{backend: attempt.backend.ID, subject: subject})
 	}
 	request.customer.readMeter(c.clock.now, &c.sharing, outcome.MeterReading)
 	if c.settings.SettlesCost && outcome.Result == ResultOK && outcome.ActualCost > 0 {
@@ -27,7 +27,7 @@
 	}
 }
 
-// recordResult updates what is known of a backend by how an attempt ended.
+// recordResult updates the health, latency and slow start state of a backend from an outcome.
 func (c *Controller) recordResult(attempt *attempt, class int, outcome *Outcome) {
 	backend, now := attempt.backend, c.clock.now
 	if outcome.Result == ResultOK {
@@ -49,8 +49,8 @@
 	backend.latency.record(now, latency*share, c.latency.ofClass(class))
 }
 
-// reinstate takes a backend that was down back into rotation. One that may have restarted is in slow start,
-// whatever discovery says.
+// reinstate returns a backend that was down to rotation. If the backend may have restarted, it begins a slow
+// start, even if service discovery reports no new start.
 func (c *Controller) reinstate(backend *backend) {
 	reinstated := backend.health.reinstate(c.clock.activeTime)
 	if reinstated == notReinstated {
--- a/policy/controller_outcomes_test.go
+++ b/policy/controller_outcomes_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestBrokenBackendIsCheckedAndReinstatedInSlowStart(t *testing.T) {
+func TestBackendIsReinstatedInSlowStartAfterConnectFailure(t *testing.T) {
 	h := newHarness(t, testSettings())
 	id, _ := h.request(0, 1, 9, 1)
 	backend := h.lastAttempt(id).backend
@@ -17,13 +17,13 @@
 	}
 	h.HealthCheckEnded(h.at, backend.ID, ResultOK, nil)
 	if h.unhealthy(backend) || h.slowStartShare(backend) == 1 {
-		t.Error("a backend that could not be connected to must be reinstated, and in slow start")
+		t.Error("backend not reinstated in slow start after a failed connection")
 	}
 }
 
-// One reset is evidence of one connection only: ejecting a backend for it, and then holding it in
-// slow start, cost most of what a long day lost.
-func TestSingleResetsEjectNoBackend(t *testing.T) {
+// Guards against the ejection of a backend for a single reset, which is evidence about one connection only.
+// Such ejections, and the slow starts after them, caused most of the losses of a long measurement.
+func TestSingleResetsDoNotEject(t *testing.T) {
 	h := newHarness(t, testSettings())
 	id, _ := h.request(0, 1, 9, 1)
 	backend := h.lastAttempt(id).backend
@@ -34,23 +34,24 @@
 	h.at += 10 * second
 	h.TimerFired(h.at, gossipTimer)
 	if h.connectionFailed(backend, true) || backend.health.down {
-		t.Error("ejected for two resets far apart")
+		t.Error("ejected after two resets far apart")
 	}
 	for range 3 {
 		h.connectionFailed(backend, true)
 	}
 	if !backend.health.down {
-		t.Fatal("not ejected after many resets at once")
+		t.Fatal("not ejected after several resets at the same time")
 	}
 	h.HealthCheckEnded(h.at, backend.ID, ResultOK, nil)
 	if backend.health.down || h.slowStartShare(backend) < 1 {
-		t.Error("a backend that only reset connections was reinstated in slow start")
+		t.Error("backend not reinstated warm after resets only")
 	}
 }
 
-// A connection that came up too late says little of a backend that answered meanwhile: held in slow start
-// for it, half of a warm fleet was used as if it had restarted. One that fails after the last answer does.
-func TestLateConnectionOfAnAnsweringBackendStartsNoSlowStart(t *testing.T) {
+// Guards against a late connection being taken for a restart of a backend that answers other attempts. That
+// put half of a warm fleet in slow start. A connection that is refused after the last answer does indicate a
+// restart.
+func TestLateConnectionOfAnsweringBackendBeginsNoSlowStart(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.UpdateEndpoints(h.at, UpdateComplete, endpoints(1))
 	late, _ := h.request(0, 1, 9, 1)
@@ -63,17 +64,17 @@
 		Result: ResultConnectFailed, Latency: second / 5, Answered: true, Unanswered: true,
 	})
 	if backend.health.down || h.slowStartShare(backend) < 1 {
-		t.Error("ejected for a connection that failed while others were answered")
+		t.Error("ejected for a late connection while other attempts were answered")
 	}
 	refused, _ := h.request(0, 1, 9, 1)
 	h.end(refused, ResultConnectFailed, true)
 	h.HealthCheckEnded(h.at, backend.ID, ResultOK, nil)
 	if backend.health.down || h.slowStartShare(backend) == 1 {
-		t.Error("not reinstated in slow start after it refused a connection")
+		t.Error("not reinstated in slow start after a refused connection")
 	}
 }
 
-// Guards the defence against backends that hang or are cut off (i62622c).
+// Guards against backends that stay in rotation although they hang or are cut off (issue i62622c).
 func TestUnresponsiveBackendIsEjected(t *testing.T) {
 	h := newHarness(t, testSettings())
 	stuck, _ := h.request(0, 1, 9, 1)
@@ -86,12 +87,12 @@
 		}
 	}
 	if !backend.health.down || !h.unhealthy(backend) {
-		t.Error("a backend that answered nothing for several objectives is still used")
+		t.Error("backend still in rotation after several objectives without an answer")
 	}
 	h.at += second
 	h.HealthCheckEnded(h.at, backend.ID, ResultOK, nil)
 	if h.unhealthy(backend) || h.slowStartShare(backend) != 1 {
-		t.Error("a backend that was only unresponsive must be reinstated warm")
+		t.Error("unresponsive backend not reinstated warm")
 	}
 }
 
@@ -109,7 +110,7 @@
 		}
 	}
 	if n := h.count(sendAction) - 200; n > 20 {
-		t.Errorf("%d of 200 requests met the backend that fails all", n)
+		t.Errorf("%d of 200 requests were retried, want at most 20", n)
 	}
 	backend := h.backends.byID[2]
 	for range 5 {
@@ -121,25 +122,25 @@
 	}
 }
 
-// Guards against blaming backends for what piled up while this gateway was stalled.
-func TestStallIsNoFaultOfTheBackends(t *testing.T) {
+// Guards against ejecting backends for answers that this gateway could not receive while it was stalled.
+func TestStallIsNotAttributedToBackends(t *testing.T) {
 	h := newHarness(t, testSettings())
 	id, _ := h.request(0, 1, 9, 1)
 	backend := h.lastAttempt(id).backend
 	h.TimerFired(h.at, gossipTimer)
 	h.at += 3 * second
 	if _, sent := h.request(0, 1, 8, 1); !sent || backend.health.down {
-		t.Error("an attempt that was pending in a stall counts as unanswered")
+		t.Error("attempt that was pending during a stall counted as unanswered")
 	}
 	h.endWith(id, Outcome{Result: ResultOK, Latency: 3 * second, Answered: true})
 	if backend.latency.ratio != 0 || h.latency.all.value != 0 {
-		t.Error("the time that an answer waited for this gateway counts as the backend's latency")
+		t.Error("latency of an attempt that overlapped a stall was recorded")
 	}
 }
 
-// Guards against trouble with one class or plan that each gateway meets too seldom to learn of by
-// itself; other requests still go to the backend.
-func TestFaultReportsTurnOneClassOrPlanElsewhere(t *testing.T) {
+// Guards against repeated attempts at a backend that fails for one class or plan only, which each gateway
+// sees too rarely to learn by itself. Requests of other classes and plans still go to the backend.
+func TestFaultReportsDivertOneClassOrPlan(t *testing.T) {
 	for _, c := range []struct {
 		name                  string
 		result                Result
@@ -168,16 +169,16 @@
 				return false
 			}
 			if uses(c.avoidClass, c.avoidPlan) {
-				t.Error("the backend is still chosen for what it fails")
+				t.Error("backend still chosen for the reported class or plan")
 			}
 			if !uses(c.otherClass, c.otherPlan) {
-				t.Error("the backend gets nothing of what it serves")
+				t.Error("backend not chosen for another class or plan")
 			}
 		})
 	}
 }
 
-func TestEjectionsInARowDoubleUpToTheLongest(t *testing.T) {
+func TestConsecutiveEjectionsDoubleUpToMaximum(t *testing.T) {
 	h := newHarness(t, testSettings())
 	backend := h.backends.byID[1]
 	for i, want := range []Time{second / 2, second, 2 * second, 4 * second, 4 * second} {
@@ -188,12 +189,12 @@
 	}
 	h.clock.now += 2*maxEjectionTime + 1
 	if backend.health.eject(h.clock.now); backend.health.ejectionTime != minEjectionTime {
-		t.Errorf("after long in rotation: %d, want %d", backend.health.ejectionTime, minEjectionTime)
+		t.Errorf("after long in rotation: got %d, want %d", backend.health.ejectionTime, minEjectionTime)
 	}
 	if got := h.UnavailableBackends(); got != 0 {
-		t.Errorf("%d backends unavailable, want none: none is down or fails", got)
+		t.Errorf("%d backends unavailable, want none", got)
 	}
 	if backend.health.down = true; h.UnavailableBackends() != 1 {
-		t.Errorf("%d backends unavailable, want the one that is down", h.UnavailableBackends())
+		t.Errorf("%d backends unavailable, want 1", h.UnavailableBackends())
 	}
 }
--- a/policy/controller_slowstart_test.go
+++ b/policy/controller_slowstart_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// serveFor has customers send 100 requests a second, each of which takes a tenth of a second, and
-// counts the attempts by backend.
+// serveFor has customers send 100 requests per second for the given time, each answered after a tenth of a
+// second. It returns the number of attempts by backend.
 func (h *harness) serveFor(seconds int) map[uint32]int {
 	h.t.Helper()
 	attempts := map[uint32]int{}
@@ -29,16 +29,16 @@
 	return attempts
 }
 
-func TestBackendsInSlowStartGetTheirShare(t *testing.T) {
+func TestBackendInSlowStartGetsItsCapacityShare(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.serveFor(8)
 	h.UpdateEndpoints(h.at, UpdateIncremental, []Endpoint{{ID: 4, Cell: 1, StartedAt: h.at}})
 	got := h.serveFor(1)
 	warm := float64(got[1]+got[2]+got[3]) / 3
 	if starting := float64(got[4]); starting > 0.6*warm || starting == 0 {
-		t.Errorf("the backend in slow start got %g where a warm one got %g", starting, warm)
+		t.Errorf("backend in slow start got %g attempts, warm backends %g on average", starting, warm)
 	}
-	// All start at once: the limit holds all the same.
+	// The limit also applies if all backends start at once.
 	list := endpoints(4)
 	for i := range list {
 		list[i].StartedAt = h.at
@@ -46,20 +46,20 @@
 	h.UpdateEndpoints(h.at, UpdateComplete, list)
 	got = h.serveFor(1)
 	if n := got[1] + got[2] + got[3] + got[4]; n > 60 {
-		t.Errorf("%d of 100 requests sent to backends that are all in slow start", n)
+		t.Errorf("%d of 100 requests sent while all backends are in slow start, want at most 60", n)
 	}
 }
 
-// Guards against backends that get nothing until they are warm because each of many gateways sends
-// too little to save up one attempt for it (i47ec98).
-func TestBackendsInSlowStartAreUsedByManySlowGateways(t *testing.T) {
+// Guards against backends that get no attempts until they are warm, because each of many gateways has too
+// little traffic to accumulate one attempt for them (issue i47ec98).
+func TestBackendInSlowStartIsUsedByGatewaysWithLittleTraffic(t *testing.T) {
 	sent := 0
 	for seed := range uint64(60) {
 		h := newUnstartedHarness(t, testSettings(), seed, start)
 		list := endpoints(4)
 		list[3].StartedAt = start
 		h.UpdateEndpoints(start, UpdateComplete, list)
-		for i := range 12 { // one request in half a second, to one starting backend of four
+		for i := range 12 { // one request per half second; one of four backends is in slow start
 			h.at += second / 2
 			h.TimerFired(h.at, gossipTimer)
 			id, ok := h.request(0, 1, uint64(i), 1)
@@ -71,13 +71,13 @@
 			}
 		}
 	}
-	// A warm one gets a quarter of the 720; a starting one its share of that, a fifth to two thirds.
+	// A warm backend gets a quarter of the 720 attempts; the starting one gets a fifth to two thirds of that.
 	if sent < 20 || sent > 130 {
-		t.Errorf("%d attempts to the starting backend by 60 gateways", sent)
+		t.Errorf("%d attempts at the starting backend by 60 gateways, want 20 to 130", sent)
 	}
 }
 
-// waitingFor are the requests with an attempt that waits for a connection to a backend, oldest first.
+// waitingFor returns the requests with an attempt that waits for a connection to a backend, oldest first.
 func (h *harness) waitingFor(backend uint32) []uint64 {
 	var ids []uint64
 	for id, request := range h.requests.byID {
@@ -90,15 +90,16 @@
 	return ids
 }
 
-// Connections that come up late do so all at once: what was chosen over seconds is not written in a moment.
-func TestWaitingAttemptsAreChargedToSlowStartAsTheyAreWritten(t *testing.T) {
+// Guards against a burst at a backend in slow start when delayed connections are established all at once, so
+// that the attempts chosen over several seconds could be written at the same time.
+func TestWaitingAttemptsAreChargedToSlowStartWhenWritten(t *testing.T) {
 	settings := testSettings()
 	settings.OverloadFactor, settings.OverloadWindow, settings.SlowStartFloor = 2.5, 2*second, 0.25
 	h := newHarness(t, settings)
 	h.serveFor(8)
 	h.UpdateEndpoints(h.at, UpdateIncremental, []Endpoint{{ID: 4, Cell: 1, StartedAt: h.at}})
 	h.noConnection = 4
-	var open []uint64 // at the warm backends, which take so long that the starting one is preferred
+	var open []uint64 // at the warm backends, which are so slow that the starting one is preferred
 	for range 400 {
 		h.at += second / 100
 		h.TimerFired(h.at, gossipTimer)
@@ -117,38 +118,39 @@
 		written += indicator(h.ConfirmSend(h.at, id, len(h.requests.byID[id].attempts)-1))
 	}
 	h.noConnection = 0
-	for range 20 { // at the same moment
+	for range 20 { // at the same time
 		id, sent := h.request(0, 1, 1, 1)
 		if sent && h.lastAttempt(id).backend.ID == 4 {
 			written++
 		}
 	}
 	if written == 0 || written > capacity {
-		t.Errorf("%g attempts written at one moment, want 1 to %g", written, capacity)
+		t.Errorf("%g attempts written at the same time, want 1 to %g", written, capacity)
 	}
 }
 
-// An attempt was chosen while its backend was warm and waits for a connection; the backend restarts.
-func TestAttemptThatWaitedIsNotWrittenUnchargedToARestartedBackend(t *testing.T) {
+// Guards against an attempt that escapes the limit of slow start because its backend was warm when it was
+// chosen and restarted while the attempt waited for a connection.
+func TestWaitingAttemptIsChargedIfBackendRestarted(t *testing.T) {
 	h := newHarness(t, slowStartSettings())
 	h.UpdateEndpoints(h.at, UpdateComplete, endpoints(1))
 	h.noConnection = 1
 	id, _ := h.request(0, 0, 9, 1)
 	h.UpdateEndpoints(h.at, UpdateIncremental, []Endpoint{{ID: 1, Cell: 1, StartedAt: h.at}})
 	if h.ConfirmSend(h.at, id, 0) {
-		t.Error("written, though the slow start has saved up no attempt yet")
+		t.Error("attempt confirmed although the bucket holds less than one attempt")
 	}
 	h.backends.byID[1].slowStart.bucket.level = 1
 	if !h.ConfirmSend(h.at, id, 0) {
-		t.Fatal("not written, though the slow start has an attempt left")
+		t.Fatal("attempt not confirmed although the bucket holds one attempt")
 	}
 	if level := h.backends.byID[1].slowStart.bucket.level; level >= 1 {
-		t.Errorf("%g attempts left after one was written", level)
+		t.Errorf("bucket level %g after an attempt was written, want less than 1", level)
 	}
 }
 
-// What was held or charged for an attempt that was not written is given back.
-func TestAttemptThatIsNotSentGivesItsSlowStartBack(t *testing.T) {
+// Guards against an attempt that was not written but still uses up the slow start of its backend.
+func TestUnsentAttemptReleasesItsSlowStartCharge(t *testing.T) {
 	for _, noConnection := range []uint32{0, 1} {
 		h := newHarness(t, slowStartSettings())
 		h.UpdateEndpoints(h.at, UpdateComplete, endpoints(1))
@@ -157,19 +159,19 @@
 		backend.slowStart.bucket.level, h.noConnection = 1, noConnection
 		id, sent := h.request(0, 0, 9, 1)
 		if !sent || h.slowStartAllows(backend) {
-			t.Fatalf("sent %t, and another is allowed", sent)
+			t.Fatalf("sent %t; want one attempt sent and no other allowed", sent)
 		}
 		h.end(id, ResultNotSent, true)
 		if !h.slowStartAllows(backend) || backend.slowStart.reserved != 0 {
-			t.Errorf("level %g, %d held after the attempt was not sent",
+			t.Errorf("bucket level %g, %d reserved after the attempt was not sent",
 				backend.slowStart.bucket.level, backend.slowStart.reserved)
 		}
 	}
 }
 
-// Guards against starting backends that are idle while the few warm ones are overloaded: what many
-// gateways save up for one is used at once, and all together stay within what it bears.
-func TestBackendsInSlowStartStayWithinTheFleetsBudget(t *testing.T) {
+// Guards against starting backends that are idle while the few warm ones are overloaded, and against gateways
+// whose accumulated attempts together overload a starting backend.
+func TestBackendsInSlowStartGetAttemptsWithinBudgetOfFleet(t *testing.T) {
 	const gateways, backends, warm, perSecond, window = 60, 20, 8, 8, 3
 	settings := testSettings()
 	settings.OverloadFactor, settings.OverloadWindow, settings.SlowStartFloor = 2.5, window*second, 0.25
@@ -208,20 +210,20 @@
 	budget := settings.OverloadFactor * settings.SlowStartFloor * each * backends / warm * window
 	for _, starting := range list[warm:] {
 		if got[starting.ID] > budget {
-			t.Errorf("starting backend %d got %.0f in %d s, %.0f at most",
+			t.Errorf("starting backend %d got %.0f attempts in %d s, want %.0f at most",
 				starting.ID, got[starting.ID], window, budget)
 		}
 		average += got[starting.ID] / (backends - warm) / window
 	}
 	if average < settings.SlowStartFloor*each {
-		t.Errorf("a starting backend got %.1f a second, a warm one before %.1f: want its share at least",
+		t.Errorf("starting backend got %.1f attempts/s, a warm one got %.1f before: want at least its share",
 			average, each)
 	}
 }
 
-// Guards against a rate that takes all that backends outside the subset get for that of one
-// warm backend in it.
-func TestAnswerRateStandsWhileNoWarmBackendIsInTheSubset(t *testing.T) {
+// Guards against an answer rate that counts the answers of all backends outside the subset as those of a
+// single warm backend.
+func TestAnswerRateIsConstantWithoutWarmBackendInSubset(t *testing.T) {
 	settings := testSettings()
 	settings.Gateways, settings.HandshakePrice = 80, 0.08
 	h := newHarness(t, settings)
@@ -244,7 +246,7 @@
 		sent += int(indicator(h.serve(1, uint64(i), 1)))
 	}
 	if sent < 50 || before == 0 {
-		t.Fatalf("%d of 100 sent, the rate was %g: want the other backends used", sent, before)
+		t.Fatalf("%d of 100 requests sent, answer rate %g before: want other backends used", sent, before)
 	}
 	assertNear(t, "answer rate", h.pace.answerRate.value(h.at, answerRateDecay), before)
 }
--- a/policy/discoverywatch.go
+++ b/policy/discoverywatch.go
@@ -1,21 +1,20 @@
 package policy
 
-// discoveryWatch is the state of the watch on the endpoint list, where the list is polled: whether to ask
-// again, and whether what is listed tells of starts.
+// discoveryWatch is the state of the watch on the endpoint list of service discovery.
 type discoveryWatch struct {
-	active      bool // an answer has come, and no error since
-	listed      bool // a list has come that is not from before this gateway's start
-	requestedAt Time
+	active      bool // an update that is not stale has arrived, and no failure since
+	listed      bool // an update that is not stale has arrived since the start of this gateway
+	requestedAt Time // the time of the last watch request
 }
 
-// request notes that service discovery is asked now.
+// recordRequest records a watch request to service discovery.
 func (w *discoveryWatch) request(now Time) { w.requestedAt = now }
 
-// fail notes that service discovery is unavailable.
+// recordFailure records that service discovery is unavailable.
 func (w *discoveryWatch) fail() { w.active = false }
 
-// receive notes an update. It returns whether there was a list before that is not from before this gateway's
-// start.
+// recordUpdate records an update. It reports whether an earlier update was not stale, so that the new starts
+// in this one have happened since.
 func (w *discoveryWatch) receive(kind UpdateKind) (listedBefore bool) {
 	listedBefore = w.listed
 	w.active = w.active || kind != UpdateStale
@@ -23,8 +22,8 @@
 	return listedBefore
 }
 
-// isDue reports whether to ask again, as the watch has failed, or was not answered yet, for a part of the
-// term within which it is to be renewed.
+// isDue reports whether to request the watch again. It is due if the watch is not active and a quarter of the
+// term, within which an ended watch must be renewed, has passed since the last request.
 func (w *discoveryWatch) isDue(now, term Time) bool {
 	const requestsPerTerm = 4
 	return !w.active && now-w.requestedAt >= term/requestsPerTerm
--- a/policy/discoverywatch_test.go
+++ b/policy/discoverywatch_test.go
@@ -2,30 +2,30 @@
 
 import "testing"
 
-func TestWatchIsDueAQuarterOfItsTermAfterItFailed(t *testing.T) {
+func TestDiscoveryWatchIsDueAfterQuarterOfTerm(t *testing.T) {
 	const term = 8 * second
 	var watch discoveryWatch
 	watch.request(start)
 	if watch.isDue(start+term/4-1, term) {
-		t.Error("due before its time")
+		t.Error("due before a quarter of the term")
 	}
 	if !watch.isDue(start+term/4, term) {
-		t.Error("not due though nothing came")
+		t.Error("not due although no update has arrived")
 	}
 	watch.receive(UpdateStale)
 	if !watch.isDue(start+term/4, term) {
-		t.Error("a list from before the start was taken for an answer")
+		t.Error("a stale update activated the watch")
 	}
 	watch.receive(UpdateIncremental)
 	if watch.isDue(start+term, term) {
-		t.Error("due while it is active")
+		t.Error("due while the watch is active")
 	}
 	if watch.fail(); !watch.isDue(start+term, term) {
 		t.Error("not due after a failure")
 	}
 }
 
-func TestWatchTellsWhetherAListCameBefore(t *testing.T) {
+func TestDiscoveryWatchReportsEarlierCurrentUpdate(t *testing.T) {
 	var watch discoveryWatch
 	for i, c := range []struct {
 		kind UpdateKind
--- a/policy/faultreports.go
+++ b/policy/faultreports.go
@@ -2,18 +2,18 @@
 
 import "math"
 
-const faultDecay = 8 * second // the time constant in which a fault report is forgotten
+const faultDecay = 8 * second // the time constant of the decay of a fault report
 
-// faultSubject is the class or the plan that a backend has a fault with, as gossip messages number them:
-// classes up from 0, plans down from the largest byte, as gateways may differ in the number of classes during
-// a reload.
+// faultSubject is the class or the plan for which a backend has a fault, as encoded in gossip messages.
+// Classes count up from 0 and plans count down from the largest byte, because the number of classes may
+// differ between gateways during a reload.
 type faultSubject byte
 
 func classSubject(class int) faultSubject { return faultSubject(class) }
 func planSubject(plan int) faultSubject   { return faultSubject(math.MaxUint8 - plan) }
 
-// faultReports are the faults of one backend with each class and plan, as all gateways report them. Each
-// report decays over faultDecay.
+// faultReports counts the faults of one backend by class and plan, as reported by all gateways. Each report
+// decays with the time constant faultDecay.
 type faultReports struct {
 	byClass, byPlan []decayingSum
 }
@@ -22,7 +22,7 @@
 	return faultReports{byClass: make([]decayingSum, classes), byPlan: make([]decayingSum, plans)}
 }
 
-// add counts a report. One on a class or plan that is unknown here is ignored.
+// add counts a report. A report for a class or plan that is unknown to this gateway is ignored.
 func (r *faultReports) add(now Time, subject faultSubject) {
 	if plan := math.MaxUint8 - int(subject); plan < len(r.byPlan) {
 		r.byPlan[plan].add(now, faultDecay, 1)
@@ -31,13 +31,13 @@
 	}
 }
 
-// value is how many reports of late tell against a request of the class and plan.
+// value returns the decayed number of reports for the class and the plan.
 func (r *faultReports) value(now Time, class, plan int) float64 {
 	return r.byClass[class].value(now, faultDecay) + r.byPlan[plan].value(now, faultDecay)
 }
 
-// renumber moves the reports to other numbers of classes and plans: to those of each new class from its old
-// index, -1 if there is none, and from each old plan to its new one, -1 if it is gone.
+// renumber moves the reports to new indices of classes and plans. oldClasses has the old index of each new
+// class, or -1 for a new one; newPlans has the new index of each old plan, or -1 if the plan was removed.
 func (r *faultReports) renumber(oldClasses, newPlans []int, planCount int) {
 	renumbered := newFaultReports(len(oldClasses), planCount)
 	pickFrom(renumbered.byClass, r.byClass, oldClasses)
--- a/policy/latencyestimate.go
+++ b/policy/latencyestimate.go
@@ -4,16 +4,16 @@
 
 // latencyEstimate holds average latencies of successful answers, in microseconds.
 type latencyEstimate struct {
-	all       movingAverage
+	all       movingAverage   // of warm backends
 	slowStart movingAverage   // of backends in slow start, scaled to their full capacity
-	byClass   []movingAverage // the same as all, by class
+	byClass   []movingAverage // of the answers in all, by class
 }
 
 func newLatencyEstimate(classes int) latencyEstimate {
 	return latencyEstimate{byClass: make([]movingAverage, classes)}
 }
 
-// record learns from a successful answer of a backend with the given share of its capacity.
+// record adds the latency of a successful answer by a backend that has the given share of its capacity.
 func (e *latencyEstimate) record(class int, latency, share float64) {
 	if share < 1 {
 		e.slowStart.add(latency*share, fleetSampleWeight)
@@ -23,11 +23,10 @@
 	e.byClass[class].add(latency, fleetSampleWeight)
 }
 
-// ofClass is the usual latency of a class; 0: unknown.
+// ofClass returns the usual latency of a class, or zero if it is unknown.
 func (e *latencyEstimate) ofClass(class int) float64 { return e.byClass[class].value }
 
-// slowStartOr is the average latency of backends in slow start, or else, while there was no answer of any,
-// the given one.
+// slowStartOr returns the average latency of backends in slow start, or the given fallback if it is unknown.
 func (e *latencyEstimate) slowStartOr(latency Time) float64 {
 	if e.slowStart.value > 0 {
 		return e.slowStart.value
@@ -35,8 +34,9 @@
 	return float64(latency)
 }
 
-// allowed is the average latency at which the class with the tightest objective still meets it: load
-// stretches the latency of all classes alike. While no class has a latency it is the shortest objective.
+// allowed returns the average latency over all classes at which each class still meets its objective, given
+// that load increases the latency of all classes in proportion. If no latency is known, it returns the
+// shortest objective.
 func (e *latencyEstimate) allowed(classes []Class, shortestObjective Time) float64 {
 	allowed := math.Inf(1)
 	for class, latency := range e.byClass {
@@ -51,7 +51,8 @@
 	return allowed
 }
 
-// renumber gives each new class the latency of its old index, -1 if there is none.
+// renumber moves the averages to new indices of classes. oldClasses has the old index of each class, or -1
+// for a new one.
 func (e *latencyEstimate) renumber(oldClasses []int) {
 	byClass := make([]movingAverage, len(oldClasses))
 	pickFrom(byClass, e.byClass, oldClasses)
--- a/policy/latencyratio.go
+++ b/policy/latencyratio.go
@@ -3,17 +3,17 @@
 import "math"
 
 const (
-	slownessHalfLife = 4 * second // in which a backend's latency ratio halves its distance from 1
-	maxLatencyRatio  = 20.0       // the most that one answer counts
+	slownessHalfLife = 4 * second // the time in which the distance of a latency ratio from 1 halves
+	maxLatencyRatio  = 20.0       // the upper limit of the ratio of a single answer
 )
 
-// latencyRatio is the latency of one backend's answers in relation to the usual one.
+// latencyRatio is the average latency of one backend's answers in relation to the usual latency.
 type latencyRatio struct {
-	ratio     float64 // 0: unknown
+	ratio     float64 // zero if unknown
 	updatedAt Time
 }
 
-// slowness is the ratio, decayed towards 1.
+// slowness returns the ratio, decayed towards 1 since its last update.
 func (r *latencyRatio) slowness(now Time) float64 {
 	if r.ratio == 0 {
 		return 1
@@ -21,7 +21,7 @@
 	return 1 + (r.ratio-1)*math.Exp2(-float64(now-r.updatedAt)/float64(slownessHalfLife))
 }
 
-// record learns from the latency of one answer, where the usual one is known: above 0.
+// record adds the latency of an answer. It is ignored if the usual latency is unknown (0).
 func (r *latencyRatio) record(now Time, latency, usual float64) {
 	if usual <= 0 {
 		return
@@ -31,5 +31,5 @@
 	r.updatedAt = now
 }
 
-// reset forgets what was learnt, as the backend may be another process now.
+// reset discards the ratio, because the backend may be another process now.
 func (r *latencyRatio) reset() { r.ratio = 0 }
--- a/policy/leastloaded.go
+++ b/policy/leastloaded.go
@@ -2,21 +2,22 @@
 
 import "math/rand/v2"
 
-const priceWeight = 5.0 // turns the price of crossing zones, or of a handshake, into load
+const priceWeight = 5.0 // converts the price of crossing zones, or of a handshake, into load
 
-// candidate is what the choice of a backend for an attempt compares. Load reports don't count: they are older
-// than a request takes, and all gateways would follow the same one.
+// candidate is the state of a backend that is compared when a backend is chosen for an attempt. Load reports
+// are not part of it: they are older than the duration of a request, and all gateways would react to the same
+// report.
 type candidate struct {
 	inFlight     int     // attempts of this gateway
-	slowness     float64 // the latency of its answers in relation to the usual one
-	share        float64 // of its capacity that it has by now, below 1 in slow start
+	slowness     float64 // the latency of its answers in relation to the usual latency
+	share        float64 // the share of its capacity that the backend has, below 1 in slow start
 	isOtherZone  bool
 	inSubset     bool
-	capacityHint float64 // 0: none
-	faults       float64 // reported with the request's class and plan, as far as they count
+	capacityHint float64 // zero if there is none
+	faults       float64 // weighted fault reports for the class and plan of the request
 }
 
-// loadPrices turn what an attempt costs besides its time into load.
+// loadPrices convert the costs of an attempt other than its time into load.
 type loadPrices struct {
 	crossZone, handshake float64
 	useCapacityHints     bool
@@ -28,9 +29,9 @@
 	}
 }
 
-// score compares how long an attempt would wait at each backend: the lower, the better.
+// score estimates how long an attempt would wait at a backend: the lower, the better.
 func (p *loadPrices) score(of *candidate) float64 {
-	// The share lowers the score of a starting backend, whose bucket limits its attempts anyway.
+	// The share lowers the score of a backend in slow start, as its bucket already limits its attempts.
 	score := float64(of.inFlight+1) * of.slowness * of.share
 	if of.isOtherZone {
 		score *= 1 + p.crossZone*priceWeight
@@ -44,15 +45,15 @@
 	return score * (1 + of.faults)
 }
 
-// leastLoaded is the one of the backends offered so far that has the lowest score; each of several with the
-// same one is it with the same chance.
+// leastLoaded holds the backend with the lowest score of those considered so far. Ties are broken at random,
+// with equal probability.
 type leastLoaded struct {
-	backend *backend // nil: none was offered
+	backend *backend // nil if none was considered
 	score   float64
-	ties    int // how many backends have the score
+	ties    int // the number of backends with the lowest score
 }
 
-// offer compares another backend. It draws a random number unless its score is beyond the lowest.
+// considerBackend compares another backend. It draws a random number unless the score exceeds the lowest.
 func (l *leastLoaded) offer(backend *backend, score float64, random *rand.Rand) {
 	if l.ties > 0 && score > l.score {
 		return
--- a/policy/leastloaded_test.go
+++ b/policy/leastloaded_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// idle is a warm backend of this gateway's zone and subset that has nothing to do.
+// idle is a warm backend in the zone and the subset of this gateway without attempts in flight.
 var idle = candidate{slowness: 1, share: 1, inSubset: true, capacityHint: 2}
 
-func TestScoreIsTheLoadAndWhatAnAttemptCosts(t *testing.T) {
+func TestScoreCombinesLoadAndPrices(t *testing.T) {
 	prices := loadPrices{crossZone: 0.1, handshake: 0.2}
 	for _, c := range []struct {
 		name   string
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestLeastLoadedIsDrawnAmongTies(t *testing.T) {
+func TestLeastLoadedBreaksTiesUniformly(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	backends := []*backend{{}, {}, {}, {}, {}}
 	scores := []float64{2, 1, 3, 1, 1}
@@ -57,11 +57,11 @@
 	for i, backend := range backends {
 		got, want := chosen[backend], draws/3*int(indicator(scores[i] == 1))
 		if got < want*9/10 || got > want*11/10 {
-			t.Errorf("backend %d of score %g was chosen %d times, want about %d", i, scores[i], got, want)
+			t.Errorf("backend %d with score %g chosen %d times, want about %d", i, scores[i], got, want)
 		}
 	}
 	var none leastLoaded
 	if none.backend != nil {
-		t.Error("a backend was chosen of none")
+		t.Error("zero value has a backend")
 	}
 }
--- a/policy/request.go
+++ b/policy/request.go
@@ -9,40 +9,41 @@
 	deadline Time
 	attempts []*attempt
 
-	coordinator       int // the index of the customer's coordinator that was asked last
+	coordinator       int // the index, among the customer's coordinators, of the last one asked
 	quotaRequestsSent int
-	grantDeadline     Time // when the request is decided on without an answer
-	quotaRequest      byte // the number of its last quota request; 0: none
+	grantDeadline     Time // the time at which the request is decided on if no grant has arrived
+	quotaRequest      byte // the number of its last quota request; zero if there is none
 
-	answered       bool // the client has its answer, or the start of it
-	reachedBackend bool // an attempt may have reached a backend
-	borrowed       bool // the shared bucket lent its units
-	chargedCeiling bool // its units were taken from the ceiling of this gateway
+	answered       bool // the answer to the client is complete or has started
+	reachedBackend bool // whether an attempt may have reached a backend
+	borrowed       bool // its units were borrowed from the shared bucket
+	chargedCeiling bool // its units were charged to the ceiling of this gateway
 }
 
-// attempt is one attempt of a request. While it is pending it counts as load of its backend and its customer.
+// attempt is one attempt of a request. A pending attempt counts towards the load of its backend and its
+// customer.
 type attempt struct {
 	backend         *backend
 	sentAt          Time
 	pending         bool
 	overdue         bool // pending for longer than the latency objective
-	overlappedStall bool // this gateway was stalled while it was pending: its latency means nothing
-	mayHaveRun      bool // false once an outcome has proved that it did not run
+	overlappedStall bool // this gateway was stalled while the attempt was pending, so its latency is unusable
+	mayHaveRun      bool // true until an outcome proves that the attempt did not run
 	slowStart       slowStartCharge
 }
 
-// isAnswer reports whether the backend answered the attempt, in whatever way.
+// isAnswer reports whether the result is an answer of the backend, successful or not.
 func (r Result) isAnswer() bool {
 	return r == ResultOK || r == ResultFailed || r == ResultOverloaded
 }
 
-// provesNotRun reports whether a request did not run at the backend.
+// provesNotRun reports whether the result proves that the request did not run at the backend.
 func (r Result) provesNotRun() bool {
 	return r == ResultOverloaded || r == ResultConnectFailed || r == ResultNotSent
 }
 
-// pendingAttempt is the request's attempt of that number; nil if it is not pending or unknown, also
-// for a nil request.
+// pendingAttempt returns the attempt with the given number, or nil if the request is nil or has no such
+// pending attempt.
 func (r *request) pendingAttempt(number int) *attempt {
 	if r == nil || number < 0 || number >= len(r.attempts) || !r.attempts[number].pending {
 		return nil
@@ -50,18 +51,18 @@
 	return r.attempts[number]
 }
 
-// hasPending reports whether an attempt is pending.
+// hasPending reports whether any attempt is pending.
 func (r *request) hasPending() bool {
 	return slices.ContainsFunc(r.attempts, func(attempt *attempt) bool { return attempt.pending })
 }
 
-// tried reports whether the request has had an attempt at the backend.
+// hasTried reports whether the request has had an attempt at the backend.
 func (r *request) tried(backend *backend) bool {
 	return slices.ContainsFunc(r.attempts, func(attempt *attempt) bool { return attempt.backend == backend })
 }
 
-// faultOf returns the class or plan of the request with which an attempt's result shows a fault of its
-// backend, if it does. Each gateway meets such faults only rarely.
+// faultOf returns the class or plan of the request for which the result shows a fault of the attempt's
+// backend, and whether it shows one. A single gateway sees such faults too rarely to learn from its own.
 func (r *request) faultOf(attempt *attempt, result Result) (subject faultSubject, isFault bool) {
 	switch {
 	case result == ResultOverloaded:
@@ -73,7 +74,7 @@
 	}
 }
 
-// releasePending ends the pending attempts, as the process that sent them has ended.
+// releasePendingAttempts ends the pending attempts after the process that sent them has ended.
 func (r *request) releasePending() {
 	for _, attempt := range r.attempts {
 		if attempt.pending {
@@ -83,14 +84,14 @@
 	}
 }
 
-// addAttempt adds an attempt at a backend, which is sent now.
+// addAttempt adds an attempt that is sent to a backend now.
 func (r *request) addAttempt(backend *backend, now Time) *attempt {
 	added := &attempt{backend: backend, sentAt: now, pending: true, mayHaveRun: true}
 	r.attempts = append(r.attempts, added)
 	return added
 }
 
-// markOverdue notes that attempts have missed their objective, as far as they are still pending.
+// markOverdue marks the attempts that are still pending as overdue.
 func markOverdue(attempts []*attempt) {
 	for _, attempt := range attempts {
 		if attempt.pending {
@@ -100,7 +101,7 @@
 	}
 }
 
-// release removes an ended attempt from the load of its backend and its customer.
+// releaseLoad removes an ended attempt from the load of its backend and its customer.
 func (a *attempt) release(customer *customer) {
 	a.backend.load.remove(a.overdue)
 	customer.inFlight--
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestResultsShowFaultsWithAClassOrAPlan(t *testing.T) {
+func TestFaultOfResultIsClassOrPlan(t *testing.T) {
 	of := &request{Request: Request{Class: 2, Plan: 1}}
 	for _, c := range []struct {
 		name    string
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestOnlyPendingAttemptsOfARequestCanEnd(t *testing.T) {
+func TestPendingAttemptOfRequest(t *testing.T) {
 	of := &request{attempts: sentAt(start, start)}
 	of.attempts[0].pending = false
 	for number, want := range map[int]*attempt{-1: nil, 0: nil, 1: of.attempts[1], 2: nil} {
@@ -39,9 +39,9 @@
 	}
 	var unknown *request
 	if unknown.pendingAttempt(0) != nil {
-		t.Error("an unknown request has a pending attempt")
+		t.Error("nil request has a pending attempt")
 	}
 	if !of.hasPending() || !of.tried(of.attempts[0].backend) || of.tried(&backend{}) {
-		t.Error("want one attempt pending, and both backends tried")
+		t.Error("want one attempt pending, and only its backends tried")
 	}
 }
--- a/policy/requesttable.go
+++ b/policy/requesttable.go
@@ -6,12 +6,12 @@
 	"slices"
 )
 
-// requestTable holds the open requests, and which of their attempts may still meet their objectives. A
-// request is in one of byID and ofPredecessor, or in none.
+// requestTable holds the open requests, and those of their attempts that may still meet their objectives. A
+// request is in at most one of byID and predecessorRequests.
 type requestTable struct {
-	byID            map[uint64]*request // with pending attempts or waiting for a grant
-	ofPredecessor   map[uint64]*request // those that the former process carries to their end
-	withinObjective [][]*attempt        // by class, oldest first: attempts not found overdue yet
+	byID            map[uint64]*request // requests that have pending attempts or wait for a grant
+	ofPredecessor   map[uint64]*request // by ID; the predecessor completes them
+	withinObjective [][]*attempt        // by class, oldest first: attempts not yet found overdue
 }
 
 func newRequestTable(classes int) requestTable {
@@ -22,19 +22,19 @@
 	}
 }
 
-// add makes a request open.
+// add adds an open request.
 func (t *requestTable) add(request *request) { t.byID[request.ID] = request }
 
-// remove ends a request.
+// remove removes a request that has ended.
 func (t *requestTable) remove(id uint64) { delete(t.byID, id) }
 
-// addAttempt adds the newest attempt of a class.
+// addAttempt adds an attempt of a request of the class. It must be the newest one of its class.
 func (t *requestTable) addAttempt(class int, attempt *attempt) {
 	t.withinObjective[class] = append(t.withinObjective[class], attempt)
 }
 
-// takeOlder removes the attempts of a class that are older than the given age, and returns them, ended ones
-// among them.
+// removeOlderAttempts removes and returns the attempts of a class that are older than the given age,
+// including those that have ended.
 func (t *requestTable) takeOlder(class int, now, age Time) []*attempt {
 	attempts, count := t.withinObjective[class], 0
 	for count < len(attempts) && now-attempts[count].sentAt > age {
@@ -44,8 +44,8 @@
 	return attempts[:count]
 }
 
-// excludeStall notes that this gateway was stalled until now while the attempts were pending: their latency
-// says nothing about the backends. All of them count as overdue.
+// excludeStall marks all attempts as overlapping a stall of this gateway that ends now, because their latency
+// says nothing about the backends. All pending ones become overdue.
 func (t *requestTable) excludeStall(now Time) {
 	const anyAge = -1
 	for class, attempts := range t.withinObjective {
@@ -56,7 +56,7 @@
 	}
 }
 
-// addOfPredecessor adds a request that the former process carries to its end.
+// addPredecessorRequest adds a request that the predecessor completes.
 func (t *requestTable) addOfPredecessor(request *request) {
 	t.ofPredecessor[request.ID] = request
 	for _, attempt := range request.attempts {
@@ -67,14 +67,14 @@
 	slices.SortStableFunc(t.withinObjective[request.Class], bySendTime)
 }
 
-// takeOfPredecessor removes the requests of the former process and returns them.
+// removePredecessorRequests removes and returns the requests of the predecessor.
 func (t *requestTable) takeOfPredecessor() []*request {
 	requests := slices.Collect(maps.Values(t.ofPredecessor))
 	clear(t.ofPredecessor)
 	return requests
 }
 
-// withPending returns the open requests of this process that have a pending attempt, by ID.
+// withPendingAttempts returns the open requests of this process that have a pending attempt, ordered by ID.
 func (t *requestTable) withPending() []*request {
 	var requests []*request
 	for _, request := range t.byID {
@@ -86,14 +86,14 @@
 	return requests
 }
 
-// hasClass reports whether a request of the class is open.
+// hasClass reports whether any open request is of the class.
 func (t *requestTable) hasClass(class int) bool {
 	found := false
 	t.each(func(request *request) { found = found || request.Class == class })
 	return found
 }
 
-// each calls do for each open request, this process's and the predecessor's.
+// each calls do for each open request of this process and of the predecessor.
 func (t *requestTable) each(do func(*request)) {
 	for _, requests := range []map[uint64]*request{t.byID, t.ofPredecessor} {
 		for _, request := range requests {
@@ -102,8 +102,8 @@
 	}
 }
 
-// renumber moves the requests and attempts to the new indices of their classes, of which there are so many,
-// and plans; -1 for one that nothing needs.
+// renumber changes the indices of classes and plans to those of new settings with classCount classes. Classes
+// and plans are given as new indices by old index, -1 for one that no request uses.
 func (t *requestTable) renumber(classes, plans []int, classCount int) {
 	t.each(func(request *request) {
 		request.Class, request.Plan = classes[request.Class], plans[request.Plan]
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -3,33 +3,33 @@
 import "math"
 
 const (
-	retryRatio           = 0.2  // retries that one admitted request pays for
-	maxRetryBudget       = 10.0 // the most retries saved up
-	ranRetryCost         = 1.0  // the cost of a retry after an attempt that may have run,
-	notRunRetryCost      = 0.1  // and after one that did not: it has cost next to nothing
-	attemptTimeoutFactor = 10   // average latencies after which an attempt is given up for another
-	minRetryTime         = 10   // the part of the latency objective, 1/n, that must be left for a retry
-	dedupMarginEvents    = 4    // least event intervals by which a deduplication window ends early
+	retryRatio           = 0.2  // the retry budget that one admitted request earns
+	maxRetryBudget       = 10.0 // the upper limit of the retry budget
+	ranRetryCost         = 1.0  // the cost of a retry after an attempt that may have run
+	notRunRetryCost      = 0.1  // the cost after one that did not run and has hardly used the backend
+	attemptTimeoutFactor = 10   // average latencies after which an attempt is abandoned for another
+	minRetryTime         = 10   // 1/n of the latency objective must be left for a retry
+	dedupMarginEvents    = 4    // minimum event intervals by which a deduplication window ends early
 )
 
-// retryBudget limits retries to a ratio of the requests admitted: it is never more than maxRetryBudget.
+// retryBudget limits retries to a ratio of the admitted requests. It never exceeds maxRetryBudget.
 type retryBudget float64
 
-// deposit adds what an admitted request pays for.
+// deposit adds the part that an admitted request earns.
 func (b *retryBudget) deposit() {
 	*b = retryBudget(math.Min(maxRetryBudget, float64(*b)+retryRatio))
 }
 
-// affords reports whether the budget has the cost of a retry.
+// affords reports whether the budget covers the cost of a retry.
 func (b *retryBudget) affords(cost retryBudget) bool { return *b >= cost }
 
-// spend takes the cost of a retry.
+// spend deducts the cost of a retry.
 func (b *retryBudget) spend(cost retryBudget) { *b -= cost }
 
-// split halves the budget between two processes that may retry for a while.
+// split halves the budget, for a handover during which two processes may retry.
 func (b *retryBudget) split() { *b /= 2 }
 
-// retryCost is the cost of a retry after an attempt that ended with the result.
+// retryCost returns the cost of a retry after an attempt that ended with the result.
 func retryCost(last *attempt, result Result) retryBudget {
 	switch {
 	case last.mayHaveRun:
@@ -41,20 +41,20 @@
 	}
 }
 
-// retryRule says what may follow the attempts that a request has had.
+// retryRule describes what may follow the attempts that a request has had.
 type retryRule struct {
-	allowed    bool     // another attempt may be made
-	within     *attempt // it must stay in this one's deduplication scope; nil: anywhere
+	allowed    bool     // whether another attempt may be made
+	within     *attempt // if not nil, another attempt must stay in the deduplication scope of this one
 	rejectable bool     // the request may be rejected, as it did not run or may run again
 }
 
-// permits reports whether an attempt at the backend stays in the deduplication scope of an earlier one; nil:
-// it may go anywhere.
+// permits reports whether an attempt at the backend stays in the deduplication scope of an earlier attempt.
+// If that is nil, any backend is permitted.
 func (c *Class) permits(within *attempt, backend *backend) bool {
 	return within == nil || c.sameDedupScope(within.backend, backend)
 }
 
-// sameDedupScope reports whether two backends drop each other's repeats.
+// sameDedupScope reports whether two backends are in the same deduplication scope.
 func (c *Class) sameDedupScope(a, b *backend) bool {
 	switch c.DedupScope {
 	case DedupZone:
@@ -66,8 +66,8 @@
 	}
 }
 
-// retryRule applies a class's idempotency to the attempts that a request has had. Hedging allows an
-// attempt while another is pending.
+// retryRule derives the rule from the idempotency of the class and the attempts that a request has had. If
+// hedging is set, an attempt may be made while another one is pending.
 func (c *Class) retryRule(attempts []*attempt, hedging bool, now, dedupMargin Time) retryRule {
 	rule := retryRule{allowed: true, rejectable: true}
 	for _, attempt := range attempts {
@@ -89,7 +89,7 @@
 	return rule
 }
 
-// retryRule applies a class of the settings to the given attempts of a request.
+// retryRule derives the rule for the given attempts of a request from the class with the given index.
 func (s *Settings) retryRule(class int, attempts []*attempt, now Time) retryRule {
 	margin := dedupMarginEvents * s.MinEventInterval
 	return s.Classes[class].retryRule(attempts, s.Hedging, now, margin)
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -17,17 +17,17 @@
 		after    Time
 		want     retryRule
 	}{
-		{name: "nothing sent", class: never, want: retryRule{allowed: true, rejectable: true}},
+		{name: "no attempt yet", class: never, want: retryRule{allowed: true, rejectable: true}},
 		{
-			name: "idempotent that ran", class: idempotent, attempts: []*attempt{ran},
+			name: "idempotent, may have run", class: idempotent, attempts: []*attempt{ran},
 			want: retryRule{allowed: true, rejectable: true},
 		},
 		{
-			name: "idempotent still pending", class: idempotent, attempts: []*attempt{pending},
+			name: "idempotent, still pending", class: idempotent, attempts: []*attempt{pending},
 			want: retryRule{rejectable: true},
 		},
 		{
-			name: "idempotent still pending, hedging", class: idempotent, attempts: []*attempt{pending},
+			name: "idempotent, still pending, hedging", class: idempotent, attempts: []*attempt{pending},
 			hedging: true, want: retryRule{allowed: true, rejectable: true},
 		},
 		{
@@ -36,7 +36,7 @@
 		},
 		{name: "not idempotent, may have run", class: never, attempts: []*attempt{notRun, ran}},
 		{
-			name: "key in its cell", class: perCell, attempts: []*attempt{notRun, ran}, after: second / 2,
+			name: "key in its window", class: perCell, attempts: []*attempt{notRun, ran}, after: second / 2,
 			want: retryRule{allowed: true, within: ran},
 		},
 		{
@@ -44,7 +44,7 @@
 			want: retryRule{within: ran},
 		},
 		{
-			name: "key anywhere", class: anywhere, attempts: []*attempt{ran},
+			name: "key in all cells", class: anywhere, attempts: []*attempt{ran},
 			want: retryRule{allowed: true, within: ran, rejectable: true},
 		},
 		{
@@ -60,28 +60,28 @@
 	}
 }
 
-func TestRetryBudgetIsFilledByRequestsUpToItsMost(t *testing.T) {
+func TestRetryBudgetGrowsWithRequestsUpToMaximum(t *testing.T) {
 	var budget retryBudget
 	for range 5 {
 		if budget.affords(ranRetryCost) {
-			t.Errorf("%g pays for a retry", budget)
+			t.Errorf("budget %g affords a retry before five requests", budget)
 		}
 		budget.deposit()
 	}
 	if !budget.affords(ranRetryCost) {
-		t.Errorf("%g pays for no retry after five requests", budget)
+		t.Errorf("budget %g does not afford a retry after five requests", budget)
 	}
 	budget.spend(ranRetryCost)
-	assertNear(t, "after a retry", float64(budget), 0)
+	assertNear(t, "budget after a retry", float64(budget), 0)
 	for range 1000 {
 		budget.deposit()
 	}
-	assertNear(t, "after many requests", float64(budget), 10)
+	assertNear(t, "budget after many requests", float64(budget), 10)
 	budget.split()
-	assertNear(t, "after a handover", float64(budget), 5)
+	assertNear(t, "budget after a split", float64(budget), 5)
 }
 
-func TestRetryCostsByWhatTheAttemptCost(t *testing.T) {
+func TestRetryCostDependsOnLastAttempt(t *testing.T) {
 	for _, c := range []struct {
 		result     Result
 		mayHaveRun bool
@@ -99,7 +99,7 @@
 	}
 }
 
-func TestAttemptsStayInTheDeduplicationScopeOfAnEarlierOne(t *testing.T) {
+func TestClassPermitsOnlyBackendsInDedupScope(t *testing.T) {
 	first := &backend{Endpoint: Endpoint{Zone: 1, Cell: 1}}
 	sameCell, sameZone := &backend{Endpoint: first.Endpoint}, &backend{Endpoint: Endpoint{Zone: 1, Cell: 2}}
 	elsewhere := &backend{Endpoint: Endpoint{Zone: 2, Cell: 3}}
--- a/policy/simulation_actors_test.go
+++ b/policy/simulation_actors_test.go
@@ -9,21 +9,21 @@
 
 // simulatedBackend serves requests and records them.
 type simulatedBackend struct {
-	freeAt    [simulatedCores]Time // when each core is free
-	endsAt    []Time               // of the requests that it holds
-	startedAt Time                 // 0: long ago
-	gone      bool
-	cutOff    bool   // requests are lost on the way
-	fault     Result // how all its attempts end at once; 0: none
+	freeAt    [simulatedCores]Time // the time at which each core becomes free
+	endsAt    []Time               // the end times of the requests in service or in the queue
+	startedAt Time                 // zero if the backend started before the simulation
+	gone      bool                 // removed, so connections are refused
+	cutOff    bool                 // requests to it are lost
+	fault     Result               // the immediate result of all attempts; zero if the backend works
 	received  []receivedRequest
 }
 
 type receivedRequest struct {
 	at       Time
-	informed bool // its gateway was informed of the start
+	informed bool // whether its gateway knew of the start
 }
 
-// serve is how and when a request that arrives now ends.
+// serve returns the result and the end time of a request that arrives now.
 func (b *simulatedBackend) serve(now Time, settings *Settings, random *rand.Rand) (Result, Time) {
 	if b.gone {
 		return ResultConnectFailed, now
@@ -50,7 +50,7 @@
 	return ResultOK, b.freeAt[core]
 }
 
-// capacityShare is the part of its capacity that it has.
+// capacityShare returns the share of its capacity that the backend has.
 func (b *simulatedBackend) capacityShare(now Time, settings *Settings) float64 {
 	if b.startedAt == 0 {
 		return 1
@@ -59,18 +59,18 @@
 	return math.Min(1, settings.SlowStartFloor+(1-settings.SlowStartFloor)*age)
 }
 
-// simulatedGateway is a gateway's process and the Actions of its controller.
+// simulatedGateway is a process of a gateway, and the Actions of its controller.
 type simulatedGateway struct {
 	*Controller
 	simulation *simulation
 	self       int
-	informed   bool           // it has received the start
-	decided    bool           // the last request was sent, or rejected with advice
+	informed   bool           // whether it has received an update with the start
+	decided    bool           // the last request was sent, or rejected with a time to retry after
 	attempts   map[uint64]int // by request
 	deadlines  map[uint64]Time
 }
 
-// schedule has something happen to the gateway unless its process has ended by then.
+// schedule schedules an event of the gateway. It is dropped if the process has ended by then.
 func (n *simulatedGateway) schedule(at Time, do func()) {
 	n.simulation.schedule(at, func() {
 		if n.simulation.gateways[n.self] == n {
--- a/policy/simulation_test.go
+++ b/policy/simulation_test.go
@@ -7,40 +7,41 @@
 	"testing"
 )
 
-// The simulated backends have two cores and a waiting line. What a warm one serves a second is the
-// number of cores over the average service time.
+// Simulated backends have two cores and a queue. The capacity of a warm backend in requests per second is the
+// number of cores divided by the average service time.
 const (
 	simulatedCores       = 2
 	simulatedServiceTime = second / 10
-	simulatedQueue       = 16 // requests that may wait; more are rejected as overloaded
+	simulatedQueue       = 16 // the length of the queue; further requests are rejected as overloaded
 	simulatedCapacity    = simulatedCores * float64(second) / float64(simulatedServiceTime)
-	simulatedDelay       = second / 500 // of the network
-	simulatedStart       = 8 * second   // when backends start, after a while of running warm
+	simulatedDelay       = second / 500 // the delay of the network
+	simulatedStart       = 8 * second   // the time at which backends start, after a period without starts
 	simulatedEnd         = 18 * second
 )
 
-// scenario is a day on which backends start, played by fleets of several sizes.
+// scenario is a course of events in which backends start. It is simulated with fleets of several sizes.
 type scenario struct {
 	name       string
-	backends   int     // 0: by the size of the fleet
-	starting   float64 // the part of the backends that starts at simulatedStart
+	backends   int     // the number of backends; zero derives it from the number of gateways
+	starting   float64 // the fraction of the backends that start at simulatedStart
 	uneven     bool    // a fifth of the gateways gets half of the traffic
-	shift      bool    // after two seconds other gateways get it
-	late       float64 // the part of the gateways that hears of the start later
-	lateBy     Time
-	clockStep  Time    // by which the gateways' clocks are ahead of discovery's
-	staleLists bool    // lists come twice a second, every other one from before the start
-	mayBeIdle  bool    // faults turn traffic away from the starting backends
-	minUse     float64 // the least part of what they can serve that they must get; 0: a quarter
-	zone       int     // the zone whose backends start; 0: any
-	handshake  float64 // its price
-	crossZone  float64 // its price
-	load       func(age Time) float64
-	settings   func(settings *Settings)
-	afterStart func(s *simulation)
+	shift      bool    // that traffic moves to other gateways two seconds after the start
+	late       float64 // the fraction of the gateways that receive updates late
+	lateBy     Time    // the additional delay of late updates
+	clockStep  Time    // how far the gateways' clocks are ahead of the clock of service discovery
+	staleLists bool    // lists arrive four times per second, in turn from before and after the start
+	mayBeIdle  bool    // minUse is not checked, as faults divert traffic from the starting backends
+	minUse     float64 // the minimum fraction of their capacity that starting backends use; zero means 0.25
+	zone       int     // the zone whose backends start; zero for any
+	handshake  float64 // the price of a handshake
+	crossZone  float64 // the price of crossing zones
+
+	load       func(age Time) float64   // in capacities of all backends; nil for 0.7
+	settings   func(settings *Settings) // changes the default settings, if not nil
+	afterStart func(s *simulation)      // schedules events after the start, if not nil
 }
 
-// simulation plays a scenario with one fleet.
+// simulation runs a scenario with one fleet.
 type simulation struct {
 	t        *testing.T
 	scenario *scenario
@@ -51,13 +52,13 @@
 	queue    eventQueue
 	gateways []*simulatedGateway
 	backends []*simulatedBackend
-	weights  []float64 // of the traffic, by gateway
+	weights  []float64 // the relative traffic of each gateway
 	requests int
 	served   int
 }
 
-// event is something that happens at a time. Events of one time happen in the order of their
-// sequence numbers.
+// event is an action at a simulated time. Events at the same time are run in the order of their sequence
+// numbers.
 type event struct {
 	at       Time
 	sequence int
@@ -84,13 +85,13 @@
 	return last
 }
 
-// schedule has something happen at a time.
+// schedule adds an event at the given time.
 func (s *simulation) schedule(at Time, do func()) {
 	s.sequence++
 	heap.Push(&s.queue, event{at, s.sequence, do})
 }
 
-// run plays all events up to the end.
+// run runs all events before the end of the simulation.
 func (s *simulation) run() {
 	for len(s.queue) > 0 && s.queue[0].at < start+simulatedEnd {
 		next := s.queue[0]
@@ -100,7 +101,7 @@
 	}
 }
 
-// endpoints is the list from service discovery, or the one from before the start.
+// endpoints returns the list from service discovery. A stale list is the one from before the start.
 func (s *simulation) endpoints(stale bool) []Endpoint {
 	var list []Endpoint
 	for i, b := range s.backends {
@@ -118,7 +119,7 @@
 	return list
 }
 
-// startGateway starts a process of a gateway, a later incarnation of it after the first.
+// startGateway starts a process of a gateway with the given incarnation, 0 for the first process.
 func (s *simulation) startGateway(self, incarnation int) {
 	n := &simulatedGateway{
 		simulation: s, self: self, informed: s.now >= start+simulatedStart,
@@ -134,14 +135,14 @@
 	g.UpdateEndpoints(s.now, UpdateComplete, s.endpoints(false))
 }
 
-// restartGateways restarts one gateway after the other.
+// restartGateways schedules a restart of all gateways, one after the other.
 func (s *simulation) restartGateways() {
 	for i := range s.gateways {
 		s.schedule(s.now+second+Time(i*10/len(s.gateways))*second/5, func() { s.startGateway(i, 1) })
 	}
 }
 
-// updateAll sends all gateways the endpoint list, some of them later.
+// updateAll sends all gateways the endpoint list, to some of them late.
 func (s *simulation) updateAll() {
 	for i := range s.gateways {
 		at := s.now + Time(s.random.IntN(20))*second/1000
@@ -155,7 +156,7 @@
 	}
 }
 
-// updateAllAtOnce sends all gateways a list that has the starting backends in the given state.
+// updateAllAtOnce immediately sends all gateways a list that has the starting backends in the given state.
 func (s *simulation) updateAllAtOnce(state EndpointState) {
 	list := s.endpoints(false)
 	for i := range list {
@@ -168,8 +169,7 @@
 	}
 }
 
-// updateWithStaleLists sends the informed gateways lists from before it and
-// after it in turn.
+// updateWithStaleLists sends each informed gateway, by turns, a list from before the start or from after it.
 func (s *simulation) updateWithStaleLists(turn int) {
 	for i, n := range s.gateways {
 		if n.informed {
@@ -178,7 +178,7 @@
 	}
 }
 
-// removeWarm removes all backends but those that have started.
+// removeWarm removes all backends except the starting ones.
 func (s *simulation) removeWarm() {
 	for _, b := range s.backends {
 		b.gone = b.startedAt == 0
@@ -186,7 +186,7 @@
 	s.updateAll()
 }
 
-// cutOff has requests to the starting backends get lost between two times, in seconds from now.
+// cutOff schedules a period in which requests to the starting backends are lost, in seconds from now.
 func (s *simulation) cutOff(from, to Time) {
 	set := func(cutOff bool) func() {
 		return func() {
@@ -199,7 +199,8 @@
 	s.schedule(s.now+to*second, set(false))
 }
 
-// distributeTraffic sets which part of the traffic each gateway gets.
+// distributeTraffic sets the weights of the gateways. If the traffic is uneven, the offset selects the
+// gateways that get most of it.
 func (s *simulation) distributeTraffic(offset int) {
 	n := len(s.gateways)
 	for i := range s.weights {
@@ -210,7 +211,7 @@
 	}
 }
 
-// generateRequests has clients send requests at random times.
+// generateRequests schedules requests at random intervals, at the load of the scenario.
 func (s *simulation) generateRequests() {
 	load := 0.7
 	if s.scenario.load != nil {
@@ -223,7 +224,7 @@
 	})
 }
 
-// drawGateway draws the gateway that receives a request, by the traffic's weights.
+// drawGateway draws a gateway at random by its weight.
 func (s *simulation) drawGateway() int {
 	gateway := 0
 	position := s.random.Float64()*sum(s.weights) - s.weights[0]
@@ -234,6 +235,7 @@
 	return gateway
 }
 
+// receive has a gateway receive a request, and checks that the gateway decides on it immediately.
 func (s *simulation) receive(n *simulatedGateway, id uint64) {
 	s.requests++
 	n.decided, n.deadlines[id] = false, s.now+2*second
@@ -242,11 +244,11 @@
 		FirstReplica: n.self, Replicas: 1,
 	})
 	if !n.decided {
-		s.t.Errorf("request %d was neither sent nor rejected with advice at once", id)
+		s.t.Errorf("request %d was neither sent nor rejected with a retry time immediately", id)
 	}
 }
 
-// play plays the scenario with that many gateways.
+// simulate runs the scenario with the given number of gateways.
 func (c *scenario) play(t *testing.T, settings Settings, gateways int, seed uint64) *simulation {
 	t.Helper()
 	s := &simulation{
@@ -281,7 +283,7 @@
 	return s
 }
 
-// startBackends starts the scenario's part of the backends.
+// startBackends starts the scenario's fraction of the backends, and schedules the events that follow.
 func (s *simulation) startBackends() {
 	c := s.scenario
 	for i, b := range s.backends[:int(math.Ceil(c.starting*float64(len(s.backends))))] {
@@ -302,15 +304,16 @@
 // windowLoad is what a starting backend received in one overload window.
 type windowLoad struct {
 	total    float64 // requests
-	informed float64 // those of them by informed gateways
-	budget   float64 // requests that it bears, with what chance adds
+	informed float64 // the part of total that informed gateways sent
+	budget   float64 // its capacity in requests, including the allowance for random variation
 }
 
 func (w windowLoad) ratio() float64 { return w.total / w.budget }
 
-// worstWindow is the fullest window of a starting backend in relation to its budget. A window of
-// which a third came from uninformed gateways counts for nothing. With strict
-// the backends stay at their least capacity, else it rises evenly: no backend's rises more slowly.
+// worstWindow returns the window with the highest load of a starting backend in relation to its budget. A
+// window of which at least a third came from uninformed gateways is ignored. If strict is set, the budget is
+// that of the minimum capacity; otherwise the capacity rises linearly, which is the slowest that the protocol
+// allows.
 func (s *simulation) worstWindow(strict bool) windowLoad {
 	worst := windowLoad{budget: 1}
 	for _, b := range s.backends {
@@ -335,18 +338,20 @@
 	return worst
 }
 
-// budget is what a starting backend bears in a window from the given time.
+// budget returns the capacity of a starting backend in the window from the given time on, including an
+// allowance for random variation.
 func (s *simulation) budget(b *simulatedBackend, at Time, strict bool) float64 {
 	share := b.capacityShare(at, &s.settings)
 	if strict {
 		share = s.settings.SlowStartFloor
 	}
 	window := float64(s.settings.OverloadWindow) / float64(second)
-	bears := s.settings.OverloadFactor * share * simulatedCapacity * window
-	return bears + 2*math.Sqrt(bears) + 2
+	capacity := s.settings.OverloadFactor * share * simulatedCapacity * window
+	return capacity + 2*math.Sqrt(capacity) + 2
 }
 
-// use is what the starting backends received, as a part of what they could serve meanwhile.
+// use returns the requests that the starting backends received, as a fraction of those that they could serve
+// since their start.
 func (s *simulation) use() float64 {
 	received, capacity := 0.0, 0.0
 	for _, b := range s.backends {
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -2,16 +2,16 @@
 
 import "math"
 
-const overloadMargin = 0.6 // the part of the load that a starting backend fails at which it is sent
+const overloadMargin = 0.6 // the part of OverloadFactor up to which a starting backend is loaded
 
-// slowStartParameters say how backends in slow start are treated. They follow from the settings alone.
+// slowStartParameters are the parameters of slow start for all backends, derived from the settings alone.
 type slowStartParameters struct {
-	floor              float64 // the least share of its capacity that a backend starts with
-	duration           Time    // after which it has all of its capacity; 0: at once
-	window             float64 // the seconds over which the load on a starting backend is counted
-	margin             float64 // by which it may get more than its share of a warm backend's attempts
-	gateways           int     // all that may send to it
-	preferringGateways int     // those that have it in their subset
+	floor              float64 // the minimum share of its capacity that a backend has when it starts
+	duration           Time    // the time until a backend has its full capacity; zero disables slow start
+	window             float64 // the time, in seconds, over which the load on a starting backend is counted
+	margin             float64 // the factor on the rate of attempts that the capacity share allows
+	gateways           int     // the number of gateways
+	preferringGateways int     // the number of gateways that have a given backend in their subset
 }
 
 // slowStartParameters derives the parameters of slow start.
@@ -21,7 +21,7 @@
 		window: float64(s.OverloadWindow) / float64(second), margin: 1,
 		gateways: s.Gateways, preferringGateways: s.Gateways,
 	}
-	if s.OverloadFactor > 0 { // may be below 1: half a window's worth can come on top
+	if s.OverloadFactor > 0 { // the margin may be below 1, as the bucket adds up to half a window
 		parameters.margin = overloadMargin * s.OverloadFactor
 	}
 	if s.HandshakePrice > 0 {
@@ -30,25 +30,27 @@
 	return parameters
 }
 
-// minRate is the least rate, in attempts a second, at which a backend of the given share is sent attempts:
-// one in each window by all gateways together.
+// minRate returns the minimum rate, in attempts per second, at which this gateway sends attempts to a backend
+// with the given capacity share. By all gateways together, a backend with a share of 1 is sent one attempt in
+// each window, or one per second if the window is shorter.
 func (p *slowStartParameters) minRate(share float64) float64 {
 	return share / math.Max(p.window, 1) / float64(p.gateways)
 }
 
-// slowStart is the slow start of one backend: the attempts that this gateway may send it until it is warm.
-// It holds at most what its rate yields in half of the overload window, and one attempt more where that is
-// less than one. An attempt is taken once, when it is written; until then it may be reserved.
+// slowStart limits the attempts that this gateway may send to one backend until it is warm. The capacity of
+// its bucket is the number of attempts that its rate yields in half of the overload window, plus one if that
+// is less than one. An attempt is charged once, when it is written; while it waits for a connection, it is
+// reserved.
 type slowStart struct {
-	startedAt Time        // by this gateway's clock; 0: long ago
-	stamps    startStamps // of its starts
-	bucket    tokenBucket // attempts that it may still get
-	reserved  int         // those of them that are reserved for attempts that wait for a connection
-	attempts  int         // that it has got since its slow start began
-	warmingUp bool        // the log says that it is in slow start
+	startedAt Time        // by the clock of this gateway; zero if unknown, which means warm
+	stamps    startStamps // of the last starts of the backend
+	bucket    tokenBucket // the attempts that may be sent now
+	reserved  int         // the number of attempts that wait for a connection
+	attempts  int         // the attempts charged since the slow start began
+	warmingUp bool        // the slow start was logged, and endIfWarm has not ended it yet
 }
 
-// share is the least part of its capacity that the backend has by now: 1 once it is warm.
+// capacityShare returns the minimum share of its capacity that the backend has now. It is 1 if it is warm.
 func (s *slowStart) share(now Time, parameters *slowStartParameters) float64 {
 	if s.startedAt == 0 || parameters.duration == 0 {
 		return 1
@@ -57,9 +59,9 @@
 	return math.Min(1, parameters.floor+(1-parameters.floor)*age)
 }
 
-// begin notes that the backend has started, or may have. The level is what it may get at once: less than one
-// attempt, drawn so that of many gateways neither all nor none send at once. It returns the share that the
-// backend has by now; below 1 the log has to say that it is in slow start.
+// recordStart records that the backend has, or may have, started. The level is the initial level of the
+// bucket: less than one attempt, and random so that of many gateways neither all nor none send at once.
+// recordStart returns the capacity share of the backend; if it is below 1, the caller logs the slow start.
 func (s *slowStart) begin(
 	startedAt, now Time, level float64, parameters *slowStartParameters,
 ) (share float64) {
@@ -70,8 +72,8 @@
 	return share
 }
 
-// restore goes on with the start that another process knew, which that one may have seen to happen, unless
-// this process has heard of a later one.
+// importStart adopts the start known to the predecessor, which may have observed it. If this process knows a
+// start that the predecessor does not know, the later time applies.
 func (s *slowStart) restore(startedAt Time, stamps startStamps) {
 	if !stamps.includes(&s.stamps) {
 		s.startedAt = max(s.startedAt, startedAt)
@@ -80,7 +82,7 @@
 	s.startedAt, s.stamps = startedAt, stamps
 }
 
-// warmedUp reports, once for each slow start, that it has ended.
+// endIfWarm ends the slow start if the backend is warm, and reports whether it did.
 func (s *slowStart) warmedUp(now Time, parameters *slowStartParameters) bool {
 	if !s.warmingUp || s.share(now, parameters) < 1 {
 		return false
@@ -89,13 +91,14 @@
 	return true
 }
 
-// allows reports whether a backend with a share below 1 may get one more attempt. It saves up attempts at the
-// given rate a second, for at most half of the overload window, so that all gateways together load the
-// backend no more than a warm one can serve.
+// allowsAttempt reports whether a backend with a capacity share below 1 may get one more attempt. The bucket
+// is refilled at the given rate per second, up to what the rate yields in half of the overload window, so
+// that all gateways together load the backend no more than a warm one can serve.
 func (s *slowStart) allows(now Time, share, rate float64, parameters *slowStartParameters) bool {
 	s.bucket.rate = parameters.margin * math.Max(rate, parameters.minRate(share))
-	// Where that is less than one attempt, one that has come together is dropped if it is not used within as
-	// long again: else many slow gateways would each hold an attempt and send them all at once.
+	// If half a window yields less than one attempt, an accumulated attempt is dropped unless it is used
+	// within another half window. Otherwise many gateways with little traffic would each hold one attempt and
+	// could send them all at once.
 	saved := s.bucket.rate * parameters.window / 2
 	if s.bucket.capacity = saved; saved < 1 {
 		s.bucket.capacity = 1 + saved
@@ -106,17 +109,17 @@
 	return s.bucket.level-float64(s.reserved) >= 1
 }
 
-// slowStartCharge says what an attempt has taken of its backend's slow start.
+// slowStartCharge says whether an attempt is charged to the slow start of its backend.
 type slowStartCharge uint8
 
 const (
-	slowStartNotCharged slowStartCharge = iota // it has been sent to a warm backend
-	slowStartReserved                          // it waits for a connection, and an attempt is reserved
-	slowStartCharged                           // it has been written
+	slowStartNotCharged slowStartCharge = iota // sent to a warm backend, or released
+	slowStartReserved                          // reserved, while the attempt waits for a connection
+	slowStartCharged                           // charged when the attempt was written
 )
 
-// charge takes an attempt from the bucket, or reserves it for one that waits for a connection: connections
-// that come up late may do so all at once.
+// chargeAttempt charges an attempt to the bucket, or reserves it if the attempt waits for a connection,
+// because delayed connections may all be established at the same time.
 func (s *slowStart) charge(waiting bool) slowStartCharge {
 	if waiting {
 		s.reserved++
@@ -127,16 +130,16 @@
 	return slowStartCharged
 }
 
-// release gives back what an attempt has reserved, and what it has taken if it has ended unsent. It returns
-// what the attempt has taken from then on.
+// releaseCharge cancels the reservation of an attempt, and refunds the charge of an attempt that has ended
+// unsent. It returns the new charge of the attempt.
 func (s *slowStart) release(taken slowStartCharge, sentAt Time, unsent bool) slowStartCharge {
 	switch {
 	case taken == slowStartReserved:
 		s.reserved--
 		return slowStartNotCharged
 	case taken == slowStartCharged && unsent:
-		if sentAt >= s.startedAt { // of the same slow start
-			s.bucket.level++ // at most to its capacity, with the next refill
+		if sentAt >= s.startedAt { // charged to the current slow start
+			s.bucket.level++ // the next refill limits it to the capacity
 		}
 		return slowStartNotCharged
 	default:
--- a/policy/slowstart_fleet_test.go
+++ b/policy/slowstart_fleet_test.go
@@ -14,7 +14,7 @@
 	return settings
 }
 
-// The loads, in capacities of all backends, by the time since the start.
+// Load functions return the load, in capacities of all backends, by the time since the start.
 func burstLoad(age Time) float64 { return 0.7 + 0.35*indicator(age > second && age < 6*second) }
 func fullLoad(Time) float64      { return 0.95 }
 func overload(Time) float64      { return 1.6 }
@@ -53,8 +53,9 @@
 	})
 }
 
-// warmFailAtOnce has the warm backends end all attempts with a result at once for a while.
-func warmFailAtOnce(result Result) func(s *simulation) {
+// failWarmBackends returns an event after which the warm backends end all attempts immediately with the given
+// result, for five and a half seconds.
+func failWarmBackends(result Result) func(s *simulation) {
 	return func(s *simulation) {
 		set := func(fault Result) func() {
 			return func() {
@@ -78,28 +79,28 @@
 	{name: "subsets", starting: 0.2, handshake: 0.08},
 	{name: "uneven, burst, shift", starting: 0.2, uneven: true, shift: true, load: burstLoad},
 	{
-		name: "uneven subsets, burst, shift", starting: 0.2, handshake: 0.08, uneven: true, shift: true,
+		name: "uneven, subsets, burst, shift", starting: 0.2, handshake: 0.08, uneven: true, shift: true,
 		load: burstLoad,
 	},
 	{name: "lull", starting: 0.3, load: lullLoad},
-	{name: "some hear late", starting: 0.2, late: 0.2, lateBy: 2 * second},
-	{name: "many start", starting: 0.7, load: burstLoad},
-	{name: "all start", starting: 1, load: overload, minUse: 0.6},
-	{name: "warm ones leave", starting: 0.4, minUse: 0.6, afterStart: removeWarmSoon},
-	{name: "fleet restarts", starting: 0.3, afterStart: restartGateways},
+	{name: "late updates at some gateways", starting: 0.2, late: 0.2, lateBy: 2 * second},
+	{name: "many backends start", starting: 0.7, load: burstLoad},
+	{name: "all backends start", starting: 1, load: overload, minUse: 0.6},
+	{name: "warm backends removed", starting: 0.4, minUse: 0.6, afterStart: removeWarmSoon},
+	{name: "all gateways restart", starting: 0.3, afterStart: restartGateways},
 	{
-		name: "fleet restarts, subsets, uneven", starting: 0.5, handshake: 0.08, uneven: true,
+		name: "all gateways restart, subsets, uneven", starting: 0.5, handshake: 0.08, uneven: true,
 		afterStart: restartGateways,
 	},
-	{name: "fleet restarts as all start", starting: 1, load: overload, afterStart: restartGateways},
+	{name: "all gateways and backends restart", starting: 1, load: overload, afterStart: restartGateways},
 	{name: "stale lists", starting: 0.3, staleLists: true},
 	{
-		name: "cut off in slow start, warm ones leave", starting: 0.3, mayBeIdle: true,
+		name: "cut off in slow start, warm backends removed", starting: 0.3, mayBeIdle: true,
 		afterStart: cutOffThenRemoveWarm,
 	},
-	{name: "another zone's", starting: 0.3, crossZone: 0.1, load: risingLoad},
+	{name: "cross-zone price, rising load", starting: 0.3, crossZone: 0.1, load: risingLoad},
 	{
-		name: "half a zone starts, the other is lost", zone: 1, starting: 0.5, crossZone: 0.4,
+		name: "half a zone starts, the other zone is lost", zone: 1, starting: 0.5, crossZone: 0.4,
 		mayBeIdle: true, afterStart: loseOtherZone,
 	},
 	{
@@ -108,41 +109,42 @@
 	},
 	{name: "low overload factor", starting: 0.5, load: fullLoad, settings: failEarly},
 	{
-		name: "a stale list has them draining", starting: 0.3, load: fullLoad, mayBeIdle: true,
+		name: "stale list has starting backends draining", starting: 0.3, load: fullLoad, mayBeIdle: true,
 		afterStart: drainByStaleList,
 	},
 	{name: "short window", starting: 0.3, load: burstLoad, settings: shortWindow},
 	{
-		name: "a stale list without them, then one from before", starting: 0.3, load: fullLoad,
+		name: "stale list without starting backends, then an older one", starting: 0.3, load: fullLoad,
 		settings: lowFactorAndFloor, afterStart: removeByStaleList,
 	},
 	{
-		name: "clocks 8 s ahead", starting: 0.3, clockStep: 8 * second,
+		name: "gateway clocks 8 s ahead", starting: 0.3, clockStep: 8 * second,
 		load: fullLoad, settings: lowFactorAndFloor,
 	},
 	{
-		name: "clocks an hour ahead", starting: 0.3, clockStep: 3600 * second,
+		name: "gateway clocks an hour ahead", starting: 0.3, clockStep: 3600 * second,
 		load: fullLoad, settings: lowFactorAndFloor,
 	},
-	{name: "clocks an hour behind", starting: 0.3, load: fullLoad, clockStep: -3600 * second},
+	{name: "gateway clocks an hour behind", starting: 0.3, load: fullLoad, clockStep: -3600 * second},
 	{
-		name: "warm ones reject at once", starting: 0.3, load: overload,
-		afterStart: warmFailAtOnce(ResultOverloaded),
+		name: "warm backends reject all", starting: 0.3, load: overload,
+		afterStart: failWarmBackends(ResultOverloaded),
 	},
-	{name: "warm ones fail at once", starting: 0.3, load: fullLoad, afterStart: warmFailAtOnce(ResultFailed)},
+	{name: "warm backends fail", starting: 0.3, load: fullLoad, afterStart: failWarmBackends(ResultFailed)},
 	{
-		name: "warm ones refuse connections", starting: 0.3, load: fullLoad,
-		afterStart: warmFailAtOnce(ResultConnectFailed),
+		name: "warm backends refuse connections", starting: 0.3, load: fullLoad,
+		afterStart: failWarmBackends(ResultConnectFailed),
 	},
 	{
-		name: "warm ones refuse connections, low overload factor", starting: 0.3, load: fullLoad,
-		settings: lowFactorAndFloor, afterStart: warmFailAtOnce(ResultConnectFailed),
+		name: "warm backends refuse connections, low overload factor", starting: 0.3, load: fullLoad,
+		settings: lowFactorAndFloor, afterStart: failWarmBackends(ResultConnectFailed),
 	},
 }
 
-// Guards the rule on starting backends: through all gateways together none gets more in a window of
-// the settings' length than it bears and chance adds, and each is of use meanwhile.
-func TestStartingBackendsStayWithinTheBudgetOfTheWholeFleet(t *testing.T) {
+// Guards against starting backends that are overloaded or left idle. In each overload window, all gateways
+// together must send a starting backend no more than its capacity, including the allowance for random
+// variation, and starting backends must get a minimum part of what they can serve.
+func TestStartingBackendsGetAttemptsWithinBudgetInSimulation(t *testing.T) {
 	t.Parallel()
 	for _, c := range slowStartScenarios {
 		for _, gateways := range []int{3, 20, 30, 300} {
@@ -159,13 +161,13 @@
 	const defaultMinUse = 0.25
 	worst := s.worstWindow(false)
 	if worst.ratio() > 1 {
-		t.Errorf("a starting backend got %.0f in a window, %.0f of them by informed gateways: %.0f at most",
+		t.Errorf("starting backend got %.0f requests in a window, %.0f from informed gateways, budget %.0f",
 			worst.total, worst.informed, worst.budget)
 	}
 	if s.use() < max(s.scenario.minUse, defaultMinUse) && !s.scenario.mayBeIdle {
-		t.Errorf("starting backends got %.2f of what they could serve", s.use())
+		t.Errorf("starting backends got %.2f of the requests that they could serve, too few", s.use())
 	}
-	// The strict figure is not checked: the protocol has capacity rise evenly at least.
+	// The strict ratio is not checked: by the protocol, capacity rises at least linearly.
 	t.Logf("worst %.2f (%.0f, informed %.0f, of %.0f), strict %.2f, use %.2f, served %d of %d",
 		worst.ratio(), worst.total, worst.informed, worst.budget,
 		s.worstWindow(true).ratio(), s.use(), s.served, s.requests)
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestSlowStartShareRisesEvenlyFromTheFloor(t *testing.T) {
+func TestCapacityShareRisesLinearlyFromFloor(t *testing.T) {
 	parameters := slowStartParameters{floor: 0.2, duration: 10 * second}
 	begun := slowStart{startedAt: start}
 	for _, c := range []struct {
@@ -16,35 +16,35 @@
 		{name: "before the start", slowStart: begun, parameters: parameters, age: -second, want: 0.2},
 		{name: "halfway", slowStart: begun, parameters: parameters, age: 5 * second, want: 0.6},
 		{name: "at the end", slowStart: begun, parameters: parameters, age: 10 * second, want: 1},
-		{name: "long after", slowStart: begun, parameters: parameters, age: 99 * second, want: 1},
-		{name: "started long ago", parameters: parameters, want: 1},
-		{name: "no slow start", slowStart: begun, want: 1},
+		{name: "long after the end", slowStart: begun, parameters: parameters, age: 99 * second, want: 1},
+		{name: "unknown start time", parameters: parameters, want: 1},
+		{name: "slow start disabled", slowStart: begun, want: 1},
 	} {
 		assertNear(t, c.name, c.slowStart.share(start+c.age, &c.parameters), c.want)
 	}
 }
 
-func TestSlowStartSavesUpHalfOfItsWindow(t *testing.T) {
+func TestSlowStartBucketHoldsHalfAWindow(t *testing.T) {
 	parameters := slowStartParameters{floor: 0.5, duration: 10 * second, window: 4, margin: 1, gateways: 1}
 	const rate = 3.0
 	var s slowStart
 	s.begin(start, start, 0.5, &parameters)
 	if s.allows(start, 0.5, rate, &parameters) {
-		t.Error("an attempt is allowed with half of one saved up")
+		t.Error("attempt allowed although the bucket holds half of one")
 	}
-	now := start + 60*second // longer than it saves up for
+	now := start + 60*second // long enough to fill the bucket
 	allowed := 0
 	for s.allows(now, 0.5, rate, &parameters) {
 		s.charge(false)
 		allowed++
 	}
 	if want := int(rate * parameters.window / 2); allowed != want || s.attempts != want {
-		t.Errorf("%d attempts at once, %d counted, want %d", allowed, s.attempts, want)
+		t.Errorf("%d attempts allowed, %d counted, want %d", allowed, s.attempts, want)
 	}
 }
 
-// Where half a window yields less than one attempt, attempts come at the least rate, one at a moment.
-func TestSlowStartOfASlowGatewayHoldsAtMostOneAttempt(t *testing.T) {
+// If half a window yields less than one attempt, attempts are allowed one at a time, at the minimum rate.
+func TestSlowStartBucketHoldsOneAttemptAtLowRates(t *testing.T) {
 	parameters := slowStartParameters{floor: 0.5, duration: 1e9 * second, window: 2, margin: 1, gateways: 10}
 	var s slowStart
 	s.begin(start, start, 0, &parameters)
@@ -55,19 +55,20 @@
 			s.charge(false)
 			allowed++
 			if s.allows(now, 0.5, 0, &parameters) {
-				t.Fatal("two attempts at one moment")
+				t.Fatal("two attempts allowed at the same time")
 			}
 		}
 	}
 	if want := 400 * parameters.minRate(0.5); float64(allowed) < want-1 || float64(allowed) > want+1 {
-		t.Errorf("%d attempts in 400 s, want %g", allowed, want)
+		t.Errorf("%d attempts allowed in 400 s, want about %g", allowed, want)
 	}
 }
 
-// An attempt that has come together is dropped half a window later; what has come since counts for the next.
-func TestSlowStartOfASlowGatewayDropsWhatIsNotUsed(t *testing.T) {
+// An accumulated attempt is dropped if it is not used within half a window; the overflow since then counts
+// towards the next attempt.
+func TestSlowStartBucketDropsUnusedAttemptAtLowRates(t *testing.T) {
 	parameters := slowStartParameters{floor: 0.5, duration: 1e9 * second, window: 2, margin: 1, gateways: 1}
-	const rate = 0.25 // attempts a second: a quarter of one in half of the window
+	const rate = 0.25 // attempts per second: a quarter of an attempt in half a window
 	for _, c := range []struct {
 		after Time
 		want  bool
@@ -80,66 +81,66 @@
 	}
 }
 
-func TestSlowStartReservesForAttemptsThatWait(t *testing.T) {
+func TestSlowStartReservesAndRefundsAttempts(t *testing.T) {
 	parameters := slowStartParameters{floor: 0.5, duration: 10 * second, window: 4, margin: 1, gateways: 1}
 	var s slowStart
 	s.begin(start, start, 0.9, &parameters)
 	s.bucket.level = 1
-	taken := s.charge(true)
-	if taken != slowStartReserved || s.allows(start, 0.5, 1, &parameters) {
-		t.Error("what is reserved may be taken by another attempt")
+	waiting := s.charge(true)
+	if waiting != slowStartReserved || s.allows(start, 0.5, 1, &parameters) {
+		t.Error("reserved attempt available to another one")
 	}
-	taken = s.release(taken, start, false)
-	if taken != slowStartNotCharged || s.reserved != 0 || !s.allows(start, 0.5, 1, &parameters) {
+	waiting = s.release(waiting, start, false)
+	if waiting != slowStartNotCharged || s.reserved != 0 || !s.allows(start, 0.5, 1, &parameters) {
 		t.Errorf("%d reserved after the release", s.reserved)
 	}
 	written := s.charge(false)
 	if got := s.release(written, start, false); got != slowStartCharged || s.bucket.level >= 1 {
-		t.Error("an attempt that was sent gave its part back")
+		t.Error("charge of a sent attempt refunded")
 	}
 	if got := s.release(written, start, true); got != slowStartNotCharged || s.bucket.level < 1 {
-		t.Error("an attempt that was not sent kept its part")
+		t.Error("charge of an unsent attempt not refunded")
 	}
 	s.begin(start+second, start+second, 0, &parameters)
 	if s.release(written, start, true); s.bucket.level != 0 {
-		t.Error("an attempt of the slow start before gave something to this one")
+		t.Error("charge to the previous slow start refunded to this one")
 	}
 }
 
-func TestSlowStartEndsOnce(t *testing.T) {
+func TestSlowStartEndIsReportedOnce(t *testing.T) {
 	parameters := slowStartParameters{floor: 0.5, duration: 10 * second}
 	var s slowStart
 	if share := s.begin(start, start, 0, &parameters); share != 0.5 || s.warmedUp(start, &parameters) {
-		t.Errorf("share %g at the start", share)
+		t.Errorf("share %g at the start, want 0.5 and no end", share)
 	}
 	if !s.warmedUp(start+10*second, &parameters) || s.warmedUp(start+10*second, &parameters) {
-		t.Error("want one end of a slow start")
+		t.Error("want the end of the slow start reported once")
 	}
 	s.begin(start, start+10*second, 0, &parameters)
 	if s.warmedUp(start+20*second, &parameters) {
-		t.Error("one that was warm when its start became known has ended a slow start")
+		t.Error("end reported for a backend that was warm when its start became known")
 	}
 }
 
-func TestRestoredSlowStartIsTheLaterOneThatIsKnown(t *testing.T) {
+func TestImportStartKeepsLaterKnownStart(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		own      []Time
 		ownStart Time
 		want     Time
 	}{
-		{name: "nothing known here", want: 50},
+		{name: "no start known here", want: 50},
 		{name: "the same start known here", own: []Time{7}, ownStart: 60, want: 50},
 		{name: "a later start known here", own: []Time{9}, ownStart: 60, want: 60},
 	} {
 		s := slowStart{startedAt: c.ownStart, stamps: startStamps{known: c.own}}
 		if s.restore(50, startStamps{known: []Time{7}}); s.startedAt != c.want {
-			t.Errorf("%s: started at %d, want %d", c.name, s.startedAt, c.want)
+			t.Errorf("%s: got start at %d, want %d", c.name, s.startedAt, c.want)
 		}
 	}
 }
 
-func TestSlowStartParametersFollowFromTheSettings(t *testing.T) {
+func TestSlowStartParametersFromSettings(t *testing.T) {
 	settings := slowStartSettings()
 	settings.Gateways, settings.HandshakePrice = 80, 0
 	parameters := settings.slowStartParameters()
--- a/policy/slowstartpace.go
+++ b/policy/slowstartpace.go
@@ -2,16 +2,16 @@
 
 import "math"
 
-const answerRateDecay = 4 * second // the time constant of the rate of answers of warm backends
+const answerRateDecay = 4 * second // the time constant of the answer rate of warm backends
 
-// slowStartPace is the rate at which warm backends answer this gateway, from which the rate of attempts to
-// backends in slow start derives. While there is no warm backend to measure it by, the last rate stands.
+// slowStartPace measures the rate at which warm backends answer this gateway, from which it derives the rate
+// of attempts to backends in slow start. The rate stays constant while there is no warm backend to measure.
 type slowStartPace struct {
-	warmBackends int         // healthy ones of the subset that are not in slow start, as of the last count
+	warmBackends int         // healthy backends of the subset not in slow start, as of the last count
 	answerRate   decayingSum // successful answers per warm backend, over answerRateDecay
 }
 
-// setWarmBackends sets the number of warm backends.
+// setWarmBackends sets the number of warm backends. Without any, the answer rate stops decaying.
 func (p *slowStartPace) setWarmBackends(now Time, count int) {
 	p.warmBackends = count
 	if count == 0 {
@@ -19,22 +19,23 @@
 	}
 }
 
-// recordAnswer learns from a successful answer what a warm backend serves. Attempts without one are no
-// measure of that: those that fail at once are repeated elsewhere, as often as the retry budget allows.
+// recordAnswer counts a successful answer of a warm backend. Failed attempts do not count, because attempts
+// that fail immediately are retried at other backends as often as the retry budget allows.
 func (p *slowStartPace) recordAnswer(now Time) {
 	if p.warmBackends > 0 {
 		p.answerRate.add(now, answerRateDecay, 1/float64(p.warmBackends))
 	}
 }
 
-// answersPerSecond is how many successful answers a second a warm backend gives this gateway.
+// answersPerSecond returns the rate of successful answers of one warm backend to this gateway.
 func (p *slowStartPace) answersPerSecond(now Time) float64 {
 	return p.answerRate.value(now, answerRateDecay) * float64(second) / float64(answerRateDecay)
 }
 
-// attemptRate is how many attempts a second a backend in slow start gets from a gateway that prefers it: its
-// share of a warm backend's answers. With no warm backend in the subset it is the rate of one core, the least
-// that any backend has, which answers one attempt in each latency, split over the preferring gateways.
+// attemptRate returns the attempts per second that a backend in slow start gets from a gateway that prefers
+// it: its capacity share of the answer rate of a warm backend. Without a warm backend in the subset, the rate
+// is at least that of a single core, which any backend has: one attempt per latency, divided among the
+// preferring gateways.
 func (p *slowStartPace) attemptRate(
 	now Time, share, latency float64, parameters *slowStartParameters,
 ) float64 {
--- a/policy/startstamps.go
+++ b/policy/startstamps.go
@@ -2,17 +2,17 @@
 
 import "slices"
 
-const maxKnownStamps = 4 // stamps kept of one backend: of its last starts
+const maxKnownStamps = 4 // the start timestamps retained for one backend
 
-// startStamps are the times at which a backend started, by service discovery's clock, the last
-// maxKnownStamps of them. That is another clock than this gateway's, and either may be stepped by seconds or
-// hours: a stamp identifies a start and says little of how long ago it was.
+// startStamps holds the timestamps of the last starts of a backend, by the clock of service discovery. That
+// clock differs from the clock of this gateway, and either may be stepped by seconds or hours, so a stamp
+// identifies a start but is no reliable measure of its age.
 type startStamps struct {
-	known []Time // the newest last
+	known []Time // at most maxKnownStamps, the newest last
 }
 
-// isNewStart reports whether a stamp tells of a start that is not known. Stamps of starts before come back
-// with stale lists and tell nothing, and neither does a stamp of 0.
+// isNewStart reports whether a stamp belongs to a start that is not known yet. Stamps of earlier starts recur
+// in stale lists and are not new. A stamp of zero means that the start time is unknown.
 func (s *startStamps) isNewStart(stamp Time) bool {
 	return stamp != 0 && !slices.Contains(s.known, stamp)
 }
@@ -25,16 +25,16 @@
 	s.known = append(s.known, stamp)
 }
 
-// includes reports whether all stamps of the other are known here.
+// includesAll reports whether s has all stamps of other.
 func (s *startStamps) includes(other *startStamps) bool {
 	isUnknown := func(stamp Time) bool { return !slices.Contains(s.known, stamp) }
 	return !slices.ContainsFunc(other.known, isUnknown)
 }
 
-// startOf is when a backend started by this gateway's clock, and how that is known. An announced start was
-// seen to happen: from there on it is timed by this gateway's own clock, as what the stamp says of its age
-// may be off by as much as a clock was stepped. A gateway that has just started itself has only the stamp.
-// One from the future is wrong.
+// inferStart returns the time at which a backend started, by the clock of this gateway, and the reason for
+// which the backend is in slow start. An announced start has just happened, so it is timed by this gateway's
+// own clock: a stamp may be off by as much as a clock was stepped. A gateway that has just started itself has
+// only the stamp; a stamp in the future is wrong and counts as now.
 func startOf(stamp, now Time, isAnnounced bool) (startedAt Time, reason slowStartReason) {
 	if isAnnounced {
 		return now, startAnnounced
--- a/policy/startstamps_test.go
+++ b/policy/startstamps_test.go
@@ -2,23 +2,23 @@
 
 import "testing"
 
-func TestStartStampsKnowTheLastStarts(t *testing.T) {
+func TestStartStampsRetainLastStarts(t *testing.T) {
 	var stamps startStamps
 	for stamp := Time(1); stamp <= maxKnownStamps+1; stamp++ {
 		if !stamps.isNewStart(stamp) {
-			t.Errorf("stamp %d is known before it was added", stamp)
+			t.Errorf("stamp %d known before it was added", stamp)
 		}
 		stamps.add(stamp)
 	}
 	if len(stamps.known) != maxKnownStamps || !stamps.isNewStart(1) || stamps.isNewStart(2) {
-		t.Errorf("known %v, want the last %d", stamps.known, maxKnownStamps)
+		t.Errorf("known stamps %v, want the last %d", stamps.known, maxKnownStamps)
 	}
 	if stamps.isNewStart(0) {
-		t.Error("a backend without a stamp has started")
+		t.Error("a stamp of zero is reported as a new start")
 	}
 }
 
-func TestStartStampsIncludeThoseThatAreAllKnown(t *testing.T) {
+func TestStartStampsIncludesOnlyKnownStamps(t *testing.T) {
 	known := startStamps{known: []Time{1, 2}}
 	for _, c := range []struct {
 		other []Time
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestAnnouncedStartIsNowAndListedOneIsOfItsStamp(t *testing.T) {
+func TestInferStartUsesClockIfAnnouncedElseStamp(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		stamp       Time
@@ -40,10 +40,10 @@
 	}{
 		{name: "announced", stamp: start - 9, isAnnounced: true, want: start, reason: startAnnounced},
 		{name: "listed", stamp: start - 9, want: start - 9, reason: startListed},
-		{name: "listed from the future", stamp: start + 9, want: start, reason: startListed},
+		{name: "listed with a future stamp", stamp: start + 9, want: start, reason: startListed},
 	} {
 		if at, reason := startOf(c.stamp, start, c.isAnnounced); at != c.want || reason != c.reason {
-			t.Errorf("%s: at %d for reason %v", c.name, at, reason)
+			t.Errorf("%s: got start at %d for reason %v", c.name, at, reason)
 		}
 	}
 }
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-const gatewaysPerBackend = 24 // the gateways that prefer a backend, where handshakes have a price
+const gatewaysPerBackend = 24 // the gateways that prefer a given backend if handshakes have a price
 
-// selectSubset selects the backends that this gateway prefers. Where handshakes have a price it is
-// an arc of each zone's backends, in an order that all gateways share, so that each backend is
-// preferred by as many gateways as any other. Otherwise it is all of them.
+// selectSubset selects the backends that this gateway prefers. If handshakes have a price, the subset is an
+// arc of the backends of each zone, in an order that is the same at all gateways, so that each backend is
+// preferred by about as many gateways as any other. Otherwise the subset has all backends.
 func (t *backendTable) selectSubset(self, gateways int, handshakePrice float64) {
 	zones := map[int][]*backend{}
 	for _, backend := range t.inOrder {
@@ -19,7 +19,7 @@
 		}
 	}
 	position := self * arcStep(gateways) % gateways
-	const multiplier = 0x9E3779B1 // spreads consecutive ids
+	const multiplier = 0x9E3779B1 // spreads consecutive IDs
 	for _, zone := range zones {
 		slices.SortFunc(zone, func(a, b *backend) int {
 			return cmp.Or(cmp.Compare(a.ID*multiplier, b.ID*multiplier), cmp.Compare(a.ID, b.ID))
@@ -32,15 +32,15 @@
 	}
 }
 
-// The step between the arcs of neighbours, as a part of all gateways: near the golden ratio, whose multiples
-// are spread evenly.
+// The step between the arcs of neighbouring gateways, as a fraction of the number of gateways. It is near the
+// golden ratio, whose multiples are spread evenly.
 const (
 	arcStepNumerator   = 5
 	arcStepDenominator = 8
 )
 
-// arcStep is the distance between the arcs of two neighbours, in arcs. Neighbours serve the same
-// customers, so it is large; it has no common divisor with the number of gateways.
+// arcStep returns the distance between the arcs of two neighbouring gateways, in arcs. It is large because
+// neighbours serve the same customers, and coprime to the number of gateways so that all arcs are used.
 func arcStep(gateways int) int {
 	step := gateways*arcStepNumerator/arcStepDenominator | 1
 	for greatestCommonDivisor(step, gateways) > 1 {
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// subsetOf are the backends that a gateway of so many prefers, by ID.
+// subsetOf returns the IDs of the backends that one of the given number of gateways prefers.
 func subsetOf(backends, self, gateways int, handshakePrice float64) map[uint32]bool {
 	table, _, _ := testTable(endpoints(backends))
 	table.selectSubset(self, gateways, handshakePrice)
@@ -15,13 +15,13 @@
 	return preferred
 }
 
-func TestSubsetIsAllBackendsWhereHandshakesAreFree(t *testing.T) {
+func TestSubsetHasAllBackendsIfHandshakesAreFree(t *testing.T) {
 	if got := len(subsetOf(50, 3, 100, 0)); got != 50 {
-		t.Errorf("%d of 50 backends", got)
+		t.Errorf("subset has %d of 50 backends, want all", got)
 	}
 }
 
-func TestSubsetsHaveEachBackendForAsManyGateways(t *testing.T) {
+func TestSubsetsPreferEachBackendAtEqualNumbersOfGateways(t *testing.T) {
 	const backends, gateways = 50, 100
 	preferring := map[uint32]int{}
 	for self := range gateways {
@@ -36,22 +36,22 @@
 	}
 }
 
-func TestSubsetHasNoneThatIsNotReady(t *testing.T) {
+func TestSubsetExcludesBackendsThatAreNotReady(t *testing.T) {
 	table, _, _ := testTable(endpoints(4))
 	table.byID[2].update(Endpoint{ID: 2, State: EndpointDraining})
 	table.selectSubset(0, 1, 0.1)
 	for id, backend := range table.byID {
 		if want := id != 2; backend.inSubset != want {
-			t.Errorf("backend %d is in the subset %t, want %t", id, backend.inSubset, want)
+			t.Errorf("backend %d: in the subset %t, want %t", id, backend.inSubset, want)
 		}
 	}
 }
 
-func TestArcStepHasNoCommonDivisorWithTheGateways(t *testing.T) {
+func TestArcStepIsCoprimeToGateways(t *testing.T) {
 	for gateways := 1; gateways < 500; gateways++ {
 		step := arcStep(gateways)
 		if greatestCommonDivisor(step, gateways) != 1 {
-			t.Errorf("step %d for %d gateways", step, gateways)
+			t.Errorf("step %d has a common divisor with %d gateways", step, gateways)
 		}
 	}
 }
