--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -124,8 +124,8 @@
 	}
 	l.reportOutcome(policy.Outcome{
 		RequestID: r.id, Attempt: e.attempt.number, Backend: e.attempt.backend, Result: e.result,
-		Latency: e.latency, Answered: r.answered || r.valueStarted || r.client.disconnected.Load(),
-		Unanswered: e.attempt.unanswered, ActualCost: e.cost, LoadReport: e.loadReport,
+		Latency: e.latency, ClientAnswered: r.answered || r.valueStarted || r.client.disconnected.Load(),
+		DialUnanswered: e.attempt.unanswered, ActualCost: e.cost, LoadReport: e.loadReport,
 	})
 	l.releaseRequest(r)
 }
--- a/internal/gateway/endpoints_test.go
+++ b/internal/gateway/endpoints_test.go
@@ -67,7 +67,7 @@
 
 	want.Poll = true
 	for _, interval := range []time.Duration{0, time.Second, 8 * time.Second, time.Minute} {
-		cfg.Settings.PollEndpoints, cfg.Settings.PollWithin = true, interval.Microseconds()
+		cfg.Settings.PollEndpoints, cfg.Settings.MaxWatchGap = true, interval.Microseconds()
 		assertDiscoveryConfig(t, discoveryConfig(&cfg), want)
 	}
 }
--- a/internal/gateway/value_stream.go
+++ b/internal/gateway/value_stream.go
@@ -129,7 +129,7 @@
 	a := e.attempt
 	l.reportOutcome(policy.Outcome{
 		RequestID: a.request.id, Attempt: a.number, Backend: a.backend, Result: policy.ResultOK,
-		Latency: e.latency, Answered: true,
+		Latency: e.latency, ClientAnswered: true,
 	})
 }
 
--- a/internal/handover/codec.go
+++ b/internal/handover/codec.go
@@ -194,7 +194,7 @@
 func EncodeAttemptEnded(o policy.Outcome) ([]byte, error) {
 	return encodeMessage(attemptEndedForm{
 		ID: o.RequestID, Attempt: o.Attempt, Backend: o.Backend, Result: uint8(o.Result), Took: o.Latency,
-		Over: o.Answered, Metered: o.MeterReading, TrueUnits: o.ActualCost, Load: o.LoadReport,
+		Over: o.ClientAnswered, Metered: o.MeterReading, TrueUnits: o.ActualCost, Load: o.LoadReport,
 	})
 }
 
@@ -203,7 +203,7 @@
 	return decodeMessage(b, func(form attemptEndedForm) policy.Outcome {
 		return policy.Outcome{
 			RequestID: form.ID, Attempt: form.Attempt, Backend: form.Backend,
-			Result: policy.Result(form.Result), Latency: form.Took, Answered: form.Over,
+			Result: policy.Result(form.Result), Latency: form.Took, ClientAnswered: form.Over,
 			MeterReading: form.Metered, ActualCost: form.TrueUnits, LoadReport: form.Load,
 		}
 	})
--- a/internal/handover/codec_test.go
+++ b/internal/handover/codec_test.go
@@ -185,7 +185,7 @@
 	t.Run("attempt ended", func(t *testing.T) {
 		want := policy.Outcome{
 			RequestID: 1, Attempt: 2, Backend: 3, Result: policy.ResultOverloaded, Latency: 5,
-			Answered: true, MeterReading: 7, ActualCost: 8.5, LoadReport: []float32{9.5, 10.5},
+			ClientAnswered: true, MeterReading: 7, ActualCost: 8.5, LoadReport: []float32{9.5, 10.5},
 		}
 		wantRecorded(t, "attempt-ended.json", want, DecodeAttemptEnded, EncodeAttemptEnded)
 	})
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -74,7 +74,7 @@
 	"family-info.mail-per-s":         float(func(p *parser) *float64 { return &p.GossipPerSecond }),
 
 	"guarantees.drain-grace-us":  integer(func(p *parser) *policy.Time { return &p.host.DrainGrace }),
-	"guarantees.ask-within-us":   integer(func(p *parser) *policy.Time { return &p.PollWithin }),
+	"guarantees.ask-within-us":   integer(func(p *parser) *policy.Time { return &p.MaxWatchGap }),
 	"guarantees.cold-from":       float(func(p *parser) *float64 { return &p.SlowStartFloor }),
 	"guarantees.cold-us":         integer(func(p *parser) *policy.Time { return &p.SlowStartTime }),
 	"guarantees.overload-factor": float(func(p *parser) *float64 { return &p.OverloadFactor }),
--- a/internal/simproto/event.go
+++ b/internal/simproto/event.go
@@ -168,7 +168,7 @@
 	outcome.Backend = r.uint32()
 	outcome.Result = r.result()
 	outcome.Latency = policy.Time(r.uint32())
-	outcome.Answered = r.uint8() != 0
+	outcome.ClientAnswered = r.uint8() != 0
 	outcome.MeterReading = int(r.uint16())
 	outcome.ActualCost = float64(r.uint16())
 	outcome.LoadReport = r.loadReport()
--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/simproto_test.go
@@ -59,7 +59,7 @@
 		3,
 		AttemptEnded{policy.Outcome{
 			RequestID: 0x8257f5d3a91c4, Attempt: 1, Backend: 0x03124a07,
-			Result: policy.ResultOverloaded, Latency: 18500, Answered: true,
+			Result: policy.ResultOverloaded, Latency: 18500, ClientAnswered: true,
 			MeterReading: 86, ActualCost: 3, LoadReport: []float32{1},
 		}},
 	},
--- a/policy/api.go
+++ b/policy/api.go
@@ -93,7 +93,7 @@
 	LoadReport     []LoadMetric // the order of the values in a load report
 
 	PollEndpoints bool // service discovery sends updates only while a watch is active
-	PollWithin    Time // the time within which an ended watch must be renewed
+	MaxWatchGap   Time // the time within which an ended watch must be renewed
 
 	Gossip, HealthChecks, Hedging, RetryAfterAdvice, SharedCounter, SettlesCost bool
 
@@ -146,16 +146,16 @@
 
 // Outcome reports how an attempt ended.
 type Outcome struct {
-	RequestID    uint64
-	Attempt      int // the index of the attempt within its request, from 0
-	Backend      uint32
-	Result       Result
-	Latency      Time
-	Answered     bool    // the client has its final answer
-	Unanswered   bool    // with ResultConnectFailed: nothing came back to the dial, not even a refusal
-	MeterReading int     // 1 + the customer's use via all gateways, in percent of the rate; 0 if missing
-	ActualCost   float64 // in units; zero if not reported
-	LoadReport   []float32
+	RequestID      uint64
+	Attempt        int // the index of the attempt within its request, from 0
+	Backend        uint32
+	Result         Result
+	Latency        Time
+	ClientAnswered bool    // the client has its final answer
+	DialUnanswered bool    // with ResultConnectFailed: nothing came back to the dial, not even a refusal
+	MeterReading   int     // 1 + the customer's use via all gateways, in percent of the rate; 0 if missing
+	ActualCost     float64 // in units; zero if not reported
+	LoadReport     []float32
 }
 
 // Actions carries out the decisions of a Controller, in the order of the calls. Its methods must not call
--- a/policy/backendhealth.go
+++ b/policy/backendhealth.go
@@ -66,7 +66,7 @@
 		return h.recordError(now)
 	case ResultConnectFailed, ResultReset:
 		// If other attempts were answered meanwhile, an unanswered dial is late but no sign of a restart.
-		isLate := outcome.Unanswered && h.lastAnswerAt > sentAt
+		isLate := outcome.DialUnanswered && h.lastAnswerAt > sentAt
 		down, ejected := h.recordConnectionFailure(now, isLate || outcome.Result == ResultReset)
 		if !down {
 			return h.recordError(now)
--- a/policy/backendhealth_test.go
+++ b/policy/backendhealth_test.go
@@ -213,7 +213,7 @@
 		},
 		{
 			name: "dial unanswered while another attempt was answered", want: ejectedErrors, errors: 0.55,
-			outcome: Outcome{Result: ResultConnectFailed, Unanswered: true},
+			outcome: Outcome{Result: ResultConnectFailed, DialUnanswered: true},
 		},
 		{name: "not sent", outcome: Outcome{Result: ResultNotSent}, errors: 0.5},
 	} {
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -43,7 +43,7 @@
 		b.Fatal("a request was not sent")
 	}
 	g.AttemptEnded(now, Outcome{
-		RequestID: id, Backend: request.attempts[0].backend.ID, Latency: 1000, Answered: true,
+		RequestID: id, Backend: request.attempts[0].backend.ID, Latency: 1000, ClientAnswered: true,
 	})
 }
 
@@ -64,7 +64,7 @@
 				})
 				if request := g.requests.byID[id]; request != nil {
 					g.AttemptEnded(now, Outcome{
-						RequestID: id, Backend: request.attempts[0].backend.ID, Latency: 1000, Answered: true,
+						RequestID: id, Backend: request.attempts[0].backend.ID, Latency: 1000, ClientAnswered: true,
 					})
 				}
 			}
--- a/policy/controller.go
+++ b/policy/controller.go
@@ -136,7 +136,7 @@
 			c.actions.HealthCheck(backend.ID)
 		}
 	}
-	if c.settings.PollEndpoints && c.watch.isDue(now, c.settings.PollWithin) {
+	if c.settings.PollEndpoints && c.watch.isDue(now, c.settings.MaxWatchGap) {
 		c.watch.request(c.clock.now)
 		c.actions.WatchEndpoints()
 	}
--- a/policy/controller_attempts.go
+++ b/policy/controller_attempts.go
@@ -98,7 +98,7 @@
 	attempt.mayHaveRun = !outcome.Result.provesNotRun()
 	request.reachedBackend = request.reachedBackend || outcome.Result != ResultNotSent
 	c.settleAttempt(request, attempt, &outcome)
-	request.answered = request.answered || outcome.Answered
+	request.answered = request.answered || outcome.ClientAnswered
 	if request.hasPending() {
 		return
 	}
--- a/policy/controller_backends_test.go
+++ b/policy/controller_backends_test.go
@@ -34,7 +34,7 @@
 
 func TestFailedEndpointWatchIsRenewed(t *testing.T) {
 	settings := testSettings()
-	settings.PollEndpoints, settings.PollWithin = true, 10*second
+	settings.PollEndpoints, settings.MaxWatchGap = true, 10*second
 	h := newHarness(t, settings)
 	h.UpdateEndpoints(h.at, UpdateUnavailable, nil)
 	if h.count(watchAction) != 1 {
@@ -58,7 +58,7 @@
 			load = 0
 		}
 		h.endWith(id, Outcome{
-			Result: ResultOK, Latency: second / 10, Answered: true, LoadReport: []float32{load},
+			Result: ResultOK, Latency: second / 10, ClientAnswered: true, LoadReport: []float32{load},
 		})
 	}
 	for range 4 {
--- a/policy/controller_outcomes_test.go
+++ b/policy/controller_outcomes_test.go
@@ -61,7 +61,7 @@
 	h.end(answered, ResultOK, true)
 	h.at += second / 10
 	h.endWith(late, Outcome{
-		Result: ResultConnectFailed, Latency: second / 5, Answered: true, Unanswered: true,
+		Result: ResultConnectFailed, Latency: second / 5, ClientAnswered: true, DialUnanswered: true,
 	})
 	if backend.health.down || h.slowStartShare(backend) < 1 {
 		t.Error("ejected for a late connection while other attempts were answered")
@@ -132,7 +132,7 @@
 	if _, sent := h.request(0, 1, 8, 1); !sent || backend.health.down {
 		t.Error("attempt that was pending during a stall counted as unanswered")
 	}
-	h.endWith(id, Outcome{Result: ResultOK, Latency: 3 * second, Answered: true})
+	h.endWith(id, Outcome{Result: ResultOK, Latency: 3 * second, ClientAnswered: true})
 	if backend.latency.ratio != 0 || h.latency.all.value != 0 {
 		t.Error("latency of an attempt that overlapped a stall was recorded")
 	}
--- a/policy/coordinator_test.go
+++ b/policy/coordinator_test.go
@@ -142,7 +142,7 @@
 	if h.count(sendAction) == 0 {
 		return false
 	}
-	h.endWith(id, Outcome{Result: ResultOK, Answered: true})
+	h.endWith(id, Outcome{Result: ResultOK, ClientAnswered: true})
 	return true
 }
 
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -64,7 +64,7 @@
 	}
 	h.run(controller, 101_000)
 	controller.AttemptEnded(h.now, policy.Outcome{
-		RequestID: 1, Backend: 7, Result: policy.ResultOK, Latency: 100_000, Answered: true,
+		RequestID: 1, Backend: 7, Result: policy.ResultOK, Latency: 100_000, ClientAnswered: true,
 	})
 	controller.AttemptEnded(h.now, policy.Outcome{
 		RequestID: 2, Backend: 7, Result: policy.ResultOverloaded, Latency: 100_000,
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -271,7 +271,7 @@
 // end ends the last attempt of a request after a tenth of a second.
 func (h *harness) end(id uint64, result Result, answered bool) {
 	h.t.Helper()
-	h.endWith(id, Outcome{Result: result, Latency: second / 10, Answered: answered})
+	h.endWith(id, Outcome{Result: result, Latency: second / 10, ClientAnswered: answered})
 }
 
 // endWith ends the last attempt of a request with an outcome, whose address it fills in.
--- a/policy/ownership.go
+++ b/policy/ownership.go
@@ -46,7 +46,7 @@
 	}
 	attempt.pending = false
 	c.settleAttempt(request, attempt, &outcome)
-	if outcome.Answered && !request.hasPending() {
+	if outcome.ClientAnswered && !request.hasPending() {
 		delete(c.requests.ofPredecessor, outcome.RequestID)
 	}
 }
--- a/policy/ownership_test.go
+++ b/policy/ownership_test.go
@@ -34,7 +34,7 @@
 	next.settings.SettlesCost = true
 	next.PredecessorAttemptEnded(next.at, Outcome{
 		RequestID: id, Backend: backendID, Result: ResultOK,
-		Latency: second / 10, Answered: true, ActualCost: 3,
+		Latency: second / 10, ClientAnswered: true, ActualCost: 3,
 	})
 	assertNear(t, "consumed with the actual cost", after.usage.consumed, consumed+1)
 	if after.inFlight != 0 || backend.load.inFlight != 0 || len(next.requests.ofPredecessor) != 0 {
--- a/policy/quotashare_fleet_test.go
+++ b/policy/quotashare_fleet_test.go
@@ -94,7 +94,7 @@
 	} else {
 		f.outside += cost
 	}
-	h.endWith(id, Outcome{Result: ResultOK, Answered: true})
+	h.endWith(id, Outcome{Result: ResultOK, ClientAnswered: true})
 }
 
 // Guards against units beyond the quota over the whole fleet: with a replica set that is new to all,
--- a/policy/recorded_play_test.go
+++ b/policy/recorded_play_test.go
@@ -82,7 +82,7 @@
 		p.transcript = append(p.transcript, fmt.Sprintf("%d holds %d %t", gateway, id, maySend))
 		result := Result(max(0, p.draw.IntN(20)-12))
 		h.endWith(id, Outcome{
-			Result: result, Latency: Time(1+p.draw.IntN(60)) * second / 100, Answered: result == ResultOK,
+			Result: result, Latency: Time(1+p.draw.IntN(60)) * second / 100, ClientAnswered: result == ResultOK,
 			MeterReading: p.draw.IntN(150), ActualCost: float64(p.draw.IntN(5)) / 2,
 		})
 	}
@@ -197,7 +197,7 @@
 		}},
 		{"counter", func(s *Settings) {
 			s.Gateways, s.Gossip, s.SharedCounter = 2, false, true
-			s.PollEndpoints, s.PollWithin = true, second
+			s.PollEndpoints, s.MaxWatchGap = true, second
 		}},
 		{"meter", func(s *Settings) {
 			s.Gateways, s.Gossip, s.MeterPeriod = 2, false, second
--- a/policy/recorded_test.go
+++ b/policy/recorded_test.go
@@ -222,7 +222,7 @@
 	level := customer.bucket.level
 	h.PredecessorAttemptEnded(h.at, Outcome{
 		RequestID: 40, Backend: backendID, Result: ResultOK,
-		Latency: second / 10, Answered: true, ActualCost: 5,
+		Latency: second / 10, ClientAnswered: true, ActualCost: 5,
 	})
 	assertNear(t, "bucket after the actual cost", customer.bucket.level, level-2)
 	if backend.load.inFlight != 0 || customer.inFlight != 0 {
--- a/policy/simulation_actors_test.go
+++ b/policy/simulation_actors_test.go
@@ -100,7 +100,7 @@
 		}
 		n.AttemptEnded(s.now, Outcome{
 			RequestID: id, Attempt: number, Backend: backend, Result: result, Latency: s.now - sentAt,
-			Answered: result == ResultOK || s.now >= n.deadlines[id],
+			ClientAnswered: result == ResultOK || s.now >= n.deadlines[id],
 		})
 	})
 	return false
--- a/policy/tokenbucket_test.go
+++ b/policy/tokenbucket_test.go
@@ -130,7 +130,7 @@
 	settings.Plans[0].ConcurrencyLimit = 2
 	h := newHarness(t, settings)
 	id, _ := h.request(0, 0, 9, 2)
-	h.endWith(id, Outcome{Result: ResultOK, Latency: 1, Answered: true, ActualCost: 5})
+	h.endWith(id, Outcome{Result: ResultOK, Latency: 1, ClientAnswered: true, ActualCost: 5})
 	assertNear(t, "bucket after 5 actual units", h.customers.byID[9].bucket.level, 8-5)
 	h.request(0, 0, 8, 1)
 	h.request(0, 0, 8, 1)
--- a/scale/internal/simulated/gateway.go
+++ b/scale/internal/simulated/gateway.go
@@ -91,7 +91,7 @@
 		g.forgetIfIdle(id, r)
 		g.controller.AttemptEnded(tier.now(), policy.Outcome{
 			RequestID: id, Attempt: attempt, Backend: backend, Result: policy.ResultOK,
-			Latency: g.worker.serviceTime, Answered: true,
+			Latency: g.worker.serviceTime, ClientAnswered: true,
 		})
 	})
 	return false
