--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -59,7 +59,7 @@
 // attemptTimeout ends an attempt at its time, and its connection with it.
 type attemptTimeout struct{ attempt *attempt }
 
-func (t attemptTimeout) Handle(l *Loop) {
+func (t attemptTimeout) Handle(g *Gateway) {
 	a := t.attempt
 	if a.ended {
 		return
@@ -68,12 +68,12 @@
 		a.request.valueConn = nil // the replies before it were not sent in time
 	}
 	if a.conn == nil {
-		l.backends.cancelWaiting(a)
+		g.backends.cancelWaiting(a)
 		return
 	}
 	a.conn.attempt = nil
-	l.backends.close(a.conn, closeTimedOut)
-	l.backends.endAttempt(a, policy.ResultTimedOut)
+	g.backends.close(a.conn, closeTimedOut)
+	g.backends.endAttempt(a, policy.ResultTimedOut)
 }
 
 // endAttempt ends an attempt without a reply.
@@ -111,27 +111,27 @@
 	latency policy.Time
 }
 
-func (e attemptEnded) Handle(l *Loop) {
+func (e attemptEnded) Handle(g *Gateway) {
 	r := e.attempt.request
 	if r == nil {
-		l.controller.HealthCheckEnded(l.events.Now(), e.attempt.backend, e.result, e.loadReport)
+		g.controller.HealthCheckEnded(g.events.Now(), e.attempt.backend, e.result, e.loadReport)
 		return
 	}
 	r.attemptsInFlight--
 	r.outcomes = append(r.outcomes, e)
 	if e.result == policy.ResultOK && !r.answered && !r.valueStarted {
-		l.answer(r, resp.AppendBulk(make([]byte, 0, len(e.value)+bulkOverhead), e.value))
+		g.answer(r, resp.AppendBulk(make([]byte, 0, len(e.value)+bulkOverhead), e.value))
 	}
-	l.reportOutcome(policy.Outcome{
+	g.reportOutcome(policy.Outcome{
 		RequestID: r.id, Attempt: e.attempt.number, Backend: e.attempt.backend, Result: e.result,
 		Latency: e.latency, Answered: r.answered || r.valueStarted || r.client.disconnected.Load(),
 		Unanswered: e.attempt.unanswered, ActualCost: e.cost, LoadReport: e.loadReport,
 	})
-	l.releaseRequest(r)
+	g.releaseRequest(r)
 }
 
 // reportOutcome tells the policy, and a process that takes over, how an attempt ended.
-func (l *Loop) reportOutcome(outcome policy.Outcome) {
-	l.handover.reportAttemptEnded(outcome)
-	l.controller.AttemptEnded(l.events.Now(), outcome)
+func (g *Gateway) reportOutcome(outcome policy.Outcome) {
+	g.handover.reportAttemptEnded(outcome)
+	g.controller.AttemptEnded(g.events.Now(), outcome)
 }
--- a/internal/gateway/backend_dial.go
+++ b/internal/gateway/backend_dial.go
@@ -58,8 +58,8 @@
 	err         error
 }
 
-func (e dialEnded) Handle(l *Loop) {
-	bs, b := l.backends, e.backend
+func (e dialEnded) Handle(g *Gateway) {
+	bs, b := g.backends, e.backend
 	b.dialing--
 	if e.err != nil {
 		bs.open--
@@ -126,7 +126,7 @@
 // dialPauseEnded fires when dials to a backend may be tried again.
 type dialPauseEnded struct{ backend *backend }
 
-func (e dialPauseEnded) Handle(l *Loop) {
+func (e dialPauseEnded) Handle(g *Gateway) {
 	e.backend.dialPaused = false
-	l.backends.dialForWaiting(e.backend)
+	g.backends.dialForWaiting(e.backend)
 }
--- a/internal/gateway/backend_drain_test.go
+++ b/internal/gateway/backend_drain_test.go
@@ -33,15 +33,15 @@
 // A drain that is reported during a dial holds for the waiting attempt too: nothing is written to the
 // connection.
 func TestDrainDuringDialSendsNothing(t *testing.T) {
-	l, b := newLoopWithBackend(t)
-	startHealthCheck(l)
-	b.reportDrain(l)
-	dialed := eventAs[dialEnded](t, wait(t, l.events.Queue(), "the dial"))
+	g, b := newGatewayWithBackend(t)
+	startHealthCheck(g)
+	b.reportDrain(g)
+	dialed := eventAs[dialEnded](t, wait(t, g.events.Queue(), "the dial"))
 	if dialed.err != nil {
 		t.Fatal(dialed.err)
 	}
-	dialed.Handle(l)
-	if got, want := endedResults(t, l), []policy.Result{policy.ResultNotSent}; !slices.Equal(got, want) {
+	dialed.Handle(g)
+	if got, want := endedResults(t, g), []policy.Result{policy.ResultNotSent}; !slices.Equal(got, want) {
 		t.Errorf("results %v, want %v", got, want)
 	}
 	if err := wait(t, b.closed, "the connection's end"); !errors.Is(err, io.EOF) || len(b.calls) > 0 {
@@ -52,17 +52,17 @@
 // A backend drains while several attempts wait for connections to it: all end at once, so that they can go
 // to others.
 func TestDrainEndsAllWaitingAttempts(t *testing.T) {
-	l, b := newLoopWithBackend(t)
-	_, unblock := blockDials(l)
+	g, b := newGatewayWithBackend(t)
+	_, unblock := blockDials(g)
 	defer close(unblock)
 	for i := range 3 {
-		a := newHealthCheck(l)
+		a := newHealthCheck(g)
 		a.number = i
-		l.backends.startAttempt(a, 1)
+		g.backends.startAttempt(a, 1)
 	}
-	b.reportDrain(l)
+	b.reportDrain(g)
 	want := []policy.Result{policy.ResultNotSent, policy.ResultNotSent, policy.ResultNotSent}
-	if got := endedResults(t, l); !slices.Equal(got, want) {
+	if got := endedResults(t, g); !slices.Equal(got, want) {
 		t.Errorf("results %v, want %v", got, want)
 	}
 }
--- a/internal/gateway/backend_pool.go
+++ b/internal/gateway/backend_pool.go
@@ -84,8 +84,8 @@
 // connectionQuiesced fires when a connection has ended its quiescence period for which attempts may wait.
 type connectionQuiesced struct{ backend *backend }
 
-func (e connectionQuiesced) Handle(l *Loop) {
-	bs, b := l.backends, e.backend
+func (e connectionQuiesced) Handle(g *Gateway) {
+	bs, b := g.backends, e.backend
 	b.quiesceTimerSet = false
 	for len(b.waiting) > 0 {
 		c := bs.takeIdle(b)
@@ -143,12 +143,12 @@
 }
 
 // isAttemptWanted reports whether an attempt that has waited for a connection is still wanted.
-func (l *Loop) isAttemptWanted(a *attempt) bool {
+func (g *Gateway) isAttemptWanted(a *attempt) bool {
 	r := a.request
 	if r == nil {
 		return true
 	}
-	return !r.client.disconnected.Load() && l.controller.ConfirmSend(l.events.Now(), r.id, a.number)
+	return !r.client.disconnected.Load() && g.controller.ConfirmSend(g.events.Now(), r.id, a.number)
 }
 
 // addIdle keeps a connection for a later attempt.
--- a/internal/gateway/backend_pool_test.go
+++ b/internal/gateway/backend_pool_test.go
@@ -103,22 +103,22 @@
 func TestConnectionIsNotReusedWithinTheQuiescencePeriod(t *testing.T) {
 	for name, late := range map[string]bool{"nothing follows": false, "a second answer": true} {
 		t.Run(name, func(t *testing.T) {
-			l, b := newLoopWithBackend(t)
-			first, call := dialWithHealthCheck(t, l, b)
+			g, b := newGatewayWithBackend(t)
+			first, call := dialWithHealthCheck(t, g, b)
 			used := first.conn
 			call.reply(t, "+PONG\r\n")
-			_, unblock := blockDials(l)
+			_, unblock := blockDials(g)
 			defer close(unblock)
-			wait(t, l.events.Queue(), "the reply").Handle(l)
-			second := startHealthCheck(l)
+			wait(t, g.events.Queue(), "the reply").Handle(g)
+			second := startHealthCheck(g)
 			if second.conn != nil {
 				t.Fatal("the connection was used at once")
 			}
 			if late {
 				call.reply(t, "+PONG\r\n")
-				wait(t, l.events.Queue(), "the second answer").Handle(l)
+				wait(t, g.events.Queue(), "the second answer").Handle(g)
 			}
-			advance(t, l, quiescencePeriod)
+			advance(t, g, quiescencePeriod)
 			if got := second.conn == used; got == late {
 				t.Errorf("the connection was used: %t", got)
 			}
--- a/internal/gateway/backend_read.go
+++ b/internal/gateway/backend_read.go
@@ -64,34 +64,34 @@
 	streamed  bool  // its value went to the client as it was read
 }
 
-func (e replyReceived) Handle(l *Loop) {
+func (e replyReceived) Handle(g *Gateway) {
 	c := e.conn
 	switch {
 	case c.closed:
 	case e.streamed:
-		e.finishStream(l)
+		e.finishStream(g)
 	case c.attempt == nil || e.err != nil && !e.malformed:
-		e.handleEnd(l)
+		e.handleEnd(g)
 	default:
-		e.handleReply(l)
+		e.handleReply(g)
 	}
 }
 
 // handleEnd handles the end of a connection, or input that no attempt waits for.
-func (e replyReceived) handleEnd(l *Loop) {
+func (e replyReceived) handleEnd(g *Gateway) {
 	c, a := e.conn, e.conn.attempt
 	reused := c.hasCarriedReply()
 	c.bytesUsed = e.bytesUsed
 	c.attempt = nil
-	l.backends.close(c, closeEnded)
+	g.backends.close(c, closeEnded)
 	if a == nil {
 		return
 	}
 	if reused {
-		l.backends.reusedConnectionBroke(c, a)
+		g.backends.reusedConnectionBroke(c, a)
 	}
 	// The request was written, or may have been: it may have run.
-	l.backends.endAttempt(a, policy.ResultReset)
+	g.backends.endAttempt(a, policy.ResultReset)
 }
 
 // reusedConnectionBroke takes note that a reused connection ended under an attempt. Those that have been idle
@@ -108,7 +108,7 @@
 }
 
 // handleReply ends the attempt of a connection with a reply, which may be malformed.
-func (e replyReceived) handleReply(l *Loop) {
+func (e replyReceived) handleReply(g *Gateway) {
 	c, a := e.conn, e.conn.attempt
 	reused := c.hasCarriedReply()
 	c.bytesUsed = e.bytesUsed
@@ -119,18 +119,18 @@
 	}
 	c.attempt = nil
 	if reused {
-		l.backends.idleTimeout.recordHealthy(l.events.Now(), a.sentAt-c.idleSince)
+		g.backends.idleTimeout.recordHealthy(g.events.Now(), a.sentAt-c.idleSince)
 	}
 	if !reply.wellFormed || e.malformed || e.more || bodyPending {
 		// What comes next on this connection may belong to no request. The others to the backend go on.
-		l.backends.close(c, closeMalformed)
-		l.backends.dialForWaiting(c.backend)
+		g.backends.close(c, closeMalformed)
+		g.backends.dialForWaiting(c.backend)
 	}
-	l.backends.endAttemptWithAnswer(a, reply.result, backendAnswer{
-		value: reply.value, cost: actualCost(l.config, reply.usage),
-		loadReport: loadReport(l.config, reply.load),
+	g.backends.endAttemptWithAnswer(a, reply.result, backendAnswer{
+		value: reply.value, cost: actualCost(g.config, reply.usage),
+		loadReport: loadReport(g.config, reply.load),
 	})
 	if !c.closed {
-		l.backends.release(c)
+		g.backends.release(c)
 	}
 }
--- a/internal/gateway/backend_reply_test.go
+++ b/internal/gateway/backend_reply_test.go
@@ -15,24 +15,24 @@
 		"behind":  {good, good}, // read after the first was handled
 	} {
 		t.Run(name, func(t *testing.T) {
-			l, b := newLoopWithBackend(t)
-			first, call := dialWithHealthCheck(t, l, b)
+			g, b := newGatewayWithBackend(t)
+			first, call := dialWithHealthCheck(t, g, b)
 			used := first.conn
 			call.reply(t, replies[0])
-			wait(t, l.events.Queue(), "the reply").Handle(l)
+			wait(t, g.events.Queue(), "the reply").Handle(g)
 			var late event
 			if len(replies) > 1 {
 				call.reply(t, replies[1])
-				late = wait(t, l.events.Queue(), "the duplicate") // read, but not handled yet
+				late = wait(t, g.events.Queue(), "the duplicate") // read, but not handled yet
 			}
-			second := startHealthCheck(l)
+			second := startHealthCheck(g)
 			if late != nil {
-				late.Handle(l)
+				late.Handle(g)
 			}
 			for dialed := false; !dialed; {
-				e := wait(t, l.events.Queue(), "another dial")
+				e := wait(t, g.events.Queue(), "another dial")
 				_, dialed = e.(dialEnded)
-				e.Handle(l)
+				e.Handle(g)
 			}
 			if !first.ended || second.ended || second.conn == nil || second.conn == used {
 				t.Errorf("first attempt %+v, second %+v", first, second)
--- a/internal/gateway/backend_write.go
+++ b/internal/gateway/backend_write.go
@@ -47,11 +47,11 @@
 }
 
 // attemptCommand is what an attempt writes, but for a large body.
-func (l *Loop) attemptCommand(a *attempt) []byte {
+func (g *Gateway) attemptCommand(a *attempt) []byte {
 	switch {
 	case a.request != nil:
-		return a.request.forwarded(a.expiresAt - l.events.Now())
-	case l.config.Host.ReportVia == loadReportPull:
+		return a.request.forwarded(a.expiresAt - g.events.Now())
+	case g.config.Host.ReportVia == loadReportPull:
 		return infoLoadCommand
 	default:
 		return pingCommand
--- a/internal/gateway/capacity.go
+++ b/internal/gateway/capacity.go
@@ -20,18 +20,18 @@
 }
 
 // capacityRejection is the reply to a request for which the gateway itself has no capacity; nil: it has.
-func (l *Loop) capacityRejection(c *client, overMemory bool) []byte {
-	cs := l.clients
+func (g *Gateway) capacityRejection(c *client, overMemory bool) []byte {
+	cs := g.clients
 	for c.commands == 1 && len(cs.conns) > cs.limit {
-		if !cs.evict(l, c) {
+		if !cs.evict(g, c) {
 			// Connections that have only just come are not closed, but neither do they keep out a client with
 			// a request.
 			c.overLimit = cs.busyCount() > cs.limit
 			break
 		}
 	}
-	overMemory = overMemory || l.overCapacity()
-	if !overMemory && !c.overLimit && !l.shutdown.hasAnsweredAll() {
+	overMemory = overMemory || g.overCapacity()
+	if !overMemory && !c.overLimit && !g.shutdown.hasAnsweredAll() {
 		return nil
 	}
 	c.closeWhenDrained = c.closeWhenDrained || c.overLimit
@@ -41,15 +41,15 @@
 		cs.counts.rejectedOverMemory++
 	}
 	after := policy.Time(0)
-	if l.config.Settings.RetryAfterAdvice {
-		after = min(overloadRetryAfter, l.config.Settings.MaxRetryAfter)
+	if g.config.Settings.RetryAfterAdvice {
+		after = min(overloadRetryAfter, g.config.Settings.MaxRetryAfter)
 	}
 	return busyReply(after)
 }
 
 // overCapacity reports whether the open requests are too many, or hold too much memory.
-func (l *Loop) overCapacity() bool {
-	maxOpen := l.config.Host.MaxOpen
-	return maxOpen > 0 && l.requests.open > maxOpen ||
-		l.memory.retained >= l.config.MemoryMB*bytesPerMB/retainedMemoryDivisor
+func (g *Gateway) overCapacity() bool {
+	maxOpen := g.config.Host.MaxOpen
+	return maxOpen > 0 && g.requests.open > maxOpen ||
+		g.memory.retained >= g.config.MemoryMB*bytesPerMB/retainedMemoryDivisor
 }
--- a/internal/gateway/client.go
+++ b/internal/gateway/client.go
@@ -91,30 +91,30 @@
 const clientReportInterval = 5 * second
 
 // report logs the counts at intervals.
-func (cs *clients) report(l *Loop) {
-	counts, now := &cs.counts, l.events.Now()
+func (cs *clients) report(g *Gateway) {
+	counts, now := &cs.counts, g.events.Now()
 	if now-counts.since < clientReportInterval {
 		return
 	}
-	l.log.Info("clients", "accepted", counts.accepted, "open", len(cs.conns), "limit", cs.limit,
+	g.log.Info("clients", "accepted", counts.accepted, "open", len(cs.conns), "limit", cs.limit,
 		"closed_silent", counts.closedBeforeInput, "closed_mid_command", counts.closedMidCommand,
 		"closed_idle", counts.closedIdle, "rejected_over_limit", counts.rejectedOverLimit,
 		"rejected_over_memory", counts.rejectedOverMemory, "longest_accept_us", counts.longestAccept,
-		"dialed_backends", l.backends.counts.dials, "to_backends", l.backends.open)
-	l.backends.report(l.log)
+		"dialed_backends", g.backends.counts.dials, "to_backends", g.backends.open)
+	g.backends.report(g.log)
 	*counts = clientCounts{since: now}
 }
 
 // sweep closes connections that are idle for too long or more than the limit, and logs the counts.
-func (cs *clients) sweep(l *Loop) {
-	for len(cs.conns) > cs.limit && cs.evict(l, nil) {
+func (cs *clients) sweep(g *Gateway) {
+	for len(cs.conns) > cs.limit && cs.evict(g, nil) {
 	}
-	cs.report(l)
-	now := l.events.Now()
+	cs.report(g)
+	now := g.events.Now()
 	for c := range cs.conns {
-		c.handOver(l)
+		c.handOver(g)
 		if now-c.lastCommandAt > c.maxIdle() && len(c.pipeline) == 0 && !c.closeWhenDrained {
-			c.closeNow(l)
+			c.closeNow(g)
 		}
 	}
 }
--- a/internal/gateway/client_accept.go
+++ b/internal/gateway/client_accept.go
@@ -16,25 +16,25 @@
 	inheritedInput []byte
 }
 
-func (e clientConnected) Handle(l *Loop) {
-	cs, now := l.clients, l.events.Now()
+func (e clientConnected) Handle(g *Gateway) {
+	cs, now := g.clients, g.events.Now()
 	cs.counts.accepted++
 	cs.counts.longestAccept = max(cs.counts.longestAccept, time.Since(e.openedAt).Microseconds())
 	c := &client{
-		conn: e.conn, writer: sockwriter.New(e.conn), openedAt: e.openedAt, clock: l.clock,
+		conn: e.conn, writer: sockwriter.New(e.conn), openedAt: e.openedAt, clock: g.clock,
 		pipelineSlots: make(chan struct{}, maxPipelined), done: make(chan struct{}),
-		queuedBytes: &l.memory.queued, lastCommandAt: now,
+		queuedBytes: &g.memory.queued, lastCommandAt: now,
 		commands: e.commands, inheritedInput: e.inheritedInput,
 	}
 	cs.conns[c] = true
-	c.closeAfterNextCommand = l.shutdown.isClosing() // accepted from the backlog: one command is answered
-	if l.handover.hasGivenOwnership() {
+	c.closeAfterNextCommand = g.shutdown.isClosing() // accepted from the backlog: one command is answered
+	if g.handover.hasGivenOwnership() {
 		c.readerStopped, c.handoverInput, c.inheritedInput = true, e.inheritedInput, nil
-		c.handOver(l)
+		c.handOver(g)
 		return
 	}
 	if len(cs.conns) > cs.limit {
-		cs.evict(l, nil)
+		cs.evict(g, nil)
 	}
-	go c.readCommands(l, c.commands > 0)
+	go c.readCommands(g, c.commands > 0)
 }
--- a/internal/gateway/client_close.go
+++ b/internal/gateway/client_close.go
@@ -9,19 +9,19 @@
 )
 
 // closeAfterReplies closes the connection after the replies to its open requests.
-func (c *client) closeAfterReplies(l *Loop) {
+func (c *client) closeAfterReplies(g *Gateway) {
 	if c.closeWhenDrained || c.closed {
 		return
 	}
 	c.closeWhenDrained = true
 	if len(c.pipeline) == 0 {
-		c.closeWrite(l)
+		c.closeWrite(g)
 	}
 }
 
 // closeWrite closes the sending side and gives the peer some time to close first: closing with unread input
 // would reset the connection, and lose a reply that is still on its way.
-func (c *client) closeWrite(l *Loop) {
+func (c *client) closeWrite(g *Gateway) {
 	if c.writeClosed {
 		return
 	}
@@ -31,7 +31,7 @@
 	if c.ignoreInput.Load() {
 		linger = lingerAfterError
 	}
-	l.events.After(linger, lingerTimer{client: c})
+	g.events.After(linger, lingerTimer{client: c})
 }
 
 // lingerTimer closes a connection that the peer leaves open.
@@ -40,21 +40,21 @@
 	extensions int // periods added so far because replies were still unread
 }
 
-func (t lingerTimer) Handle(l *Loop) {
+func (t lingerTimer) Handle(g *Gateway) {
 	if !t.client.writer.Idle() && t.extensions < maxLingers {
-		l.events.After(lingerTime, lingerTimer{client: t.client, extensions: t.extensions + 1})
+		g.events.After(lingerTime, lingerTimer{client: t.client, extensions: t.extensions + 1})
 		return
 	}
-	t.client.closeNow(l)
+	t.client.closeNow(g)
 }
 
 // closeNow closes the connection at once, as if the peer had closed it.
-func (c *client) closeNow(l *Loop) { clientDisconnected{client: c}.Handle(l) }
+func (c *client) closeNow(g *Gateway) { clientDisconnected{client: c}.Handle(g) }
 
 // clientDisconnected says that a client has closed its connection. It no longer waits for its open requests.
 type clientDisconnected struct{ client *client }
 
-func (e clientDisconnected) Handle(l *Loop) {
+func (e clientDisconnected) Handle(g *Gateway) {
 	c := e.client
 	if c.closed {
 		return
@@ -62,26 +62,26 @@
 	c.closed = true
 	close(c.done)
 	_ = c.conn.Close() // nothing is left to do about a failed close
-	delete(l.clients.conns, c)
-	<-l.clients.slots
+	delete(g.clients.conns, c)
+	<-g.clients.slots
 	c.handoverInput = nil
-	now := l.events.Now()
+	now := g.events.Now()
 	for _, r := range c.pipeline {
-		l.cancelRequest(r, now)
+		g.cancelRequest(r, now)
 	}
 	c.pipeline = nil
-	l.shutdown.endIfIdle()
+	g.shutdown.endIfIdle()
 }
 
 // cancelRequest ends a request whose client has gone.
-func (l *Loop) cancelRequest(r *request, now policy.Time) {
-	l.cancelValue(r)
-	l.abortBody(r)
-	l.memory.retained -= len(r.reply)
+func (g *Gateway) cancelRequest(r *request, now policy.Time) {
+	g.cancelValue(r)
+	g.abortBody(r)
+	g.memory.retained -= len(r.reply)
 	if r.answered {
 		return
 	}
-	l.markAnswered(r)
-	l.controller.RequestCancelled(now, r.id)
-	l.releaseRequest(r)
+	g.markAnswered(r)
+	g.controller.RequestCancelled(now, r.id)
+	g.releaseRequest(r)
 }
--- a/internal/gateway/client_commands.go
+++ b/internal/gateway/client_commands.go
@@ -44,9 +44,9 @@
 func (h commandHead) common() commandHead { return h }
 
 // readCommand reads one command; the error is that of the connection. It runs in the client's reader.
-func (c *client) readCommand(l *Loop, in *resp.Reader) (receivedCommand, error) {
+func (c *client) readCommand(g *Gateway, in *resp.Reader) (receivedCommand, error) {
 	args, bodySize, err := in.ReadCommandHead()
-	head := commandHead{client: c, receivedAt: l.clock.Now()}
+	head := commandHead{client: c, receivedAt: g.clock.Now()}
 	switch {
 	case errors.Is(err, resp.ErrTooLarge):
 		return commandAnswered{commandHead: head, reply: errorReply(err), malformed: true}, nil
@@ -61,9 +61,9 @@
 	if bodySize > 0 {
 		head.body = &body{size: bodySize, destination: make(chan *backendConn, 1)}
 	}
-	cfg := l.publishedConfig.Load()
-	if l.memory.queued.Add(int64(head.size)) > maxQueuedBytes(cfg) {
-		l.memory.queued.Add(-int64(head.size))
+	cfg := g.publishedConfig.Load()
+	if g.memory.queued.Add(int64(head.size)) > maxQueuedBytes(cfg) {
+		g.memory.queued.Add(-int64(head.size))
 		head.args, head.size = nil, 0
 	}
 	return head.parse(cfg, args), nil
@@ -98,9 +98,9 @@
 
 // begin reports whether a command is to be handled. One that arrived while its connection was being closed is
 // not: the client sends it again.
-func (h commandHead) begin(l *Loop) bool {
+func (h commandHead) begin(g *Gateway) bool {
 	c := h.client
-	l.memory.queued.Add(-int64(h.size))
+	g.memory.queued.Add(-int64(h.size))
 	if c.closed || c.writeClosed || c.ignoreInput.Load() {
 		h.body.discard()
 		<-c.pipelineSlots
@@ -111,13 +111,13 @@
 
 // isForSuccessor reports whether the process that takes over decides on a command. It does not get a large
 // body, which can't be handed over, nor a command that was not kept.
-func (h commandHead) isForSuccessor(l *Loop) bool {
-	return l.handover.isActive() && h.args != nil && h.body == nil
+func (h commandHead) isForSuccessor(g *Gateway) bool {
+	return g.handover.isActive() && h.args != nil && h.body == nil
 }
 
 // append makes the request of a command, which may have nothing in it but its place in the client's
 // pipeline, and appends it there.
-func (h commandHead) append(l *Loop, parsed command.Request) *request {
+func (h commandHead) append(g *Gateway, parsed command.Request) *request {
 	c := h.client
 	if c.closeAfterNextCommand {
 		c.closeWhenDrained = true
@@ -133,12 +133,12 @@
 		h.body.request = r
 	}
 	if r.args != nil {
-		r.metrics = l.classMetrics[parsed.Details.Class]
-		l.metrics.OpenRequests.Add(1)
+		r.metrics = g.classMetrics[parsed.Details.Class]
+		g.metrics.OpenRequests.Add(1)
 	}
 	c.pipeline = append(c.pipeline, r)
-	l.requests.open++
-	c.lastCommandAt = l.events.Now()
+	g.requests.open++
+	c.lastCommandAt = g.events.Now()
 	return r
 }
 
@@ -151,21 +151,21 @@
 	framingLost bool // nothing behind it can be read
 }
 
-func (e commandAnswered) Handle(l *Loop) {
+func (e commandAnswered) Handle(g *Gateway) {
 	switch {
-	case !e.begin(l):
-	case e.isForSuccessor(l):
-		l.handover.queue(e)
+	case !e.begin(g):
+	case e.isForSuccessor(g):
+		g.handover.queue(e)
 	default:
-		e.answer(l)
+		e.answer(g)
 	}
 }
 
 // answer sends the reply in its turn.
-func (e commandAnswered) answer(l *Loop) {
-	r := e.append(l, command.Request{})
+func (e commandAnswered) answer(g *Gateway) {
+	r := e.append(g, command.Request{})
 	e.client.countCommand(e.malformed, e.framingLost)
-	l.answer(r, e.reply)
+	g.answer(r, e.reply)
 }
 
 // requestDropped is a request that was dropped for lack of memory.
@@ -174,10 +174,10 @@
 	clientID uint64
 }
 
-func (e requestDropped) Handle(l *Loop) {
-	if e.begin(l) {
-		r := e.append(l, command.Request{ClientID: e.clientID})
-		l.rejectOrCount(r, true)
+func (e requestDropped) Handle(g *Gateway) {
+	if e.begin(g) {
+		r := e.append(g, command.Request{ClientID: e.clientID})
+		g.rejectOrCount(r, true)
 	}
 }
 
@@ -188,52 +188,52 @@
 	config  *config.Config // by which it was parsed
 }
 
-func (e requestReceived) Handle(l *Loop) {
+func (e requestReceived) Handle(g *Gateway) {
 	switch {
-	case !e.begin(l):
-	case e.isForSuccessor(l):
-		l.handover.queue(e)
-	case e.config != l.config:
-		e.handleAfterReload(l)
+	case !e.begin(g):
+	case e.isForSuccessor(g):
+		g.handover.queue(e)
+	case e.config != g.config:
+		e.handleAfterReload(g)
 	default:
-		e.admit(l)
+		e.admit(g)
 	}
 }
 
 // handleAfterReload handles a request that was parsed before a reload: its class may have another number now,
 // or none.
-func (e requestReceived) handleAfterReload(l *Loop) {
-	switch parsed := e.parse(l.config, e.args).(type) {
+func (e requestReceived) handleAfterReload(g *Gateway) {
+	switch parsed := e.parse(g.config, e.args).(type) {
 	case requestReceived:
-		parsed.admit(l)
+		parsed.admit(g)
 	case commandAnswered:
-		parsed.answer(l)
+		parsed.answer(g)
 	}
 }
 
 // admit has the policy decide on a request, unless the gateway itself rejects it. A large body can't be
 // handed over, so its request is rejected during a handover.
-func (e requestReceived) admit(l *Loop) {
-	r := e.append(l, e.request)
-	if !l.rejectOrCount(r, l.handover.isActive()) {
-		l.admitRequest(r, e.request.Details, e.receivedAt)
+func (e requestReceived) admit(g *Gateway) {
+	r := e.append(g, e.request)
+	if !g.rejectOrCount(r, g.handover.isActive()) {
+		g.admitRequest(r, e.request.Details, e.receivedAt)
 	}
 }
 
 // rejectOrCount counts a request as a command of its connection's. It reports whether it has rejected it.
-func (l *Loop) rejectOrCount(r *request, overMemory bool) (rejected bool) {
-	if l.requests.openByClientID[r.clientID] != nil {
+func (g *Gateway) rejectOrCount(r *request, overMemory bool) (rejected bool) {
+	if g.requests.openByClientID[r.clientID] != nil {
 		// Two open requests of one id can't be told apart behind this gateway.
 		r.client.countCommand(true, false)
-		l.answer(r, errorReply(errIDIsOpen))
+		g.answer(r, errorReply(errIDIsOpen))
 		return true
 	}
 	r.client.countCommand(false, false)
-	reply := l.capacityRejection(r.client, overMemory)
+	reply := g.capacityRejection(r.client, overMemory)
 	if reply == nil {
 		return false
 	}
-	l.answer(r, reply)
+	g.answer(r, reply)
 	return true
 }
 
@@ -254,16 +254,16 @@
 }
 
 // admitRequest has the policy decide on a request.
-func (l *Loop) admitRequest(r *request, details policy.Request, receivedAt policy.Time) {
-	now := l.events.Now()
-	l.requests.lastID++
-	r.id = l.requests.lastID
-	l.requests.byID[r.id], l.requests.openByClientID[r.clientID] = r, r
-	l.memory.retained += command.Size(r.args)
+func (g *Gateway) admitRequest(r *request, details policy.Request, receivedAt policy.Time) {
+	now := g.events.Now()
+	g.requests.lastID++
+	r.id = g.requests.lastID
+	g.requests.byID[r.id], g.requests.openByClientID[r.clientID] = r, r
+	g.memory.retained += command.Size(r.args)
 	r.customer, r.estimatedCost = details.Customer, details.Cost
 	margin := min(deadlineMargin, details.Timeout/maxMarginDivisor)
 	r.receivedAt, r.deadline = receivedAt, receivedAt+details.Timeout-margin
-	r.guard = l.events.Schedule(r.deadline+margin/2, deadlineGuard{request: r})
+	r.guard = g.events.Schedule(r.deadline+margin/2, deadlineGuard{request: r})
 	details.ID, details.Timeout = r.id, max(0, r.deadline-now)
-	l.controller.RequestReceived(now, details)
+	g.controller.RequestReceived(now, details)
 }
--- a/internal/gateway/client_commands_test.go
+++ b/internal/gateway/client_commands_test.go
@@ -82,15 +82,15 @@
 func TestCommandDroppedForLackOfMemoryIsAnswered(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
-	full := maxQueuedBytes(r.loop.publishedConfig.Load())
-	r.loop.memory.queued.Add(full)
+	full := maxQueuedBytes(r.gateway.publishedConfig.Load())
+	r.gateway.memory.queued.Add(full)
 	c.sendLookup(1)
 	c.wantLine("-BUSY 500")
 	c.send("PING")
 	c.wantLine("+PONG")
 	c.send("NONE")
 	c.wantLine(`-ERR unknown command "NONE"`)
-	if n := r.loop.memory.queued.Add(-full); n != 0 {
+	if n := r.gateway.memory.queued.Add(-full); n != 0 {
 		t.Errorf("%d bytes are counted", n)
 	}
 	call := c.openLookup(b, 1) // the id is free again
--- a/internal/gateway/client_disconnect_rig_test.go
+++ b/internal/gateway/client_disconnect_rig_test.go
@@ -42,7 +42,7 @@
 // waits for a dial to that backend.
 type waitingRequest struct {
 	t         *testing.T
-	loop      *Loop
+	loop      *Gateway
 	backend   *fakeBackend
 	client    *testClient
 	departure departure
@@ -62,11 +62,11 @@
 // newWaitingRequest has the request sent, and handled up to its dial.
 func newWaitingRequest(t *testing.T, fields string, departure departure) *waitingRequest {
 	t.Helper()
-	l, b, dialing, unblock := newLoopWithBlockedDials(t)
-	c := connectWithRequest(t, l, fields)
+	g, b, dialing, unblock := newGatewayWithBlockedDials(t)
+	c := connectWithRequest(t, g, fields)
 	wait(t, dialing, "the dial")
 	return &waitingRequest{
-		t: t, loop: l, backend: b, client: c, departure: departure, dialing: dialing, unblock: unblock,
+		t: t, loop: g, backend: b, client: c, departure: departure, dialing: dialing, unblock: unblock,
 	}
 }
 
@@ -128,10 +128,10 @@
 // wantNoOpenRequests checks that nothing of the requests is kept.
 func (w *waitingRequest) wantNoOpenRequests() {
 	w.t.Helper()
-	l := w.loop
-	if len(l.requests.byID) != 0 || l.requests.open != 0 || l.memory.retained != 0 {
-		w.t.Errorf("%d requests remain, %d open, %d bytes", len(l.requests.byID), l.requests.open,
-			l.memory.retained)
+	g := w.loop
+	if len(g.requests.byID) != 0 || g.requests.open != 0 || g.memory.retained != 0 {
+		w.t.Errorf("%d requests remain, %d open, %d bytes", len(g.requests.byID), g.requests.open,
+			g.memory.retained)
 	}
 }
 
@@ -143,7 +143,7 @@
 
 // newLoopWithStalledBackend makes a loop that the test runs itself, with one backend that accepts no
 // connection and reads nothing. The buffers between them are the smallest there are.
-func newLoopWithStalledBackend(t *testing.T) *Loop {
+func newLoopWithStalledBackend(t *testing.T) *Gateway {
 	t.Helper()
 	listening := net.ListenConfig{Control: withSmallestBuffer(syscall.SO_RCVBUF)}
 	stalled, err := listening.Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -151,12 +151,12 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = stalled.Close() })
-	l := newTestLoop(t, newFakeDiscovery(t))
-	l.backends.dial.Control = withSmallestBuffer(syscall.SO_SNDBUF)
-	l.updateEndpoint(policy.UpdateComplete, discovery.Endpoint{
+	g := newTestGateway(t, newFakeDiscovery(t))
+	g.backends.dial.Control = withSmallestBuffer(syscall.SO_SNDBUF)
+	g.updateEndpoint(policy.UpdateComplete, discovery.Endpoint{
 		ID: "s-00000001", Address: stalled.Addr().String(), Phase: "Ready",
 	})
-	return l
+	return g
 }
 
 // withSmallestBuffer sets the size of a socket's buffer, named by its option, to the least that the system
--- a/internal/gateway/client_disconnect_test.go
+++ b/internal/gateway/client_disconnect_test.go
@@ -133,17 +133,17 @@
 func TestDisconnectBehindAStalledBodyIsNoticed(t *testing.T) {
 	for name, departure := range departures {
 		t.Run(name, func(t *testing.T) {
-			l := newLoopWithStalledBackend(t)
-			c := connectWithRequest(t, l, notRetryable)
-			handleNext(t, l, "the dial's end")
+			g := newLoopWithStalledBackend(t)
+			c := connectWithRequest(t, g, notRetryable)
+			handleNext(t, g, "the dial's end")
 			_, body := largeHead()
 			c.write(bodyHead(secondRequestID, "team", len(body)) + body + "\r\n")
-			handleUntil(t, l, "the second dial's end", func() bool {
-				return l.requests.open == 2 && l.backends.byNumber[1].dialing == 0
+			handleUntil(t, g, "the second dial's end", func() bool {
+				return g.requests.open == 2 && g.backends.byNumber[1].dialing == 0
 			})
 			departure.by(c)
-			for len(l.clients.conns) > 0 {
-				if _, broken := handleNext(t, l, "the client's disconnect").(bodyFailed); broken {
+			for len(g.clients.conns) > 0 {
+				if _, broken := handleNext(t, g, "the client's disconnect").(bodyFailed); broken {
 					t.Fatal("the body was given up first")
 				}
 			}
--- a/internal/gateway/client_eviction.go
+++ b/internal/gateway/client_eviction.go
@@ -38,8 +38,8 @@
 // there was any to close. Connections without a complete command may be maxUnfinishedPercent of the limit;
 // beyond it they go first. For a client with a request (requester; nil: a connection has come that has sent
 // nothing yet) any idle connection may be closed.
-func (cs *clients) evict(l *Loop, requester *client) bool {
-	now := l.events.Now()
+func (cs *clients) evict(g *Gateway, requester *client) bool {
+	now := g.events.Now()
 	excess := cs.unfinishedCount() > cs.limit*maxUnfinishedPercent/hundredPercent
 	var victim *client
 	lowest := rankSpared
@@ -56,7 +56,7 @@
 		return false
 	}
 	cs.counts.countEviction(victim)
-	victim.closeNow(l)
+	victim.closeNow(g)
 	return true
 }
 
--- a/internal/gateway/client_eviction_test.go
+++ b/internal/gateway/client_eviction_test.go
@@ -9,26 +9,26 @@
 )
 
 // addClient adds a connection to a loop that the test runs itself.
-func addClient(t *testing.T, l *Loop, commands int, lastCommandAt policy.Time) *client {
+func addClient(t *testing.T, g *Gateway, commands int, lastCommandAt policy.Time) *client {
 	t.Helper()
-	conn := dialClient(t, l.listening.listener.Addr().String()).conn
+	conn := dialClient(t, g.listening.listener.Addr().String()).conn
 	c := &client{
 		conn: conn, writer: sockwriter.New(conn), done: make(chan struct{}),
 		commands: commands, lastCommandAt: lastCommandAt,
 	}
-	l.clients.conns[c] = true
-	l.clients.slots <- struct{}{}
+	g.clients.conns[c] = true
+	g.clients.slots <- struct{}{}
 	return c
 }
 
 // Connections without a command are evicted first, then those with one.
 func TestConnectionsWithoutACommandAreEvictedFirst(t *testing.T) {
 	d := newFakeDiscovery(t)
-	l := newTestLoop(t, d)
-	now := l.events.Now()
+	g := newTestGateway(t, d)
+	now := g.events.Now()
 	add := func(commands int, idle policy.Time) *client {
 		t.Helper()
-		return addClient(t, l, commands, now-idle)
+		return addClient(t, g, commands, now-idle)
 	}
 	recent, idlest := add(9, 1e6), add(9, 60e6)
 	once, onceOld := add(1, 0), add(1, 1e6)
@@ -44,12 +44,12 @@
 		{newcomer, recent},
 		{newcomer, nil},
 	} {
-		evicted := l.clients.evict(l, step.requester)
+		evicted := g.clients.evict(g, step.requester)
 		if evicted != (step.want != nil) || step.want != nil && !step.want.closed {
 			t.Fatalf("step %d: evicted %t", i, evicted)
 		}
 	}
-	if busy.closed || newcomer.closed || len(l.clients.slots) != 2 {
+	if busy.closed || newcomer.closed || len(g.clients.slots) != 2 {
 		t.Error("one with an open request, or a new one, was evicted")
 	}
 }
@@ -67,12 +67,12 @@
 // Too many connections without a complete command are evicted first: those without input, the oldest before
 // others. A connection amid its first command is evicted after idle ones.
 func TestUnfinishedConnectionsKeepToTheirPartOfTheLimit(t *testing.T) {
-	l := newTestLoop(t, newFakeDiscovery(t))
-	l.clients.limit = 8 // six of them for those without a complete command
-	now := l.events.Now()
+	g := newTestGateway(t, newFakeDiscovery(t))
+	g.clients.limit = 8 // six of them for those without a complete command
+	now := g.events.Now()
 	add := func(commands int, age, sinceInput policy.Time) *client {
 		t.Helper()
-		c := addClient(t, l, commands, now-age)
+		c := addClient(t, g, commands, now-age)
 		if sinceInput >= 0 {
 			c.lastInputAt.Store(now - sinceInput)
 		}
@@ -83,7 +83,7 @@
 	regular := add(5, 30e6, 0.1e6) // amid its next command
 	step := func(what string, want *client) {
 		t.Helper()
-		evicted := l.clients.evict(l, nil)
+		evicted := g.clients.evict(g, nil)
 		if evicted != (want != nil) || want != nil && !want.closed {
 			t.Errorf("%s: evicted %t, or not the one expected", what, evicted)
 		}
@@ -109,11 +109,11 @@
 // New connections without input fill the limit: none is closed, and clients with a request are served
 // beside them. Beyond the limit of those one is rejected.
 func TestSilentNewcomersKeepOutNoClientWithARequest(t *testing.T) {
-	l := newTestLoop(t, newFakeDiscovery(t))
-	l.clients.limit = 4
+	g := newTestGateway(t, newFakeDiscovery(t))
+	g.clients.limit = 4
 	add := func(commands int, pipeline ...*request) *client {
 		t.Helper()
-		c := addClient(t, l, commands, l.events.Now()+60*second) // it is still new when it is looked at
+		c := addClient(t, g, commands, g.events.Now()+60*second) // it is still new when it is looked at
 		c.pipeline = pipeline
 		return c
 	}
@@ -122,12 +122,12 @@
 	}
 	for i := range 5 {
 		c := add(1, &request{})
-		if reply := l.capacityRejection(c, false); (reply != nil) != (i == 4) || c.overLimit != (i == 4) {
+		if reply := g.capacityRejection(c, false); (reply != nil) != (i == 4) || c.overLimit != (i == 4) {
 			t.Errorf("client %d: reply %q, over the limit %t", i, reply, c.overLimit)
 		}
 	}
-	if len(l.clients.conns) != 10 {
-		t.Errorf("%d connections, want 10", len(l.clients.conns))
+	if len(g.clients.conns) != 10 {
+		t.Errorf("%d connections, want 10", len(g.clients.conns))
 	}
 }
 
--- a/internal/gateway/client_read.go
+++ b/internal/gateway/client_read.go
@@ -21,8 +21,8 @@
 // for replies only while the pipeline is full, and reads ahead then, so that the end of the connection is
 // noticed while requests are open. A client that does not complete a command in time is cut off.
 // identified: the connection has sent a well-formed command.
-func (c *client) readCommands(l *Loop, identified bool) {
-	defer c.discardReadAhead(l)
+func (c *client) readCommands(g *Gateway, identified bool) {
+	defer c.discardReadAhead(g)
 	in := resp.NewReader(c)
 	c.identified = identified
 	c.commandDeadline = c.openedAt.Add(firstCommandTimeout)
@@ -32,14 +32,14 @@
 	for {
 		err := c.awaitCommand(in)
 		if errors.Is(err, errHandingOver) {
-			l.events.Post(clientReaderStopped{client: c})
+			g.events.Post(clientReaderStopped{client: c})
 			return
 		}
 		if err != nil {
-			c.disconnect(l)
+			c.disconnect(g)
 			return
 		}
-		if !c.readNext(l, in) {
+		if !c.readNext(g, in) {
 			return
 		}
 	}
@@ -47,14 +47,14 @@
 
 // readNext reads one command, which has begun to arrive, and posts it. It reports whether another one may
 // follow.
-func (c *client) readNext(l *Loop, in *resp.Reader) bool {
+func (c *client) readNext(g *Gateway, in *resp.Reader) bool {
 	if c.identified {
 		c.commandDeadline = time.Now().Add(commandTimeout)
 		c.setReadDeadline(c.commandDeadline)
 	}
-	e, err := c.readCommand(l, in)
+	e, err := c.readCommand(g, in)
 	if err != nil {
-		c.disconnect(l)
+		c.disconnect(g)
 		return false
 	}
 	answered, _ := e.(commandAnswered)
@@ -63,16 +63,16 @@
 		c.setReadDeadline(time.Time{})
 	}
 	head := e.common()
-	if !c.acquireSlot(l) {
-		l.memory.queued.Add(-int64(head.size))
+	if !c.acquireSlot(g) {
+		g.memory.queued.Add(-int64(head.size))
 		return false
 	}
-	l.events.Post(e)
-	if head.body != nil && !c.forwardBody(l, in, head.body) {
+	g.events.Post(e)
+	if head.body != nil && !c.forwardBody(g, in, head.body) {
 		return false
 	}
 	if answered.framingLost || c.ignoreInput.Load() {
-		c.readAheadWhile(l, func() { <-c.done }) // the loop closes it after its last reply
+		c.readAheadWhile(g, func() { <-c.done }) // the loop closes it after its last reply
 		return false
 	}
 	return true
@@ -96,14 +96,14 @@
 }
 
 // acquireSlot waits for a slot in the pipeline and reports whether the connection is still of use.
-func (c *client) acquireSlot(l *Loop) bool {
+func (c *client) acquireSlot(g *Gateway) bool {
 	select {
 	case c.pipelineSlots <- struct{}{}:
 		return true
 	default:
 	}
 	acquired := false
-	c.readAheadWhile(l, func() {
+	c.readAheadWhile(g, func() {
 		select {
 		case c.pipelineSlots <- struct{}{}:
 			acquired = true
@@ -118,9 +118,9 @@
 
 // disconnect reports that the peer has closed. No attempt begins from here on, whatever the loop handles
 // before the event.
-func (c *client) disconnect(l *Loop) {
+func (c *client) disconnect(g *Gateway) {
 	c.disconnected.Store(true)
-	l.events.Post(clientDisconnected{client: c})
+	g.events.Post(clientDisconnected{client: c})
 }
 
 // setReadDeadline sets by when input has to arrive; zero: no deadline.
--- a/internal/gateway/client_read_ahead.go
+++ b/internal/gateway/client_read_ahead.go
@@ -19,11 +19,11 @@
 
 // readAheadWhile calls wait, which blocks, in the reader goroutine. Meanwhile another goroutine, which ends
 // before it returns, reads ahead only to notice the end of the connection. No read deadline is left set.
-func (c *client) readAheadWhile(l *Loop, wait func()) {
+func (c *client) readAheadWhile(g *Gateway, wait func()) {
 	waitOver, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(stopped)
-		c.readAhead(l, waitOver)
+		c.readAhead(g, waitOver)
 	}()
 	wait()
 	close(waitOver)
@@ -35,10 +35,10 @@
 // readAhead buffers input for the reader until the reader's wait is over. It stops at maxReadAhead, and
 // where all that waits for the loop takes half of its memory: the other half is for input that is read in
 // order. The end of the connection is not noticed behind that.
-func (c *client) readAhead(l *Loop, waitOver <-chan struct{}) {
-	maxQueued := maxQueuedBytes(l.publishedConfig.Load()) / readAheadDivisor
-	for len(c.readAheadInput) < maxReadAhead && l.memory.queued.Load() < maxQueued {
-		err := c.readAheadOnce(l)
+func (c *client) readAhead(g *Gateway, waitOver <-chan struct{}) {
+	maxQueued := maxQueuedBytes(g.publishedConfig.Load()) / readAheadDivisor
+	for len(c.readAheadInput) < maxReadAhead && g.memory.queued.Load() < maxQueued {
+		err := c.readAheadOnce(g)
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			// The wait may be over; otherwise a deadline was left from before, or the connection is to be
@@ -51,14 +51,14 @@
 		case errors.Is(err, net.ErrClosed):
 			return // by this gateway
 		case err != nil:
-			c.disconnect(l)
+			c.disconnect(g)
 			return
 		}
 	}
 }
 
 // readAheadOnce appends what one read returns to the buffer.
-func (c *client) readAheadOnce(l *Loop) error {
+func (c *client) readAheadOnce(g *Gateway) error {
 	length := len(c.readAheadInput)
 	if length == cap(c.readAheadInput) {
 		growth := min(max(readAheadStep, length), maxReadAhead-length)
@@ -67,7 +67,7 @@
 	n, err := c.conn.Read(c.readAheadInput[length:min(cap(c.readAheadInput), maxReadAhead)])
 	n = max(n, 0)
 	c.readAheadInput = c.readAheadInput[:length+n]
-	l.memory.queued.Add(int64(n))
+	g.memory.queued.Add(int64(n))
 	return err
 }
 
@@ -83,7 +83,7 @@
 }
 
 // discardReadAhead drops what was read ahead, when the reader ends.
-func (c *client) discardReadAhead(l *Loop) {
-	l.memory.queued.Add(-int64(len(c.readAheadInput)))
+func (c *client) discardReadAhead(g *Gateway) {
+	g.memory.queued.Add(-int64(len(c.readAheadInput)))
 	c.readAheadInput = nil
 }
--- a/internal/gateway/client_read_ahead_test.go
+++ b/internal/gateway/client_read_ahead_test.go
@@ -18,7 +18,7 @@
 		fmt.Fprintf(&text, "*1\r\n$5\r\nX%04d\r\n*1\r\n$4\r\nPING\r\n", i)
 	}
 	c.write(text.String())
-	for r.loop.memory.queued.Load() < maxReadAhead/2 { // until much is read ahead
+	for r.gateway.memory.queued.Load() < maxReadAhead/2 { // until much is read ahead
 		runtime.Gosched()
 	}
 	call.replyValue(t, "ok")
@@ -27,29 +27,29 @@
 		c.wantLine(fmt.Sprintf("-ERR unknown command \"X%04d\"", i))
 		c.wantLine("+PONG")
 	}
-	if n := r.loop.memory.queued.Load(); n != 0 {
+	if n := r.gateway.memory.queued.Load(); n != 0 {
 		t.Errorf("%d bytes are counted when all is answered", n)
 	}
 }
 
 // The memory of read-ahead input is bounded for each connection and for all.
 func TestReadAheadIsBounded(t *testing.T) {
-	l := newTestLoop(t, newFakeDiscovery(t))
-	l.listening.resume()
-	t.Cleanup(l.listening.pause)
-	far := dialClient(t, l.listening.listener.Addr().String())
-	near := eventAs[clientConnected](t, wait(t, l.events.Queue(), "the connection")).conn
+	g := newTestGateway(t, newFakeDiscovery(t))
+	g.listening.resume()
+	t.Cleanup(g.listening.pause)
+	far := dialClient(t, g.listening.listener.Addr().String())
+	near := eventAs[clientConnected](t, wait(t, g.events.Queue(), "the connection")).conn
 	defer func() { _ = near.Close() }()
 	go func() { _, _ = far.conn.Write(make([]byte, 2*maxReadAhead)) }()
-	limit := maxQueuedBytes(l.config) / 2
-	l.memory.queued.Store(limit)
+	limit := maxQueuedBytes(g.config) / 2
+	g.memory.queued.Store(limit)
 	c := &client{conn: near}
-	if c.readAhead(l, nil); len(c.readAheadInput) != 0 {
+	if c.readAhead(g, nil); len(c.readAheadInput) != 0 {
 		t.Errorf("%d bytes read where there is no memory", len(c.readAheadInput))
 	}
-	l.memory.queued.Store(0)
-	c.readAhead(l, nil)
-	length, capacity, counted := len(c.readAheadInput), cap(c.readAheadInput), l.memory.queued.Load()
+	g.memory.queued.Store(0)
+	c.readAhead(g, nil)
+	length, capacity, counted := len(c.readAheadInput), cap(c.readAheadInput), g.memory.queued.Load()
 	if length != maxReadAhead || capacity > maxReadAhead+maxReadAhead/4 || counted != maxReadAhead {
 		t.Errorf("%d bytes in %d read, %d counted, want %d", length, capacity, counted, maxReadAhead)
 	}
@@ -66,7 +66,7 @@
 	const ping = "*1\r\n$004\r\nPING\r\n"
 	c.write(strings.Repeat(ping, 2*maxPipelined))
 	c.sendOnce(2, "team")
-	for first.loop.memory.queued.Load() < maxPipelined/2*int64(len(ping)) {
+	for first.gateway.memory.queued.Load() < maxPipelined/2*int64(len(ping)) {
 		runtime.Gosched()
 	}
 	second := startGateway(t, cfg)
--- a/internal/gateway/client_reply.go
+++ b/internal/gateway/client_reply.go
@@ -3,28 +3,28 @@
 import "slices"
 
 // flush writes the replies at the head of the pipeline, in one write, up to the first request without one.
-func (c *client) flush(l *Loop) {
-	answered, replies := c.takeReplies(l)
+func (c *client) flush(g *Gateway) {
+	answered, replies := c.takeReplies(g)
 	if answered == 0 {
 		return
 	}
 	c.pipeline = slices.Delete(c.pipeline, 0, answered)
 	if !c.closed && len(replies) > 0 && !c.writer.Send(replies, maxUnreadReply) {
-		l.events.Defer(clientDisconnected{client: c})
+		g.events.Defer(clientDisconnected{client: c})
 	}
 	if len(c.pipeline) == 0 {
 		if c.closeWhenDrained {
-			c.closeWrite(l)
+			c.closeWrite(g)
 		}
-		c.handOver(l)
+		c.handOver(g)
 	} else if next := c.pipeline[0]; next.valueConn != nil {
-		l.startValue(next)
+		g.startValue(next)
 	}
 }
 
 // takeReplies returns the number of requests at the head of the pipeline that are answered, and their replies
 // joined. Their pipeline slots are released.
-func (c *client) takeReplies(l *Loop) (answered int, replies []byte) {
+func (c *client) takeReplies(g *Gateway) (answered int, replies []byte) {
 	for answered < len(c.pipeline) && c.pipeline[answered].answered {
 		r := c.pipeline[answered]
 		if replies == nil {
@@ -32,7 +32,7 @@
 		} else {
 			replies = append(replies[:len(replies):len(replies)], r.reply...)
 		}
-		l.memory.retained -= len(r.reply)
+		g.memory.retained -= len(r.reply)
 		r.reply = nil
 		answered++
 		<-c.pipelineSlots
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -15,7 +15,7 @@
 
 // run passes commands on to the loop until ctx ends. A configuration that can't be read leaves the one in
 // force.
-func (c Control) run(ctx context.Context, l *Loop) {
+func (c Control) run(ctx context.Context, g *Gateway) {
 	stop := c.Stop
 	for {
 		var e event
@@ -27,11 +27,11 @@
 		case <-c.Reload:
 			cfg, err := c.Read()
 			if err != nil {
-				l.rejectConfig(err)
+				g.rejectConfig(err)
 				continue
 			}
 			e = configLoaded{cfg}
 		}
-		l.events.PostUrgent(ctx, e) // ahead of queued requests
+		g.events.PostUrgent(ctx, e) // ahead of queued requests
 	}
 }
--- a/internal/gateway/counter.go
+++ b/internal/gateway/counter.go
@@ -21,16 +21,16 @@
 
 // IncrementCounter adds to a counter that all gateways share. The answer comes as an event. It implements
 // policy.Actions.
-func (l policyActions) IncrementCounter(name uint64, amount float64, ttl policy.Time) {
-	if l.counter != nil && l.counter.Increment(counter.Increment{Name: name, Amount: amount, TTL: ttl}) {
+func (p policyActions) IncrementCounter(name uint64, amount float64, ttl policy.Time) {
+	if p.counter != nil && p.counter.Increment(counter.Increment{Name: name, Amount: amount, TTL: ttl}) {
 		return
 	}
-	l.events.Defer(counterAnswered{counter.Answer{Name: name, Result: policy.ResultOverloaded}})
+	p.events.Defer(counterAnswered{counter.Answer{Name: name, Result: policy.ResultOverloaded}})
 }
 
 // counterAnswered is the outcome of a call of the shared counter.
 type counterAnswered struct{ counter.Answer }
 
-func (e counterAnswered) Handle(l *Loop) {
-	l.controller.CounterAnswered(l.events.Now(), e.Name, e.Result, e.Total)
+func (e counterAnswered) Handle(g *Gateway) {
+	g.controller.CounterAnswered(g.events.Now(), e.Name, e.Result, e.Total)
 }
--- a/internal/gateway/descriptors_test.go
+++ b/internal/gateway/descriptors_test.go
@@ -26,17 +26,17 @@
 				f["limits"] = map[string]any{"sockets": test.configured}
 			})
 			cfg.DescriptorLimit = test.process
-			l, err := newLoop(cfg, slog.New(slog.NewTextHandler(&log, nil)), eventloop.SystemClock())
+			g, err := newGateway(cfg, slog.New(slog.NewTextHandler(&log, nil)), eventloop.SystemClock())
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer func() { _ = l.listening.listener.Close() }()
+			defer func() { _ = g.listening.listener.Close() }()
 			want := descriptors.NewBudget(test.want, false)
 			got := descriptors.Budget{
-				PerSide: l.clients.limit, ClientSlots: cap(l.clients.slots), Operators: want.Operators,
+				PerSide: g.clients.limit, ClientSlots: cap(g.clients.slots), Operators: want.Operators,
 			}
-			if got != want || l.backends.limit != want.PerSide {
-				t.Errorf("got %+v and %d to backends, want %+v", got, l.backends.limit, want)
+			if got != want || g.backends.limit != want.PerSide {
+				t.Errorf("got %+v and %d to backends, want %+v", got, g.backends.limit, want)
 			}
 			if got := strings.Count(log.String(), "fewer descriptors than configured"); got != test.logged {
 				t.Errorf("got %d lines of the lower limit, want %d", got, test.logged)
--- a/internal/gateway/dial_fault_test.go
+++ b/internal/gateway/dial_fault_test.go
@@ -43,9 +43,9 @@
 }
 
 // failDials has all dials to backends fail with an error until the returned function is called.
-func failDials(l *Loop, err error) (recover func()) {
-	l.backends.dial.Control = func(string, string, syscall.RawConn) error { return err }
-	return func() { l.backends.dial.Control = nil }
+func failDials(g *Gateway, err error) (recover func()) {
+	g.backends.dial.Control = func(string, string, syscall.RawConn) error { return err }
+	return func() { g.backends.dial.Control = nil }
 }
 
 // A shortage of this machine's own ends no attempt at once, ejects no backend and begins no slow start: the
@@ -56,20 +56,20 @@
 			continue
 		}
 		t.Run(c.err.Error(), func(t *testing.T) {
-			l, b := newLoopWithBackend(t)
-			recovered := failDials(l, c.err)
-			client := connectWithRequest(t, l, "c=once")
-			handleNext(t, l, "the failed dial")
-			if n := l.controller.UnavailableBackends(); n != 0 || len(l.requests.byID) != 1 {
+			g, b := newGatewayWithBackend(t)
+			recovered := failDials(g, c.err)
+			client := connectWithRequest(t, g, "c=once")
+			handleNext(t, g, "the failed dial")
+			if n := g.controller.UnavailableBackends(); n != 0 || len(g.requests.byID) != 1 {
 				t.Fatalf("%d backends ejected, %d requests open: want none ejected, 1 open",
-					n, len(l.requests.byID))
+					n, len(g.requests.byID))
 			}
 			recovered()
-			useFakeClock(t, l).shown.Add(firstShortagePause)
-			l.events.RunTimers()
-			handleNext(t, l, "the second dial")
+			useFakeClock(t, g).shown.Add(firstShortagePause)
+			g.events.RunTimers()
+			handleNext(t, g, "the second dial")
 			b.nextCall(t).replyValue(t, "ok")
-			handleNext(t, l, "the reply")
+			handleNext(t, g, "the reply")
 			client.wantValue("ok")
 		})
 	}
@@ -77,26 +77,26 @@
 
 // A shortage that lasts ends the attempt after some pauses: the client hears of it before its deadline.
 func TestLastingShortageRejectsTheRequest(t *testing.T) {
-	l, b := newLoopWithBackend(t)
-	_ = failDials(l, syscall.EMFILE)
-	client := connectWithRequest(t, l, "c=once")
+	g, b := newGatewayWithBackend(t)
+	_ = failDials(g, syscall.EMFILE)
+	client := connectWithRequest(t, g, "c=once")
 	for range 200 { // attempts, and pauses of each, at most
-		if len(l.requests.byID) == 0 {
+		if len(g.requests.byID) == 0 {
 			break
 		}
 		select {
-		case e := <-l.events.Queue():
-			l.events.HandleEvent(e)
+		case e := <-g.events.Queue():
+			g.events.HandleEvent(e)
 		case <-time.After(time.Millisecond):
-			useFakeClock(t, l).shown.Add(firstShortagePause)
-			l.events.RunTimers()
+			useFakeClock(t, g).shown.Add(firstShortagePause)
+			g.events.RunTimers()
 		}
 	}
 	client.wantLine("-BUSY 2000")
-	if n := l.controller.UnavailableBackends(); n != 0 || len(b.calls) > 0 {
+	if n := g.controller.UnavailableBackends(); n != 0 || len(b.calls) > 0 {
 		t.Errorf("%d backends ejected, %d calls", n, len(b.calls))
 	}
-	if got := l.backends.counts.dialsFailed[dialOwnShortage]; got <= maxShortagePauses {
+	if got := g.backends.counts.dialsFailed[dialOwnShortage]; got <= maxShortagePauses {
 		t.Errorf("%d dials failed for a shortage, want more than %d", got, maxShortagePauses)
 	}
 }
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -6,8 +6,8 @@
 // post typed events to it. Each of these goroutines ends with its socket or context, which the loop closes.
 //
 // What begins and ends the service has a type with phases each (listening, endpointList, reload, takeover,
-// outgoingHandover, shutdown). Each declares the interface through which it changes the gateway, and a type
-// named loop... implements that on Loop, such as loopShutdown for shutdownGateway.
+// outgoingHandover, shutdown). Each declares the interface through which it changes the gateway, and an
+// adapter implements that on Gateway, such as shutdownAdapter for shutdownGateway.
 //
 // A request passes client_read, client_commands and the policy; an attempt of it goes through backend_pool
 // and backend_write; its reply through backend_read, backend_reply and client_reply. Large bodies and
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -108,24 +108,24 @@
 // endpointsUpdated is an event of the discovery client.
 type endpointsUpdated struct{ discovery.Event }
 
-func (e endpointsUpdated) Handle(l *Loop) { l.endpoints.handle(e.Event) }
+func (e endpointsUpdated) Handle(g *Gateway) { g.endpoints.handle(e.Event) }
 
-// loopEndpoints implements endpointGateway.
-type loopEndpoints struct{ *Loop }
+// endpointAdapter implements endpointGateway.
+type endpointAdapter struct{ *Gateway }
 
-func (l loopEndpoints) updateEndpoints(kind policy.UpdateKind, list []discovery.Endpoint) {
-	endpoints := l.backends.applyList(kind, list, l.endpoints.zoneNumber)
-	l.controller.UpdateEndpoints(l.events.Now(), kind, endpoints)
-	l.metrics.Endpoints.Store(l.backends.cleanUpUnready())
-	l.metrics.UnavailableEndpoints.Store(int64(l.controller.UnavailableBackends()))
+func (a endpointAdapter) updateEndpoints(kind policy.UpdateKind, list []discovery.Endpoint) {
+	endpoints := a.backends.applyList(kind, list, a.endpoints.zoneNumber)
+	a.controller.UpdateEndpoints(a.events.Now(), kind, endpoints)
+	a.metrics.Endpoints.Store(a.backends.cleanUpUnready())
+	a.metrics.UnavailableEndpoints.Store(int64(a.controller.UnavailableBackends()))
 }
 
-func (l loopEndpoints) reportUnavailable() {
-	l.controller.UpdateEndpoints(l.events.Now(), policy.UpdateUnavailable, nil)
+func (a endpointAdapter) reportUnavailable() {
+	a.controller.UpdateEndpoints(a.events.Now(), policy.UpdateUnavailable, nil)
 }
 
-func (l loopEndpoints) drainingEndpoint(id string) (endpoint discovery.Endpoint, draining bool) {
-	b := l.backends.byID[id]
+func (a endpointAdapter) drainingEndpoint(id string) (endpoint discovery.Endpoint, draining bool) {
+	b := a.backends.byID[id]
 	if b == nil || b.state != policy.EndpointDraining {
 		return discovery.Endpoint{}, false
 	}
@@ -134,8 +134,8 @@
 
 // post hands an event of the discovery client to the loop, ahead of all other work: nothing that was queued
 // before a drain was announced may be sent after its grace. Any goroutine may call it.
-func (l loopEndpoints) post(ctx context.Context, e discovery.Event) {
-	l.events.PostUrgent(ctx, endpointsUpdated{e})
+func (a endpointAdapter) post(ctx context.Context, e discovery.Event) {
+	a.events.PostUrgent(ctx, endpointsUpdated{e})
 }
 
 // bytesPerMB converts the configured memory.
--- a/internal/gateway/endpoints_test.go
+++ b/internal/gateway/endpoints_test.go
@@ -11,7 +11,7 @@
 // The list at a new address may be older than what the address before has announced: a backend that was
 // announced as draining stays so until an update as new says otherwise, or it has started anew.
 func TestOlderUpdateKeepsBackendsDraining(t *testing.T) {
-	l := newTestLoop(t, newFakeDiscovery(t))
+	g := newTestGateway(t, newFakeDiscovery(t))
 	const id = "s-00000001"
 	for i, step := range []struct {
 		revision uint64
@@ -32,12 +32,12 @@
 		endpoint := discovery.Endpoint{
 			ID: id, Address: "127.0.0.1:9", Phase: step.phase, UpSinceMS: step.upSince,
 		}
-		l.events.HandleEvent(endpointsUpdated{discovery.Event{Kind: step.kind, Update: discovery.Update{
+		g.events.HandleEvent(endpointsUpdated{discovery.Event{Kind: step.kind, Update: discovery.Update{
 			Revision:  step.revision,
 			Complete:  step.kind == policy.UpdateComplete,
 			Endpoints: []discovery.Endpoint{endpoint},
 		}}})
-		if got := l.backends.byID[id].state; got != step.want {
+		if got := g.backends.byID[id].state; got != step.want {
 			t.Errorf("step %d: got state %d, want %d", i, got, step.want)
 		}
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -20,114 +20,114 @@
 
 // Run serves clients until control stops it and all open requests are answered.
 func Run(cfg config.Config, log *slog.Logger, control Control) error {
-	l, err := newLoop(cfg, log, eventloop.SystemClock())
+	g, err := newGateway(cfg, log, eventloop.SystemClock())
 	if err != nil {
 		return err
 	}
-	l.serve(control)
+	g.serve(control)
 	return nil
 }
 
 // serve starts the goroutines that post events, runs the loop, and ends them.
-func (l *Loop) serve(control Control) {
+func (g *Gateway) serve(control Control) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	l.start(ctx)
-	go control.run(ctx, l)
-	l.events.Run()
-	l.listening.close()
-	l.ops.Close()
-	l.gossip.Close()
-	l.handover.stopListening()
-	l.takeover.close()
-	l.handover.close()
+	g.start(ctx)
+	go control.run(ctx, g)
+	g.events.Run()
+	g.listening.close()
+	g.ops.Close()
+	g.gossip.Close()
+	g.handover.stopListening()
+	g.takeover.close()
+	g.handover.close()
 }
 
-// newLoop makes a gateway and opens its sockets. Clients are accepted once it is ready.
-func newLoop(cfg config.Config, log *slog.Logger, clock eventloop.Clock) (*Loop, error) {
-	l := &Loop{
+// newGateway makes a gateway and opens its sockets. Clients are accepted once it is ready.
+func newGateway(cfg config.Config, log *slog.Logger, clock eventloop.Clock) (*Gateway, error) {
+	g := &Gateway{
 		log: log, clock: clock, requests: newRequestTable(), metrics: &metrics.Metrics{},
 	}
-	l.events = eventloop.New(l, clock)
-	l.endpoints = newEndpointList(cfg.Host.Zones, loopEndpoints{l}, log)
-	l.reload = newReload(loopReload{l}, log)
-	l.handover = newOutgoingHandover(loopHandover{l}, log)
-	l.shutdown = newShutdown(loopShutdown{l}, log)
-	l.counter = newCounter(&cfg, l.events.Post)
-	l.discovery = discovery.New(discoveryConfig(&cfg), log, loopEndpoints{l}.post)
-	l.applyConfig(&cfg)
+	g.events = eventloop.New(g, clock)
+	g.endpoints = newEndpointList(cfg.Host.Zones, endpointAdapter{g}, log)
+	g.reload = newReload(reloadAdapter{g}, log)
+	g.handover = newOutgoingHandover(handoverAdapter{g}, log)
+	g.shutdown = newShutdown(shutdownAdapter{g}, log)
+	g.counter = newCounter(&cfg, g.events.Post)
+	g.discovery = discovery.New(discoveryConfig(&cfg), log, endpointAdapter{g}.post)
+	g.applyConfig(&cfg)
 	limitMemory(&cfg, 1)
-	budget := descriptors.NewBudget(descriptors.Usable(&cfg, log), l.counter != nil)
-	l.backends = newBackends(&cfg, budget.PerSide, l.events, l)
-	l.clients = newClients(budget)
-	l.listening = newListening(l.clients.slots, l.events.Post, log)
+	budget := descriptors.NewBudget(descriptors.Usable(&cfg, log), g.counter != nil)
+	g.backends = newBackends(&cfg, budget.PerSide, g.events, g)
+	g.clients = newClients(budget)
+	g.listening = newListening(g.clients.slots, g.events.Post, log)
 	var err error
-	if l.controller, err = policy.New(cfg.Settings, cfg.Seed, policyActions{l}); err != nil {
+	if g.controller, err = policy.New(cfg.Settings, cfg.Seed, policyActions{g}); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	if l.ops, err = ops.Listen(cfg.Ops, budget.Operators, l.metrics.Page); err != nil {
+	if g.ops, err = ops.Listen(cfg.Ops, budget.Operators, g.metrics.Page); err != nil {
 		return nil, err
 	}
 	predecessor := handover.Dial(cfg.Listen, log)
-	l.takeover = newTakeover(predecessor, loopTakeover{l}, log)
-	l.gossip = newGossip(&cfg, log, l.events.Post)
+	g.takeover = newTakeover(predecessor, takeoverAdapter{g}, log)
+	g.gossip = newGossip(&cfg, log, g.events.Post)
 	if predecessor != nil {
-		l.listening.listener = predecessor.Clients
-		return l, nil
+		g.listening.listener = predecessor.Clients
+		return g, nil
 	}
 	if cfg.Settings.Gossip {
-		if err := l.gossip.Listen(); err != nil {
+		if err := g.gossip.Listen(); err != nil {
 			return nil, err
 		}
 	}
-	return l, l.listening.bind(cfg.Listen)
+	return g, g.listening.bind(cfg.Listen)
 }
 
 // start applies the configured endpoint list and starts reading from discovery, peers and operators.
 // Clients are accepted after discovery's first list, or readinessWait.
-func (l *Loop) start(ctx context.Context) {
-	loopEndpoints{l}.updateEndpoints(policy.UpdateStale, l.config.Known.Endpoints)
-	l.events.HandleDeferred()
-	go l.ops.Serve()
-	l.events.After(readinessWait, readinessTimeout{})
-	l.events.After(sweepInterval, sweepTimer{})
-	go l.discovery.Run(ctx)
-	l.gossip.Resume()
-	if l.counter != nil {
-		go l.counter.Run(ctx)
+func (g *Gateway) start(ctx context.Context) {
+	endpointAdapter{g}.updateEndpoints(policy.UpdateStale, g.config.Known.Endpoints)
+	g.events.HandleDeferred()
+	go g.ops.Serve()
+	g.events.After(readinessWait, readinessTimeout{})
+	g.events.After(sweepInterval, sweepTimer{})
+	go g.discovery.Run(ctx)
+	g.gossip.Resume()
+	if g.counter != nil {
+		go g.counter.Run(ctx)
 	}
 }
 
 // sweepTimer closes, at intervals, connections that have been idle for too long.
 type sweepTimer struct{}
 
-func (sweepTimer) Handle(l *Loop) {
-	l.clients.sweep(l)
-	l.backends.sweep(l.config.Host.IdleClose)
-	l.metrics.UnavailableEndpoints.Store(int64(l.controller.UnavailableBackends()))
-	l.events.After(sweepInterval, sweepTimer{})
+func (sweepTimer) Handle(g *Gateway) {
+	g.clients.sweep(g)
+	g.backends.sweep(g.config.Host.IdleClose)
+	g.metrics.UnavailableEndpoints.Store(int64(g.controller.UnavailableBackends()))
+	g.events.After(sweepInterval, sweepTimer{})
 }
 
 // startAccepting has clients accepted: until then nothing answers PING. If another process still serves
 // them, it is asked to hand over first.
-func (l *Loop) startAccepting() {
+func (g *Gateway) startAccepting() {
 	switch {
-	case !l.listening.isWaiting():
-	case l.takeover.hasPredecessor():
-		l.takeover.request(successorEvents{l})
+	case !g.listening.isWaiting():
+	case g.takeover.hasPredecessor():
+		g.takeover.request(successorEvents{g})
 	default:
-		l.accept()
+		g.accept()
 	}
 }
 
 // accept accepts clients on the listener at hand.
-func (l *Loop) accept() {
-	l.log.Info("ready", "listen", l.listening.listener.Addr().String(), "backends", len(l.backends.byNumber))
-	l.listening.resume()
-	if listener := l.handover.listen(l.config.Listen); listener != nil {
-		go listener.Serve(l.listening.listener, l.gossip.Conn(), predecessorEvents{l})
+func (g *Gateway) accept() {
+	g.log.Info("ready", "listen", g.listening.listener.Addr().String(), "backends", len(g.backends.byNumber))
+	g.listening.resume()
+	if listener := g.handover.listen(g.config.Listen); listener != nil {
+		go listener.Serve(g.listening.listener, g.gossip.Conn(), predecessorEvents{g})
 	}
-	l.ops.SetReady(!l.shutdown.hasStarted())
+	g.ops.SetReady(!g.shutdown.hasStarted())
 }
 
 // readinessWait is how long, in microseconds, a start waits for discovery before it serves with the endpoint
@@ -137,4 +137,4 @@
 // readinessTimeout ends the wait for discovery, which may be down for long.
 type readinessTimeout struct{}
 
-func (readinessTimeout) Handle(l *Loop) { l.startAccepting() }
+func (readinessTimeout) Handle(g *Gateway) { g.startAccepting() }
--- a/internal/gateway/gossip.go
+++ b/internal/gateway/gossip.go
@@ -19,25 +19,25 @@
 
 // adoptGossipSocket gives the gossip transport the predecessor's socket or, where that is nil or bound to
 // another address, a socket of its own.
-func (l *Loop) adoptGossipSocket(conn *net.UDPConn) {
-	if !l.config.Settings.Gossip {
+func (g *Gateway) adoptGossipSocket(conn *net.UDPConn) {
+	if !g.config.Settings.Gossip {
 		if conn != nil {
 			_ = conn.Close() // it is not used
 		}
 		return
 	}
-	if conn != nil && l.gossip.Adopt(conn) {
+	if conn != nil && g.gossip.Adopt(conn) {
 		return
 	}
-	if err := l.gossip.Listen(); err != nil {
-		l.log.Error("handover: no gossip from peers", "error", err)
+	if err := g.gossip.Listen(); err != nil {
+		g.log.Error("handover: no gossip from peers", "error", err)
 	}
 }
 
 // SendGossip sends a message to a peer, unless a successor is taking over. It implements policy.Actions.
-func (l policyActions) SendGossip(peer int, message []byte) {
-	if !l.handover.isActive() {
-		l.gossip.Send(peer, message)
+func (p policyActions) SendGossip(peer int, message []byte) {
+	if !p.handover.isActive() {
+		p.gossip.Send(peer, message)
 	}
 }
 
@@ -47,6 +47,6 @@
 	message []byte
 }
 
-func (e gossipReceived) Handle(l *Loop) {
-	l.controller.GossipReceived(l.events.Now(), e.peer, e.message)
+func (e gossipReceived) Handle(g *Gateway) {
+	g.controller.GossipReceived(g.events.Now(), e.peer, e.message)
 }
--- a/internal/gateway/handover_clients.go
+++ b/internal/gateway/handover_clients.go
@@ -15,50 +15,50 @@
 }
 
 // resumeReading starts the reader again. One that has not stopped yet is started when it does.
-func (c *client) resumeReading(l *Loop) {
+func (c *client) resumeReading(g *Gateway) {
 	if c.readerStopped && !c.closed {
 		c.readerStopped = false
 		c.handingOver.Store(false)
 		c.inheritedInput, c.handoverInput = c.handoverInput, nil
 		_ = c.conn.SetReadDeadline(time.Time{}) // fails only on a closed connection
-		go c.readCommands(l, c.commands > 0)
+		go c.readCommands(g, c.commands > 0)
 	}
-	if l.shutdown.isClosing() {
-		c.closeAfterReplies(l)
+	if g.shutdown.isClosing() {
+		c.closeAfterReplies(g)
 	}
 }
 
 // clientReaderStopped: the reader has stopped before a command.
 type clientReaderStopped struct{ client *client }
 
-func (e clientReaderStopped) Handle(l *Loop) {
+func (e clientReaderStopped) Handle(g *Gateway) {
 	c := e.client
 	c.readerStopped = true
-	if !l.handover.hasGivenOwnership() {
-		c.resumeReading(l) // the handover has ended meanwhile
+	if !g.handover.hasGivenOwnership() {
+		c.resumeReading(g) // the handover has ended meanwhile
 		return
 	}
-	c.handOver(l)
+	c.handOver(g)
 }
 
 // canBeHandedOver reports whether nothing is open on the connection and a successor can take it.
-func (c *client) canBeHandedOver(l *Loop) bool {
+func (c *client) canBeHandedOver(g *Gateway) bool {
 	return c.readerStopped && !c.closed && !c.closeWhenDrained && len(c.pipeline) == 0 &&
-		l.handover.hasGivenOwnership() && l.handover.canSend() && c.writer.Idle()
+		g.handover.hasGivenOwnership() && g.handover.canSend() && c.writer.Idle()
 }
 
 // handOver sends the connection to the successor, with the input that was read and not processed.
-func (c *client) handOver(l *Loop) {
-	if !c.canBeHandedOver(l) {
+func (c *client) handOver(g *Gateway) {
+	if !c.canBeHandedOver(g) {
 		return
 	}
 	c.closed = true
 	close(c.done)
-	delete(l.clients.conns, c)
-	<-l.clients.slots
+	delete(g.clients.conns, c)
+	<-g.clients.slots
 	conn, input := c.conn, c.handoverInput
 	c.handoverInput = nil
-	l.handover.sendClient(
+	g.handover.sendClient(
 		handover.ClientConnection{
 			Requests: c.commands, OpenedAt: c.openedAt, Age: max(time.Microsecond, time.Since(c.openedAt)),
 		},
@@ -66,5 +66,5 @@
 		c.writer.RawConn(),
 		func() { _ = conn.Close() }, // the successor has a descriptor of its own, or the connection ends here
 	)
-	l.shutdown.endIfIdle()
+	g.shutdown.endIfIdle()
 }
--- a/internal/gateway/handover_gateway.go
+++ b/internal/gateway/handover_gateway.go
@@ -10,18 +10,18 @@
 
 // This file is what a handover does to the gateway, and the events by which a successor leads it.
 
-// loopHandover implements handoverGateway.
-type loopHandover struct{ *Loop }
+// handoverAdapter implements handoverGateway.
+type handoverAdapter struct{ *Gateway }
 
-func (l loopHandover) mayHandOver() bool {
-	return !l.shutdown.isClosing() && !l.listening.isWaiting()
+func (a handoverAdapter) mayHandOver() bool {
+	return !a.shutdown.isClosing() && !a.listening.isWaiting()
 }
 
-func (l loopHandover) exportState() ([]byte, error) {
+func (a handoverAdapter) exportState() ([]byte, error) {
 	return handover.EncodeState(&handover.State{
-		NextRequestID: l.requests.lastID,
-		Endpoints:     l.backends.listedEndpoints(),
-		Policy:        l.controller.Export(l.events.Now()),
+		NextRequestID: a.requests.lastID,
+		Endpoints:     a.backends.listedEndpoints(),
+		Policy:        a.controller.Export(a.events.Now()),
 	})
 }
 
@@ -36,54 +36,54 @@
 	return endpoints
 }
 
-func (l loopHandover) pauseServing() {
-	l.listening.pause()
-	l.gossip.Pause()
+func (a handoverAdapter) pauseServing() {
+	a.listening.pause()
+	a.gossip.Pause()
 }
 
-func (l loopHandover) setStateTimeout(link successorLink) {
-	l.events.After(stateTimeout, stateTimer{link})
+func (a handoverAdapter) setStateTimeout(link successorLink) {
+	a.events.After(stateTimeout, stateTimer{link})
 }
 
-func (l loopHandover) giveUpOwnership() {
-	l.log.Info("handed over", "open", l.requests.open, "clients", len(l.clients.conns))
-	l.ops.SetReady(false)
-	l.handover.stopListening()
-	l.listening.handOver()
-	l.gossip.Close()
-	l.controller.GiveUpOwnership(l.events.Now())
-	for _, b := range l.backends.byNumber {
-		l.backends.closeIdle(b)
+func (a handoverAdapter) giveUpOwnership() {
+	a.log.Info("handed over", "open", a.requests.open, "clients", len(a.clients.conns))
+	a.ops.SetReady(false)
+	a.handover.stopListening()
+	a.listening.handOver()
+	a.gossip.Close()
+	a.controller.GiveUpOwnership(a.events.Now())
+	for _, b := range a.backends.byNumber {
+		a.backends.closeIdle(b)
 	}
-	limitMemory(l.config, twoProcesses)
+	limitMemory(a.config, twoProcesses)
 }
 
-func (l loopHandover) stopReading() {
-	for c := range l.clients.conns {
+func (a handoverAdapter) stopReading() {
+	for c := range a.clients.conns {
 		c.stopReading()
 	}
 }
 
-func (l loopHandover) retainOwnership() {
-	l.log.Warn("handover: this process goes on")
-	if l.listening.isPaused() { // otherwise a shutdown has resumed it to empty the backlog
-		l.listening.resume()
+func (a handoverAdapter) retainOwnership() {
+	a.log.Warn("handover: this process goes on")
+	if a.listening.isPaused() { // otherwise a shutdown has resumed it to empty the backlog
+		a.listening.resume()
 	}
-	l.gossip.Resume()
-	l.controller.AdvertiseAll()
+	a.gossip.Resume()
+	a.controller.AdvertiseAll()
 }
 
 // resumeOwnership goes on where a successor had decided. What that granted is unknown, and the sockets ended
 // with it.
-func (l loopHandover) resumeOwnership() {
-	l.log.Warn("handover: the new process has ended, this one serves again")
-	limitMemory(l.config, oneProcess)
-	l.controller.ResumeOwnership(l.events.Now())
-	if !l.shutdown.hasStarted() {
-		l.rebind()
+func (a handoverAdapter) resumeOwnership() {
+	a.log.Warn("handover: the new process has ended, this one serves again")
+	limitMemory(a.config, oneProcess)
+	a.controller.ResumeOwnership(a.events.Now())
+	if !a.shutdown.hasStarted() {
+		a.rebind()
 	}
-	for c := range l.clients.conns {
-		c.resumeReading(l.Loop)
+	for c := range a.clients.conns {
+		c.resumeReading(a.Gateway)
 	}
 }
 
@@ -91,63 +91,63 @@
 const rebindDelay = 100 * millisecond
 
 // rebind binds the sockets that a successor had taken, and retries until that succeeds.
-func (l loopHandover) rebind() {
-	err := l.listening.bind(l.config.Listen)
-	if err == nil && l.config.Settings.Gossip {
-		if err = l.gossip.Listen(); err != nil {
-			l.listening.close()
+func (a handoverAdapter) rebind() {
+	err := a.listening.bind(a.config.Listen)
+	if err == nil && a.config.Settings.Gossip {
+		if err = a.gossip.Listen(); err != nil {
+			a.listening.close()
 		}
 	}
 	if err != nil {
-		l.log.Error("handover: bind again", "error", err)
-		l.events.After(rebindDelay, rebindTimer{})
+		a.log.Error("handover: bind again", "error", err)
+		a.events.After(rebindDelay, rebindTimer{})
 		return
 	}
-	l.gossip.Resume()
-	l.accept()
+	a.gossip.Resume()
+	a.accept()
 }
 
 // rebindTimer tries again to bind the sockets that a successor had taken.
 type rebindTimer struct{}
 
-func (rebindTimer) Handle(l *Loop) {
-	if !l.shutdown.hasStarted() {
-		loopHandover{l}.rebind()
+func (rebindTimer) Handle(g *Gateway) {
+	if !g.shutdown.hasStarted() {
+		handoverAdapter{g}.rebind()
 	}
 }
 
-func (l loopHandover) handleQueued(command receivedCommand) {
-	l.memory.queued.Add(int64(command.common().size)) // which its handling subtracts a second time
-	command.Handle(l.Loop)
+func (a handoverAdapter) handleQueued(command receivedCommand) {
+	a.memory.queued.Add(int64(command.common().size)) // which its handling subtracts a second time
+	command.Handle(a.Gateway)
 }
 
-func (l loopHandover) endIfIdle() { l.shutdown.endIfIdle() }
+func (a handoverAdapter) endIfIdle() { a.shutdown.endIfIdle() }
 
 // predecessorEvents posts the steps of a handover ahead of queued requests.
-type predecessorEvents struct{ loop *Loop }
+type predecessorEvents struct{ gateway *Gateway }
 
 func (p predecessorEvents) TakeoverRequested(link *handover.Link) { p.post(takeoverRequested{link}) }
 func (p predecessorEvents) StateAccepted(link *handover.Link)     { p.post(stateAccepted{link}) }
 func (p predecessorEvents) SuccessorExited(link *handover.Link)   { p.post(successorExited{link}) }
 
-func (p predecessorEvents) post(e event) { p.loop.events.PostUrgent(context.Background(), e) }
+func (p predecessorEvents) post(e event) { p.gateway.events.PostUrgent(context.Background(), e) }
 
 // takeoverRequested: a successor is ready for the state.
 type takeoverRequested struct{ link *handover.Link }
 
-func (e takeoverRequested) Handle(l *Loop) { l.handover.offer(e.link) }
+func (e takeoverRequested) Handle(g *Gateway) { g.handover.offer(e.link) }
 
 // stateAccepted: the successor has decoded the state.
 type stateAccepted struct{ link *handover.Link }
 
-func (e stateAccepted) Handle(l *Loop) { l.handover.accept(e.link) }
+func (e stateAccepted) Handle(g *Gateway) { g.handover.accept(e.link) }
 
 // stateTimer ends a handover whose state was not accepted in time.
 type stateTimer struct{ link successorLink }
 
-func (t stateTimer) Handle(l *Loop) { l.handover.expire(t.link) }
+func (t stateTimer) Handle(g *Gateway) { g.handover.expire(t.link) }
 
 // successorExited: the successor has ended or given up.
 type successorExited struct{ link *handover.Link }
 
-func (e successorExited) Handle(l *Loop) { l.handover.successorExited(e.link) }
+func (e successorExited) Handle(g *Gateway) { g.handover.successorExited(e.link) }
--- a/internal/gateway/handover_older_predecessor_test.go
+++ b/internal/gateway/handover_older_predecessor_test.go
@@ -82,24 +82,24 @@
 	d := newFakeDiscovery(t, recordedEndpoints(t, b, old.recording.At)...)
 	cfg := configureRecorded(t, d, listener.Addr().String())
 	successors := listenAsOlder(t, handover.SocketPath(cfg.Listen))
-	started := make(chan *Loop, 1)
+	started := make(chan *Gateway, 1)
 	go func() {
-		l, err := newLoop(cfg, discardLog(), newFakeClock())
+		g, err := newGateway(cfg, discardLog(), newFakeClock())
 		if err != nil {
 			t.Error(err)
 		}
-		started <- l
+		started <- g
 	}()
 	old.link = acceptAsOlder(t, successors)
 	old.link.Expect(olderHello)
 	old.play(olderSockets)
-	l := wait(t, started, "the gateway")
-	if l == nil {
+	g := wait(t, started, "the gateway")
+	if g == nil {
 		t.FailNow()
 	}
-	l.backends.dial.Timeout = testTimeout
-	useFakeClock(t, l).shown.Store(old.recording.At)
-	r := serveLoop(t, l)
+	g.backends.dial.Timeout = testTimeout
+	useFakeClock(t, g).shown.Store(old.recording.At)
+	r := serveGateway(t, g)
 	old.link.Expect(olderTakeover)
 	return old, r, b
 }
--- a/internal/gateway/handover_older_situation_test.go
+++ b/internal/gateway/handover_older_situation_test.go
@@ -40,18 +40,18 @@
 	s.openCall = s.open.openLookup(b, openRequestID)
 	s.admitted = 1
 
-	now := inspectLoop(t, s.rig, func(l *Loop) policy.Time { return l.events.Now() })
+	now := inspectGateway(t, s.rig, func(g *Gateway) policy.Time { return g.events.Now() })
 	d.setEntries(recordedEndpoints(t, b, now)...)
 	d.awaitWatch(t)
-	unavailable := func(l *Loop) int { return l.controller.UnavailableBackends() }
-	for id := 100; inspectLoop(t, s.rig, unavailable) == 0; id++ {
+	unavailable := func(g *Gateway) int { return g.controller.UnavailableBackends() }
+	for id := 100; inspectGateway(t, s.rig, unavailable) == 0; id++ {
 		c := s.rig.client(t)
 		c.sendLookup(id)
 		c.wantServed(b, "ok")
 		closeConn(t, c.conn)
 		s.admitted++
 	}
-	s.rig.waitUntil(t, func(l *Loop) bool { return len(l.clients.conns) == recordedClients })
+	s.rig.waitUntil(t, func(g *Gateway) bool { return len(g.clients.conns) == recordedClients })
 	return s
 }
 
@@ -68,7 +68,7 @@
 		t.Fatalf("version %d with %d endpoints and state %v", state.Version, len(state.Members), state.Module)
 	}
 	s.idle.sendOnce(4, "team")
-	for inspectLoop(t, s.rig, func(l *Loop) int { return len(l.handover.queuedCommands) }) == 0 {
+	for inspectGateway(t, s.rig, func(g *Gateway) int { return len(g.handover.queuedCommands) }) == 0 {
 		s.rig.sync(t)
 	}
 	link.Send(olderAccepted, nil)
--- a/internal/gateway/handover_older_state_test.go
+++ b/internal/gateway/handover_older_state_test.go
@@ -53,19 +53,19 @@
 	})
 }
 
-// inspectLoop returns what a function sees in the loop's goroutine.
-func inspectLoop[T any](t *testing.T, r *rig, look func(l *Loop) T) T {
+// inspectGateway returns what a function sees in the loop's goroutine.
+func inspectGateway[T any](t *testing.T, r *rig, look func(g *Gateway) T) T {
 	t.Helper()
 	seen := make(chan T, 1)
-	r.loop.events.Post(inspect(func(l *Loop) { seen <- look(l) }))
+	r.gateway.events.Post(inspect(func(g *Gateway) { seen <- look(g) }))
 	return wait(t, seen, "the loop")
 }
 
 // exportedState returns the state of a gateway as the older program reads it.
 func exportedState(t *testing.T, r *rig) olderform.Snapshot {
 	t.Helper()
-	encoded := inspectLoop(t, r, func(l *Loop) []byte {
-		encoded, err := handover.EncodeState(&handover.State{Policy: l.controller.Export(l.events.Now())})
+	encoded := inspectGateway(t, r, func(g *Gateway) []byte {
+		encoded, err := handover.EncodeState(&handover.State{Policy: g.controller.Export(g.events.Now())})
 		if err != nil {
 			t.Error(err)
 		}
--- a/internal/gateway/handover_older_test.go
+++ b/internal/gateway/handover_older_test.go
@@ -36,7 +36,7 @@
 	if len(recorded.Open) != 1 || recorded.Open[0].ID != openRequestID {
 		t.Fatalf("recorded open requests %+v, want request %d", recorded.Open, openRequestID)
 	}
-	if n := inspectLoop(t, r, func(l *Loop) int { return l.controller.UnavailableBackends() }); n != 1 {
+	if n := inspectGateway(t, r, func(g *Gateway) int { return g.controller.UnavailableBackends() }); n != 1 {
 		t.Errorf("%d backends unavailable, want the ejected one", n)
 	}
 
@@ -52,7 +52,7 @@
 	old.play(olderAttemptAgain)
 	old.play(olderAttemptOver)
 	old.link.Close()
-	for inspectLoop(t, r, func(l *Loop) bool { return l.takeover.predecessorRuns() }) {
+	for inspectGateway(t, r, func(g *Gateway) bool { return g.takeover.predecessorRuns() }) {
 		r.sync(t)
 	}
 	got := findCustomer(t, exportedState(t, r), recordedCustomer)
@@ -94,8 +94,8 @@
 		t.Errorf("input %q, want %q", input, recordedInput)
 	}
 
-	s.rig.waitUntil(t, func(l *Loop) bool { // else the last client would follow behind its attempt's end
-		return !slices.ContainsFunc(clientList(l), func(c *client) bool { return !c.readerStopped })
+	s.rig.waitUntil(t, func(g *Gateway) bool { // else the last client would follow behind its attempt's end
+		return !slices.ContainsFunc(clientList(g), func(c *client) bool { return !c.readerStopped })
 	})
 	s.rig.runClock()
 	s.openCall.reply(t, "-ERR failed\r\n")
--- a/internal/gateway/listening.go
+++ b/internal/gateway/listening.go
@@ -161,11 +161,11 @@
 // listenerClosed says that no more connections will come.
 type listenerClosed struct{}
 
-func (listenerClosed) Handle(l *Loop) {
-	if !l.listening.isClosed() {
-		l.listening.phase.Step(listeningClosed)
+func (listenerClosed) Handle(g *Gateway) {
+	if !g.listening.isClosed() {
+		g.listening.phase.Step(listeningClosed)
 	}
-	l.shutdown.endIfIdle()
+	g.shutdown.endIfIdle()
 }
 
 // accept posts new connections, with as many open at a time as there are slots, until it is paused or the
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -15,18 +15,18 @@
 )
 
 // event is something that happened, or that is due. The goroutine that saw it posts it to the loop.
-type event = eventloop.Event[*Loop]
+type event = eventloop.Event[*Gateway]
 
 // eventLoop runs the events.
-type eventLoop = eventloop.Loop[*Loop]
+type eventLoop = eventloop.Loop[*Gateway]
 
 // timer is an event that is scheduled for a time.
-type timer = eventloop.Timer[*Loop]
+type timer = eventloop.Timer[*Gateway]
 
-// Loop is the state that events act on. The goroutine that runs them owns the policy's controller and all
+// Gateway is the state that events act on. The goroutine that runs them owns the policy's controller and all
 // that the fields refer to; the others post events. Beside what a field's own type allows, they may use only
 // log, clock, events.Post, events.PostUrgent, memory.queued and publishedConfig.
-type Loop struct {
+type Gateway struct {
 	log             *slog.Logger
 	clock           eventloop.Clock // of events, for any goroutine
 	events          *eventLoop
--- a/internal/gateway/loop_rig_test.go
+++ b/internal/gateway/loop_rig_test.go
@@ -12,17 +12,17 @@
 )
 
 // inspect is an event that runs on the loop's goroutine.
-type inspect func(l *Loop)
+type inspect func(g *Gateway)
 
 // Handle implements event.
-func (f inspect) Handle(l *Loop) { f(l) }
+func (f inspect) Handle(g *Gateway) { f(g) }
 
 // blockDials has the loop's dials wait until unblock is closed or receives. Each sends its address to
 // dialing before.
-func blockDials(l *Loop) (dialing chan string, unblock chan struct{}) {
+func blockDials(g *Gateway) (dialing chan string, unblock chan struct{}) {
 	dialing, unblock = make(chan string, 16), make(chan struct{})
-	l.backends.dial.Timeout = 0
-	l.backends.dial.Control = func(_, address string, _ syscall.RawConn) error {
+	g.backends.dial.Timeout = 0
+	g.backends.dial.Control = func(_, address string, _ syscall.RawConn) error {
 		dialing <- address
 		<-unblock
 		return nil
@@ -31,34 +31,34 @@
 }
 
 // handleNext handles the next event of a loop that the test runs itself.
-func handleNext(t *testing.T, l *Loop, what string) event {
+func handleNext(t *testing.T, g *Gateway, what string) event {
 	t.Helper()
-	e := wait(t, l.events.Queue(), what)
-	l.events.HandleEvent(e)
+	e := wait(t, g.events.Queue(), what)
+	g.events.HandleEvent(e)
 	return e
 }
 
 // connectWithRequest connects a client to a loop that the test runs itself, and has one request of the
 // client's handled. The fields of the request begin with the given ones, which name its class.
-func connectWithRequest(t *testing.T, l *Loop, fields string) *testClient {
+func connectWithRequest(t *testing.T, g *Gateway, fields string) *testClient {
 	t.Helper()
-	l.listening.resume()
-	t.Cleanup(l.listening.pause)
-	c := dialClient(t, l.listening.listener.Addr().String())
-	handleNext(t, l, "the connection")
+	g.listening.resume()
+	t.Cleanup(g.listening.pause)
+	c := dialClient(t, g.listening.listener.Addr().String())
+	handleNext(t, g, "the connection")
 	fields += ",t=team,d=60000,units=1,spread=1,first=0"
 	c.send("API.WRITE", "0000000000000007", "00000000000000a1", fields, "x")
-	handleNext(t, l, "the request")
+	handleNext(t, g, "the request")
 	return c
 }
 
-// newLoopWithBackend makes a loop that the test runs itself, with one backend that is ready: number 1.
-func newLoopWithBackend(t *testing.T) (*Loop, *fakeBackend) {
+// newGatewayWithBackend makes a loop that the test runs itself, with one backend that is ready: number 1.
+func newGatewayWithBackend(t *testing.T) (*Gateway, *fakeBackend) {
 	t.Helper()
 	b := newBackend(t)
-	l := newTestLoop(t, newFakeDiscovery(t))
-	l.updateEndpoint(policy.UpdateComplete, b.endpoint())
-	return l, b
+	g := newTestGateway(t, newFakeDiscovery(t))
+	g.updateEndpoint(policy.UpdateComplete, b.endpoint())
+	return g, b
 }
 
 // endpoint is the backend as discovery lists it.
@@ -67,8 +67,8 @@
 }
 
 // updateEndpoint applies a list of one endpoint, or a change of one.
-func (l *Loop) updateEndpoint(kind policy.UpdateKind, e discovery.Endpoint) {
-	loopEndpoints{l}.updateEndpoints(kind, []discovery.Endpoint{e})
+func (g *Gateway) updateEndpoint(kind policy.UpdateKind, e discovery.Endpoint) {
+	endpointAdapter{g}.updateEndpoints(kind, []discovery.Endpoint{e})
 }
 
 // restartedAtMS is a start of a backend that is later than the one that a fake backend is listed with, in
@@ -76,78 +76,78 @@
 const restartedAtMS = 1_000_000_000_000
 
 // reportRestart has discovery report that the only backend has started anew.
-func (b *fakeBackend) reportRestart(l *Loop) {
+func (b *fakeBackend) reportRestart(g *Gateway) {
 	restarted := b.endpoint()
 	restarted.UpSinceMS = restartedAtMS
-	l.updateEndpoint(policy.UpdateIncremental, restarted)
+	g.updateEndpoint(policy.UpdateIncremental, restarted)
 }
 
 // reportDrain has discovery report that the only backend is draining.
-func (b *fakeBackend) reportDrain(l *Loop) {
+func (b *fakeBackend) reportDrain(g *Gateway) {
 	draining := b.endpoint()
 	draining.Phase = "Terminating"
-	l.updateEndpoint(policy.UpdateIncremental, draining)
+	g.updateEndpoint(policy.UpdateIncremental, draining)
 }
 
 // newHealthCheck makes a health check that does not time out during a test.
-func newHealthCheck(l *Loop) *attempt {
-	return &attempt{sentAt: l.events.Now(), expiresAt: l.events.Now() + 1000*second}
+func newHealthCheck(g *Gateway) *attempt {
+	return &attempt{sentAt: g.events.Now(), expiresAt: g.events.Now() + 1000*second}
 }
 
 // startHealthCheck sends a health check to the only backend, which is read and answered like a request.
-func startHealthCheck(l *Loop) *attempt {
-	check := newHealthCheck(l)
-	l.backends.startAttempt(check, 1)
+func startHealthCheck(g *Gateway) *attempt {
+	check := newHealthCheck(g)
+	g.backends.startAttempt(check, 1)
 	return check
 }
 
 // dialWithHealthCheck sends a health check to the only backend, to which no connection is open, and returns
 // it as the backend got it.
-func dialWithHealthCheck(t *testing.T, l *Loop, b *fakeBackend) (*attempt, *backendCall) {
+func dialWithHealthCheck(t *testing.T, g *Gateway, b *fakeBackend) (*attempt, *backendCall) {
 	t.Helper()
-	check := startHealthCheck(l)
-	wait(t, l.events.Queue(), "the dial").Handle(l)
+	check := startHealthCheck(g)
+	wait(t, g.events.Queue(), "the dial").Handle(g)
 	return check, b.nextCall(t)
 }
 
 // endedResults returns the results of attempts that have ended, and that the loop has not handled yet.
-func endedResults(t *testing.T, l *Loop) []policy.Result {
+func endedResults(t *testing.T, g *Gateway) []policy.Result {
 	t.Helper()
 	var results []policy.Result
-	for _, e := range l.events.Deferred() {
+	for _, e := range g.events.Deferred() {
 		results = append(results, eventAs[attemptEnded](t, e).result)
 	}
 	return results
 }
 
-// newLoopWithBlockedDials makes a loop that the test runs itself, with one backend, the dials to which are
+// newGatewayWithBlockedDials makes a loop that the test runs itself, with one backend, the dials to which are
 // blocked.
-func newLoopWithBlockedDials(t *testing.T) (
-	l *Loop, b *fakeBackend, dialing chan string, unblock chan struct{},
+func newGatewayWithBlockedDials(t *testing.T) (
+	g *Gateway, b *fakeBackend, dialing chan string, unblock chan struct{},
 ) {
 	t.Helper()
-	l, b = newLoopWithBackend(t)
-	dialing, unblock = blockDials(l)
-	return l, b, dialing, unblock
+	g, b = newGatewayWithBackend(t)
+	dialing, unblock = blockDials(g)
+	return g, b, dialing, unblock
 }
 
 // awaitQueued waits until there are n events or more in the queue of a loop that the test runs itself.
-func awaitQueued(l *Loop, n int) {
-	for len(l.events.Queue()) < n {
+func awaitQueued(g *Gateway, n int) {
+	for len(g.events.Queue()) < n {
 		runtime.Gosched()
 	}
 }
 
 // wantNothingSent checks that no attempt waits, unblocks the dials and checks that nothing is written to the
 // connection that comes up.
-func wantNothingSent(t *testing.T, l *Loop, b *fakeBackend, unblock chan struct{}) {
+func wantNothingSent(t *testing.T, g *Gateway, b *fakeBackend, unblock chan struct{}) {
 	t.Helper()
-	if n := len(l.backends.byNumber[1].waiting); n != 0 {
+	if n := len(g.backends.byNumber[1].waiting); n != 0 {
 		t.Errorf("%d attempts wait for a connection", n)
 	}
 	close(unblock)
-	handleUntil(t, l, "the dial's end", func() bool { return l.backends.byNumber[1].dialing == 0 })
-	l.backends.closeIdle(l.backends.byNumber[1])
+	handleUntil(t, g, "the dial's end", func() bool { return g.backends.byNumber[1].dialing == 0 })
+	g.backends.closeIdle(g.backends.byNumber[1])
 	_ = wait(t, b.closed, "the connection's end")
 	if len(b.calls) > 0 {
 		t.Error("forwarded")
@@ -155,4 +155,4 @@
 }
 
 // clientList lists the connected clients, in any order.
-func clientList(l *Loop) []*client { return slices.Collect(maps.Keys(l.clients.conns)) }
+func clientList(g *Gateway) []*client { return slices.Collect(maps.Keys(g.clients.conns)) }
--- a/internal/gateway/ops_test.go
+++ b/internal/gateway/ops_test.go
@@ -16,7 +16,7 @@
 // operate makes a GET request as an operator, and returns the status and the body.
 func operate(tb testing.TB, r *rig, path string) (int, string) {
 	tb.Helper()
-	url := "http://" + r.loop.ops.Addr().String() + path
+	url := "http://" + r.gateway.ops.Addr().String() + path
 	req, err := http.NewRequestWithContext(tb.Context(), http.MethodGet, url, http.NoBody)
 	if err != nil {
 		tb.Fatal(err)
@@ -79,22 +79,22 @@
 
 // Not ready before clients are accepted nor after a shutdown began, and told while the loop does not run.
 func TestReadinessNeedsNoLoop(t *testing.T) {
-	l, err := newLoop(newConfig(t, newFakeDiscovery(t), withOps), discardLog(), eventloop.SystemClock())
+	g, err := newGateway(newConfig(t, newFakeDiscovery(t), withOps), discardLog(), eventloop.SystemClock())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = l.listening.listener.Close() }()
-	defer l.ops.Close()
-	go l.ops.Serve()
-	r := &rig{loop: l} // its loop never runs
+	defer func() { _ = g.listening.listener.Close() }()
+	defer g.ops.Close()
+	go g.ops.Serve()
+	r := &rig{gateway: g} // its loop never runs
 	if got, _ := operate(t, r, "/ops/readiness"); got != 503 {
 		t.Errorf("before clients are accepted: got %d, want 503", got)
 	}
-	l.startAccepting()
+	g.startAccepting()
 	if got, _ := operate(t, r, "/ops/readiness"); got != 200 {
 		t.Errorf("while clients are accepted: got %d, want 200", got)
 	}
-	shutdownRequested{}.Handle(l)
+	shutdownRequested{}.Handle(g)
 	if got, _ := operate(t, r, "/ops/readiness"); got != 503 {
 		t.Errorf("after the shutdown began: got %d, want 503", got)
 	}
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -68,43 +68,43 @@
 // configLoaded is a configuration that was read for a reload.
 type configLoaded struct{ cfg config.Config }
 
-func (e configLoaded) Handle(l *Loop) { l.reload.load(e.cfg) }
+func (e configLoaded) Handle(g *Gateway) { g.reload.load(e.cfg) }
 
-// loopReload implements reloadGateway.
-type loopReload struct{ *Loop }
+// reloadAdapter implements reloadGateway.
+type reloadAdapter struct{ *Gateway }
 
-func (l loopReload) check(cfg *config.Config) error {
-	if err := l.config.CheckKeys(cfg); err != nil {
+func (a reloadAdapter) check(cfg *config.Config) error {
+	if err := a.config.CheckKeys(cfg); err != nil {
 		return err
 	}
-	return l.controller.Reload(l.events.Now(), cfg.Settings)
+	return a.controller.Reload(a.events.Now(), cfg.Settings)
 }
 
 // applyReload applies the settings and the addresses of discovery and the counter. The endpoint list is read
 // completely at the new address, whose versions need not be those of the old one.
-func (l loopReload) applyReload(cfg config.Config) {
-	l.metrics.ConfigsAccepted.Add(1)
-	l.log.Info("reload", "discovery", cfg.Discovery, "counter", cfg.Counter, "classes", cfg.Host.Classes)
-	if fixed := l.config.ChangedFixed(&cfg); len(fixed) > 0 {
-		l.log.Warn("reload: what needs a restart stays as it was", "settings", fixed)
+func (a reloadAdapter) applyReload(cfg config.Config) {
+	a.metrics.ConfigsAccepted.Add(1)
+	a.log.Info("reload", "discovery", cfg.Discovery, "counter", cfg.Counter, "classes", cfg.Host.Classes)
+	if fixed := a.config.ChangedFixed(&cfg); len(fixed) > 0 {
+		a.log.Warn("reload: what needs a restart stays as it was", "settings", fixed)
 	}
-	cfg.RetainFixed(l.config)
-	l.applyConfig(&cfg)
-	l.discovery.SetAddress(cfg.Discovery)
-	if l.counter != nil && cfg.Counter != "" {
-		l.counter.SetAddress(cfg.Counter)
+	cfg.RetainFixed(a.config)
+	a.applyConfig(&cfg)
+	a.discovery.SetAddress(cfg.Discovery)
+	if a.counter != nil && cfg.Counter != "" {
+		a.counter.SetAddress(cfg.Counter)
 	}
 }
 
 // rejectConfig records a configuration of which nothing is used. It is safe for any goroutine.
-func (l *Loop) rejectConfig(err error) {
-	l.metrics.ConfigsRejected.Add(1)
-	l.log.Error("reload: the old configuration stays", "error", err)
+func (g *Gateway) rejectConfig(err error) {
+	g.metrics.ConfigsRejected.Add(1)
+	g.log.Error("reload: the old configuration stays", "error", err)
 }
 
 // applyConfig puts a configuration in force, also for the goroutines that read from clients.
-func (l *Loop) applyConfig(cfg *config.Config) {
-	l.classMetrics = l.metrics.Classes(cfg.Host.Classes)
-	l.config = cfg
-	l.publishedConfig.Store(cfg)
+func (g *Gateway) applyConfig(cfg *config.Config) {
+	g.classMetrics = g.metrics.Classes(cfg.Host.Classes)
+	g.config = cfg
+	g.publishedConfig.Store(cfg)
 }
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -78,21 +78,21 @@
 	}
 	cfg := configWith(first)
 	cfg.Host.CounterTimeout = testTimeout.Microseconds()
-	l, err := newLoop(cfg, discardLog(), eventloop.SystemClock())
+	g, err := newGateway(cfg, discardLog(), eventloop.SystemClock())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = l.listening.listener.Close() })
+	t.Cleanup(func() { _ = g.listening.listener.Close() })
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	go l.counter.Run(ctx)
-	policyActions{l}.IncrementCounter(1, 1, 1e6)
+	go g.counter.Run(ctx)
+	policyActions{g}.IncrementCounter(1, 1, 1e6)
 	wait(t, firstCalls, "a call at the first counter")
-	configLoaded{configWith(second)}.Handle(l)
-	policyActions{l}.IncrementCounter(1, 1, 1e6)
+	configLoaded{configWith(second)}.Handle(g)
+	policyActions{g}.IncrementCounter(1, 1, 1e6)
 	wait(t, secondCalls, "a call at the second counter")
 	for _, total := range []float64{1, 2} {
-		e := eventAs[counterAnswered](t, wait(t, l.events.Queue(), "an answer"))
+		e := eventAs[counterAnswered](t, wait(t, g.events.Queue(), "an answer"))
 		if e.Result != policy.ResultOK || e.Total != total {
 			t.Errorf("got answer %+v, want the total %g", e, total)
 		}
--- a/internal/gateway/request_body.go
+++ b/internal/gateway/request_body.go
@@ -51,12 +51,12 @@
 
 // forwardBody reads a large body and writes it to its backend, a buffer at a time: a slow backend delays the
 // reading, and nothing else. It runs in the client's reader and reports whether the next command can be read.
-func (c *client) forwardBody(l *Loop, in *resp.Reader, b *body) bool {
-	conn, ok := c.awaitDestination(l, b)
+func (c *client) forwardBody(g *Gateway, in *resp.Reader, b *body) bool {
+	conn, ok := c.awaitDestination(g, b)
 	if !ok {
 		return false // the attempt, if any, ends with the request
 	}
-	w := bodyWriter{client: c, loop: l, body: b, conn: conn}
+	w := bodyWriter{client: c, loop: g, body: b, conn: conn}
 	err := c.forwardBodyBytes(in, &w)
 	if c.disconnected.Load() {
 		return false
@@ -71,18 +71,18 @@
 		c.setReadDeadline(time.Time{})
 		return true
 	case errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, resp.ErrProtocol):
-		l.events.Post(bodyFailed{body: b, malformed: true})
+		g.events.Post(bodyFailed{body: b, malformed: true})
 	default:
-		c.disconnect(l)
+		c.disconnect(g)
 	}
 	return false
 }
 
 // awaitDestination waits until it is decided where a body goes (nil: nowhere). It returns false if the
 // connection ends before.
-func (c *client) awaitDestination(l *Loop, b *body) (conn *backendConn, ok bool) {
+func (c *client) awaitDestination(g *Gateway, b *body) (conn *backendConn, ok bool) {
 	closed := false
-	c.readAheadWhile(l, func() {
+	c.readAheadWhile(g, func() {
 		select {
 		case conn = <-b.destination:
 		case <-c.done:
@@ -112,7 +112,7 @@
 // bodyWriter writes a body to its backend for the client's reader.
 type bodyWriter struct {
 	client *client
-	loop   *Loop
+	loop   *Gateway
 	body   *body
 	conn   *backendConn // nil: the body is skipped
 }
@@ -144,7 +144,7 @@
 // bodyWritten says that a body was written to its last byte.
 type bodyWritten struct{ body *body }
 
-func (e bodyWritten) Handle(*Loop) {
+func (e bodyWritten) Handle(*Gateway) {
 	if a := e.body.conn.attempt; a != nil && a.request == e.body.request && a.bodyPending() {
 		a.markFullyWritten()
 	}
@@ -157,30 +157,30 @@
 	malformed bool
 }
 
-func (e bodyFailed) Handle(l *Loop) {
+func (e bodyFailed) Handle(g *Gateway) {
 	r := e.body.request
 	c := r.client
 	if e.malformed && !c.closed {
 		c.ignoreInput.Store(true)
 		if !r.answered {
-			l.answer(r, errorReply(errCommandIncomplete))
-			l.controller.RequestCancelled(l.events.Now(), r.id)
+			g.answer(r, errorReply(errCommandIncomplete))
+			g.controller.RequestCancelled(g.events.Now(), r.id)
 		}
-		c.closeAfterReplies(l)
+		c.closeAfterReplies(g)
 	}
-	l.abortBody(r)
+	g.abortBody(r)
 }
 
 // abortBody ends the attempt that a request's large body has not completely reached, and its connection.
-func (l *Loop) abortBody(r *request) {
+func (g *Gateway) abortBody(r *request) {
 	if r.body == nil || r.body.conn == nil {
 		return
 	}
 	c := r.body.conn
 	if a := c.attempt; a != nil && a.request == r && a.bodyIncomplete() {
-		l.backends.endAttempt(a, policy.ResultNotSent)
+		g.backends.endAttempt(a, policy.ResultNotSent)
 		c.attempt = nil
-		l.backends.close(c, closeIncomplete)
-		l.backends.dialForWaiting(c.backend)
+		g.backends.close(c, closeIncomplete)
+		g.backends.dialForWaiting(c.backend)
 	}
 }
--- a/internal/gateway/request_body_test.go
+++ b/internal/gateway/request_body_test.go
@@ -119,27 +119,27 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l, b := newLoopWithBackend(t)
-			l.listening.resume()
-			t.Cleanup(l.listening.pause)
-			client := dialClient(t, l.listening.listener.Addr().String())
-			handleNext(t, l, "the connection")
+			g, b := newGatewayWithBackend(t)
+			g.listening.resume()
+			t.Cleanup(g.listening.pause)
+			client := dialClient(t, g.listening.listener.Addr().String())
+			handleNext(t, g, "the connection")
 			_, body := largeHead()
 			client.write(bodyHead(1, "team", len(body)) + body + "\r\n")
-			handleNext(t, l, "the request")
-			handleNext(t, l, "the dial's end")
+			handleNext(t, g, "the request")
+			handleNext(t, g, "the dial's end")
 			c.end(t, b.nextCall(t))
 			var written, reply event
 			for written == nil || reply == nil {
-				switch e := wait(t, l.events.Queue(), "the body's end and the answer").(type) {
+				switch e := wait(t, g.events.Queue(), "the body's end and the answer").(type) {
 				case bodyWritten:
 					written = e
 				case replyReceived:
 					reply = e
 				}
 			}
-			l.events.HandleEvent(reply)
-			l.events.HandleEvent(written)
+			g.events.HandleEvent(reply)
+			g.events.HandleEvent(written)
 			client.wantLine(c.want)
 		})
 	}
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -182,19 +182,19 @@
 	d := newFakeDiscovery(t, b.listEntry("s-1", "Ready"))
 	cfg := newConfig(t, d, nil)
 	var log bytes.Buffer
-	l, err := newLoop(cfg, slog.New(slog.NewTextHandler(&log, nil)), eventloop.SystemClock())
+	g, err := newGateway(cfg, slog.New(slog.NewTextHandler(&log, nil)), eventloop.SystemClock())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = l.listening.listener.Close() })
+	t.Cleanup(func() { _ = g.listening.listener.Close() })
 	for id := range 2 {
 		args := [][]byte{nil, []byte("7"), fmt.Appendf(nil, "id-%d", id), nil}
 		r := &request{id: uint64(id + 1), client: &client{}, args: args}
-		l.requests.byID[r.id] = r
+		g.requests.byID[r.id] = r
 		r.attemptsInFlight = 2
-		attemptEnded{attempt: &attempt{request: r, backend: 5}, result: policy.ResultReset}.Handle(l)
-		policyActions{l}.Fail(r.id)
-		l.requests.nextTraceAt[traceFailed] += 3600e6 // however long the test takes
+		attemptEnded{attempt: &attempt{request: r, backend: 5}, result: policy.ResultReset}.Handle(g)
+		policyActions{g}.Fail(r.id)
+		g.requests.nextTraceAt[traceFailed] += 3600e6 // however long the test takes
 	}
 	if text := log.String(); strings.Count(text, "msg=trace") != 1 || !strings.Contains(text, "id=id-0") ||
 		!strings.Contains(text, "to 5 at") {
@@ -240,16 +240,16 @@
 		c.wantServed(b, "ok")
 	}
 	remaining := make(chan string, 1)
-	r.loop.events.Post(inspect(func(l *Loop) {
+	r.gateway.events.Post(inspect(func(g *Gateway) {
 		timers := 0
-		for timer := range l.events.Scheduled() {
+		for timer := range g.events.Scheduled() {
 			switch timer.(type) {
 			case deadlineGuard, attemptTimeout:
 				timers++
 			}
 		}
-		remaining <- fmt.Sprint(timers, len(l.requests.byID), len(l.requests.openByClientID),
-			l.memory.retained, l.requests.open)
+		remaining <- fmt.Sprint(timers, len(g.requests.byID), len(g.requests.openByClientID),
+			g.memory.retained, g.requests.open)
 	}))
 	if got := wait(t, remaining, "the loop"); got != "0 0 0 0 0" {
 		t.Errorf("timers, requests, ids, bytes, open: %s", got)
--- a/internal/gateway/request_trace.go
+++ b/internal/gateway/request_trace.go
@@ -37,21 +37,21 @@
 
 // traceError logs a request that ended with an error, at most one of each kind in a traceInterval: a line for
 // each would cost more than the request.
-func (l *Loop) traceError(r *request, reply []byte) {
-	now, kind := l.events.Now(), traceKindOf(r, reply)
-	if now < l.requests.nextTraceAt[kind] {
+func (g *Gateway) traceError(r *request, reply []byte) {
+	now, kind := g.events.Now(), traceKindOf(r, reply)
+	if now < g.requests.nextTraceAt[kind] {
 		return
 	}
-	l.requests.nextTraceAt[kind] = now + traceInterval
+	g.requests.nextTraceAt[kind] = now + traceInterval
 	answer := string(bytes.TrimSpace(reply))
 	if kind == traceNotAdmitted {
-		l.log.Info("rejected", "answer", answer, "conns", len(l.clients.conns))
+		g.log.Info("rejected", "answer", answer, "conns", len(g.clients.conns))
 		return
 	}
-	l.log.Info("trace", "id", string(r.args[command.ClientIDArg]),
+	g.log.Info("trace", "id", string(r.args[command.ClientIDArg]),
 		"customer", string(r.args[command.CustomerArg]),
 		"fields", string(r.args[command.FieldsArg]), "attempts", r.attempts, "ends", r.describeOutcomes(),
-		"answer", answer, "after_us", now-r.receivedAt, "left_us", r.deadline-now, "open", l.requests.open)
+		"answer", answer, "after_us", now-r.receivedAt, "left_us", r.deadline-now, "open", g.requests.open)
 }
 
 // describeOutcomes lists the attempts of a request that have ended, for the log.
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -42,45 +42,45 @@
 }
 
 // answer gives a request its final reply. The first call decides; later ones do nothing.
-func (l *Loop) answer(r *request, reply []byte) {
+func (g *Gateway) answer(r *request, reply []byte) {
 	if r.answered || r.valueStarted {
 		return
 	}
-	l.cancelValue(r)
+	g.cancelValue(r)
 	if reply[0] == '-' {
-		l.traceError(r, reply)
+		g.traceError(r, reply)
 	}
 	if r.metrics != nil {
 		countReply(r.metrics, reply)
 	}
 	r.reply = reply
-	l.memory.retained += len(reply)
-	l.markAnswered(r)
-	r.client.flush(l)
-	l.releaseRequest(r)
+	g.memory.retained += len(reply)
+	g.markAnswered(r)
+	r.client.flush(g)
+	g.releaseRequest(r)
 }
 
 // markAnswered ends all that waits on a request that has its final reply, or needs none any more.
-func (l *Loop) markAnswered(r *request) {
+func (g *Gateway) markAnswered(r *request) {
 	r.answered = true
-	l.requests.open--
+	g.requests.open--
 	if r.metrics != nil {
-		l.metrics.OpenRequests.Add(-1)
+		g.metrics.OpenRequests.Add(-1)
 	}
-	l.events.Cancel(r.guard)
+	g.events.Cancel(r.guard)
 	r.guard = nil
 	r.body.discard()
-	l.backends.cancelWaiting(r.waitingAttempt)
-	if l.requests.openByClientID[r.clientID] == r {
-		delete(l.requests.openByClientID, r.clientID)
+	g.backends.cancelWaiting(r.waitingAttempt)
+	if g.requests.openByClientID[r.clientID] == r {
+		delete(g.requests.openByClientID, r.clientID)
 	}
 }
 
 // releaseRequest removes a request that nothing waits for any more.
-func (l *Loop) releaseRequest(r *request) {
-	if r.answered && r.attemptsInFlight == 0 && l.requests.byID[r.id] == r {
-		delete(l.requests.byID, r.id)
-		l.memory.retained -= command.Size(r.args)
+func (g *Gateway) releaseRequest(r *request) {
+	if r.answered && r.attemptsInFlight == 0 && g.requests.byID[r.id] == r {
+		delete(g.requests.byID, r.id)
+		g.memory.retained -= command.Size(r.args)
 	}
 }
 
@@ -88,12 +88,12 @@
 // no request may be lost.
 type deadlineGuard struct{ request *request }
 
-func (g deadlineGuard) Handle(l *Loop) {
-	r := g.request
+func (d deadlineGuard) Handle(g *Gateway) {
+	r := d.request
 	if r.answered {
 		return
 	}
-	l.log.Warn("request was open at its deadline", "id", string(r.args[command.ClientIDArg]))
-	l.answer(r, failedReply)
-	l.controller.RequestCancelled(l.events.Now(), r.id)
+	g.log.Warn("request was open at its deadline", "id", string(r.args[command.ClientIDArg]))
+	g.answer(r, failedReply)
+	g.controller.RequestCancelled(g.events.Now(), r.id)
 }
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -111,30 +111,30 @@
 }
 
 // useFakeClock returns the fake clock that a loop was made with.
-func useFakeClock(tb testing.TB, l *Loop) *fakeClock {
+func useFakeClock(tb testing.TB, g *Gateway) *fakeClock {
 	tb.Helper()
-	clock, ok := l.clock.(*fakeClock)
+	clock, ok := g.clock.(*fakeClock)
 	if !ok {
-		tb.Fatalf("the loop has a clock of type %T", l.clock)
+		tb.Fatalf("the loop has a clock of type %T", g.clock)
 	}
 	return clock
 }
 
-// newFakeClockLoop makes a loop with a fake clock. Dials, which use the real clock, get a long timeout.
-func newFakeClockLoop(tb testing.TB, cfg config.Config) *Loop {
+// newFakeClockGateway makes a loop with a fake clock. Dials, which use the real clock, get a long timeout.
+func newFakeClockGateway(tb testing.TB, cfg config.Config) *Gateway {
 	tb.Helper()
-	l, err := newLoop(cfg, discardLog(), newFakeClock())
+	g, err := newGateway(cfg, discardLog(), newFakeClock())
 	if err != nil {
 		tb.Fatal(err)
 	}
-	l.backends.dial.Timeout = testTimeout
-	return l
+	g.backends.dial.Timeout = testTimeout
+	return g
 }
 
 // rig is a running gateway between a fake discovery service and fake backends.
 type rig struct {
 	addr    string // for clients
-	loop    *Loop
+	gateway *Gateway
 	clock   *fakeClock
 	reload  chan struct{}                      // receives each request to reload
 	configs chan func() (config.Config, error) // what the next reload reads
@@ -159,23 +159,23 @@
 func (r *rig) runClock() {
 	now := time.Now()
 	r.clock.runningSince.CompareAndSwap(nil, &now)
-	r.loop.events.Post(inspect(func(*Loop) {}))
+	r.gateway.events.Post(inspect(func(*Gateway) {}))
 }
 
 // sync waits until the loop has handled what was posted before, and the timers that are due.
 func (r *rig) sync(tb testing.TB) {
 	tb.Helper()
 	for range 2 { // timers run between two events
-		r.waitUntil(tb, func(*Loop) bool { return true })
+		r.waitUntil(tb, func(*Gateway) bool { return true })
 	}
 }
 
 // waitUntil waits until a condition holds. It is called on the loop's goroutine, again and again.
-func (r *rig) waitUntil(tb testing.TB, condition func(*Loop) bool) {
+func (r *rig) waitUntil(tb testing.TB, condition func(*Gateway) bool) {
 	tb.Helper()
 	result := make(chan bool, 1)
 	for holds := false; !holds; {
-		r.loop.events.Post(inspect(func(l *Loop) { result <- condition(l) }))
+		r.gateway.events.Post(inspect(func(g *Gateway) { result <- condition(g) }))
 		holds = wait(tb, result, "the loop")
 	}
 }
@@ -184,8 +184,8 @@
 // period.
 func (r *rig) awaitQuiescence(tb testing.TB) {
 	tb.Helper()
-	r.waitUntil(tb, func(l *Loop) bool {
-		for _, b := range l.backends.byNumber {
+	r.waitUntil(tb, func(g *Gateway) bool {
+		for _, b := range g.backends.byNumber {
 			if len(b.idle) > 0 {
 				return true
 			}
@@ -205,7 +205,7 @@
 func (r *rig) shutDownFor(tb testing.TB, period policy.Time) {
 	tb.Helper()
 	r.once.Do(func() { close(r.stopped) })
-	r.waitUntil(tb, func(l *Loop) bool { return l.shutdown.hasStarted() })
+	r.waitUntil(tb, func(g *Gateway) bool { return g.shutdown.hasStarted() })
 	r.advance(tb, period)
 }
 
@@ -237,18 +237,18 @@
 	return cfg
 }
 
-// newTestLoop makes a loop that the test runs itself.
-func newTestLoop(tb testing.TB, d *fakeDiscovery) *Loop {
+// newTestGateway makes a loop that the test runs itself.
+func newTestGateway(tb testing.TB, d *fakeDiscovery) *Gateway {
 	tb.Helper()
-	l := newFakeClockLoop(tb, newConfig(tb, d, nil))
-	tb.Cleanup(func() { _ = l.listening.listener.Close() })
-	return l
+	g := newFakeClockGateway(tb, newConfig(tb, d, nil))
+	tb.Cleanup(func() { _ = g.listening.listener.Close() })
+	return g
 }
 
 // startGateway starts a gateway and waits until it is ready. The test's end stops it.
 func startGateway(tb testing.TB, cfg config.Config) *rig {
 	tb.Helper()
-	r := serveLoop(tb, newFakeClockLoop(tb, cfg))
+	r := serveGateway(tb, newFakeClockGateway(tb, cfg))
 	c := r.client(tb)
 	c.send("PING")
 	c.wantLine("+PONG")
@@ -256,17 +256,17 @@
 	return r
 }
 
-// serveLoop runs a gateway's loop until the test ends, and checks that it ends then.
-func serveLoop(tb testing.TB, l *Loop) *rig {
+// serveGateway runs a gateway's loop until the test ends, and checks that it ends then.
+func serveGateway(tb testing.TB, g *Gateway) *rig {
 	tb.Helper()
 	r := &rig{
-		addr: l.listening.listener.Addr().String(), loop: l, clock: useFakeClock(tb, l),
+		addr: g.listening.listener.Addr().String(), gateway: g, clock: useFakeClock(tb, g),
 		stopped: make(chan struct{}), ended: make(chan struct{}),
 		reload: make(chan struct{}), configs: make(chan func() (config.Config, error), 1),
 	}
 	read := func() (config.Config, error) { return (<-r.configs)() }
 	control := Control{Stop: r.stopped, Reload: r.reload, Read: read}
-	go func() { l.serve(control); close(r.ended) }()
+	go func() { g.serve(control); close(r.ended) }()
 	tb.Cleanup(func() {
 		r.shutDown()
 		select {
--- a/internal/gateway/scale_test.go
+++ b/internal/gateway/scale_test.go
@@ -28,18 +28,18 @@
 	for _, n := range []int{46, 830, 8300, 83000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
 			cfg := newConfig(b, newFakeDiscovery(b), nil)
-			l, err := newLoop(cfg, discardLog(), eventloop.SystemClock())
+			g, err := newGateway(cfg, discardLog(), eventloop.SystemClock())
 			if err != nil {
 				b.Fatal(err)
 			}
-			defer func() { _ = l.listening.listener.Close() }()
+			defer func() { _ = g.listening.listener.Close() }()
 			list := endpoints(n)
-			loopEndpoints{l}.updateEndpoints(policy.UpdateComplete, list)
+			endpointAdapter{g}.updateEndpoints(policy.UpdateComplete, list)
 			one := list[:1]
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				one[0].Phase = [...]string{"Ready", "Terminating"}[i%2]
-				loopEndpoints{l}.updateEndpoints(policy.UpdateIncremental, one)
+				endpointAdapter{g}.updateEndpoints(policy.UpdateIncremental, one)
 			}
 		})
 	}
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -152,77 +152,77 @@
 // shutdownRequested begins a planned shutdown.
 type shutdownRequested struct{}
 
-func (shutdownRequested) Handle(l *Loop) { l.shutdown.request() }
+func (shutdownRequested) Handle(g *Gateway) { g.shutdown.request() }
 
 // Handle implements eventloop.Event: the step's time has come.
-func (s shutdownStep) Handle(l *Loop) { l.shutdown.takeStep(s) }
+func (s shutdownStep) Handle(g *Gateway) { g.shutdown.takeStep(s) }
 
-// loopShutdown implements shutdownGateway.
-type loopShutdown struct{ *Loop }
+// shutdownAdapter implements shutdownGateway.
+type shutdownAdapter struct{ *Gateway }
 
-func (l loopShutdown) announce() {
-	l.log.Info("stopping", "open", l.requests.open)
-	l.ops.SetReady(false)
+func (a shutdownAdapter) announce() {
+	a.log.Info("stopping", "open", a.requests.open)
+	a.ops.SetReady(false)
 }
 
-func (l loopShutdown) abandonTakeover() bool {
-	if !l.takeover.isPending() {
+func (a shutdownAdapter) abandonTakeover() bool {
+	if !a.takeover.isPending() {
 		return false
 	}
-	l.takeover.abandon()
+	a.takeover.abandon()
 	return true
 }
 
-func (l loopShutdown) scheduleSteps() {
-	now := l.events.Now()
-	l.events.Schedule(now+acceptPeriod, stepStopAccepting)
-	l.events.Schedule(now+answerWithin(l.config), stepAnswerAll)
-	l.events.Schedule(now+exitWithin(l.config), stepExit)
+func (a shutdownAdapter) scheduleSteps() {
+	now := a.events.Now()
+	a.events.Schedule(now+acceptPeriod, stepStopAccepting)
+	a.events.Schedule(now+answerWithin(a.config), stepAnswerAll)
+	a.events.Schedule(now+exitWithin(a.config), stepExit)
 }
 
-func (l loopShutdown) stopAccepting() {
-	handedOver := l.handover.hasGivenOwnership()
-	l.handover.stopListening()
-	l.listening.shutDown(handedOver)
+func (a shutdownAdapter) stopAccepting() {
+	handedOver := a.handover.hasGivenOwnership()
+	a.handover.stopListening()
+	a.listening.shutDown(handedOver)
 	if handedOver {
 		return // the successor gets each connection once nothing is open on it
 	}
-	for c := range l.clients.conns {
+	for c := range a.clients.conns {
 		if c.isMidCommand() {
 			c.closeAfterNextCommand = true // the command is answered first
 		} else {
-			c.closeAfterReplies(l.Loop)
+			c.closeAfterReplies(a.Gateway)
 		}
 	}
 }
 
 // answerAll implements shutdownGateway: with SIGKILL what is open would be lost.
-func (l loopShutdown) answerAll() {
-	l.failOpenRequests()
-	if l.handover.hasGivenOwnership() {
+func (a shutdownAdapter) answerAll() {
+	a.failOpenRequests()
+	if a.handover.hasGivenOwnership() {
 		return
 	}
-	for c := range l.clients.conns {
-		c.closeAfterReplies(l.Loop) // also amid a command: its client sends it again
+	for c := range a.clients.conns {
+		c.closeAfterReplies(a.Gateway) // also amid a command: its client sends it again
 	}
 }
 
-func (l loopShutdown) failOpenRequests() {
-	now := l.events.Now()
-	for _, r := range l.requests.byID {
+func (a shutdownAdapter) failOpenRequests() {
+	now := a.events.Now()
+	for _, r := range a.requests.byID {
 		if !r.answered {
-			l.answer(r, failedReply)
-			l.controller.RequestCancelled(now, r.id)
+			a.answer(r, failedReply)
+			a.controller.RequestCancelled(now, r.id)
 		}
 	}
 }
 
-func (l loopShutdown) isIdle() bool {
-	if len(l.clients.conns) > 0 {
+func (a shutdownAdapter) isIdle() bool {
+	if len(a.clients.conns) > 0 {
 		return false
 	}
-	return l.listening.isClosed() ||
-		l.shutdown.hasStarted() && l.handover.hasGivenOwnership() && l.requests.open == 0
+	return a.listening.isClosed() ||
+		a.shutdown.hasStarted() && a.handover.hasGivenOwnership() && a.requests.open == 0
 }
 
-func (l loopShutdown) stop() { l.events.Stop() }
+func (a shutdownAdapter) stop() { a.events.Stop() }
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -12,77 +12,77 @@
 	"sparspread/policy"
 )
 
-// newStoppingLoop returns a gateway with one backend during a planned shutdown. The test runs its loop.
-func newStoppingLoop(t *testing.T) (*Loop, *fakeBackend) {
+// newStoppingGateway returns a gateway with one backend during a planned shutdown. The test runs its loop.
+func newStoppingGateway(t *testing.T) (*Gateway, *fakeBackend) {
 	t.Helper()
 	b := newBackend(t)
-	l := newTestLoop(t, newFakeDiscovery(t))
-	loopEndpoints{l}.updateEndpoints(policy.UpdateComplete, []discovery.Endpoint{
+	g := newTestGateway(t, newFakeDiscovery(t))
+	endpointAdapter{g}.updateEndpoints(policy.UpdateComplete, []discovery.Endpoint{
 		{ID: "s-00000001", Address: b.listener.Addr().String(), Phase: "Ready"},
 	})
-	shutdownRequested{}.Handle(l)
-	return l, b
+	shutdownRequested{}.Handle(g)
+	return g, b
 }
 
 // handleUntil handles events until a condition holds.
-func handleUntil(t *testing.T, l *Loop, what string, holds func() bool) {
+func handleUntil(t *testing.T, g *Gateway, what string, holds func() bool) {
 	t.Helper()
 	for !holds() {
-		handleNext(t, l, what)
+		handleNext(t, g, what)
 	}
 }
 
 // advance lets time pass for a loop that the test runs.
-func advance(t *testing.T, l *Loop, period policy.Time) {
+func advance(t *testing.T, g *Gateway, period policy.Time) {
 	t.Helper()
-	useFakeClock(t, l).shown.Add(period)
-	l.events.RunTimers()
+	useFakeClock(t, g).shown.Add(period)
+	g.events.RunTimers()
 }
 
 // A connection with a complete request waits in the listener's backlog when that is about to be closed: the
 // request is served, and nothing ends the process meanwhile.
 func TestShutdownServesConnectionsInTheBacklog(t *testing.T) {
-	l, b := newStoppingLoop(t)
-	c := (&rig{addr: l.listening.listener.Addr().String()}).client(t)
+	g, b := newStoppingGateway(t)
+	c := (&rig{addr: g.listening.listener.Addr().String()}).client(t)
 	c.sendLookup(1) // in the kernel, as nothing accepts yet
-	advance(t, l, acceptPeriod)
-	handleUntil(t, l, "the request", func() bool { return l.requests.open == 1 })
-	handleUntil(t, l, "the listener to close", l.listening.isClosed)
-	advance(t, l, 2*closePeriod) // the backend takes long
-	if l.events.Stopped() {
+	advance(t, g, acceptPeriod)
+	handleUntil(t, g, "the request", func() bool { return g.requests.open == 1 })
+	handleUntil(t, g, "the listener to close", g.listening.isClosed)
+	advance(t, g, 2*closePeriod) // the backend takes long
+	if g.events.Stopped() {
 		t.Fatal("the process ends with an open request")
 	}
-	handleUntil(t, l, "the dial", func() bool { return len(l.backends.byNumber[1].waiting) == 0 })
+	handleUntil(t, g, "the dial", func() bool { return len(g.backends.byNumber[1].waiting) == 0 })
 	b.nextCall(t).replyValue(t, "ok")
-	handleUntil(t, l, "the answer", func() bool { return l.requests.open == 0 })
+	handleUntil(t, g, "the answer", func() bool { return g.requests.open == 0 })
 	c.wantValue("ok")
 	c.wantClosed()
 	closeConn(t, c.conn)
-	handleUntil(t, l, "the process to end after its last client has closed", l.events.Stopped)
+	handleUntil(t, g, "the process to end after its last client has closed", g.events.Stopped)
 }
 
 // A command is partly written when everything open is answered: its connection ends in an orderly way, so
 // that its client sends it again elsewhere, and is not left to the end of the process.
 func TestShutdownClosesConnectionsAmidACommand(t *testing.T) {
-	l, _ := newStoppingLoop(t)
-	l.listening.resume()
-	c := (&rig{addr: l.listening.listener.Addr().String()}).client(t)
-	handleNext(t, l, "the connection")
+	g, _ := newStoppingGateway(t)
+	g.listening.resume()
+	c := (&rig{addr: g.listening.listener.Addr().String()}).client(t)
+	handleNext(t, g, "the connection")
 	c.write("*4\r\n$8\r\nAPI.R")
-	for conn := range l.clients.conns {
+	for conn := range g.clients.conns {
 		for conn.lastInputAt.Load() == 0 { // until the reader has it
 			runtime.Gosched()
 		}
 		conn.lastCommandAt = 0 // it was opened earlier
 	}
-	advance(t, l, acceptPeriod)
-	if l.events.Stopped() || len(l.clients.conns) != 1 {
-		t.Fatalf("done %v with %d connections", l.events.Stopped(), len(l.clients.conns))
+	advance(t, g, acceptPeriod)
+	if g.events.Stopped() || len(g.clients.conns) != 1 {
+		t.Fatalf("done %v with %d connections", g.events.Stopped(), len(g.clients.conns))
 	}
-	advance(t, l, answerWithin(l.config)-acceptPeriod)
+	advance(t, g, answerWithin(g.config)-acceptPeriod)
 	c.wantClosed()
 	closeConn(t, c.conn)
-	handleUntil(t, l, "the end of all", l.events.Stopped)
+	handleUntil(t, g, "the end of all", g.events.Stopped)
 }
 
 // However short the timeouts of clients are: connections are accepted as long as they may come, their
@@ -154,8 +154,8 @@
 	const command = "*4\r\n$8\r\nAPI.READ\r\n$16\r\n0000000000000007\r\n$16\r\n0000000000000001\r\n" +
 		"$48\r\nc=lookup,t=team,d=60000,units=1,spread=1,first=0\r\n"
 	c.write(command[:40])
-	r.waitUntil(t, func(l *Loop) bool {
-		return slices.ContainsFunc(clientList(l), func(c *client) bool {
+	r.waitUntil(t, func(g *Gateway) bool {
+		return slices.ContainsFunc(clientList(g), func(c *client) bool {
 			return c.commands == 0 && c.isMidCommand()
 		})
 	})
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -93,22 +93,22 @@
 			called := make(chan string, 1024)
 			faulty := start(t, called)
 			const endpoints = 3000
-			l := newLoopWithKnownList(t, faulty, endpoints)
-			defer func() { _ = l.listening.listener.Close() }()
+			g := newGatewayWithKnownList(t, faulty, endpoints)
+			defer func() { _ = g.listening.listener.Close() }()
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			l.start(ctx)
+			g.start(ctx)
 			wait(t, called, "discovery's first call")
-			if l.events.RunTimers(); !l.listening.isWaiting() {
+			if g.events.RunTimers(); !g.listening.isWaiting() {
 				t.Fatal("ready before the wait was over")
 			}
-			useFakeClock(t, l).shown.Add(readinessWait)
-			if l.events.RunTimers(); l.listening.isWaiting() {
+			useFakeClock(t, g).shown.Add(readinessWait)
+			if g.events.RunTimers(); g.listening.isWaiting() {
 				t.Fatal("not ready when the wait was over")
 			}
-			defer l.listening.pause()
+			defer g.listening.pause()
 			ready := 0
-			for _, b := range l.backends.byNumber {
+			for _, b := range g.backends.byNumber {
 				if b.state == policy.EndpointReady {
 					ready++
 				}
@@ -120,8 +120,8 @@
 	}
 }
 
-// newLoopWithKnownList makes a gateway whose configuration contains a list and names a faulty service.
-func newLoopWithKnownList(t *testing.T, faulty faultyDiscovery, endpoints int) *Loop {
+// newGatewayWithKnownList makes a gateway whose configuration contains a list and names a faulty service.
+func newGatewayWithKnownList(t *testing.T, faulty faultyDiscovery, endpoints int) *Gateway {
 	t.Helper()
 	var entries []string
 	for i := range endpoints {
@@ -133,11 +133,11 @@
 		list := `{"revision":1,"complete":true,"members":[` + strings.Join(entries, ",") + `]}`
 		f["known"] = json.RawMessage(list)
 	})
-	l := newFakeClockLoop(t, cfg)
+	g := newFakeClockGateway(t, cfg)
 	if faulty.control != nil {
 		c := discoveryConfig(&cfg)
 		c.DialContext = (&net.Dialer{Control: faulty.control}).DialContext
-		l.discovery = discovery.New(c, discardLog(), loopEndpoints{l}.post)
+		g.discovery = discovery.New(c, discardLog(), endpointAdapter{g}.post)
 	}
-	return l
+	return g
 }
--- a/internal/gateway/takeover.go
+++ b/internal/gateway/takeover.go
@@ -127,68 +127,72 @@
 	}
 }
 
-// loopTakeover implements takeoverGateway.
-type loopTakeover struct{ *Loop }
+// takeoverAdapter implements takeoverGateway.
+type takeoverAdapter struct{ *Gateway }
 
-func (l loopTakeover) importState(state *handover.State) {
-	l.endpoints.importList(state.Endpoints)
-	if err := l.controller.Import(l.events.Now(), state.Policy); err != nil {
-		l.log.Error("handover: beginning as after a restart", "error", err)
+func (a takeoverAdapter) importState(state *handover.State) {
+	a.endpoints.importList(state.Endpoints)
+	if err := a.controller.Import(a.events.Now(), state.Policy); err != nil {
+		a.log.Error("handover: beginning as after a restart", "error", err)
 	}
-	l.requests.lastID = max(l.requests.lastID, state.NextRequestID)
-	l.backends.limit /= 2
-	limitMemory(l.config, twoProcesses)
+	a.requests.lastID = max(a.requests.lastID, state.NextRequestID)
+	a.backends.limit /= 2
+	limitMemory(a.config, twoProcesses)
 }
 
-func (l loopTakeover) serve(gossip *net.UDPConn) {
-	l.adoptGossipSocket(gossip)
-	l.gossip.Resume()
-	l.accept()
+func (a takeoverAdapter) serve(gossip *net.UDPConn) {
+	a.adoptGossipSocket(gossip)
+	a.gossip.Resume()
+	a.accept()
 }
 
-func (l loopTakeover) useAllResources() {
-	l.backends.limit *= 2
-	limitMemory(l.config, oneProcess)
-	l.controller.PredecessorExited(l.events.Now())
-	l.log.Info("the former process has ended")
+func (a takeoverAdapter) useAllResources() {
+	a.backends.limit *= 2
+	limitMemory(a.config, oneProcess)
+	a.controller.PredecessorExited(a.events.Now())
+	a.log.Info("the former process has ended")
 }
 
 // successorEvents posts what the predecessor sends.
-type successorEvents struct{ loop *Loop }
+type successorEvents struct{ gateway *Gateway }
 
 func (s successorEvents) StateReceived(state *handover.State) {
-	s.loop.events.Post(stateReceived{state})
+	s.gateway.events.Post(stateReceived{state})
 }
 
-func (s successorEvents) ClientReceived(c handover.Client) { s.loop.events.Post(clientHandedOver{c}) }
+func (s successorEvents) ClientReceived(c handover.Client) {
+	s.gateway.events.Post(clientHandedOver{c})
+}
 
-func (s successorEvents) AttemptSent(a handover.AttemptSent) { s.loop.events.Post(predecessorSent{a}) }
+func (s successorEvents) AttemptSent(a handover.AttemptSent) {
+	s.gateway.events.Post(predecessorSent{a})
+}
 
 func (s successorEvents) AttemptEnded(o policy.Outcome) {
-	s.loop.events.Post(predecessorAttemptEnded{o})
+	s.gateway.events.Post(predecessorAttemptEnded{o})
 }
 
 func (s successorEvents) CostSettled(settled handover.CostSettled) {
-	s.loop.events.Post(predecessorCostSettled{settled})
+	s.gateway.events.Post(predecessorCostSettled{settled})
 }
 
-func (s successorEvents) PredecessorExited() { s.loop.events.Post(predecessorExited{}) }
+func (s successorEvents) PredecessorExited() { s.gateway.events.Post(predecessorExited{}) }
 
 // stateReceived: this process owns the state from here on; nil: it could not be had.
 type stateReceived struct{ state *handover.State }
 
-func (e stateReceived) Handle(l *Loop) {
-	if l.listening.isWaiting() && !l.shutdown.hasStarted() {
-		l.takeover.receive(e.state)
+func (e stateReceived) Handle(g *Gateway) {
+	if g.listening.isWaiting() && !g.shutdown.hasStarted() {
+		g.takeover.receive(e.state)
 	}
 }
 
 // clientHandedOver is a client's connection from the predecessor.
 type clientHandedOver struct{ client handover.Client }
 
-func (e clientHandedOver) Handle(l *Loop) {
+func (e clientHandedOver) Handle(g *Gateway) {
 	select {
-	case l.clients.slots <- struct{}{}:
+	case g.clients.slots <- struct{}{}:
 	default:
 		_ = e.client.Conn.Close() // no place for it
 		return
@@ -198,31 +202,31 @@
 		openedAt:       e.client.OpenedBefore(time.Now()),
 		commands:       e.client.Requests,
 		inheritedInput: e.client.Input,
-	}.Handle(l)
+	}.Handle(g)
 }
 
 // predecessorCostSettled is what a request of the predecessor cost beyond its estimate.
 type predecessorCostSettled struct{ settled handover.CostSettled }
 
-func (e predecessorCostSettled) Handle(l *Loop) {
-	l.controller.CostSettled(l.events.Now(), e.settled.Customer, e.settled.Extra)
+func (e predecessorCostSettled) Handle(g *Gateway) {
+	g.controller.CostSettled(g.events.Now(), e.settled.Customer, e.settled.Extra)
 }
 
 // predecessorSent is a further attempt that the predecessor has made.
 type predecessorSent struct{ sent handover.AttemptSent }
 
-func (e predecessorSent) Handle(l *Loop) {
-	l.controller.PredecessorSent(l.events.Now(), e.sent.RequestID, e.sent.Backend)
+func (e predecessorSent) Handle(g *Gateway) {
+	g.controller.PredecessorSent(g.events.Now(), e.sent.RequestID, e.sent.Backend)
 }
 
 // predecessorAttemptEnded is the outcome of an attempt that the predecessor has made.
 type predecessorAttemptEnded struct{ outcome policy.Outcome }
 
-func (e predecessorAttemptEnded) Handle(l *Loop) {
-	l.controller.PredecessorAttemptEnded(l.events.Now(), e.outcome)
+func (e predecessorAttemptEnded) Handle(g *Gateway) {
+	g.controller.PredecessorAttemptEnded(g.events.Now(), e.outcome)
 }
 
 // predecessorExited: the predecessor has ended, and this process has all the resources.
 type predecessorExited struct{}
 
-func (predecessorExited) Handle(l *Loop) { l.takeover.predecessorExited() }
+func (predecessorExited) Handle(g *Gateway) { g.takeover.predecessorExited() }
--- a/internal/gateway/value_stream.go
+++ b/internal/gateway/value_stream.go
@@ -83,39 +83,39 @@
 // valueOffered says that a large value has arrived for the request of a connection.
 type valueOffered struct{ conn *backendConn }
 
-func (e valueOffered) Handle(l *Loop) {
+func (e valueOffered) Handle(g *Gateway) {
 	c, a := e.conn, e.conn.attempt
 	if c.closed {
 		return
 	}
 	if a == nil || a.request == nil || a.request.answered || a.request.valueConn != nil {
 		// Nobody waits for it any more.
-		l.backends.close(c, closeCancelled)
+		g.backends.close(c, closeCancelled)
 		c.attempt = nil
 		if a != nil {
-			l.backends.endAttempt(a, policy.ResultCancelled)
+			g.backends.endAttempt(a, policy.ResultCancelled)
 		}
 		return
 	}
 	a.request.valueConn = c
 	if a.request.client.pipeline[0] == a.request {
-		l.startValue(a.request)
+		g.startValue(a.request)
 	}
 }
 
 // startValue lets a large value go to the client, all earlier requests of which are answered. It is the final
 // reply: no further attempt is made, and neither the deadline nor a shutdown ends the transfer.
-func (l *Loop) startValue(r *request) {
+func (g *Gateway) startValue(r *request) {
 	if r.valueStarted {
 		return
 	}
 	c, a := r.valueConn, r.valueConn.attempt
 	r.valueStarted = true
-	l.events.Cancel(r.guard)
-	l.events.Cancel(a.timeout)
+	g.events.Cancel(r.guard)
+	g.events.Cancel(a.timeout)
 	r.guard, a.timeout = nil, nil
 	c.destination <- r.client.writer
-	l.events.Defer(valueStarted{attempt: a, latency: l.events.Now() - a.sentAt})
+	g.events.Defer(valueStarted{attempt: a, latency: g.events.Now() - a.sentAt})
 }
 
 // valueStarted reports an attempt's success to the policy when its value starts: how long the client takes
@@ -125,9 +125,9 @@
 	latency policy.Time
 }
 
-func (e valueStarted) Handle(l *Loop) {
+func (e valueStarted) Handle(g *Gateway) {
 	a := e.attempt
-	l.reportOutcome(policy.Outcome{
+	g.reportOutcome(policy.Outcome{
 		RequestID: a.request.id, Attempt: a.number, Backend: a.backend, Result: policy.ResultOK,
 		Latency: e.latency, Answered: true,
 	})
@@ -135,7 +135,7 @@
 
 // cancelValue gives up a large value that has not started: its request has another reply, or nobody waits for
 // it any more.
-func (l *Loop) cancelValue(r *request) {
+func (g *Gateway) cancelValue(r *request) {
 	c := r.valueConn
 	if c == nil || r.valueStarted {
 		return
@@ -143,50 +143,50 @@
 	r.valueConn = nil
 	if a := c.attempt; a != nil {
 		c.attempt = nil
-		l.backends.endAttempt(a, policy.ResultCancelled)
+		g.backends.endAttempt(a, policy.ResultCancelled)
 	}
-	l.backends.close(c, closeCancelled)
+	g.backends.close(c, closeCancelled)
 }
 
 // finishStream ends the attempt of a large value that has gone to the client or, with an error, broke off.
-func (e replyReceived) finishStream(l *Loop) {
+func (e replyReceived) finishStream(g *Gateway) {
 	c, a := e.conn, e.conn.attempt
 	r := a.request
 	c.attempt, a.ended, a.conn = nil, true, nil
 	c.bytesUsed = e.bytesUsed
 	r.attemptsInFlight--
 	if !r.answered {
-		l.finishValue(r, e.err)
+		g.finishValue(r, e.err)
 	}
-	if cost := actualCost(l.config, itemText(e.reply, replyUsage)); cost > 0 {
-		l.settleCost(r.customer, cost-r.estimatedCost)
+	if cost := actualCost(g.config, itemText(e.reply, replyUsage)); cost > 0 {
+		g.settleCost(r.customer, cost-r.estimatedCost)
 	}
-	l.releaseRequest(r)
+	g.releaseRequest(r)
 	if e.err != nil || e.malformed || e.more {
-		l.backends.close(c, closeIncomplete)
-		l.backends.dialForWaiting(c.backend)
+		g.backends.close(c, closeIncomplete)
+		g.backends.dialForWaiting(c.backend)
 		return
 	}
-	l.backends.release(c)
+	g.backends.release(c)
 }
 
 // settleCost reports to the policy, and to a process that takes over, by how much a cost was underestimated.
-func (l *Loop) settleCost(customer uint64, extra float64) {
-	l.handover.reportCostSettled(customer, extra)
-	l.controller.CostSettled(l.events.Now(), customer, extra)
+func (g *Gateway) settleCost(customer uint64, extra float64) {
+	g.handover.reportCostSettled(customer, extra)
+	g.controller.CostSettled(g.events.Now(), customer, extra)
 }
 
 // finishValue ends a request whose value has been written. If it broke off, the client's connection is closed
 // amid the value, by which the client can tell.
-func (l *Loop) finishValue(r *request, err error) {
+func (g *Gateway) finishValue(r *request, err error) {
 	if err != nil {
-		l.log.Info("value incomplete", "id", string(r.args[command.ClientIDArg]), "error", err)
+		g.log.Info("value incomplete", "id", string(r.args[command.ClientIDArg]), "error", err)
 		r.metrics.Failed.Add(1)
-		r.client.closeNow(l)
+		r.client.closeNow(g)
 		return
 	}
 	r.metrics.Served.Add(1)
-	l.markAnswered(r)
-	r.client.lastCommandAt = l.events.Now()
-	r.client.flush(l)
+	g.markAnswered(r)
+	r.client.lastCommandAt = g.events.Now()
+	r.client.flush(g)
 }
