--- a/internal/gateway/backend_dial_test.go
+++ b/internal/gateway/backend_dial_test.go
@@ -16,7 +16,7 @@
 		"the client disconnects": func(t *testing.T, g *Gateway, c *testClient) {
 			t.Helper()
 			_ = c.conn.Close()
-			handleNext(t, g, "the client's disconnect")
+			handleNextEvent(t, g, "the client's disconnect")
 		},
 		"it is answered": func(t *testing.T, g *Gateway, _ *testClient) {
 			t.Helper()
@@ -34,7 +34,7 @@
 				t.Errorf("%d attempts wait, %d requests remain", n, len(g.requests.byID))
 			}
 			close(unblock)
-			if e := eventAs[dialEnded](t, handleNext(t, g, "the dial's end")); e.err != nil {
+			if e := eventAs[dialEnded](t, handleNextEvent(t, g, "the dial's end")); e.err != nil {
 				t.Fatal(e.err)
 			}
 			g.backends.closeIdle(g.backends.byNumber[1])
@@ -50,15 +50,15 @@
 func TestRetryIsNotSentAfterTheDedupWindow(t *testing.T) {
 	g, b := newGatewayWithBackend(t)
 	c := connectWithRequest(t, g, "c=order,k=5c0f6e1a2b3d4c59")
-	handleNext(t, g, "the dial's end")
+	handleNextEvent(t, g, "the dial's end")
 	call := b.nextCall(t)
 	dialing, unblock := blockDials(g)
 	_ = call.conn.Close()
-	handleNext(t, g, "the reset")
+	handleNextEvent(t, g, "the reset")
 	wait(t, dialing, "the second dial")
 	useFakeClock(t, g).shown.Add(31_000_000) // the window is 30 s
 	close(unblock)
-	handleNext(t, g, "the second dial's end")
+	handleNextEvent(t, g, "the second dial's end")
 	c.wantLine("-BUSY 2000") // all backends drop its repeats: the client may come again
 	if len(b.calls) > 0 {
 		t.Error("repeated behind its window")
@@ -71,9 +71,9 @@
 	t.Helper()
 	b.reportRestart(g)
 	close(unblock)
-	handleNext(t, g, "the dial's end")
+	handleNextEvent(t, g, "the dial's end")
 	_ = wait(t, b.closed, "the end of the first connection")
-	handleNext(t, g, "the second dial's end")
+	handleNextEvent(t, g, "the second dial's end")
 }
 
 // A backend restarts during a dial to it: the connection may lead to the process before, and another is
--- a/internal/gateway/backend_pool_test.go
+++ b/internal/gateway/backend_pool_test.go
@@ -80,7 +80,7 @@
 	c := r.client(t)
 	c.sendLookup(1)
 	c.wantServed(b, "ok")
-	r.advance(t, 200_000)
+	r.advanceClock(t, 200_000)
 	if err := wait(t, b.closed, "the idle connection's end"); !errors.Is(err, io.EOF) {
 		t.Error(err)
 	}
@@ -118,7 +118,7 @@
 				call.reply(t, "+PONG\r\n")
 				wait(t, g.events.Queue(), "the second answer").Handle(g)
 			}
-			advance(t, g, quiescencePeriod)
+			advanceClock(t, g, quiescencePeriod)
 			if got := second.conn == used; got == late {
 				t.Errorf("the connection was used: %t", got)
 			}
--- a/internal/gateway/client_accept.go
+++ b/internal/gateway/client_accept.go
@@ -28,7 +28,7 @@
 	}
 	cs.conns[c] = true
 	c.closeAfterNextCommand = g.shutdown.isClosing() // accepted from the backlog: one command is answered
-	if g.handover.hasGivenOwnership() {
+	if g.handover.hasReleasedOwnership() {
 		c.readerStopped, c.handoverInput, c.inheritedInput = true, e.inheritedInput, nil
 		c.handOver(g)
 		return
--- a/internal/gateway/client_close.go
+++ b/internal/gateway/client_close.go
@@ -70,7 +70,7 @@
 		g.cancelRequest(r, now)
 	}
 	c.pipeline = nil
-	g.shutdown.endIfIdle()
+	g.shutdown.stopIfIdle()
 }
 
 // cancelRequest ends a request whose client has gone.
--- a/internal/gateway/client_commands.go
+++ b/internal/gateway/client_commands.go
@@ -155,7 +155,7 @@
 	switch {
 	case !e.begin(g):
 	case e.isForSuccessor(g):
-		g.handover.queue(e)
+		g.handover.queueCommand(e)
 	default:
 		e.answer(g)
 	}
@@ -192,7 +192,7 @@
 	switch {
 	case !e.begin(g):
 	case e.isForSuccessor(g):
-		g.handover.queue(e)
+		g.handover.queueCommand(e)
 	case e.config != g.config:
 		e.handleAfterReload(g)
 	default:
--- a/internal/gateway/client_disconnect_rig_test.go
+++ b/internal/gateway/client_disconnect_rig_test.go
@@ -101,7 +101,7 @@
 // handleNext handles the next event.
 func (w *waitingRequest) handleNext(what string) {
 	w.t.Helper()
-	handleNext(w.t, w.loop, what)
+	handleNextEvent(w.t, w.loop, what)
 }
 
 // disconnect has the client disconnect. The loop has not handled that when it returns.
--- a/internal/gateway/client_disconnect_test.go
+++ b/internal/gateway/client_disconnect_test.go
@@ -77,7 +77,7 @@
 		close(w.unblock)
 		w.handleNext("the dial's end")
 		w.answerRequest()
-		advance(w.t, w.loop, quiescencePeriod)
+		advanceClock(w.t, w.loop, quiescencePeriod)
 		w.client.sendOnce(secondRequestID, "team")
 		w.disconnectInQueue()
 		w.handleNext("the second request")
@@ -99,7 +99,7 @@
 		wait(w.t, w.dialing, "a dial beside the quiescing connection")
 		w.disconnect()
 		w.handleDisconnect()
-		advance(w.t, w.loop, quiescencePeriod)
+		advanceClock(w.t, w.loop, quiescencePeriod)
 		if idle := len(w.onlyBackend().idle); idle != 1 {
 			w.t.Errorf("%d idle connections, want the quiesced one", idle)
 		}
@@ -135,7 +135,7 @@
 		t.Run(name, func(t *testing.T) {
 			g := newLoopWithStalledBackend(t)
 			c := connectWithRequest(t, g, notRetryable)
-			handleNext(t, g, "the dial's end")
+			handleNextEvent(t, g, "the dial's end")
 			_, body := largeHead()
 			c.write(bodyHead(secondRequestID, "team", len(body)) + body + "\r\n")
 			handleUntil(t, g, "the second dial's end", func() bool {
@@ -143,7 +143,7 @@
 			})
 			departure.by(c)
 			for len(g.clients.conns) > 0 {
-				if _, broken := handleNext(t, g, "the client's disconnect").(bodyFailed); broken {
+				if _, broken := handleNextEvent(t, g, "the client's disconnect").(bodyFailed); broken {
 					t.Fatal("the body was given up first")
 				}
 			}
--- a/internal/gateway/client_read_ahead_test.go
+++ b/internal/gateway/client_read_ahead_test.go
@@ -57,7 +57,7 @@
 
 // A connection is handed over with the input that was read ahead behind a full pipeline.
 func TestReadAheadIsHandedOver(t *testing.T) {
-	cfg, b := replaceableGateway(t)
+	cfg, b := replaceableConfigWithBackend(t)
 	first := startGateway(t, cfg)
 	c := first.client(t)
 	c.sendOnce(1, "team")
--- a/internal/gateway/command_test.go
+++ b/internal/gateway/command_test.go
@@ -33,7 +33,7 @@
 func BenchmarkParse(b *testing.B) {
 	cfg, err := config.Parse([]byte(fmt.Sprintf(
 		`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"01","settings":%s}`,
-		settingsWith(b, `"balancers":1`, `"balancers":4`))))
+		editSettings(b, `"balancers":1`, `"balancers":4`))))
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/gateway/config_test.go
+++ b/internal/gateway/config_test.go
@@ -10,7 +10,7 @@
 )
 
 // An invalid configuration gives an error of one line.
-func TestInvalidConfigurationIsRejected(t *testing.T) {
+func TestParseRejectsInvalidConfiguration(t *testing.T) {
 	good := `{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"01","settings":` +
 		settingsText + `}`
 	if _, err := config.Parse([]byte(good)); err != nil {
@@ -38,8 +38,8 @@
 	}
 }
 
-// settingsWith returns the settings with changes: pairs of a text that is in them and its replacement.
-func settingsWith(tb testing.TB, changes ...string) json.RawMessage {
+// editSettings returns the settings with changes: pairs of a text that is in them and its replacement.
+func editSettings(tb testing.TB, changes ...string) json.RawMessage {
 	tb.Helper()
 	text := settingsText
 	for i := 0; i < len(changes); i += 2 {
@@ -51,7 +51,7 @@
 	return json.RawMessage(text)
 }
 
-func TestConfigurationWantsPositiveNumbers(t *testing.T) {
+func TestParseRejectsNonPositiveNumbers(t *testing.T) {
 	const format = `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"01","settings":%s}`
 	for _, change := range [][2]string{
 		{`"max-attempts":3`, `"max-attempts":0`},
@@ -61,14 +61,14 @@
 		{`"promise-us":10000000`, `"promise-us":0`},
 		{`"promise-us":10000000`, `"promise-us":1,"hard-limit-us":0`},
 	} {
-		raw := fmt.Sprintf(format, settingsWith(t, change[0], change[1]))
+		raw := fmt.Sprintf(format, editSettings(t, change[0], change[1]))
 		if _, err := config.Parse([]byte(raw)); err == nil {
 			t.Errorf("%s: no error", change[1])
 		}
 	}
 }
 
-func TestWhatIsNoConfigurationIsRejected(t *testing.T) {
+func TestParseRejectsIncompleteConfiguration(t *testing.T) {
 	for _, raw := range []string{"", "{", `{"name":"n0"}`, "null", "[]"} {
 		if _, err := config.Parse([]byte(raw)); err == nil {
 			t.Errorf("%q: no error", raw)
--- a/internal/gateway/dial_fault_test.go
+++ b/internal/gateway/dial_fault_test.go
@@ -59,7 +59,7 @@
 			g, b := newGatewayWithBackend(t)
 			recovered := failDials(g, c.err)
 			client := connectWithRequest(t, g, "c=once")
-			handleNext(t, g, "the failed dial")
+			handleNextEvent(t, g, "the failed dial")
 			if n := g.controller.UnavailableBackends(); n != 0 || len(g.requests.byID) != 1 {
 				t.Fatalf("%d backends ejected, %d requests open: want none ejected, 1 open",
 					n, len(g.requests.byID))
@@ -67,9 +67,9 @@
 			recovered()
 			useFakeClock(t, g).shown.Add(firstShortagePause)
 			g.events.RunTimers()
-			handleNext(t, g, "the second dial")
+			handleNextEvent(t, g, "the second dial")
 			b.nextCall(t).replyValue(t, "ok")
-			handleNext(t, g, "the reply")
+			handleNextEvent(t, g, "the reply")
 			client.wantValue("ok")
 		})
 	}
--- a/internal/gateway/discovery_watch_test.go
+++ b/internal/gateway/discovery_watch_test.go
@@ -28,7 +28,7 @@
 
 // A watch without an answer hides a drain, which counts as reported 6 s later: it is given up before, and
 // the complete list is read on another connection.
-func TestHungWatchIsGivenUp(t *testing.T) {
+func TestDiscoveryAbandonsHungWatch(t *testing.T) {
 	var held atomic.Bool
 	var d *fakeDiscovery
 	reported := make(chan struct{})
@@ -59,7 +59,7 @@
 
 // After a broken watch the next continues from the revision at hand: changes in between are reported
 // without reading the complete list.
-func TestDiscoveryWatchesOnAfterABreak(t *testing.T) {
+func TestDiscoveryResumesWatchAfterDisconnect(t *testing.T) {
 	r, _, d := startWithBackend(t, nil)
 	d.awaitWatch(t)
 	second := newBackend(t)
@@ -81,7 +81,7 @@
 }
 
 // A start watches from the revision of the configured list, at first without waiting.
-func TestDiscoveryStartsFromTheListGiven(t *testing.T) {
+func TestDiscoveryStartsFromConfiguredRevision(t *testing.T) {
 	d := newFakeDiscovery(t)
 	startGateway(t, newConfig(t, d, func(f map[string]any) {
 		f["known"] = json.RawMessage(`{"revision":0,"complete":true,"members":[]}`)
@@ -92,7 +92,7 @@
 }
 
 // The complete list is read where discovery does not know the revision at hand, or knows only an older one.
-func TestUnknownOrOlderRevisionHasTheCompleteListRead(t *testing.T) {
+func TestDiscoveryReadsCompleteListOnRevisionMismatch(t *testing.T) {
 	for name, answer := range map[string]func(http.ResponseWriter){
 		"unknown": func(w http.ResponseWriter) { w.WriteHeader(http.StatusGone) },
 		"older": func(w http.ResponseWriter) {
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -76,7 +76,7 @@
 }
 
 // handle applies an event of the discovery client. Clients are accepted from the first list on.
-func (e *endpointList) handle(event discovery.Event) {
+func (e *endpointList) handleEvent(event discovery.Event) {
 	if event.Kind == policy.UpdateUnavailable {
 		e.gateway.reportUnavailable()
 		return
@@ -108,7 +108,7 @@
 // endpointsUpdated is an event of the discovery client.
 type endpointsUpdated struct{ discovery.Event }
 
-func (e endpointsUpdated) Handle(g *Gateway) { g.endpoints.handle(e.Event) }
+func (e endpointsUpdated) Handle(g *Gateway) { g.endpoints.handleEvent(e.Event) }
 
 // endpointAdapter implements endpointGateway.
 type endpointAdapter struct{ *Gateway }
@@ -134,7 +134,7 @@
 
 // post hands an event of the discovery client to the loop, ahead of all other work: nothing that was queued
 // before a drain was announced may be sent after its grace. Any goroutine may call it.
-func (a endpointAdapter) post(ctx context.Context, e discovery.Event) {
+func (a endpointAdapter) postEvent(ctx context.Context, e discovery.Event) {
 	a.events.PostUrgent(ctx, endpointsUpdated{e})
 }
 
--- a/internal/gateway/endpoints_phase_test.go
+++ b/internal/gateway/endpoints_phase_test.go
@@ -9,7 +9,7 @@
 
 // fakeEndpointGateway records what endpoint updates have the gateway do.
 type fakeEndpointGateway struct {
-	effects
+	callRecorder
 	draining map[string]discovery.Endpoint
 	updated  []discovery.Endpoint // by the last update
 }
@@ -28,7 +28,7 @@
 }
 
 func newFakeEndpoints() (*endpointList, *fakeEndpointGateway, *[]string) {
-	log, illegal := newStepLog()
+	log, illegal := newIllegalStepLog()
 	f := &fakeEndpointGateway{draining: map[string]discovery.Endpoint{}}
 	return newEndpointList([]string{"own"}, f, log), f, illegal
 }
@@ -40,47 +40,47 @@
 	}
 }
 
-func TestEndpointSources(t *testing.T) {
+func TestEndpointListPhases(t *testing.T) {
 	e, f, illegal := newFakeEndpoints()
-	e.handle(discovery.Event{Kind: policy.UpdateUnavailable})
+	e.handleEvent(discovery.Event{Kind: policy.UpdateUnavailable})
 	wantPhase(t, &e.phase, endpointsConfigured)
-	f.want(t, "reportUnavailable")
+	f.wantCalls(t, "reportUnavailable")
 	e.importList(nil)
 	wantPhase(t, &e.phase, endpointsImported)
-	f.want(t, "updateEndpoints")
+	f.wantCalls(t, "updateEndpoints")
 	for range 2 {
-		e.handle(listed(1))
+		e.handleEvent(listed(1))
 		wantPhase(t, &e.phase, endpointsReceived)
-		f.want(t, "updateEndpoints", "startAccepting")
+		f.wantCalls(t, "updateEndpoints", "startAccepting")
 	}
-	wantIllegal(t, illegal)
+	wantIllegalSteps(t, illegal)
 }
 
 // What discovery has sent does not give way to a predecessor's list.
-func TestReceivedEndpointsAreNotReplaced(t *testing.T) {
+func TestEndpointListImportKeepsReceivedList(t *testing.T) {
 	e, f, illegal := newFakeEndpoints()
-	e.handle(listed(1))
-	f.want(t, "updateEndpoints", "startAccepting")
+	e.handleEvent(listed(1))
+	f.wantCalls(t, "updateEndpoints", "startAccepting")
 	e.importList(nil)
 	wantPhase(t, &e.phase, endpointsReceived)
-	f.want(t)
-	wantIllegal(t, illegal)
+	f.wantCalls(t)
+	wantIllegalSteps(t, illegal)
 }
 
-func TestEndpointsRefuseIllegalSteps(t *testing.T) {
+func TestEndpointListRejectsIllegalSteps(t *testing.T) {
 	e, f, illegal := newFakeEndpoints()
 	e.importList(nil)
-	f.want(t, "updateEndpoints")
+	f.wantCalls(t, "updateEndpoints")
 	e.importList(nil)
 	wantPhase(t, &e.phase, endpointsImported)
-	f.want(t)
-	wantIllegal(t, illegal, "endpoints: no step from imported to imported")
+	f.wantCalls(t)
+	wantIllegalSteps(t, illegal, "endpoints: no step from imported to imported")
 }
 
 // An update of an older revision does not end a drain, but a restart since then does.
-func TestOlderUpdatesRetainDraining(t *testing.T) {
+func TestEndpointListOlderUpdateRetainsDraining(t *testing.T) {
 	e, f, _ := newFakeEndpoints()
-	e.handle(listed(5))
+	e.handleEvent(listed(5))
 	f.draining["a"] = discovery.Endpoint{ID: "a", Phase: "Terminating", UpSinceMS: 100}
 	for _, update := range []struct {
 		revision  uint64
@@ -89,7 +89,7 @@
 	}{
 		{4, 100, "Terminating"}, {4, 200, "Ready"}, {5, 100, "Ready"}, {6, 100, "Ready"},
 	} {
-		e.handle(listed(update.revision,
+		e.handleEvent(listed(update.revision,
 			discovery.Endpoint{ID: "a", Phase: "Ready", UpSinceMS: update.upSinceMS},
 			discovery.Endpoint{ID: "b", Phase: "Ready", UpSinceMS: update.upSinceMS}))
 		if got := f.updated; got[0].Phase != update.want || got[1].Phase != "Ready" {
@@ -99,7 +99,7 @@
 	}
 }
 
-func TestZonesKeepTheirNumbers(t *testing.T) {
+func TestEndpointListZoneNumbersAreStable(t *testing.T) {
 	e, _, _ := newFakeEndpoints()
 	for _, zone := range []struct {
 		name   string
--- a/internal/gateway/endpoints_test.go
+++ b/internal/gateway/endpoints_test.go
@@ -10,7 +10,7 @@
 
 // The list at a new address may be older than what the address before has announced: a backend that was
 // announced as draining stays so until an update as new says otherwise, or it has started anew.
-func TestOlderUpdateKeepsBackendsDraining(t *testing.T) {
+func TestOlderEndpointUpdateKeepsBackendDraining(t *testing.T) {
 	g := newTestGateway(t, newFakeDiscovery(t))
 	const id = "s-00000001"
 	for i, step := range []struct {
@@ -44,10 +44,10 @@
 }
 
 // The client gets what concerns it, whatever interval the settings name for polls.
-func TestDiscoveryConfigComesFromTheConfiguration(t *testing.T) {
+func TestDiscoveryConfig(t *testing.T) {
 	server := newFakeDiscovery(t)
 	withGrace := func(f map[string]any) {
-		f["settings"] = settingsWith(t, `"cold-from"`, `"drain-grace-us":500000,"cold-from"`)
+		f["settings"] = editSettings(t, `"cold-from"`, `"drain-grace-us":500000,"cold-from"`)
 	}
 	want := discovery.Config{
 		Address: server.Listener.Addr().String(), Seed: 0x8c1f30d27a5be964,
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -54,7 +54,7 @@
 	g.handover = newOutgoingHandover(handoverAdapter{g}, log)
 	g.shutdown = newShutdown(shutdownAdapter{g}, log)
 	g.counter = newCounter(&cfg, g.events.Post)
-	g.discovery = discovery.New(discoveryConfig(&cfg), log, endpointAdapter{g}.post)
+	g.discovery = discovery.New(discoveryConfig(&cfg), log, endpointAdapter{g}.postEvent)
 	g.applyConfig(&cfg)
 	limitMemory(&cfg, 1)
 	budget := descriptors.NewBudget(descriptors.Usable(&cfg, log), g.counter != nil)
@@ -114,14 +114,14 @@
 	switch {
 	case !g.listening.isWaiting():
 	case g.takeover.hasPredecessor():
-		g.takeover.request(successorEvents{g})
+		g.takeover.requestState(successorEvents{g})
 	default:
-		g.accept()
+		g.acceptClients()
 	}
 }
 
 // accept accepts clients on the listener at hand.
-func (g *Gateway) accept() {
+func (g *Gateway) acceptClients() {
 	g.log.Info("ready", "listen", g.listening.listener.Addr().String(), "backends", len(g.backends.byNumber))
 	g.listening.resume()
 	if listener := g.handover.listen(g.config.Listen); listener != nil {
--- a/internal/gateway/handover.go
+++ b/internal/gateway/handover.go
@@ -53,24 +53,24 @@
 
 // handoverGateway is what a handover needs of the gateway.
 type handoverGateway interface {
-	// mayHandOver reports whether this process has begun to accept clients, and is not shutting down yet.
-	mayHandOver() bool
+	// canHandOver reports whether this process has begun to accept clients, and is not shutting down yet.
+	canHandOver() bool
 	// exportState returns the encoded state.
 	exportState() ([]byte, error)
 	// pauseServing has no client accepted and no gossip sent.
 	pauseServing()
-	// giveUpOwnership closes what the successor has now.
-	giveUpOwnership()
+	// releaseOwnership closes what the successor has now.
+	releaseOwnership()
 	// stopReading has each client's connection follow once nothing is open on it.
 	stopReading()
 	// retainOwnership ends pauseServing: this process has decided all the time.
 	retainOwnership()
 	// resumeOwnership serves again after a successor has decided.
 	resumeOwnership()
-	// handleQueued handles a command that was read while nobody decided.
-	handleQueued(receivedCommand)
-	// endIfIdle ends the gateway where it shuts down and nothing is open.
-	endIfIdle()
+	// handleQueuedCommand handles a command that was read while nobody decided.
+	handleQueuedCommand(receivedCommand)
+	// stopIfIdle ends the gateway where it shuts down and nothing is open.
+	stopIfIdle()
 	// setStateTimeout has expire called when the successor has had its time to accept the state.
 	setStateTimeout(successorLink)
 }
@@ -97,13 +97,13 @@
 // isActive reports whether a successor is taking over or has done so.
 func (h *outgoingHandover) isActive() bool { return !h.phase.Is(handoverNone) }
 
-// hasGivenOwnership reports whether a successor decides now.
-func (h *outgoingHandover) hasGivenOwnership() bool { return h.phase.Is(handoverAccepted) }
+// hasReleasedOwnership reports whether a successor decides now.
+func (h *outgoingHandover) hasReleasedOwnership() bool { return h.phase.Is(handoverAccepted) }
 
 // offer sends the state to a successor that asks for it. From here on no command is processed and nothing is
 // granted until the successor has accepted the state.
-func (h *outgoingHandover) offer(link successorLink) {
-	if h.isActive() || !h.gateway.mayHandOver() {
+func (h *outgoingHandover) offerState(link successorLink) {
+	if h.isActive() || !h.gateway.canHandOver() {
 		link.Close()
 		return
 	}
@@ -124,22 +124,22 @@
 }
 
 // accept gives up ownership: the successor on the link has decoded the state and decides.
-func (h *outgoingHandover) accept(link successorLink) {
+func (h *outgoingHandover) handleStateAccepted(link successorLink) {
 	if h.link != link || link.IsClosed() || !h.phase.Step(handoverAccepted) {
 		return
 	}
 	link.SendGo()
-	h.gateway.giveUpOwnership()
+	h.gateway.releaseOwnership()
 	for _, command := range h.queuedCommands {
-		h.queue(command)
+		h.queueCommand(command)
 	}
 	h.queuedCommands = nil
 	h.gateway.stopReading()
-	h.gateway.endIfIdle()
+	h.gateway.stopIfIdle()
 }
 
 // expire ends a handover whose state was not accepted in time.
-func (h *outgoingHandover) expire(link successorLink) {
+func (h *outgoingHandover) handleStateTimeout(link successorLink) {
 	if h.link == link && h.phase.Is(handoverOffered) {
 		link.Close()
 		h.end()
@@ -147,7 +147,7 @@
 }
 
 // successorExited ends the handover to a successor that has ended or given up.
-func (h *outgoingHandover) successorExited(link successorLink) {
+func (h *outgoingHandover) handleSuccessorExited(link successorLink) {
 	link.Close()
 	if h.link == link {
 		h.end()
@@ -156,7 +156,7 @@
 
 // end ends a handover: this process serves again.
 func (h *outgoingHandover) end() {
-	given, commands := h.hasGivenOwnership(), h.queuedCommands
+	given, commands := h.hasReleasedOwnership(), h.queuedCommands
 	if !h.phase.Step(handoverNone) {
 		return
 	}
@@ -167,15 +167,15 @@
 		h.gateway.retainOwnership()
 	}
 	for _, command := range commands {
-		h.gateway.handleQueued(command)
+		h.gateway.handleQueuedCommand(command)
 	}
-	h.gateway.endIfIdle()
+	h.gateway.stopIfIdle()
 }
 
 // queue sets a command aside that the successor is to decide on. Once that one has the state, the command is
 // added to the unread input that follows with its connection, and leaves the connection's pipeline here.
-func (h *outgoingHandover) queue(e receivedCommand) {
-	if !h.hasGivenOwnership() {
+func (h *outgoingHandover) queueCommand(e receivedCommand) {
+	if !h.hasReleasedOwnership() {
 		h.queuedCommands = append(h.queuedCommands, e)
 		return
 	}
@@ -200,32 +200,32 @@
 func (h *outgoingHandover) sendClient(
 	client handover.ClientConnection, input []byte, socket syscall.RawConn, onSent func(),
 ) {
-	h.warn(h.link.SendClient(client, input, socket, onSent))
+	h.logSendError(h.link.SendClient(client, input, socket, onSent))
 }
 
 // reportAttemptSent tells a successor of a further attempt of a request that stayed here.
 func (h *outgoingHandover) reportAttemptSent(requestID uint64, backend uint32) {
 	if h.canSend() {
-		h.warn(h.link.SendAttemptSent(handover.AttemptSent{RequestID: requestID, Backend: backend}))
+		h.logSendError(h.link.SendAttemptSent(handover.AttemptSent{RequestID: requestID, Backend: backend}))
 	}
 }
 
 // reportAttemptEnded tells a successor of the outcome of an attempt of such a request.
 func (h *outgoingHandover) reportAttemptEnded(ended policy.Outcome) {
 	if h.canSend() {
-		h.warn(h.link.SendAttemptEnded(ended))
+		h.logSendError(h.link.SendAttemptEnded(ended))
 	}
 }
 
 // reportCostSettled tells a successor what such a request cost beyond its estimate.
 func (h *outgoingHandover) reportCostSettled(customer uint64, extra float64) {
 	if h.canSend() {
-		h.warn(h.link.SendCostSettled(handover.CostSettled{Customer: customer, Extra: extra}))
+		h.logSendError(h.link.SendCostSettled(handover.CostSettled{Customer: customer, Extra: extra}))
 	}
 }
 
 // warn logs a message that could not be encoded: the successor goes on without it.
-func (h *outgoingHandover) warn(err error) {
+func (h *outgoingHandover) logSendError(err error) {
 	if err != nil {
 		h.log.Warn("handover: report not sent", "error", err)
 	}
@@ -249,7 +249,7 @@
 
 // stopListening closes the socket at which a successor asks. Its file stays where a successor has put its own
 // there.
-func (h *outgoingHandover) stopListening() { h.listener.Close(!h.hasGivenOwnership()) }
+func (h *outgoingHandover) stopListening() { h.listener.Close(!h.hasReleasedOwnership()) }
 
 // close ends the link once all that was sent has arrived, for which it waits for a limited time.
 func (h *outgoingHandover) close() {
--- a/internal/gateway/handover_clients.go
+++ b/internal/gateway/handover_clients.go
@@ -34,7 +34,7 @@
 func (e clientReaderStopped) Handle(g *Gateway) {
 	c := e.client
 	c.readerStopped = true
-	if !g.handover.hasGivenOwnership() {
+	if !g.handover.hasReleasedOwnership() {
 		c.resumeReading(g) // the handover has ended meanwhile
 		return
 	}
@@ -44,7 +44,7 @@
 // canBeHandedOver reports whether nothing is open on the connection and a successor can take it.
 func (c *client) canBeHandedOver(g *Gateway) bool {
 	return c.readerStopped && !c.closed && !c.closeWhenDrained && len(c.pipeline) == 0 &&
-		g.handover.hasGivenOwnership() && g.handover.canSend() && c.writer.Idle()
+		g.handover.hasReleasedOwnership() && g.handover.canSend() && c.writer.Idle()
 }
 
 // handOver sends the connection to the successor, with the input that was read and not processed.
@@ -66,5 +66,5 @@
 		c.writer.RawConn(),
 		func() { _ = conn.Close() }, // the successor has a descriptor of its own, or the connection ends here
 	)
-	g.shutdown.endIfIdle()
+	g.shutdown.stopIfIdle()
 }
--- a/internal/gateway/handover_gateway.go
+++ b/internal/gateway/handover_gateway.go
@@ -13,7 +13,7 @@
 // handoverAdapter implements handoverGateway.
 type handoverAdapter struct{ *Gateway }
 
-func (a handoverAdapter) mayHandOver() bool {
+func (a handoverAdapter) canHandOver() bool {
 	return !a.shutdown.isClosing() && !a.listening.isWaiting()
 }
 
@@ -45,7 +45,7 @@
 	a.events.After(stateTimeout, stateTimer{link})
 }
 
-func (a handoverAdapter) giveUpOwnership() {
+func (a handoverAdapter) releaseOwnership() {
 	a.log.Info("handed over", "open", a.requests.open, "clients", len(a.clients.conns))
 	a.ops.SetReady(false)
 	a.handover.stopListening()
@@ -104,7 +104,7 @@
 		return
 	}
 	a.gossip.Resume()
-	a.accept()
+	a.acceptClients()
 }
 
 // rebindTimer tries again to bind the sockets that a successor had taken.
@@ -116,12 +116,12 @@
 	}
 }
 
-func (a handoverAdapter) handleQueued(command receivedCommand) {
+func (a handoverAdapter) handleQueuedCommand(command receivedCommand) {
 	a.memory.queued.Add(int64(command.common().size)) // which its handling subtracts a second time
 	command.Handle(a.Gateway)
 }
 
-func (a handoverAdapter) endIfIdle() { a.shutdown.endIfIdle() }
+func (a handoverAdapter) stopIfIdle() { a.shutdown.stopIfIdle() }
 
 // predecessorEvents posts the steps of a handover ahead of queued requests.
 type predecessorEvents struct{ gateway *Gateway }
@@ -135,19 +135,19 @@
 // takeoverRequested: a successor is ready for the state.
 type takeoverRequested struct{ link *handover.Link }
 
-func (e takeoverRequested) Handle(g *Gateway) { g.handover.offer(e.link) }
+func (e takeoverRequested) Handle(g *Gateway) { g.handover.offerState(e.link) }
 
 // stateAccepted: the successor has decoded the state.
 type stateAccepted struct{ link *handover.Link }
 
-func (e stateAccepted) Handle(g *Gateway) { g.handover.accept(e.link) }
+func (e stateAccepted) Handle(g *Gateway) { g.handover.handleStateAccepted(e.link) }
 
 // stateTimer ends a handover whose state was not accepted in time.
 type stateTimer struct{ link successorLink }
 
-func (t stateTimer) Handle(g *Gateway) { g.handover.expire(t.link) }
+func (t stateTimer) Handle(g *Gateway) { g.handover.handleStateTimeout(t.link) }
 
 // successorExited: the successor has ended or given up.
 type successorExited struct{ link *handover.Link }
 
-func (e successorExited) Handle(g *Gateway) { g.handover.successorExited(e.link) }
+func (e successorExited) Handle(g *Gateway) { g.handover.handleSuccessorExited(e.link) }
--- a/internal/gateway/handover_older_predecessor_test.go
+++ b/internal/gateway/handover_older_predecessor_test.go
@@ -66,9 +66,9 @@
 	return file
 }
 
-// startFromOlder starts a gateway that takes over from a recorded process, up to its request for the state.
-// Its clock stands at the time of the recording.
-func startFromOlder(t *testing.T) (*olderPredecessor, *rig, *fakeBackend) {
+// startAfterOlderPredecessor starts a gateway that takes over from the recorded process, and returns once the
+// gateway has requested the state. The gateway's clock is stopped at the time of the recording.
+func startAfterOlderPredecessor(t *testing.T) (*olderPredecessor, *rig, *fakeBackend) {
 	t.Helper()
 	useShortTempDir(t)
 	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -80,7 +80,7 @@
 
 	b := newBackend(t)
 	d := newFakeDiscovery(t, recordedEndpoints(t, b, old.recording.At)...)
-	cfg := configureRecorded(t, d, listener.Addr().String())
+	cfg := recordedConfig(t, d, listener.Addr().String())
 	successors := listenAsOlder(t, handover.SocketPath(cfg.Listen))
 	started := make(chan *Gateway, 1)
 	go func() {
--- a/internal/gateway/handover_older_situation_test.go
+++ b/internal/gateway/handover_older_situation_test.go
@@ -9,8 +9,8 @@
 	"sparspread/policy"
 )
 
-// recordedSituation is a gateway as the older one was when it was asked to hand over.
-type recordedSituation struct {
+// recordedScenario is a gateway as the older one was when it was asked to hand over.
+type recordedScenario struct {
 	rig               *rig
 	cfg               config.Config
 	backend           *fakeBackend
@@ -22,15 +22,15 @@
 // recordedClients is how many clients are connected in that situation.
 const recordedClients = 3
 
-// bringAboutRecorded brings a gateway to that situation: a customer has emptied its bucket, one backend is
+// setUpRecordedScenario brings a gateway to that situation: a customer has emptied its bucket, one backend is
 // ejected, one is cold, and a request is open. The gateway has noticed that all other clients have
 // disconnected.
-func bringAboutRecorded(t *testing.T) *recordedSituation {
+func setUpRecordedScenario(t *testing.T) *recordedScenario {
 	t.Helper()
 	useShortTempDir(t)
 	b := newBackend(t)
 	d := newFakeDiscovery(t, b.listEntry("s-00000001", "Ready"))
-	s := &recordedSituation{cfg: configureRecorded(t, d, porttest.Reserve(t)), backend: b}
+	s := &recordedScenario{cfg: recordedConfig(t, d, porttest.Reserve(t)), backend: b}
 	s.rig = startGateway(t, s.cfg)
 	s.idle, s.spent, s.open = s.rig.client(t), s.rig.client(t), s.rig.client(t)
 	s.spent.sendOnce(1, "tiny")
@@ -56,7 +56,7 @@
 }
 
 // acceptStateAsOlder takes the state as an older successor does, after the gateway has held a command.
-func (s *recordedSituation) acceptStateAsOlder(t *testing.T, link *olderConn) olderform.Snapshot {
+func (s *recordedScenario) acceptStateAsOlder(t *testing.T, link *olderConn) olderform.Snapshot {
 	t.Helper()
 	link.Send(olderHello, nil)
 	if sockets := link.Expect(olderSockets); len(sockets.Files) != 1 {
--- a/internal/gateway/handover_older_state_test.go
+++ b/internal/gateway/handover_older_state_test.go
@@ -41,8 +41,8 @@
 	return []string{b.listEntry("s-00000001", "Ready"), b.listEntry("s-00000004", "Ready"), refusing, cold}
 }
 
-// configureRecorded returns the configuration of the recorded session, with another address for clients.
-func configureRecorded(t *testing.T, d *fakeDiscovery, listen string) config.Config {
+// recordedConfig returns the configuration of the recorded session, with another address for clients.
+func recordedConfig(t *testing.T, d *fakeDiscovery, listen string) config.Config {
 	t.Helper()
 	text := strings.Replace(settingsText, `"rate":0.1,`, `"rate":0.0001,`, 1)
 	text = strings.Replace(text, `"settles":false`, `"settles":true,"max-units":8`, 1)
--- a/internal/gateway/handover_older_test.go
+++ b/internal/gateway/handover_older_test.go
@@ -10,13 +10,13 @@
 )
 
 // These tests hand over between this program and that of commit d086cf6. The test stands in for the older
-// process: sessionFile has what the older program sent in the situation that bringAboutRecorded brings
+// process: sessionFile has what the older program sent in the situation that setUpRecordedScenario brings
 // about, package olderform has the forms of its messages.
 
 // The recorded process hands over to this program: all that it granted and learned is known, its clients
 // follow and the attempts that it had sent end here.
 func TestOlderPredecessorHandsOver(t *testing.T) {
-	old, r, b := startFromOlder(t)
+	old, r, b := startAfterOlderPredecessor(t)
 	recorded := *decodeOlderState(t, old.recording.Messages[0].Body).Module
 	old.play(olderStateEnd)
 	old.link.Expect(olderAccepted)
@@ -69,7 +69,7 @@
 func TestOlderSuccessorTakesOver(t *testing.T) {
 	recording := readOlderRecording(t, sessionFile)
 	recorded := *decodeOlderState(t, recording.Messages[1].Body).Module
-	s := bringAboutRecorded(t)
+	s := setUpRecordedScenario(t)
 	link := dialHandover(t, s.cfg)
 	state := s.acceptStateAsOlder(t, link)
 	wantRecordedState(t, state, recorded, s.admitted)
--- a/internal/gateway/handover_phase_test.go
+++ b/internal/gateway/handover_phase_test.go
@@ -11,7 +11,7 @@
 
 // fakeLink is a successor's link that records what is sent.
 type fakeLink struct {
-	effects
+	callRecorder
 	closed bool
 }
 
@@ -52,112 +52,112 @@
 
 // fakeHandoverGateway records what a handover has the gateway do.
 type fakeHandoverGateway struct {
-	effects
+	callRecorder
 	closing   bool
 	exportErr error
 }
 
-func (f *fakeHandoverGateway) mayHandOver() bool             { return !f.closing }
-func (f *fakeHandoverGateway) exportState() ([]byte, error)  { return nil, f.exportErr }
-func (f *fakeHandoverGateway) pauseServing()                 { f.record("pauseServing") }
-func (f *fakeHandoverGateway) giveUpOwnership()              { f.record("giveUpOwnership") }
-func (f *fakeHandoverGateway) stopReading()                  { f.record("stopReading") }
-func (f *fakeHandoverGateway) retainOwnership()              { f.record("retainOwnership") }
-func (f *fakeHandoverGateway) resumeOwnership()              { f.record("resumeOwnership") }
-func (f *fakeHandoverGateway) handleQueued(receivedCommand)  { f.record("handleQueued") }
-func (f *fakeHandoverGateway) endIfIdle()                    { f.record("endIfIdle") }
-func (f *fakeHandoverGateway) setStateTimeout(successorLink) { f.record("setStateTimeout") }
+func (f *fakeHandoverGateway) canHandOver() bool                   { return !f.closing }
+func (f *fakeHandoverGateway) exportState() ([]byte, error)        { return nil, f.exportErr }
+func (f *fakeHandoverGateway) pauseServing()                       { f.record("pauseServing") }
+func (f *fakeHandoverGateway) releaseOwnership()                   { f.record("releaseOwnership") }
+func (f *fakeHandoverGateway) stopReading()                        { f.record("stopReading") }
+func (f *fakeHandoverGateway) retainOwnership()                    { f.record("retainOwnership") }
+func (f *fakeHandoverGateway) resumeOwnership()                    { f.record("resumeOwnership") }
+func (f *fakeHandoverGateway) handleQueuedCommand(receivedCommand) { f.record("handleQueuedCommand") }
+func (f *fakeHandoverGateway) stopIfIdle()                         { f.record("stopIfIdle") }
+func (f *fakeHandoverGateway) setStateTimeout(successorLink)       { f.record("setStateTimeout") }
 
 // newFakeHandover returns a handover whose gateway is fake, and what it has logged as illegal.
 func newFakeHandover() (*outgoingHandover, *fakeHandoverGateway, *[]string) {
-	log, illegal := newStepLog()
+	log, illegal := newIllegalStepLog()
 	f := &fakeHandoverGateway{}
 	return newOutgoingHandover(f, log), f, illegal
 }
 
-func TestHandoverToSuccessor(t *testing.T) {
+func TestHandoverPhases(t *testing.T) {
 	h, f, illegal := newFakeHandover()
 	link := &fakeLink{}
-	h.offer(link)
+	h.offerState(link)
 	wantPhase(t, &h.phase, handoverOffered)
-	f.want(t, "pauseServing", "setStateTimeout")
-	link.want(t, "SendState")
-	if !h.isActive() || h.hasGivenOwnership() || !h.canSend() {
+	f.wantCalls(t, "pauseServing", "setStateTimeout")
+	link.wantCalls(t, "SendState")
+	if !h.isActive() || h.hasReleasedOwnership() || !h.canSend() {
 		t.Error("nothing is offered, or all is given")
 	}
 	c := &client{pipelineSlots: make(chan struct{}, 1)}
 	c.pipelineSlots <- struct{}{}
-	h.queue(commandAnswered{commandHead: commandHead{client: c, args: [][]byte{[]byte("PING")}}})
-	h.accept(link)
+	h.queueCommand(commandAnswered{commandHead: commandHead{client: c, args: [][]byte{[]byte("PING")}}})
+	h.handleStateAccepted(link)
 	wantPhase(t, &h.phase, handoverAccepted)
-	f.want(t, "giveUpOwnership", "stopReading", "endIfIdle")
-	link.want(t, "SendGo")
+	f.wantCalls(t, "releaseOwnership", "stopReading", "stopIfIdle")
+	link.wantCalls(t, "SendGo")
 	if got := string(c.handoverInput); got != "*1\r\n$4\r\nPING\r\n" || len(c.pipelineSlots) != 0 {
 		t.Errorf("the successor gets the input %q; %d slots are held", got, len(c.pipelineSlots))
 	}
-	h.expire(link) // its time comes after the state was accepted
+	h.handleStateTimeout(link) // its time comes after the state was accepted
 	h.reportAttemptSent(1, 1)
 	h.reportAttemptEnded(policy.Outcome{})
 	h.reportCostSettled(1, 1)
 	h.sendClient(handover.ClientConnection{}, nil, nil, nil)
 	h.close()
-	link.want(t, "SendAttemptSent", "SendAttemptEnded", "SendCostSettled", "SendClient", "CloseAndWait")
-	f.want(t)
-	wantIllegal(t, illegal)
+	link.wantCalls(t, "SendAttemptSent", "SendAttemptEnded", "SendCostSettled", "SendClient", "CloseAndWait")
+	f.wantCalls(t)
+	wantIllegalSteps(t, illegal)
 }
 
 // A successor that does not accept the state in time, or ends before, leaves this process deciding.
-func TestHandoverIsNotAccepted(t *testing.T) {
+func TestHandoverWithoutAcceptanceRetainsOwnership(t *testing.T) {
 	for name, end := range map[string]func(*outgoingHandover, successorLink){
-		"in time":         (*outgoingHandover).expire,
-		"before its exit": (*outgoingHandover).successorExited,
+		"in time":         (*outgoingHandover).handleStateTimeout,
+		"before its exit": (*outgoingHandover).handleSuccessorExited,
 	} {
 		t.Run(name, func(t *testing.T) {
 			h, f, illegal := newFakeHandover()
 			link := &fakeLink{}
-			h.offer(link)
-			h.queue(commandAnswered{})
-			f.want(t, "pauseServing", "setStateTimeout")
+			h.offerState(link)
+			h.queueCommand(commandAnswered{})
+			f.wantCalls(t, "pauseServing", "setStateTimeout")
 			end(h, link)
 			wantPhase(t, &h.phase, handoverNone)
-			f.want(t, "retainOwnership", "handleQueued", "endIfIdle")
-			link.want(t, "SendState", "Close")
-			h.accept(link) // too late
-			h.expire(link)
-			h.successorExited(link)
+			f.wantCalls(t, "retainOwnership", "handleQueuedCommand", "stopIfIdle")
+			link.wantCalls(t, "SendState", "Close")
+			h.handleStateAccepted(link) // too late
+			h.handleStateTimeout(link)
+			h.handleSuccessorExited(link)
 			h.reportAttemptSent(1, 1)
 			h.close()
-			f.want(t)
-			link.want(t, "Close")
-			wantIllegal(t, illegal)
+			f.wantCalls(t)
+			link.wantCalls(t, "Close")
+			wantIllegalSteps(t, illegal)
 		})
 	}
 }
 
 // A successor that ends after it has decided leaves this process to serve again, and another one may take
 // over.
-func TestHandoverIsTakenBack(t *testing.T) {
+func TestHandoverResumesOwnershipAfterSuccessorExit(t *testing.T) {
 	h, f, illegal := newFakeHandover()
 	first, second := &fakeLink{}, &fakeLink{}
-	h.offer(first)
-	h.accept(first)
-	f.want(t, "pauseServing", "setStateTimeout", "giveUpOwnership", "stopReading", "endIfIdle")
-	h.successorExited(first)
+	h.offerState(first)
+	h.handleStateAccepted(first)
+	f.wantCalls(t, "pauseServing", "setStateTimeout", "releaseOwnership", "stopReading", "stopIfIdle")
+	h.handleSuccessorExited(first)
 	wantPhase(t, &h.phase, handoverNone)
-	f.want(t, "resumeOwnership", "endIfIdle")
-	h.offer(second)
-	h.expire(first)
-	h.successorExited(first)
+	f.wantCalls(t, "resumeOwnership", "stopIfIdle")
+	h.offerState(second)
+	h.handleStateTimeout(first)
+	h.handleSuccessorExited(first)
 	wantPhase(t, &h.phase, handoverOffered)
-	f.want(t, "pauseServing", "setStateTimeout")
-	second.want(t, "SendState")
-	wantIllegal(t, illegal)
+	f.wantCalls(t, "pauseServing", "setStateTimeout")
+	second.wantCalls(t, "SendState")
+	wantIllegalSteps(t, illegal)
 }
 
-func TestHandoverIsRefused(t *testing.T) {
+func TestHandoverRefusesSuccessor(t *testing.T) {
 	for name, prepare := range map[string]func(*outgoingHandover, *fakeHandoverGateway){
 		"while another runs": func(h *outgoingHandover, f *fakeHandoverGateway) {
-			h.offer(&fakeLink{})
+			h.offerState(&fakeLink{})
 			f.calls = nil
 		},
 		"during a shutdown": func(_ *outgoingHandover, f *fakeHandoverGateway) { f.closing = true },
@@ -170,29 +170,29 @@
 			prepare(h, f)
 			before := h.phase.Current()
 			link := &fakeLink{}
-			h.offer(link)
-			h.accept(link)
+			h.offerState(link)
+			h.handleStateAccepted(link)
 			wantPhase(t, &h.phase, before)
-			f.want(t)
-			link.want(t, "Close")
-			wantIllegal(t, illegal)
+			f.wantCalls(t)
+			link.wantCalls(t, "Close")
+			wantIllegalSteps(t, illegal)
 		})
 	}
 }
 
-func TestHandoverRefusesIllegalSteps(t *testing.T) {
+func TestHandoverRejectsIllegalSteps(t *testing.T) {
 	h, f, illegal := newFakeHandover()
 	link := &fakeLink{}
-	h.offer(link)
-	h.accept(link)
+	h.offerState(link)
+	h.handleStateAccepted(link)
 	f.calls = nil
-	h.accept(link)
+	h.handleStateAccepted(link)
 	wantPhase(t, &h.phase, handoverAccepted)
-	wantIllegal(t, illegal, "handover: no step from accepted to accepted")
-	h.successorExited(link)
-	f.want(t, "resumeOwnership", "endIfIdle")
+	wantIllegalSteps(t, illegal, "handover: no step from accepted to accepted")
+	h.handleSuccessorExited(link)
+	f.wantCalls(t, "resumeOwnership", "stopIfIdle")
 	h.end()
 	wantPhase(t, &h.phase, handoverNone)
-	f.want(t)
-	wantIllegal(t, illegal, "handover: no step from none to none")
+	f.wantCalls(t)
+	wantIllegalSteps(t, illegal, "handover: no step from none to none")
 }
--- a/internal/gateway/handover_test.go
+++ b/internal/gateway/handover_test.go
@@ -13,13 +13,14 @@
 	"sparspread/internal/porttest"
 )
 
-// replaceableGateway returns the configuration of a gateway that a second process can take over from.
-func replaceableGateway(t *testing.T) (config.Config, *fakeBackend) {
+// replaceableConfigWithBackend returns the configuration of a gateway that a second process can take over
+// from, and the only backend of that gateway.
+func replaceableConfigWithBackend(t *testing.T) (config.Config, *fakeBackend) {
 	t.Helper()
 	useShortTempDir(t)
 	b := newBackend(t)
 	d := newFakeDiscovery(t, b.listEntry("s-00000001", "Ready"))
-	return configureReplaceable(t, d), b
+	return replaceableConfig(t, d), b
 }
 
 // makeShortDir makes a directory with a short path, unlike testing.T.TempDir: the path of a Unix socket in
@@ -41,9 +42,9 @@
 	t.Setenv("TMPDIR", dir)
 }
 
-// configureReplaceable returns a configuration with a fixed address, by which a second process finds the
+// replaceableConfig returns a configuration with a fixed address, by which a second process finds the
 // first. Its buckets refill so slowly that no wait of a test matters.
-func configureReplaceable(t *testing.T, d *fakeDiscovery) config.Config {
+func replaceableConfig(t *testing.T, d *fakeDiscovery) config.Config {
 	t.Helper()
 	address := porttest.Reserve(t)
 	slowRefill := strings.Replace(settingsText, `"rate":0.1,`, `"rate":0.0001,`, 1)
@@ -82,8 +83,8 @@
 
 // Open requests end where they were sent, connections follow with the input that was read from them, and no
 // bucket is granted from twice.
-func TestSuccessorTakesOverRequestsConnectionsAndBuckets(t *testing.T) {
-	cfg, b := replaceableGateway(t)
+func TestHandoverTransfersConnectionsAndBuckets(t *testing.T) {
+	cfg, b := replaceableConfigWithBackend(t)
 	first := startGateway(t, cfg)
 	idle, busy, spent := first.client(t), first.client(t), first.client(t)
 	idle.sendOnce(1, "team")
@@ -117,8 +118,8 @@
 }
 
 // A third process takes over from the second, which listens where the first one did.
-func TestEachSuccessorCanHandOver(t *testing.T) {
-	cfg, b := replaceableGateway(t)
+func TestSuccessorHandsOverInTurn(t *testing.T) {
+	cfg, b := replaceableConfigWithBackend(t)
 	first := startGateway(t, cfg)
 	c := first.client(t)
 	for i := range 3 {
@@ -132,8 +133,8 @@
 	}
 }
 
-func TestPredecessorServesAgainWhenSuccessorEnds(t *testing.T) {
-	cfg, b := replaceableGateway(t)
+func TestPredecessorServesAgainAfterSuccessorExit(t *testing.T) {
+	cfg, b := replaceableConfigWithBackend(t)
 	first := startGateway(t, cfg)
 	second := startGateway(t, cfg)
 	waitForReadiness(t, second, 200)
@@ -148,8 +149,8 @@
 
 // A handover that breaks off at any step leaves the first process serving, and the commands that came
 // meanwhile are answered.
-func TestInterruptedHandoverChangesNothing(t *testing.T) {
-	cfg, b := replaceableGateway(t)
+func TestInterruptedHandoverLeavesPredecessorServing(t *testing.T) {
+	cfg, b := replaceableConfigWithBackend(t)
 	first := startGateway(t, cfg)
 	c := first.client(t)
 	id := 0
@@ -186,7 +187,7 @@
 
 // A socket's file that no process listens at keeps no process from starting.
 func TestStaleHandoverSocketIsReplaced(t *testing.T) {
-	cfg, b := replaceableGateway(t)
+	cfg, b := replaceableConfigWithBackend(t)
 	stale := listenAsOlder(t, handover.SocketPath(cfg.Listen))
 	stale.SetUnlinkOnClose(false)
 	if err := stale.Close(); err != nil {
@@ -200,8 +201,8 @@
 
 // A command of which the first process has read a part is read to its end there, and decided on by the
 // second.
-func TestPartlyReadCommandFollowsItsClient(t *testing.T) {
-	cfg, b := replaceableGateway(t)
+func TestHandoverTransfersClientAfterPartialCommand(t *testing.T) {
+	cfg, b := replaceableConfigWithBackend(t)
 	first := startGateway(t, cfg)
 	c := first.client(t)
 	c.send("PING")
--- a/internal/gateway/listening.go
+++ b/internal/gateway/listening.go
@@ -48,13 +48,13 @@
 // listening accepts clients' connections. It owns the listener and the accept goroutine, of which there is
 // one at most: it runs while this process accepts or drains. All of it belongs to the loop, but for accept.
 type listening struct {
-	phase        phase.Machine[listeningPhase]
-	listener     *net.TCPListener
-	slots        chan struct{} // of the clients: one is acquired for each connection
-	accepting    chan struct{} // closed to end the accept goroutine; nil: there is none
-	drainBacklog chan struct{} // closed to end it once the listener's backlog is accepted
-	post         func(event)
-	log          *slog.Logger
+	phase         phase.Machine[listeningPhase]
+	listener      *net.TCPListener
+	slots         chan struct{} // of the clients: one is acquired for each connection
+	stopAccepting chan struct{} // closed to end the accept goroutine; nil: there is none
+	drainBacklog  chan struct{} // closed to end it once the listener's backlog is accepted
+	post          func(event)
+	log           *slog.Logger
 }
 
 func newListening(slots chan struct{}, post func(event), log *slog.Logger) *listening {
@@ -106,15 +106,15 @@
 // resume has connections accepted from now on.
 func (s *listening) resume() {
 	if s.phase.Step(listeningAccepting) {
-		s.startAccepting()
+		s.startAcceptLoop()
 	}
 }
 
 // startAccepting starts the accept goroutine.
-func (s *listening) startAccepting() {
-	s.accepting = make(chan struct{})
+func (s *listening) startAcceptLoop() {
+	s.stopAccepting = make(chan struct{})
 	_ = s.listener.SetDeadline(time.Time{}) // accept reports a closed listener
-	go s.accept(s.listener, s.accepting)
+	go s.acceptConns(s.listener, s.stopAccepting)
 }
 
 // pause has no more connections accepted: they stay in the listener's backlog.
@@ -122,8 +122,8 @@
 	if !s.phase.Step(listeningPaused) {
 		return
 	}
-	close(s.accepting)
-	s.accepting = nil
+	close(s.stopAccepting)
+	s.stopAccepting = nil
 	_ = s.listener.SetDeadline(time.Unix(1, 0)) // accept reports a closed listener
 }
 
@@ -151,8 +151,8 @@
 		return
 	}
 	close(s.drainBacklog)
-	if s.accepting == nil {
-		s.startAccepting()
+	if s.stopAccepting == nil {
+		s.startAcceptLoop()
 		return
 	}
 	_ = s.listener.SetDeadline(time.Now().Add(backlogIdleTimeout)) // accept reports a closed listener
@@ -165,12 +165,12 @@
 	if !g.listening.isClosed() {
 		g.listening.phase.Step(listeningClosed)
 	}
-	g.shutdown.endIfIdle()
+	g.shutdown.stopIfIdle()
 }
 
 // accept posts new connections, with as many open at a time as there are slots, until it is paused or the
 // listener is closed.
-func (s *listening) accept(listener *net.TCPListener, paused <-chan struct{}) {
+func (s *listening) acceptConns(listener *net.TCPListener, paused <-chan struct{}) {
 	for {
 		select {
 		case s.slots <- struct{}{}:
--- a/internal/gateway/listening_test.go
+++ b/internal/gateway/listening_test.go
@@ -2,15 +2,15 @@
 
 import "testing"
 
-// newSocketlessListening returns a listening type without a socket and without slots: its accept goroutine
+// newListeningWithoutSocket returns a listening type without a socket and without slots: its accept goroutine
 // waits for a slot until it is paused.
-func newSocketlessListening(t *testing.T) (s *listening, illegal *[]string) {
+func newListeningWithoutSocket(t *testing.T) (s *listening, illegal *[]string) {
 	t.Helper()
-	log, illegal := newStepLog()
+	log, illegal := newIllegalStepLog()
 	s = newListening(make(chan struct{}), func(event) { t.Error("an event without a socket") }, log)
 	t.Cleanup(func() {
-		if s.accepting != nil {
-			close(s.accepting)
+		if s.stopAccepting != nil {
+			close(s.stopAccepting)
 		}
 	})
 	return s, illegal
@@ -51,14 +51,14 @@
 		},
 	} {
 		t.Run(run.name, func(t *testing.T) {
-			s, illegal := newSocketlessListening(t)
+			s, illegal := newListeningWithoutSocket(t)
 			for _, call := range run.calls {
 				call(s)
 			}
 			wantPhase(t, &s.phase, run.want)
-			wantIllegal(t, illegal)
+			wantIllegalSteps(t, illegal)
 			accepts := run.want == listeningAccepting || run.want == listeningDraining
-			if got := s.accepting != nil; got != accepts {
+			if got := s.stopAccepting != nil; got != accepts {
 				t.Errorf("accept goroutine: %t", got)
 			}
 			got := [...]bool{s.isWaiting(), s.isPaused(), s.isClosed()}
@@ -72,19 +72,19 @@
 	}
 }
 
-func TestListeningRefusesIllegalSteps(t *testing.T) {
-	s, illegal := newSocketlessListening(t)
+func TestListeningRejectsIllegalSteps(t *testing.T) {
+	s, illegal := newListeningWithoutSocket(t)
 	s.pause()
 	wantPhase(t, &s.phase, listeningWaiting)
-	wantIllegal(t, illegal, "listening: no step from waiting to paused")
+	wantIllegalSteps(t, illegal, "listening: no step from waiting to paused")
 	s.resume()
 	s.resume()
 	wantPhase(t, &s.phase, listeningAccepting)
-	wantIllegal(t, illegal, "listening: no step from accepting to accepting")
+	wantIllegalSteps(t, illegal, "listening: no step from accepting to accepting")
 	s.shutDown(false)
 	s.shutDown(false)
 	s.resume()
 	wantPhase(t, &s.phase, listeningDraining)
-	wantIllegal(t, illegal, "listening: no step from draining to draining",
+	wantIllegalSteps(t, illegal, "listening: no step from draining to draining",
 		"listening: no step from draining to accepting")
 }
--- a/internal/gateway/loop_rig_test.go
+++ b/internal/gateway/loop_rig_test.go
@@ -31,7 +31,7 @@
 }
 
 // handleNext handles the next event of a loop that the test runs itself.
-func handleNext(t *testing.T, g *Gateway, what string) event {
+func handleNextEvent(t *testing.T, g *Gateway, what string) event {
 	t.Helper()
 	e := wait(t, g.events.Queue(), what)
 	g.events.HandleEvent(e)
@@ -45,10 +45,10 @@
 	g.listening.resume()
 	t.Cleanup(g.listening.pause)
 	c := dialClient(t, g.listening.listener.Addr().String())
-	handleNext(t, g, "the connection")
+	handleNextEvent(t, g, "the connection")
 	fields += ",t=team,d=60000,units=1,spread=1,first=0"
 	c.send("API.WRITE", "0000000000000007", "00000000000000a1", fields, "x")
-	handleNext(t, g, "the request")
+	handleNextEvent(t, g, "the request")
 	return c
 }
 
--- a/internal/gateway/phases_test.go
+++ b/internal/gateway/phases_test.go
@@ -9,23 +9,23 @@
 	"sparspread/internal/phase"
 )
 
-// stepLog is a log handler that collects the illegal steps of state machines.
-type stepLog struct {
+// illegalStepLog is a log handler that collects the illegal steps of state machines.
+type illegalStepLog struct {
 	slog.Handler
 	illegal *[]string
 }
 
-// newStepLog returns a log, and the illegal steps that are written to it.
-func newStepLog() (log *slog.Logger, illegal *[]string) {
+// newIllegalStepLog returns a log, and the illegal steps that are written to it.
+func newIllegalStepLog() (log *slog.Logger, illegal *[]string) {
 	illegal = new([]string)
-	return slog.New(stepLog{slog.DiscardHandler, illegal}), illegal
+	return slog.New(illegalStepLog{slog.DiscardHandler, illegal}), illegal
 }
 
 // Enabled implements slog.Handler.
-func (stepLog) Enabled(context.Context, slog.Level) bool { return true }
+func (illegalStepLog) Enabled(context.Context, slog.Level) bool { return true }
 
 // Handle implements slog.Handler.
-func (h stepLog) Handle(_ context.Context, record slog.Record) error {
+func (h illegalStepLog) Handle(_ context.Context, record slog.Record) error {
 	if record.Message == illegalStepMessage && record.Level == slog.LevelError {
 		record.Attrs(func(a slog.Attr) bool {
 			*h.illegal = append(*h.illegal, a.Value.String())
@@ -35,8 +35,8 @@
 	return nil
 }
 
-// wantIllegal checks which steps were reported as illegal, and forgets them.
-func wantIllegal(t *testing.T, illegal *[]string, want ...string) {
+// wantIllegalSteps checks which steps were reported as illegal, and forgets them.
+func wantIllegalSteps(t *testing.T, illegal *[]string, want ...string) {
 	t.Helper()
 	if !slices.Equal(*illegal, want) {
 		t.Errorf("illegal steps %q, want %q", *illegal, want)
@@ -52,13 +52,13 @@
 	}
 }
 
-// effects records the names of the methods that a control type calls on its gateway.
-type effects struct{ calls []string }
+// callRecorder records the names of the methods that a control type calls on its gateway.
+type callRecorder struct{ calls []string }
 
-func (e *effects) record(call string) { e.calls = append(e.calls, call) }
+func (e *callRecorder) record(call string) { e.calls = append(e.calls, call) }
 
 // want checks the calls since the last check.
-func (e *effects) want(t *testing.T, calls ...string) {
+func (e *callRecorder) wantCalls(t *testing.T, calls ...string) {
 	t.Helper()
 	if !slices.Equal(e.calls, calls) {
 		t.Errorf("calls %q, want %q", e.calls, calls)
@@ -66,9 +66,9 @@
 	e.calls = nil
 }
 
-// checkTable checks that a table reaches each of n phases from the first ones, and that each has a name of
-// its own.
-func checkTable[P interface {
+// checkPhaseTable checks that each of n phases is reachable from the initial ones, and that the names of the
+// phases are distinct.
+func checkPhaseTable[P interface {
 	phase.Phase
 	~uint8
 }](t *testing.T, steps phase.Steps[P], n int, first ...P) {
@@ -94,21 +94,21 @@
 
 func TestPhaseTablesReachEachPhase(t *testing.T) {
 	t.Run("listening", func(t *testing.T) {
-		checkTable(t, listeningSteps, 6, listeningWaiting)
+		checkPhaseTable(t, listeningSteps, 6, listeningWaiting)
 	})
 	t.Run("takeover", func(t *testing.T) {
-		checkTable(t, takeoverSteps, 6, takeoverNone, takeoverPending)
+		checkPhaseTable(t, takeoverSteps, 6, takeoverNone, takeoverPending)
 	})
 	t.Run("handover", func(t *testing.T) {
-		checkTable(t, handoverSteps, 3, handoverNone)
+		checkPhaseTable(t, handoverSteps, 3, handoverNone)
 	})
 	t.Run("shutdown", func(t *testing.T) {
-		checkTable(t, shutdownSteps, 4, shutdownNone)
+		checkPhaseTable(t, shutdownSteps, 4, shutdownNone)
 	})
 	t.Run("reload", func(t *testing.T) {
-		checkTable(t, reloadSteps, 3, reloadNone)
+		checkPhaseTable(t, reloadSteps, 3, reloadNone)
 	})
 	t.Run("endpoints", func(t *testing.T) {
-		checkTable(t, endpointSteps, 3, endpointsConfigured)
+		checkPhaseTable(t, endpointSteps, 3, endpointsConfigured)
 	})
 }
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -31,7 +31,7 @@
 type reloadGateway interface {
 	// check returns why a configuration can't take the place of the one in force. The policy decides by its
 	// settings from then on where there is no error, and by the old ones otherwise.
-	check(*config.Config) error
+	applySettings(*config.Config) error
 	// applyReload puts a checked configuration in force.
 	applyReload(config.Config)
 	// rejectConfig records a configuration of which nothing is used.
@@ -57,7 +57,7 @@
 	if !r.phase.Step(reloadChecking) {
 		return
 	}
-	if err := r.gateway.check(&cfg); err != nil {
+	if err := r.gateway.applySettings(&cfg); err != nil {
 		r.gateway.rejectConfig(err)
 	} else if r.phase.Step(reloadApplying) {
 		r.gateway.applyReload(cfg)
@@ -73,7 +73,7 @@
 // reloadAdapter implements reloadGateway.
 type reloadAdapter struct{ *Gateway }
 
-func (a reloadAdapter) check(cfg *config.Config) error {
+func (a reloadAdapter) applySettings(cfg *config.Config) error {
 	if err := a.config.CheckKeys(cfg); err != nil {
 		return err
 	}
--- a/internal/gateway/reload_phase_test.go
+++ b/internal/gateway/reload_phase_test.go
@@ -12,7 +12,7 @@
 
 // fakeReloadGateway records what a reload has the gateway do.
 type fakeReloadGateway struct {
-	effects
+	callRecorder
 	checkErr error
 	during   func() // called while a configuration is checked
 }
@@ -20,8 +20,8 @@
 func (f *fakeReloadGateway) applyReload(config.Config) { f.record("applyReload") }
 func (f *fakeReloadGateway) rejectConfig(error)        { f.record("rejectConfig") }
 
-func (f *fakeReloadGateway) check(*config.Config) error {
-	f.record("check")
+func (f *fakeReloadGateway) applySettings(*config.Config) error {
+	f.record("applySettings")
 	if f.during != nil {
 		f.during()
 	}
@@ -29,41 +29,41 @@
 }
 
 func newFakeReload() (*reload, *fakeReloadGateway, *[]string) {
-	log, illegal := newStepLog()
+	log, illegal := newIllegalStepLog()
 	f := &fakeReloadGateway{}
 	return newReload(f, log), f, illegal
 }
 
-func TestReloadAppliesWhatIsRight(t *testing.T) {
+func TestReloadAppliesValidConfiguration(t *testing.T) {
 	r, f, illegal := newFakeReload()
 	for range 2 {
 		r.load(config.Config{})
-		f.want(t, "check", "applyReload")
+		f.wantCalls(t, "applySettings", "applyReload")
 		wantPhase(t, &r.phase, reloadNone)
 	}
-	wantIllegal(t, illegal)
+	wantIllegalSteps(t, illegal)
 }
 
-func TestReloadAppliesNothingOfWhatIsWrong(t *testing.T) {
+func TestReloadRejectsInvalidConfiguration(t *testing.T) {
 	r, f, illegal := newFakeReload()
 	f.checkErr = errConfig
 	r.load(config.Config{})
-	f.want(t, "check", "rejectConfig")
+	f.wantCalls(t, "applySettings", "rejectConfig")
 	wantPhase(t, &r.phase, reloadNone)
 	f.checkErr = nil
 	r.load(config.Config{})
-	f.want(t, "check", "applyReload")
-	wantIllegal(t, illegal)
+	f.wantCalls(t, "applySettings", "applyReload")
+	wantIllegalSteps(t, illegal)
 }
 
 // A reload can't begin within another one.
-func TestReloadRefusesIllegalSteps(t *testing.T) {
+func TestReloadRejectsIllegalSteps(t *testing.T) {
 	r, f, illegal := newFakeReload()
 	f.during = func() {
 		wantPhase(t, &r.phase, reloadChecking)
 		r.load(config.Config{})
 	}
 	r.load(config.Config{})
-	f.want(t, "check", "applyReload")
-	wantIllegal(t, illegal, "reload: no step from checking to checking")
+	f.wantCalls(t, "applySettings", "applyReload")
+	wantIllegalSteps(t, illegal, "reload: no step from checking to checking")
 }
--- a/internal/gateway/reload_settings_test.go
+++ b/internal/gateway/reload_settings_test.go
@@ -22,7 +22,7 @@
 	r.reloadWith(newConfig(t, d, func(f map[string]any) {
 		withOps(f)
 		// Class lookup vanishes while a request of it is open, order becomes the first, strict is new.
-		f["settings"] = settingsWith(t, lookupClass, "", onceClass, strictClass+onceClass)
+		f["settings"] = editSettings(t, lookupClass, "", onceClass, strictClass+onceClass)
 	}), nil)
 	awaitMetric(t, r, "cfg_accepted=1")
 	c2 := r.client(t)
@@ -43,7 +43,7 @@
 }
 
 // Of a configuration with any error nothing takes effect, not even the address of discovery.
-func TestInvalidReloadChangesNothing(t *testing.T) {
+func TestInvalidReloadHasNoEffect(t *testing.T) {
 	r, b, d := startWithBackend(t, withOps)
 	elsewhere := newFakeDiscovery(t)
 	withoutKeys := newConfig(t, elsewhere, withOps)
@@ -55,7 +55,7 @@
 	} {
 		r.reloadWith(newConfig(t, elsewhere, func(f map[string]any) {
 			withOps(f)
-			f["settings"] = settingsWith(t, change[0], change[1])
+			f["settings"] = editSettings(t, change[0], change[1])
 		}), nil)
 	}
 	awaitMetric(t, r, "cfg_invalid=3")
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -17,7 +17,7 @@
 
 // Discovery moves at once, though a watch is open at the old address; the request and the connection that are
 // open go on.
-func TestReloadMovesDiscovery(t *testing.T) {
+func TestReloadChangesDiscoveryAddress(t *testing.T) {
 	r, before, old := startWithBackend(t, nil)
 	old.awaitWatch(t)
 	c := r.client(t)
@@ -37,7 +37,7 @@
 }
 
 // A configuration that can't be read leaves the gateway as it was: it goes on watching the endpoint list.
-func TestFailedReloadKeepsTheConfiguration(t *testing.T) {
+func TestFailedReloadKeepsConfiguration(t *testing.T) {
 	r, _, d := startWithBackend(t, nil)
 	r.reloadWith(config.Config{}, fs.ErrNotExist)
 	d.awaitWatch(t)
@@ -64,7 +64,7 @@
 }
 
 // Calls go to the counter of the newest configuration, each with one answer.
-func TestReloadMovesTheCounter(t *testing.T) {
+func TestReloadChangesCounterAddress(t *testing.T) {
 	first, firstCalls := newCounterServer(t, "1")
 	second, secondCalls := newCounterServer(t, "2")
 	b := newBackend(t)
--- a/internal/gateway/request_body_test.go
+++ b/internal/gateway/request_body_test.go
@@ -123,11 +123,11 @@
 			g.listening.resume()
 			t.Cleanup(g.listening.pause)
 			client := dialClient(t, g.listening.listener.Addr().String())
-			handleNext(t, g, "the connection")
+			handleNextEvent(t, g, "the connection")
 			_, body := largeHead()
 			client.write(bodyHead(1, "team", len(body)) + body + "\r\n")
-			handleNext(t, g, "the request")
-			handleNext(t, g, "the dial's end")
+			handleNextEvent(t, g, "the request")
+			handleNextEvent(t, g, "the dial's end")
 			c.end(t, b.nextCall(t))
 			var written, reply event
 			for written == nil || reply == nil {
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -127,7 +127,7 @@
 	c := r.client(t)
 	c.sendLookupWithin(1, "300")
 	late := b.nextCall(t)
-	r.advance(t, 300_000)
+	r.advanceClock(t, 300_000)
 	c.wantRejected()
 	_, _ = late.conn.Write([]byte("*3\r\n$4\r\nlate\r\n$-1\r\n$-1\r\n"))
 	c.sendLookup(2)
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -49,7 +49,7 @@
 // settings: an old part, what takes its place, and so on.
 func withSettings(tb testing.TB, changes ...string) func(map[string]any) {
 	tb.Helper()
-	return func(file map[string]any) { file["settings"] = settingsWith(tb, changes...) }
+	return func(file map[string]any) { file["settings"] = editSettings(tb, changes...) }
 }
 
 // eventAs returns an event as the type that the test expects it to have.
@@ -63,16 +63,17 @@
 }
 
 // discardLog is a log that is discarded, but for an illegal step of a state machine, which panics.
-func discardLog() *slog.Logger { return slog.New(illegalStepPanics{}) }
+func discardLog() *slog.Logger { return slog.New(illegalStepPanicHandler{}) }
 
-// illegalStepPanics is a log handler that panics on an illegal step of a state machine and discards all else.
-type illegalStepPanics struct{}
+// illegalStepPanicHandler is a log handler that panics on an illegal step of a state machine and discards all
+// other records.
+type illegalStepPanicHandler struct{}
 
 // Enabled implements slog.Handler: records of every level are looked at.
-func (illegalStepPanics) Enabled(context.Context, slog.Level) bool { return true }
+func (illegalStepPanicHandler) Enabled(context.Context, slog.Level) bool { return true }
 
 // Handle implements slog.Handler. It formats all values, as a log that is kept does.
-func (illegalStepPanics) Handle(_ context.Context, record slog.Record) error {
+func (illegalStepPanicHandler) Handle(_ context.Context, record slog.Record) error {
 	record.Attrs(func(a slog.Attr) bool {
 		if text := a.Value.String(); record.Message == illegalStepMessage {
 			panic(illegalStepMessage + ": " + text)
@@ -83,10 +84,10 @@
 }
 
 // WithAttrs implements slog.Handler: a logger with attributes panics in the same way.
-func (h illegalStepPanics) WithAttrs([]slog.Attr) slog.Handler { return h }
+func (h illegalStepPanicHandler) WithAttrs([]slog.Attr) slog.Handler { return h }
 
 // WithGroup implements slog.Handler like WithAttrs.
-func (h illegalStepPanics) WithGroup(string) slog.Handler { return h }
+func (h illegalStepPanicHandler) WithGroup(string) slog.Handler { return h }
 
 // fakeClock is a loop's clock that stands still, unless the test advances it or starts it.
 type fakeClock struct {
@@ -144,7 +145,7 @@
 }
 
 // advance advances the clock in steps: the policy would take a jump for a stall of the gateway.
-func (r *rig) advance(tb testing.TB, period policy.Time) {
+func (r *rig) advanceClock(tb testing.TB, period policy.Time) {
 	tb.Helper()
 	const longestStep policy.Time = 4000 // as the settings' granularity
 	for remaining := period; remaining > 0; {
@@ -192,7 +193,7 @@
 		}
 		return false
 	})
-	r.advance(tb, quiescencePeriod)
+	r.advanceClock(tb, quiescencePeriod)
 }
 
 // shutDown begins a planned shutdown with a running clock, by which its steps are due.
@@ -206,7 +207,7 @@
 	tb.Helper()
 	r.once.Do(func() { close(r.stopped) })
 	r.waitUntil(tb, func(g *Gateway) bool { return g.shutdown.hasStarted() })
-	r.advance(tb, period)
+	r.advanceClock(tb, period)
 }
 
 // reloadWith has the gateway load another configuration, or fail to.
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -31,15 +31,15 @@
 	return min(longest, maxLongestTimeout)
 }
 
-// answerWithin returns how long after SIGTERM everything open is answered. By then every client that came
+// answerTimeout returns how long after SIGTERM everything open is answered. By then every client that came
 // while connections were accepted has stopped waiting or is about to, and SIGKILL is still to come.
-func answerWithin(c *config.Config) policy.Time {
+func answerTimeout(c *config.Config) policy.Time {
 	return max(longestTimeout(c)+answerMargin, acceptPeriod+backlogPeriod)
 }
 
-// exitWithin returns how long after SIGTERM the process ends, whatever is open.
-func exitWithin(c *config.Config) policy.Time {
-	return min(answerWithin(c)+closePeriod, longestTimeout(c)+exitMargin)
+// exitTimeout returns how long after SIGTERM the process ends, whatever is open.
+func exitTimeout(c *config.Config) policy.Time {
+	return min(answerTimeout(c)+closePeriod, longestTimeout(c)+exitMargin)
 }
 
 // shutdownPhase is how far a planned shutdown has come.
@@ -103,7 +103,7 @@
 func (s *shutdown) hasAnsweredAll() bool { return s.phase.Is(shutdownAnswered) }
 
 // request begins the shutdown. Only the first call counts.
-func (s *shutdown) request() {
+func (s *shutdown) start() {
 	if s.hasStarted() || !s.phase.Step(shutdownAccepting) {
 		return
 	}
@@ -113,7 +113,7 @@
 		return
 	}
 	s.gateway.scheduleSteps()
-	s.endIfIdle()
+	s.stopIfIdle()
 }
 
 // shutdownStep is a step of a planned shutdown that is taken at its time.
@@ -139,11 +139,11 @@
 	case stepExit:
 		s.gateway.stop()
 	}
-	s.endIfIdle()
+	s.stopIfIdle()
 }
 
-// endIfIdle ends the gateway when nothing is open any more.
-func (s *shutdown) endIfIdle() {
+// stopIfIdle ends the gateway when nothing is open any more.
+func (s *shutdown) stopIfIdle() {
 	if s.gateway.isIdle() {
 		s.gateway.stop()
 	}
@@ -152,7 +152,7 @@
 // shutdownRequested begins a planned shutdown.
 type shutdownRequested struct{}
 
-func (shutdownRequested) Handle(g *Gateway) { g.shutdown.request() }
+func (shutdownRequested) Handle(g *Gateway) { g.shutdown.start() }
 
 // Handle implements eventloop.Event: the step's time has come.
 func (s shutdownStep) Handle(g *Gateway) { g.shutdown.takeStep(s) }
@@ -176,12 +176,12 @@
 func (a shutdownAdapter) scheduleSteps() {
 	now := a.events.Now()
 	a.events.Schedule(now+acceptPeriod, stepStopAccepting)
-	a.events.Schedule(now+answerWithin(a.config), stepAnswerAll)
-	a.events.Schedule(now+exitWithin(a.config), stepExit)
+	a.events.Schedule(now+answerTimeout(a.config), stepAnswerAll)
+	a.events.Schedule(now+exitTimeout(a.config), stepExit)
 }
 
 func (a shutdownAdapter) stopAccepting() {
-	handedOver := a.handover.hasGivenOwnership()
+	handedOver := a.handover.hasReleasedOwnership()
 	a.handover.stopListening()
 	a.listening.shutDown(handedOver)
 	if handedOver {
@@ -199,7 +199,7 @@
 // answerAll implements shutdownGateway: with SIGKILL what is open would be lost.
 func (a shutdownAdapter) answerAll() {
 	a.failOpenRequests()
-	if a.handover.hasGivenOwnership() {
+	if a.handover.hasReleasedOwnership() {
 		return
 	}
 	for c := range a.clients.conns {
@@ -222,7 +222,7 @@
 		return false
 	}
 	return a.listening.isClosed() ||
-		a.shutdown.hasStarted() && a.handover.hasGivenOwnership() && a.requests.open == 0
+		a.shutdown.hasStarted() && a.handover.hasReleasedOwnership() && a.requests.open == 0
 }
 
 func (a shutdownAdapter) stop() { a.events.Stop() }
--- a/internal/gateway/shutdown_phase_test.go
+++ b/internal/gateway/shutdown_phase_test.go
@@ -4,7 +4,7 @@
 
 // fakeShutdownGateway records what a shutdown has the gateway do.
 type fakeShutdownGateway struct {
-	effects
+	callRecorder
 	takesOver, idle bool
 }
 
@@ -21,73 +21,73 @@
 }
 
 func newFakeShutdown() (*shutdown, *fakeShutdownGateway, *[]string) {
-	log, illegal := newStepLog()
+	log, illegal := newIllegalStepLog()
 	f := &fakeShutdownGateway{}
 	return newShutdown(f, log), f, illegal
 }
 
 func TestShutdownPhases(t *testing.T) {
 	s, f, illegal := newFakeShutdown()
-	s.endIfIdle()
+	s.stopIfIdle()
 	if s.hasStarted() {
 		t.Error("a shutdown has started that nobody asked for")
 	}
-	f.want(t)
-	s.request()
-	s.request()
+	f.wantCalls(t)
+	s.start()
+	s.start()
 	wantPhase(t, &s.phase, shutdownAccepting)
-	f.want(t, "announce", "abandonTakeover", "scheduleSteps")
+	f.wantCalls(t, "announce", "abandonTakeover", "scheduleSteps")
 	if !s.hasStarted() || s.isClosing() {
 		t.Error("it does not accept")
 	}
 	s.takeStep(stepStopAccepting)
 	wantPhase(t, &s.phase, shutdownClosing)
-	f.want(t, "stopAccepting")
+	f.wantCalls(t, "stopAccepting")
 	if !s.isClosing() || s.hasAnsweredAll() {
 		t.Error("it does not answer")
 	}
 	s.takeStep(stepAnswerAll)
 	wantPhase(t, &s.phase, shutdownAnswered)
-	f.want(t, "answerAll")
+	f.wantCalls(t, "answerAll")
 	if !s.isClosing() || !s.hasAnsweredAll() {
 		t.Error("not all is answered")
 	}
 	s.takeStep(stepExit)
-	f.want(t, "stop")
-	wantIllegal(t, illegal)
+	f.wantCalls(t, "stop")
+	wantIllegalSteps(t, illegal)
 }
 
 // A shutdown ends as soon as nothing is open, at any step.
 func TestShutdownEndsWhenIdle(t *testing.T) {
 	s, f, illegal := newFakeShutdown()
 	f.idle = true
-	s.request()
-	f.want(t, "announce", "abandonTakeover", "scheduleSteps", "stop")
+	s.start()
+	f.wantCalls(t, "announce", "abandonTakeover", "scheduleSteps", "stop")
 	s.takeStep(stepStopAccepting)
-	f.want(t, "stopAccepting", "stop")
+	f.wantCalls(t, "stopAccepting", "stop")
 	s.takeStep(stepAnswerAll)
-	f.want(t, "answerAll", "stop")
-	wantIllegal(t, illegal)
+	f.wantCalls(t, "answerAll", "stop")
+	wantIllegalSteps(t, illegal)
 }
 
 // A process that waits for its predecessor's state ends at once: the predecessor goes on.
 func TestShutdownAbandonsTakeover(t *testing.T) {
 	s, f, illegal := newFakeShutdown()
 	f.takesOver = true
-	s.request()
-	f.want(t, "announce", "abandonTakeover", "stop")
-	wantIllegal(t, illegal)
+	s.start()
+	f.wantCalls(t, "announce", "abandonTakeover", "stop")
+	wantIllegalSteps(t, illegal)
 }
 
-func TestShutdownRefusesIllegalSteps(t *testing.T) {
+func TestShutdownRejectsIllegalSteps(t *testing.T) {
 	s, f, illegal := newFakeShutdown()
 	s.takeStep(stepStopAccepting)
 	wantPhase(t, &s.phase, shutdownNone)
-	wantIllegal(t, illegal, "shutdown: no step from none to closing")
-	s.request()
+	wantIllegalSteps(t, illegal, "shutdown: no step from none to closing")
+	s.start()
 	f.calls = nil
 	s.takeStep(stepAnswerAll)
 	wantPhase(t, &s.phase, shutdownAccepting)
-	wantIllegal(t, illegal, "shutdown: no step from accepting to answered")
-	f.want(t)
+	wantIllegalSteps(t, illegal, "shutdown: no step from accepting to answered")
+	f.wantCalls(t)
 }
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -28,12 +28,12 @@
 func handleUntil(t *testing.T, g *Gateway, what string, holds func() bool) {
 	t.Helper()
 	for !holds() {
-		handleNext(t, g, what)
+		handleNextEvent(t, g, what)
 	}
 }
 
 // advance lets time pass for a loop that the test runs.
-func advance(t *testing.T, g *Gateway, period policy.Time) {
+func advanceClock(t *testing.T, g *Gateway, period policy.Time) {
 	t.Helper()
 	useFakeClock(t, g).shown.Add(period)
 	g.events.RunTimers()
@@ -41,14 +41,14 @@
 
 // A connection with a complete request waits in the listener's backlog when that is about to be closed: the
 // request is served, and nothing ends the process meanwhile.
-func TestShutdownServesConnectionsInTheBacklog(t *testing.T) {
+func TestShutdownServesBacklog(t *testing.T) {
 	g, b := newStoppingGateway(t)
 	c := (&rig{addr: g.listening.listener.Addr().String()}).client(t)
 	c.sendLookup(1) // in the kernel, as nothing accepts yet
-	advance(t, g, acceptPeriod)
+	advanceClock(t, g, acceptPeriod)
 	handleUntil(t, g, "the request", func() bool { return g.requests.open == 1 })
 	handleUntil(t, g, "the listener to close", g.listening.isClosed)
-	advance(t, g, 2*closePeriod) // the backend takes long
+	advanceClock(t, g, 2*closePeriod) // the backend takes long
 	if g.events.Stopped() {
 		t.Fatal("the process ends with an open request")
 	}
@@ -63,11 +63,11 @@
 
 // A command is partly written when everything open is answered: its connection ends in an orderly way, so
 // that its client sends it again elsewhere, and is not left to the end of the process.
-func TestShutdownClosesConnectionsAmidACommand(t *testing.T) {
+func TestShutdownClosesConnectionWithPartialCommand(t *testing.T) {
 	g, _ := newStoppingGateway(t)
 	g.listening.resume()
 	c := (&rig{addr: g.listening.listener.Addr().String()}).client(t)
-	handleNext(t, g, "the connection")
+	handleNextEvent(t, g, "the connection")
 	c.write("*4\r\n$8\r\nAPI.R")
 	for conn := range g.clients.conns {
 		for conn.lastInputAt.Load() == 0 { // until the reader has it
@@ -75,11 +75,11 @@
 		}
 		conn.lastCommandAt = 0 // it was opened earlier
 	}
-	advance(t, g, acceptPeriod)
+	advanceClock(t, g, acceptPeriod)
 	if g.events.Stopped() || len(g.clients.conns) != 1 {
 		t.Fatalf("done %v with %d connections", g.events.Stopped(), len(g.clients.conns))
 	}
-	advance(t, g, answerWithin(g.config)-acceptPeriod)
+	advanceClock(t, g, answerTimeout(g.config)-acceptPeriod)
 	c.wantClosed()
 	closeConn(t, c.conn)
 	handleUntil(t, g, "the end of all", g.events.Stopped)
@@ -87,7 +87,7 @@
 
 // However short the timeouts of clients are: connections are accepted as long as they may come, their
 // requests are answered after that, and the process has ended before SIGKILL.
-func TestShutdownStepsKeepTheirOrder(t *testing.T) {
+func TestShutdownStepOrder(t *testing.T) {
 	const killDelay = 700_000 // beyond the longest timeout, in microseconds
 	for _, limit := range []policy.Time{20_000, 50_000, 100_000, 290_000, 400_000, 2_500_000, 9_000_000, 0} {
 		t.Run(fmt.Sprintf("timeout %d us", limit), func(t *testing.T) {
@@ -97,7 +97,7 @@
 			if limit == 0 || limit > maxLongestTimeout {
 				longest = maxLongestTimeout
 			}
-			answer, exit, kill := answerWithin(&cfg), exitWithin(&cfg), longest+killDelay
+			answer, exit, kill := answerTimeout(&cfg), exitTimeout(&cfg), longest+killDelay
 			earliest := acceptPeriod + min(limit, backlogPeriod)
 			if answer < earliest || exit < answer+backlogPeriod || exit >= kill {
 				t.Errorf("accepted for %d, answered after %d, ended after %d, SIGKILL after %d",
@@ -145,12 +145,12 @@
 }
 
 // A command that has partly arrived when the gateway closes its connections is completed and answered.
-func TestShutdownWaitsForAPartialCommand(t *testing.T) {
+func TestShutdownWaitsForPartialCommand(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c, idle := r.client(t), r.client(t)
 	idle.send("PING")
 	idle.wantLine("+PONG")
-	r.advance(t, 1) // what comes from now on came after its connection
+	r.advanceClock(t, 1) // what comes from now on came after its connection
 	const command = "*4\r\n$8\r\nAPI.READ\r\n$16\r\n0000000000000007\r\n$16\r\n0000000000000001\r\n" +
 		"$48\r\nc=lookup,t=team,d=60000,units=1,spread=1,first=0\r\n"
 	c.write(command[:40])
@@ -169,7 +169,7 @@
 }
 
 // All open requests are answered before SIGKILL, which comes by the longest deadline of the settings.
-func TestShutdownGoesByTheLongestDeadline(t *testing.T) {
+func TestShutdownAnswerTimeoutFollowsLongestClientTimeout(t *testing.T) {
 	for limit, want := range map[policy.Time]policy.Time{
 		500 * millisecond:  700 * millisecond,
 		2500 * millisecond: 2700 * millisecond,
@@ -178,7 +178,7 @@
 	} {
 		cfg := config.Config{}
 		cfg.Host.ClientTimeouts = []policy.Time{limit}
-		if got := answerWithin(&cfg); got != want {
+		if got := answerTimeout(&cfg); got != want {
 			t.Errorf("longest deadline %d: answered after %d, want %d", limit, got, want)
 		}
 	}
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -21,8 +21,8 @@
 	control func(network, address string, c syscall.RawConn) error
 }
 
-// serveFaulty listens and does the same with each connection.
-func serveFaulty(t *testing.T, serve func(*net.TCPConn)) faultyDiscovery {
+// startFaultyDiscovery listens and does the same with each connection.
+func startFaultyDiscovery(t *testing.T, serve func(*net.TCPConn)) faultyDiscovery {
 	t.Helper()
 	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -54,7 +54,7 @@
 	},
 	"resets": func(t *testing.T, called chan<- string) faultyDiscovery {
 		t.Helper()
-		return serveFaulty(t, func(conn *net.TCPConn) {
+		return startFaultyDiscovery(t, func(conn *net.TCPConn) {
 			_ = conn.SetLinger(0)
 			_ = conn.Close()
 			called <- "reset"
@@ -62,11 +62,11 @@
 	},
 	"is silent": func(t *testing.T, called chan<- string) faultyDiscovery {
 		t.Helper()
-		return serveFaulty(t, func(*net.TCPConn) { called <- "call" })
+		return startFaultyDiscovery(t, func(*net.TCPConn) { called <- "call" })
 	},
 	"breaks off amid a list": func(t *testing.T, called chan<- string) faultyDiscovery {
 		t.Helper()
-		return serveFaulty(t, func(conn *net.TCPConn) {
+		return startFaultyDiscovery(t, func(conn *net.TCPConn) {
 			const half = "HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n{\"revision\":9,\"members\":["
 			_, _ = fmt.Fprint(conn, half) // a gateway that has gone fails the test elsewhere
 			called <- "half a list"
@@ -87,7 +87,7 @@
 
 // Whatever the discovery service does, a start is over when its wait is: the gateway serves with the list
 // that its configuration contains.
-func TestStartDoesNotDependOnDiscovery(t *testing.T) {
+func TestStartWithFaultyDiscoveryServesConfiguredList(t *testing.T) {
 	for name, start := range discoveryFaults {
 		t.Run(name, func(t *testing.T) {
 			called := make(chan string, 1024)
@@ -137,7 +137,7 @@
 	if faulty.control != nil {
 		c := discoveryConfig(&cfg)
 		c.DialContext = (&net.Dialer{Control: faulty.control}).DialContext
-		g.discovery = discovery.New(c, discardLog(), endpointAdapter{g}.post)
+		g.discovery = discovery.New(c, discardLog(), endpointAdapter{g}.postEvent)
 	}
 	return g
 }
--- a/internal/gateway/takeover.go
+++ b/internal/gateway/takeover.go
@@ -48,7 +48,7 @@
 	// importState continues where the predecessor stopped, with half of the resources.
 	importState(*handover.State)
 	// serve accepts clients. The socket for gossip is the predecessor's; nil: there is none.
-	serve(gossip *net.UDPConn)
+	startServing(gossip *net.UDPConn)
 	// useAllResources follows the predecessor's end.
 	useAllResources()
 }
@@ -83,7 +83,7 @@
 func (t *takeover) predecessorRuns() bool { return t.phase.Is(takeoverWatching) }
 
 // request asks the predecessor for its state. Only the first call counts.
-func (t *takeover) request(events handover.SuccessorEvents) {
+func (t *takeover) requestState(events handover.SuccessorEvents) {
 	if t.phase.Is(takeoverPending) && t.phase.Step(takeoverStarted) {
 		t.link.Start(events)
 	}
@@ -91,7 +91,7 @@
 
 // receive begins to serve with the predecessor's state; nil: it could not be had, and there is none to wait
 // for.
-func (t *takeover) receive(state *handover.State) {
+func (t *takeover) receiveState(state *handover.State) {
 	next := takeoverWatching
 	if state == nil {
 		next = takeoverComplete
@@ -102,11 +102,11 @@
 	if state != nil {
 		t.gateway.importState(state)
 	}
-	t.gateway.serve(t.gossip)
+	t.gateway.startServing(t.gossip)
 }
 
 // predecessorExited takes over the predecessor's part of the resources.
-func (t *takeover) predecessorExited() {
+func (t *takeover) handlePredecessorExited() {
 	if t.predecessorRuns() && t.phase.Step(takeoverComplete) {
 		t.gateway.useAllResources()
 	}
@@ -140,10 +140,10 @@
 	limitMemory(a.config, twoProcesses)
 }
 
-func (a takeoverAdapter) serve(gossip *net.UDPConn) {
+func (a takeoverAdapter) startServing(gossip *net.UDPConn) {
 	a.adoptGossipSocket(gossip)
 	a.gossip.Resume()
-	a.accept()
+	a.acceptClients()
 }
 
 func (a takeoverAdapter) useAllResources() {
@@ -161,11 +161,11 @@
 }
 
 func (s successorEvents) ClientReceived(c handover.Client) {
-	s.gateway.events.Post(clientHandedOver{c})
+	s.gateway.events.Post(clientReceived{c})
 }
 
 func (s successorEvents) AttemptSent(a handover.AttemptSent) {
-	s.gateway.events.Post(predecessorSent{a})
+	s.gateway.events.Post(predecessorAttemptSent{a})
 }
 
 func (s successorEvents) AttemptEnded(o policy.Outcome) {
@@ -183,14 +183,14 @@
 
 func (e stateReceived) Handle(g *Gateway) {
 	if g.listening.isWaiting() && !g.shutdown.hasStarted() {
-		g.takeover.receive(e.state)
+		g.takeover.receiveState(e.state)
 	}
 }
 
-// clientHandedOver is a client's connection from the predecessor.
-type clientHandedOver struct{ client handover.Client }
+// clientReceived is a client's connection from the predecessor.
+type clientReceived struct{ client handover.Client }
 
-func (e clientHandedOver) Handle(g *Gateway) {
+func (e clientReceived) Handle(g *Gateway) {
 	select {
 	case g.clients.slots <- struct{}{}:
 	default:
@@ -212,10 +212,10 @@
 	g.controller.CostSettled(g.events.Now(), e.settled.Customer, e.settled.Extra)
 }
 
-// predecessorSent is a further attempt that the predecessor has made.
-type predecessorSent struct{ sent handover.AttemptSent }
+// predecessorAttemptSent is a further attempt that the predecessor has made.
+type predecessorAttemptSent struct{ sent handover.AttemptSent }
 
-func (e predecessorSent) Handle(g *Gateway) {
+func (e predecessorAttemptSent) Handle(g *Gateway) {
 	g.controller.PredecessorSent(g.events.Now(), e.sent.RequestID, e.sent.Backend)
 }
 
@@ -229,4 +229,4 @@
 // predecessorExited: the predecessor has ended, and this process has all the resources.
 type predecessorExited struct{}
 
-func (predecessorExited) Handle(g *Gateway) { g.takeover.predecessorExited() }
+func (predecessorExited) Handle(g *Gateway) { g.takeover.handlePredecessorExited() }
--- a/internal/gateway/takeover_test.go
+++ b/internal/gateway/takeover_test.go
@@ -9,13 +9,13 @@
 )
 
 // fakeTakeover is a predecessor and a gateway that record what a takeover has them do.
-type fakeTakeover struct{ effects }
+type fakeTakeover struct{ callRecorder }
 
 func (f *fakeTakeover) Start(handover.SuccessorEvents) { f.record("Start") }
 func (f *fakeTakeover) Abandon()                       { f.record("Abandon") }
 
 func (f *fakeTakeover) importState(*handover.State) { f.record("importState") }
-func (f *fakeTakeover) serve(*net.UDPConn)          { f.record("serve") }
+func (f *fakeTakeover) startServing(*net.UDPConn)   { f.record("startServing") }
 func (f *fakeTakeover) useAllResources()            { f.record("useAllResources") }
 
 // newPendingTakeover returns a takeover from a fake predecessor.
@@ -28,88 +28,88 @@
 }
 
 func TestTakeoverWithoutPredecessor(t *testing.T) {
-	log, illegal := newStepLog()
+	log, illegal := newIllegalStepLog()
 	f := &fakeTakeover{}
 	o := newTakeover(nil, f, log)
-	o.request(nil)
-	o.predecessorExited()
+	o.requestState(nil)
+	o.handlePredecessorExited()
 	o.close()
-	f.want(t)
+	f.wantCalls(t)
 	wantPhase(t, &o.phase, takeoverNone)
 	if o.hasPredecessor() || o.isPending() || o.predecessorRuns() {
 		t.Error("there is a predecessor")
 	}
-	wantIllegal(t, illegal)
+	wantIllegalSteps(t, illegal)
 }
 
 func TestTakeoverWithState(t *testing.T) {
-	log, illegal := newStepLog()
+	log, illegal := newIllegalStepLog()
 	o, f := newPendingTakeover(log)
 	if !o.hasPredecessor() || !o.isPending() || o.predecessorRuns() {
 		t.Error("there is no predecessor to take over from")
 	}
-	o.request(nil)
-	o.request(nil) // with each further endpoint list
+	o.requestState(nil)
+	o.requestState(nil) // with each further endpoint list
 	wantPhase(t, &o.phase, takeoverStarted)
-	f.want(t, "Start")
-	o.receive(&handover.State{})
-	f.want(t, "importState", "serve")
+	f.wantCalls(t, "Start")
+	o.receiveState(&handover.State{})
+	f.wantCalls(t, "importState", "startServing")
 	if o.isPending() || !o.predecessorRuns() {
 		t.Error("the predecessor does not end its requests")
 	}
-	o.predecessorExited()
-	o.predecessorExited()
+	o.handlePredecessorExited()
+	o.handlePredecessorExited()
 	wantPhase(t, &o.phase, takeoverComplete)
-	f.want(t, "useAllResources")
+	f.wantCalls(t, "useAllResources")
 	o.close()
-	f.want(t, "Abandon")
-	wantIllegal(t, illegal)
+	f.wantCalls(t, "Abandon")
+	wantIllegalSteps(t, illegal)
 }
 
 func TestTakeoverWithoutState(t *testing.T) {
-	log, illegal := newStepLog()
+	log, illegal := newIllegalStepLog()
 	o, f := newPendingTakeover(log)
-	o.request(nil)
-	o.receive(nil)
-	o.predecessorExited()
+	o.requestState(nil)
+	o.receiveState(nil)
+	o.handlePredecessorExited()
 	wantPhase(t, &o.phase, takeoverComplete)
-	f.want(t, "Start", "serve")
-	wantIllegal(t, illegal)
+	f.wantCalls(t, "Start", "startServing")
+	wantIllegalSteps(t, illegal)
 }
 
-func TestTakeoverIsAbandoned(t *testing.T) {
-	log, illegal := newStepLog()
+func TestTakeoverAbandon(t *testing.T) {
+	log, illegal := newIllegalStepLog()
 	for _, started := range []bool{false, true} {
 		o, f := newPendingTakeover(log)
 		if started {
-			o.request(nil)
-			f.want(t, "Start")
+			o.requestState(nil)
+			f.wantCalls(t, "Start")
 		}
 		o.abandon()
-		o.request(nil)
+		o.requestState(nil)
 		o.close()
-		f.want(t, "Abandon")
+		f.wantCalls(t, "Abandon")
 		wantPhase(t, &o.phase, takeoverAbandoned)
 		if o.isPending() || !o.hasPredecessor() {
 			t.Error("it is pending")
 		}
 	}
-	wantIllegal(t, illegal)
+	wantIllegalSteps(t, illegal)
 }
 
-func TestTakeoverRefusesIllegalSteps(t *testing.T) {
-	log, illegal := newStepLog()
+func TestTakeoverRejectsIllegalSteps(t *testing.T) {
+	log, illegal := newIllegalStepLog()
 	o, f := newPendingTakeover(log)
-	o.receive(&handover.State{}) // before it was asked for
+	o.receiveState(&handover.State{}) // before it was asked for
 	wantPhase(t, &o.phase, takeoverPending)
-	wantIllegal(t, illegal, "takeover: no step from pending to watching")
-	o.request(nil)
-	o.receive(nil)
-	f.want(t, "Start", "serve")
-	o.receive(&handover.State{})
+	wantIllegalSteps(t, illegal, "takeover: no step from pending to watching")
+	o.requestState(nil)
+	o.receiveState(nil)
+	f.wantCalls(t, "Start", "startServing")
+	o.receiveState(&handover.State{})
 	o.abandon()
 	wantPhase(t, &o.phase, takeoverComplete)
-	f.want(t)
-	wantIllegal(t, illegal, "takeover: no step from complete to watching",
+	f.wantCalls(t)
+	wantIllegalSteps(t, illegal, "takeover: no step from complete to watching",
 		"takeover: no step from complete to abandoned")
 }
--- a/internal/gateway/value_stream_test.go
+++ b/internal/gateway/value_stream_test.go
@@ -144,7 +144,7 @@
 	c.wantLargeHead()
 	other.sendLookupWithin(2, "500") // ends later than the deadline of the first
 	b.nextCall(t)
-	r.advance(t, 500_000)
+	r.advanceClock(t, 500_000)
 	if got := other.readLine(); got[0] != '-' {
 		t.Fatalf("reply %q", got)
 	}
@@ -164,7 +164,7 @@
 func TestLargeValueSettlesItsCost(t *testing.T) {
 	r, b, _ := startWithBackend(t, func(f map[string]any) {
 		withOps(f)
-		f["settings"] = settingsWith(t, `"settles":false`, `"settles":true,"max-units":8`,
+		f["settings"] = editSettings(t, `"settles":false`, `"settles":true,"max-units":8`,
 			`"rate":0.1,"burst":1`, `"rate":0.0001,"burst":4`)
 	})
 	c := r.client(t)
