--- a/internal/gateway/handover_older_predecessor_test.go
+++ b/internal/gateway/handover_older_predecessor_test.go
@@ -17,8 +17,8 @@
 	clients   []*testClient // whose connections were handed over, in this order
 }
 
-// play sends recorded messages up to the next one of a kind, and that.
-func (p *olderPredecessor) play(upTo byte) {
+// replayThrough sends recorded messages up to the next one of a kind, and that.
+func (p *olderPredecessor) replayThrough(last byte) {
 	p.t.Helper()
 	for len(p.recording.Messages) > 0 {
 		m := p.recording.Messages[0]
@@ -31,11 +31,11 @@
 			sockets = append(sockets, p.newClient())
 		}
 		p.link.Send(m.Kind, m.Body, sockets...)
-		if m.Kind == upTo {
+		if m.Kind == last {
 			return
 		}
 	}
-	p.t.Fatalf("no further message %q in the recording", upTo)
+	p.t.Fatalf("no further message %q in the recording", last)
 }
 
 // newClient connects a client to the older process and returns that side's socket.
@@ -92,7 +92,7 @@
 	}()
 	old.link = acceptAsOlder(t, successors)
 	old.link.Expect(olderHello)
-	old.play(olderSockets)
+	old.replayThrough(olderSockets)
 	g := wait(t, started, "the gateway")
 	if g == nil {
 		t.FailNow()
--- a/internal/gateway/handover_older_state_test.go
+++ b/internal/gateway/handover_older_state_test.go
@@ -54,11 +54,11 @@
 }
 
 // inspectGateway returns what a function sees in the loop's goroutine.
-func inspectGateway[T any](t *testing.T, r *rig, look func(g *Gateway) T) T {
+func inspectGateway[T any](t *testing.T, r *rig, read func(g *Gateway) T) T {
 	t.Helper()
-	seen := make(chan T, 1)
-	r.gateway.events.Post(inspect(func(g *Gateway) { seen <- look(g) }))
-	return wait(t, seen, "the loop")
+	result := make(chan T, 1)
+	r.gateway.events.Post(inspect(func(g *Gateway) { result <- read(g) }))
+	return wait(t, result, "the loop")
 }
 
 // exportedState returns the state of a gateway as the older program reads it.
--- a/internal/gateway/handover_older_test.go
+++ b/internal/gateway/handover_older_test.go
@@ -18,9 +18,9 @@
 func TestOlderPredecessorHandsOver(t *testing.T) {
 	old, r, b := startAfterOlderPredecessor(t)
 	recorded := *decodeOlderState(t, old.recording.Messages[0].Body).Module
-	old.play(olderStateEnd)
+	old.replayThrough(olderStateEnd)
 	old.link.Expect(olderAccepted)
-	old.play(olderGo)
+	old.replayThrough(olderGo)
 	waitForReadiness(t, r, 200)
 
 	state := exportedState(t, r)
@@ -40,17 +40,17 @@
 		t.Errorf("%d backends unavailable, want the ejected one", n)
 	}
 
-	old.play(olderClient) // with a command that the older process has read
+	old.replayThrough(olderClient) // with a command that the older process has read
 	old.clients[0].wantServed(b, "from its input")
-	old.play(olderClient)
+	old.replayThrough(olderClient)
 	spent := old.clients[1]
 	spent.sendOnce(5, "tiny")
 	if got := spent.readLine(); got != "-BUSY 2000" {
 		t.Errorf("answer %q of a customer whose bucket the older process has emptied, want -BUSY 2000", got)
 	}
 
-	old.play(olderAttemptAgain)
-	old.play(olderAttemptOver)
+	old.replayThrough(olderAttemptAgain)
+	old.replayThrough(olderAttemptOver)
 	old.link.Close()
 	for inspectGateway(t, r, func(g *Gateway) bool { return g.takeover.predecessorRuns() }) {
 		r.sync(t)
