--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -8,18 +8,19 @@
 	"sparspread/policy"
 )
 
-// policyActions implements policy.Actions. The policy calls them while it decides, so they must not call the
-// policy: what follows from an action is deferred.
+// policyActions implements policy.Actions. The policy calls its methods while it makes a decision, so they
+// must not call the policy: the consequences of an action are handled as a deferred event.
 type policyActions struct{ *Gateway }
 
 var _ policy.Actions = policyActions{}
 
-// Send starts the next attempt of a request, which ends at until or, if that is 0 or later, by the request's
-// deadline. It reports whether the attempt waits for a connection.
+// Send starts the next attempt of a request. The attempt times out at until or, if until is zero or later
+// than the deadline of the request, at that deadline. Send reports whether the attempt waits for a
+// connection.
 func (p policyActions) Send(id uint64, backend uint32, until policy.Time) (waiting bool) {
 	r := p.requests.byID[id]
 	if r == nil {
-		panic(fmt.Sprintf("send for request %d, which is not open", id))
+		panic(fmt.Sprintf("attempt of request %d: the request is not open", id))
 	}
 	if until == 0 || until > r.deadline {
 		until = r.deadline
@@ -31,26 +32,27 @@
 	return p.backends.startAttempt(a, backend)
 }
 
-// Reject gives a request the final reply that nothing ran; after (0: none) advises when to retry.
+// Reject gives a request the final reply that it was not run. If after is not zero, the reply advises the
+// client to retry after that time.
 func (p policyActions) Reject(id uint64, after policy.Time) {
 	if r := p.requests.byID[id]; r != nil {
 		p.answer(r, busyReply(after))
 	}
 }
 
-// Fail gives a request the final reply that it may or may not have run.
+// Fail gives a request the final reply that it failed, and may or may not have run.
 func (p policyActions) Fail(id uint64) {
 	if r := p.requests.byID[id]; r != nil {
 		p.answer(r, failedReply)
 	}
 }
 
-// SetTimer has the policy called with the token at a time.
+// SetTimer schedules a call of the policy's TimerFired with the token.
 func (p policyActions) SetTimer(at policy.Time, token uint32) {
 	p.events.Schedule(at, policyTimer(token))
 }
 
-// policyTimer is a timer that the policy has set: its token.
+// policyTimer is the token of a timer that the policy has set.
 type policyTimer uint32
 
 func (t policyTimer) Handle(g *Gateway) { g.controller.TimerFired(g.events.Now(), uint32(t)) }
@@ -62,7 +64,7 @@
 	p.backends.startAttempt(a, backend)
 }
 
-// WatchEndpoints has discovery report the endpoint list and its changes from now on.
+// WatchEndpoints makes the discovery client report the endpoint list and its changes from now on.
 func (p policyActions) WatchEndpoints() { p.discovery.Watch() }
 
 // Log writes an event of the policy to the log.
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -6,15 +6,15 @@
 	"sparspread/internal/config"
 )
 
-// Control is how the surrounding program controls a gateway.
+// Control lets the surrounding program shut a gateway down and reload its configuration.
 type Control struct {
-	Stop   <-chan struct{}               // closed for a planned shutdown
-	Reload <-chan struct{}               // receives a value for each reload of the configuration
-	Read   func() (config.Config, error) // reads the configuration as it is now
+	Stop   <-chan struct{}               // closed to request a planned shutdown
+	Reload <-chan struct{}               // receives a value for each requested reload of the configuration
+	Read   func() (config.Config, error) // reads the current configuration
 }
 
-// run passes commands on to the loop until ctx ends. A configuration that can't be read leaves the one in
-// force.
+// run forwards requests to the event loop until ctx ends. If a configuration cannot be read, the one in force
+// stays.
 func (c Control) run(ctx context.Context, g *Gateway) {
 	stop := c.Stop
 	for {
--- a/internal/gateway/counter.go
+++ b/internal/gateway/counter.go
@@ -8,7 +8,7 @@
 	"sparspread/policy"
 )
 
-// newCounter makes the client of the shared counter; nil where the configuration uses none.
+// newCounter returns a client of the shared counter, or nil if the configuration does not use one.
 func newCounter(cfg *config.Config, post func(event)) *counter.Client {
 	if !cfg.Settings.SharedCounter || cfg.Counter == "" {
 		return nil
@@ -19,8 +19,8 @@
 	})
 }
 
-// IncrementCounter adds to a counter that all gateways share. The answer comes as an event. It implements
-// policy.Actions.
+// IncrementCounter implements policy.Actions. It adds an amount to a counter that all gateways share. The
+// answer arrives as a counterAnswered event.
 func (p policyActions) IncrementCounter(name uint64, amount float64, ttl policy.Time) {
 	if p.counter != nil && p.counter.Increment(counter.Increment{Name: name, Amount: amount, TTL: ttl}) {
 		return
@@ -28,7 +28,7 @@
 	p.events.Defer(counterAnswered{counter.Answer{Name: name, Result: policy.ResultOverloaded}})
 }
 
-// counterAnswered is the outcome of a call of the shared counter.
+// counterAnswered is the result of an increment of the shared counter.
 type counterAnswered struct{ counter.Answer }
 
 func (e counterAnswered) Handle(g *Gateway) {
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -1,16 +1,18 @@
-// Package gateway is the request path of a gateway: it takes clients' commands, has package policy decide on
-// them and forwards them to backends.
+// Package gateway implements the request path of a gateway: it reads commands from clients, lets package
+// policy decide on them and forwards requests to backends.
 //
-// One goroutine, that of the event loop, owns all state and is the only one to call the policy. Goroutines
-// that block on sockets (a reader for each connection, accepting, dials) and the clients of other services
-// post typed events to it. Each of these goroutines ends with its socket or context, which the loop closes.
+// One goroutine runs the event loop. It owns all state and is the only one that calls the policy. Goroutines
+// that block on sockets (a reader for each connection, the accept goroutine, dials) and the clients of other
+// services post typed events to the loop. Each of them ends when the loop closes its socket or
+// cancels its context.
 //
-// What begins and ends the service has a type with phases each (listening, endpointList, reload, takeover,
-// outgoingHandover, shutdown). Each declares the interface through which it changes the gateway, and an
-// adapter implements that on Gateway, such as shutdownAdapter for shutdownGateway.
+// Startup, reload, handover and shutdown are state machines, each with a type of its own: listening,
+// endpointList, reload, takeover, outgoingHandover and shutdown. Each declares an interface with the
+// operations that it needs of the gateway, such as shutdownGateway, which an adapter implements on Gateway,
+// such as shutdownAdapter.
 //
-// A request passes client_read, client_commands and the policy; an attempt of it goes through backend_pool
-// and backend_write; its reply through backend_read, backend_reply and client_reply. Large bodies and
-// values do not pass the loop: the reader of one connection writes to the other (request_body,
-// value_stream).
+// A request passes through client_read, client_commands and the policy, each of its attempts through
+// backend_pool and backend_write, and its reply through backend_read, backend_reply and client_reply. Large
+// bodies and values bypass the loop: the reader of one connection writes to the other connection
+// (request_body, value_stream).
 package gateway
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -12,46 +12,48 @@
 	"sparspread/policy"
 )
 
-// endpointPhase is where the endpoint list comes from.
+// endpointPhase is the source of the endpoint list.
 type endpointPhase uint8
 
 const (
-	endpointsConfigured endpointPhase = iota // from the configuration
-	endpointsImported                        // from a predecessor's state
-	endpointsReceived                        // from discovery
+	endpointsConfigured endpointPhase = iota // the configuration
+	endpointsImported                        // the state of a predecessor
+	endpointsReceived                        // discovery
 )
 
-// String is the phase as the log has it.
+// String returns the name of the phase for log messages.
 func (p endpointPhase) String() string { return [...]string{"configured", "imported", "received"}[p] }
 
-// endpointSteps are the legal steps: a list never gives way to an older source.
+// endpointSteps lists the legal steps. A list from discovery is never replaced by that of a predecessor, nor
+// either of them by that of the configuration.
 var endpointSteps = phase.Steps[endpointPhase]{
 	endpointsConfigured: {endpointsImported, endpointsReceived},
 	endpointsImported:   {endpointsReceived},
 }
 
-// endpointGateway is what endpoint updates need of the gateway.
+// endpointGateway has the operations of the gateway that endpoint updates need.
 type endpointGateway interface {
-	// updateEndpoints applies a list, or its changes, and has the policy decide by it.
+	// updateEndpoints applies a complete list, or changes of it, and passes it to the policy.
 	updateEndpoints(policy.UpdateKind, []discovery.Endpoint)
-	// reportUnavailable tells the policy that discovery does not answer.
+	// reportUnavailable reports to the policy that discovery does not answer.
 	reportUnavailable()
-	// drainingEndpoint returns an endpoint as it was last listed, if that was as draining.
+	// drainingEndpoint returns an endpoint as it was last listed, if it was listed as draining.
 	drainingEndpoint(id string) (endpoint discovery.Endpoint, draining bool)
-	// startAccepting has clients accepted, or the predecessor asked to hand over.
+	// startAccepting starts accepting clients or, if a predecessor serves them, asks it to hand over.
 	startAccepting()
 }
 
-// endpointList is what is known of the endpoint list beside the backends themselves: its source, its newest
-// revision and the numbers of its zones. A zone's number never changes. It belongs to the loop.
+// endpointList holds the state of the endpoint list apart from the backends themselves: its source, its
+// newest revision and the numbers of its zones. The number of a zone never changes. An endpointList belongs
+// to the event loop.
 type endpointList struct {
 	phase          phase.Machine[endpointPhase]
-	newestRevision uint64   // of all updates
-	zones          []string // by number, this gateway's own first
+	newestRevision uint64   // the highest revision of all updates so far
+	zones          []string // names, indexed by number; the first is the gateway's own zone
 	gateway        endpointGateway
 }
 
-// newEndpointList returns the list with the zones of a configuration.
+// newEndpointList returns an endpoint list that knows the zones of the configuration.
 func newEndpointList(zones []string, gateway endpointGateway, log *slog.Logger) *endpointList {
 	return &endpointList{
 		phase: phase.New("endpoints", endpointsConfigured, endpointSteps, reportIllegalStep(log)),
@@ -59,7 +61,7 @@
 	}
 }
 
-// zoneNumber returns the number of a zone; a new zone gets the next one.
+// zoneNumber returns the number of a zone. A new zone is assigned the next number.
 func (e *endpointList) zoneNumber(name string) int {
 	if i := slices.Index(e.zones, name); i >= 0 {
 		return i
@@ -68,14 +70,14 @@
 	return len(e.zones) - 1
 }
 
-// importList applies the list of a predecessor, unless discovery has sent one already.
+// importList applies the list of a predecessor, unless discovery has already sent a list.
 func (e *endpointList) importList(endpoints []discovery.Endpoint) {
 	if !e.phase.Is(endpointsReceived) && e.phase.Step(endpointsImported) {
 		e.gateway.updateEndpoints(policy.UpdateStale, endpoints)
 	}
 }
 
-// handle applies an event of the discovery client. Clients are accepted from the first list on.
+// handleEvent applies an event of the discovery client. The first list makes the gateway accept clients.
 func (e *endpointList) handleEvent(event discovery.Event) {
 	if event.Kind == policy.UpdateUnavailable {
 		e.gateway.reportUnavailable()
@@ -89,8 +91,9 @@
 	e.gateway.startAccepting()
 }
 
-// retainDraining corrects an update that is older than the newest one, as another address may send at first:
-// a backend that a newer update has announced as draining stays so, unless it has started anew since.
+// retainDraining corrects an update that is older than the newest one, which a new address of discovery may
+// send at first: a backend that a newer update has announced as draining stays draining, unless it has
+// restarted since then.
 func (e *endpointList) retainDraining(update *discovery.Update) {
 	if update.Revision >= e.newestRevision {
 		e.newestRevision = update.Revision
@@ -132,13 +135,13 @@
 	return b.endpoint, true
 }
 
-// post hands an event of the discovery client to the loop, ahead of all other work: nothing that was queued
-// before a drain was announced may be sent after its grace. Any goroutine may call it.
+// postEvent posts an event of the discovery client ahead of all other events: nothing that was queued before
+// a drain was announced may be sent after its grace period. It is safe for any goroutine.
 func (a endpointAdapter) postEvent(ctx context.Context, e discovery.Event) {
 	a.events.PostUrgent(ctx, endpointsUpdated{e})
 }
 
-// bytesPerMB converts the configured memory.
+// bytesPerMB converts the configured memory to bytes.
 const bytesPerMB = 1 << 20
 
 // discoveryConfig returns the part of the configuration that the discovery client needs.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -18,7 +18,8 @@
 // sweepInterval is the time between two sweeps of idle connections.
 const sweepInterval = 100 * millisecond
 
-// Run serves clients until control stops it and all open requests are answered.
+// Run serves clients until control requests a shutdown and all open requests are answered. It returns an
+// error if the gateway cannot be started.
 func Run(cfg config.Config, log *slog.Logger, control Control) error {
 	g, err := newGateway(cfg, log, eventloop.SystemClock())
 	if err != nil {
@@ -28,7 +29,8 @@
 	return nil
 }
 
-// serve starts the goroutines that post events, runs the loop, and ends them.
+// serve starts the goroutines that post events and runs the event loop until it is stopped. Then it ends
+// these goroutines and closes the sockets.
 func (g *Gateway) serve(control Control) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -43,7 +45,7 @@
 	g.handover.close()
 }
 
-// newGateway makes a gateway and opens its sockets. Clients are accepted once it is ready.
+// newGateway returns a gateway whose sockets are open. It accepts no clients before start.
 func newGateway(cfg config.Config, log *slog.Logger, clock eventloop.Clock) (*Gateway, error) {
 	g := &Gateway{
 		log: log, clock: clock, requests: newRequestTable(), metrics: &metrics.Metrics{},
@@ -83,8 +85,8 @@
 	return g, g.listening.bind(cfg.Listen)
 }
 
-// start applies the configured endpoint list and starts reading from discovery, peers and operators.
-// Clients are accepted after discovery's first list, or readinessWait.
+// start applies the configured endpoint list and starts reading from discovery, peers and operators. Clients
+// are accepted when the first list of discovery has arrived, or after readinessWait.
 func (g *Gateway) start(ctx context.Context) {
 	endpointAdapter{g}.updateEndpoints(policy.UpdateStale, g.config.Known.Endpoints)
 	g.events.HandleDeferred()
@@ -98,7 +100,7 @@
 	}
 }
 
-// sweepTimer closes, at intervals, connections that have been idle for too long.
+// sweepTimer periodically closes connections that have been idle for too long.
 type sweepTimer struct{}
 
 func (sweepTimer) Handle(g *Gateway) {
@@ -108,8 +110,8 @@
 	g.events.After(sweepInterval, sweepTimer{})
 }
 
-// startAccepting has clients accepted: until then nothing answers PING. If another process still serves
-// them, it is asked to hand over first.
+// startAccepting starts accepting clients; until then, PING is not answered. If a predecessor still serves
+// them, startAccepting asks it to hand over first. It has no effect if clients were accepted before.
 func (g *Gateway) startAccepting() {
 	switch {
 	case !g.listening.isWaiting():
@@ -120,7 +122,7 @@
 	}
 }
 
-// accept accepts clients on the listener at hand.
+// acceptClients accepts clients on the current listener, and successors that request a handover.
 func (g *Gateway) acceptClients() {
 	g.log.Info("ready", "listen", g.listening.listener.Addr().String(), "backends", len(g.backends.byNumber))
 	g.listening.resume()
@@ -130,11 +132,11 @@
 	g.ops.SetReady(!g.shutdown.hasStarted())
 }
 
-// readinessWait is how long, in microseconds, a start waits for discovery before it serves with the endpoint
-// list of its configuration.
+// readinessWait is how long, in microseconds, a starting gateway waits for discovery before it serves with
+// the endpoint list of its configuration.
 const readinessWait policy.Time = 500_000
 
-// readinessTimeout ends the wait for discovery, which may be down for long.
+// readinessTimeout ends the wait for discovery, which may be unavailable for a long time.
 type readinessTimeout struct{}
 
 func (readinessTimeout) Handle(g *Gateway) { g.startAccepting() }
--- a/internal/gateway/gossip.go
+++ b/internal/gateway/gossip.go
@@ -8,7 +8,7 @@
 	"sparspread/internal/gossip"
 )
 
-// newGossip makes the transport for gossip. It has no socket yet.
+// newGossip returns a transport for gossip that has no socket yet.
 func newGossip(cfg *config.Config, log *slog.Logger, post func(event)) *gossip.Transport {
 	return gossip.New(gossip.Config{
 		ListenAddress: cfg.PeerListen, ListenConfig: reusePort, Peers: cfg.Peers, Self: cfg.Settings.Self,
@@ -17,12 +17,12 @@
 	})
 }
 
-// adoptGossipSocket gives the gossip transport the predecessor's socket or, where that is nil or bound to
-// another address, a socket of its own.
+// adoptGossipSocket makes the gossip transport use the predecessor's socket. If conn is nil or bound to
+// another address, the transport opens a socket of its own.
 func (g *Gateway) adoptGossipSocket(conn *net.UDPConn) {
 	if !g.config.Settings.Gossip {
 		if conn != nil {
-			_ = conn.Close() // it is not used
+			_ = conn.Close() // the predecessor used gossip, but this process does not
 		}
 		return
 	}
@@ -34,14 +34,15 @@
 	}
 }
 
-// SendGossip sends a message to a peer, unless a successor is taking over. It implements policy.Actions.
+// SendGossip implements policy.Actions. It sends a message to a peer, unless a successor is taking over or
+// has taken over.
 func (p policyActions) SendGossip(peer int, message []byte) {
 	if !p.handover.isActive() {
 		p.gossip.Send(peer, message)
 	}
 }
 
-// gossipReceived is a message from a peer.
+// gossipReceived is a message that a peer has sent.
 type gossipReceived struct {
 	peer    int
 	message []byte
--- a/internal/gateway/handover.go
+++ b/internal/gateway/handover.go
@@ -10,35 +10,35 @@
 	"sparspread/policy"
 )
 
-// This file is the process that hands over. Each step can be the last one. Until it offers its state this
-// process decides, and the successor from the moment it has accepted the state and was told to go on; in
-// between nobody decides, and commands are queued. Only one of them grants at any time.
+// This file is the predecessor's side of a handover, which may end at any step. This process decides until it
+// offers its state. The successor decides once it has accepted the state and received the message that lets
+// it proceed. In between neither of them decides, and commands are queued: at no time do both grant quota.
 
-// stateTimeout is how long a successor may take to accept the state.
+// stateTimeout is the time in which a successor has to accept the state.
 const stateTimeout = 1 * second
 
-// handoverPhase is how far this process has handed over to a successor.
+// handoverPhase is the progress of a handover to a successor.
 type handoverPhase uint8
 
 const (
 	handoverNone     handoverPhase = iota // this process decides
-	handoverOffered                       // nobody decides: the state was sent and is not accepted yet
-	handoverAccepted                      // the successor decides; open requests end here
+	handoverOffered                       // neither process decides: the state is sent but not accepted yet
+	handoverAccepted                      // the successor decides; this process completes its open requests
 )
 
-// String is the phase as the log has it.
+// String returns the name of the phase for log messages.
 func (p handoverPhase) String() string {
 	return [...]string{"none", "offered", "accepted"}[p]
 }
 
-// handoverSteps are the legal steps. A successor that ends, or takes too long, leads back to none.
+// handoverSteps lists the legal steps. A successor that exits, or takes too long, leads back to none.
 var handoverSteps = phase.Steps[handoverPhase]{
 	handoverNone:     {handoverOffered},
 	handoverOffered:  {handoverAccepted, handoverNone},
 	handoverAccepted: {handoverNone},
 }
 
-// successorLink is the connection to a successor: a *handover.Link.
+// successorLink is the connection to a successor. It is implemented by *handover.Link.
 type successorLink interface {
 	SendState(encoded []byte)
 	SendGo()
@@ -51,38 +51,40 @@
 	CloseAndWait()
 }
 
-// handoverGateway is what a handover needs of the gateway.
+// handoverGateway has the operations of the gateway that a handover needs.
 type handoverGateway interface {
-	// canHandOver reports whether this process has begun to accept clients, and is not shutting down yet.
+	// canHandOver reports whether this process has started to accept clients, and has not stopped for a
+	// shutdown.
 	canHandOver() bool
 	// exportState returns the encoded state.
 	exportState() ([]byte, error)
-	// pauseServing has no client accepted and no gossip sent.
+	// pauseServing stops accepting clients and sending gossip.
 	pauseServing()
-	// releaseOwnership closes what the successor has now.
+	// releaseOwnership closes the sockets that the successor now uses, and ends the policy's decisions.
 	releaseOwnership()
-	// stopReading has each client's connection follow once nothing is open on it.
+	// stopReading stops reading from clients. Each connection is handed over once nothing is open on it.
 	stopReading()
-	// retainOwnership ends pauseServing: this process has decided all the time.
+	// retainOwnership reverts pauseServing if the successor never decided.
 	retainOwnership()
-	// resumeOwnership serves again after a successor has decided.
+	// resumeOwnership serves again after a successor that decided has exited.
 	resumeOwnership()
-	// handleQueuedCommand handles a command that was read while nobody decided.
+	// handleQueuedCommand handles a command that was read while neither process decided.
 	handleQueuedCommand(receivedCommand)
-	// stopIfIdle ends the gateway where it shuts down and nothing is open.
+	// stopIfIdle stops the gateway if it is shutting down and nothing is open.
 	stopIfIdle()
-	// setStateTimeout has expire called when the successor has had its time to accept the state.
+	// setStateTimeout schedules a call of handleStateTimeout after stateTimeout.
 	setStateTimeout(successorLink)
 }
 
 // outgoingHandover is the handover from this process to a successor. It owns the link to the successor, the
-// socket at which one asks, and the commands that were read while nobody decided: there are such only in the
-// phase offered. A link is there unless the phase is none. It belongs to the loop.
+// socket on which a successor requests the handover, and the commands that were read while neither process
+// decided. Commands are queued only in the phase offered, and link is set unless the phase is none. An
+// outgoingHandover belongs to the event loop.
 type outgoingHandover struct {
 	phase          phase.Machine[handoverPhase]
-	listener       *handover.Listener // where a successor asks; nil: nowhere
-	link           successorLink      // nil: none
-	queuedCommands []receivedCommand  // for the successor, read since the state was exported
+	listener       *handover.Listener // accepts successors; nil if there is no socket for them
+	link           successorLink      // nil if there is no successor
+	queuedCommands []receivedCommand  // read since the state was exported, to be decided on by the successor
 	gateway        handoverGateway
 	log            *slog.Logger
 }
@@ -94,14 +96,14 @@
 	}
 }
 
-// isActive reports whether a successor is taking over or has done so.
+// isActive reports whether a successor is taking over or has taken over.
 func (h *outgoingHandover) isActive() bool { return !h.phase.Is(handoverNone) }
 
 // hasReleasedOwnership reports whether a successor decides now.
 func (h *outgoingHandover) hasReleasedOwnership() bool { return h.phase.Is(handoverAccepted) }
 
-// offer sends the state to a successor that asks for it. From here on no command is processed and nothing is
-// granted until the successor has accepted the state.
+// offerState sends the state to a successor that has requested it. From then on no command is processed and
+// nothing is granted until the successor has accepted the state.
 func (h *outgoingHandover) offerState(link successorLink) {
 	if h.isActive() || !h.gateway.canHandOver() {
 		link.Close()
@@ -123,7 +125,7 @@
 	h.gateway.setStateTimeout(link)
 }
 
-// accept gives up ownership: the successor on the link has decoded the state and decides.
+// handleStateAccepted transfers ownership to the successor, which has decoded the state and now decides.
 func (h *outgoingHandover) handleStateAccepted(link successorLink) {
 	if h.link != link || link.IsClosed() || !h.phase.Step(handoverAccepted) {
 		return
@@ -138,7 +140,7 @@
 	h.gateway.stopIfIdle()
 }
 
-// expire ends a handover whose state was not accepted in time.
+// handleStateTimeout ends a handover whose state was not accepted in time.
 func (h *outgoingHandover) handleStateTimeout(link successorLink) {
 	if h.link == link && h.phase.Is(handoverOffered) {
 		link.Close()
@@ -146,7 +148,7 @@
 	}
 }
 
-// successorExited ends the handover to a successor that has ended or given up.
+// handleSuccessorExited ends the handover to a successor that has exited or abandoned it.
 func (h *outgoingHandover) handleSuccessorExited(link successorLink) {
 	link.Close()
 	if h.link == link {
@@ -154,7 +156,7 @@
 	}
 }
 
-// end ends a handover: this process serves again.
+// end ends a handover that was not completed, or whose successor has exited: this process serves again.
 func (h *outgoingHandover) end() {
 	given, commands := h.hasReleasedOwnership(), h.queuedCommands
 	if !h.phase.Step(handoverNone) {
@@ -172,8 +174,9 @@
 	h.gateway.stopIfIdle()
 }
 
-// queue sets a command aside that the successor is to decide on. Once that one has the state, the command is
-// added to the unread input that follows with its connection, and leaves the connection's pipeline here.
+// queueCommand keeps a command that the successor is to decide on. Once the successor has the state, the
+// command is appended to the unread input that is handed over with its connection, and releases its slot in
+// the connection's pipeline.
 func (h *outgoingHandover) queueCommand(e receivedCommand) {
 	if !h.hasReleasedOwnership() {
 		h.queuedCommands = append(h.queuedCommands, e)
@@ -184,6 +187,7 @@
 	<-head.client.pipelineSlots
 }
 
+// appendCommand appends the encoding of a command to b.
 func appendCommand(b []byte, args [][]byte) []byte {
 	b = resp.AppendArray(b, len(args))
 	for _, arg := range args {
@@ -192,47 +196,49 @@
 	return b
 }
 
-// canSend reports whether there is a successor that can be told something.
+// canSend reports whether there is a successor to which messages can be sent.
 func (h *outgoingHandover) canSend() bool { return h.isActive() && !h.link.IsClosed() }
 
-// sendClient sends a client's connection, as SendClient of the link does. It may be called once ownership is
-// given.
+// sendClient sends a client's connection like SendClient of the link. It may be called only after ownership
+// was released.
 func (h *outgoingHandover) sendClient(
 	client handover.ClientConnection, input []byte, socket syscall.RawConn, onSent func(),
 ) {
 	h.logSendError(h.link.SendClient(client, input, socket, onSent))
 }
 
-// reportAttemptSent tells a successor of a further attempt of a request that stayed here.
+// reportAttemptSent reports to a successor a further attempt of a request that stayed in this process.
 func (h *outgoingHandover) reportAttemptSent(requestID uint64, backend uint32) {
 	if h.canSend() {
 		h.logSendError(h.link.SendAttemptSent(handover.AttemptSent{RequestID: requestID, Backend: backend}))
 	}
 }
 
-// reportAttemptEnded tells a successor of the outcome of an attempt of such a request.
+// reportAttemptEnded reports to a successor the outcome of an attempt of a request that stayed in this
+// process.
 func (h *outgoingHandover) reportAttemptEnded(ended policy.Outcome) {
 	if h.canSend() {
 		h.logSendError(h.link.SendAttemptEnded(ended))
 	}
 }
 
-// reportCostSettled tells a successor what such a request cost beyond its estimate.
+// reportCostSettled reports to a successor what a request that stayed in this process cost beyond its
+// estimate.
 func (h *outgoingHandover) reportCostSettled(customer uint64, extra float64) {
 	if h.canSend() {
 		h.logSendError(h.link.SendCostSettled(handover.CostSettled{Customer: customer, Extra: extra}))
 	}
 }
 
-// warn logs a message that could not be encoded: the successor goes on without it.
+// logSendError logs that a message could not be encoded. The successor continues without it.
 func (h *outgoingHandover) logSendError(err error) {
 	if err != nil {
 		h.log.Warn("handover: report not sent", "error", err)
 	}
 }
 
-// listen lets a new process ask for the handover. Without it this process serves all the same, and the next
-// one binds beside it. It returns nil where no process can ask.
+// listen opens the socket on which a new process requests the handover, or returns nil if that is not
+// possible. Without the socket this process serves as usual, and a new process binds the listen address too.
 func (h *outgoingHandover) listen(address string) *handover.Listener {
 	path := handover.SocketPath(address)
 	if path == "" {
@@ -240,18 +246,19 @@
 	}
 	listener, err := handover.Listen(path, h.log)
 	if err != nil {
-		h.log.Warn("handover: no socket, a second process will bind on its own", "error", err)
+		h.log.Warn("handover: socket unavailable, a new process will bind the listen address itself",
+			"error", err)
 		return nil
 	}
 	h.listener = listener
 	return listener
 }
 
-// stopListening closes the socket at which a successor asks. Its file stays where a successor has put its own
-// there.
+// stopListening closes the socket on which a successor requests the handover. The socket's file is kept after
+// ownership was released, because the successor may have replaced it by its own.
 func (h *outgoingHandover) stopListening() { h.listener.Close(!h.hasReleasedOwnership()) }
 
-// close ends the link once all that was sent has arrived, for which it waits for a limited time.
+// close closes the link after everything that was sent is written, for which it waits for a limited time.
 func (h *outgoingHandover) close() {
 	if h.isActive() {
 		h.link.CloseAndWait()
--- a/internal/gateway/handover_clients.go
+++ b/internal/gateway/handover_clients.go
@@ -6,7 +6,7 @@
 	"sparspread/internal/handover"
 )
 
-// This file hands clients' connections over, each once nothing is open on it.
+// This file hands over connections of clients, each once nothing is open on it.
 
 // stopReading makes a connection's reader stop before the next command.
 func (c *client) stopReading() {
@@ -14,7 +14,8 @@
 	_ = c.conn.SetReadDeadline(time.Unix(1, 0)) // fails only on a closed connection
 }
 
-// resumeReading starts the reader again. One that has not stopped yet is started when it does.
+// resumeReading starts the reader again if it has stopped. A reader that has not stopped yet is started again
+// by clientReaderStopped.
 func (c *client) resumeReading(g *Gateway) {
 	if c.readerStopped && !c.closed {
 		c.readerStopped = false
@@ -28,26 +29,27 @@
 	}
 }
 
-// clientReaderStopped: the reader has stopped before a command.
+// clientReaderStopped reports that the reader has stopped before a command.
 type clientReaderStopped struct{ client *client }
 
 func (e clientReaderStopped) Handle(g *Gateway) {
 	c := e.client
 	c.readerStopped = true
 	if !g.handover.hasReleasedOwnership() {
-		c.resumeReading(g) // the handover has ended meanwhile
+		c.resumeReading(g) // the handover has ended in the meantime
 		return
 	}
 	c.handOver(g)
 }
 
-// canBeHandedOver reports whether nothing is open on the connection and a successor can take it.
+// canBeHandedOver reports whether nothing is open on the connection and there is a successor to send it to.
 func (c *client) canBeHandedOver(g *Gateway) bool {
 	return c.readerStopped && !c.closed && !c.closeWhenDrained && len(c.pipeline) == 0 &&
 		g.handover.hasReleasedOwnership() && g.handover.canSend() && c.writer.Idle()
 }
 
-// handOver sends the connection to the successor, with the input that was read and not processed.
+// handOver sends the connection to the successor, with the input that was read but not processed. It has no
+// effect if the connection cannot be handed over.
 func (c *client) handOver(g *Gateway) {
 	if !c.canBeHandedOver(g) {
 		return
@@ -64,7 +66,7 @@
 		},
 		input,
 		c.writer.RawConn(),
-		func() { _ = conn.Close() }, // the successor has a descriptor of its own, or the connection ends here
+		func() { _ = conn.Close() }, // the successor has its own descriptor, or the connection was not sent
 	)
 	g.shutdown.stopIfIdle()
 }
--- a/internal/gateway/handover_gateway.go
+++ b/internal/gateway/handover_gateway.go
@@ -8,7 +8,7 @@
 	"sparspread/policy"
 )
 
-// This file is what a handover does to the gateway, and the events by which a successor leads it.
+// This file has the effects of a handover on the gateway, and the events that a successor causes.
 
 // handoverAdapter implements handoverGateway.
 type handoverAdapter struct{ *Gateway }
@@ -65,18 +65,18 @@
 }
 
 func (a handoverAdapter) retainOwnership() {
-	a.log.Warn("handover: this process goes on")
-	if a.listening.isPaused() { // otherwise a shutdown has resumed it to empty the backlog
+	a.log.Warn("handover: cancelled, this process continues to serve")
+	if a.listening.isPaused() { // otherwise a shutdown is draining the backlog
 		a.listening.resume()
 	}
 	a.gossip.Resume()
 	a.controller.AdvertiseAll()
 }
 
-// resumeOwnership goes on where a successor had decided. What that granted is unknown, and the sockets ended
-// with it.
+// resumeOwnership implements handoverGateway. It is unknown what the successor has granted, and the sockets
+// were closed when it exited.
 func (a handoverAdapter) resumeOwnership() {
-	a.log.Warn("handover: the new process has ended, this one serves again")
+	a.log.Warn("handover: successor exited, this process serves again")
 	limitMemory(a.config, oneProcess)
 	a.controller.ResumeOwnership(a.events.Now())
 	if !a.shutdown.hasStarted() {
@@ -87,10 +87,10 @@
 	}
 }
 
-// rebindDelay is the pause after a bind that failed: another process may still hold the address.
+// rebindDelay is the time until a failed bind is tried again: another process may still use the address.
 const rebindDelay = 100 * millisecond
 
-// rebind binds the sockets that a successor had taken, and retries until that succeeds.
+// rebind binds the sockets that a successor had taken over, and retries until this succeeds.
 func (a handoverAdapter) rebind() {
 	err := a.listening.bind(a.config.Listen)
 	if err == nil && a.config.Settings.Gossip {
@@ -99,7 +99,7 @@
 		}
 	}
 	if err != nil {
-		a.log.Error("handover: bind again", "error", err)
+		a.log.Error("handover: bind failed, trying again", "error", err)
 		a.events.After(rebindDelay, rebindTimer{})
 		return
 	}
@@ -107,7 +107,7 @@
 	a.acceptClients()
 }
 
-// rebindTimer tries again to bind the sockets that a successor had taken.
+// rebindTimer retries a failed rebind.
 type rebindTimer struct{}
 
 func (rebindTimer) Handle(g *Gateway) {
@@ -117,13 +117,13 @@
 }
 
 func (a handoverAdapter) handleQueuedCommand(command receivedCommand) {
-	a.memory.queued.Add(int64(command.common().size)) // which its handling subtracts a second time
+	a.memory.queued.Add(int64(command.common().size)) // Handle subtracts it a second time
 	command.Handle(a.Gateway)
 }
 
 func (a handoverAdapter) stopIfIdle() { a.shutdown.stopIfIdle() }
 
-// predecessorEvents posts the steps of a handover ahead of queued requests.
+// predecessorEvents implements handover.PredecessorEvents. It posts the events ahead of queued requests.
 type predecessorEvents struct{ gateway *Gateway }
 
 func (p predecessorEvents) TakeoverRequested(link *handover.Link) { p.post(takeoverRequested{link}) }
@@ -132,12 +132,12 @@
 
 func (p predecessorEvents) post(e event) { p.gateway.events.PostUrgent(context.Background(), e) }
 
-// takeoverRequested: a successor is ready for the state.
+// takeoverRequested reports that a successor is ready to receive the state.
 type takeoverRequested struct{ link *handover.Link }
 
 func (e takeoverRequested) Handle(g *Gateway) { g.handover.offerState(e.link) }
 
-// stateAccepted: the successor has decoded the state.
+// stateAccepted reports that the successor has decoded the state.
 type stateAccepted struct{ link *handover.Link }
 
 func (e stateAccepted) Handle(g *Gateway) { g.handover.handleStateAccepted(e.link) }
@@ -147,7 +147,7 @@
 
 func (t stateTimer) Handle(g *Gateway) { g.handover.handleStateTimeout(t.link) }
 
-// successorExited: the successor has ended or given up.
+// successorExited reports that the successor has exited or has abandoned the handover.
 type successorExited struct{ link *handover.Link }
 
 func (e successorExited) Handle(g *Gateway) { g.handover.handleSuccessorExited(e.link) }
--- a/internal/gateway/listening.go
+++ b/internal/gateway/listening.go
@@ -15,28 +15,28 @@
 
 const (
 	acceptRetryDelay   = 20 * time.Millisecond // after a failed accept
-	backlogIdleTimeout = 20 * time.Millisecond // without a new connection: the backlog is empty
+	backlogIdleTimeout = 20 * time.Millisecond // without a new connection, after which the backlog is empty
 )
 
-// listeningPhase is who accepts clients, and whether.
+// listeningPhase is which process accepts clients, if any.
 type listeningPhase uint8
 
 const (
-	listeningWaiting    listeningPhase = iota // not yet: nothing answers PING
+	listeningWaiting    listeningPhase = iota // this process does not accept yet; PING is not answered
 	listeningAccepting                        // this process accepts
-	listeningPaused                           // nobody, while a successor takes over
-	listeningHandedOver                       // the successor does, with a socket of its own
-	listeningDraining                         // this process, what is in the backlog; then it closes
-	listeningClosed                           // no connection can come any more
+	listeningPaused                           // no process accepts, while a successor takes over
+	listeningHandedOver                       // the successor accepts, on a descriptor of its own
+	listeningDraining                         // this process accepts the backlog, then closes the listener
+	listeningClosed                           // no more connections can arrive
 )
 
-// String is the phase as the log has it.
+// String returns the name of the phase for log messages.
 func (p listeningPhase) String() string {
 	return [...]string{"waiting", "accepting", "paused", "handed_over", "draining", "closed"}[p]
 }
 
-// listeningSteps are the legal steps. A handover that does not come to its end leads back to accepting; a
-// shutdown drains the backlog from wherever it finds the listener, unless the successor has it.
+// listeningSteps lists the legal steps. A handover that is not completed leads back to accepting. A shutdown
+// drains the backlog in any phase, unless the successor has the listener.
 var listeningSteps = phase.Steps[listeningPhase]{
 	listeningWaiting:    {listeningAccepting, listeningDraining},
 	listeningAccepting:  {listeningPaused, listeningDraining},
@@ -45,14 +45,15 @@
 	listeningDraining:   {listeningClosed},
 }
 
-// listening accepts clients' connections. It owns the listener and the accept goroutine, of which there is
-// one at most: it runs while this process accepts or drains. All of it belongs to the loop, but for accept.
+// listening accepts connections of clients. It owns the listener and the accept goroutine, which runs while
+// this process accepts or drains; there is never more than one. A listening belongs to the event loop, except
+// for acceptConns, which is the accept goroutine.
 type listening struct {
 	phase         phase.Machine[listeningPhase]
 	listener      *net.TCPListener
-	slots         chan struct{} // of the clients: one is acquired for each connection
-	stopAccepting chan struct{} // closed to end the accept goroutine; nil: there is none
-	drainBacklog  chan struct{} // closed to end it once the listener's backlog is accepted
+	slots         chan struct{} // shared with type clients; one is acquired for each connection
+	stopAccepting chan struct{} // closed to end the accept goroutine; nil if there is none
+	drainBacklog  chan struct{} // closed to end the accept goroutine once the backlog is accepted
 	post          func(event)
 	log           *slog.Logger
 }
@@ -64,11 +65,11 @@
 	}
 }
 
-// soReusePort is SO_REUSEPORT on Linux; package syscall lacks it on amd64.
+// soReusePort is SO_REUSEPORT on Linux, which package syscall does not define on amd64.
 const soReusePort = 0xf
 
-// reusePort binds addresses so that a second process of this gateway can bind them too: the last resort where
-// the first process can't hand its sockets over.
+// reusePort binds addresses so that a second process of this gateway can bind them too, as a fallback if the
+// first process cannot hand over its sockets.
 var reusePort = net.ListenConfig{Control: func(_, _ string, conn syscall.RawConn) error {
 	var optionErr error
 	controlErr := conn.Control(func(descriptor uintptr) {
@@ -80,7 +81,7 @@
 	return optionErr
 }}
 
-// bind opens the socket for clients. It accepts nothing yet.
+// bind opens the listener for clients. It does not accept connections yet.
 func (s *listening) bind(address string) error {
 	listener, err := reusePort.Listen(context.Background(), "tcp", address)
 	if err != nil {
@@ -88,47 +89,47 @@
 	}
 	tcp, ok := listener.(*net.TCPListener)
 	if !ok {
-		panic(fmt.Sprintf("listening at a TCP address made a %T", listener))
+		panic(fmt.Sprintf("listen: got listener of type %T, expected *net.TCPListener", listener))
 	}
 	s.listener = tcp
 	return nil
 }
 
-// isWaiting reports whether no client was accepted by this process so far.
+// isWaiting reports whether this process has not started to accept clients yet.
 func (s *listening) isWaiting() bool { return s.phase.Is(listeningWaiting) }
 
-// isPaused reports whether nobody accepts clients, as a successor is taking over.
+// isPaused reports whether no process accepts clients because a successor is taking over.
 func (s *listening) isPaused() bool { return s.phase.Is(listeningPaused) }
 
-// isClosed reports whether no connection can come any more.
+// isClosed reports whether no more connections can arrive.
 func (s *listening) isClosed() bool { return s.phase.Is(listeningClosed) }
 
-// resume has connections accepted from now on.
+// resume starts accepting connections, for the first time or after pause or handOver.
 func (s *listening) resume() {
 	if s.phase.Step(listeningAccepting) {
 		s.startAcceptLoop()
 	}
 }
 
-// startAccepting starts the accept goroutine.
+// startAcceptLoop starts the accept goroutine.
 func (s *listening) startAcceptLoop() {
 	s.stopAccepting = make(chan struct{})
-	_ = s.listener.SetDeadline(time.Time{}) // accept reports a closed listener
+	_ = s.listener.SetDeadline(time.Time{}) // acceptConns detects a closed listener
 	go s.acceptConns(s.listener, s.stopAccepting)
 }
 
-// pause has no more connections accepted: they stay in the listener's backlog.
+// pause stops accepting connections. New ones stay in the listener's backlog.
 func (s *listening) pause() {
 	if !s.phase.Step(listeningPaused) {
 		return
 	}
 	close(s.stopAccepting)
 	s.stopAccepting = nil
-	_ = s.listener.SetDeadline(time.Unix(1, 0)) // accept reports a closed listener
+	_ = s.listener.SetDeadline(time.Unix(1, 0)) // acceptConns detects a closed listener
 }
 
-// handOver closes the listener, of which the successor has a descriptor. One that is being drained for a
-// shutdown ends as it would have.
+// handOver closes the listener, of which the successor has a descriptor. If a shutdown is draining the
+// listener, the phase stays draining and a listenerClosed event follows as usual.
 func (s *listening) handOver() {
 	if s.phase.Is(listeningPaused) {
 		s.phase.Step(listeningHandedOver)
@@ -136,12 +137,12 @@
 	s.close()
 }
 
-// close closes the listener at once; nothing happens where it is closed already.
+// close closes the listener immediately. It has no effect if the listener is closed already.
 func (s *listening) close() { _ = s.listener.Close() }
 
-// shutDown closes the listener for good. Where it is this process's, its backlog is accepted first: closing
-// it before would reset connections on which a request may have arrived. A listenerClosed event follows the
-// last connection then.
+// shutDown closes the listener permanently. If it was not handed over, its backlog is accepted first, because
+// closing the listener earlier would reset connections on which a request may have arrived. In this case a
+// listenerClosed event follows the last connection.
 func (s *listening) shutDown(handedOver bool) {
 	if handedOver {
 		s.phase.Step(listeningClosed) // the successor has it
@@ -155,10 +156,10 @@
 		s.startAcceptLoop()
 		return
 	}
-	_ = s.listener.SetDeadline(time.Now().Add(backlogIdleTimeout)) // accept reports a closed listener
+	_ = s.listener.SetDeadline(time.Now().Add(backlogIdleTimeout)) // acceptConns detects a closed listener
 }
 
-// listenerClosed says that no more connections will come.
+// listenerClosed reports that no more connections will arrive.
 type listenerClosed struct{}
 
 func (listenerClosed) Handle(g *Gateway) {
@@ -168,8 +169,9 @@
 	g.shutdown.stopIfIdle()
 }
 
-// accept posts new connections, with as many open at a time as there are slots, until it is paused or the
-// listener is closed.
+// acceptConns posts new connections until paused is closed, the listener is closed, or a backlog that is
+// drained is empty. It acquires a slot for each connection, so that at most as many connections are open as
+// there are slots.
 func (s *listening) acceptConns(listener *net.TCPListener, paused <-chan struct{}) {
 	for {
 		select {
@@ -190,7 +192,7 @@
 		<-s.slots
 		closed := errors.Is(err, net.ErrClosed)
 		if !closed && !errors.Is(err, os.ErrDeadlineExceeded) { // such as a shortage of file descriptors
-			s.log.Warn("accept", "error", err)
+			s.log.Warn("accept failed", "error", err)
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
@@ -198,7 +200,7 @@
 			return
 		}
 		if !draining && !closed {
-			continue // the deadline was set for draining the backlog, which begins now
+			continue // shutDown has set the deadline, and draining starts with the next connection
 		}
 		_ = listener.Close() // may be closed already
 		if draining {
@@ -208,7 +210,7 @@
 	}
 }
 
-// isClosed reports whether a channel that is only ever closed has been closed.
+// isClosed reports whether a channel is closed on which no values are sent.
 func isClosed(signal <-chan struct{}) bool {
 	select {
 	case <-signal:
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -14,25 +14,26 @@
 	"sparspread/policy"
 )
 
-// event is something that happened, or that is due. The goroutine that saw it posts it to the loop.
+// event is something that happened, or a timer that is due. The event loop handles it.
 type event = eventloop.Event[*Gateway]
 
-// eventLoop runs the events.
+// eventLoop handles the events of a gateway.
 type eventLoop = eventloop.Loop[*Gateway]
 
-// timer is an event that is scheduled for a time.
+// timer is an event that is scheduled for a given time.
 type timer = eventloop.Timer[*Gateway]
 
-// Gateway is the state that events act on. The goroutine that runs them owns the policy's controller and all
-// that the fields refer to; the others post events. Beside what a field's own type allows, they may use only
-// log, clock, events.Post, events.PostUrgent, memory.queued and publishedConfig.
+// Gateway is the state that events act on. The goroutine of the event loop owns the policy's controller and
+// everything else that the fields refer to; other goroutines post events. Apart from what the type of a field
+// makes safe for them, other goroutines may use only log, clock, events.Post, events.PostUrgent,
+// memory.queued and publishedConfig.
 type Gateway struct {
 	log             *slog.Logger
-	clock           eventloop.Clock // of events, for any goroutine
+	clock           eventloop.Clock // of the event loop; safe for any goroutine
 	events          *eventLoop
 	controller      *policy.Controller
 	config          *config.Config                // in force
-	publishedConfig atomic.Pointer[config.Config] // the same, for other goroutines
+	publishedConfig atomic.Pointer[config.Config] // the same as config, for other goroutines
 
 	requests requestTable
 	memory   memoryUse
@@ -40,13 +41,13 @@
 	backends *backends
 
 	gossip       *gossip.Transport
-	counter      *counter.Client // nil: there is none
+	counter      *counter.Client // nil if the configuration uses no shared counter
 	discovery    *discovery.Client
 	ops          *ops.Server
 	metrics      *metrics.Metrics
-	classMetrics []*metrics.Class // in the order of the classes in force
+	classMetrics []*metrics.Class // in the order of the classes in config
 
-	// Control, each with its phase.
+	// State machines that control the gateway.
 	listening *listening
 	endpoints *endpointList
 	reload    *reload
@@ -55,12 +56,12 @@
 	shutdown  *shutdown
 }
 
-// requestTable holds the open requests. It belongs to the loop.
+// requestTable holds the open requests. It belongs to the event loop.
 type requestTable struct {
-	byID           map[uint64]*request // until answered, with no attempt in flight
-	openByClientID map[uint64]*request // those without a final reply, by the id that the client gave
-	lastID         uint64              // the highest id given so far
-	open           int                 // requests without a final reply, also those not in byID
+	byID           map[uint64]*request // requests that are not answered yet or have an attempt in flight
+	openByClientID map[uint64]*request // requests without a final reply, by the ID that the client sent
+	lastID         uint64              // the highest ID assigned so far
+	open           int                 // requests without a final reply, including those not in byID
 	nextTraceAt    traceSchedule
 }
 
@@ -68,8 +69,8 @@
 	return requestTable{byID: map[uint64]*request{}, openByClientID: map[uint64]*request{}}
 }
 
-// memoryUse counts the bytes that are held for clients.
+// memoryUse counts the bytes of memory that clients occupy.
 type memoryUse struct {
-	retained int          // of requests in the table and of replies that are not written yet; the loop's
-	queued   atomic.Int64 // of input that waits for the loop; any goroutine may use it
+	retained int          // requests in the table and replies not written yet; belongs to the event loop
+	queued   atomic.Int64 // input that waits for the event loop; safe for any goroutine
 }
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -7,39 +7,39 @@
 	"sparspread/internal/phase"
 )
 
-// reloadPhase is how far a reload of the configuration has come.
+// reloadPhase is the progress of a reload of the configuration.
 type reloadPhase uint8
 
 const (
-	reloadNone     reloadPhase = iota // the configuration in force is used
-	reloadChecking                    // another one is checked; nothing of it is used
-	reloadApplying                    // it is right, and is put in force
+	reloadNone     reloadPhase = iota // no reload is in progress
+	reloadChecking                    // a new configuration is checked; nothing of it is used yet
+	reloadApplying                    // the new configuration is valid and is put in force
 )
 
-// String is the phase as the log has it.
+// String returns the name of the phase for log messages.
 func (p reloadPhase) String() string { return [...]string{"none", "checking", "applying"}[p] }
 
-// reloadSteps are the legal steps: a configuration that is not right is dropped as a whole, before anything
-// of it is applied.
+// reloadSteps lists the legal steps. An invalid configuration is rejected as a whole, before any of it is
+// applied.
 var reloadSteps = phase.Steps[reloadPhase]{
 	reloadNone:     {reloadChecking},
 	reloadChecking: {reloadNone, reloadApplying},
 	reloadApplying: {reloadNone},
 }
 
-// reloadGateway is what a reload needs of the gateway.
+// reloadGateway has the operations of the gateway that a reload needs.
 type reloadGateway interface {
-	// check returns why a configuration can't take the place of the one in force. The policy decides by its
-	// settings from then on where there is no error, and by the old ones otherwise.
+	// applySettings checks whether a configuration can replace the one in force. If it can, the policy uses
+	// its settings from then on. Otherwise applySettings returns an error, and the policy keeps its settings.
 	applySettings(*config.Config) error
 	// applyReload puts a checked configuration in force.
 	applyReload(config.Config)
-	// rejectConfig records a configuration of which nothing is used.
+	// rejectConfig logs and counts a configuration that was rejected.
 	rejectConfig(error)
 }
 
-// reload replaces the configuration in force: all of it or, where anything is wrong, nothing. It belongs to
-// the loop, and is in the phase none between two events.
+// reload replaces the configuration in force: all of it or, if anything in the new one is invalid, nothing.
+// A reload belongs to the event loop, and is in the phase none between events.
 type reload struct {
 	phase   phase.Machine[reloadPhase]
 	gateway reloadGateway
@@ -52,7 +52,7 @@
 	}
 }
 
-// load checks a configuration that was read, and puts it in force. Requests and connections go on.
+// load checks a configuration and puts it in force. Requests and connections continue.
 func (r *reload) load(cfg config.Config) {
 	if !r.phase.Step(reloadChecking) {
 		return
@@ -65,7 +65,7 @@
 	r.phase.Step(reloadNone)
 }
 
-// configLoaded is a configuration that was read for a reload.
+// configLoaded has a configuration that was read for a reload.
 type configLoaded struct{ cfg config.Config }
 
 func (e configLoaded) Handle(g *Gateway) { g.reload.load(e.cfg) }
@@ -80,13 +80,13 @@
 	return a.controller.Reload(a.events.Now(), cfg.Settings)
 }
 
-// applyReload applies the settings and the addresses of discovery and the counter. The endpoint list is read
-// completely at the new address, whose versions need not be those of the old one.
+// applyReload applies the settings and the addresses of discovery and the counter. At a new address of
+// discovery the complete endpoint list is read, because its revisions need not match those of the old one.
 func (a reloadAdapter) applyReload(cfg config.Config) {
 	a.metrics.ConfigsAccepted.Add(1)
 	a.log.Info("reload", "discovery", cfg.Discovery, "counter", cfg.Counter, "classes", cfg.Host.Classes)
 	if fixed := a.config.ChangedFixed(&cfg); len(fixed) > 0 {
-		a.log.Warn("reload: what needs a restart stays as it was", "settings", fixed)
+		a.log.Warn("reload: settings that need a restart are unchanged", "settings", fixed)
 	}
 	cfg.RetainFixed(a.config)
 	a.applyConfig(&cfg)
@@ -96,13 +96,13 @@
 	}
 }
 
-// rejectConfig records a configuration of which nothing is used. It is safe for any goroutine.
+// rejectConfig logs and counts a configuration that was rejected. It is safe for any goroutine.
 func (g *Gateway) rejectConfig(err error) {
 	g.metrics.ConfigsRejected.Add(1)
-	g.log.Error("reload: the old configuration stays", "error", err)
+	g.log.Error("reload: rejected, keeping the current configuration", "error", err)
 }
 
-// applyConfig puts a configuration in force, also for the goroutines that read from clients.
+// applyConfig puts a configuration in force, and publishes it for the goroutines that read from clients.
 func (g *Gateway) applyConfig(cfg *config.Config) {
 	g.classMetrics = g.metrics.Classes(cfg.Host.Classes)
 	g.config = cfg
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -8,18 +8,18 @@
 	"sparspread/policy"
 )
 
-// The periods of a planned shutdown. They begin with SIGTERM unless said otherwise. The
-// platform sends SIGKILL 0.7 s after the longest time that a client waits.
+// The periods of a planned shutdown. They start with SIGTERM unless stated otherwise. The platform sends
+// SIGKILL 0.7 s after the longest client timeout.
 const (
-	acceptPeriod      = 500 * millisecond // new connections go on coming for a while
-	backlogPeriod     = 50 * millisecond  // after the accept period, for what came at the last moment
+	acceptPeriod      = 500 * millisecond // connections are still accepted, because new ones keep arriving
+	backlogPeriod     = 50 * millisecond  // after acceptPeriod, for connections that arrived at its end
 	maxLongestTimeout = 3 * second        // the longest client timeout that the platform waits for
-	answerMargin      = 200 * millisecond // beyond the longest timeout, until everything open is answered
-	closePeriod       = 300 * millisecond // after the last answer, for the other side to close
-	exitMargin        = 650 * millisecond // beyond the longest timeout, the process exits: SIGKILL is near
+	answerMargin      = 200 * millisecond // beyond the longest client timeout, to answer all open requests
+	closePeriod       = 300 * millisecond // after the last answer, for clients to close their connections
+	exitMargin        = 650 * millisecond // beyond the longest client timeout, to exit before SIGKILL
 )
 
-// longestTimeout returns the longest client timeout of the settings, as far as the platform waits for it.
+// longestTimeout returns the longest client timeout of the settings, at most maxLongestTimeout.
 func longestTimeout(c *config.Config) policy.Time {
 	longest := policy.Time(0)
 	for _, limit := range c.Host.ClientTimeouts {
@@ -31,61 +31,62 @@
 	return min(longest, maxLongestTimeout)
 }
 
-// answerTimeout returns how long after SIGTERM everything open is answered. By then every client that came
-// while connections were accepted has stopped waiting or is about to, and SIGKILL is still to come.
+// answerTimeout returns the time after SIGTERM at which all open requests are answered. By then every client
+// that connected while connections were accepted has timed out or is about to, and SIGKILL is still to come.
 func answerTimeout(c *config.Config) policy.Time {
 	return max(longestTimeout(c)+answerMargin, acceptPeriod+backlogPeriod)
 }
 
-// exitTimeout returns how long after SIGTERM the process ends, whatever is open.
+// exitTimeout returns the time after SIGTERM at which the process exits, regardless of what is open.
 func exitTimeout(c *config.Config) policy.Time {
 	return min(answerTimeout(c)+closePeriod, longestTimeout(c)+exitMargin)
 }
 
-// shutdownPhase is how far a planned shutdown has come.
+// shutdownPhase is the progress of a planned shutdown.
 type shutdownPhase uint8
 
 const (
 	shutdownNone      shutdownPhase = iota // no shutdown was requested
 	shutdownAccepting                      // SIGTERM was received; connections are still accepted
-	shutdownClosing                        // no connection is accepted, and those that become idle are ended
-	shutdownAnswered                       // everything open was answered, and what still comes is rejected
+	shutdownClosing                        // no connection is accepted, and idle connections are closed
+	shutdownAnswered                       // all open requests are answered, and further ones are rejected
 )
 
-// String is the phase as the log has it.
+// String returns the name of the phase for log messages.
 func (p shutdownPhase) String() string {
 	return [...]string{"none", "accepting", "closing", "answered"}[p]
 }
 
-// shutdownSteps are the legal steps: a shutdown that has begun goes through all phases, unless the gateway
-// ends before.
+// shutdownSteps lists the legal steps. A shutdown passes through all phases in order, unless the gateway
+// stops earlier.
 var shutdownSteps = phase.Steps[shutdownPhase]{
 	shutdownNone:      {shutdownAccepting},
 	shutdownAccepting: {shutdownClosing},
 	shutdownClosing:   {shutdownAnswered},
 }
 
-// shutdownGateway is what a shutdown needs of the gateway.
+// shutdownGateway has the operations of the gateway that a shutdown needs.
 type shutdownGateway interface {
-	// announce logs the shutdown and tells operators that this process is not ready.
+	// announce logs the shutdown and reports to operators that this process is not ready.
 	announce()
-	// abandonTakeover reports whether a predecessor still decides, and leaves it to go on.
+	// abandonTakeover abandons the takeover from a predecessor that still decides, and reports whether there
+	// was one.
 	abandonTakeover() bool
-	// scheduleSteps has takeStep called with each step at its time.
+	// scheduleSteps schedules a call of takeStep for each step.
 	scheduleSteps()
-	// stopAccepting closes the sockets for clients and successors, and ends the connections that are idle.
+	// stopAccepting closes the sockets for clients and successors, and closes idle connections.
 	stopAccepting()
-	// answerAll answers everything that is open.
+	// answerAll answers all open requests.
 	answerAll()
-	// isIdle reports whether nothing is open any more: clients have read their answers and closed, had their
-	// time for it, or were handed over.
+	// isIdle reports whether nothing is open any more: each client has read its replies and closed its
+	// connection, has had time to do so, or was handed over.
 	isIdle() bool
-	// stop ends the event loop.
+	// stop stops the event loop.
 	stop()
 }
 
-// shutdown is the planned shutdown of this process. Its phase only goes forward, and once it is closing no
-// connection is accepted that was not in the backlog. It belongs to the loop.
+// shutdown is the planned shutdown of this process. Its phase only advances. From the phase closing on, only
+// connections from the backlog are accepted. A shutdown belongs to the event loop.
 type shutdown struct {
 	phase   phase.Machine[shutdownPhase]
 	gateway shutdownGateway
@@ -102,7 +103,7 @@
 func (s *shutdown) isClosing() bool      { return s.phase.Is(shutdownClosing, shutdownAnswered) }
 func (s *shutdown) hasAnsweredAll() bool { return s.phase.Is(shutdownAnswered) }
 
-// request begins the shutdown. Only the first call counts.
+// start starts the shutdown. Only the first call has an effect.
 func (s *shutdown) start() {
 	if s.hasStarted() || !s.phase.Step(shutdownAccepting) {
 		return
@@ -116,7 +117,7 @@
 	s.stopIfIdle()
 }
 
-// shutdownStep is a step of a planned shutdown that is taken at its time.
+// shutdownStep is a step of a planned shutdown that is taken at a scheduled time.
 type shutdownStep uint8
 
 const (
@@ -125,7 +126,7 @@
 	stepExit
 )
 
-// takeStep takes a step whose time has come.
+// takeStep takes a step that is due.
 func (s *shutdown) takeStep(step shutdownStep) {
 	switch step {
 	case stepStopAccepting:
@@ -142,19 +143,19 @@
 	s.stopIfIdle()
 }
 
-// stopIfIdle ends the gateway when nothing is open any more.
+// stopIfIdle stops the gateway if nothing is open any more.
 func (s *shutdown) stopIfIdle() {
 	if s.gateway.isIdle() {
 		s.gateway.stop()
 	}
 }
 
-// shutdownRequested begins a planned shutdown.
+// shutdownRequested starts a planned shutdown.
 type shutdownRequested struct{}
 
 func (shutdownRequested) Handle(g *Gateway) { g.shutdown.start() }
 
-// Handle implements eventloop.Event: the step's time has come.
+// Handle implements eventloop.Event. It takes the step, which is due.
 func (s shutdownStep) Handle(g *Gateway) { g.shutdown.takeStep(s) }
 
 // shutdownAdapter implements shutdownGateway.
@@ -185,7 +186,7 @@
 	a.handover.stopListening()
 	a.listening.shutDown(handedOver)
 	if handedOver {
-		return // the successor gets each connection once nothing is open on it
+		return // each connection is handed over once nothing is open on it
 	}
 	for c := range a.clients.conns {
 		if c.isMidCommand() {
@@ -196,14 +197,14 @@
 	}
 }
 
-// answerAll implements shutdownGateway: with SIGKILL what is open would be lost.
+// answerAll implements shutdownGateway. Requests that are still open at SIGKILL would be lost.
 func (a shutdownAdapter) answerAll() {
 	a.failOpenRequests()
 	if a.handover.hasReleasedOwnership() {
 		return
 	}
 	for c := range a.clients.conns {
-		c.closeAfterReplies(a.Gateway) // also amid a command: its client sends it again
+		c.closeAfterReplies(a.Gateway) // even within a command, which the client then sends again
 	}
 }
 
--- a/internal/gateway/takeover.go
+++ b/internal/gateway/takeover.go
@@ -10,59 +10,60 @@
 	"sparspread/policy"
 )
 
-// This file is the process that takes over.
+// This file is the successor's side of a handover.
 
-// takeoverPhase is how far this process has taken over from a predecessor.
+// takeoverPhase is the progress of a takeover from a predecessor.
 type takeoverPhase uint8
 
 const (
 	takeoverNone      takeoverPhase = iota // there is no predecessor
-	takeoverPending                        // a predecessor serves; its listening socket is here
-	takeoverStarted                        // the predecessor was asked for its state
-	takeoverWatching                       // this process serves; the predecessor ends its open requests
-	takeoverComplete                       // the predecessor has ended, or its state could not be had
-	takeoverAbandoned                      // this process ends; the predecessor goes on
+	takeoverPending                        // a predecessor serves; this process has its listening socket
+	takeoverStarted                        // the state was requested from the predecessor
+	takeoverWatching                       // this process serves; the predecessor completes its open requests
+	takeoverComplete                       // the predecessor has exited, or did not send its state
+	takeoverAbandoned                      // this process exits; the predecessor continues to serve
 )
 
-// String is the phase as the log has it.
+// String returns the name of the phase for log messages.
 func (p takeoverPhase) String() string {
 	return [...]string{"none", "pending", "started", "watching", "complete", "abandoned"}[p]
 }
 
-// takeoverSteps are the legal steps.
+// takeoverSteps lists the legal steps.
 var takeoverSteps = phase.Steps[takeoverPhase]{
 	takeoverPending:  {takeoverStarted, takeoverAbandoned},
 	takeoverStarted:  {takeoverWatching, takeoverComplete, takeoverAbandoned},
 	takeoverWatching: {takeoverComplete},
 }
 
-// predecessorLink is the connection to a predecessor: a *handover.Takeover.
+// predecessorLink is the connection to a predecessor. It is implemented by *handover.Takeover.
 type predecessorLink interface {
-	// Start asks for the state and has what comes back reported.
+	// Start requests the state and reports what the predecessor sends.
 	Start(handover.SuccessorEvents)
+	// Abandon ends the takeover: nothing more is received.
 	Abandon()
 }
 
-// takeoverGateway is what a takeover needs of the gateway.
+// takeoverGateway has the operations of the gateway that a takeover needs.
 type takeoverGateway interface {
-	// importState continues where the predecessor stopped, with half of the resources.
+	// importState continues from the state of the predecessor, with half of the resources.
 	importState(*handover.State)
-	// serve accepts clients. The socket for gossip is the predecessor's; nil: there is none.
+	// startServing starts accepting clients. The gossip socket is the predecessor's, or nil if it sent none.
 	startServing(gossip *net.UDPConn)
-	// useAllResources follows the predecessor's end.
+	// useAllResources lifts the limit of importState after the predecessor has exited.
 	useAllResources()
 }
 
 // takeover is the handover from a predecessor to this process. It owns the link to the predecessor. This
-// process decides only where the phase is none, watching or complete. It belongs to the loop.
+// process decides only in the phases none, watching and complete. A takeover belongs to the event loop.
 type takeover struct {
 	phase   phase.Machine[takeoverPhase]
-	link    predecessorLink // nil: there is no predecessor
-	gossip  *net.UDPConn    // the predecessor's; nil: none
+	link    predecessorLink // nil if there is no predecessor
+	gossip  *net.UDPConn    // the predecessor's socket; nil if it sent none
 	gateway takeoverGateway
 }
 
-// newTakeover returns the takeover from a predecessor; nil: there is none.
+// newTakeover returns the takeover from a predecessor. If from is nil, there is no predecessor.
 func newTakeover(from *handover.Takeover, gateway takeoverGateway, log *slog.Logger) *takeover {
 	first := takeoverNone
 	t := &takeover{gateway: gateway}
@@ -79,18 +80,18 @@
 // isPending reports whether a predecessor decides and this process waits to take over.
 func (t *takeover) isPending() bool { return t.phase.Is(takeoverPending, takeoverStarted) }
 
-// predecessorRuns reports whether this process serves while the predecessor still has open requests.
+// predecessorRuns reports whether this process serves while the predecessor completes its open requests.
 func (t *takeover) predecessorRuns() bool { return t.phase.Is(takeoverWatching) }
 
-// request asks the predecessor for its state. Only the first call counts.
+// requestState requests the state from the predecessor. Only the first call has an effect.
 func (t *takeover) requestState(events handover.SuccessorEvents) {
 	if t.phase.Is(takeoverPending) && t.phase.Step(takeoverStarted) {
 		t.link.Start(events)
 	}
 }
 
-// receive begins to serve with the predecessor's state; nil: it could not be had, and there is none to wait
-// for.
+// receiveState starts serving with the state of the predecessor. If state is nil, the predecessor did not
+// send it; this process then serves without a state, and does not wait for the predecessor to exit.
 func (t *takeover) receiveState(state *handover.State) {
 	next := takeoverWatching
 	if state == nil {
@@ -105,22 +106,22 @@
 	t.gateway.startServing(t.gossip)
 }
 
-// predecessorExited takes over the predecessor's part of the resources.
+// handlePredecessorExited takes over the predecessor's share of the resources.
 func (t *takeover) handlePredecessorExited() {
 	if t.predecessorRuns() && t.phase.Step(takeoverComplete) {
 		t.gateway.useAllResources()
 	}
 }
 
-// abandon leaves the predecessor to go on.
+// abandon ends a takeover in which the predecessor still decides; the predecessor continues to serve.
 func (t *takeover) abandon() {
 	if t.phase.Step(takeoverAbandoned) {
 		t.link.Abandon()
 	}
 }
 
-// close ends the link as this process ends: nothing more is received. The predecessor goes on with its open
-// requests, as after abandon.
+// close closes the link when this process exits, after which nothing more is received. The predecessor
+// continues with its open requests, as after abandon.
 func (t *takeover) close() {
 	if t.phase.Is(takeoverWatching, takeoverComplete) {
 		t.link.Abandon()
@@ -133,7 +134,7 @@
 func (a takeoverAdapter) importState(state *handover.State) {
 	a.endpoints.importList(state.Endpoints)
 	if err := a.controller.Import(a.events.Now(), state.Policy); err != nil {
-		a.log.Error("handover: beginning as after a restart", "error", err)
+		a.log.Error("handover: starting without the state of the predecessor", "error", err)
 	}
 	a.requests.lastID = max(a.requests.lastID, state.NextRequestID)
 	a.backends.limit /= 2
@@ -150,10 +151,10 @@
 	a.backends.limit *= 2
 	limitMemory(a.config, oneProcess)
 	a.controller.PredecessorExited(a.events.Now())
-	a.log.Info("the former process has ended")
+	a.log.Info("handover: predecessor exited")
 }
 
-// successorEvents posts what the predecessor sends.
+// successorEvents implements handover.SuccessorEvents. It posts what the predecessor sends.
 type successorEvents struct{ gateway *Gateway }
 
 func (s successorEvents) StateReceived(state *handover.State) {
@@ -178,7 +179,8 @@
 
 func (s successorEvents) PredecessorExited() { s.gateway.events.Post(predecessorExited{}) }
 
-// stateReceived: this process owns the state from here on; nil: it could not be had.
+// stateReceived has the state of the predecessor, which this process owns from now on. The state is nil if
+// the predecessor did not send it.
 type stateReceived struct{ state *handover.State }
 
 func (e stateReceived) Handle(g *Gateway) {
@@ -187,14 +189,14 @@
 	}
 }
 
-// clientReceived is a client's connection from the predecessor.
+// clientReceived is a client's connection that the predecessor has handed over.
 type clientReceived struct{ client handover.Client }
 
 func (e clientReceived) Handle(g *Gateway) {
 	select {
 	case g.clients.slots <- struct{}{}:
 	default:
-		_ = e.client.Conn.Close() // no place for it
+		_ = e.client.Conn.Close() // all slots are in use
 		return
 	}
 	clientConnected{
@@ -205,28 +207,28 @@
 	}.Handle(g)
 }
 
-// predecessorCostSettled is what a request of the predecessor cost beyond its estimate.
+// predecessorCostSettled reports what a request of the predecessor cost beyond its estimate.
 type predecessorCostSettled struct{ settled handover.CostSettled }
 
 func (e predecessorCostSettled) Handle(g *Gateway) {
 	g.controller.CostSettled(g.events.Now(), e.settled.Customer, e.settled.Extra)
 }
 
-// predecessorAttemptSent is a further attempt that the predecessor has made.
+// predecessorAttemptSent reports a further attempt that the predecessor has sent.
 type predecessorAttemptSent struct{ sent handover.AttemptSent }
 
 func (e predecessorAttemptSent) Handle(g *Gateway) {
 	g.controller.PredecessorSent(g.events.Now(), e.sent.RequestID, e.sent.Backend)
 }
 
-// predecessorAttemptEnded is the outcome of an attempt that the predecessor has made.
+// predecessorAttemptEnded reports the outcome of an attempt that the predecessor has sent.
 type predecessorAttemptEnded struct{ outcome policy.Outcome }
 
 func (e predecessorAttemptEnded) Handle(g *Gateway) {
 	g.controller.PredecessorAttemptEnded(g.events.Now(), e.outcome)
 }
 
-// predecessorExited: the predecessor has ended, and this process has all the resources.
+// predecessorExited reports that the predecessor has exited, so that this process has all the resources.
 type predecessorExited struct{}
 
 func (predecessorExited) Handle(g *Gateway) { g.takeover.handlePredecessorExited() }
