--- a/internal/gateway/config_test.go
+++ b/internal/gateway/config_test.go
@@ -9,7 +9,7 @@
 	"sparspread/internal/config"
 )
 
-// An invalid configuration gives an error of one line.
+// The error for an invalid configuration has a single line.
 func TestParseRejectsInvalidConfiguration(t *testing.T) {
 	good := `{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"01","settings":` +
 		settingsText + `}`
@@ -29,22 +29,23 @@
 	} {
 		bad := strings.Replace(good, c[0], c[1], 1)
 		if bad == good {
-			t.Fatalf("%s: not there", c[0])
+			t.Fatalf("%s: not found in the configuration", c[0])
 		}
 		_, err := config.Parse([]byte(bad))
 		if err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v", c[1], err)
+			t.Errorf("%s: got error %v, want an error of one line", c[1], err)
 		}
 	}
 }
 
-// editSettings returns the settings with changes: pairs of a text that is in them and its replacement.
+// editSettings returns settingsText with replacements. Changes are pairs of a text that occurs in it and the
+// replacement.
 func editSettings(tb testing.TB, changes ...string) json.RawMessage {
 	tb.Helper()
 	text := settingsText
 	for i := 0; i < len(changes); i += 2 {
 		if !strings.Contains(text, changes[i]) {
-			tb.Fatalf("no %q in the settings", changes[i])
+			tb.Fatalf("%q: not found in the settings", changes[i])
 		}
 		text = strings.Replace(text, changes[i], changes[i+1], 1)
 	}
@@ -63,7 +64,7 @@
 	} {
 		raw := fmt.Sprintf(format, editSettings(t, change[0], change[1]))
 		if _, err := config.Parse([]byte(raw)); err == nil {
-			t.Errorf("%s: no error", change[1])
+			t.Errorf("%s: got no error", change[1])
 		}
 	}
 }
@@ -71,7 +72,7 @@
 func TestParseRejectsIncompleteConfiguration(t *testing.T) {
 	for _, raw := range []string{"", "{", `{"name":"n0"}`, "null", "[]"} {
 		if _, err := config.Parse([]byte(raw)); err == nil {
-			t.Errorf("%q: no error", raw)
+			t.Errorf("%q: got no error", raw)
 		}
 	}
 }
--- a/internal/gateway/discovery_watch_test.go
+++ b/internal/gateway/discovery_watch_test.go
@@ -14,20 +14,20 @@
 	"sparspread/policy"
 )
 
-// An endpoint without a usable address is draining; one that is gone is removed.
+// An endpoint without a usable address counts as draining, and one in the phase Gone as removed.
 func TestEndpointWithoutUsableAddressIsDraining(t *testing.T) {
 	for _, address := range []string{"", "nowhere", "127.0.0.1", "127.0.0.1:x", "127.0.0.1:99999"} {
 		if m := (discovery.Endpoint{Address: address, Phase: "Ready"}); m.State() != policy.EndpointDraining {
-			t.Errorf("%q: state %d", address, m.State())
+			t.Errorf("address %q: got state %d, want draining", address, m.State())
 		}
 	}
 	if m := (discovery.Endpoint{Phase: "Gone"}); m.State() != policy.EndpointRemoved {
-		t.Error("an endpoint that is gone is not removed")
+		t.Error("phase Gone: got a state other than removed")
 	}
 }
 
-// A watch without an answer hides a drain, which counts as reported 6 s later: it is given up before, and
-// the complete list is read on another connection.
+// A watch that is never answered hides a drain, which counts as reported after 6 s. The client must abandon
+// the watch earlier and read the complete list over another connection.
 func TestDiscoveryAbandonsHungWatch(t *testing.T) {
 	var held atomic.Bool
 	var d *fakeDiscovery
@@ -36,10 +36,10 @@
 	hung := newHTTPServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Has("index") && !held.Swap(true) {
 			wait, err := strconv.Atoi(r.URL.Query().Get("wait"))
-			const slack = time.Second // for the answer, by the discovery client
+			const slack = time.Second // that the discovery client adds for the answer
 			limit := time.Duration(wait)*time.Millisecond + slack
 			if err != nil || limit >= 6*time.Second {
-				t.Errorf("a watch is waited for %v, %v", limit, err)
+				t.Errorf("watch timeout %v, error %v: want less than 6 s", limit, err)
 			}
 			d.setEntries(second.listEntry("s-00000002", "Ready"))
 			close(reported)
@@ -50,15 +50,15 @@
 	}))
 	d = newFakeDiscovery(t)
 	r := startGateway(t, newConfig(t, d, withDiscovery(hung)))
-	wait(t, reported, "the watch that hangs") // before it the unchanged list would count as the last
+	wait(t, reported, "the hung watch") // otherwise awaitWatch would see the watch of the unchanged list
 	d.awaitWatch(t)
 	c := r.client(t)
 	c.sendLookup(1)
 	c.wantServed(second, "ok")
 }
 
-// After a broken watch the next continues from the revision at hand: changes in between are reported
-// without reading the complete list.
+// After a broken watch, the next one continues from the last known revision: changes in between are reported,
+// and the complete list is not read.
 func TestDiscoveryResumesWatchAfterDisconnect(t *testing.T) {
 	r, _, d := startWithBackend(t, nil)
 	d.awaitWatch(t)
@@ -67,9 +67,9 @@
 	removed := strings.Replace(second.listEntry("s-00000001", "Gone"), "Ready", "Gone", 1)
 	d.setEntries(second.listEntry("s-00000002", "Ready"), removed)
 	for want := fmt.Sprintf("index=%d&", 2); ; {
-		query := wait(t, d.calls, "a watch from the change on")
+		query := wait(t, d.calls, "a watch from the changed revision")
 		if query == "" {
-			t.Fatal("the complete list was requested")
+			t.Fatal("the complete list was read")
 		}
 		if strings.HasPrefix(query, want) {
 			break
@@ -80,18 +80,18 @@
 	c.wantServed(second, "ok")
 }
 
-// A start watches from the revision of the configured list, at first without waiting.
+// The first watch starts from the revision of the configured list, and does not wait.
 func TestDiscoveryStartsFromConfiguredRevision(t *testing.T) {
 	d := newFakeDiscovery(t)
 	startGateway(t, newConfig(t, d, func(f map[string]any) {
 		f["known"] = json.RawMessage(`{"revision":0,"complete":true,"members":[]}`)
 	}))
 	if query := wait(t, d.calls, "the first call"); query != "index=0&wait=0" {
-		t.Errorf("the first call requests %q", query)
+		t.Errorf("first call: got query %q, want index=0&wait=0", query)
 	}
 }
 
-// The complete list is read where discovery does not know the revision at hand, or knows only an older one.
+// The complete list is read if discovery does not know the gateway's revision, or only has an older one.
 func TestDiscoveryReadsCompleteListOnRevisionMismatch(t *testing.T) {
 	for name, answer := range map[string]func(http.ResponseWriter){
 		"unknown": func(w http.ResponseWriter) { w.WriteHeader(http.StatusGone) },
@@ -114,7 +114,7 @@
 				f["known"] = json.RawMessage(`{"revision":41,"complete":true,"members":[]}`)
 			}))
 			if query := wait(t, d.calls, "another call"); query != "" {
-				t.Errorf("the next call requests %q, want the complete list", query)
+				t.Errorf("next call: got query %q, want that for the complete list", query)
 			}
 			d.awaitWatch(t)
 			c := r.client(t)
--- a/internal/gateway/endpoints_phase_test.go
+++ b/internal/gateway/endpoints_phase_test.go
@@ -7,11 +7,11 @@
 	"sparspread/policy"
 )
 
-// fakeEndpointGateway records what endpoint updates have the gateway do.
+// fakeEndpointGateway records the calls that endpoint updates make.
 type fakeEndpointGateway struct {
 	callRecorder
 	draining map[string]discovery.Endpoint
-	updated  []discovery.Endpoint // by the last update
+	updated  []discovery.Endpoint // the endpoints of the last update
 }
 
 func (f *fakeEndpointGateway) reportUnavailable() { f.record("reportUnavailable") }
@@ -33,7 +33,7 @@
 	return newEndpointList([]string{"own"}, f, log), f, illegal
 }
 
-// listed is a complete list of a revision.
+// listed returns the event of a complete list with a revision.
 func listed(revision uint64, endpoints ...discovery.Endpoint) discovery.Event {
 	return discovery.Event{
 		Kind: policy.UpdateComplete, Update: discovery.Update{Revision: revision, Endpoints: endpoints},
@@ -56,7 +56,7 @@
 	wantIllegalSteps(t, illegal)
 }
 
-// What discovery has sent does not give way to a predecessor's list.
+// A list that discovery has sent is not replaced by a predecessor's list.
 func TestEndpointListImportKeepsReceivedList(t *testing.T) {
 	e, f, illegal := newFakeEndpoints()
 	e.handleEvent(listed(1))
@@ -77,7 +77,7 @@
 	wantIllegalSteps(t, illegal, "endpoints: no step from imported to imported")
 }
 
-// An update of an older revision does not end a drain, but a restart since then does.
+// An update with an older revision does not end a drain, unless the backend has restarted.
 func TestEndpointListOlderUpdateRetainsDraining(t *testing.T) {
 	e, f, _ := newFakeEndpoints()
 	e.handleEvent(listed(5))
--- a/internal/gateway/endpoints_test.go
+++ b/internal/gateway/endpoints_test.go
@@ -8,8 +8,9 @@
 	"sparspread/policy"
 )
 
-// The list at a new address may be older than what the address before has announced: a backend that was
-// announced as draining stays so until an update as new says otherwise, or it has started anew.
+// The list at a new address of discovery may be older than that of the previous address: a backend that was
+// announced as draining stays draining until an update of at least the same revision lists it as ready, or
+// until it has restarted.
 func TestOlderEndpointUpdateKeepsBackendDraining(t *testing.T) {
 	g := newTestGateway(t, newFakeDiscovery(t))
 	const id = "s-00000001"
@@ -43,7 +44,7 @@
 	}
 }
 
-// The client gets what concerns it, whatever interval the settings name for polls.
+// The configuration of the discovery client does not depend on the poll interval in the settings.
 func TestDiscoveryConfig(t *testing.T) {
 	server := newFakeDiscovery(t)
 	withGrace := func(f map[string]any) {
@@ -72,7 +73,7 @@
 	}
 }
 
-// assertDiscoveryConfig compares all but the known revision.
+// assertDiscoveryConfig compares configurations, except for the known revision.
 func assertDiscoveryConfig(t *testing.T, got, want discovery.Config) {
 	t.Helper()
 	if got.Address != want.Address || got.Seed != want.Seed || got.Poll != want.Poll ||
--- a/internal/gateway/fake_backend_test.go
+++ b/internal/gateway/fake_backend_test.go
@@ -10,25 +10,25 @@
 	"sparspread/internal/resp"
 )
 
-// fakeBackend is a backend that hands each command to the test, which replies to it. It is safe for
+// fakeBackend is a backend that passes each command to the test, which replies to it. It is safe for
 // concurrent use.
 type fakeBackend struct {
 	listener  net.Listener
 	calls     chan *backendCall // complete commands
-	closed    chan error        // how each connection ended
-	bodySizes chan int          // sizes of large bodies whose command has begun to arrive, in bytes
+	closed    chan error        // the read error with which each connection ended
+	bodySizes chan int          // size of each large body in bytes, sent before the body is read
 
 	mu    sync.Mutex // guards conns
 	conns map[net.Conn]struct{}
 }
 
-// backendCall is one complete command, and the connection to reply on.
+// backendCall is a complete command and the connection for its reply.
 type backendCall struct {
 	args [][]byte
 	conn net.Conn
 }
 
-// reply writes a reply as it is.
+// reply writes a reply without encoding it.
 func (c *backendCall) reply(tb testing.TB, text string) {
 	tb.Helper()
 	if _, err := io.WriteString(c.conn, text); err != nil {
@@ -36,19 +36,19 @@
 	}
 }
 
-// replyValue replies with a value, without a load report and usage.
+// replyValue replies with a value, without a load report or usage.
 func (c *backendCall) replyValue(tb testing.TB, value string) {
 	tb.Helper()
 	c.reply(tb, fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(value), value))
 }
 
-// The lengths of a fake backend's queues are larger than what any test leaves in them.
+// The lengths of a fake backend's queues exceed what any test leaves in them.
 const (
 	maxQueuedCalls  = 1024
 	maxQueuedBodies = 16
 )
 
-// newBackend starts a backend, which accepts connections until the test ends.
+// newBackend starts a backend that accepts connections until the test ends.
 func newBackend(tb testing.TB) *fakeBackend {
 	tb.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(tb.Context(), "tcp", "127.0.0.1:0")
@@ -65,7 +65,7 @@
 	return b
 }
 
-// acceptConnections serves connections until the listener is closed.
+// acceptConnections accepts connections until the listener is closed.
 func (b *fakeBackend) acceptConnections() {
 	for {
 		conn, err := b.listener.Accept()
@@ -79,7 +79,7 @@
 	}
 }
 
-// closeConnections closes all connections that are open.
+// closeConnections closes all open connections.
 func (b *fakeBackend) closeConnections() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -88,7 +88,7 @@
 	}
 }
 
-// serve hands the commands of a connection to the test until the connection ends.
+// serve passes the commands of a connection to the test until the connection ends.
 func (b *fakeBackend) serve(conn net.Conn) {
 	in := resp.NewReader(conn)
 	for {
@@ -105,7 +105,7 @@
 	}
 }
 
-// readCommand reads a command to its end. It reports the size of a large body before it reads that.
+// readCommand reads a complete command. It reports the size of a large body before it reads the body.
 func (b *fakeBackend) readCommand(in *resp.Reader) ([][]byte, error) {
 	args, bodySize, err := in.ReadCommandHead()
 	if err != nil || bodySize == 0 {
@@ -116,7 +116,7 @@
 	return append(args, body), err
 }
 
-// readBody reads a large body of a size in bytes, and the line end behind it.
+// readBody reads a large body of size bytes and the line end that follows it.
 func readBody(in *resp.Reader, size int) ([]byte, error) {
 	body := make([]byte, size)
 	for received := 0; received < size; {
@@ -129,12 +129,12 @@
 	return body, in.ReadValueEnd()
 }
 
-// listEntry returns the backend's entry in discovery's list, under an ID and in a phase.
+// listEntry returns the backend's entry in the endpoint list, with an ID and a phase.
 func (b *fakeBackend) listEntry(id, phase string) string {
 	return listEntry(id, b.listener.Addr().String(), phase)
 }
 
-// listEntry returns the entry of discovery's list for a backend that listens at an address.
+// listEntry returns the entry in the endpoint list of a backend that listens at an address.
 func listEntry(id, address, phase string) string {
 	const format = `{"id":%q,"host_port":%q,"locality":"a","cell":1,"phase":%q,"size":1,"up_since_ms":0}`
 	return fmt.Sprintf(format, id, address, phase)
--- a/internal/gateway/fake_discovery_test.go
+++ b/internal/gateway/fake_discovery_test.go
@@ -10,21 +10,21 @@
 	"testing"
 )
 
-// fakeDiscovery is a discovery service whose list the test sets. It is safe for concurrent use.
+// fakeDiscovery is a discovery service whose endpoint list is set by the test. It is safe for concurrent use.
 type fakeDiscovery struct {
 	*httptest.Server
-	calls chan string // queries of the calls, as far as the test reads them
+	calls chan string // query strings of the calls, at most maxQueuedQueries of them unread
 
 	mu       sync.Mutex // guards the fields below
 	revision int
-	list     string        // its entries
-	changed  chan struct{} // closed by the next change
+	list     string        // entries, separated by commas
+	changed  chan struct{} // closed by the next setEntries
 }
 
-// maxQueuedQueries is how many queries of calls are kept for the test; further ones are lost.
+// maxQueuedQueries is how many query strings are kept for the test; further ones are dropped.
 const maxQueuedQueries = 1024
 
-// newFakeDiscovery starts a discovery service with a list, which ends with the test.
+// newFakeDiscovery starts a discovery service with an endpoint list. The service ends with the test.
 func newFakeDiscovery(tb testing.TB, entries ...string) *fakeDiscovery {
 	tb.Helper()
 	d := &fakeDiscovery{changed: make(chan struct{}), calls: make(chan string, maxQueuedQueries)}
@@ -33,7 +33,7 @@
 	return d
 }
 
-// newHTTPServer starts a server. It ends with the test, whatever calls it still serves.
+// newHTTPServer starts a server. It ends with the test, even if calls are still open.
 func newHTTPServer(tb testing.TB, handler http.Handler) *httptest.Server {
 	tb.Helper()
 	server := httptest.NewServer(handler)
@@ -44,12 +44,12 @@
 	return server
 }
 
-// withDiscovery returns a change of a configuration's keys for newConfig: the service at a server is watched.
+// withDiscovery returns a change for newConfig that makes the gateway use the discovery service at a server.
 func withDiscovery(server *httptest.Server) func(map[string]any) {
 	return func(file map[string]any) { file["discovery"] = server.Listener.Addr().String() }
 }
 
-// setEntries replaces the list by a new revision, of which the gateways that watch are told.
+// setEntries replaces the list by a new revision, and answers the gateways that watch it.
 func (d *fakeDiscovery) setEntries(entries ...string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -59,19 +59,19 @@
 	d.changed = make(chan struct{})
 }
 
-// awaitWatch waits until the gateway watches from the last change on: it has read that change, and handles it
-// before what it reads later.
+// awaitWatch waits until the gateway watches from the current revision: it has then read this revision, and
+// handles it before anything that it reads later.
 func (d *fakeDiscovery) awaitWatch(tb testing.TB) {
 	tb.Helper()
 	d.mu.Lock()
 	want := fmt.Sprintf("index=%d&", d.revision)
 	d.mu.Unlock()
-	for !strings.HasPrefix(wait(tb, d.calls, "a watch from the last change on"), want) {
+	for !strings.HasPrefix(wait(tb, d.calls, "a watch from the current revision"), want) {
 	}
 }
 
-// ServeHTTP answers with the list: a watch once there is another revision than it names, a call without one
-// at once and with the complete list.
+// ServeHTTP answers with the list. A watch is answered when the revision differs from the one in its query; a
+// call without a revision is answered immediately, with a list that is marked as complete.
 func (d *fakeDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	select {
 	case d.calls <- r.URL.RawQuery:
--- a/internal/gateway/handover_older_conn_test.go
+++ b/internal/gateway/handover_older_conn_test.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// This file stands in for an older process of a gateway. It speaks the handover protocol as the program of
-// commit d086cf6 does, by bytes of its own, and uses nothing of package handover.
+// This file simulates the process of an older version of a gateway. It implements the handover protocol of
+// commit d086cf6 on its own, without using package handover.
 
-// The first byte of each message, as the older program has it.
+// The kinds of messages of the older version, which are the first byte of each message.
 const (
 	olderHello        = 'h'
 	olderSockets      = 'l'
@@ -29,26 +29,26 @@
 	olderSettled      = 'u'
 )
 
-// The largest packet of the older program and its control data, in bytes.
+// The maximum sizes of a packet of the older version and of its control data, in bytes.
 const (
 	olderMaxPacket  = 32<<10 + 1
 	olderMaxControl = 128
 )
 
-// olderMessage is one packet.
+// olderMessage is a message, which is sent as one packet.
 type olderMessage struct {
 	Kind  byte
 	Body  []byte
-	Files []*os.File // the sockets it carries
+	Files []*os.File // the sockets that were sent with it
 }
 
-// olderConn is the other end of a process's handover link.
+// olderConn is the older version's end of a handover link.
 type olderConn struct {
 	tb   testing.TB
 	conn *net.UnixConn
 }
 
-// dialAsOlder connects to the process that listens at a path, once it does.
+// dialAsOlder connects to the socket at a path as an older successor, once a process listens there.
 func dialAsOlder(tb testing.TB, path string) *olderConn {
 	tb.Helper()
 	for until := time.Now().Add(testTimeout); time.Now().Before(until); time.Sleep(time.Millisecond) {
@@ -57,11 +57,11 @@
 			return newOlderConn(tb, conn)
 		}
 	}
-	tb.Fatalf("no process listens at %s", path)
+	tb.Fatalf("%s: no process listens on the socket", path)
 	return nil
 }
 
-// listenAsOlder opens the socket at which a successor asks for the handover.
+// listenAsOlder opens the socket on which a successor requests the handover from an older predecessor.
 func listenAsOlder(tb testing.TB, path string) *net.UnixListener {
 	tb.Helper()
 	listener, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: path, Net: "unixpacket"})
@@ -72,7 +72,7 @@
 	return listener
 }
 
-// acceptAsOlder waits for a successor.
+// acceptAsOlder accepts the connection of a successor.
 func acceptAsOlder(tb testing.TB, listener *net.UnixListener) *olderConn {
 	tb.Helper()
 	if err := listener.SetDeadline(time.Now().Add(testTimeout)); err != nil {
@@ -80,12 +80,13 @@
 	}
 	conn, err := listener.AcceptUnix()
 	if err != nil {
-		tb.Fatal("no successor: ", err)
+		tb.Fatal("accept successor: ", err)
 	}
 	return newOlderConn(tb, conn)
 }
 
-// newOlderConn makes a link of a connection. It ends with the test, whose waits for messages it bounds.
+// newOlderConn returns a link over a connection, with a deadline for all messages. The link is closed at the
+// end of the test.
 func newOlderConn(tb testing.TB, conn *net.UnixConn) *olderConn {
 	tb.Helper()
 	c := &olderConn{tb: tb, conn: conn}
@@ -96,10 +97,10 @@
 	return c
 }
 
-// Close ends the link.
+// Close closes the link.
 func (c *olderConn) Close() { _ = c.conn.Close() }
 
-// Write sends bytes as one packet.
+// Write sends a packet.
 func (c *olderConn) Write(packet []byte) {
 	c.tb.Helper()
 	if _, err := c.conn.Write(packet); err != nil {
@@ -129,12 +130,12 @@
 	packet, control := make([]byte, olderMaxPacket), make([]byte, olderMaxControl)
 	n, controlBytes, _, _, err := c.conn.ReadMsgUnix(packet, control)
 	if err != nil || n == 0 {
-		c.tb.Fatalf("%d bytes of a message, %v", n, err)
+		c.tb.Fatalf("read message: got %d bytes, error %v", n, err)
 	}
 	return olderMessage{Kind: packet[0], Body: packet[1:n], Files: c.files(control[:controlBytes])}
 }
 
-// files returns the sockets that came with a packet's control data. They are closed with the test.
+// files returns the sockets in the control data of a packet. They are closed at the end of the test.
 func (c *olderConn) files(control []byte) (files []*os.File) {
 	c.tb.Helper()
 	messages, err := syscall.ParseSocketControlMessage(control)
@@ -155,17 +156,17 @@
 	return files
 }
 
-// Expect reads a message of one kind.
+// Expect reads a message and checks its kind.
 func (c *olderConn) Expect(kind byte) olderMessage {
 	c.tb.Helper()
 	m := c.Receive()
 	if m.Kind != kind {
-		c.tb.Fatalf("message %q with %q, want %q", m.Kind, m.Body, kind)
+		c.tb.Fatalf("got message %q with body %q, want %q", m.Kind, m.Body, kind)
 	}
 	return m
 }
 
-// ExpectState reads all parts of a state.
+// ExpectState reads all parts of a state and returns the encoded state.
 func (c *olderConn) ExpectState() []byte {
 	c.tb.Helper()
 	var encoded []byte
@@ -176,18 +177,18 @@
 			return encoded
 		}
 		if m.Kind != olderStatePart {
-			c.tb.Fatalf("message %q amid the state", m.Kind)
+			c.tb.Fatalf("got message %q before the end of the state", m.Kind)
 		}
 	}
 }
 
-// olderRecording is what an older process sent to its successor.
+// olderRecording holds the messages that a process of the older version sent to its successor.
 type olderRecording struct {
-	At       int64 // of its clock, in microseconds since 1970
+	At       int64 // time of the recording in microseconds since 1970, by the clock of the process
 	Messages []recordedMessage
 }
 
-// recordedMessage is one message of it, without its sockets.
+// recordedMessage is a message of a recording, without its sockets.
 type recordedMessage struct {
 	Kind byte
 	Body []byte
--- a/internal/gateway/handover_older_predecessor_test.go
+++ b/internal/gateway/handover_older_predecessor_test.go
@@ -8,16 +8,16 @@
 	"sparspread/internal/handover"
 )
 
-// olderPredecessor stands in for the recorded process, which hands over.
+// olderPredecessor simulates the recorded process, which hands over.
 type olderPredecessor struct {
 	t         *testing.T
 	recording olderRecording
 	listener  *net.TCPListener
 	link      *olderConn
-	clients   []*testClient // whose connections were handed over, in this order
+	clients   []*testClient // clients whose connections were handed over, in this order
 }
 
-// replayThrough sends recorded messages up to the next one of a kind, and that.
+// replayThrough sends the recorded messages up to and including the next one of a kind.
 func (p *olderPredecessor) replayThrough(last byte) {
 	p.t.Helper()
 	for len(p.recording.Messages) > 0 {
@@ -35,10 +35,10 @@
 			return
 		}
 	}
-	p.t.Fatalf("no further message %q in the recording", last)
+	p.t.Fatalf("the recording has no further message %q", last)
 }
 
-// newClient connects a client to the older process and returns that side's socket.
+// newClient connects a client to the older process and returns the socket of the process's side.
 func (p *olderPredecessor) newClient() *os.File {
 	p.t.Helper()
 	side, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -55,7 +55,7 @@
 	return socketFile(p.t, conn)
 }
 
-// socketFile returns a socket as a file to send, which is closed with the test.
+// socketFile returns a socket as a file to send, which is closed at the end of the test.
 func socketFile(t *testing.T, socket interface{ File() (*os.File, error) }) *os.File {
 	t.Helper()
 	file, err := socket.File()
--- a/internal/gateway/handover_older_situation_test.go
+++ b/internal/gateway/handover_older_situation_test.go
@@ -9,22 +9,23 @@
 	"sparspread/policy"
 )
 
-// recordedScenario is a gateway as the older one was when it was asked to hand over.
+// recordedScenario is a gateway in the state in which the older version was recorded, just before the
+// handover was requested.
 type recordedScenario struct {
 	rig               *rig
 	cfg               config.Config
 	backend           *fakeBackend
 	idle, spent, open *testClient
-	openCall          *backendCall // the open request at its backend
-	admitted          int          // requests of recordedCustomer, of one unit each
+	openCall          *backendCall // the open request, as its backend received it
+	admitted          int          // number of admitted requests of recordedCustomer, of one unit each
 }
 
-// recordedClients is how many clients are connected in that situation.
+// recordedClients is the number of clients that are connected in a recordedScenario.
 const recordedClients = 3
 
-// setUpRecordedScenario brings a gateway to that situation: a customer has emptied its bucket, one backend is
-// ejected, one is cold, and a request is open. The gateway has noticed that all other clients have
-// disconnected.
+// setUpRecordedScenario brings a gateway into the recorded state: a customer has emptied its bucket, one
+// backend is ejected, one is cold, and a request is open. The gateway has handled the disconnects of all
+// other clients.
 func setUpRecordedScenario(t *testing.T) *recordedScenario {
 	t.Helper()
 	useShortTempDir(t)
@@ -55,17 +56,19 @@
 	return s
 }
 
-// acceptStateAsOlder takes the state as an older successor does, after the gateway has held a command.
+// acceptStateAsOlder receives and accepts the state as an older successor does. Before it accepts the state,
+// it waits until the gateway has queued a command.
 func (s *recordedScenario) acceptStateAsOlder(t *testing.T, link *olderConn) olderform.Snapshot {
 	t.Helper()
 	link.Send(olderHello, nil)
 	if sockets := link.Expect(olderSockets); len(sockets.Files) != 1 {
-		t.Fatalf("%d sockets, want the listener", len(sockets.Files))
+		t.Fatalf("got %d sockets, want only the listener", len(sockets.Files))
 	}
 	link.Send(olderTakeover, nil)
 	state := decodeOlderState(t, link.ExpectState())
 	if state.Version != 1 || len(state.Members) != 4 || state.Module == nil {
-		t.Fatalf("version %d with %d endpoints and state %v", state.Version, len(state.Members), state.Module)
+		t.Fatalf("got version %d, %d endpoints, policy state %v; want version 1, 4 endpoints, a policy state",
+			state.Version, len(state.Members), state.Module)
 	}
 	s.idle.sendOnce(4, "team")
 	for inspectGateway(t, s.rig, func(g *Gateway) int { return len(g.handover.queuedCommands) }) == 0 {
--- a/internal/gateway/handover_older_state_test.go
+++ b/internal/gateway/handover_older_state_test.go
@@ -15,24 +15,24 @@
 	"sparspread/policy"
 )
 
-// sessionFile is the recording of an older process that hands over.
+// sessionFile is the recording of a process of the older version that hands over.
 const sessionFile = "../handover/testdata/session.json"
 
-// The customers, backends and ids of requests in the recorded session.
+// Customers, backends and request IDs in the recorded session.
 const (
 	warmBackend    = 1
 	ejectedBackend = 2
 	coldBackend    = 3
 	retryBackend   = 4
 	openRequestID  = 3
-	spentCustomer  = 'i' // as sendOnce numbers the customers of plan tiny
+	spentCustomer  = 'i' // ID that sendOnce uses for the customer of plan tiny
 )
 
-// recordedCustomer is the customer of plan team; its requests cost a unit each.
+// recordedCustomer is the customer of plan team, whose requests cost one unit each.
 const recordedCustomer = 7
 
-// recordedEndpoints lists the backends of the recorded session: one that is warm, one where nothing listens,
-// one that has just started, and another warm one.
+// recordedEndpoints returns the endpoint list of the recorded session: two warm backends, one with an address
+// at which nothing listens, and one that has just started.
 func recordedEndpoints(t *testing.T, b *fakeBackend, startedAt policy.Time) []string {
 	t.Helper()
 	cold := strings.Replace(b.listEntry("s-00000003", "Ready"), `"up_since_ms":0`,
@@ -53,15 +53,15 @@
 	})
 }
 
-// inspectGateway returns what a function sees in the loop's goroutine.
+// inspectGateway calls a function on the goroutine of the event loop and returns its result.
 func inspectGateway[T any](t *testing.T, r *rig, read func(g *Gateway) T) T {
 	t.Helper()
 	result := make(chan T, 1)
 	r.gateway.events.Post(inspect(func(g *Gateway) { result <- read(g) }))
-	return wait(t, result, "the loop")
+	return wait(t, result, "the event loop")
 }
 
-// exportedState returns the state of a gateway as the older program reads it.
+// exportedState returns the policy state of a gateway as the older version decodes it.
 func exportedState(t *testing.T, r *rig) olderform.Snapshot {
 	t.Helper()
 	encoded := inspectGateway(t, r, func(g *Gateway) []byte {
@@ -74,7 +74,7 @@
 	return *decodeOlderState(t, encoded).Module
 }
 
-// decodeOlderState reads a state as the older program does.
+// decodeOlderState decodes a state as the older version does.
 func decodeOlderState(t *testing.T, encoded []byte) olderform.State {
 	t.Helper()
 	state, err := olderform.DecodeState(encoded)
@@ -84,30 +84,31 @@
 	return state
 }
 
-// findBackend returns a backend's state by its number. It ends the test where there is none.
+// findBackend returns the state of the backend with a number. It ends the test if there is none.
 func findBackend(t *testing.T, s olderform.Snapshot, number uint32) olderform.BackendState {
 	t.Helper()
 	return find(t, s.Backends, func(b olderform.BackendState) bool { return b.Backend == number })
 }
 
-// findCustomer returns a customer's state by its ID. It ends the test where there is none.
+// findCustomer returns the state of the customer with an ID. It ends the test if there is none.
 func findCustomer(t *testing.T, s olderform.Snapshot, id uint64) olderform.CustomerState {
 	t.Helper()
 	return find(t, s.Customers, func(c olderform.CustomerState) bool { return c.ID == id })
 }
 
-// find returns the first item that matches. It ends the test where none does.
+// find returns the first item that matches. It ends the test if none does.
 func find[T any](t *testing.T, items []T, matches func(T) bool) T {
 	t.Helper()
 	i := slices.IndexFunc(items, matches)
 	if i < 0 {
-		t.Fatalf("none of %+v is the one wanted", items)
+		t.Fatalf("no item matches in %+v", items)
 	}
 	return items[i]
 }
 
-// wantRecordedState compares what does not depend on the time and on random numbers. Chance is also how many
-// requests of recordedCustomer were admitted until one met the backend that is ejected.
+// wantRecordedState compares the parts of the state that do not depend on the time or on random numbers. The
+// number of requests of recordedCustomer that were admitted before one met the ejected backend is random too,
+// so it is passed as admitted.
 func wantRecordedState(t *testing.T, got, want olderform.Snapshot, admitted int) {
 	t.Helper()
 	for _, id := range []uint64{spentCustomer, recordedCustomer} {
@@ -116,32 +117,32 @@
 			want.Store[0] += want.Taken - float64(admitted)
 		}
 		if got.Store[0] != want.Store[0] || got.Plan != want.Plan || got.Spread != want.Spread {
-			t.Errorf("customer %x\n%+v, want\n%+v", id, got, want)
+			t.Errorf("customer %x: got\n%+v, want\n%+v", id, got, want)
 		}
 	}
 	if ejected := findBackend(t, got, ejectedBackend); !ejected.Down || ejected.Left == 0 {
-		t.Errorf("ejected backend %+v", ejected)
+		t.Errorf("ejected backend: got %+v, want it down, with the time of its ejection", ejected)
 	}
 	if cold := findBackend(t, got, coldBackend); cold.Started == 0 || cold.Cold[0] == 0 {
-		t.Errorf("cold backend %+v", cold)
+		t.Errorf("cold backend: got %+v, want it in slow start", cold)
 	}
 	wantRecordedOpenRequest(t, got, want)
 }
 
-// wantRecordedOpenRequest compares the one request that is open, but for the time of its attempt.
+// wantRecordedOpenRequest compares the only open request, except for the time of its attempt.
 func wantRecordedOpenRequest(t *testing.T, got, want olderform.Snapshot) {
 	t.Helper()
 	if len(got.Open) != 1 || len(got.Open[0].Attempts) != 1 {
-		t.Fatalf("open requests %+v, want one with one attempt", got.Open)
+		t.Fatalf("got open requests %+v, want one with one attempt", got.Open)
 	}
 	wantOpen := want.Open[0]
 	wantOpen.Attempts[0].At = got.Open[0].Attempts[0].At
 	if !reflect.DeepEqual(got.Open[0], wantOpen) {
-		t.Errorf("open request %+v, want %+v", got.Open[0], wantOpen)
+		t.Errorf("got open request %+v, want %+v", got.Open[0], wantOpen)
 	}
 }
 
-// wantClient checks a message that hands over a client which has sent one command.
+// wantClient checks a message that hands over a client that has sent one command.
 func wantClient(t *testing.T, m olderMessage) {
 	t.Helper()
 	client, err := olderform.DecodeMessage[olderform.ClientConnection](m.Body)
@@ -149,11 +150,12 @@
 		t.Fatal(err)
 	}
 	if client.Asked != 1 || client.Opened == 0 || len(m.Files) != 1 {
-		t.Errorf("client %+v with %d sockets, want one that asked once", client, len(m.Files))
+		t.Errorf("got client %+v with %d sockets, want one request and one socket", client, len(m.Files))
 	}
 }
 
-// wantOlderMessage compares a message in its older form; how long an attempt took is not compared.
+// wantOlderMessage reads a message in the form of the older version and compares it, except for the duration
+// of an attempt.
 func wantOlderMessage[T any](t *testing.T, link *olderConn, kind byte, want T) {
 	t.Helper()
 	got, err := olderform.DecodeMessage[T](link.Expect(kind).Body)
@@ -164,6 +166,6 @@
 		ended.Took = 0
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("message %q with %+v, want %+v", kind, got, want)
+		t.Errorf("message %q: got %+v, want %+v", kind, got, want)
 	}
 }
--- a/internal/gateway/handover_older_test.go
+++ b/internal/gateway/handover_older_test.go
@@ -9,12 +9,12 @@
 	"sparspread/policy"
 )
 
-// These tests hand over between this program and that of commit d086cf6. The test stands in for the older
-// process: sessionFile has what the older program sent in the situation that setUpRecordedScenario brings
-// about, package olderform has the forms of its messages.
+// These tests hand over between this version and that of commit d086cf6, whose process is simulated by the
+// test: sessionFile contains the messages that it sent in the state that setUpRecordedScenario reproduces,
+// and package olderform has the forms of its messages.
 
-// The recorded process hands over to this program: all that it granted and learned is known, its clients
-// follow and the attempts that it had sent end here.
+// The recorded process hands over to this version: the successor knows what the predecessor has granted and
+// learned, receives its clients, and settles the attempts that it had sent.
 func TestOlderPredecessorHandsOver(t *testing.T) {
 	old, r, b := startAfterOlderPredecessor(t)
 	recorded := *decodeOlderState(t, old.recording.Messages[0].Body).Module
@@ -25,19 +25,19 @@
 
 	state := exportedState(t, r)
 	if !reflect.DeepEqual(state.Customers, recorded.Customers) {
-		t.Errorf("customers\n%+v, want\n%+v", state.Customers, recorded.Customers)
+		t.Errorf("customers: got\n%+v, want\n%+v", state.Customers, recorded.Customers)
 	}
 	for _, number := range []uint32{warmBackend, ejectedBackend, coldBackend} {
 		got, want := findBackend(t, state, number), findBackend(t, recorded, number)
 		if !reflect.DeepEqual(got, want) {
-			t.Errorf("backend %d\n%+v, want\n%+v", number, got, want)
+			t.Errorf("backend %d: got\n%+v, want\n%+v", number, got, want)
 		}
 	}
 	if len(recorded.Open) != 1 || recorded.Open[0].ID != openRequestID {
-		t.Fatalf("recorded open requests %+v, want request %d", recorded.Open, openRequestID)
+		t.Fatalf("got recorded open requests %+v, want only request %d", recorded.Open, openRequestID)
 	}
 	if n := inspectGateway(t, r, func(g *Gateway) int { return g.controller.UnavailableBackends() }); n != 1 {
-		t.Errorf("%d backends unavailable, want the ejected one", n)
+		t.Errorf("got %d unavailable backends, want only the ejected one", n)
 	}
 
 	old.replayThrough(olderClient) // with a command that the older process has read
@@ -46,7 +46,7 @@
 	spent := old.clients[1]
 	spent.sendOnce(5, "tiny")
 	if got := spent.readLine(); got != "-BUSY 2000" {
-		t.Errorf("answer %q of a customer whose bucket the older process has emptied, want -BUSY 2000", got)
+		t.Errorf("customer whose bucket the older process has emptied: got reply %q, want -BUSY 2000", got)
 	}
 
 	old.replayThrough(olderAttemptAgain)
@@ -58,14 +58,14 @@
 	got := findCustomer(t, exportedState(t, r), recordedCustomer)
 	want := findCustomer(t, recorded, recordedCustomer)
 	if cost := want.Store[0] - got.Store[0]; cost != 0.5 {
-		t.Errorf("the open request's answer cost %g more than its estimate, want 0.5", cost)
+		t.Errorf("the open request cost %g more than its estimate, want 0.5", cost)
 	}
-	old.clients[2].sendLookup(6) // the connection came after its answer
+	old.clients[2].sendLookup(6) // its connection was handed over after the reply
 	old.clients[2].wantServed(b, "ok")
 }
 
-// The older program takes over from this one, brought to the recorded situation: it gets what it recorded
-// there, in its forms and order.
+// The older version takes over from this one, which is in the recorded state: it receives the messages that
+// the older version sent in this state, in the same forms and order.
 func TestOlderSuccessorTakesOver(t *testing.T) {
 	recording := readOlderRecording(t, sessionFile)
 	recorded := *decodeOlderState(t, recording.Messages[1].Body).Module
@@ -74,7 +74,7 @@
 	state := s.acceptStateAsOlder(t, link)
 	wantRecordedState(t, state, recorded, s.admitted)
 
-	// Both idle connections follow, in any order; one with the command that was held.
+	// Both idle connections are handed over in any order, one of them with the queued command.
 	var input []byte
 	for clients := 0; clients < 2; {
 		m := link.Receive()
@@ -85,16 +85,17 @@
 			wantClient(t, m)
 			clients++
 		default:
-			t.Fatalf("message %q, want a client", m.Kind)
+			t.Fatalf("got message %q, want a client", m.Kind)
 		}
 	}
 	isInput := func(m recordedMessage) bool { return m.Kind == olderInput }
 	recordedInput := recording.Messages[slices.IndexFunc(recording.Messages, isInput)].Body
 	if string(input) != string(recordedInput) {
-		t.Errorf("input %q, want %q", input, recordedInput)
+		t.Errorf("got input %q, want %q", input, recordedInput)
 	}
 
-	s.rig.waitUntil(t, func(g *Gateway) bool { // else the last client would follow behind its attempt's end
+	// Otherwise the last client might be handed over after the end of its attempt was reported.
+	s.rig.waitUntil(t, func(g *Gateway) bool {
 		return !slices.ContainsFunc(clientList(g), func(c *client) bool { return !c.readerStopped })
 	})
 	s.rig.runClock()
--- a/internal/gateway/handover_phase_test.go
+++ b/internal/gateway/handover_phase_test.go
@@ -9,7 +9,7 @@
 	"sparspread/policy"
 )
 
-// fakeLink is a successor's link that records what is sent.
+// fakeLink is a link to a successor that records the calls of its methods.
 type fakeLink struct {
 	callRecorder
 	closed bool
@@ -47,10 +47,10 @@
 
 func (f *fakeLink) CloseAndWait() { f.record("CloseAndWait") }
 
-// errExport is why the fake gateway's state can't be encoded.
-var errExport = errors.New("no form for NaN")
+// errExport is the error of a fake gateway whose state cannot be encoded.
+var errExport = errors.New("cannot encode NaN")
 
-// fakeHandoverGateway records what a handover has the gateway do.
+// fakeHandoverGateway records the calls that a handover makes.
 type fakeHandoverGateway struct {
 	callRecorder
 	closing   bool
@@ -68,7 +68,7 @@
 func (f *fakeHandoverGateway) stopIfIdle()                         { f.record("stopIfIdle") }
 func (f *fakeHandoverGateway) setStateTimeout(successorLink)       { f.record("setStateTimeout") }
 
-// newFakeHandover returns a handover whose gateway is fake, and what it has logged as illegal.
+// newFakeHandover returns a handover, its fake gateway, and the illegal steps that it reports.
 func newFakeHandover() (*outgoingHandover, *fakeHandoverGateway, *[]string) {
 	log, illegal := newIllegalStepLog()
 	f := &fakeHandoverGateway{}
@@ -83,7 +83,7 @@
 	f.wantCalls(t, "pauseServing", "setStateTimeout")
 	link.wantCalls(t, "SendState")
 	if !h.isActive() || h.hasReleasedOwnership() || !h.canSend() {
-		t.Error("nothing is offered, or all is given")
+		t.Error("after the offer: handover is inactive, cannot send, or has released ownership")
 	}
 	c := &client{pipelineSlots: make(chan struct{}, 1)}
 	c.pipelineSlots <- struct{}{}
@@ -93,9 +93,9 @@
 	f.wantCalls(t, "releaseOwnership", "stopReading", "stopIfIdle")
 	link.wantCalls(t, "SendGo")
 	if got := string(c.handoverInput); got != "*1\r\n$4\r\nPING\r\n" || len(c.pipelineSlots) != 0 {
-		t.Errorf("the successor gets the input %q; %d slots are held", got, len(c.pipelineSlots))
+		t.Errorf("got input %q for the successor and %d slots in use", got, len(c.pipelineSlots))
 	}
-	h.handleStateTimeout(link) // its time comes after the state was accepted
+	h.handleStateTimeout(link) // has no effect after the state was accepted
 	h.reportAttemptSent(1, 1)
 	h.reportAttemptEnded(policy.Outcome{})
 	h.reportCostSettled(1, 1)
@@ -106,11 +106,11 @@
 	wantIllegalSteps(t, illegal)
 }
 
-// A successor that does not accept the state in time, or ends before, leaves this process deciding.
+// If a successor does not accept the state in time, or exits before, this process remains the owner.
 func TestHandoverWithoutAcceptanceRetainsOwnership(t *testing.T) {
 	for name, end := range map[string]func(*outgoingHandover, successorLink){
-		"in time":         (*outgoingHandover).handleStateTimeout,
-		"before its exit": (*outgoingHandover).handleSuccessorExited,
+		"not accepted in time": (*outgoingHandover).handleStateTimeout,
+		"successor exited":     (*outgoingHandover).handleSuccessorExited,
 	} {
 		t.Run(name, func(t *testing.T) {
 			h, f, illegal := newFakeHandover()
@@ -134,7 +134,7 @@
 	}
 }
 
-// A successor that ends after it has decided leaves this process to serve again, and another one may take
+// If a successor exits after it has taken over, this process serves again, and another successor may take
 // over.
 func TestHandoverResumesOwnershipAfterSuccessorExit(t *testing.T) {
 	h, f, illegal := newFakeHandover()
@@ -156,12 +156,12 @@
 
 func TestHandoverRefusesSuccessor(t *testing.T) {
 	for name, prepare := range map[string]func(*outgoingHandover, *fakeHandoverGateway){
-		"while another runs": func(h *outgoingHandover, f *fakeHandoverGateway) {
+		"another handover is active": func(h *outgoingHandover, f *fakeHandoverGateway) {
 			h.offerState(&fakeLink{})
 			f.calls = nil
 		},
-		"during a shutdown": func(_ *outgoingHandover, f *fakeHandoverGateway) { f.closing = true },
-		"for a state without a form": func(_ *outgoingHandover, f *fakeHandoverGateway) {
+		"shutting down": func(_ *outgoingHandover, f *fakeHandoverGateway) { f.closing = true },
+		"state cannot be encoded": func(_ *outgoingHandover, f *fakeHandoverGateway) {
 			f.exportErr = errExport
 		},
 	} {
--- a/internal/gateway/handover_test.go
+++ b/internal/gateway/handover_test.go
@@ -23,11 +23,11 @@
 	return replaceableConfig(t, d), b
 }
 
-// makeShortDir makes a directory with a short path, unlike testing.T.TempDir: the path of a Unix socket in
-// it has 108 bytes at most.
+// makeShortDir makes a directory with a shorter path than testing.T.TempDir, because the path of a Unix
+// socket has at most 108 bytes.
 func makeShortDir() (string, error) { return os.MkdirTemp("", "h") }
 
-// useShortTempDir makes a directory with a short path the test's $TMPDIR.
+// useShortTempDir sets $TMPDIR to a directory with a short path for the duration of the test.
 func useShortTempDir(t *testing.T) {
 	t.Helper()
 	dir, err := makeShortDir()
@@ -42,8 +42,8 @@
 	t.Setenv("TMPDIR", dir)
 }
 
-// replaceableConfig returns a configuration with a fixed address, by which a second process finds the
-// first. Its buckets refill so slowly that no wait of a test matters.
+// replaceableConfig returns a configuration with a fixed listen address, by which a second process finds the
+// first one. Its buckets refill so slowly that the duration of a test does not matter.
 func replaceableConfig(t *testing.T, d *fakeDiscovery) config.Config {
 	t.Helper()
 	address := porttest.Reserve(t)
@@ -55,14 +55,13 @@
 	})
 }
 
-// dialHandover waits until a gateway can be asked to hand over.
+// dialHandover connects to a gateway's handover socket once the gateway listens there.
 func dialHandover(t *testing.T, cfg config.Config) *olderConn {
 	t.Helper()
 	return dialAsOlder(t, handover.SocketPath(cfg.Listen))
 }
 
-// waitForReadiness waits until a gateway reports a status: 200 where it serves clients, 503 where it does
-// not.
+// waitForReadiness waits until a gateway reports a status: 200 if it serves clients, 503 if it does not.
 func waitForReadiness(t *testing.T, r *rig, want int) {
 	t.Helper()
 	for until := time.Now().Add(testTimeout); time.Now().Before(until); {
@@ -70,10 +69,10 @@
 			return
 		}
 	}
-	t.Fatal("readiness never was ", want)
+	t.Fatal("timed out waiting for readiness status ", want)
 }
 
-// sendOnce sends a request that is forwarded only once, however long its answer takes.
+// sendOnce sends a request that is never retried, however long its reply takes.
 func (c *testClient) sendOnce(id int, plan string) {
 	c.t.Helper()
 	customer := fmt.Sprintf("%016x", plan[1])
@@ -81,8 +80,8 @@
 	c.send("API.WRITE", customer, fmt.Sprintf("%016x", id), fields, "x")
 }
 
-// Open requests end where they were sent, connections follow with the input that was read from them, and no
-// bucket is granted from twice.
+// Open requests complete in the process that received them, connections are handed over with the input that
+// was read from them, and the tokens of a bucket are not granted twice.
 func TestHandoverTransfersConnectionsAndBuckets(t *testing.T) {
 	cfg, b := replaceableConfigWithBackend(t)
 	first := startGateway(t, cfg)
@@ -101,9 +100,9 @@
 	idle.wantServed(b, "four")
 	spent.sendOnce(5, "tiny")
 	if got := spent.readLine(); got != "-BUSY 2000" {
-		t.Errorf("a burst was granted twice: %q", got)
+		t.Errorf("after the burst was granted: got reply %q, want -BUSY 2000", got)
 	}
-	busy.sendOnce(6, "team") // behind the one that stayed with the first process
+	busy.sendOnce(6, "team") // follows the request that stayed in the first process
 	open.replyValue(t, "three")
 	busy.wantValue("three")
 	busy.wantServed(b, "six")
@@ -111,13 +110,13 @@
 	wantMetrics(t, first, "fulfilled.once=3", "open_requests=0")
 
 	first.shutDown()
-	wait(t, first.ended, "the first process to end")
+	wait(t, first.ended, "the first process to exit")
 	late := second.client(t)
 	late.sendOnce(7, "team")
 	late.wantServed(b, "seven")
 }
 
-// A third process takes over from the second, which listens where the first one did.
+// A third process takes over from the second one, which listens on the same socket path as the first one.
 func TestSuccessorHandsOverInTurn(t *testing.T) {
 	cfg, b := replaceableConfigWithBackend(t)
 	first := startGateway(t, cfg)
@@ -126,7 +125,7 @@
 		next := startGateway(t, cfg)
 		waitForReadiness(t, next, 200)
 		first.shutDown()
-		wait(t, first.ended, "the predecessor to end")
+		wait(t, first.ended, "the predecessor to exit")
 		first = next
 		c.sendOnce(i, "team")
 		c.wantServed(b, "ok")
@@ -139,7 +138,7 @@
 	second := startGateway(t, cfg)
 	waitForReadiness(t, second, 200)
 	second.shutDown()
-	wait(t, second.ended, "the second process to end")
+	wait(t, second.ended, "the second process to exit")
 	waitForReadiness(t, first, 200)
 	c := first.client(t)
 	c.sendOnce(1, "team")
@@ -147,8 +146,8 @@
 	dialHandover(t, cfg)
 }
 
-// A handover that breaks off at any step leaves the first process serving, and the commands that came
-// meanwhile are answered.
+// If a handover is interrupted at any step, the first process continues to serve and answers the commands
+// that arrived in the meantime.
 func TestInterruptedHandoverLeavesPredecessorServing(t *testing.T) {
 	cfg, b := replaceableConfigWithBackend(t)
 	first := startGateway(t, cfg)
@@ -159,7 +158,7 @@
 		c.sendOnce(id, "team")
 		c.wantServed(b, "ok")
 	}
-	for _, packet := range []string{"", "x", "\x00", strings.Repeat("h", 63)} { // none asks for the handover
+	for _, packet := range []string{"", "x", "\x00", strings.Repeat("h", 63)} { // none requests a handover
 		conn := dialHandover(t, cfg)
 		if packet != "" {
 			conn.Write([]byte(packet))
@@ -170,13 +169,13 @@
 	conn := dialHandover(t, cfg)
 	conn.Send(olderHello, nil)
 	if sockets := conn.Expect(olderSockets); len(sockets.Files) == 0 {
-		t.Fatal("no sockets")
+		t.Fatal("got no sockets, want at least the listener")
 	}
 	conn.Send(olderTakeover, nil)
 	conn.Expect(olderStateEnd)
 	id++
-	c.sendOnce(id, "team") // held until it is known who decides
-	conn.Close()           // without having accepted the state
+	c.sendOnce(id, "team") // queued until the handover ends
+	conn.Close()           // before the state is accepted
 	c.wantServed(b, "held")
 	serves()
 
@@ -185,7 +184,7 @@
 	serves()
 }
 
-// A socket's file that no process listens at keeps no process from starting.
+// The file of a socket on which no process listens does not prevent a gateway from starting.
 func TestStaleHandoverSocketIsReplaced(t *testing.T) {
 	cfg, b := replaceableConfigWithBackend(t)
 	stale := listenAsOlder(t, handover.SocketPath(cfg.Listen))
@@ -199,8 +198,8 @@
 	dialHandover(t, cfg)
 }
 
-// A command of which the first process has read a part is read to its end there, and decided on by the
-// second.
+// A command that the first process has read in part is read completely there, and handed over to the second
+// process, which decides on it.
 func TestHandoverTransfersClientAfterPartialCommand(t *testing.T) {
 	cfg, b := replaceableConfigWithBackend(t)
 	first := startGateway(t, cfg)
--- a/internal/gateway/listening_test.go
+++ b/internal/gateway/listening_test.go
@@ -2,12 +2,12 @@
 
 import "testing"
 
-// newListeningWithoutSocket returns a listening type without a socket and without slots: its accept goroutine
-// waits for a slot until it is paused.
+// newListeningWithoutSocket returns a listening without a socket and without slots. Its accept goroutine
+// waits for a slot until it is stopped.
 func newListeningWithoutSocket(t *testing.T) (s *listening, illegal *[]string) {
 	t.Helper()
 	log, illegal := newIllegalStepLog()
-	s = newListening(make(chan struct{}), func(event) { t.Error("an event without a socket") }, log)
+	s = newListening(make(chan struct{}), func(event) { t.Error("an event was posted") }, log)
 	t.Cleanup(func() {
 		if s.stopAccepting != nil {
 			close(s.stopAccepting)
@@ -25,27 +25,27 @@
 		calls []func(*listening)
 		want  listeningPhase
 	}{
-		{"at the start", nil, listeningWaiting},
+		{"initial phase", nil, listeningWaiting},
 		{"ready", []func(*listening){resume}, listeningAccepting},
-		{"a successor takes over", []func(*listening){resume, pause}, listeningPaused},
-		{"it gives up", []func(*listening){resume, pause, resume}, listeningAccepting},
-		{"it serves", []func(*listening){resume, pause, handOver}, listeningHandedOver},
-		{"it serves and ends", []func(*listening){resume, pause, handOver, resume}, listeningAccepting},
+		{"successor takes over", []func(*listening){resume, pause}, listeningPaused},
+		{"successor abandons takeover", []func(*listening){resume, pause, resume}, listeningAccepting},
+		{"successor serves", []func(*listening){resume, pause, handOver}, listeningHandedOver},
+		{"successor exits", []func(*listening){resume, pause, handOver, resume}, listeningAccepting},
 		{"shutdown", []func(*listening){resume, shutDown}, listeningDraining},
 		{"shutdown before ready", []func(*listening){shutDown}, listeningDraining},
-		{"shutdown amid a takeover", []func(*listening){resume, pause, shutDown}, listeningDraining},
+		{"shutdown during handover", []func(*listening){resume, pause, shutDown}, listeningDraining},
 		{
-			"the successor serves while the backlog is drained",
+			"successor serves while the backlog is drained",
 			[]func(*listening){resume, pause, shutDown, handOver},
 			listeningDraining,
 		},
 		{
-			"shutdown after the handover",
+			"shutdown after handover",
 			[]func(*listening){resume, pause, handOver, shutDownHandedOver},
 			listeningClosed,
 		},
 		{
-			"shutdown after the successor's end",
+			"shutdown after the successor exited",
 			[]func(*listening){resume, pause, handOver, shutDown},
 			listeningDraining,
 		},
@@ -59,7 +59,7 @@
 			wantIllegalSteps(t, illegal)
 			accepts := run.want == listeningAccepting || run.want == listeningDraining
 			if got := s.stopAccepting != nil; got != accepts {
-				t.Errorf("accept goroutine: %t", got)
+				t.Errorf("accept goroutine is running: got %t", got)
 			}
 			got := [...]bool{s.isWaiting(), s.isPaused(), s.isClosed()}
 			want := [...]bool{
--- a/internal/gateway/loop_rig_test.go
+++ b/internal/gateway/loop_rig_test.go
@@ -11,14 +11,14 @@
 	"sparspread/policy"
 )
 
-// inspect is an event that runs on the loop's goroutine.
+// inspect is an event that calls a function on the goroutine of the event loop.
 type inspect func(g *Gateway)
 
 // Handle implements event.
 func (f inspect) Handle(g *Gateway) { f(g) }
 
-// blockDials has the loop's dials wait until unblock is closed or receives. Each sends its address to
-// dialing before.
+// blockDials makes dials to backends wait until unblock is closed or a value is sent to it. Each dial sends
+// its address to dialing before it waits.
 func blockDials(g *Gateway) (dialing chan string, unblock chan struct{}) {
 	dialing, unblock = make(chan string, 16), make(chan struct{})
 	g.backends.dial.Timeout = 0
@@ -30,7 +30,7 @@
 	return dialing, unblock
 }
 
-// handleNext handles the next event of a loop that the test runs itself.
+// handleNextEvent handles the next event of a gateway whose event loop the test runs itself.
 func handleNextEvent(t *testing.T, g *Gateway, what string) event {
 	t.Helper()
 	e := wait(t, g.events.Queue(), what)
@@ -38,8 +38,8 @@
 	return e
 }
 
-// connectWithRequest connects a client to a loop that the test runs itself, and has one request of the
-// client's handled. The fields of the request begin with the given ones, which name its class.
+// connectWithRequest connects a client to a gateway whose event loop the test runs itself, and handles one
+// request of the client. The fields of the request start with the given ones, which name its class.
 func connectWithRequest(t *testing.T, g *Gateway, fields string) *testClient {
 	t.Helper()
 	g.listening.resume()
@@ -52,7 +52,8 @@
 	return c
 }
 
-// newGatewayWithBackend makes a loop that the test runs itself, with one backend that is ready: number 1.
+// newGatewayWithBackend returns a gateway whose event loop the test runs itself, with one backend that is
+// ready, which has the number 1.
 func newGatewayWithBackend(t *testing.T) (*Gateway, *fakeBackend) {
 	t.Helper()
 	b := newBackend(t)
@@ -61,40 +62,40 @@
 	return g, b
 }
 
-// endpoint is the backend as discovery lists it.
+// endpoint returns the backend as discovery lists it.
 func (b *fakeBackend) endpoint() discovery.Endpoint {
 	return discovery.Endpoint{ID: "s-00000001", Address: b.listener.Addr().String(), Phase: "Ready"}
 }
 
-// updateEndpoint applies a list of one endpoint, or a change of one.
+// updateEndpoint applies an update with a single endpoint.
 func (g *Gateway) updateEndpoint(kind policy.UpdateKind, e discovery.Endpoint) {
 	endpointAdapter{g}.updateEndpoints(kind, []discovery.Endpoint{e})
 }
 
-// restartedAtMS is a start of a backend that is later than the one that a fake backend is listed with, in
-// milliseconds since 1970.
+// restartedAtMS is a start time in milliseconds since 1970. It is later than the one with which a fake
+// backend is listed.
 const restartedAtMS = 1_000_000_000_000
 
-// reportRestart has discovery report that the only backend has started anew.
+// reportRestart applies an update in which the only backend has restarted.
 func (b *fakeBackend) reportRestart(g *Gateway) {
 	restarted := b.endpoint()
 	restarted.UpSinceMS = restartedAtMS
 	g.updateEndpoint(policy.UpdateIncremental, restarted)
 }
 
-// reportDrain has discovery report that the only backend is draining.
+// reportDrain applies an update in which the only backend is draining.
 func (b *fakeBackend) reportDrain(g *Gateway) {
 	draining := b.endpoint()
 	draining.Phase = "Terminating"
 	g.updateEndpoint(policy.UpdateIncremental, draining)
 }
 
-// newHealthCheck makes a health check that does not time out during a test.
+// newHealthCheck returns a health check that does not time out during a test.
 func newHealthCheck(g *Gateway) *attempt {
 	return &attempt{sentAt: g.events.Now(), expiresAt: g.events.Now() + 1000*second}
 }
 
-// startHealthCheck sends a health check to the only backend, which is read and answered like a request.
+// startHealthCheck sends a health check to the only backend, which receives and answers it like a request.
 func startHealthCheck(g *Gateway) *attempt {
 	check := newHealthCheck(g)
 	g.backends.startAttempt(check, 1)
@@ -102,7 +103,7 @@
 }
 
 // dialWithHealthCheck sends a health check to the only backend, to which no connection is open, and returns
-// it as the backend got it.
+// the health check and the command that the backend received.
 func dialWithHealthCheck(t *testing.T, g *Gateway, b *fakeBackend) (*attempt, *backendCall) {
 	t.Helper()
 	check := startHealthCheck(g)
@@ -110,7 +111,7 @@
 	return check, b.nextCall(t)
 }
 
-// endedResults returns the results of attempts that have ended, and that the loop has not handled yet.
+// endedResults returns the results of attempts that have ended but are not handled yet by the event loop.
 func endedResults(t *testing.T, g *Gateway) []policy.Result {
 	t.Helper()
 	var results []policy.Result
@@ -120,8 +121,7 @@
 	return results
 }
 
-// newGatewayWithBlockedDials makes a loop that the test runs itself, with one backend, the dials to which are
-// blocked.
+// newGatewayWithBlockedDials returns a gateway like newGatewayWithBackend, whose dials are blocked.
 func newGatewayWithBlockedDials(t *testing.T) (
 	g *Gateway, b *fakeBackend, dialing chan string, unblock chan struct{},
 ) {
@@ -131,15 +131,15 @@
 	return g, b, dialing, unblock
 }
 
-// awaitQueued waits until there are n events or more in the queue of a loop that the test runs itself.
+// awaitQueued waits until at least n events are queued for a gateway whose event loop the test runs itself.
 func awaitQueued(g *Gateway, n int) {
 	for len(g.events.Queue()) < n {
 		runtime.Gosched()
 	}
 }
 
-// wantNothingSent checks that no attempt waits, unblocks the dials and checks that nothing is written to the
-// connection that comes up.
+// wantNothingSent checks that no attempt waits for a connection, unblocks the dials, and checks that nothing
+// is written to the new connection.
 func wantNothingSent(t *testing.T, g *Gateway, b *fakeBackend, unblock chan struct{}) {
 	t.Helper()
 	if n := len(g.backends.byNumber[1].waiting); n != 0 {
@@ -154,5 +154,5 @@
 	}
 }
 
-// clientList lists the connected clients, in any order.
+// clientList returns the connected clients in no particular order.
 func clientList(g *Gateway) []*client { return slices.Collect(maps.Keys(g.clients.conns)) }
--- a/internal/gateway/phases_test.go
+++ b/internal/gateway/phases_test.go
@@ -15,7 +15,7 @@
 	illegal *[]string
 }
 
-// newIllegalStepLog returns a log, and the illegal steps that are written to it.
+// newIllegalStepLog returns a log, and the illegal steps that are reported to it.
 func newIllegalStepLog() (log *slog.Logger, illegal *[]string) {
 	illegal = new([]string)
 	return slog.New(illegalStepLog{slog.DiscardHandler, illegal}), illegal
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// wantIllegalSteps checks which steps were reported as illegal, and forgets them.
+// wantIllegalSteps checks which steps were reported as illegal, and clears the report.
 func wantIllegalSteps(t *testing.T, illegal *[]string, want ...string) {
 	t.Helper()
 	if !slices.Equal(*illegal, want) {
@@ -52,12 +52,12 @@
 	}
 }
 
-// callRecorder records the names of the methods that a control type calls on its gateway.
+// callRecorder records the names of the methods that are called on a fake.
 type callRecorder struct{ calls []string }
 
 func (e *callRecorder) record(call string) { e.calls = append(e.calls, call) }
 
-// want checks the calls since the last check.
+// wantCalls checks the calls since the last check.
 func (e *callRecorder) wantCalls(t *testing.T, calls ...string) {
 	t.Helper()
 	if !slices.Equal(e.calls, calls) {
@@ -83,12 +83,12 @@
 	names := map[string]bool{}
 	for p := range P(n) {
 		if !reached[p] {
-			t.Errorf("no way leads to %s", p)
+			t.Errorf("phase %s is unreachable", p)
 		}
 		names[p.String()] = true
 	}
 	if len(reached) != n || len(names) != n {
-		t.Errorf("%d phases with %d names are reached, want %d", len(reached), len(names), n)
+		t.Errorf("%d phases are reachable, with %d names, want %d", len(reached), len(names), n)
 	}
 }
 
--- a/internal/gateway/reload_phase_test.go
+++ b/internal/gateway/reload_phase_test.go
@@ -7,14 +7,14 @@
 	"sparspread/internal/config"
 )
 
-// errConfig is what is wrong with a configuration in these tests.
-var errConfig = errors.New("a key is missing")
+// errConfig is the error of an invalid configuration in these tests.
+var errConfig = errors.New("missing key")
 
-// fakeReloadGateway records what a reload has the gateway do.
+// fakeReloadGateway records the calls that a reload makes.
 type fakeReloadGateway struct {
 	callRecorder
 	checkErr error
-	during   func() // called while a configuration is checked
+	during   func() // called by applySettings
 }
 
 func (f *fakeReloadGateway) applyReload(config.Config) { f.record("applyReload") }
@@ -56,7 +56,7 @@
 	wantIllegalSteps(t, illegal)
 }
 
-// A reload can't begin within another one.
+// A reload cannot start during another one.
 func TestReloadRejectsIllegalSteps(t *testing.T) {
 	r, f, illegal := newFakeReload()
 	f.during = func() {
--- a/internal/gateway/reload_settings_test.go
+++ b/internal/gateway/reload_settings_test.go
@@ -7,42 +7,43 @@
 	"sparspread/internal/config"
 )
 
-// Classes are known by their names: an open request keeps its class, and no total falls.
+// Classes are identified by name: an open request keeps its class after a reload, and no counter decreases.
 func TestReloadChangesClasses(t *testing.T) {
 	const (
 		lookupClass = `{"name":"lookup","promise-us":10000000,"repeat":"retryable",` +
 			`"group":"all","window-us":0,"worth":1},`
 		strictClass = `{"name":"strict","promise-us":10000000,"repeat":"fragile",` +
 			`"group":"all","window-us":0,"worth":2},`
-		onceClass = `{"name":"once"` // the beginning of it
+		onceClass = `{"name":"once"` // the start of the class
 	)
 	r, b, d := startWithBackend(t, withOps)
 	c := r.client(t)
 	open := c.openLookup(b, 1)
 	r.reloadWith(newConfig(t, d, func(f map[string]any) {
 		withOps(f)
-		// Class lookup vanishes while a request of it is open, order becomes the first, strict is new.
+		// Class lookup is removed while one of its requests is open, order becomes the first class, and
+		// strict is added.
 		f["settings"] = editSettings(t, lookupClass, "", onceClass, strictClass+onceClass)
 	}), nil)
 	awaitMetric(t, r, "cfg_accepted=1")
 	c2 := r.client(t)
-	for range 2 * maxConsecutiveErrors { // the client is not to blame: its connection stays
+	for range 2 * maxConsecutiveErrors { // errors for a removed class do not close the connection
 		c2.sendLookup(2)
 		if got := c2.readLine(); !strings.HasPrefix(got, "-ERR") {
-			t.Fatalf("a class that vanished: got reply %q, want an error", got)
+			t.Fatalf("request of a removed class: got reply %q, want an error", got)
 		}
 	}
 	c3 := r.client(t)
 	c3.send("API.WRITE", "0000000000000007", "0000000000000003",
 		"c=strict,t=team,d=60000,units=1,spread=1,first=0", "x")
 	c3.wantServed(b, "new")
-	open.reply(t, "-ERR failed\r\n") // its class allowed a retry
+	open.reply(t, "-ERR failed\r\n") // its class, which is removed, allows a retry
 	c.wantServed(b, "old")
 	wantMetrics(t, r, "fulfilled.lookup=1", "relayed.lookup=2", "fulfilled.strict=1",
 		"cfg_accepted=1", "cfg_invalid=0")
 }
 
-// Of a configuration with any error nothing takes effect, not even the address of discovery.
+// Nothing of an invalid configuration takes effect, not even the address of discovery.
 func TestInvalidReloadHasNoEffect(t *testing.T) {
 	r, b, d := startWithBackend(t, withOps)
 	elsewhere := newFakeDiscovery(t)
@@ -63,6 +64,6 @@
 	d.setEntries(b.listEntry("s-00000001", "Ready"))
 	d.awaitWatch(t)
 	if len(elsewhere.calls) > 0 {
-		t.Error("discovery moved with a configuration that was rejected")
+		t.Error("the address of discovery changed by a rejected configuration")
 	}
 }
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -15,8 +15,8 @@
 	"sparspread/policy"
 )
 
-// Discovery moves at once, though a watch is open at the old address; the request and the connection that are
-// open go on.
+// The address of discovery changes immediately, although a watch is open at the old address. The open request
+// and its connection continue.
 func TestReloadChangesDiscoveryAddress(t *testing.T) {
 	r, before, old := startWithBackend(t, nil)
 	old.awaitWatch(t)
@@ -32,11 +32,11 @@
 	c.sendLookup(2)
 	c.wantServed(after, "new")
 	if len(before.calls) > 0 {
-		t.Error("a request went where the new list does not lead")
+		t.Error("a request was sent to a backend that the new list does not contain")
 	}
 }
 
-// A configuration that can't be read leaves the gateway as it was: it goes on watching the endpoint list.
+// A configuration that cannot be read has no effect: the gateway continues to watch the endpoint list.
 func TestFailedReloadKeepsConfiguration(t *testing.T) {
 	r, _, d := startWithBackend(t, nil)
 	r.reloadWith(config.Config{}, fs.ErrNotExist)
@@ -49,7 +49,8 @@
 	c.wantServed(second, "ok")
 }
 
-// newCounterServer serves a counter that always has the same total, and tells of each call.
+// newCounterServer starts a counter service that always answers with the same total. It sends the path of
+// each call to calls.
 func newCounterServer(t *testing.T, total string) (server *httptest.Server, calls <-chan string) {
 	t.Helper()
 	got := make(chan string, 8)
@@ -63,7 +64,7 @@
 	return server, got
 }
 
-// Calls go to the counter of the newest configuration, each with one answer.
+// Calls go to the counter of the newest configuration, and each call gets one answer.
 func TestReloadChangesCounterAddress(t *testing.T) {
 	first, firstCalls := newCounterServer(t, "1")
 	second, secondCalls := newCounterServer(t, "2")
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -15,10 +15,10 @@
 	"sparspread/policy"
 )
 
-// testTimeout bounds every wait of a test. No test asserts a speed.
+// testTimeout limits every wait of a test. No test checks a duration.
 const testTimeout = 30 * time.Second
 
-// wait returns the next value of a channel, and fails the test if none comes in time.
+// wait returns the next value of a channel, and ends the test if none arrives within testTimeout.
 func wait[T any](tb testing.TB, from <-chan T, what string) T {
 	tb.Helper()
 	select {
@@ -30,8 +30,8 @@
 	}
 }
 
-// settingsText is a file of settings, with a class of requests of each kind and two plans, of which tiny
-// has a bucket of one unit.
+// settingsText is a settings file with a class of each kind and two plans. Plan tiny has a token bucket of
+// one unit.
 const settingsText = `{"self-index":0,"balancers":1,"az":0,"granularity-us":4000,"localities":["a"],
  "ceilings":{"peers":false,"probes":false,"second-copies":true,"retry-after":true,"max-attempts":3,
   "max-retry-after-us":2000000,"max-open":20000,"dial-timeout-us":250000,"idle-close-us":30000000},
@@ -45,34 +45,35 @@
  "tariffs":[{"name":"team","rate":1000,"burst":1000,"value-factor":1},
   {"name":"tiny","rate":0.1,"burst":1,"value-factor":1}]}`
 
-// withSettings returns a change of a configuration's keys for newConfig, which replaces parts of the
-// settings: an old part, what takes its place, and so on.
+// withSettings returns a change for newConfig that replaces parts of the settings. Changes are pairs of a
+// text and its replacement.
 func withSettings(tb testing.TB, changes ...string) func(map[string]any) {
 	tb.Helper()
 	return func(file map[string]any) { file["settings"] = editSettings(tb, changes...) }
 }
 
-// eventAs returns an event as the type that the test expects it to have.
+// eventAs returns an event as the type T, and ends the test if it has another type.
 func eventAs[T event](tb testing.TB, e event) T {
 	tb.Helper()
 	typed, ok := e.(T)
 	if !ok {
-		tb.Fatalf("event %T, want %T", e, typed)
+		tb.Fatalf("got event %T, want %T", e, typed)
 	}
 	return typed
 }
 
-// discardLog is a log that is discarded, but for an illegal step of a state machine, which panics.
+// discardLog returns a log that discards its records, except for an illegal step of a state machine, which
+// panics.
 func discardLog() *slog.Logger { return slog.New(illegalStepPanicHandler{}) }
 
 // illegalStepPanicHandler is a log handler that panics on an illegal step of a state machine and discards all
 // other records.
 type illegalStepPanicHandler struct{}
 
-// Enabled implements slog.Handler: records of every level are looked at.
+// Enabled implements slog.Handler. It enables all levels.
 func (illegalStepPanicHandler) Enabled(context.Context, slog.Level) bool { return true }
 
-// Handle implements slog.Handler. It formats all values, as a log that is kept does.
+// Handle implements slog.Handler. It formats all values, like a handler that writes them.
 func (illegalStepPanicHandler) Handle(_ context.Context, record slog.Record) error {
 	record.Attrs(func(a slog.Attr) bool {
 		if text := a.Value.String(); record.Message == illegalStepMessage {
@@ -83,19 +84,19 @@
 	return nil
 }
 
-// WithAttrs implements slog.Handler: a logger with attributes panics in the same way.
+// WithAttrs implements slog.Handler. It returns the same handler.
 func (h illegalStepPanicHandler) WithAttrs([]slog.Attr) slog.Handler { return h }
 
-// WithGroup implements slog.Handler like WithAttrs.
+// WithGroup implements slog.Handler. It returns the same handler.
 func (h illegalStepPanicHandler) WithGroup(string) slog.Handler { return h }
 
-// fakeClock is a loop's clock that stands still, unless the test advances it or starts it.
+// fakeClock is a clock of an event loop that stands still until the test advances or starts it.
 type fakeClock struct {
-	shown        atomic.Int64 // while it stands still
-	runningSince atomic.Pointer[time.Time]
+	shown        atomic.Int64              // microseconds since 1970, without the time it has run
+	runningSince atomic.Pointer[time.Time] // nil while the clock stands still
 }
 
-// newFakeClock makes a clock that shows the time of its creation.
+// newFakeClock returns a clock that stands still at the current time.
 func newFakeClock() *fakeClock {
 	c := &fakeClock{}
 	c.shown.Store(time.Now().UnixMicro())
@@ -111,17 +112,18 @@
 	return now
 }
 
-// useFakeClock returns the fake clock that a loop was made with.
+// useFakeClock returns the fake clock that a gateway was created with.
 func useFakeClock(tb testing.TB, g *Gateway) *fakeClock {
 	tb.Helper()
 	clock, ok := g.clock.(*fakeClock)
 	if !ok {
-		tb.Fatalf("the loop has a clock of type %T", g.clock)
+		tb.Fatalf("got clock of type %T, want *fakeClock", g.clock)
 	}
 	return clock
 }
 
-// newFakeClockGateway makes a loop with a fake clock. Dials, which use the real clock, get a long timeout.
+// newFakeClockGateway returns a gateway with a fake clock. Its dials use the real clock, so they have a long
+// timeout.
 func newFakeClockGateway(tb testing.TB, cfg config.Config) *Gateway {
 	tb.Helper()
 	g, err := newGateway(cfg, discardLog(), newFakeClock())
@@ -137,17 +139,18 @@
 	addr    string // for clients
 	gateway *Gateway
 	clock   *fakeClock
-	reload  chan struct{}                      // receives each request to reload
-	configs chan func() (config.Config, error) // what the next reload reads
-	once    sync.Once                          // guards the closing of stopped
-	stopped chan struct{}                      // closed to begin a planned shutdown
-	ended   chan struct{}                      // closed when the loop has ended
+	reload  chan struct{}                      // receives a value for each requested reload
+	configs chan func() (config.Config, error) // reads the configuration for the next reload
+	once    sync.Once                          // closes stopped
+	stopped chan struct{}                      // closed to request a planned shutdown
+	ended   chan struct{}                      // closed when the event loop has stopped
 }
 
-// advance advances the clock in steps: the policy would take a jump for a stall of the gateway.
+// advanceClock advances the clock in steps, because the policy would interpret a jump as a stall of the
+// gateway.
 func (r *rig) advanceClock(tb testing.TB, period policy.Time) {
 	tb.Helper()
-	const longestStep policy.Time = 4000 // as the settings' granularity
+	const longestStep policy.Time = 4000 // granularity-us of the settings
 	for remaining := period; remaining > 0; {
 		step := min(remaining, longestStep)
 		r.clock.shown.Add(step)
@@ -156,14 +159,14 @@
 	}
 }
 
-// runClock lets the clock run from now on.
+// runClock makes the clock run in real time from now on.
 func (r *rig) runClock() {
 	now := time.Now()
 	r.clock.runningSince.CompareAndSwap(nil, &now)
 	r.gateway.events.Post(inspect(func(*Gateway) {}))
 }
 
-// sync waits until the loop has handled what was posted before, and the timers that are due.
+// sync waits until the event loop has handled all events that were posted before and all timers that are due.
 func (r *rig) sync(tb testing.TB) {
 	tb.Helper()
 	for range 2 { // timers run between two events
@@ -171,18 +174,17 @@
 	}
 }
 
-// waitUntil waits until a condition holds. It is called on the loop's goroutine, again and again.
+// waitUntil waits until a condition holds. It calls condition repeatedly on the goroutine of the event loop.
 func (r *rig) waitUntil(tb testing.TB, condition func(*Gateway) bool) {
 	tb.Helper()
 	result := make(chan bool, 1)
 	for holds := false; !holds; {
 		r.gateway.events.Post(inspect(func(g *Gateway) { result <- condition(g) }))
-		holds = wait(tb, result, "the loop")
+		holds = wait(tb, result, "the event loop")
 	}
 }
 
-// awaitQuiescence waits until a connection to a backend is idle, and advances the clock by its quiescence
-// period.
+// awaitQuiescence waits until a connection to a backend is idle, and advances the clock by quiescencePeriod.
 func (r *rig) awaitQuiescence(tb testing.TB) {
 	tb.Helper()
 	r.waitUntil(tb, func(g *Gateway) bool {
@@ -196,13 +198,13 @@
 	r.advanceClock(tb, quiescencePeriod)
 }
 
-// shutDown begins a planned shutdown with a running clock, by which its steps are due.
+// shutDown starts a planned shutdown with a running clock, so that its steps become due.
 func (r *rig) shutDown() {
 	r.runClock()
 	r.once.Do(func() { close(r.stopped) })
 }
 
-// shutDownFor begins a planned shutdown and advances the clock by a period from its start on.
+// shutDownFor starts a planned shutdown, and then advances the clock by a period.
 func (r *rig) shutDownFor(tb testing.TB, period policy.Time) {
 	tb.Helper()
 	r.once.Do(func() { close(r.stopped) })
@@ -210,13 +212,14 @@
 	r.advanceClock(tb, period)
 }
 
-// reloadWith has the gateway load another configuration, or fail to.
+// reloadWith makes the gateway reload its configuration. Reading it returns cfg and err.
 func (r *rig) reloadWith(cfg config.Config, err error) {
 	r.configs <- func() (config.Config, error) { return cfg, err }
 	r.reload <- struct{}{}
 }
 
-// newConfig is the configuration of a gateway with a discovery service; change may edit the file's keys.
+// newConfig returns the configuration of a gateway that uses a discovery service. If change is not nil, it
+// edits the keys of the configuration file.
 func newConfig(tb testing.TB, d *fakeDiscovery, change func(map[string]any)) config.Config {
 	tb.Helper()
 	f := map[string]any{
@@ -238,7 +241,7 @@
 	return cfg
 }
 
-// newTestGateway makes a loop that the test runs itself.
+// newTestGateway returns a gateway whose event loop the test runs itself.
 func newTestGateway(tb testing.TB, d *fakeDiscovery) *Gateway {
 	tb.Helper()
 	g := newFakeClockGateway(tb, newConfig(tb, d, nil))
@@ -246,7 +249,7 @@
 	return g
 }
 
-// startGateway starts a gateway and waits until it is ready. The test's end stops it.
+// startGateway starts a gateway and waits until it is ready. The gateway stops at the end of the test.
 func startGateway(tb testing.TB, cfg config.Config) *rig {
 	tb.Helper()
 	r := serveGateway(tb, newFakeClockGateway(tb, cfg))
@@ -257,7 +260,7 @@
 	return r
 }
 
-// serveGateway runs a gateway's loop until the test ends, and checks that it ends then.
+// serveGateway runs a gateway until the end of the test, and checks that it stops then.
 func serveGateway(tb testing.TB, g *Gateway) *rig {
 	tb.Helper()
 	r := &rig{
@@ -273,13 +276,14 @@
 		select {
 		case <-r.ended:
 		case <-time.After(testTimeout):
-			tb.Error("the gateway did not end")
+			tb.Error("timed out waiting for the gateway to stop")
 		}
 	})
 	return r
 }
 
-// startWithBackend starts a gateway with one backend that is ready; change may edit its configuration's keys.
+// startWithBackend starts a gateway with one backend that is ready. If change is not nil, it edits the keys
+// of the gateway's configuration file.
 func startWithBackend(t *testing.T, change func(map[string]any)) (*rig, *fakeBackend, *fakeDiscovery) {
 	t.Helper()
 	b := newBackend(t)
@@ -287,8 +291,8 @@
 	return startGateway(t, newConfig(t, d, change)), b, d
 }
 
-// startWithFourBackends starts a gateway that may open a number of descriptors, with four backends at one
-// address: the policy allows more requests in flight than with one.
+// startWithFourBackends starts a gateway with a limit of file descriptors and with four backends at one
+// address, because the policy allows more requests in flight for four backends than for one.
 func startWithFourBackends(t *testing.T, sockets int) (*rig, *fakeBackend) {
 	t.Helper()
 	b := newBackend(t)
--- a/internal/gateway/scale_test.go
+++ b/internal/gateway/scale_test.go
@@ -10,7 +10,7 @@
 	"sparspread/policy"
 )
 
-// endpoints is a list of the given length.
+// endpoints returns a list of n endpoints.
 func endpoints(n int) []discovery.Endpoint {
 	list := make([]discovery.Endpoint, 0, n)
 	for i := range n {
@@ -23,7 +23,8 @@
 	return list
 }
 
-// The cost of an update of one endpoint in the loop, the policy included. docs/CAPACITY.md uses the figures.
+// BenchmarkChangeByMembers measures an update of one endpoint on the event loop, including the policy, for
+// endpoint lists of several lengths. docs/CAPACITY.md uses its figures.
 func BenchmarkChangeByMembers(b *testing.B) {
 	for _, n := range []int{46, 830, 8300, 83000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
--- a/internal/gateway/shutdown_phase_test.go
+++ b/internal/gateway/shutdown_phase_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// fakeShutdownGateway records what a shutdown has the gateway do.
+// fakeShutdownGateway records the calls that a shutdown makes.
 type fakeShutdownGateway struct {
 	callRecorder
 	takesOver, idle bool
@@ -30,7 +30,7 @@
 	s, f, illegal := newFakeShutdown()
 	s.stopIfIdle()
 	if s.hasStarted() {
-		t.Error("a shutdown has started that nobody asked for")
+		t.Error("the shutdown has started before start")
 	}
 	f.wantCalls(t)
 	s.start()
@@ -38,26 +38,26 @@
 	wantPhase(t, &s.phase, shutdownAccepting)
 	f.wantCalls(t, "announce", "abandonTakeover", "scheduleSteps")
 	if !s.hasStarted() || s.isClosing() {
-		t.Error("it does not accept")
+		t.Error("after start: shutdown has not started, or is closing already")
 	}
 	s.takeStep(stepStopAccepting)
 	wantPhase(t, &s.phase, shutdownClosing)
 	f.wantCalls(t, "stopAccepting")
 	if !s.isClosing() || s.hasAnsweredAll() {
-		t.Error("it does not answer")
+		t.Error("after stepStopAccepting: shutdown is not closing, or has answered all requests already")
 	}
 	s.takeStep(stepAnswerAll)
 	wantPhase(t, &s.phase, shutdownAnswered)
 	f.wantCalls(t, "answerAll")
 	if !s.isClosing() || !s.hasAnsweredAll() {
-		t.Error("not all is answered")
+		t.Error("after stepAnswerAll: shutdown is not closing, or has not answered all requests")
 	}
 	s.takeStep(stepExit)
 	f.wantCalls(t, "stop")
 	wantIllegalSteps(t, illegal)
 }
 
-// A shutdown ends as soon as nothing is open, at any step.
+// A shutdown stops the gateway at any step as soon as nothing is open.
 func TestShutdownEndsWhenIdle(t *testing.T) {
 	s, f, illegal := newFakeShutdown()
 	f.idle = true
@@ -70,7 +70,7 @@
 	wantIllegalSteps(t, illegal)
 }
 
-// A process that waits for its predecessor's state ends at once: the predecessor goes on.
+// A process that waits for the state of its predecessor exits immediately, and the predecessor continues.
 func TestShutdownAbandonsTakeover(t *testing.T) {
 	s, f, illegal := newFakeShutdown()
 	f.takesOver = true
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -12,7 +12,8 @@
 	"sparspread/policy"
 )
 
-// newStoppingGateway returns a gateway with one backend during a planned shutdown. The test runs its loop.
+// newStoppingGateway returns a gateway with one backend, on which a planned shutdown was requested. The test
+// runs its event loop.
 func newStoppingGateway(t *testing.T) (*Gateway, *fakeBackend) {
 	t.Helper()
 	b := newBackend(t)
@@ -32,25 +33,26 @@
 	}
 }
 
-// advance lets time pass for a loop that the test runs.
+// advanceClock advances the clock of a gateway whose event loop the test runs, and handles the timers that
+// are due.
 func advanceClock(t *testing.T, g *Gateway, period policy.Time) {
 	t.Helper()
 	useFakeClock(t, g).shown.Add(period)
 	g.events.RunTimers()
 }
 
-// A connection with a complete request waits in the listener's backlog when that is about to be closed: the
-// request is served, and nothing ends the process meanwhile.
+// When the listener is about to be closed, a connection with a complete request is in its backlog. The
+// request must be served, and the process must not stop before.
 func TestShutdownServesBacklog(t *testing.T) {
 	g, b := newStoppingGateway(t)
 	c := (&rig{addr: g.listening.listener.Addr().String()}).client(t)
-	c.sendLookup(1) // in the kernel, as nothing accepts yet
+	c.sendLookup(1) // stays in the kernel, because no connection is accepted yet
 	advanceClock(t, g, acceptPeriod)
 	handleUntil(t, g, "the request", func() bool { return g.requests.open == 1 })
 	handleUntil(t, g, "the listener to close", g.listening.isClosed)
 	advanceClock(t, g, 2*closePeriod) // the backend takes long
 	if g.events.Stopped() {
-		t.Fatal("the process ends with an open request")
+		t.Fatal("the event loop has stopped with an open request")
 	}
 	handleUntil(t, g, "the dial", func() bool { return len(g.backends.byNumber[1].waiting) == 0 })
 	b.nextCall(t).replyValue(t, "ok")
@@ -58,11 +60,11 @@
 	c.wantValue("ok")
 	c.wantClosed()
 	closeConn(t, c.conn)
-	handleUntil(t, g, "the process to end after its last client has closed", g.events.Stopped)
+	handleUntil(t, g, "the event loop to stop after the last client has closed", g.events.Stopped)
 }
 
-// A command is partly written when everything open is answered: its connection ends in an orderly way, so
-// that its client sends it again elsewhere, and is not left to the end of the process.
+// A command is partly written when all open requests are answered. Its connection must be closed in an
+// orderly way before the process exits, so that its client sends the command again to another gateway.
 func TestShutdownClosesConnectionWithPartialCommand(t *testing.T) {
 	g, _ := newStoppingGateway(t)
 	g.listening.resume()
@@ -70,25 +72,25 @@
 	handleNextEvent(t, g, "the connection")
 	c.write("*4\r\n$8\r\nAPI.R")
 	for conn := range g.clients.conns {
-		for conn.lastInputAt.Load() == 0 { // until the reader has it
+		for conn.lastInputAt.Load() == 0 { // until the reader has received the input
 			runtime.Gosched()
 		}
-		conn.lastCommandAt = 0 // it was opened earlier
+		conn.lastCommandAt = 0 // as if it had been opened earlier
 	}
 	advanceClock(t, g, acceptPeriod)
 	if g.events.Stopped() || len(g.clients.conns) != 1 {
-		t.Fatalf("done %v with %d connections", g.events.Stopped(), len(g.clients.conns))
+		t.Fatalf("stopped: %v, with %d connections", g.events.Stopped(), len(g.clients.conns))
 	}
 	advanceClock(t, g, answerTimeout(g.config)-acceptPeriod)
 	c.wantClosed()
 	closeConn(t, c.conn)
-	handleUntil(t, g, "the end of all", g.events.Stopped)
+	handleUntil(t, g, "the event loop to stop", g.events.Stopped)
 }
 
-// However short the timeouts of clients are: connections are accepted as long as they may come, their
-// requests are answered after that, and the process has ended before SIGKILL.
+// For all client timeouts, even short ones, connections are accepted for acceptPeriod, their requests are
+// answered after that, and the process exits before SIGKILL.
 func TestShutdownStepOrder(t *testing.T) {
-	const killDelay = 700_000 // beyond the longest timeout, in microseconds
+	const killDelay = 700_000 // beyond the longest client timeout, in microseconds
 	for _, limit := range []policy.Time{20_000, 50_000, 100_000, 290_000, 400_000, 2_500_000, 9_000_000, 0} {
 		t.Run(fmt.Sprintf("timeout %d us", limit), func(t *testing.T) {
 			cfg := config.Config{}
@@ -100,14 +102,14 @@
 			answer, exit, kill := answerTimeout(&cfg), exitTimeout(&cfg), longest+killDelay
 			earliest := acceptPeriod + min(limit, backlogPeriod)
 			if answer < earliest || exit < answer+backlogPeriod || exit >= kill {
-				t.Errorf("accepted for %d, answered after %d, ended after %d, SIGKILL after %d",
+				t.Errorf("accepts for %d us, answers after %d us, exits after %d us, SIGKILL after %d us",
 					acceptPeriod, answer, exit, kill)
 			}
 		})
 	}
 }
 
-// closeConn closes a client's side of a connection.
+// closeConn closes the client's side of a connection.
 func closeConn(t *testing.T, conn net.Conn) {
 	t.Helper()
 	if err := conn.Close(); err != nil {
@@ -115,8 +117,8 @@
 	}
 }
 
-// A planned shutdown answers open requests and closes connections after it, and accepts connections for a
-// while.
+// A planned shutdown accepts connections for acceptPeriod, then closes idle ones, and closes the others after
+// their requests are answered.
 func TestShutdownAnswersOpenRequests(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c, idle := r.client(t), r.client(t)
@@ -128,10 +130,10 @@
 	c.wantClosed()
 	_ = c.conn.Close()
 	_ = idle.conn.Close()
-	wait(t, r.ended, "the gateway's end")
+	wait(t, r.ended, "the gateway to stop")
 }
 
-// Requests still open shortly before SIGKILL are failed.
+// Requests that are still open shortly before SIGKILL are failed.
 func TestShutdownFailsUnansweredRequests(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
@@ -141,16 +143,16 @@
 	c.wantLine("-ERR failed")
 	c.wantClosed()
 	_ = c.conn.Close()
-	wait(t, r.ended, "the gateway's end")
+	wait(t, r.ended, "the gateway to stop")
 }
 
-// A command that has partly arrived when the gateway closes its connections is completed and answered.
+// A command that has partly arrived when the gateway closes its connections is read completely and answered.
 func TestShutdownWaitsForPartialCommand(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c, idle := r.client(t), r.client(t)
 	idle.send("PING")
 	idle.wantLine("+PONG")
-	r.advanceClock(t, 1) // what comes from now on came after its connection
+	r.advanceClock(t, 1) // so that input from now on is later than its connection
 	const command = "*4\r\n$8\r\nAPI.READ\r\n$16\r\n0000000000000007\r\n$16\r\n0000000000000001\r\n" +
 		"$48\r\nc=lookup,t=team,d=60000,units=1,spread=1,first=0\r\n"
 	c.write(command[:40])
@@ -160,15 +162,15 @@
 		})
 	})
 	r.shutDownFor(t, acceptPeriod)
-	idle.wantClosed() // by now connections are closed
+	idle.wantClosed() // idle connections are closed now
 	c.write(command[40:])
 	c.wantServed(b, "ok")
 	c.wantClosed()
-	r.runClock() // its connection lingers
-	wait(t, r.ended, "the gateway to end")
+	r.runClock() // for the timeout of the connection, which lingers
+	wait(t, r.ended, "the gateway to stop")
 }
 
-// All open requests are answered before SIGKILL, which comes by the longest deadline of the settings.
+// All open requests are answered before SIGKILL, the time of which depends on the longest client timeout.
 func TestShutdownAnswerTimeoutFollowsLongestClientTimeout(t *testing.T) {
 	for limit, want := range map[policy.Time]policy.Time{
 		500 * millisecond:  700 * millisecond,
@@ -179,7 +181,7 @@
 		cfg := config.Config{}
 		cfg.Host.ClientTimeouts = []policy.Time{limit}
 		if got := answerTimeout(&cfg); got != want {
-			t.Errorf("longest deadline %d: answered after %d, want %d", limit, got, want)
+			t.Errorf("longest client timeout %d us: answered after %d us, want %d us", limit, got, want)
 		}
 	}
 }
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -14,14 +14,14 @@
 	"sparspread/policy"
 )
 
-// faultyDiscovery is a discovery service that fails in one way.
+// faultyDiscovery is a discovery service with a fault.
 type faultyDiscovery struct {
 	address string
-	// control replaces that of the client's dialer; nil: the client dials as ever.
+	// control is the Control function of the dialer of the discovery client. If nil, dials are not changed.
 	control func(network, address string, c syscall.RawConn) error
 }
 
-// startFaultyDiscovery listens and does the same with each connection.
+// startFaultyDiscovery starts a discovery service that calls serve with each connection.
 func startFaultyDiscovery(t *testing.T, serve func(*net.TCPConn)) faultyDiscovery {
 	t.Helper()
 	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -42,7 +42,7 @@
 	return faultyDiscovery{address: listener.Addr().String()}
 }
 
-// discoveryFaults start a faulty service each. It sends to called whenever the client has called it.
+// discoveryFaults start one faulty discovery service each. The service sends a value to called for each call.
 var discoveryFaults = map[string]func(t *testing.T, called chan<- string) faultyDiscovery{
 	"refuses": func(t *testing.T, called chan<- string) faultyDiscovery {
 		t.Helper()
@@ -60,19 +60,19 @@
 			called <- "reset"
 		})
 	},
-	"is silent": func(t *testing.T, called chan<- string) faultyDiscovery {
+	"never answers": func(t *testing.T, called chan<- string) faultyDiscovery {
 		t.Helper()
 		return startFaultyDiscovery(t, func(*net.TCPConn) { called <- "call" })
 	},
-	"breaks off amid a list": func(t *testing.T, called chan<- string) faultyDiscovery {
+	"sends part of a list": func(t *testing.T, called chan<- string) faultyDiscovery {
 		t.Helper()
 		return startFaultyDiscovery(t, func(conn *net.TCPConn) {
 			const half = "HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n{\"revision\":9,\"members\":["
-			_, _ = fmt.Fprint(conn, half) // a gateway that has gone fails the test elsewhere
+			_, _ = fmt.Fprint(conn, half) // the test fails elsewhere if the connection is closed
 			called <- "half a list"
 		})
 	},
-	"hangs in the dial": func(t *testing.T, called chan<- string) faultyDiscovery {
+	"dial hangs": func(t *testing.T, called chan<- string) faultyDiscovery {
 		t.Helper()
 		release := make(chan struct{})
 		t.Cleanup(func() { close(release) })
@@ -85,8 +85,8 @@
 	},
 }
 
-// Whatever the discovery service does, a start is over when its wait is: the gateway serves with the list
-// that its configuration contains.
+// With any fault of the discovery service, a starting gateway is ready after readinessWait, and serves with
+// the endpoint list of its configuration.
 func TestStartWithFaultyDiscoveryServesConfiguredList(t *testing.T) {
 	for name, start := range discoveryFaults {
 		t.Run(name, func(t *testing.T) {
@@ -100,11 +100,11 @@
 			g.start(ctx)
 			wait(t, called, "discovery's first call")
 			if g.events.RunTimers(); !g.listening.isWaiting() {
-				t.Fatal("ready before the wait was over")
+				t.Fatal("the gateway is ready before readinessWait")
 			}
 			useFakeClock(t, g).shown.Add(readinessWait)
 			if g.events.RunTimers(); g.listening.isWaiting() {
-				t.Fatal("not ready when the wait was over")
+				t.Fatal("the gateway is not ready after readinessWait")
 			}
 			defer g.listening.pause()
 			ready := 0
@@ -120,7 +120,8 @@
 	}
 }
 
-// newGatewayWithKnownList makes a gateway whose configuration contains a list and names a faulty service.
+// newGatewayWithKnownList returns a gateway whose configuration contains an endpoint list and the address of
+// a faulty discovery service.
 func newGatewayWithKnownList(t *testing.T, faulty faultyDiscovery, endpoints int) *Gateway {
 	t.Helper()
 	var entries []string
--- a/internal/gateway/takeover_test.go
+++ b/internal/gateway/takeover_test.go
@@ -8,7 +8,7 @@
 	"sparspread/internal/handover"
 )
 
-// fakeTakeover is a predecessor and a gateway that record what a takeover has them do.
+// fakeTakeover is both the predecessor and the gateway of a takeover, and records the calls to them.
 type fakeTakeover struct{ callRecorder }
 
 func (f *fakeTakeover) Start(handover.SuccessorEvents) { f.record("Start") }
@@ -18,7 +18,7 @@
 func (f *fakeTakeover) startServing(*net.UDPConn)   { f.record("startServing") }
 func (f *fakeTakeover) useAllResources()            { f.record("useAllResources") }
 
-// newPendingTakeover returns a takeover from a fake predecessor.
+// newPendingTakeover returns a pending takeover from a fake predecessor.
 func newPendingTakeover(log *slog.Logger) (*takeover, *fakeTakeover) {
 	f := &fakeTakeover{}
 	from := &handover.Takeover{}
@@ -37,7 +37,7 @@
 	f.wantCalls(t)
 	wantPhase(t, &o.phase, takeoverNone)
 	if o.hasPredecessor() || o.isPending() || o.predecessorRuns() {
-		t.Error("there is a predecessor")
+		t.Error("the takeover has a predecessor")
 	}
 	wantIllegalSteps(t, illegal)
 }
@@ -46,7 +46,7 @@
 	log, illegal := newIllegalStepLog()
 	o, f := newPendingTakeover(log)
 	if !o.hasPredecessor() || !o.isPending() || o.predecessorRuns() {
-		t.Error("there is no predecessor to take over from")
+		t.Error("the takeover is not pending")
 	}
 	o.requestState(nil)
 	o.requestState(nil) // with each further endpoint list
@@ -55,7 +55,7 @@
 	o.receiveState(&handover.State{})
 	f.wantCalls(t, "importState", "startServing")
 	if o.isPending() || !o.predecessorRuns() {
-		t.Error("the predecessor does not end its requests")
+		t.Error("after the state was received: takeover is pending, or the predecessor does not run")
 	}
 	o.handlePredecessorExited()
 	o.handlePredecessorExited()
@@ -91,7 +91,7 @@
 		f.wantCalls(t, "Abandon")
 		wantPhase(t, &o.phase, takeoverAbandoned)
 		if o.isPending() || !o.hasPredecessor() {
-			t.Error("it is pending")
+			t.Error("abandoned takeover is pending, or has no predecessor")
 		}
 	}
 	wantIllegalSteps(t, illegal)
@@ -100,7 +100,7 @@
 func TestTakeoverRejectsIllegalSteps(t *testing.T) {
 	log, illegal := newIllegalStepLog()
 	o, f := newPendingTakeover(log)
-	o.receiveState(&handover.State{}) // before it was asked for
+	o.receiveState(&handover.State{}) // before it was requested
 	wantPhase(t, &o.phase, takeoverPending)
 	wantIllegalSteps(t, illegal, "takeover: no step from pending to watching")
 	o.requestState(nil)
--- a/internal/gateway/test_client_test.go
+++ b/internal/gateway/test_client_test.go
@@ -14,20 +14,21 @@
 	"sparspread/internal/resp"
 )
 
-// testClient is a client's connection to a gateway. Its methods end the test where the connection fails.
+// testClient is a client's connection to a gateway. Its methods end the test if the connection fails.
 type testClient struct {
 	t    testing.TB
 	conn *net.TCPConn
 	in   *bufio.Reader
 }
 
-// client connects a client, whose connection ends with the test.
+// client connects a client. Its connection is closed at the end of the test.
 func (r *rig) client(tb testing.TB) *testClient {
 	tb.Helper()
 	return dialClient(tb, r.addr)
 }
 
-// dialClient connects a client to an address, "IP:PORT". Its connection ends with the test.
+// dialClient connects a client to an address of the form "IP:PORT". Its connection is closed at the end of
+// the test.
 func dialClient(tb testing.TB, address string) *testClient {
 	tb.Helper()
 	parsed, err := netip.ParseAddrPort(address)
@@ -43,7 +44,7 @@
 	return &testClient{tb, conn, bufio.NewReader(conn)}
 }
 
-// write writes bytes as they are.
+// write writes text without encoding it.
 func (c *testClient) write(text string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c.conn, text); err != nil {
@@ -74,15 +75,15 @@
 	c.send("API.READ", "0000000000000007", fmt.Sprintf("%016x", id), fields)
 }
 
-// openLookup sends an idempotent request like sendLookup, and returns it as the backend got it.
+// openLookup sends an idempotent request like sendLookup, and returns the command that the backend received.
 func (c *testClient) openLookup(b *fakeBackend, id int) *backendCall {
 	c.t.Helper()
 	c.sendLookup(id)
 	return b.nextCall(c.t)
 }
 
-// wantServed has the backend answer the next request that reaches it with a value, checks that the client
-// gets that value, and returns the request as the backend got it.
+// wantServed makes the backend reply to its next command with a value, checks that the client receives this
+// value, and returns the command.
 func (c *testClient) wantServed(b *fakeBackend, value string) *backendCall {
 	c.t.Helper()
 	call := b.nextCall(c.t)
@@ -91,12 +92,12 @@
 	return call
 }
 
-// readLine reads a line and returns it without its end.
+// readLine reads a line and returns it without the line end.
 func (c *testClient) readLine() string {
 	c.t.Helper()
 	line, err := c.in.ReadString('\n')
 	if err != nil {
-		c.t.Fatal("reading a reply: ", err)
+		c.t.Fatal("read reply: ", err)
 	}
 	return strings.TrimSuffix(line, "\r\n")
 }
@@ -105,12 +106,12 @@
 func (c *testClient) wantLine(want string) {
 	c.t.Helper()
 	if got := c.readLine(); got != want {
-		c.t.Fatalf("reply %q, want %q", got, want)
+		c.t.Fatalf("got reply %q, want %q", got, want)
 	}
 }
 
-// Replies of the gateway's own: a rejection, with or without a time to wait in milliseconds, and an error,
-// which says what is wrong.
+// Replies that the gateway itself generates: a rejection, optionally with the milliseconds after which to
+// retry, and an error with a description.
 var (
 	rejection = regexp.MustCompile(`^-BUSY( [1-9][0-9]*)?$`)
 	anyError  = regexp.MustCompile(`^-ERR .+$`)
@@ -122,17 +123,17 @@
 	c.wantMatch(rejection)
 }
 
-// wantError reads a line and checks that it is an error that says something.
+// wantError reads a line and checks that it is an error with a description.
 func (c *testClient) wantError() {
 	c.t.Helper()
 	c.wantMatch(anyError)
 }
 
-// wantMatch reads a line and checks its form.
+// wantMatch reads a line and checks that it matches a pattern.
 func (c *testClient) wantMatch(form *regexp.Regexp) {
 	c.t.Helper()
 	if got := c.readLine(); !form.MatchString(got) {
-		c.t.Fatalf("reply %q, want one that matches %s", got, form)
+		c.t.Fatalf("got reply %q, want a match of %s", got, form)
 	}
 }
 
@@ -143,20 +144,20 @@
 	c.wantLine(want)
 }
 
-// wantClosed waits until the gateway has closed the connection, and checks that nothing came before.
+// wantClosed waits until the gateway has closed the connection, and checks that it sent nothing before.
 func (c *testClient) wantClosed() {
 	c.t.Helper()
 	if b, err := io.ReadAll(c.in); err != nil || len(b) > 0 {
-		c.t.Fatalf("end of the connection: %q, %v", b, err)
+		c.t.Fatalf("before the connection was closed: got %q, error %v", b, err)
 	}
 }
 
-// wantEnded waits until the gateway has ended the connection in any way, by a reset too, and checks that
-// nothing came before.
+// wantEnded waits until the gateway has closed or reset the connection, and checks that it sent nothing
+// before.
 func (c *testClient) wantEnded() {
 	c.t.Helper()
 	if b, _ := io.ReadAll(c.in); len(b) > 0 {
-		c.t.Fatalf("end of the connection: %q", b)
+		c.t.Fatalf("before the connection ended: got %q", b)
 	}
 }
 
@@ -165,17 +166,17 @@
 	c.t.Helper()
 	b := make([]byte, n)
 	if _, err := io.ReadFull(c.in, b); err != nil {
-		c.t.Fatal("reading a value: ", err)
+		c.t.Fatal("read value: ", err)
 	}
 	return string(b)
 }
 
-// wantLargeValue reads a bulk string and checks it. A failure does not print the value, unlike wantValue's.
+// wantLargeValue reads a bulk string and checks it. Unlike wantValue, it does not print the value on failure.
 func (c *testClient) wantLargeValue(want string) {
 	c.t.Helper()
 	c.wantLine(fmt.Sprintf("$%d", len(want)))
 	if got := c.read(len(want)); got != want {
-		c.t.Fatal("the value is another")
+		c.t.Fatal("got another value")
 	}
 	c.wantLine("")
 }
