--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -8,18 +8,18 @@
 	"sparspread/policy"
 )
 
-// The periods of a planned shutdown. They begin with SIGTERM unless said otherwise. The
-// platform sends SIGKILL 0.7 s after the longest time that a client waits.
+// The periods of a planned shutdown. They start with SIGTERM unless stated otherwise. The platform sends
+// SIGKILL 0.7 s after the longest client timeout.
 const (
-	acceptPeriod      = 500 * millisecond // new connections go on coming for a while
-	backlogPeriod     = 50 * millisecond  // after the accept period, for what came at the last moment
+	acceptPeriod      = 500 * millisecond // connections are still accepted, because new ones keep arriving
+	backlogPeriod     = 50 * millisecond  // after acceptPeriod, for connections that arrived at its end
 	maxLongestTimeout = 3 * second        // the longest client timeout that the platform waits for
-	answerMargin      = 200 * millisecond // beyond the longest timeout, until everything open is answered
-	closePeriod       = 300 * millisecond // after the last answer, for the other side to close
-	exitMargin        = 650 * millisecond // beyond the longest timeout, the process exits: SIGKILL is near
+	answerMargin      = 200 * millisecond // beyond the longest client timeout, to answer all open requests
+	closePeriod       = 300 * millisecond // after the last answer, for clients to close their connections
+	exitMargin        = 650 * millisecond // beyond the longest client timeout, to exit before SIGKILL
 )
 
-// longestTimeout returns the longest client timeout of the settings, as far as the platform waits for it.
+// longestTimeout returns the longest client timeout of the settings, at most maxLongestTimeout.
 func longestTimeout(c *config.Config) policy.Time {
 	longest := policy.Time(0)
 	for _, limit := range c.Host.ClientTimeouts {
@@ -31,61 +31,62 @@
 	return min(longest, maxLongestTimeout)
 }
 
-// answerWithin returns how long after SIGTERM everything open is answered. By then every client that came
-// while connections were accepted has stopped waiting or is about to, and SIGKILL is still to come.
-func answerWithin(c *config.Config) policy.Time {
+// answerTimeout returns the time after SIGTERM at which all open requests are answered. By then every client
+// that connected while connections were accepted has timed out or is about to, and SIGKILL is still to come.
+func answerTimeout(c *config.Config) policy.Time {
 	return max(longestTimeout(c)+answerMargin, acceptPeriod+backlogPeriod)
 }
 
-// exitWithin returns how long after SIGTERM the process ends, whatever is open.
-func exitWithin(c *config.Config) policy.Time {
-	return min(answerWithin(c)+closePeriod, longestTimeout(c)+exitMargin)
+// exitTimeout returns the time after SIGTERM at which the process exits, regardless of what is open.
+func exitTimeout(c *config.Config) policy.Time {
+	return min(answerTimeout(c)+closePeriod, longestTimeout(c)+exitMargin)
 }
 
-// shutdownPhase is how far a planned shutdown has come.
+// shutdownPhase is the progress of a planned shutdown.
 type shutdownPhase uint8
 
 const (
 	shutdownNone      shutdownPhase = iota // no shutdown was requested
 	shutdownAccepting                      // SIGTERM was received; connections are still accepted
-	shutdownClosing                        // no connection is accepted, and those that become idle are ended
-	shutdownAnswered                       // everything open was answered, and what still comes is rejected
+	shutdownClosing                        // no connection is accepted, and idle connections are closed
+	shutdownAnswered                       // all open requests are answered, and further ones are rejected
 )
 
-// String is the phase as the log has it.
+// String returns the name of the phase for log messages.
 func (p shutdownPhase) String() string {
 	return [...]string{"none", "accepting", "closing", "answered"}[p]
 }
 
-// shutdownSteps are the legal steps: a shutdown that has begun goes through all phases, unless the gateway
-// ends before.
+// shutdownSteps lists the legal steps. A shutdown passes through all phases in order, unless the gateway
+// stops earlier.
 var shutdownSteps = phase.Steps[shutdownPhase]{
 	shutdownNone:      {shutdownAccepting},
 	shutdownAccepting: {shutdownClosing},
 	shutdownClosing:   {shutdownAnswered},
 }
 
-// shutdownGateway is what a shutdown needs of the gateway.
+// shutdownGateway has the operations of the gateway that a shutdown needs.
 type shutdownGateway interface {
-	// announce logs the shutdown and tells operators that this process is not ready.
+	// announce logs the shutdown and reports to operators that this process is not ready.
 	announce()
-	// abandonTakeover reports whether a predecessor still decides, and leaves it to go on.
+	// abandonTakeover abandons the takeover from a predecessor that still decides, and reports whether there
+	// was one.
 	abandonTakeover() bool
-	// scheduleSteps has takeStep called with each step at its time.
+	// scheduleSteps schedules a call of takeStep for each step.
 	scheduleSteps()
-	// stopAccepting closes the sockets for clients and successors, and ends the connections that are idle.
+	// stopAccepting closes the sockets for clients and successors, and closes idle connections.
 	stopAccepting()
-	// answerAll answers everything that is open.
+	// answerAll answers all open requests.
 	answerAll()
-	// isIdle reports whether nothing is open any more: clients have read their answers and closed, had their
-	// time for it, or were handed over.
+	// isIdle reports whether nothing is open any more: each client has read its replies and closed its
+	// connection, has had time to do so, or was handed over.
 	isIdle() bool
-	// stop ends the event loop.
+	// stop stops the event loop.
 	stop()
 }
 
-// shutdown is the planned shutdown of this process. Its phase only goes forward, and once it is closing no
-// connection is accepted that was not in the backlog. It belongs to the loop.
+// shutdown is the planned shutdown of this process. Its phase only advances. From the phase closing on, only
+// connections from the backlog are accepted. A shutdown belongs to the event loop.
 type shutdown struct {
 	phase   phase.Machine[shutdownPhase]
 	gateway shutdownGateway
@@ -102,8 +103,8 @@
 func (s *shutdown) isClosing() bool      { return s.phase.Is(shutdownClosing, shutdownAnswered) }
 func (s *shutdown) hasAnsweredAll() bool { return s.phase.Is(shutdownAnswered) }
 
-// request begins the shutdown. Only the first call counts.
-func (s *shutdown) request() {
+// start starts the shutdown. Only the first call has an effect.
+func (s *shutdown) start() {
 	if s.hasStarted() || !s.phase.Step(shutdownAccepting) {
 		return
 	}
@@ -113,10 +114,10 @@
 		return
 	}
 	s.gateway.scheduleSteps()
-	s.endIfIdle()
+	s.stopIfIdle()
 }
 
-// shutdownStep is a step of a planned shutdown that is taken at its time.
+// shutdownStep is a step of a planned shutdown that is taken at a scheduled time.
 type shutdownStep uint8
 
 const (
@@ -125,7 +126,7 @@
 	stepExit
 )
 
-// takeStep takes a step whose time has come.
+// takeStep takes a step that is due.
 func (s *shutdown) takeStep(step shutdownStep) {
 	switch step {
 	case stepStopAccepting:
@@ -139,90 +140,90 @@
 	case stepExit:
 		s.gateway.stop()
 	}
-	s.endIfIdle()
+	s.stopIfIdle()
 }
 
-// endIfIdle ends the gateway when nothing is open any more.
-func (s *shutdown) endIfIdle() {
+// stopIfIdle stops the gateway if nothing is open any more.
+func (s *shutdown) stopIfIdle() {
 	if s.gateway.isIdle() {
 		s.gateway.stop()
 	}
 }
 
-// shutdownRequested begins a planned shutdown.
+// shutdownRequested starts a planned shutdown.
 type shutdownRequested struct{}
 
-func (shutdownRequested) Handle(l *Loop) { l.shutdown.request() }
+func (shutdownRequested) Handle(g *Gateway) { g.shutdown.start() }
 
-// Handle implements eventloop.Event: the step's time has come.
-func (s shutdownStep) Handle(l *Loop) { l.shutdown.takeStep(s) }
+// Handle implements eventloop.Event. It takes the step, which is due.
+func (s shutdownStep) Handle(g *Gateway) { g.shutdown.takeStep(s) }
 
-// loopShutdown implements shutdownGateway.
-type loopShutdown struct{ *Loop }
+// shutdownAdapter implements shutdownGateway.
+type shutdownAdapter struct{ *Gateway }
 
-func (l loopShutdown) announce() {
-	l.log.Info("stopping", "open", l.requests.open)
-	l.ops.SetReady(false)
+func (a shutdownAdapter) announce() {
+	a.log.Info("stopping", "open", a.requests.open)
+	a.ops.SetReady(false)
 }
 
-func (l loopShutdown) abandonTakeover() bool {
-	if !l.takeover.isPending() {
+func (a shutdownAdapter) abandonTakeover() bool {
+	if !a.takeover.isPending() {
 		return false
 	}
-	l.takeover.abandon()
+	a.takeover.abandon()
 	return true
 }
 
-func (l loopShutdown) scheduleSteps() {
-	now := l.events.Now()
-	l.events.Schedule(now+acceptPeriod, stepStopAccepting)
-	l.events.Schedule(now+answerWithin(l.config), stepAnswerAll)
-	l.events.Schedule(now+exitWithin(l.config), stepExit)
+func (a shutdownAdapter) scheduleSteps() {
+	now := a.events.Now()
+	a.events.Schedule(now+acceptPeriod, stepStopAccepting)
+	a.events.Schedule(now+answerTimeout(a.config), stepAnswerAll)
+	a.events.Schedule(now+exitTimeout(a.config), stepExit)
 }
 
-func (l loopShutdown) stopAccepting() {
-	handedOver := l.handover.hasGivenOwnership()
-	l.handover.stopListening()
-	l.listening.shutDown(handedOver)
+func (a shutdownAdapter) stopAccepting() {
+	handedOver := a.handover.hasReleasedOwnership()
+	a.handover.stopListening()
+	a.listening.shutDown(handedOver)
 	if handedOver {
-		return // the successor gets each connection once nothing is open on it
+		return // each connection is handed over once nothing is open on it
 	}
-	for c := range l.clients.conns {
+	for c := range a.clients.conns {
 		if c.isMidCommand() {
 			c.closeAfterNextCommand = true // the command is answered first
 		} else {
-			c.closeAfterReplies(l.Loop)
+			c.closeAfterReplies(a.Gateway)
 		}
 	}
 }
 
-// answerAll implements shutdownGateway: with SIGKILL what is open would be lost.
-func (l loopShutdown) answerAll() {
-	l.failOpenRequests()
-	if l.handover.hasGivenOwnership() {
+// answerAll implements shutdownGateway. Requests that are still open at SIGKILL would be lost.
+func (a shutdownAdapter) answerAll() {
+	a.failOpenRequests()
+	if a.handover.hasReleasedOwnership() {
 		return
 	}
-	for c := range l.clients.conns {
-		c.closeAfterReplies(l.Loop) // also amid a command: its client sends it again
+	for c := range a.clients.conns {
+		c.closeAfterReplies(a.Gateway) // even within a command, which the client then sends again
 	}
 }
 
-func (l loopShutdown) failOpenRequests() {
-	now := l.events.Now()
-	for _, r := range l.requests.byID {
+func (a shutdownAdapter) failOpenRequests() {
+	now := a.events.Now()
+	for _, r := range a.requests.byID {
 		if !r.answered {
-			l.answer(r, failedReply)
-			l.controller.RequestCancelled(now, r.id)
+			a.answer(r, failedReply)
+			a.controller.RequestCancelled(now, r.id)
 		}
 	}
 }
 
-func (l loopShutdown) isIdle() bool {
-	if len(l.clients.conns) > 0 {
+func (a shutdownAdapter) isIdle() bool {
+	if len(a.clients.conns) > 0 {
 		return false
 	}
-	return l.listening.isClosed() ||
-		l.shutdown.hasStarted() && l.handover.hasGivenOwnership() && l.requests.open == 0
+	return a.listening.isClosed() ||
+		a.shutdown.hasStarted() && a.handover.hasReleasedOwnership() && a.requests.open == 0
 }
 
-func (l loopShutdown) stop() { l.events.Stop() }
+func (a shutdownAdapter) stop() { a.events.Stop() }
