--- a/internal/gateway/config_test.go
+++ b/internal/gateway/config_test.go
@@ -9,8 +9,8 @@
 	"sparspread/internal/config"
 )
 
-// An invalid configuration gives an error of one line.
-func TestInvalidConfigurationIsRejected(t *testing.T) {
+// The error for an invalid configuration has a single line.
+func TestParseRejectsInvalidConfiguration(t *testing.T) {
 	good := `{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"01","settings":` +
 		settingsText + `}`
 	if _, err := config.Parse([]byte(good)); err != nil {
@@ -29,29 +29,30 @@
 	} {
 		bad := strings.Replace(good, c[0], c[1], 1)
 		if bad == good {
-			t.Fatalf("%s: not there", c[0])
+			t.Fatalf("%s: not found in the configuration", c[0])
 		}
 		_, err := config.Parse([]byte(bad))
 		if err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v", c[1], err)
+			t.Errorf("%s: got error %v, want an error of one line", c[1], err)
 		}
 	}
 }
 
-// settingsWith returns the settings with changes: pairs of a text that is in them and its replacement.
-func settingsWith(tb testing.TB, changes ...string) json.RawMessage {
+// editSettings returns settingsText with replacements. Changes are pairs of a text that occurs in it and the
+// replacement.
+func editSettings(tb testing.TB, changes ...string) json.RawMessage {
 	tb.Helper()
 	text := settingsText
 	for i := 0; i < len(changes); i += 2 {
 		if !strings.Contains(text, changes[i]) {
-			tb.Fatalf("no %q in the settings", changes[i])
+			tb.Fatalf("%q: not found in the settings", changes[i])
 		}
 		text = strings.Replace(text, changes[i], changes[i+1], 1)
 	}
 	return json.RawMessage(text)
 }
 
-func TestConfigurationWantsPositiveNumbers(t *testing.T) {
+func TestParseRejectsNonPositiveNumbers(t *testing.T) {
 	const format = `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"01","settings":%s}`
 	for _, change := range [][2]string{
 		{`"max-attempts":3`, `"max-attempts":0`},
@@ -61,17 +62,17 @@
 		{`"promise-us":10000000`, `"promise-us":0`},
 		{`"promise-us":10000000`, `"promise-us":1,"hard-limit-us":0`},
 	} {
-		raw := fmt.Sprintf(format, settingsWith(t, change[0], change[1]))
+		raw := fmt.Sprintf(format, editSettings(t, change[0], change[1]))
 		if _, err := config.Parse([]byte(raw)); err == nil {
-			t.Errorf("%s: no error", change[1])
+			t.Errorf("%s: got no error", change[1])
 		}
 	}
 }
 
-func TestWhatIsNoConfigurationIsRejected(t *testing.T) {
+func TestParseRejectsIncompleteConfiguration(t *testing.T) {
 	for _, raw := range []string{"", "{", `{"name":"n0"}`, "null", "[]"} {
 		if _, err := config.Parse([]byte(raw)); err == nil {
-			t.Errorf("%q: no error", raw)
+			t.Errorf("%q: got no error", raw)
 		}
 	}
 }
--- a/policy/quotashare_fleet_test.go
+++ b/policy/quotashare_fleet_test.go
@@ -94,7 +94,7 @@
 	} else {
 		f.sentBeyond += cost
 	}
-	h.endWith(id, Outcome{Result: ResultOK, Answered: true})
+	h.endWith(id, Outcome{Result: ResultOK, ClientAnswered: true})
 }
 
 // Guards against usage beyond the quota across the whole fleet, if no gateway knows the customer at first,
