--- a/policy/activitycounters.go
+++ b/policy/activitycounters.go
@@ -23,45 +23,45 @@
 // activityCounters count what happened since the last log event of counters. Each decision is counted once,
 // by the event that made it.
 type activityCounters struct {
-	since         Time
-	sent          int // attempts
-	consecutive   int // attempts to the same backend as the one before: many show herding
-	lastBackend   *backend
-	rejected      [rejectReasonCount]int
-	shareTooSmall int // over quota, or over the limit in flight, while the whole bucket held the units
-	halfFull      int // those of them with at least half of the bucket left
-	quotaRequests int
-	unanswered    int // quota requests that timed out
-	results       [ResultNotSent + 1]int
-	retriesAfter  [ResultNotSent + 1]int // by the result of the attempt before
+	since                   Time
+	attemptsSent            int // attempts
+	consecutive             int // attempts to the same backend as the one before: many show herding
+	lastBackend             *backend
+	rejected                [rejectReasonCount]int
+	overQuotaByShare        int // rejected requests whose units the customer's whole bucket held
+	bucketHalfFull          int // those of them with at least half of the bucket left
+	quotaRequests           int
+	quotaRequestsUnanswered int // quota requests that timed out
+	results                 [ResultNotSent + 1]int
+	retriesAfter            [ResultNotSent + 1]int // by the result of the attempt before
 
 	slowStartAttempts int // to backends in slow start
 	slowStartDenied   int // how often a backend was passed over as its slow start allowed no attempt
 }
 
-func (n *activityCounters) countSend(backend *backend) {
-	n.sent++
-	if n.lastBackend == backend {
-		n.consecutive++
+func (c *activityCounters) countAttempt(backend *backend) {
+	c.attemptsSent++
+	if c.lastBackend == backend {
+		c.consecutive++
 	}
-	n.lastBackend = backend
+	c.lastBackend = backend
 }
 
 // countOverQuota counts a request that was rejected although the whole bucket held its units: for this
 // gateway's share of it, for the plan's limit of attempts in flight, or by a coordinator.
-func (n *activityCounters) countOverQuota(bucket *tokenBucket, units float64) {
+func (c *activityCounters) countOverQuota(bucket *tokenBucket, units float64) {
 	if bucket.level < units {
 		return
 	}
-	n.shareTooSmall++
+	c.overQuotaByShare++
 	if bucket.level >= bucket.capacity/halfFullDivisor {
-		n.halfFull++
+		c.bucketHalfFull++
 	}
 }
 
 // isDue reports whether it is time to log the counters: an event for each request would cost more than the
 // request.
-func (n *activityCounters) isDue(now Time) bool { return now-n.since >= counterLogInterval }
+func (c *activityCounters) isDue(now Time) bool { return now-c.since >= counterLogInterval }
 
 // loadMetrics is the load view, of the given number of gateways, and the backends' health.
 type loadMetrics struct {
@@ -79,21 +79,21 @@
 }
 
 // take returns the attributes of a log event and begins to count anew.
-func (n *activityCounters) take(now Time, load loadMetrics, slowStart slowStartMetrics) []slog.Attr {
+func (c *activityCounters) flush(now Time, load loadMetrics, slowStart slowStartMetrics) []slog.Attr {
 	attributes := []slog.Attr{
-		slog.Int("attempts_sent", n.sent),
-		slog.Int("consecutive_to_one_backend", n.consecutive),
-		rejectionAttr(&n.rejected),
-		slog.Int("over_quota_by_share", n.shareTooSmall),
-		slog.Int("over_quota_bucket_half_full", n.halfFull),
-		slog.Int("quota_requests", n.quotaRequests),
-		slog.Int("quota_requests_unanswered", n.unanswered),
-		resultsAttr("results", &n.results),
+		slog.Int("attempts_sent", c.attemptsSent),
+		slog.Int("consecutive_to_one_backend", c.consecutive),
+		rejectionAttr(&c.rejected),
+		slog.Int("over_quota_by_share", c.overQuotaByShare),
+		slog.Int("over_quota_bucket_half_full", c.bucketHalfFull),
+		slog.Int("quota_requests", c.quotaRequests),
+		slog.Int("quota_requests_unanswered", c.quotaRequestsUnanswered),
+		resultsAttr("results", &c.results),
 		loadAttr(&load),
-		n.slowStartAttr(&slowStart),
-		resultsAttr("retries_after", &n.retriesAfter),
+		c.slowStartAttr(&slowStart),
+		resultsAttr("retries_after", &c.retriesAfter),
 	}
-	*n = activityCounters{since: now}
+	*c = activityCounters{since: now}
 	return attributes
 }
 
@@ -133,11 +133,11 @@
 }
 
 // slowStartAttr groups what backends in slow start got, and the figures on them.
-func (n *activityCounters) slowStartAttr(slowStart *slowStartMetrics) slog.Attr {
+func (c *activityCounters) slowStartAttr(slowStart *slowStartMetrics) slog.Attr {
 	return slog.GroupAttrs("slow_start",
 		slog.Int("backends", slowStart.backends),
-		slog.Int("attempts", n.slowStartAttempts),
-		slog.Int("denied", n.slowStartDenied),
+		slog.Int("attempts", c.slowStartAttempts),
+		slog.Int("denied", c.slowStartDenied),
 		slog.Float64("answers_of_warm_per_second", slowStart.answersOfWarm),
 		slog.Int("warm_backends", slowStart.warmBackends))
 }
--- a/policy/activitycounters_test.go
+++ b/policy/activitycounters_test.go
@@ -12,7 +12,7 @@
 	}
 	counters.quotaRequests = 3
 	now := second + counterLogInterval
-	attributes := counters.take(now, loadMetrics{}, slowStartMetrics{})
+	attributes := counters.flush(now, loadMetrics{}, slowStartMetrics{})
 	found := false
 	for _, attribute := range attributes {
 		found = found || attribute.Equal(slog.Int("quota_requests", 3))
@@ -35,7 +35,7 @@
 		"over_quota_bucket_half_full", "quota_requests", "quota_requests_unanswered", "results", "load",
 		"slow_start", "retries_after",
 	}
-	got := new(activityCounters).take(0, loadMetrics{}, slowStartMetrics{})
+	got := new(activityCounters).flush(0, loadMetrics{}, slowStartMetrics{})
 	if len(got) != len(want) {
 		t.Fatalf("%d attributes, want %d", len(got), len(want))
 	}
@@ -50,9 +50,9 @@
 	a, b := &backend{}, &backend{}
 	var counters activityCounters
 	for _, backend := range []*backend{a, a, b, a, a, a} {
-		counters.countSend(backend)
+		counters.countAttempt(backend)
 	}
-	if counters.sent != 6 || counters.consecutive != 3 {
-		t.Errorf("%d sent, %d of them consecutive; want 6 and 3", counters.sent, counters.consecutive)
+	if counters.attemptsSent != 6 || counters.consecutive != 3 {
+		t.Errorf("%d sent, %d of them consecutive; want 6 and 3", counters.attemptsSent, counters.consecutive)
 	}
 }
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -16,7 +16,7 @@
 		t.Fatal("a request beyond the quota was sent, though overage does not pay")
 	}
 	want := action{kind: rejectAction, request: 5, at: second}
-	if got := h.last(); !reflect.DeepEqual(got, want) {
+	if got := h.lastAction(); !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, want %+v: until the bucket holds 2 units", got, want)
 	}
 	h.at += second
@@ -43,7 +43,7 @@
 		{name: "waited for most of the stall", timeout: 2*second - second*9/10, sent: false},
 		{name: "came at its end", timeout: 2*second - second/10, sent: true},
 	} {
-		_, sent := h.receive(Request{Plan: 1, Customer: 9, Cost: 1, Timeout: c.timeout, Replicas: 2})
+		_, sent := h.receiveRequest(Request{Plan: 1, Customer: 9, Cost: 1, Timeout: c.timeout, Replicas: 2})
 		if sent != c.sent {
 			t.Errorf("%s, %d left of 2000000: sent %t, want %t", c.name, c.timeout, sent, c.sent)
 		}
@@ -57,7 +57,7 @@
 	for _, first := range []int{-9, -1, 8, 1 << 40} {
 		for _, replicas := range []int{-1, 0, 3, 9, 12, 100} {
 			h := newHarness(t, settings)
-			id, _ := h.receive(Request{
+			id, _ := h.receiveRequest(Request{
 				Customer: 9, Cost: 1, Timeout: second, FirstReplica: first, Replicas: replicas,
 			})
 			h.TimerFired(h.at+second, quotaRequestTimer)
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -11,11 +11,11 @@
 
 func newBenchController(b *testing.B, settings Settings) *Controller {
 	b.Helper()
-	g, err := New(settings, 7, discardActions{&recorder{}})
+	controller, err := New(settings, 7, discardActions{&recorder{}})
 	if err != nil {
 		b.Fatal(err)
 	}
-	return g
+	return controller
 }
 
 // newSizedController makes one of that many gateways with that many backends.
@@ -25,24 +25,24 @@
 	settings.Gateways, settings.Gossip, settings.GossipPerSecond = gateways, true, 40
 	settings.HandshakePrice = 0.1
 	settings.Plans[1].Rate, settings.Plans[1].Burst = 1e6, 1e6 // no quota is a limit
-	g := newBenchController(b, settings)
-	g.UpdateEndpoints(start, UpdateComplete, endpoints(backends))
+	controller := newBenchController(b, settings)
+	controller.UpdateEndpoints(start, UpdateComplete, endpoints(backends))
 	b.ReportAllocs()
-	return g
+	return controller
 }
 
 // serveOne has a request sent and answered.
-func serveOne(b *testing.B, g *Controller, now Time, id, customer uint64) {
+func serveOne(b *testing.B, controller *Controller, now Time, id, customer uint64) {
 	b.Helper()
 	const replicas = 2
-	g.RequestReceived(now, Request{
+	controller.RequestReceived(now, Request{
 		ID: id, Plan: 1, Customer: customer, Cost: 1, Timeout: second, Replicas: replicas,
 	})
-	request := g.requests.byID[id]
+	request := controller.requests.byID[id]
 	if request == nil {
 		b.Fatal("a request was not sent")
 	}
-	g.AttemptEnded(now, Outcome{
+	controller.AttemptEnded(now, Outcome{
 		RequestID: id, Backend: request.attempts[0].backend.ID, Latency: 1000, Answered: true,
 	})
 }
@@ -53,17 +53,17 @@
 			settings := testSettings()
 			settings.Gateways = c.gateways
 			settings.Plans[1].Rate = 60 // too large for quota requests: each request is decided at once
-			g := newBenchController(b, settings)
-			g.UpdateEndpoints(start, UpdateStale, endpoints(c.backends))
+			controller := newBenchController(b, settings)
+			controller.UpdateEndpoints(start, UpdateStale, endpoints(c.backends))
 			b.ReportAllocs()
 			now := start
 			for id := uint64(1); b.Loop(); id++ { // this gateway would coordinate the customer of ID 0
 				now += 5000
-				g.RequestReceived(now, Request{
+				controller.RequestReceived(now, Request{
 					ID: id, Plan: 1, Customer: id % 200, Cost: 1, Timeout: second, Replicas: c.replicas,
 				})
-				if request := g.requests.byID[id]; request != nil {
-					g.AttemptEnded(now, Outcome{
+				if request := controller.requests.byID[id]; request != nil {
+					controller.AttemptEnded(now, Outcome{
 						RequestID: id, Backend: request.attempts[0].backend.ID, Latency: 1000, Answered: true,
 					})
 				}
@@ -73,21 +73,21 @@
 }
 
 func BenchmarkUpdateEndpoints(b *testing.B) {
-	g := newBenchController(b, testSettings())
+	controller := newBenchController(b, testSettings())
 	list := endpoints(32)
 	b.ReportAllocs()
 	for b.Loop() {
-		g.UpdateEndpoints(start, UpdateComplete, list)
+		controller.UpdateEndpoints(start, UpdateComplete, list)
 	}
 }
 
 func BenchmarkRequestByBackends(b *testing.B) {
 	for _, backends := range []int{46, 830, 8300, 83000} {
 		b.Run(strconv.Itoa(backends), func(b *testing.B) {
-			g, now := newSizedController(b, 3, backends), start
+			controller, now := newSizedController(b, 3, backends), start
 			for id := uint64(0); b.Loop(); id++ {
 				now += 12_000 // 86 requests a second
-				serveOne(b, g, now, id, id%200)
+				serveOne(b, controller, now, id, id%200)
 			}
 		})
 	}
@@ -96,11 +96,11 @@
 func BenchmarkChangeByBackends(b *testing.B) {
 	for _, backends := range []int{46, 830, 8300, 83000} {
 		b.Run(strconv.Itoa(backends), func(b *testing.B) {
-			g := newSizedController(b, 3, backends)
+			controller := newSizedController(b, 3, backends)
 			change := endpoints(1)
 			for b.Loop() {
 				change[0].State = EndpointDraining - change[0].State
-				g.UpdateEndpoints(start, UpdateIncremental, change)
+				controller.UpdateEndpoints(start, UpdateIncremental, change)
 			}
 		})
 	}
@@ -109,10 +109,10 @@
 func BenchmarkTickByGateways(b *testing.B) {
 	for _, gateways := range []int{30, 300, 1800, 6500} {
 		b.Run(strconv.Itoa(gateways), func(b *testing.B) {
-			g, now := newSizedController(b, gateways, 46), start
+			controller, now := newSizedController(b, gateways, 46), start
 			for b.Loop() {
-				now += g.sharing.gossipPeriod
-				g.TimerFired(now, gossipTimer)
+				now += controller.sharing.gossipPeriod
+				controller.TimerFired(now, gossipTimer)
 			}
 		})
 	}
@@ -121,10 +121,10 @@
 func BenchmarkRequestByGateways(b *testing.B) {
 	for _, gateways := range []int{30, 300, 1800, 6500} {
 		b.Run(strconv.Itoa(gateways), func(b *testing.B) {
-			g, now := newSizedController(b, gateways, 46), start
+			controller, now := newSizedController(b, gateways, 46), start
 			for id := uint64(0); b.Loop(); id++ {
 				now += 12_000
-				serveOne(b, g, now, id, id%200)
+				serveOne(b, controller, now, id, id%200)
 			}
 		})
 	}
@@ -134,15 +134,15 @@
 func BenchmarkSecondByCustomers(b *testing.B) {
 	for _, customers := range []uint64{60, 300, 1500, 6000} {
 		b.Run(strconv.FormatUint(customers, 10), func(b *testing.B) {
-			g, now := newSizedController(b, 300, 46), start
+			controller, now := newSizedController(b, 300, 46), start
 			for id := uint64(0); b.Loop(); id += customers {
 				for customer := range customers {
 					at := now + Time(customer)*second/Time(customers)
-					serveOne(b, g, at, id+customer, customer)
+					serveOne(b, controller, at, id+customer, customer)
 				}
-				for range second / g.sharing.gossipPeriod {
-					now += g.sharing.gossipPeriod
-					g.TimerFired(now, gossipTimer)
+				for range second / controller.sharing.gossipPeriod {
+					now += controller.sharing.gossipPeriod
+					controller.TimerFired(now, gossipTimer)
 				}
 			}
 			microseconds := float64(b.Elapsed().Microseconds())
--- a/policy/clienttimeouts.go
+++ b/policy/clienttimeouts.go
@@ -34,7 +34,7 @@
 func (t clientTimeouts) renumberClasses(oldIndices []int) {
 	for plan, row := range t {
 		t[plan] = make([]movingAverage, len(oldIndices))
-		pickFrom(t[plan], row, oldIndices)
+		copyByOldIndex(t[plan], row, oldIndices)
 	}
 }
 
--- a/policy/clock.go
+++ b/policy/clock.go
@@ -1,6 +1,6 @@
 package policy
 
-const stallTicks = 8 // a timer that is later than this many least event intervals shows a stall
+const stallEventIntervals = 8 // a timer that is later than this many least event intervals shows a stall
 
 // clock is the time of the current event and what is known of stalls, in which the process did not run and
 // could see no answers. Neither now nor activeTime ever decreases.
@@ -31,8 +31,8 @@
 		return clockStarted
 	}
 	event := clockAdvanced
-	if late := now - c.timerDue; late > stallTicks*minEventInterval {
-		c.stalledTime += late
+	if delay := now - c.timerDue; delay > stallEventIntervals*minEventInterval {
+		c.stalledTime += delay
 		c.timerDue, c.resumedAt = now, now
 		event = clockResumed
 	}
@@ -51,10 +51,10 @@
 func (c *clock) isResuming() bool { return c.now <= c.resumedAt }
 
 // restart has the clock's owner start now: what it knew before is as old as after a restart.
-func (c *clock) restart() { c.startedAt = c.now }
+func (c *clock) resetStart() { c.startedAt = c.now }
 
 // restore goes on with the start and the stalls of the process that wrote a snapshot.
-func (c *clock) restore(startedAt, resumedAt, stalledTime Time) {
+func (c *clock) importState(startedAt, resumedAt, stalledTime Time) {
 	c.startedAt, c.resumedAt = startedAt, resumedAt
 	c.stalledTime, c.activeTime = stalledTime, c.now-stalledTime
 }
--- a/policy/clock_test.go
+++ b/policy/clock_test.go
@@ -19,7 +19,7 @@
 
 func TestClockTellsStallsFromLateTimers(t *testing.T) {
 	const period = second / 10
-	tolerated := period + stallTicks*testEventInterval
+	tolerated := period + stallEventIntervals*testEventInterval
 	for _, c := range []struct {
 		name     string
 		after    Time
@@ -57,12 +57,12 @@
 
 func TestClockGoesOnWithTheStallsOfASnapshot(t *testing.T) {
 	clock := startedClock(t, second)
-	clock.restore(start-second, start-second/2, second/4)
+	clock.importState(start-second, start-second/2, second/4)
 	if clock.activeTime != start-second/4 || clock.startedAt != start-second || clock.isResuming() {
 		t.Errorf("restored %+v", *clock)
 	}
 	clock.advance(start+second/2, testEventInterval)
-	if clock.restart(); clock.startedAt != start+second/2 {
+	if clock.resetStart(); clock.startedAt != start+second/2 {
 		t.Errorf("restarted at %d", clock.startedAt)
 	}
 }
--- a/policy/controller_attempts.go
+++ b/policy/controller_attempts.go
@@ -44,7 +44,7 @@
 func (c *Controller) send(request *request, backend *backend) {
 	attempt := c.recordSend(request, backend)
 	deadline := c.attemptDeadline(request)
-	c.counters.countSend(backend)
+	c.counters.countAttempt(backend)
 	waiting := c.actions.Send(request.ID, backend.ID, deadline)
 	c.chargeSlowStart(attempt, waiting)
 }
--- a/policy/controller_attempts_test.go
+++ b/policy/controller_attempts_test.go
@@ -19,8 +19,8 @@
 			h := newHarness(t, testSettings())
 			id, _ := h.request(c.class, 1, 9, 1)
 			first := h.lastAttempt(id).backend
-			h.end(id, c.result, false)
-			if got := h.last(); got.kind != c.want || got.request != id {
+			h.endAttempt(id, c.result, false)
+			if got := h.lastAction(); got.kind != c.want || got.request != id {
 				t.Fatalf("got %+v", got)
 			}
 			if c.want != sendAction {
@@ -32,9 +32,9 @@
 			}
 			for h.requests.byID[id] != nil {
 				h.at += second
-				h.end(id, ResultTimedOut, false)
+				h.endAttempt(id, ResultTimedOut, false)
 			}
-			if n := h.count(failAction) + h.count(rejectAction); n != 1 {
+			if n := h.countActions(failAction) + h.countActions(rejectAction); n != 1 {
 				t.Errorf("%d final answers", n)
 			}
 		})
@@ -44,7 +44,7 @@
 func TestUnknownEventsAreIgnored(t *testing.T) {
 	h := newHarness(t, testSettings())
 	id, _ := h.request(0, 1, 9, 1)
-	h.take()
+	h.takeActions()
 	h.AttemptEnded(h.at, Outcome{RequestID: 999})
 	h.AttemptEnded(h.at, Outcome{RequestID: id, Attempt: 4})
 	h.AttemptEnded(h.at, Outcome{RequestID: id, Attempt: -1})
@@ -56,8 +56,8 @@
 		t.Errorf("unknown events acted: %+v", h.performed)
 	}
 	h.RequestCancelled(h.at, id)
-	h.end(id, ResultReset, true)
-	if h.requests.byID[id] != nil || h.count(failAction)+h.count(rejectAction) != 0 {
+	h.endAttempt(id, ResultReset, true)
+	if h.requests.byID[id] != nil || h.countActions(failAction)+h.countActions(rejectAction) != 0 {
 		t.Error("a request whose client has disconnected was answered or kept")
 	}
 }
@@ -71,7 +71,7 @@
 	}{
 		{name: "unchanged", change: func(*harness, uint64) {}, want: true},
 		{name: "answered", change: func(h *harness, id uint64) { h.ResponseStarted(h.at, id) }},
-		{name: "ended", change: func(h *harness, id uint64) { h.end(id, ResultOK, true) }},
+		{name: "ended", change: func(h *harness, id uint64) { h.endAttempt(id, ResultOK, true) }},
 		{name: "backend draining", change: func(h *harness, id uint64) {
 			draining := Endpoint{ID: h.lastAttempt(id).backend.ID, State: EndpointDraining}
 			h.UpdateEndpoints(h.at, UpdateIncremental, []Endpoint{draining})
@@ -105,7 +105,7 @@
 		{name: "idempotent", class: 0, want: attemptTimeoutFactor * second / 50},
 		{name: "not idempotent", class: 1, want: 0},
 	} {
-		h.take()
+		h.takeActions()
 		if _, sent := h.request(c.class, 1, 9, 1); !sent {
 			t.Fatalf("%s: not sent", c.name)
 		}
--- a/policy/controller_backends_test.go
+++ b/policy/controller_backends_test.go
@@ -25,7 +25,7 @@
 					t.Fatal("sent to a backend that is draining or removed")
 				}
 			}
-			if h.count(sendAction) == 0 {
+			if h.countActions(sendAction) == 0 {
 				t.Error("nothing was sent at all")
 			}
 		})
@@ -37,12 +37,12 @@
 	settings.PollEndpoints, settings.PollWithin = true, 10*second
 	h := newHarness(t, settings)
 	h.UpdateEndpoints(h.at, UpdateUnavailable, nil)
-	if h.count(watchAction) != 1 {
+	if h.countActions(watchAction) != 1 {
 		t.Fatal("no watch was requested at the start")
 	}
 	h.at += 4 * second
 	h.TimerFired(h.at, gossipTimer)
-	if h.count(watchAction) != 2 {
+	if h.countActions(watchAction) != 2 {
 		t.Error("no watch was requested after a failure")
 	}
 }
@@ -57,7 +57,7 @@
 		if h.lastAttempt(id).backend.ID == 1 {
 			load = 0
 		}
-		h.endWith(id, Outcome{
+		h.endAttemptWith(id, Outcome{
 			Result: ResultOK, Latency: second / 10, Answered: true, LoadReport: []float32{load},
 		})
 	}
--- a/policy/controller_capacity_test.go
+++ b/policy/controller_capacity_test.go
@@ -110,7 +110,7 @@
 		h.TimerFired(h.at, gossipTimer)
 		id, sent := h.request(0, 1, 1, 1)
 		for sent && h.requests.byID[id] != nil {
-			h.end(id, result, answered)
+			h.endAttempt(id, result, answered)
 		}
 	}
 	for range 100 {
--- a/policy/controller_gossip.go
+++ b/policy/controller_gossip.go
@@ -60,7 +60,7 @@
 // moment only, as reading a decaying sum rounds it.
 func (c *Controller) prepareMessage(index int) {
 	if !c.gossip.hasMessage(index) {
-		c.gossip.begin(index, c.loadView())
+		c.gossip.startMessage(index, c.loadView())
 	}
 }
 
--- a/policy/controller_outcomes_test.go
+++ b/policy/controller_outcomes_test.go
@@ -9,7 +9,7 @@
 	h := newHarness(t, testSettings())
 	id, _ := h.request(0, 1, 9, 1)
 	backend := h.lastAttempt(id).backend
-	h.end(id, ResultConnectFailed, false)
+	h.endAttempt(id, ResultConnectFailed, false)
 	h.at += second
 	h.TimerFired(h.at, gossipTimer)
 	if checks := ofKind(h.performed, healthCheckAction); len(checks) != 1 || checks[0].backend != backend.ID {
@@ -27,17 +27,17 @@
 	h := newHarness(t, testSettings())
 	id, _ := h.request(0, 1, 9, 1)
 	backend := h.lastAttempt(id).backend
-	h.end(id, ResultReset, true)
+	h.endAttempt(id, ResultReset, true)
 	if backend.health.down || h.unhealthy(backend) {
 		t.Error("ejected after a single reset")
 	}
 	h.at += 10 * second
 	h.TimerFired(h.at, gossipTimer)
-	if h.connectionFailed(backend, true) || backend.health.down {
+	if h.failConnection(backend, true) || backend.health.down {
 		t.Error("ejected for two resets far apart")
 	}
 	for range 3 {
-		h.connectionFailed(backend, true)
+		h.failConnection(backend, true)
 	}
 	if !backend.health.down {
 		t.Fatal("not ejected after many resets at once")
@@ -57,16 +57,16 @@
 	backend := h.lastAttempt(late).backend
 	answered, _ := h.request(0, 1, 9, 1)
 	h.at += second / 10
-	h.end(answered, ResultOK, true)
+	h.endAttempt(answered, ResultOK, true)
 	h.at += second / 10
-	h.endWith(late, Outcome{
+	h.endAttemptWith(late, Outcome{
 		Result: ResultConnectFailed, Latency: second / 5, Answered: true, Unanswered: true,
 	})
 	if backend.health.down || h.slowStartShare(backend) < 1 {
 		t.Error("ejected for a connection that failed while others were answered")
 	}
 	refused, _ := h.request(0, 1, 9, 1)
-	h.end(refused, ResultConnectFailed, true)
+	h.endAttempt(refused, ResultConnectFailed, true)
 	h.HealthCheckEnded(h.at, backend.ID, ResultOK, nil)
 	if backend.health.down || h.slowStartShare(backend) == 1 {
 		t.Error("not reinstated in slow start after it refused a connection")
@@ -82,7 +82,7 @@
 		h.at += second / 100
 		h.TimerFired(h.at, gossipTimer)
 		if id, sent := h.request(0, 1, uint64(i), 1); sent && h.lastAttempt(id).backend != backend {
-			h.end(id, ResultOK, true)
+			h.endAttempt(id, ResultOK, true)
 		}
 	}
 	if !backend.health.down || !h.unhealthy(backend) {
@@ -102,13 +102,13 @@
 		id, sent := h.request(0, 1, uint64(i), 1)
 		for sent && h.requests.byID[id] != nil {
 			if h.lastAttempt(id).backend.ID == 2 {
-				h.end(id, ResultFailed, false)
+				h.endAttempt(id, ResultFailed, false)
 			} else {
-				h.end(id, ResultOK, true)
+				h.endAttempt(id, ResultOK, true)
 			}
 		}
 	}
-	if n := h.count(sendAction) - 200; n > 20 {
+	if n := h.countActions(sendAction) - 200; n > 20 {
 		t.Errorf("%d of 200 requests met the backend that fails all", n)
 	}
 	backend := h.backends.byID[2]
@@ -131,7 +131,7 @@
 	if _, sent := h.request(0, 1, 8, 1); !sent || backend.health.down {
 		t.Error("an attempt that was pending in a stall counts as unanswered")
 	}
-	h.endWith(id, Outcome{Result: ResultOK, Latency: 3 * second, Answered: true})
+	h.endAttemptWith(id, Outcome{Result: ResultOK, Latency: 3 * second, Answered: true})
 	if backend.latency.ratio != 0 || h.latency.all.value != 0 {
 		t.Error("the time that an answer waited for this gateway counts as the backend's latency")
 	}
@@ -153,7 +153,7 @@
 			a, b := gossipPair(t)
 			id, _ := a.request(0, 1, 9, 1)
 			faulty := a.lastAttempt(id).backend.ID
-			a.end(id, c.result, true)
+			a.endAttempt(id, c.result, true)
 			gossipRound(a, b)
 			uses := func(class, plan int) bool {
 				for i := range 40 {
@@ -162,7 +162,7 @@
 						return true
 					}
 					if sent {
-						b.end(id, ResultOK, true)
+						b.endAttempt(id, ResultOK, true)
 					}
 				}
 				return false
--- a/policy/controller_quota.go
+++ b/policy/controller_quota.go
@@ -117,12 +117,12 @@
 		case quotaDenied:
 			c.admit(request, unitsMissing)
 		case quotaUnanswered:
-			c.counters.unanswered++
+			c.counters.quotaRequestsUnanswered++
 			request.customer.grant.addRequested(request.Cost)
 			source := request.customer.ownUnits(c.clock.now, c.clock.startedAt, &c.sharing, request.Cost)
 			c.admit(request, source)
 		case quotaRetry:
-			c.counters.unanswered++
+			c.counters.quotaRequestsUnanswered++
 			c.admitOrRequestQuota(request)
 		}
 	}
--- a/policy/controller_slowstart_test.go
+++ b/policy/controller_slowstart_test.go
@@ -22,7 +22,7 @@
 			open = append(open, id)
 		}
 		for len(open) > 0 && h.at-h.lastAttempt(open[0]).sentAt >= second/10 {
-			h.end(open[0], ResultOK, true)
+			h.endAttempt(open[0], ResultOK, true)
 			open = open[1:]
 		}
 	}
@@ -67,7 +67,7 @@
 				sent++
 			}
 			if ok {
-				h.end(id, ResultOK, true)
+				h.endAttempt(id, ResultOK, true)
 			}
 		}
 	}
@@ -106,7 +106,7 @@
 			open = append(open, id)
 		}
 		for len(open) > 0 && h.at-h.lastAttempt(open[0]).sentAt >= second/4 {
-			h.end(open[0], ResultOK, true)
+			h.endAttempt(open[0], ResultOK, true)
 			open = open[1:]
 		}
 	}
@@ -159,7 +159,7 @@
 		if !sent || h.slowStartAllows(backend) {
 			t.Fatalf("sent %t, and another is allowed", sent)
 		}
-		h.end(id, ResultNotSent, true)
+		h.endAttempt(id, ResultNotSent, true)
 		if !h.slowStartAllows(backend) || backend.slowStart.reserved != 0 {
 			t.Errorf("level %g, %d held after the attempt was not sent",
 				backend.slowStart.bucket.level, backend.slowStart.reserved)
@@ -190,9 +190,9 @@
 				customer++
 				if id, ok := h.request(0, 1, customer*gateways+uint64(i), 1); ok {
 					attempts[h.lastAttempt(id).backend.ID]++
-					h.end(id, ResultOK, true)
+					h.endAttempt(id, ResultOK, true)
 				}
-				h.take()
+				h.takeActions()
 			}
 		}
 		return attempts
--- a/policy/coordinator_test.go
+++ b/policy/coordinator_test.go
@@ -32,7 +32,7 @@
 
 // receive has the participant receive a request.
 func (p *coordinatorPair) receive(plan int, customer uint64) (id uint64) {
-	id, _ = p.participant.receive(Request{
+	id, _ = p.participant.receiveRequest(Request{
 		Plan: plan, Customer: customer, Cost: 1,
 		Timeout: 2 * second, FirstReplica: p.firstReplicas[customer], Replicas: 12,
 	})
@@ -42,15 +42,15 @@
 // serve has the participant receive a request and both gateways decide on it. It reports whether it
 // was sent.
 func (p *coordinatorPair) serve(plan int, customer uint64) bool {
-	p.participant.take()
+	p.participant.takeActions()
 	id := p.receive(plan, customer)
 	sent := p.participant.countSent(id) > 0
-	deliver(p.participant, p.coordinator)
-	deliver(p.coordinator, p.participant)
+	deliverGossip(p.participant, p.coordinator)
+	deliverGossip(p.coordinator, p.participant)
 	if !sent && p.participant.countSent(id) == 0 {
 		return false
 	}
-	p.participant.end(id, ResultOK, true)
+	p.participant.endAttempt(id, ResultOK, true)
 	return true
 }
 
@@ -79,7 +79,7 @@
 				gossipRound(pair.participant, pair.coordinator)
 				pair.coordinator.at = pair.participant.at
 				pair.coordinator.TimerFired(pair.coordinator.at, gossipTimer)
-				deliver(pair.coordinator, pair.participant)
+				deliverGossip(pair.coordinator, pair.participant)
 			}
 			if got := float64(sent) / 30; math.Abs(got-c.rate) > c.tolerance*c.rate {
 				t.Errorf("%.2f units a second sent, want about %g", got, c.rate)
@@ -136,13 +136,13 @@
 // gateways. It reports whether it was sent.
 func (f gatewayFleet) serveLarge(receiver int) bool {
 	h := f[receiver]
-	h.take()
-	id, _ := h.receive(Request{Customer: 9, Cost: 2, Timeout: 4 * second, Replicas: len(f)})
+	h.takeActions()
+	id, _ := h.receiveRequest(Request{Customer: 9, Cost: 2, Timeout: 4 * second, Replicas: len(f)})
 	f.deliverAll()
-	if h.count(sendAction) == 0 {
+	if h.countActions(sendAction) == 0 {
 		return false
 	}
-	h.endWith(id, Outcome{Result: ResultOK, Answered: true})
+	h.endAttemptWith(id, Outcome{Result: ResultOK, Answered: true})
 	return true
 }
 
@@ -180,17 +180,17 @@
 	}
 	request := Request{Customer: 9, Cost: 2, Timeout: 4 * second, Replicas: 12}
 	timeout := Time(quotaRequestTimeout * float64(h.shortestObjective))
-	h.take()
-	first, _ := h.receive(request)
+	h.takeActions()
+	first, _ := h.receiveRequest(request)
 	h.at += timeout
 	h.TimerFired(h.at, quotaRequestTimer)
 	if peers := asked(); len(peers) != 2 || peers[0] == peers[1] {
 		t.Fatalf("asked %v, want two coordinators", peers)
 	}
 	unresponsive := asked()[0]
-	h.take()
+	h.takeActions()
 	for range 20 {
-		h.receive(request)
+		h.receiveRequest(request)
 	}
 	if peers := asked(); len(peers) != 20 || slices.Contains(peers, unresponsive) {
 		t.Errorf("asked %v, want none of the unresponsive coordinator %d", peers, unresponsive)
@@ -206,18 +206,18 @@
 func TestUnresponsiveCoordinatorKeepsNoRequestWaiting(t *testing.T) {
 	pair := newCoordinatorPair(t)
 	participant := pair.participant
-	participant.take()
+	participant.takeActions()
 	id := pair.receive(0, 9)
 	requests := ofKind(participant.performed, gossipAction)
-	if participant.count(sendAction) != 0 || len(requests) != 1 || requests[0].peer != 0 ||
-		participant.count(timerAction) != 1 {
+	if participant.countActions(sendAction) != 0 || len(requests) != 1 || requests[0].peer != 0 ||
+		participant.countActions(timerAction) != 1 {
 		t.Fatalf("%+v, want a quota request and a timer", participant.performed)
 	}
 	participant.TimerFired(participant.at+second/10, quotaRequestTimer)
 	if participant.countSent(id) != 1 {
 		t.Errorf("%+v, want it sent", participant.performed)
 	}
-	participant.take()
+	participant.takeActions()
 	participant.GossipReceived(participant.at+second/5, 0, answerTo(1, true))
 	if len(participant.performed) != 0 {
 		t.Errorf("a late answer acted: %+v", participant.performed)
@@ -247,7 +247,7 @@
 					len(participant.quotaRequests.awaiting))
 			}
 			participant.RequestCancelled(participant.at, id)
-			participant.take()
+			participant.takeActions()
 			resolve(participant)
 			if len(participant.performed) != 0 || len(participant.quotaRequests.awaiting) != 0 {
 				t.Errorf("acted for a disconnected client: %+v, %d waiting",
--- a/policy/faultreports.go
+++ b/policy/faultreports.go
@@ -40,7 +40,7 @@
 // index, -1 if there is none, and from each old plan to its new one, -1 if it is gone.
 func (r *faultReports) renumber(oldClasses, newPlans []int, planCount int) {
 	renumbered := newFaultReports(len(oldClasses), planCount)
-	pickFrom(renumbered.byClass, r.byClass, oldClasses)
+	copyByOldIndex(renumbered.byClass, r.byClass, oldClasses)
 	for old, plan := range newPlans {
 		if plan >= 0 {
 			renumbered.byPlan[plan] = r.byPlan[old]
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -44,7 +44,7 @@
 
 // restore goes on with the incarnation of another process of this gateway. What that one knew of the peers is
 // of use only if there are as many.
-func (g *gossipState) restore(incarnation uint32, sequence byte, peers []peer) {
+func (g *gossipState) importState(incarnation uint32, sequence byte, peers []peer) {
 	g.incarnation, g.sequence = incarnation, sequence
 	if len(peers) != len(g.peers) {
 		return
@@ -81,7 +81,9 @@
 }
 
 // begin begins the message for a peer that has none.
-func (g *gossipState) begin(peer int, view loadView) { g.peers[peer].message = g.newMessage(view) }
+func (g *gossipState) startMessage(peer int, view loadView) {
+	g.peers[peer].message = g.newMessage(view)
+}
 
 // addUsage adds an entry to the message for a peer, which has begun and has room.
 func (g *gossipState) addUsage(peer int, entry *usageEntry) {
@@ -112,16 +114,16 @@
 func (g *gossipState) dropFaults() { g.faults = nil }
 
 // reception says what a message tells of its sender.
-type reception struct {
+type receiveResult struct {
 	newest    bool    // no later message of the peer has been received
 	restarted bool    // the peer has another incarnation than in its message before
 	weight    float64 // of its load view, so that a peer counts as one however often it sends
 }
 
 // receive notes a peer's message, which came at an active time.
-func (g *gossipState) receive(from int, activeTime Time, message *gossipMessage) reception {
+func (g *gossipState) receive(from int, activeTime Time, message *gossipMessage) receiveResult {
 	sender := &g.peers[from]
-	received := reception{
+	received := receiveResult{
 		weight: math.Min(1, float64(activeTime-sender.lastReceivedAt)/float64(second)),
 		newest: sender.acceptSequence(message), restarted: sender.incarnation != message.incarnation,
 	}
--- a/policy/gossipstate_test.go
+++ b/policy/gossipstate_test.go
@@ -6,7 +6,7 @@
 )
 
 // decoded is the message that the bytes hold.
-func decoded(t *testing.T, raw []byte) gossipMessage {
+func mustDecode(t *testing.T, raw []byte) gossipMessage {
 	t.Helper()
 	message, ok := decodeGossip(raw)
 	if !ok {
@@ -20,7 +20,7 @@
 	gossip.sequence = 253
 	var sequences []byte
 	for range 4 {
-		sequences = append(sequences, decoded(t, gossip.newMessage(loadView{gateways: 1})).sequence)
+		sequences = append(sequences, mustDecode(t, gossip.newMessage(loadView{gateways: 1})).sequence)
 	}
 	if want := []byte{254, 255, 1, 2}; !slices.Equal(sequences, want) {
 		t.Errorf("sequence numbers %v, want %v: never 0", sequences, want)
@@ -29,7 +29,7 @@
 
 func TestMessageCarriesTheLoadPerGateway(t *testing.T) {
 	gossip := newGossipState(7, 3)
-	message := decoded(t, gossip.newMessage(loadView{inFlight: 8, onTimeRate: 30, gateways: 4}))
+	message := mustDecode(t, gossip.newMessage(loadView{inFlight: 8, onTimeRate: 30, gateways: 4}))
 	assertNear(t, "in flight", message.inFlight, 2)
 	assertNear(t, "on time", message.onTimeRate, 7.5)
 	if message.incarnation != 7 {
@@ -43,24 +43,24 @@
 		gossip.addFault(faultReport{backend: backend})
 	}
 	for i := range faultRepeats {
-		faults := decoded(t, gossip.newMessage(loadView{gateways: 1})).faults
+		faults := mustDecode(t, gossip.newMessage(loadView{gateways: 1})).faults
 		if len(faults) != maxFaultsPerMessage || faults[0].backend != 1 {
 			t.Fatalf("message %d carries %v, want the newest %d reports", i, faults, maxFaultsPerMessage)
 		}
 	}
-	if faults := decoded(t, gossip.newMessage(loadView{gateways: 1})).faults; len(faults) != 0 {
+	if faults := mustDecode(t, gossip.newMessage(loadView{gateways: 1})).faults; len(faults) != 0 {
 		t.Errorf("%v after %d messages", faults, faultRepeats)
 	}
 	gossip.addFault(faultReport{backend: 9})
 	gossip.dropFaults()
-	if faults := decoded(t, gossip.newMessage(loadView{gateways: 1})).faults; len(faults) != 0 {
+	if faults := mustDecode(t, gossip.newMessage(loadView{gateways: 1})).faults; len(faults) != 0 {
 		t.Errorf("%v after all were dropped", faults)
 	}
 }
 
 func TestMessageIsPreparedUntilItIsFull(t *testing.T) {
 	gossip, entries := newGossipState(7, 3), 0
-	gossip.begin(1, loadView{gateways: 1})
+	gossip.startMessage(1, loadView{gateways: 1})
 	for gossip.fits(1, usageSize) {
 		gossip.addUsage(1, &usageEntry{customer: uint64(entries), replicas: 3})
 		entries++
@@ -72,15 +72,15 @@
 	if len(raw) > maxMessageSize {
 		t.Errorf("a message of %d bytes", len(raw))
 	}
-	if got := len(decoded(t, raw).usage); got != entries || got < 10 {
+	if got := len(mustDecode(t, raw).usage); got != entries || got < 10 {
 		t.Errorf("%d of %d entries in the message", got, entries)
 	}
 	if gossip.hasMessage(1) || !gossip.fits(1, usageSize) {
 		t.Error("a message that was taken is still in preparation")
 	}
-	gossip.begin(1, loadView{gateways: 1})
+	gossip.startMessage(1, loadView{gateways: 1})
 	gossip.addGrant(1, grant{customer: 5, fraction: 1})
-	if grants := decoded(t, gossip.takeMessage(1)).grants; len(grants) != 1 || grants[0].customer != 5 {
+	if grants := mustDecode(t, gossip.takeMessage(1)).grants; len(grants) != 1 || grants[0].customer != 5 {
 		t.Errorf("grants %v, want the one of customer 5", grants)
 	}
 }
@@ -90,24 +90,28 @@
 		name    string
 		at      Time
 		message gossipMessage
-		want    reception
+		want    receiveResult
 	}{
 		{
 			"the first", 2 * second,
 			gossipMessage{incarnation: 4, sequence: 10},
-			reception{newest: true, restarted: true, weight: 1},
+			receiveResult{newest: true, restarted: true, weight: 1},
 		},
 		{
 			"the next", 2*second + second/4,
 			gossipMessage{incarnation: 4, sequence: 11},
-			reception{newest: true, weight: 0.25},
+			receiveResult{newest: true, weight: 0.25},
 		},
-		{"a repeat", 3*second + second/4, gossipMessage{incarnation: 4, sequence: 11}, reception{weight: 1}},
-		{"a late one", 5 * second, gossipMessage{incarnation: 4, sequence: 9}, reception{weight: 1}},
+		{
+			"a repeat", 3*second + second/4,
+			gossipMessage{incarnation: 4, sequence: 11},
+			receiveResult{weight: 1},
+		},
+		{"a late one", 5 * second, gossipMessage{incarnation: 4, sequence: 9}, receiveResult{weight: 1}},
 		{
 			"after a restart", 7 * second,
 			gossipMessage{incarnation: 5, sequence: 1},
-			reception{newest: true, restarted: true, weight: 1},
+			receiveResult{newest: true, restarted: true, weight: 1},
 		},
 	}
 	gossip := newGossipState(7, 3)
@@ -139,7 +143,7 @@
 func TestRestoredGossipKnowsThePeersOfAsManyGateways(t *testing.T) {
 	known := []peer{{}, {incarnation: 4, sequence: 9, lastReceivedAt: second}}
 	gossip := newGossipState(7, 2)
-	gossip.restore(5, 30, known)
+	gossip.importState(5, 30, known)
 	if gossip.incarnation != 5 || gossip.sequence != 30 || gossip.peers[1].incarnation != 4 {
 		t.Errorf("restored %+v", gossip)
 	}
@@ -147,7 +151,7 @@
 		t.Error("a message that the other process had received is new")
 	}
 	other := newGossipState(7, 3)
-	other.restore(5, 30, known)
+	other.importState(5, 30, known)
 	if other.incarnation != 5 || other.peers[1].incarnation != 0 {
 		t.Errorf("restored %+v from a process with other gateways", other)
 	}
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -32,7 +32,7 @@
 	request    uint64
 	backend    uint32
 	at         Time // an attempt's deadline, the time to retry after, or a timer's time
-	token      uint32
+	timerID    uint32
 	peer       int
 	message    []byte
 	counter    uint64
@@ -47,50 +47,50 @@
 	noConnection uint32 // the backend to which none is at hand: attempts wait for one
 }
 
-func (r *recorder) record(a action) { r.performed = append(r.performed, a) }
+func (r *recorder) recordAction(a action) { r.performed = append(r.performed, a) }
 
 func (r *recorder) Send(id uint64, backend uint32, until Time) (waiting bool) {
-	r.record(action{kind: sendAction, request: id, backend: backend, at: until})
+	r.recordAction(action{kind: sendAction, request: id, backend: backend, at: until})
 	return backend == r.noConnection
 }
 
 func (r *recorder) Reject(id uint64, after Time) {
-	r.record(action{kind: rejectAction, request: id, at: after})
+	r.recordAction(action{kind: rejectAction, request: id, at: after})
 }
 
-func (r *recorder) Fail(id uint64) { r.record(action{kind: failAction, request: id}) }
+func (r *recorder) Fail(id uint64) { r.recordAction(action{kind: failAction, request: id}) }
 
-func (r *recorder) SetTimer(at Time, token uint32) {
-	r.record(action{kind: timerAction, at: at, token: token})
+func (r *recorder) SetTimer(at Time, timerID uint32) {
+	r.recordAction(action{kind: timerAction, at: at, timerID: timerID})
 }
 
 func (r *recorder) HealthCheck(backend uint32) {
-	r.record(action{kind: healthCheckAction, backend: backend})
+	r.recordAction(action{kind: healthCheckAction, backend: backend})
 }
 
 func (r *recorder) SendGossip(peer int, message []byte) {
-	r.record(action{kind: gossipAction, peer: peer, message: slices.Clone(message)})
+	r.recordAction(action{kind: gossipAction, peer: peer, message: slices.Clone(message)})
 }
 
 func (r *recorder) IncrementCounter(counter uint64, units float64, _ Time) {
-	r.record(action{kind: counterAction, counter: counter, units: units})
+	r.recordAction(action{kind: counterAction, counter: counter, units: units})
 }
 
-func (r *recorder) WatchEndpoints() { r.record(action{kind: watchAction}) }
+func (r *recorder) WatchEndpoints() { r.recordAction(action{kind: watchAction}) }
 
 func (r *recorder) Log(message string, attributes ...slog.Attr) {
-	r.record(action{kind: logAction, event: message, attributes: attributes})
+	r.recordAction(action{kind: logAction, event: message, attributes: attributes})
 }
 
 // take returns the recorded actions and forgets them.
-func (r *recorder) take() []action {
+func (r *recorder) takeActions() []action {
 	performed := r.performed
 	r.performed = nil
 	return performed
 }
 
 // count is the number of actions of a kind.
-func (r *recorder) count(kind actionKind) int { return len(ofKind(r.performed, kind)) }
+func (r *recorder) countActions(kind actionKind) int { return len(ofKind(r.performed, kind)) }
 
 // countSent is the number of attempts that were sent for a request.
 func (r *recorder) countSent(request uint64) int {
@@ -122,7 +122,7 @@
 }
 
 // last is the last action that is no log line.
-func (r *recorder) last() action {
+func (r *recorder) lastAction() action {
 	for _, a := range slices.Backward(r.performed) {
 		if a.kind != logAction {
 			return a
@@ -204,11 +204,11 @@
 func newUnstartedHarness(t *testing.T, settings Settings, seed uint64, at Time) *harness {
 	t.Helper()
 	r := &recorder{}
-	g, err := New(settings, seed, r)
+	controller, err := New(settings, seed, r)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &harness{Controller: g, recorder: r, t: t, at: at}
+	return &harness{Controller: controller, recorder: r, t: t, at: at}
 }
 
 // newHarness makes a harness with four backends of two cells that has run for a second.
@@ -223,18 +223,18 @@
 // request has a customer of two gateways send a request. It returns the request's ID and whether
 // it was sent to a backend at once.
 func (h *harness) request(class, plan int, customer uint64, cost float64) (id uint64, sent bool) {
-	return h.receive(Request{
+	return h.receiveRequest(Request{
 		Class: class, Plan: plan, Customer: customer, Cost: cost, Timeout: 2 * second, Replicas: 2,
 	})
 }
 
 // receive gives the request the next ID. It returns the ID and whether the request was sent at once.
-func (h *harness) receive(request Request) (id uint64, sent bool) {
+func (h *harness) receiveRequest(request Request) (id uint64, sent bool) {
 	h.nextID++
 	request.ID = h.nextID
-	before := h.count(sendAction)
+	before := h.countActions(sendAction)
 	h.RequestReceived(h.at, request)
-	return request.ID, h.count(sendAction) > before
+	return request.ID, h.countActions(sendAction) > before
 }
 
 // slowStartShare is the share of its capacity that a backend in slow start has by the last event.
@@ -248,7 +248,7 @@
 }
 
 // connectionFailed has a connection to a backend fail, and reports whether it is down.
-func (h *harness) connectionFailed(backend *backend, mayRun bool) bool {
+func (h *harness) failConnection(backend *backend, mayRun bool) bool {
 	down, _ := backend.health.recordConnectionFailure(h.clock.now, mayRun)
 	return down
 }
@@ -269,13 +269,13 @@
 }
 
 // end ends the last attempt of a request after a tenth of a second.
-func (h *harness) end(id uint64, result Result, answered bool) {
+func (h *harness) endAttempt(id uint64, result Result, answered bool) {
 	h.t.Helper()
-	h.endWith(id, Outcome{Result: result, Latency: second / 10, Answered: answered})
+	h.endAttemptWith(id, Outcome{Result: result, Latency: second / 10, Answered: answered})
 }
 
 // endWith ends the last attempt of a request with an outcome, whose address it fills in.
-func (h *harness) endWith(id uint64, outcome Outcome) {
+func (h *harness) endAttemptWith(id uint64, outcome Outcome) {
 	h.t.Helper()
 	backend := h.lastAttempt(id).backend.ID
 	outcome.RequestID, outcome.Attempt, outcome.Backend = id, len(h.requests.byID[id].attempts)-1, backend
@@ -288,7 +288,7 @@
 	h.t.Helper()
 	id, sent := h.request(0, plan, customer, cost)
 	if sent {
-		h.end(id, ResultOK, true)
+		h.endAttempt(id, ResultOK, true)
 	}
 	return sent
 }
@@ -307,16 +307,16 @@
 
 // gossipRound has one gateway run a gossip round a tenth of a second later and another receive it.
 func gossipRound(from, to *harness) {
-	from.take()
+	from.takeActions()
 	from.at += second / 10
 	from.TimerFired(from.at, gossipTimer)
-	deliver(from, to)
+	deliverGossip(from, to)
 }
 
 // deliver has a gateway receive the messages that another one has sent to it.
-func deliver(from, to *harness) {
+func deliverGossip(from, to *harness) {
 	to.at = max(to.at, from.at)
-	for _, a := range from.take() {
+	for _, a := range from.takeActions() {
 		if a.kind == gossipAction && a.peer == to.settings.Self {
 			to.GossipReceived(to.at, from.settings.Self, a.message)
 		}
@@ -340,9 +340,9 @@
 	for delivered := true; delivered; {
 		delivered = false
 		for from, h := range f {
-			for _, a := range h.take() {
+			for _, a := range h.takeActions() {
 				if a.kind != gossipAction {
-					h.record(a)
+					h.recordAction(a)
 					continue
 				}
 				f[a.peer].GossipReceived(max(h.at, f[a.peer].at), from, a.message)
@@ -366,7 +366,7 @@
 			h.at += second / 200
 			id, sent := h.request(i%3, i%3, uint64(i*7%90), 1+float64(i%2))
 			if sent {
-				h.end(id, Result(i*i%5), i*i%5 == 0)
+				h.endAttempt(id, Result(i*i%5), i*i%5 == 0)
 			}
 			if i%10 == 0 {
 				h.TimerFired(h.at, gossipTimer)
--- a/policy/latencyestimate.go
+++ b/policy/latencyestimate.go
@@ -54,6 +54,6 @@
 // renumber gives each new class the latency of its old index, -1 if there is none.
 func (e *latencyEstimate) renumber(oldClasses []int) {
 	byClass := make([]movingAverage, len(oldClasses))
-	pickFrom(byClass, e.byClass, oldClasses)
+	copyByOldIndex(byClass, e.byClass, oldClasses)
 	e.byClass = byClass
 }
--- a/policy/ownership.go
+++ b/policy/ownership.go
@@ -18,7 +18,7 @@
 // has ended. What that one admitted is unknown, so no bucket holds more than after a restart.
 func (c *Controller) ResumeOwnership(now Time) {
 	c.advanceClock(now)
-	c.clock.restart()
+	c.clock.resetStart()
 	c.gaveUpOwnership = false
 	for _, customer := range c.customers.inOrder {
 		c.refillBuckets(customer)
--- a/policy/quotashare_fleet_test.go
+++ b/policy/quotashare_fleet_test.go
@@ -44,7 +44,7 @@
 	for delivered := true; delivered; {
 		delivered = false
 		for from, h := range f.gateways[:f.replicas] {
-			for _, a := range h.take() {
+			for _, a := range h.takeActions() {
 				if a.kind == gossipAction && f.deliverOne(at, from, a) {
 					delivered = true
 				}
@@ -75,10 +75,10 @@
 	f.t.Helper()
 	const cost = 2
 	h := f.gateways[gateway]
-	h.take()
+	h.takeActions()
 	h.at, h.nextID = at, id-1
 	f.requested += cost
-	h.receive(Request{Customer: 9, Cost: cost, Timeout: 4 * second, Replicas: f.replicas})
+	h.receiveRequest(Request{Customer: 9, Cost: cost, Timeout: 4 * second, Replicas: f.replicas})
 	f.deliver(at)
 	// The quota request or its answer may have been lost.
 	if request := h.requests.byID[id]; request != nil && len(request.attempts) == 0 {
@@ -94,7 +94,7 @@
 	} else {
 		f.outside += cost
 	}
-	h.endWith(id, Outcome{Result: ResultOK, Answered: true})
+	h.endAttemptWith(id, Outcome{Result: ResultOK, Answered: true})
 }
 
 // Guards against units beyond the quota over the whole fleet: with a replica set that is new to all,
--- a/policy/quotashare_test.go
+++ b/policy/quotashare_test.go
@@ -73,7 +73,7 @@
 	h := newHarness(t, settings)
 	id, _ := h.request(0, 1, 9, 5)
 	assertNear(t, "share before a reading", h.customers.byID[9].quotaShare(h.clock.now, &h.sharing), 0.5)
-	h.endWith(id, Outcome{Result: ResultOK, Latency: 1, Answered: true, MeterReading: 201})
+	h.endAttemptWith(id, Outcome{Result: ResultOK, Latency: 1, Answered: true, MeterReading: 201})
 	share := h.customers.byID[9].quotaShare(h.clock.now, &h.sharing)
 	assertNear(t, "share with a quarter of the use", share, 0.25)
 }
@@ -168,7 +168,7 @@
 	id, _ := a.request(0, 1, 9, 8)
 	gossipRound(a, b)
 	level := b.customers.byID[9].bucket.level
-	a.endWith(id, Outcome{Result: ResultOK, Latency: 1, Answered: true, ActualCost: 4})
+	a.endAttemptWith(id, Outcome{Result: ResultOK, Latency: 1, Answered: true, ActualCost: 4})
 	gossipRound(a, b)
 	got := b.customers.byID[9].bucket.level
 	assertNear(t, "level after 4 of 8 units were returned and 1 refilled", got, level+4+1)
--- a/policy/recorded_play_test.go
+++ b/policy/recorded_play_test.go
@@ -12,7 +12,7 @@
 // transcript of what they do but what they log.
 type recordedPlay struct {
 	settings   Settings
-	draw       *rand.Rand
+	random     *rand.Rand
 	gateways   gatewayFleet
 	timers     map[int][]action // by gateway
 	transcript []string
@@ -20,7 +20,7 @@
 
 func newRecordedPlay(t *testing.T, settings Settings, seed uint64) *recordedPlay {
 	t.Helper()
-	p := &recordedPlay{settings: settings, draw: rand.New(rand.NewPCG(seed, 1)), timers: map[int][]action{}}
+	p := &recordedPlay{settings: settings, random: rand.New(rand.NewPCG(seed, 1)), timers: map[int][]action{}}
 	for settings.Self = range settings.Gateways {
 		h := newUnstartedHarness(t, settings, 7, start)
 		h.UpdateEndpoints(start, UpdateStale, endpoints(4))
@@ -33,7 +33,7 @@
 func (p *recordedPlay) run() {
 	for step := range 500 {
 		at := start + Time(step)*second/100
-		gateway := p.draw.IntN(len(p.gateways))
+		gateway := p.random.IntN(len(p.gateways))
 		h := p.gateways[gateway]
 		h.at = max(h.at, at)
 		if step == 200 {
@@ -52,11 +52,11 @@
 }
 
 func (p *recordedPlay) receiveRequest(h *harness) {
-	customer := p.draw.IntN(6)
-	h.receive(Request{
-		Class: p.draw.IntN(len(p.settings.Classes)), Plan: customer % len(p.settings.Plans),
-		Customer: uint64(customer), Cost: float64(1+p.draw.IntN(4)) / 2,
-		Timeout:      second * Time(1+p.draw.IntN(3)),
+	customer := p.random.IntN(6)
+	h.receiveRequest(Request{
+		Class: p.random.IntN(len(p.settings.Classes)), Plan: customer % len(p.settings.Plans),
+		Customer: uint64(customer), Cost: float64(1+p.random.IntN(4)) / 2,
+		Timeout:      second * Time(1+p.random.IntN(3)),
 		FirstReplica: customer, Replicas: 1 + customer*5%p.settings.Gateways,
 	})
 }
@@ -71,19 +71,19 @@
 	slices.Sort(open)
 	for _, id := range open {
 		request := h.requests.byID[id]
-		if request == nil || len(request.attempts) == 0 || p.draw.IntN(3) == 0 {
+		if request == nil || len(request.attempts) == 0 || p.random.IntN(3) == 0 {
 			continue
 		}
-		if p.draw.IntN(15) == 0 {
+		if p.random.IntN(15) == 0 {
 			h.RequestCancelled(h.at, id)
 			continue
 		}
 		maySend := h.ConfirmSend(h.at, id, len(request.attempts)-1)
 		p.transcript = append(p.transcript, fmt.Sprintf("%d holds %d %t", gateway, id, maySend))
-		result := Result(max(0, p.draw.IntN(20)-12))
-		h.endWith(id, Outcome{
-			Result: result, Latency: Time(1+p.draw.IntN(60)) * second / 100, Answered: result == ResultOK,
-			MeterReading: p.draw.IntN(150), ActualCost: float64(p.draw.IntN(5)) / 2,
+		result := Result(max(0, p.random.IntN(20)-12))
+		h.endAttemptWith(id, Outcome{
+			Result: result, Latency: Time(1+p.random.IntN(60)) * second / 100, Answered: result == ResultOK,
+			MeterReading: p.random.IntN(150), ActualCost: float64(p.random.IntN(5)) / 2,
 		})
 	}
 }
@@ -93,15 +93,15 @@
 	list := endpoints(6)
 	for i := range list {
 		list[i].Zone = i % 3
-		if p.draw.IntN(4) == 0 {
-			list[i].State = EndpointState(p.draw.IntN(3))
+		if p.random.IntN(4) == 0 {
+			list[i].State = EndpointState(p.random.IntN(3))
 		}
-		if p.draw.IntN(3) == 0 {
-			list[i].StartedAt = at - Time(p.draw.IntN(3))*second
+		if p.random.IntN(3) == 0 {
+			list[i].StartedAt = at - Time(p.random.IntN(3))*second
 		}
 	}
 	for _, h := range p.gateways {
-		h.UpdateEndpoints(max(h.at, at), UpdateKind(p.draw.IntN(4)), list)
+		h.UpdateEndpoints(max(h.at, at), UpdateKind(p.random.IntN(4)), list)
 	}
 }
 
@@ -116,7 +116,7 @@
 			continue
 		}
 		h.at = max(h.at, timer.at, at)
-		h.TimerFired(h.at, timer.token)
+		h.TimerFired(h.at, timer.timerID)
 	}
 }
 
@@ -125,7 +125,7 @@
 	for busy := true; busy; {
 		busy = false
 		for gateway, h := range p.gateways {
-			for _, a := range h.take() {
+			for _, a := range h.takeActions() {
 				if a.kind == logAction {
 					continue
 				}
@@ -141,16 +141,16 @@
 	h := p.gateways[gateway]
 	switch a.kind {
 	case gossipAction:
-		if p.draw.IntN(20) == 0 { // lost
+		if p.random.IntN(20) == 0 { // lost
 			return false
 		}
 		to := p.gateways[a.peer]
 		to.GossipReceived(max(h.at, to.at), gateway, a.message)
 	case counterAction:
-		result := Result(p.draw.IntN(5) / 4)
-		h.CounterAnswered(h.at, a.counter, result, a.units*float64(1+p.draw.IntN(3)))
+		result := Result(p.random.IntN(5) / 4)
+		h.CounterAnswered(h.at, a.counter, result, a.units*float64(1+p.random.IntN(3)))
 	case healthCheckAction:
-		h.HealthCheckEnded(h.at, a.backend, Result(p.draw.IntN(5)), nil)
+		h.HealthCheckEnded(h.at, a.backend, Result(p.random.IntN(5)), nil)
 	case timerAction:
 		p.timers[gateway] = append(p.timers[gateway], a)
 		return false
@@ -171,7 +171,7 @@
 	case failAction:
 		return fmt.Sprintf("fail %d", a.request)
 	case timerAction:
-		return fmt.Sprintf("timer %d %d", a.at, a.token)
+		return fmt.Sprintf("timer %d %d", a.at, a.timerID)
 	case healthCheckAction:
 		return fmt.Sprintf("probe %d", a.backend)
 	case gossipAction:
--- a/policy/recorded_test.go
+++ b/policy/recorded_test.go
@@ -139,7 +139,7 @@
 		continue
 	}
 	for !h.backends.byID[2].health.down {
-		h.connectionFailed(h.backends.byID[2], false)
+		h.failConnection(h.backends.byID[2], false)
 	}
 	h.nextID = 39
 	id, sent := h.request(1, 1, 8, 3)
--- a/policy/reload_test.go
+++ b/policy/reload_test.go
@@ -34,7 +34,7 @@
 	}
 	assertRetriedOnce(t, h, open)
 	stricter, _ := h.request(2, 0, 9, 1)
-	h.end(stricter, ResultFailed, false)
+	h.endAttempt(stricter, ResultFailed, false)
 	if h.requests.byID[stricter] != nil {
 		t.Error("a new request of the stricter class was retried")
 	}
@@ -57,11 +57,11 @@
 // assertRetriedOnce fails the attempts of an open request, the first of which is pending.
 func assertRetriedOnce(t *testing.T, h *harness, id uint64) {
 	t.Helper()
-	h.end(id, ResultFailed, false)
+	h.endAttempt(id, ResultFailed, false)
 	if request := h.requests.byID[id]; request == nil || len(request.attempts) != 2 {
 		t.Fatal("the open request was not retried, as its class allows")
 	}
-	h.end(id, ResultFailed, false)
+	h.endAttempt(id, ResultFailed, false)
 	if h.requests.byID[id] != nil {
 		t.Error("a third attempt where two are allowed")
 	}
@@ -82,28 +82,28 @@
 }
 
 func TestClassesInUseStayAsTheyWere(t *testing.T) {
-	inForce := []Class{{Name: "a"}, {Name: "b"}, {Name: "c"}, {Name: "d"}}
+	current := []Class{{Name: "a"}, {Name: "b"}, {Name: "c"}, {Name: "d"}}
 	settings := Settings{Classes: []Class{
 		{Name: "b", PriorityWeight: 2}, {Name: "a"}, {Name: "c", PriorityWeight: 2},
 	}}
 	isUsed := func(class int) bool { return class <= 1 }
-	got := matchClasses(&Settings{Classes: inForce}, &settings, isUsed)
+	got := matchClasses(&Settings{Classes: current}, &settings, isUsed)
 	if want := []int{1, 3, -1, -1}; !slices.Equal(got, want) {
 		t.Errorf("indices %d, want %d", got, want)
 	}
-	if len(settings.Classes) != 4 || settings.Classes[3] != inForce[1] {
+	if len(settings.Classes) != 4 || settings.Classes[3] != current[1] {
 		t.Errorf("classes %+v, want the one that has changed and is in use last", settings.Classes)
 	}
-	old := oldClassIndices(inForce, settings.Classes, got)
+	old := oldClassIndices(current, settings.Classes, got)
 	if want := []int{1, 0, 2, 1}; !slices.Equal(old, want) {
 		t.Errorf("old indices %d, want %d: what was learnt holds for the name", old, want)
 	}
 }
 
 func TestPlansInUseStay(t *testing.T) {
-	inForce := []Plan{{Name: "p"}, {Name: "q"}, {Name: "r"}}
+	current := []Plan{{Name: "p"}, {Name: "q"}, {Name: "r"}}
 	settings := Settings{Plans: []Plan{{Name: "r", Rate: 5}}}
-	got := matchPlans(&Settings{Plans: inForce}, &settings, func(plan int) bool { return plan != 0 })
+	got := matchPlans(&Settings{Plans: current}, &settings, func(plan int) bool { return plan != 0 })
 	if want := []int{-1, 1, 0}; !slices.Equal(got, want) || len(settings.Plans) != 2 {
 		t.Errorf("indices %d of %d plans, want %d", got, len(settings.Plans), want)
 	}
--- a/policy/report.go
+++ b/policy/report.go
@@ -10,9 +10,9 @@
 		view: c.loadView(), lateShare: c.limit.lateShare.value, meanLatency: c.latency.all.value,
 		healthy: c.backends.healthy, backends: len(c.backends.inOrder),
 	}
-	starts := slowStartMetrics{
+	slowStarts := slowStartMetrics{
 		backends: c.backends.warmingUp(now, &c.slowStart), warmBackends: c.pace.warmBackends,
 		answersOfWarm: c.pace.answersPerSecond(now),
 	}
-	c.actions.Log(messageCounters, c.counters.take(now, load, starts)...)
+	c.actions.Log(messageCounters, c.counters.flush(now, load, slowStarts)...)
 }
--- a/policy/report_test.go
+++ b/policy/report_test.go
@@ -24,15 +24,16 @@
 	h := newHarness(t, namedSettings())
 	customer := h.customerRecord(h.sharing.newAccount(7, 0, 0, 2))
 	for _, want := range []struct {
-		level                   float64
-		shareTooSmall, halfFull int
-	}{{level: 1}, {level: 3, shareTooSmall: 1}, {level: 4, shareTooSmall: 1, halfFull: 1}} {
+		level                            float64
+		overQuotaByShare, bucketHalfFull int
+	}{{level: 1}, {level: 3, overQuotaByShare: 1}, {level: 4, overQuotaByShare: 1, bucketHalfFull: 1}} {
 		t.Run(fmt.Sprint(want.level), func(t *testing.T) {
 			customer.bucket.level = want.level
 			var counters activityCounters
 			counters.countOverQuota(&customer.bucket, 2)
-			if counters.shareTooSmall != want.shareTooSmall || counters.halfFull != want.halfFull {
-				t.Errorf("got %d and %d, want %+v", counters.shareTooSmall, counters.halfFull, want)
+			if counters.overQuotaByShare != want.overQuotaByShare ||
+				counters.bucketHalfFull != want.bucketHalfFull {
+				t.Errorf("got %d and %d, want %+v", counters.overQuotaByShare, counters.bucketHalfFull, want)
 			}
 		})
 	}
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestNewNamesTheFieldItCannotServe(t *testing.T) {
-	for field, spoil := range map[string]func(*Settings){
+	for field, invalidate := range map[string]func(*Settings){
 		"gateways":       func(s *Settings) { s.Gateways = 0 },
 		"self":           func(s *Settings) { s.Self = 2 },
 		"classes":        func(s *Settings) { s.Classes = nil },
@@ -17,7 +17,7 @@
 	} {
 		t.Run(field, func(t *testing.T) {
 			settings := testSettings()
-			spoil(&settings)
+			invalidate(&settings)
 			var invalid *SettingsError
 			if _, err := New(settings, 1, &recorder{}); !errors.As(err, &invalid) || invalid.Field != field {
 				t.Errorf("got error %v", err)
--- a/policy/settingschange.go
+++ b/policy/settingschange.go
@@ -11,21 +11,21 @@
 
 // matchSettings matches the classes and plans of new settings with those in force, by name. It appends those
 // to the new settings that are gone from them, or have changed, and that requests or customers still need.
-func matchSettings(inForce, settings *Settings, needsClass, needsPlan func(index int) bool) settingsChange {
-	classes := matchClasses(inForce, settings, needsClass)
+func matchSettings(current, settings *Settings, needsClass, needsPlan func(index int) bool) settingsChange {
+	classes := matchClasses(current, settings, needsClass)
 	return settingsChange{
 		classes:    classes,
-		plans:      matchPlans(inForce, settings, needsPlan),
-		oldClasses: oldClassIndices(inForce.Classes, settings.Classes, classes),
+		plans:      matchPlans(current, settings, needsPlan),
+		oldClasses: oldClassIndices(current.Classes, settings.Classes, classes),
 	}
 }
 
 // matchClasses returns the new index of each class. A class with the same name that is not the same otherwise
 // is another one.
-func matchClasses(inForce, settings *Settings, isNeeded func(index int) bool) []int {
+func matchClasses(current, settings *Settings, isNeeded func(index int) bool) []int {
 	configured := len(settings.Classes)
-	indices := make([]int, len(inForce.Classes))
-	for i, class := range inForce.Classes {
+	indices := make([]int, len(current.Classes))
+	for i, class := range current.Classes {
 		indices[i] = indexByName(settings.Classes[:configured], className, class.Name)
 		if indices[i] >= 0 && settings.Classes[indices[i]] == class {
 			continue
@@ -40,9 +40,9 @@
 }
 
 // matchPlans returns the new index of each plan. A plan of the same name takes the place of the old one.
-func matchPlans(inForce, settings *Settings, isNeeded func(index int) bool) []int {
-	indices := make([]int, len(inForce.Plans))
-	for i, plan := range inForce.Plans {
+func matchPlans(current, settings *Settings, isNeeded func(index int) bool) []int {
+	indices := make([]int, len(current.Plans))
+	for i, plan := range current.Plans {
 		indices[i] = indexByName(settings.Plans, planName, plan.Name)
 		if indices[i] < 0 && isNeeded(i) {
 			indices[i] = len(settings.Plans)
@@ -64,7 +64,7 @@
 }
 
 // pickFrom sets each item of to from the one at its old index in from, if that is not -1.
-func pickFrom[T any](to, from []T, oldIndices []int) {
+func copyByOldIndex[T any](to, from []T, oldIndices []int) {
 	for i, old := range oldIndices {
 		if old >= 0 {
 			to[i] = from[old]
@@ -82,11 +82,11 @@
 
 // retainFixed copies what only a restart can change from the settings in force. It also copies the lists,
 // which are appended to.
-func (s *Settings) retainFixed(inForce *Settings) {
-	s.Self, s.Gateways, s.Zone = inForce.Self, inForce.Gateways, inForce.Zone
-	s.PollEndpoints, s.LoadReport = inForce.PollEndpoints, inForce.LoadReport
-	s.Gossip, s.SharedCounter = inForce.Gossip, inForce.SharedCounter
-	s.MeterPeriod = inForce.MeterPeriod
+func (s *Settings) retainFixed(current *Settings) {
+	s.Self, s.Gateways, s.Zone = current.Self, current.Gateways, current.Zone
+	s.PollEndpoints, s.LoadReport = current.PollEndpoints, current.LoadReport
+	s.Gossip, s.SharedCounter = current.Gossip, current.SharedCounter
+	s.MeterPeriod = current.MeterPeriod
 	s.Classes, s.Plans = slices.Clone(s.Classes), slices.Clone(s.Plans)
 }
 
--- a/policy/settingschange_test.go
+++ b/policy/settingschange_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestClassesAndPlansAreMatchedByName(t *testing.T) {
-	inForce, settings := namedSettings(), namedSettings()
+	current, settings := namedSettings(), namedSettings()
 	settings.Classes = []Class{{Name: "new"}, settings.Classes[1], {Name: "c"}} // a is gone, c has changed
 	settings.Plans = []Plan{settings.Plans[2], {Name: "p", Rate: 99}}           // q is gone, p has changed
 	for _, c := range []struct {
@@ -28,7 +28,7 @@
 			changed := settings
 			changed.Classes, changed.Plans = slices.Clone(settings.Classes), slices.Clone(settings.Plans)
 			isNeeded := func(int) bool { return c.needed }
-			got := matchSettings(&inForce, &changed, isNeeded, isNeeded)
+			got := matchSettings(&current, &changed, isNeeded, isNeeded)
 			if !slices.Equal(got.classes, c.classes) || !slices.Equal(got.plans, c.plans) {
 				t.Errorf("classes %v, plans %v; want %v, %v", got.classes, got.plans, c.classes, c.plans)
 			}
@@ -40,17 +40,17 @@
 }
 
 func TestSettingsThatNeedARestartAreRetained(t *testing.T) {
-	inForce, changed := namedSettings(), namedSettings()
+	current, changed := namedSettings(), namedSettings()
 	changed.Gateways, changed.Zone, changed.Gossip, changed.MaxAttempts = 9, 1, false, 7
-	changed.retainFixed(&inForce)
-	if changed.Gateways != inForce.Gateways || changed.Zone != inForce.Zone || !changed.Gossip {
+	changed.retainFixed(&current)
+	if changed.Gateways != current.Gateways || changed.Zone != current.Zone || !changed.Gossip {
 		t.Errorf("%d gateways, zone %d, gossip %t", changed.Gateways, changed.Zone, changed.Gossip)
 	}
 	if changed.MaxAttempts != 7 {
 		t.Errorf("%d attempts, want those of the new settings", changed.MaxAttempts)
 	}
 	changed.Classes[0].Name = "changed"
-	if inForce.Classes[0].Name != "a" {
+	if current.Classes[0].Name != "a" {
 		t.Error("a change of the new settings reached those in force")
 	}
 }
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -49,9 +49,9 @@
 	c.advanceClock(now)
 	snapshot.rebase(c.clock.now)
 	indices := snapshot.indicesIn(&c.settings)
-	c.clock.restore(snapshot.Born, snapshot.Woke, snapshot.Still)
+	c.clock.importState(snapshot.Born, snapshot.Woke, snapshot.Still)
 	c.customers.sweptAt = snapshot.Swept
-	c.gossip.restore(snapshot.Boot, snapshot.Turn, snapshot.peers())
+	c.gossip.importState(snapshot.Boot, snapshot.Turn, snapshot.peers())
 	c.limit, c.pace.answerRate = snapshot.decodeLimit(), decodeSum(snapshot.Pace)
 	c.priority.movingAverage, c.retryBudget = decodeAverage(snapshot.Worth), retryBudget(snapshot.Again)
 	snapshot.decodeLatency(indices, &c.latency)
@@ -77,7 +77,7 @@
 		}
 		for j := range state.Attempts {
 			backend := c.backends.unlisted(state.Attempts[j].Backend, c.clock.now, c.random)
-			request.restore(decodeAttempt(&state.Attempts[j], backend))
+			request.importAttempt(decodeAttempt(&state.Attempts[j], backend))
 		}
 		c.requests.addOfPredecessor(request)
 	}
@@ -86,7 +86,7 @@
 
 // restore adds an attempt of the former process to a request, as load of its backend and its customer while
 // it is pending.
-func (r *request) restore(attempt *attempt) {
+func (r *request) importAttempt(attempt *attempt) {
 	r.attempts = append(r.attempts, attempt)
 	if !attempt.pending {
 		return
--- a/policy/snapshot_clock.go
+++ b/policy/snapshot_clock.go
@@ -20,24 +20,24 @@
 func (s *Snapshot) rebase(now Time) {
 	shift := timeShift(now - s.writtenAt())
 	s.Now = now
-	shift.times(&s.Born, &s.Woke, &s.Swept)
+	shift.applyToTimes(&s.Born, &s.Woke, &s.Swept)
 	for i := range s.HeardAt {
-		shift.times(&s.HeardAt[i])
+		shift.applyToTimes(&s.HeardAt[i])
 	}
-	shift.buckets(&s.Lend)
-	shift.sums(&s.InTime, &s.Peers, &s.PeersHeld, &s.PeersInTime, &s.Pace)
+	shift.applyToBuckets(&s.Lend)
+	shift.applyToSums(&s.InTime, &s.Peers, &s.PeersHeld, &s.PeersInTime, &s.Pace)
 	for i := range s.Customers {
 		customer := &s.Customers[i]
-		shift.buckets(&customer.Store, &customer.Ceiling)
-		shift.sums(&customer.Use, &customer.Others, &customer.Metered)
-		shift.times(&customer.GrantAt, &customer.TellAt)
+		shift.applyToBuckets(&customer.Store, &customer.Ceiling)
+		shift.applyToSums(&customer.Use, &customer.Others, &customer.Metered)
+		shift.applyToTimes(&customer.GrantAt, &customer.TellAt)
 	}
 	for i := range s.Backends {
-		shift.backend(&s.Backends[i])
+		shift.applyToBackend(&s.Backends[i])
 	}
 	for i := range s.Open {
 		for j := range s.Open[i].Attempts {
-			shift.times(&s.Open[i].Attempts[j].At)
+			shift.applyToTimes(&s.Open[i].Attempts[j].At)
 		}
 	}
 }
@@ -45,7 +45,7 @@
 // timeShift is what is added to times. A time of 0 stands for none and stays.
 type timeShift Time
 
-func (shift timeShift) times(times ...*Time) {
+func (shift timeShift) applyToTimes(times ...*Time) {
 	for _, at := range times {
 		if *at != 0 {
 			*at += Time(shift)
@@ -53,7 +53,7 @@
 	}
 }
 
-func (shift timeShift) buckets(buckets ...*[4]float64) {
+func (shift timeShift) applyToBuckets(buckets ...*[4]float64) {
 	for _, bucket := range buckets {
 		if bucket[bucketUpdatedAt] != 0 {
 			bucket[bucketUpdatedAt] += float64(shift)
@@ -61,7 +61,7 @@
 	}
 }
 
-func (shift timeShift) sums(sums ...*[2]float64) {
+func (shift timeShift) applyToSums(sums ...*[2]float64) {
 	for _, sum := range sums {
 		if sum[sumUpdatedAt] != 0 {
 			sum[sumUpdatedAt] += float64(shift)
@@ -69,11 +69,11 @@
 	}
 }
 
-func (shift timeShift) backend(state *BackendState) {
-	shift.times(&state.Started, &state.Quiet, &state.SlowAt, &state.Left, &state.TrialAt)
-	shift.buckets(&state.Cold)
-	shift.sums(&state.Breaks)
+func (shift timeShift) applyToBackend(state *BackendState) {
+	shift.applyToTimes(&state.Started, &state.Quiet, &state.SlowAt, &state.Left, &state.TrialAt)
+	shift.applyToBuckets(&state.Cold)
+	shift.applyToSums(&state.Breaks)
 	for i := range state.Words {
-		shift.sums(&state.Words[i])
+		shift.applyToSums(&state.Words[i])
 	}
 }
--- a/policy/stepped_clock_test.go
+++ b/policy/stepped_clock_test.go
@@ -32,8 +32,8 @@
 		t.Helper()
 		settings := slowStartSettings()
 		h := newSteppedHarness(t, settings, steppedStart)
-		for life := range Time(3) { // each after another step, the last one back
-			stamp := h.at + step*(1-life)
+		for round := range Time(3) { // each after another step, the last one back
+			stamp := h.at + step*(1-round)
 			h.UpdateEndpoints(h.at, UpdateIncremental, []Endpoint{{ID: 4, Cell: 1, StartedAt: stamp}})
 			backend := h.backends.byID[4]
 			assertNear(t, "share at the start", h.slowStartShare(backend), settings.SlowStartFloor)
@@ -179,12 +179,12 @@
 			h.serve(0, 7, 1) // a customer, by whose bucket an older snapshot shows its time
 			h.at += settings.SlowStartTime / 4
 			h.TimerFired(h.at, gossipTimer)
-			h.connectionFailed(h.backends.byID[1], false)
+			h.failConnection(h.backends.byID[1], false)
 			next := h.handOverStepped(t, settings, step, older)
 			share := h.slowStartShare(h.backends.byID[4])
 			assertNear(t, "share", next.slowStartShare(next.backends.byID[4]), share)
-			ejected, was := next.backends.byID[1], h.backends.byID[1]
-			left, leftBefore := ejected.health.nextProbeAt-next.at, was.health.nextProbeAt-h.at
+			ejected, before := next.backends.byID[1], h.backends.byID[1]
+			left, leftBefore := ejected.health.nextProbeAt-next.at, before.health.nextProbeAt-h.at
 			assertNear(t, "ejection", float64(left), float64(leftBefore))
 		}
 	})
--- a/policy/tokenbucket_test.go
+++ b/policy/tokenbucket_test.go
@@ -94,7 +94,7 @@
 			level, ceiling, consumed := customer.bucket.level, customer.ceiling.level, customer.usage.consumed
 			id, _ := h.request(0, c.plan, 9, 2)
 			for i, result := range c.results {
-				h.end(id, result, result == ResultOK || len(c.results) == 1 && i == 0)
+				h.endAttempt(id, result, result == ResultOK || len(c.results) == 1 && i == 0)
 			}
 			if h.requests.byID[id] != nil {
 				t.Fatal("the request is still open")
@@ -120,7 +120,7 @@
 		t.Fatalf("sent %t, shared bucket from %g to %g: nothing was borrowed",
 			sent, before, h.sharedBucket.level)
 	}
-	h.end(id, ResultNotSent, true)
+	h.endAttempt(id, ResultNotSent, true)
 	assertNear(t, "shared bucket", h.sharedBucket.level, before)
 }
 
@@ -130,7 +130,7 @@
 	settings.Plans[0].ConcurrencyLimit = 2
 	h := newHarness(t, settings)
 	id, _ := h.request(0, 0, 9, 2)
-	h.endWith(id, Outcome{Result: ResultOK, Latency: 1, Answered: true, ActualCost: 5})
+	h.endAttemptWith(id, Outcome{Result: ResultOK, Latency: 1, Answered: true, ActualCost: 5})
 	assertNear(t, "bucket after 5 actual units", h.customers.byID[9].bucket.level, 8-5)
 	h.request(0, 0, 8, 1)
 	h.request(0, 0, 8, 1)
