--- a/internal/gateway/handover_test.go
+++ b/internal/gateway/handover_test.go
@@ -13,20 +13,21 @@
 	"sparspread/internal/porttest"
 )
 
-// replaceableGateway returns the configuration of a gateway that a second process can take over from.
-func replaceableGateway(t *testing.T) (config.Config, *fakeBackend) {
+// replaceableConfigWithBackend returns the configuration of a gateway that a second process can take over
+// from, and the only backend of that gateway.
+func replaceableConfigWithBackend(t *testing.T) (config.Config, *fakeBackend) {
 	t.Helper()
 	useShortTempDir(t)
 	b := newBackend(t)
 	d := newFakeDiscovery(t, b.listEntry("s-00000001", "Ready"))
-	return configureReplaceable(t, d), b
+	return replaceableConfig(t, d), b
 }
 
-// makeShortDir makes a directory with a short path, unlike testing.T.TempDir: the path of a Unix socket in
-// it has 108 bytes at most.
+// makeShortDir makes a directory with a shorter path than testing.T.TempDir, because the path of a Unix
+// socket has at most 108 bytes.
 func makeShortDir() (string, error) { return os.MkdirTemp("", "h") }
 
-// useShortTempDir makes a directory with a short path the test's $TMPDIR.
+// useShortTempDir sets $TMPDIR to a directory with a short path for the duration of the test.
 func useShortTempDir(t *testing.T) {
 	t.Helper()
 	dir, err := makeShortDir()
@@ -41,9 +42,9 @@
 	t.Setenv("TMPDIR", dir)
 }
 
-// configureReplaceable returns a configuration with a fixed address, by which a second process finds the
-// first. Its buckets refill so slowly that no wait of a test matters.
-func configureReplaceable(t *testing.T, d *fakeDiscovery) config.Config {
+// replaceableConfig returns a configuration with a fixed listen address, by which a second process finds the
+// first one. Its buckets refill so slowly that the duration of a test does not matter.
+func replaceableConfig(t *testing.T, d *fakeDiscovery) config.Config {
 	t.Helper()
 	address := porttest.Reserve(t)
 	slowRefill := strings.Replace(settingsText, `"rate":0.1,`, `"rate":0.0001,`, 1)
@@ -54,14 +55,13 @@
 	})
 }
 
-// dialHandover waits until a gateway can be asked to hand over.
+// dialHandover connects to a gateway's handover socket once the gateway listens there.
 func dialHandover(t *testing.T, cfg config.Config) *olderConn {
 	t.Helper()
 	return dialAsOlder(t, handover.SocketPath(cfg.Listen))
 }
 
-// waitForReadiness waits until a gateway reports a status: 200 where it serves clients, 503 where it does
-// not.
+// waitForReadiness waits until a gateway reports a status: 200 if it serves clients, 503 if it does not.
 func waitForReadiness(t *testing.T, r *rig, want int) {
 	t.Helper()
 	for until := time.Now().Add(testTimeout); time.Now().Before(until); {
@@ -69,10 +69,10 @@
 			return
 		}
 	}
-	t.Fatal("readiness never was ", want)
+	t.Fatal("timed out waiting for readiness status ", want)
 }
 
-// sendOnce sends a request that is forwarded only once, however long its answer takes.
+// sendOnce sends a request that is never retried, however long its reply takes.
 func (c *testClient) sendOnce(id int, plan string) {
 	c.t.Helper()
 	customer := fmt.Sprintf("%016x", plan[1])
@@ -80,10 +80,10 @@
 	c.send("API.WRITE", customer, fmt.Sprintf("%016x", id), fields, "x")
 }
 
-// Open requests end where they were sent, connections follow with the input that was read from them, and no
-// bucket is granted from twice.
-func TestSuccessorTakesOverRequestsConnectionsAndBuckets(t *testing.T) {
-	cfg, b := replaceableGateway(t)
+// Open requests complete in the process that received them, connections are handed over with the input that
+// was read from them, and the tokens of a bucket are not granted twice.
+func TestHandoverTransfersConnectionsAndBuckets(t *testing.T) {
+	cfg, b := replaceableConfigWithBackend(t)
 	first := startGateway(t, cfg)
 	idle, busy, spent := first.client(t), first.client(t), first.client(t)
 	idle.sendOnce(1, "team")
@@ -100,9 +100,9 @@
 	idle.wantServed(b, "four")
 	spent.sendOnce(5, "tiny")
 	if got := spent.readLine(); got != "-BUSY 2000" {
-		t.Errorf("a burst was granted twice: %q", got)
+		t.Errorf("after the burst was granted: got reply %q, want -BUSY 2000", got)
 	}
-	busy.sendOnce(6, "team") // behind the one that stayed with the first process
+	busy.sendOnce(6, "team") // follows the request that stayed in the first process
 	open.replyValue(t, "three")
 	busy.wantValue("three")
 	busy.wantServed(b, "six")
@@ -110,35 +110,35 @@
 	wantMetrics(t, first, "fulfilled.once=3", "open_requests=0")
 
 	first.shutDown()
-	wait(t, first.ended, "the first process to end")
+	wait(t, first.ended, "the first process to exit")
 	late := second.client(t)
 	late.sendOnce(7, "team")
 	late.wantServed(b, "seven")
 }
 
-// A third process takes over from the second, which listens where the first one did.
-func TestEachSuccessorCanHandOver(t *testing.T) {
-	cfg, b := replaceableGateway(t)
+// A third process takes over from the second one, which listens on the same socket path as the first one.
+func TestSuccessorHandsOverInTurn(t *testing.T) {
+	cfg, b := replaceableConfigWithBackend(t)
 	first := startGateway(t, cfg)
 	c := first.client(t)
 	for i := range 3 {
 		next := startGateway(t, cfg)
 		waitForReadiness(t, next, 200)
 		first.shutDown()
-		wait(t, first.ended, "the predecessor to end")
+		wait(t, first.ended, "the predecessor to exit")
 		first = next
 		c.sendOnce(i, "team")
 		c.wantServed(b, "ok")
 	}
 }
 
-func TestPredecessorServesAgainWhenSuccessorEnds(t *testing.T) {
-	cfg, b := replaceableGateway(t)
+func TestPredecessorServesAgainAfterSuccessorExit(t *testing.T) {
+	cfg, b := replaceableConfigWithBackend(t)
 	first := startGateway(t, cfg)
 	second := startGateway(t, cfg)
 	waitForReadiness(t, second, 200)
 	second.shutDown()
-	wait(t, second.ended, "the second process to end")
+	wait(t, second.ended, "the second process to exit")
 	waitForReadiness(t, first, 200)
 	c := first.client(t)
 	c.sendOnce(1, "team")
@@ -146,10 +146,10 @@
 	dialHandover(t, cfg)
 }
 
-// A handover that breaks off at any step leaves the first process serving, and the commands that came
-// meanwhile are answered.
-func TestInterruptedHandoverChangesNothing(t *testing.T) {
-	cfg, b := replaceableGateway(t)
+// If a handover is interrupted at any step, the first process continues to serve and answers the commands
+// that arrived in the meantime.
+func TestInterruptedHandoverLeavesPredecessorServing(t *testing.T) {
+	cfg, b := replaceableConfigWithBackend(t)
 	first := startGateway(t, cfg)
 	c := first.client(t)
 	id := 0
@@ -158,7 +158,7 @@
 		c.sendOnce(id, "team")
 		c.wantServed(b, "ok")
 	}
-	for _, packet := range []string{"", "x", "\x00", strings.Repeat("h", 63)} { // none asks for the handover
+	for _, packet := range []string{"", "x", "\x00", strings.Repeat("h", 63)} { // none requests a handover
 		conn := dialHandover(t, cfg)
 		if packet != "" {
 			conn.Write([]byte(packet))
@@ -169,13 +169,13 @@
 	conn := dialHandover(t, cfg)
 	conn.Send(olderHello, nil)
 	if sockets := conn.Expect(olderSockets); len(sockets.Files) == 0 {
-		t.Fatal("no sockets")
+		t.Fatal("got no sockets, want at least the listener")
 	}
 	conn.Send(olderTakeover, nil)
 	conn.Expect(olderStateEnd)
 	id++
-	c.sendOnce(id, "team") // held until it is known who decides
-	conn.Close()           // without having accepted the state
+	c.sendOnce(id, "team") // queued until the handover ends
+	conn.Close()           // before the state is accepted
 	c.wantServed(b, "held")
 	serves()
 
@@ -184,9 +184,9 @@
 	serves()
 }
 
-// A socket's file that no process listens at keeps no process from starting.
+// The file of a socket on which no process listens does not prevent a gateway from starting.
 func TestStaleHandoverSocketIsReplaced(t *testing.T) {
-	cfg, b := replaceableGateway(t)
+	cfg, b := replaceableConfigWithBackend(t)
 	stale := listenAsOlder(t, handover.SocketPath(cfg.Listen))
 	stale.SetUnlinkOnClose(false)
 	if err := stale.Close(); err != nil {
@@ -198,10 +198,10 @@
 	dialHandover(t, cfg)
 }
 
-// A command of which the first process has read a part is read to its end there, and decided on by the
-// second.
-func TestPartlyReadCommandFollowsItsClient(t *testing.T) {
-	cfg, b := replaceableGateway(t)
+// A command that the first process has read in part is read completely there, and handed over to the second
+// process, which decides on it.
+func TestHandoverTransfersClientAfterPartialCommand(t *testing.T) {
+	cfg, b := replaceableConfigWithBackend(t)
 	first := startGateway(t, cfg)
 	c := first.client(t)
 	c.send("PING")
--- a/internal/gateway/listening_test.go
+++ b/internal/gateway/listening_test.go
@@ -2,15 +2,15 @@
 
 import "testing"
 
-// newSocketlessListening returns a listening type without a socket and without slots: its accept goroutine
-// waits for a slot until it is paused.
-func newSocketlessListening(t *testing.T) (s *listening, illegal *[]string) {
+// newListeningWithoutSocket returns a listening without a socket and without slots. Its accept goroutine
+// waits for a slot until it is stopped.
+func newListeningWithoutSocket(t *testing.T) (s *listening, illegal *[]string) {
 	t.Helper()
-	log, illegal := newStepLog()
-	s = newListening(make(chan struct{}), func(event) { t.Error("an event without a socket") }, log)
+	log, illegal := newIllegalStepLog()
+	s = newListening(make(chan struct{}), func(event) { t.Error("an event was posted") }, log)
 	t.Cleanup(func() {
-		if s.accepting != nil {
-			close(s.accepting)
+		if s.stopAccepting != nil {
+			close(s.stopAccepting)
 		}
 	})
 	return s, illegal
@@ -25,41 +25,41 @@
 		calls []func(*listening)
 		want  listeningPhase
 	}{
-		{"at the start", nil, listeningWaiting},
+		{"initial phase", nil, listeningWaiting},
 		{"ready", []func(*listening){resume}, listeningAccepting},
-		{"a successor takes over", []func(*listening){resume, pause}, listeningPaused},
-		{"it gives up", []func(*listening){resume, pause, resume}, listeningAccepting},
-		{"it serves", []func(*listening){resume, pause, handOver}, listeningHandedOver},
-		{"it serves and ends", []func(*listening){resume, pause, handOver, resume}, listeningAccepting},
+		{"successor takes over", []func(*listening){resume, pause}, listeningPaused},
+		{"successor abandons takeover", []func(*listening){resume, pause, resume}, listeningAccepting},
+		{"successor serves", []func(*listening){resume, pause, handOver}, listeningHandedOver},
+		{"successor exits", []func(*listening){resume, pause, handOver, resume}, listeningAccepting},
 		{"shutdown", []func(*listening){resume, shutDown}, listeningDraining},
 		{"shutdown before ready", []func(*listening){shutDown}, listeningDraining},
-		{"shutdown amid a takeover", []func(*listening){resume, pause, shutDown}, listeningDraining},
+		{"shutdown during handover", []func(*listening){resume, pause, shutDown}, listeningDraining},
 		{
-			"the successor serves while the backlog is drained",
+			"successor serves while the backlog is drained",
 			[]func(*listening){resume, pause, shutDown, handOver},
 			listeningDraining,
 		},
 		{
-			"shutdown after the handover",
+			"shutdown after handover",
 			[]func(*listening){resume, pause, handOver, shutDownHandedOver},
 			listeningClosed,
 		},
 		{
-			"shutdown after the successor's end",
+			"shutdown after the successor exited",
 			[]func(*listening){resume, pause, handOver, shutDown},
 			listeningDraining,
 		},
 	} {
 		t.Run(run.name, func(t *testing.T) {
-			s, illegal := newSocketlessListening(t)
+			s, illegal := newListeningWithoutSocket(t)
 			for _, call := range run.calls {
 				call(s)
 			}
 			wantPhase(t, &s.phase, run.want)
-			wantIllegal(t, illegal)
+			wantIllegalSteps(t, illegal)
 			accepts := run.want == listeningAccepting || run.want == listeningDraining
-			if got := s.accepting != nil; got != accepts {
-				t.Errorf("accept goroutine: %t", got)
+			if got := s.stopAccepting != nil; got != accepts {
+				t.Errorf("accept goroutine is running: got %t", got)
 			}
 			got := [...]bool{s.isWaiting(), s.isPaused(), s.isClosed()}
 			want := [...]bool{
@@ -72,19 +72,19 @@
 	}
 }
 
-func TestListeningRefusesIllegalSteps(t *testing.T) {
-	s, illegal := newSocketlessListening(t)
+func TestListeningRejectsIllegalSteps(t *testing.T) {
+	s, illegal := newListeningWithoutSocket(t)
 	s.pause()
 	wantPhase(t, &s.phase, listeningWaiting)
-	wantIllegal(t, illegal, "listening: no step from waiting to paused")
+	wantIllegalSteps(t, illegal, "listening: no step from waiting to paused")
 	s.resume()
 	s.resume()
 	wantPhase(t, &s.phase, listeningAccepting)
-	wantIllegal(t, illegal, "listening: no step from accepting to accepting")
+	wantIllegalSteps(t, illegal, "listening: no step from accepting to accepting")
 	s.shutDown(false)
 	s.shutDown(false)
 	s.resume()
 	wantPhase(t, &s.phase, listeningDraining)
-	wantIllegal(t, illegal, "listening: no step from draining to draining",
+	wantIllegalSteps(t, illegal, "listening: no step from draining to draining",
 		"listening: no step from draining to accepting")
 }
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -15,9 +15,9 @@
 	"sparspread/policy"
 )
 
-// Discovery moves at once, though a watch is open at the old address; the request and the connection that are
-// open go on.
-func TestReloadMovesDiscovery(t *testing.T) {
+// The address of discovery changes immediately, although a watch is open at the old address. The open request
+// and its connection continue.
+func TestReloadChangesDiscoveryAddress(t *testing.T) {
 	r, before, old := startWithBackend(t, nil)
 	old.awaitWatch(t)
 	c := r.client(t)
@@ -32,12 +32,12 @@
 	c.sendLookup(2)
 	c.wantServed(after, "new")
 	if len(before.calls) > 0 {
-		t.Error("a request went where the new list does not lead")
+		t.Error("a request was sent to a backend that the new list does not contain")
 	}
 }
 
-// A configuration that can't be read leaves the gateway as it was: it goes on watching the endpoint list.
-func TestFailedReloadKeepsTheConfiguration(t *testing.T) {
+// A configuration that cannot be read has no effect: the gateway continues to watch the endpoint list.
+func TestFailedReloadKeepsConfiguration(t *testing.T) {
 	r, _, d := startWithBackend(t, nil)
 	r.reloadWith(config.Config{}, fs.ErrNotExist)
 	d.awaitWatch(t)
@@ -49,7 +49,8 @@
 	c.wantServed(second, "ok")
 }
 
-// newCounterServer serves a counter that always has the same total, and tells of each call.
+// newCounterServer starts a counter service that always answers with the same total. It sends the path of
+// each call to calls.
 func newCounterServer(t *testing.T, total string) (server *httptest.Server, calls <-chan string) {
 	t.Helper()
 	got := make(chan string, 8)
@@ -63,8 +64,8 @@
 	return server, got
 }
 
-// Calls go to the counter of the newest configuration, each with one answer.
-func TestReloadMovesTheCounter(t *testing.T) {
+// Calls go to the counter of the newest configuration, and each call gets one answer.
+func TestReloadChangesCounterAddress(t *testing.T) {
 	first, firstCalls := newCounterServer(t, "1")
 	second, secondCalls := newCounterServer(t, "2")
 	b := newBackend(t)
@@ -78,21 +79,21 @@
 	}
 	cfg := configWith(first)
 	cfg.Host.CounterTimeout = testTimeout.Microseconds()
-	l, err := newLoop(cfg, discardLog(), eventloop.SystemClock())
+	g, err := newGateway(cfg, discardLog(), eventloop.SystemClock())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = l.listening.listener.Close() })
+	t.Cleanup(func() { _ = g.listening.listener.Close() })
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	go l.counter.Run(ctx)
-	policyActions{l}.IncrementCounter(1, 1, 1e6)
+	go g.counter.Run(ctx)
+	policyActions{g}.IncrementCounter(1, 1, 1e6)
 	wait(t, firstCalls, "a call at the first counter")
-	configLoaded{configWith(second)}.Handle(l)
-	policyActions{l}.IncrementCounter(1, 1, 1e6)
+	configLoaded{configWith(second)}.Handle(g)
+	policyActions{g}.IncrementCounter(1, 1, 1e6)
 	wait(t, secondCalls, "a call at the second counter")
 	for _, total := range []float64{1, 2} {
-		e := eventAs[counterAnswered](t, wait(t, l.events.Queue(), "an answer"))
+		e := eventAs[counterAnswered](t, wait(t, g.events.Queue(), "an answer"))
 		if e.Result != policy.ResultOK || e.Total != total {
 			t.Errorf("got answer %+v, want the total %g", e, total)
 		}
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -43,7 +43,7 @@
 		b.Fatal("a request was not sent")
 	}
 	controller.AttemptEnded(now, Outcome{
-		RequestID: id, Backend: request.attempts[0].backend.ID, Latency: 1000, Answered: true,
+		RequestID: id, Backend: request.attempts[0].backend.ID, Latency: 1000, ClientAnswered: true,
 	})
 }
 
@@ -64,7 +64,7 @@
 				})
 				if request := controller.requests.byID[id]; request != nil {
 					controller.AttemptEnded(now, Outcome{
-						RequestID: id, Backend: request.attempts[0].backend.ID, Latency: 1000, Answered: true,
+						RequestID: id, Backend: request.attempts[0].backend.ID, Latency: 1000, ClientAnswered: true,
 					})
 				}
 			}
