--- a/policy/latencyestimate.go
+++ b/policy/latencyestimate.go
@@ -55,6 +55,6 @@
 // for a new one.
 func (e *latencyEstimate) renumber(oldClasses []int) {
 	byClass := make([]movingAverage, len(oldClasses))
-	pickFrom(byClass, e.byClass, oldClasses)
+	copyByOldIndex(byClass, e.byClass, oldClasses)
 	e.byClass = byClass
 }
