--- a/policy/admission.go
+++ b/policy/admission.go
@@ -18,14 +18,14 @@
 		c.reject(req.ID, rejectExpired, 0)
 		return
 	}
-	if c.gaveUpOwnership { // the buckets are the successor's, so that no quota is left here
+	if c.releasedOwnership { // the buckets are the successor's, so that no quota is left here
 		c.reject(req.ID, rejectOverQuota, c.shortestObjective/retryAfterDivisor)
 		return
 	}
 	customer := c.customerRecord(c.sharing.newAccount(req.Customer, req.Plan, req.FirstReplica, req.Replicas))
 	c.customers.recordDemand(c.clock.now, &c.sharing, customer, req.Cost)
 	request := &request{Request: req, deadline: now + req.Timeout, customer: customer}
-	if c.atCapacity(c.priority.openCapacity(c.settings.valueOf(&req), usualLatency)) {
+	if c.atCapacity(c.priority.openCapacityShare(c.settings.valueOf(&req), usualLatency)) {
 		c.reject(req.ID, rejectAtCapacity, c.shortestObjective/retryAfterDivisor)
 		return
 	}
--- a/policy/backendhealth.go
+++ b/policy/backendhealth.go
@@ -20,7 +20,7 @@
 	unansweredSince    Time        // the active time since which attempts are in flight without an answer
 	lastAnswerAt       Time        // the time of the last answer, successful or not; zero if there was none
 
-	down         bool // ejected until a health check or an attempt succeeds
+	isDown       bool // ejected until a health check or an attempt succeeds
 	unresponsive bool // down only for missing answers or resets, so its process may still be running
 	ejectedAt    Time // the time of the last ejection
 	ejectionTime Time // the duration of the last ejection
@@ -28,13 +28,13 @@
 }
 
 // failing reports whether the backend is down or has too many errors.
-func (h *backendHealth) failing() bool { return h.down || h.errorRate >= ejectionErrorRate }
+func (h *backendHealth) failing() bool { return h.isDown || h.errorRate >= ejectionErrorRate }
 
 // acceptsAttempts reports whether the backend, with the given number of attempts in flight, may get another
 // one. If health checks are allowed, a backend that is down gets none before a check succeeds. A failing
 // backend otherwise gets one attempt at a time after its ejection.
 func (h *backendHealth) acceptsAttempts(now Time, inFlight int, healthChecks bool) bool {
-	if h.down && healthChecks {
+	if h.isDown && healthChecks {
 		return false
 	}
 	return !h.failing() || now >= h.nextProbeAt && inFlight == 0
@@ -67,8 +67,8 @@
 	case ResultConnectFailed, ResultReset:
 		// If other attempts were answered meanwhile, an unanswered dial is late but no sign of a restart.
 		isLate := outcome.DialUnanswered && h.lastAnswerAt > sentAt
-		down, ejected := h.recordConnectionFailure(now, isLate || outcome.Result == ResultReset)
-		if !down {
+		isDown, ejected := h.recordConnectionFailure(now, isLate || outcome.Result == ResultReset)
+		if !isDown {
 			return h.recordError(now)
 		}
 		return ejected
@@ -94,17 +94,17 @@
 // recordConnectionFailure counts a connection that failed or was reset, and reports whether the backend is
 // down because of it. mayRun must be set after a reset or a late connection, as the process of the backend
 // may still be running and warm.
-func (h *backendHealth) recordConnectionFailure(now Time, mayRun bool) (down bool, ejected ejectionReason) {
+func (h *backendHealth) recordConnectionFailure(now Time, mayRun bool) (isDown bool, ejected ejectionReason) {
 	h.connectionFailures.add(now, connectionFailureDecay, 1)
 	if mayRun && h.connectionFailures.sum < maxConnectionFailures {
 		return false, notEjected
 	}
 	// The process may still be running only if all failures since the backend went down allow for it.
-	h.unresponsive = mayRun && (h.unresponsive || !h.down)
-	if h.down && now < h.nextProbeAt {
+	h.unresponsive = mayRun && (h.unresponsive || !h.isDown)
+	if h.isDown && now < h.nextProbeAt {
 		return true, notEjected
 	}
-	h.down = true
+	h.isDown = true
 	h.eject(now)
 	return true, ejectedConnectionsFailed
 }
@@ -117,10 +117,10 @@
 ) ejectionReason {
 	weight := math.Min(1, float64(overdue)/2) // two overdue attempts are full evidence
 	silence := float64(activeTime-h.unansweredSince) * share * weight
-	if h.down || silence <= unresponsiveObjectives*float64(objective) {
+	if h.isDown || silence <= unresponsiveObjectives*float64(objective) {
 		return notEjected
 	}
-	h.down, h.unresponsive = true, true
+	h.isDown, h.unresponsive = true, true
 	h.eject(now)
 	return ejectedUnresponsive
 }
@@ -145,10 +145,10 @@
 
 // reinstate returns a backend that was down to rotation after a successful attempt or health check.
 func (h *backendHealth) reinstate(activeTime Time) reinstatement {
-	if !h.down {
+	if !h.isDown {
 		return notReinstated
 	}
-	h.down, h.unansweredSince = false, activeTime
+	h.isDown, h.unansweredSince = false, activeTime
 	if h.unresponsive {
 		return reinstatedWarm
 	}
@@ -156,14 +156,14 @@
 }
 
 // isProbeDue reports whether a health check is due.
-func (h *backendHealth) isProbeDue(now Time) bool { return h.down && now >= h.nextProbeAt }
+func (h *backendHealth) isProbeDue(now Time) bool { return h.isDown && now >= h.nextProbeAt }
 
 // startProbe records that a health check starts now.
 func (h *backendHealth) startProbe(now Time) { h.nextProbeAt = now + maxEjectionTime }
 
 // recordFailedProbe extends the ejection after a failed health check.
 func (h *backendHealth) recordFailedProbe(now Time, connectFailed bool) {
-	if !h.down {
+	if !h.isDown {
 		return
 	}
 	h.unresponsive = h.unresponsive && !connectFailed
--- a/policy/backendhealth_test.go
+++ b/policy/backendhealth_test.go
@@ -19,8 +19,8 @@
 
 func TestRecordErrorEjectsAtErrorRate(t *testing.T) {
 	health := ejectedByErrors(t)
-	if !health.failing() || health.down {
-		t.Errorf("error rate %g, down %t: want failing and not down", health.errorRate, health.down)
+	if !health.failing() || health.isDown {
+		t.Errorf("error rate %g, down %t: want failing and not down", health.errorRate, health.isDown)
 	}
 	if health.acceptsAttempts(start, 0, true) {
 		t.Error("attempt accepted right after the ejection")
@@ -51,40 +51,40 @@
 	for _, c := range []struct {
 		name         string
 		mayRun       []bool // one entry per failure; all happen at the same time
-		down         bool
+		isDown       bool
 		unresponsive bool // the backend is reinstated warm
 	}{
-		{name: "one refusal", mayRun: []bool{false}, down: true},
+		{name: "one refusal", mayRun: []bool{false}, isDown: true},
 		{name: "one reset", mayRun: []bool{true}},
 		{name: "two resets", mayRun: []bool{true, true}},
-		{name: "three resets", mayRun: []bool{true, true, true}, down: true, unresponsive: true},
-		{name: "one refusal before resets", mayRun: []bool{false, true, true, true}, down: true},
-		{name: "one refusal after resets", mayRun: []bool{true, true, true, false}, down: true},
+		{name: "three resets", mayRun: []bool{true, true, true}, isDown: true, unresponsive: true},
+		{name: "one refusal before resets", mayRun: []bool{false, true, true, true}, isDown: true},
+		{name: "one refusal after resets", mayRun: []bool{true, true, true, false}, isDown: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var health backendHealth
-			var down bool
+			var isDown bool
 			ejections := 0
 			for _, mayRun := range c.mayRun {
 				var ejected ejectionReason
-				if down, ejected = health.recordConnectionFailure(start, mayRun); ejected != notEjected {
+				if isDown, ejected = health.recordConnectionFailure(start, mayRun); ejected != notEjected {
 					ejections++
 				}
 			}
-			if down != c.down || health.down != c.down || health.unresponsive != c.unresponsive {
-				t.Errorf("got down %t and health %+v", down, health)
+			if isDown != c.isDown || health.isDown != c.isDown || health.unresponsive != c.unresponsive {
+				t.Errorf("got down %t and health %+v", isDown, health)
 			}
-			if want := int(indicator(c.down)); ejections != want {
+			if want := int(indicator(c.isDown)); ejections != want {
 				t.Errorf("ejected %d times, want %d", ejections, want)
 			}
 			want := notReinstated
-			if c.down {
+			if c.isDown {
 				want = reinstatedRestarted
 			}
 			if c.unresponsive {
 				want = reinstatedWarm
 			}
-			if got := health.reinstate(start); got != want || health.down {
+			if got := health.reinstate(start); got != want || health.isDown {
 				t.Errorf("reinstate: got %v, want %v", got, want)
 			}
 		})
@@ -114,7 +114,8 @@
 			health.recordAnswer(start, start)
 			now := start + c.silence
 			got := health.detectUnresponsive(now, now, c.overdue, c.share, testObjective)
-			if got != c.want || health.down != (c.want != notEjected) || health.unresponsive != health.down {
+			if got != c.want || health.isDown != (c.want != notEjected) ||
+				health.unresponsive != health.isDown {
 				t.Errorf("got %v, want %v; %+v", got, c.want, health)
 			}
 			if health.detectUnresponsive(now, now, c.overdue, c.share, testObjective) != notEjected {
@@ -181,7 +182,7 @@
 
 func TestProbeThatFailsToConnectImpliesRestart(t *testing.T) {
 	for _, connectFailed := range []bool{false, true} {
-		health := backendHealth{down: true, unresponsive: true}
+		health := backendHealth{isDown: true, unresponsive: true}
 		health.recordFailedProbe(start, connectFailed)
 		want := reinstatedWarm
 		if connectFailed {
--- a/policy/backendload.go
+++ b/policy/backendload.go
@@ -6,14 +6,14 @@
 	overdue  int // the part of inFlight that is pending for longer than the latency objective
 }
 
-// addAttempt counts another attempt.
-func (l *backendLoad) add() { l.inFlight++ }
+// addInFlight counts another attempt.
+func (l *backendLoad) addInFlight() { l.inFlight++ }
 
 // markOverdue counts an attempt in flight as overdue.
 func (l *backendLoad) markOverdue() { l.overdue++ }
 
-// removeAttempt removes an attempt that has ended.
-func (l *backendLoad) remove(overdue bool) {
+// removeInFlight removes an attempt that has ended.
+func (l *backendLoad) removeInFlight(overdue bool) {
 	l.inFlight--
 	if overdue {
 		l.overdue--
--- a/policy/backendtable.go
+++ b/policy/backendtable.go
@@ -31,7 +31,7 @@
 // isWarm reports whether the backend counts towards the rate at which warm backends answer this gateway.
 func (b *backend) isWarm(now Time, healthChecks bool, parameters *slowStartParameters) bool {
 	return b.ready() && b.inSubset && b.acceptsAttempts(now, healthChecks) &&
-		b.slowStart.share(now, parameters) == 1
+		b.slowStart.capacityShare(now, parameters) == 1
 }
 
 // update applies an entry of the endpoint list. It reports whether the entry has a new start; if so, the
@@ -51,23 +51,24 @@
 type departedBackend struct {
 	stamps    startStamps
 	startedAt Time
-	at        Time // when the backend was removed from the table
+	removedAt Time // when the backend was removed from the table
 }
 
 // backendTable holds the backends that are listed, have attempts in flight, or are in slow start. inOrder and
 // byID hold the same backends; departed holds the starts of recently removed ones, which are in neither.
 type backendTable struct {
-	inOrder  []*backend // in the order in which they were added
-	byID     map[uint32]*backend
-	departed map[uint32]departedBackend // by ID
-	healthy  int                        // ready backends that are not ejected, as of the last count
-	classes  int                        // the number of classes with fault reports
-	plans    int                        // the number of plans with fault reports
+	inOrder    []*backend // in the order in which they were added
+	byID       map[uint32]*backend
+	departed   map[uint32]departedBackend // by ID
+	healthy    int                        // ready backends that are not ejected, as of the last count
+	classCount int                        // the number of classes with fault reports
+	planCount  int                        // the number of plans with fault reports
 }
 
 func newBackendTable(classes, plans int) backendTable {
 	return backendTable{
-		byID: map[uint32]*backend{}, departed: map[uint32]departedBackend{}, classes: classes, plans: plans,
+		byID: map[uint32]*backend{}, departed: map[uint32]departedBackend{},
+		classCount: classes, planCount: plans,
 	}
 }
 
@@ -81,7 +82,7 @@
 
 // knowsMostStarts reports whether at least half of the starts in a list are known. If so, the others happened
 // after the list that the table was built from; otherwise the table is too old to tell.
-func (t *backendTable) mostlyKnows(list []Endpoint) bool {
+func (t *backendTable) knowsMostStarts(list []Endpoint) bool {
 	unknown := 0
 	for _, endpoint := range list {
 		var known startStamps
@@ -97,11 +98,11 @@
 
 // findOrAdd returns the backend of an endpoint. If the backend is missing, it is added with a random initial
 // level of its slow start bucket and, if it was removed recently, with its previous starts.
-func (t *backendTable) record(endpoint Endpoint, now Time, random *rand.Rand) *backend {
+func (t *backendTable) findOrAdd(endpoint Endpoint, now Time, random *rand.Rand) *backend {
 	if known := t.byID[endpoint.ID]; known != nil {
 		return known
 	}
-	added := &backend{Endpoint: endpoint, faults: newFaultReports(t.classes, t.plans)}
+	added := &backend{Endpoint: endpoint, faults: newFaultReports(t.classCount, t.planCount)}
 	added.slowStart.bucket = tokenBucket{level: random.Float64(), updatedAt: now}
 	if departed, ok := t.departed[endpoint.ID]; ok {
 		delete(t.departed, endpoint.ID)
@@ -114,39 +115,40 @@
 
 // findOrAddUnlisted returns the backend with the given ID. If the backend is missing, it is added as not
 // listed.
-func (t *backendTable) unlisted(id uint32, now Time, random *rand.Rand) *backend {
-	return t.record(Endpoint{ID: id, State: EndpointRemoved}, now, random)
+func (t *backendTable) findOrAddUnlisted(id uint32, now Time, random *rand.Rand) *backend {
+	return t.findOrAdd(Endpoint{ID: id, State: EndpointRemoved}, now, random)
 }
 
 // prune removes the backends that are not listed and have nothing in flight. A backend in slow start stays
 // until it is warm, because a stale list may report it again without its start.
 func (t *backendTable) prune(now Time, parameters *slowStartParameters) {
 	t.inOrder = slices.DeleteFunc(t.inOrder, func(backend *backend) bool {
-		gone := !backend.listed && backend.load.inFlight == 0 && backend.slowStart.share(now, parameters) == 1
-		if gone {
+		isUnused := !backend.listed && backend.load.inFlight == 0 &&
+			backend.slowStart.capacityShare(now, parameters) == 1
+		if isUnused {
 			delete(t.byID, backend.ID)
 			t.departed[backend.ID] = departedBackend{
-				stamps: backend.slowStart.stamps, startedAt: backend.slowStart.startedAt, at: now,
+				stamps: backend.slowStart.stamps, startedAt: backend.slowStart.startedAt, removedAt: now,
 			}
 		}
-		return gone
+		return isUnused
 	})
 }
 
 // sweepDeparted drops the starts of backends that were removed more than departedRetention ago.
 func (t *backendTable) sweepDeparted(now Time) {
 	for id, departed := range t.departed {
-		if now-departed.at > departedRetention {
+		if now-departed.removedAt > departedRetention {
 			delete(t.departed, id)
 		}
 	}
 }
 
 // endSlowStarts ends the slow starts of the backends that are warm now, and returns these backends.
-func (t *backendTable) warmedUp(now Time, parameters *slowStartParameters) []*backend {
+func (t *backendTable) endSlowStarts(now Time, parameters *slowStartParameters) []*backend {
 	var ended []*backend
 	for _, backend := range t.inOrder {
-		if backend.slowStart.warmedUp(now, parameters) {
+		if backend.slowStart.endIfWarm(now, parameters) {
 			ended = append(ended, backend)
 		}
 	}
@@ -167,7 +169,7 @@
 
 // countUnavailable returns the number of listed backends that get no attempts because they are draining or
 // ejected.
-func (t *backendTable) unavailable() int {
+func (t *backendTable) countUnavailable() int {
 	count := 0
 	for _, backend := range t.inOrder {
 		if backend.listed && (backend.State != EndpointReady || backend.health.failing()) {
@@ -182,7 +184,7 @@
 func (t *backendTable) effectiveInFlight(now Time, lateShare float64) float64 {
 	total := 0.0
 	for _, backend := range t.inOrder {
-		if !backend.health.down && backend.load.inFlight > 0 {
+		if !backend.health.isDown && backend.load.inFlight > 0 {
 			total += backend.load.effective(lateShare) / math.Max(1, backend.latency.slowness(now)/2)
 		}
 	}
@@ -190,10 +192,10 @@
 }
 
 // countWarmingUp returns the number of ready backends in slow start.
-func (t *backendTable) warmingUp(now Time, parameters *slowStartParameters) int {
+func (t *backendTable) countWarmingUp(now Time, parameters *slowStartParameters) int {
 	count := 0
 	for _, backend := range t.inOrder {
-		if backend.ready() && backend.slowStart.share(now, parameters) < 1 {
+		if backend.ready() && backend.slowStart.capacityShare(now, parameters) < 1 {
 			count++
 		}
 	}
@@ -203,7 +205,7 @@
 // renumberFaults moves the fault reports of all backends to new indices of classes and plans, as
 // faultReports.renumber does.
 func (t *backendTable) renumberFaults(oldClasses, newPlans []int, planCount int) {
-	t.classes, t.plans = len(oldClasses), planCount
+	t.classCount, t.planCount = len(oldClasses), planCount
 	for _, backend := range t.inOrder {
 		backend.faults.renumber(oldClasses, newPlans, planCount)
 	}
--- a/policy/backendtable_test.go
+++ b/policy/backendtable_test.go
@@ -11,7 +11,7 @@
 	parameters := settings.slowStartParameters()
 	table, random := newBackendTable(1, 1), rand.New(rand.NewPCG(1, 2))
 	for _, endpoint := range list {
-		table.record(endpoint, start, random).update(endpoint)
+		table.findOrAdd(endpoint, start, random).update(endpoint)
 	}
 	return &table, random, &parameters
 }
@@ -84,7 +84,7 @@
 		table.byID[1].listed, table.byID[1].slowStart.startedAt = false, 1
 		table.prune(start, parameters)
 		table.sweepDeparted(start + c.after)
-		readded := table.record(endpoint, start+c.after, random)
+		readded := table.findOrAdd(endpoint, start+c.after, random)
 		if got := readded.update(endpoint); got != c.want || readded.slowStart.startedAt == 1 == c.want {
 			t.Errorf("after %d: new start %t, started at %d", c.after, got, readded.slowStart.startedAt)
 		}
@@ -113,7 +113,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			table, _, _ := testTable(c.before)
-			if got := table.mostlyKnows(c.list); got != c.want {
+			if got := table.knowsMostStarts(c.list); got != c.want {
 				t.Errorf("got %t, want %t", got, c.want)
 			}
 		})
@@ -123,13 +123,13 @@
 func TestCountUnavailableAndWarmingUpBackends(t *testing.T) {
 	table, random, parameters := testTable(endpoints(4))
 	table.byID[1].update(Endpoint{ID: 1, State: EndpointDraining})
-	table.byID[2].health.down = true
-	table.unlisted(9, start, random)
-	if got := table.unavailable(); got != 2 {
+	table.byID[2].health.isDown = true
+	table.findOrAddUnlisted(9, start, random)
+	if got := table.countUnavailable(); got != 2 {
 		t.Errorf("%d unavailable, want 2: the draining one and the one that is down", got)
 	}
 	table.byID[1].slowStart.startedAt, table.byID[3].slowStart.startedAt = start, start
-	if got := table.warmingUp(start, parameters); got != 1 {
+	if got := table.countWarmingUp(start, parameters); got != 1 {
 		t.Errorf("%d in slow start, want 1: the ready one", got)
 	}
 }
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -64,7 +64,8 @@
 				})
 				if request := g.requests.byID[id]; request != nil {
 					g.AttemptEnded(now, Outcome{
-						RequestID: id, Backend: request.attempts[0].backend.ID, Latency: 1000, ClientAnswered: true,
+						RequestID: id, Backend: request.attempts[0].backend.ID, Latency: 1000,
+						ClientAnswered: true,
 					})
 				}
 			}
--- a/policy/clienttimeouts.go
+++ b/policy/clienttimeouts.go
@@ -22,12 +22,12 @@
 		t[req.Plan][req.Class].add(float64(req.Timeout), sampleWeight)
 		return false
 	}
-	return t.waited(req)+usualLatency > float64(objective)
+	return t.waitTime(req)+usualLatency > float64(objective)
 }
 
 // waitTime returns the estimated time that a request waited before it was received: the usual timeout less
 // the remaining one.
-func (t clientTimeouts) waited(req *Request) float64 {
+func (t clientTimeouts) waitTime(req *Request) float64 {
 	return t[req.Plan][req.Class].value - float64(req.Timeout)
 }
 
--- a/policy/clienttimeouts_test.go
+++ b/policy/clienttimeouts_test.go
@@ -7,10 +7,10 @@
 	usual := &Request{Plan: 1, Class: 1, Timeout: 4 * second}
 	timeouts.hasExpired(usual, false, 0, second)
 	timeouts.hasExpired(usual, false, 0, second)
-	late := &Request{Plan: 1, Class: 1, Timeout: second}
-	assertNear(t, "wait", timeouts.waited(late), float64(3*second))
+	delayed := &Request{Plan: 1, Class: 1, Timeout: second}
+	assertNear(t, "wait", timeouts.waitTime(delayed), float64(3*second))
 	other := &Request{Plan: 0, Class: 1, Timeout: second}
-	assertNear(t, "wait under a plan without requests", timeouts.waited(other), -float64(second))
+	assertNear(t, "wait under a plan without requests", timeouts.waitTime(other), -float64(second))
 }
 
 func TestHasExpiredAfterStallIfAnswerWouldMissObjective(t *testing.T) {
--- a/policy/concurrencylimit_test.go
+++ b/policy/concurrencylimit_test.go
@@ -6,7 +6,7 @@
 var fourBackends = backendCapacity{healthy: 4, gateways: 1, allowedLatency: float64(second)}
 
 // answeringPerSecond returns a limit after many seconds with the given rate of answers on time, and the time.
-func answeringPerSecond(answers int) (*concurrencyLimit, Time) {
+func limitAfterAnswers(answers int) (*concurrencyLimit, Time) {
 	var limit concurrencyLimit
 	now := start
 	for range 20 * answers {
@@ -32,7 +32,7 @@
 }
 
 func TestConcurrencyLimitFollowsAnswersOnTime(t *testing.T) {
-	limit, now := answeringPerSecond(200)
+	limit, now := limitAfterAnswers(200)
 	want := limit.onTime.value(now, second) * fullLatencyShare // Little's law, for latencies of a second
 	if want < 16 {
 		t.Fatalf("capacity %g is below the minimum", want)
--- a/policy/controller.go
+++ b/policy/controller.go
@@ -25,7 +25,7 @@
 	random            *rand.Rand
 	shortestObjective Time // the shortest latency objective of all classes
 	clock             clock
-	gaveUpOwnership   bool // whether another process owns the buckets and admits requests
+	releasedOwnership bool // whether another process owns the buckets and admits requests
 
 	// Customers and their quotas.
 	customers     customerTable
@@ -89,9 +89,9 @@
 // gateway that it has started without any state.
 func (c *Controller) start(now Time) {
 	c.customers.sweptAt, c.sharedBucket.updatedAt, c.counters.since = now, now, now
-	c.scheduleTick()
+	c.scheduleGossipTimer()
 	if c.settings.PollEndpoints {
-		c.watch.request(c.clock.now)
+		c.watch.recordRequest(c.clock.now)
 		c.actions.WatchEndpoints()
 	}
 	c.gossip.start(now)
@@ -103,7 +103,7 @@
 }
 
 // scheduleGossipTimer sets the timer for the next gossip round.
-func (c *Controller) scheduleTick() {
+func (c *Controller) scheduleGossipTimer() {
 	c.actions.SetTimer(c.clock.scheduleTimer(c.sharing.gossipPeriod), gossipTimer)
 }
 
@@ -114,10 +114,10 @@
 		c.resolveQuotaRequests(nil, grant{}) // only quota requests that have timed out
 		return
 	}
-	c.scheduleTick()
+	c.scheduleGossipTimer()
 	if c.customers.sweepIsDue(now) {
-		for _, backend := range c.backends.warmedUp(c.clock.now, &c.slowStart) {
-			logWarm(c.actions, backend.ID, backend.slowStart.attempts)
+		for _, backend := range c.backends.endSlowStarts(c.clock.now, &c.slowStart) {
+			logWarm(c.actions, backend.ID, backend.slowStart.chargedAttempts)
 		}
 		c.logCounters()
 		for range loadViewPeers {
@@ -128,7 +128,7 @@
 		c.sweepCustomers()
 		c.backends.sweepDeparted(c.clock.now)
 	}
-	if !c.gaveUpOwnership {
+	if !c.releasedOwnership {
 		c.runGossipRound()
 	}
 	if c.settings.HealthChecks {
@@ -137,7 +137,7 @@
 		}
 	}
 	if c.settings.PollEndpoints && c.watch.isDue(now, c.settings.MaxWatchGap) {
-		c.watch.request(c.clock.now)
+		c.watch.recordRequest(c.clock.now)
 		c.actions.WatchEndpoints()
 	}
 }
--- a/policy/controller_attempts.go
+++ b/policy/controller_attempts.go
@@ -5,16 +5,16 @@
 // chooseBackend returns the backend for the next attempt of a request: the least loaded healthy backend that
 // the request has not tried, else the least loaded ready one, else nil. If sameScopeAs is not nil, only
 // backends in the deduplication scope of that attempt qualify.
-func (c *Controller) chooseBackend(request *request, within *attempt) *backend {
-	if backend := c.chooseLeastLoaded(request, within, false); backend != nil {
+func (c *Controller) chooseBackend(request *request, sameScopeAs *attempt) *backend {
+	if backend := c.chooseLeastLoaded(request, sameScopeAs, false); backend != nil {
 		return backend
 	}
-	return c.chooseLeastLoaded(request, within, true)
+	return c.chooseLeastLoaded(request, sameScopeAs, true)
 }
 
 // chooseLeastLoaded returns the least loaded backend, or nil if there is none. Unhealthy backends, and those
 // that the request has tried, qualify only if allowUnhealthy is set.
-func (c *Controller) chooseLeastLoaded(request *request, within *attempt, allowUnhealthy bool) *backend {
+func (c *Controller) chooseLeastLoaded(request *request, sameScopeAs *attempt, allowUnhealthy bool) *backend {
 	class, prices := &c.settings.Classes[request.Class], c.settings.loadPrices()
 	var best leastLoaded
 	for _, backend := range c.backends.inOrder {
@@ -25,18 +25,18 @@
 			c.counters.slowStartDenied++
 			continue
 		}
-		if !class.permits(within, backend) || !allowUnhealthy &&
-			(!backend.acceptsAttempts(c.clock.now, c.settings.HealthChecks) || request.tried(backend)) {
+		if !class.permits(sameScopeAs, backend) || !allowUnhealthy &&
+			(!backend.acceptsAttempts(c.clock.now, c.settings.HealthChecks) || request.hasTried(backend)) {
 			continue
 		}
 		faults := backend.faults.value(c.clock.now, request.Class, request.Plan)
 		candidate := candidate{
 			inFlight: backend.load.inFlight, slowness: backend.latency.slowness(c.clock.now),
-			share:       backend.slowStart.share(c.clock.now, &c.slowStart),
-			isOtherZone: backend.Zone != c.settings.Zone, inSubset: backend.inSubset,
+			capacityShare: backend.slowStart.capacityShare(c.clock.now, &c.slowStart),
+			isOtherZone:   backend.Zone != c.settings.Zone, inSubset: backend.inSubset,
 			capacityHint: backend.CapacityHint, faults: c.limit.peerWeight(c.clock.activeTime) * faults,
 		}
-		best.offer(backend, prices.score(&candidate), c.random)
+		best.considerBackend(backend, prices.score(&candidate), c.random)
 	}
 	return best.backend
 }
@@ -55,7 +55,7 @@
 	attempt := request.addAttempt(backend, c.clock.now)
 	c.requests.addAttempt(request.Class, attempt)
 	backend.health.expectAnswer(c.clock.activeTime, backend.load.inFlight)
-	backend.load.add()
+	backend.load.addInFlight()
 	request.customer.inFlight++
 	return attempt
 }
@@ -72,7 +72,7 @@
 	}
 	others := slices.Delete(slices.Clone(request.attempts), attemptNumber, attemptNumber+1)
 	rule, class := c.settings.retryRule(request.Class, others, now), &c.settings.Classes[request.Class]
-	if !attempt.backend.ready() || !rule.allowed || !class.permits(rule.within, attempt.backend) {
+	if !attempt.backend.ready() || !rule.allowed || !class.permits(rule.sameScopeAs, attempt.backend) {
 		return false
 	}
 	attempt.slowStart = attempt.backend.slowStart.release(attempt.slowStart, attempt.sentAt, false)
@@ -96,7 +96,7 @@
 	attempt.pending = false
 	c.counters.results[outcome.Result]++
 	attempt.mayHaveRun = !outcome.Result.provesNotRun()
-	request.reachedBackend = request.reachedBackend || outcome.Result != ResultNotSent
+	request.mayHaveReachedBackend = request.mayHaveReachedBackend || outcome.Result != ResultNotSent
 	c.settleAttempt(request, attempt, &outcome)
 	request.answered = request.answered || outcome.ClientAnswered
 	if request.hasPending() {
@@ -123,12 +123,12 @@
 	request *request, last *attempt, lastResult Result, rule retryRule, now Time,
 ) bool {
 	cost := retryCost(last, lastResult)
-	minTime := c.settings.Classes[request.Class].LatencyObjective / minRetryTime
+	minTime := c.settings.Classes[request.Class].LatencyObjective / minRetryTimeDivisor
 	if !rule.allowed || len(request.attempts) >= c.settings.MaxAttempts || !c.retryBudget.affords(cost) ||
 		request.deadline-now <= minTime {
 		return false
 	}
-	backend := c.chooseBackend(request, rule.within)
+	backend := c.chooseBackend(request, rule.sameScopeAs)
 	if backend == nil {
 		return false
 	}
--- a/policy/controller_backends.go
+++ b/policy/controller_backends.go
@@ -7,17 +7,17 @@
 func (c *Controller) UpdateEndpoints(now Time, kind UpdateKind, list []Endpoint) {
 	c.advanceClock(now)
 	if kind == UpdateUnavailable {
-		c.watch.fail()
+		c.watch.recordFailure()
 		return
 	}
-	listedBefore := c.watch.receive(kind)
+	hadCurrentList := c.watch.recordUpdate(kind)
 	c.backends.beginUpdate(kind)
 	// Until the first current list, the known backends come from the configuration or from the predecessor.
-	isAnnounced := listedBefore || kind != UpdateStale && c.backends.mostlyKnows(list)
+	isAnnounced := hadCurrentList || kind != UpdateStale && c.backends.knowsMostStarts(list)
 	for _, endpoint := range list {
-		backend := c.backends.record(endpoint, c.clock.now, c.random)
+		backend := c.backends.findOrAdd(endpoint, c.clock.now, c.random)
 		if backend.update(endpoint) {
-			startedAt, reason := startOf(endpoint.StartedAt, c.clock.now, isAnnounced)
+			startedAt, reason := inferStart(endpoint.StartedAt, c.clock.now, isAnnounced)
 			c.beginSlowStart(backend, startedAt, reason)
 		}
 	}
@@ -27,11 +27,11 @@
 
 // UnavailableBackends returns the number of listed backends that get no attempts because they are draining
 // or ejected.
-func (c *Controller) UnavailableBackends() int { return c.backends.unavailable() }
+func (c *Controller) UnavailableBackends() int { return c.backends.countUnavailable() }
 
 // beginSlowStart begins the slow start of a backend that has, or may have, started.
 func (c *Controller) beginSlowStart(backend *backend, startedAt Time, reason slowStartReason) {
-	share := backend.slowStart.begin(startedAt, c.clock.now, c.random.Float64(), &c.slowStart)
+	share := backend.slowStart.recordStart(startedAt, c.clock.now, c.random.Float64(), &c.slowStart)
 	if share < 1 {
 		logSlowStart(c.actions, backend.ID, reason, c.clock.now-startedAt, share)
 	}
@@ -40,8 +40,8 @@
 // slowStartAllows reports whether a backend may get one more attempt. A backend in slow start gets attempts
 // in proportion to its capacity share and to the rate at which a warm backend answers this gateway.
 func (c *Controller) slowStartAllows(backend *backend) bool {
-	share := backend.slowStart.share(c.clock.now, &c.slowStart)
-	if share == 1 || c.gaveUpOwnership { // the bucket belongs to the successor
+	share := backend.slowStart.capacityShare(c.clock.now, &c.slowStart)
+	if share == 1 || c.releasedOwnership { // the bucket belongs to the successor
 		return share == 1
 	}
 	rate := 0.0 // outside the subset the minimum rate applies, as other gateways prefer the backend
@@ -49,16 +49,16 @@
 		latency := c.latency.slowStartOr(c.shortestObjective)
 		rate = c.pace.attemptRate(c.clock.now, share, latency, &c.slowStart)
 	}
-	return backend.slowStart.allows(c.clock.now, share, rate, &c.slowStart)
+	return backend.slowStart.allowsAttempt(c.clock.now, share, rate, &c.slowStart)
 }
 
 // chargeSlowStart charges an attempt to the slow start of its backend, if the backend is in one.
 func (c *Controller) chargeSlowStart(attempt *attempt, waiting bool) {
 	slowStart := &attempt.backend.slowStart
-	if slowStart.share(c.clock.now, &c.slowStart) == 1 {
+	if slowStart.capacityShare(c.clock.now, &c.slowStart) == 1 {
 		return
 	}
-	if attempt.slowStart = slowStart.charge(waiting); attempt.slowStart == slowStartCharged {
+	if attempt.slowStart = slowStart.chargeAttempt(waiting); attempt.slowStart == slowStartCharged {
 		c.counters.slowStartAttempts++
 	}
 }
@@ -97,12 +97,12 @@
 func (c *Controller) refreshBackendHealth() {
 	for class := range c.settings.Classes {
 		objective := c.settings.Classes[class].LatencyObjective
-		markOverdue(c.requests.takeOlder(class, c.clock.now, objective))
+		markOverdue(c.requests.removeOlderAttempts(class, c.clock.now, objective))
 	}
 	c.backends.healthy = 0
 	warmBackends := 0
 	for _, backend := range c.backends.inOrder {
-		share := backend.slowStart.share(c.clock.now, &c.slowStart)
+		share := backend.slowStart.capacityShare(c.clock.now, &c.slowStart)
 		logEjection(c.actions, backend.ID, backend.health.detectUnresponsive(
 			c.clock.now, c.clock.activeTime, backend.load.overdue, share, c.shortestObjective))
 		if backend.ready() && backend.acceptsAttempts(c.clock.now, c.settings.HealthChecks) {
--- a/policy/controller_backends_test.go
+++ b/policy/controller_backends_test.go
@@ -156,7 +156,7 @@
 	}
 	for _, backend := range h.backends.inOrder {
 		if backend.load.inFlight = 0; backend.inSubset {
-			backend.health.down, backend.health.nextProbeAt = true, h.at+maxEjectionTime
+			backend.health.isDown, backend.health.nextProbeAt = true, h.at+maxEjectionTime
 		}
 	}
 	if backend := choose(); backend == nil || backend.inSubset {
--- a/policy/controller_capacity_test.go
+++ b/policy/controller_capacity_test.go
@@ -5,14 +5,14 @@
 // Guards against lost attempts that use up the capacity (issue i62622c).
 func TestOverdueAttemptsUseNoCapacity(t *testing.T) {
 	h := newHarness(t, testSettings())
-	sentOf100 := 0
+	sentCount := 0
 	for i := range 100 {
 		if _, sent := h.request(1, 1, uint64(i), 1); sent {
-			sentOf100++
+			sentCount++
 		}
 	}
-	if sentOf100 == 0 || sentOf100 == 100 {
-		t.Fatalf("%d of 100 attempts sent, want a limit between", sentOf100)
+	if sentCount == 0 || sentCount == 100 {
+		t.Fatalf("%d of 100 attempts sent, want a limit between", sentCount)
 	}
 	h.at += 2 * second
 	for _, backend := range h.backends.inOrder {
@@ -90,15 +90,15 @@
 	for range 10 {
 		h.serve(0, 1, 8)
 	}
-	h.at += 10 * second // nothing is in flight, and no answer is recent
-	least := 4 * 4 / 2  // one per core of 4 backends, divided between two gateways
-	for i := range least {
+	h.at += 10 * second  // nothing is in flight, and no answer is recent
+	minimum := 4 * 4 / 2 // one per core of 4 backends, divided between two gateways
+	for i := range minimum {
 		if _, sent := h.request(0, 0, 2, 1); !sent {
-			t.Fatalf("request %d rejected, want a minimum capacity of %d", i, least)
+			t.Fatalf("request %d rejected, want a minimum capacity of %d", i, minimum)
 		}
 	}
 	if _, sent := h.request(0, 0, 2, 1); sent {
-		t.Errorf("request sent beyond the minimum capacity of %d without answers", least)
+		t.Errorf("request sent beyond the minimum capacity of %d without answers", minimum)
 	}
 }
 
--- a/policy/controller_outcomes.go
+++ b/policy/controller_outcomes.go
@@ -22,8 +22,8 @@
 	request.customer.readMeter(c.clock.now, &c.sharing, outcome.MeterReading)
 	if c.settings.SettlesCost && outcome.Result == ResultOK && outcome.ActualCost > 0 {
 		c.refillBuckets(request.customer)
-		more := outcome.ActualCost - request.Cost
-		c.customers.consume(&c.sharing, request.customer, request.coordinator, more)
+		extraCost := outcome.ActualCost - request.Cost
+		c.customers.consume(&c.sharing, request.customer, request.coordinator, extraCost)
 	}
 }
 
@@ -42,7 +42,7 @@
 	if !hasLatency || attempt.overlappedStall {
 		return
 	}
-	latency, share := float64(outcome.Latency), backend.slowStart.share(now, &c.slowStart)
+	latency, share := float64(outcome.Latency), backend.slowStart.capacityShare(now, &c.slowStart)
 	if outcome.Result == ResultOK {
 		c.latency.record(class, latency, share)
 	}
--- a/policy/controller_outcomes_test.go
+++ b/policy/controller_outcomes_test.go
@@ -28,22 +28,22 @@
 	id, _ := h.request(0, 1, 9, 1)
 	backend := h.lastAttempt(id).backend
 	h.end(id, ResultReset, true)
-	if backend.health.down || h.unhealthy(backend) {
+	if backend.health.isDown || h.unhealthy(backend) {
 		t.Error("ejected after a single reset")
 	}
 	h.at += 10 * second
 	h.TimerFired(h.at, gossipTimer)
-	if h.connectionFailed(backend, true) || backend.health.down {
+	if h.connectionFailed(backend, true) || backend.health.isDown {
 		t.Error("ejected after two resets far apart")
 	}
 	for range 3 {
 		h.connectionFailed(backend, true)
 	}
-	if !backend.health.down {
+	if !backend.health.isDown {
 		t.Fatal("not ejected after several resets at the same time")
 	}
 	h.HealthCheckEnded(h.at, backend.ID, ResultOK, nil)
-	if backend.health.down || h.slowStartShare(backend) < 1 {
+	if backend.health.isDown || h.slowStartShare(backend) < 1 {
 		t.Error("backend not reinstated warm after resets only")
 	}
 }
@@ -63,13 +63,13 @@
 	h.endWith(late, Outcome{
 		Result: ResultConnectFailed, Latency: second / 5, ClientAnswered: true, DialUnanswered: true,
 	})
-	if backend.health.down || h.slowStartShare(backend) < 1 {
+	if backend.health.isDown || h.slowStartShare(backend) < 1 {
 		t.Error("ejected for a late connection while other attempts were answered")
 	}
 	refused, _ := h.request(0, 1, 9, 1)
 	h.end(refused, ResultConnectFailed, true)
 	h.HealthCheckEnded(h.at, backend.ID, ResultOK, nil)
-	if backend.health.down || h.slowStartShare(backend) == 1 {
+	if backend.health.isDown || h.slowStartShare(backend) == 1 {
 		t.Error("not reinstated in slow start after a refused connection")
 	}
 }
@@ -86,7 +86,7 @@
 			h.end(id, ResultOK, true)
 		}
 	}
-	if !backend.health.down || !h.unhealthy(backend) {
+	if !backend.health.isDown || !h.unhealthy(backend) {
 		t.Error("backend still in rotation after several objectives without an answer")
 	}
 	h.at += second
@@ -129,7 +129,7 @@
 	backend := h.lastAttempt(id).backend
 	h.TimerFired(h.at, gossipTimer)
 	h.at += 3 * second
-	if _, sent := h.request(0, 1, 8, 1); !sent || backend.health.down {
+	if _, sent := h.request(0, 1, 8, 1); !sent || backend.health.isDown {
 		t.Error("attempt that was pending during a stall counted as unanswered")
 	}
 	h.endWith(id, Outcome{Result: ResultOK, Latency: 3 * second, ClientAnswered: true})
@@ -194,7 +194,7 @@
 	if got := h.UnavailableBackends(); got != 0 {
 		t.Errorf("%d backends unavailable, want none", got)
 	}
-	if backend.health.down = true; h.UnavailableBackends() != 1 {
+	if backend.health.isDown = true; h.UnavailableBackends() != 1 {
 		t.Errorf("%d backends unavailable, want 1", h.UnavailableBackends())
 	}
 }
--- a/policy/controller_quota.go
+++ b/policy/controller_quota.go
@@ -47,7 +47,7 @@
 
 // refund returns the units of a request that never reached a backend.
 func (c *Controller) refund(request *request) {
-	if request.reachedBackend {
+	if request.mayHaveReachedBackend {
 		return
 	}
 	c.refillBuckets(request.customer)
--- a/policy/controller_slowstart_test.go
+++ b/policy/controller_slowstart_test.go
@@ -199,7 +199,7 @@
 		}
 		return attempts
 	}
-	each := serve(4)[1] / 4
+	warmRate := serve(4)[1] / 4
 	for i := range list[warm:] {
 		list[warm+i].StartedAt = fleet[0].at
 	}
@@ -207,7 +207,7 @@
 		h.UpdateEndpoints(h.at, UpdateComplete, list)
 	}
 	got, average := serve(window), 0.0
-	budget := settings.OverloadFactor * settings.SlowStartFloor * each * backends / warm * window
+	budget := settings.OverloadFactor * settings.SlowStartFloor * warmRate * backends / warm * window
 	for _, starting := range list[warm:] {
 		if got[starting.ID] > budget {
 			t.Errorf("starting backend %d got %.0f attempts in %d s, want %.0f at most",
@@ -215,9 +215,9 @@
 		}
 		average += got[starting.ID] / (backends - warm) / window
 	}
-	if average < settings.SlowStartFloor*each {
+	if average < settings.SlowStartFloor*warmRate {
 		t.Errorf("starting backend got %.1f attempts/s, a warm one got %.1f before: want at least its share",
-			average, each)
+			average, warmRate)
 	}
 }
 
--- a/policy/discoverywatch.go
+++ b/policy/discoverywatch.go
@@ -2,24 +2,24 @@
 
 // discoveryWatch is the state of the watch on the endpoint list of service discovery.
 type discoveryWatch struct {
-	active      bool // an update that is not stale has arrived, and no failure since
-	listed      bool // an update that is not stale has arrived since the start of this gateway
-	requestedAt Time // the time of the last watch request
+	active              bool // an update that is not stale has arrived, and no failure since
+	receivedCurrentList bool // an update that is not stale has arrived since the start of this gateway
+	requestedAt         Time // the time of the last watch request
 }
 
 // recordRequest records a watch request to service discovery.
-func (w *discoveryWatch) request(now Time) { w.requestedAt = now }
+func (w *discoveryWatch) recordRequest(now Time) { w.requestedAt = now }
 
 // recordFailure records that service discovery is unavailable.
-func (w *discoveryWatch) fail() { w.active = false }
+func (w *discoveryWatch) recordFailure() { w.active = false }
 
 // recordUpdate records an update. It reports whether an earlier update was not stale, so that the new starts
 // in this one have happened since.
-func (w *discoveryWatch) receive(kind UpdateKind) (listedBefore bool) {
-	listedBefore = w.listed
+func (w *discoveryWatch) recordUpdate(kind UpdateKind) (hadCurrentList bool) {
+	hadCurrentList = w.receivedCurrentList
 	w.active = w.active || kind != UpdateStale
-	w.listed = w.listed || kind != UpdateStale
-	return listedBefore
+	w.receivedCurrentList = w.receivedCurrentList || kind != UpdateStale
+	return hadCurrentList
 }
 
 // isDue reports whether to request the watch again. It is due if the watch is not active and a quarter of the
--- a/policy/discoverywatch_test.go
+++ b/policy/discoverywatch_test.go
@@ -5,22 +5,22 @@
 func TestDiscoveryWatchIsDueAfterQuarterOfTerm(t *testing.T) {
 	const term = 8 * second
 	var watch discoveryWatch
-	watch.request(start)
+	watch.recordRequest(start)
 	if watch.isDue(start+term/4-1, term) {
 		t.Error("due before a quarter of the term")
 	}
 	if !watch.isDue(start+term/4, term) {
 		t.Error("not due although no update has arrived")
 	}
-	watch.receive(UpdateStale)
+	watch.recordUpdate(UpdateStale)
 	if !watch.isDue(start+term/4, term) {
 		t.Error("a stale update activated the watch")
 	}
-	watch.receive(UpdateIncremental)
+	watch.recordUpdate(UpdateIncremental)
 	if watch.isDue(start+term, term) {
 		t.Error("due while the watch is active")
 	}
-	if watch.fail(); !watch.isDue(start+term, term) {
+	if watch.recordFailure(); !watch.isDue(start+term, term) {
 		t.Error("not due after a failure")
 	}
 }
@@ -31,7 +31,7 @@
 		kind UpdateKind
 		want bool
 	}{{UpdateStale, false}, {UpdateComplete, false}, {UpdateIncremental, true}, {UpdateStale, true}} {
-		if got := watch.receive(c.kind); got != c.want {
+		if got := watch.recordUpdate(c.kind); got != c.want {
 			t.Errorf("update %d: listed before %t, want %t", i, got, c.want)
 		}
 	}
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -239,7 +239,7 @@
 
 // slowStartShare is the share of its capacity that a backend in slow start has by the last event.
 func (h *harness) slowStartShare(backend *backend) float64 {
-	return backend.slowStart.share(h.clock.now, &h.slowStart)
+	return backend.slowStart.capacityShare(h.clock.now, &h.slowStart)
 }
 
 // unhealthy reports whether a backend gets no attempts as of the last event.
--- a/policy/latencyestimate.go
+++ b/policy/latencyestimate.go
@@ -27,11 +27,11 @@
 func (e *latencyEstimate) ofClass(class int) float64 { return e.byClass[class].value }
 
 // slowStartOr returns the average latency of backends in slow start, or the given fallback if it is unknown.
-func (e *latencyEstimate) slowStartOr(latency Time) float64 {
+func (e *latencyEstimate) slowStartOr(fallback Time) float64 {
 	if e.slowStart.value > 0 {
 		return e.slowStart.value
 	}
-	return float64(latency)
+	return float64(fallback)
 }
 
 // allowed returns the average latency over all classes at which each class still meets its objective, given
--- a/policy/leastloaded_test.go
+++ b/policy/leastloaded_test.go
@@ -6,7 +6,7 @@
 )
 
 // idle is a warm backend in the zone and the subset of this gateway without attempts in flight.
-var idle = candidate{slowness: 1, share: 1, inSubset: true, capacityHint: 2}
+var idle = candidate{slowness: 1, capacityShare: 1, inSubset: true, capacityHint: 2}
 
 func TestScoreCombinesLoadAndPrices(t *testing.T) {
 	prices := loadPrices{crossZone: 0.1, handshake: 0.2}
@@ -19,7 +19,10 @@
 		{name: "idle", prices: prices, change: func(*candidate) {}, want: 1},
 		{name: "busy", prices: prices, change: func(c *candidate) { c.inFlight = 3 }, want: 4},
 		{name: "slow", prices: prices, change: func(c *candidate) { c.slowness = 2.5 }, want: 2.5},
-		{name: "in slow start", prices: prices, change: func(c *candidate) { c.share = 0.25 }, want: 0.25},
+		{
+			name: "in slow start", prices: prices, change: func(c *candidate) { c.capacityShare = 0.25 },
+			want: 0.25,
+		},
 		{
 			name: "another zone", prices: prices, change: func(c *candidate) { c.isOtherZone = true },
 			want: 1.5,
@@ -35,9 +38,9 @@
 			change: func(c *candidate) { c.capacityHint = 0 }, want: 1,
 		},
 	} {
-		of := idle
-		c.change(&of)
-		assertNear(t, c.name, c.prices.score(&of), c.want)
+		compared := idle
+		c.change(&compared)
+		assertNear(t, c.name, c.prices.score(&compared), c.want)
 	}
 }
 
@@ -50,7 +53,7 @@
 	for range draws {
 		var best leastLoaded
 		for i, backend := range backends {
-			best.offer(backend, scores[i], random)
+			best.considerBackend(backend, scores[i], random)
 		}
 		chosen[best.backend]++
 	}
--- a/policy/ownership.go
+++ b/policy/ownership.go
@@ -7,7 +7,7 @@
 // now on. Requests that wait for a coordinator's grant are rejected: its answer goes to the other.
 func (c *Controller) GiveUpOwnership(now Time) {
 	c.advanceClock(now)
-	c.gaveUpOwnership = true
+	c.releasedOwnership = true
 	for _, request := range c.quotaRequests.takeOpen(c.requests.byID) {
 		c.requests.remove(request.ID)
 		c.reject(request.ID, rejectOverQuota, c.shortestObjective/retryAfterDivisor)
@@ -19,7 +19,7 @@
 func (c *Controller) ResumeOwnership(now Time) {
 	c.advanceClock(now)
 	c.clock.restart()
-	c.gaveUpOwnership = false
+	c.releasedOwnership = false
 	for _, customer := range c.customers.inOrder {
 		c.refillBuckets(customer)
 		customer.limitToRestart(&c.sharing)
@@ -31,15 +31,16 @@
 // PredecessorSent counts another attempt that the former process has sent.
 func (c *Controller) PredecessorSent(now Time, id uint64, backend uint32) {
 	c.advanceClock(now)
-	if request := c.requests.ofPredecessor[id]; request != nil {
-		c.chargeSlowStart(c.recordSend(request, c.backends.unlisted(backend, c.clock.now, c.random)), false)
+	if request := c.requests.predecessorRequests[id]; request != nil {
+		c.chargeSlowStart(
+			c.recordSend(request, c.backends.findOrAddUnlisted(backend, c.clock.now, c.random)), false)
 	}
 }
 
 // PredecessorAttemptEnded handles the outcome of an attempt of the former process.
 func (c *Controller) PredecessorAttemptEnded(now Time, outcome Outcome) {
 	c.advanceClock(now)
-	request := c.requests.ofPredecessor[outcome.RequestID]
+	request := c.requests.predecessorRequests[outcome.RequestID]
 	attempt := request.pendingAttempt(outcome.Attempt)
 	if attempt == nil || outcome.Result > ResultNotSent {
 		return
@@ -47,14 +48,14 @@
 	attempt.pending = false
 	c.settleAttempt(request, attempt, &outcome)
 	if outcome.ClientAnswered && !request.hasPending() {
-		delete(c.requests.ofPredecessor, outcome.RequestID)
+		delete(c.requests.predecessorRequests, outcome.RequestID)
 	}
 }
 
 // PredecessorExited notes that the former process has ended, and its pending attempts with it.
 func (c *Controller) PredecessorExited(now Time) {
 	c.advanceClock(now)
-	for _, request := range c.requests.takeOfPredecessor() {
-		request.releasePending()
+	for _, request := range c.requests.removePredecessorRequests() {
+		request.releasePendingAttempts()
 	}
 }
--- a/policy/ownership_test.go
+++ b/policy/ownership_test.go
@@ -37,9 +37,9 @@
 		Latency: second / 10, ClientAnswered: true, ActualCost: 3,
 	})
 	assertNear(t, "consumed with the actual cost", after.usage.consumed, consumed+1)
-	if after.inFlight != 0 || backend.load.inFlight != 0 || len(next.requests.ofPredecessor) != 0 {
+	if after.inFlight != 0 || backend.load.inFlight != 0 || len(next.requests.predecessorRequests) != 0 {
 		t.Errorf("in flight: customer %d, backend %d; %d requests of the predecessor; want none",
-			after.inFlight, backend.load.inFlight, len(next.requests.ofPredecessor))
+			after.inFlight, backend.load.inFlight, len(next.requests.predecessorRequests))
 	}
 }
 
--- a/policy/priority.go
+++ b/policy/priority.go
@@ -20,7 +20,7 @@
 // openCapacityShare returns the share of the capacity that is open to a request with the given value and
 // usual latency, and adds its priority to the average. The share grows with the priority in relation to the
 // average. It is 1 if the latency is unknown (0).
-func (p *priorityAverage) openCapacity(value, latency float64) float64 {
+func (p *priorityAverage) openCapacityShare(value, latency float64) float64 {
 	if latency == 0 {
 		return 1
 	}
--- a/policy/recorded_play_test.go
+++ b/policy/recorded_play_test.go
@@ -82,8 +82,9 @@
 		p.transcript = append(p.transcript, fmt.Sprintf("%d holds %d %t", gateway, id, maySend))
 		result := Result(max(0, p.draw.IntN(20)-12))
 		h.endWith(id, Outcome{
-			Result: result, Latency: Time(1+p.draw.IntN(60)) * second / 100, ClientAnswered: result == ResultOK,
-			MeterReading: p.draw.IntN(150), ActualCost: float64(p.draw.IntN(5)) / 2,
+			Result: result, Latency: Time(1+p.draw.IntN(60)) * second / 100,
+			ClientAnswered: result == ResultOK,
+			MeterReading:   p.draw.IntN(150), ActualCost: float64(p.draw.IntN(5)) / 2,
 		})
 	}
 }
--- a/policy/recorded_test.go
+++ b/policy/recorded_test.go
@@ -138,7 +138,7 @@
 	for h.serve(0, 7, 1) { // until nothing is left
 		continue
 	}
-	for !h.backends.byID[2].health.down {
+	for !h.backends.byID[2].health.isDown {
 		h.connectionFailed(h.backends.byID[2], false)
 	}
 	h.nextID = 39
@@ -197,7 +197,7 @@
 	level := func(h *harness, customer uint64) float64 { return h.customers.byID[customer].bucket.level }
 	assertNear(t, "bucket with an open request", level(h, 8), level(before, 8))
 	assertNear(t, "bucket that a peer reported", level(h, 9), level(before, 9))
-	if !h.backends.byID[2].health.down || !h.unhealthy(h.backends.byID[2]) {
+	if !h.backends.byID[2].health.isDown || !h.unhealthy(h.backends.byID[2]) {
 		t.Error("a backend that is down was reinstated")
 	}
 	starting, startingBefore := h.backends.byID[3], before.backends.byID[3]
--- a/policy/report.go
+++ b/policy/report.go
@@ -11,7 +11,7 @@
 		healthy: c.backends.healthy, backends: len(c.backends.inOrder),
 	}
 	starts := slowStartMetrics{
-		backends: c.backends.warmingUp(now, &c.slowStart), warmBackends: c.pace.warmBackends,
+		backends: c.backends.countWarmingUp(now, &c.slowStart), warmBackends: c.pace.warmBackends,
 		answersOfWarm: c.pace.answersPerSecond(now),
 	}
 	c.actions.Log(messageCounters, c.counters.take(now, load, starts)...)
--- a/policy/request.go
+++ b/policy/request.go
@@ -14,10 +14,10 @@
 	grantDeadline     Time // the time at which the request is decided on if no grant has arrived
 	quotaRequest      byte // the number of its last quota request; zero if there is none
 
-	answered       bool // the answer to the client is complete or has started
-	reachedBackend bool // whether an attempt may have reached a backend
-	borrowed       bool // its units were borrowed from the shared bucket
-	chargedCeiling bool // its units were charged to the ceiling of this gateway
+	answered              bool // the answer to the client is complete or has started
+	mayHaveReachedBackend bool // whether an attempt may have reached a backend
+	borrowed              bool // its units were borrowed from the shared bucket
+	chargedCeiling        bool // its units were charged to the ceiling of this gateway
 }
 
 // attempt is one attempt of a request. A pending attempt counts towards the load of its backend and its
@@ -57,7 +57,7 @@
 }
 
 // hasTried reports whether the request has had an attempt at the backend.
-func (r *request) tried(backend *backend) bool {
+func (r *request) hasTried(backend *backend) bool {
 	return slices.ContainsFunc(r.attempts, func(attempt *attempt) bool { return attempt.backend == backend })
 }
 
@@ -75,7 +75,7 @@
 }
 
 // releasePendingAttempts ends the pending attempts after the process that sent them has ended.
-func (r *request) releasePending() {
+func (r *request) releasePendingAttempts() {
 	for _, attempt := range r.attempts {
 		if attempt.pending {
 			attempt.pending = false
@@ -101,8 +101,8 @@
 	}
 }
 
-// releaseLoad removes an ended attempt from the load of its backend and its customer.
+// release removes an ended attempt from the load of its backend and its customer.
 func (a *attempt) release(customer *customer) {
-	a.backend.load.remove(a.overdue)
+	a.backend.load.removeInFlight(a.overdue)
 	customer.inFlight--
 }
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 func TestFaultOfResultIsClassOrPlan(t *testing.T) {
-	of := &request{Request: Request{Class: 2, Plan: 1}}
+	open := &request{Request: Request{Class: 2, Plan: 1}}
 	for _, c := range []struct {
 		name    string
 		result  Result
@@ -22,7 +22,7 @@
 		{name: "cancelled", result: ResultCancelled},
 		{name: "not sent", result: ResultNotSent},
 	} {
-		got, isFault := of.faultOf(&attempt{overlappedStall: c.stalled}, c.result)
+		got, isFault := open.faultOf(&attempt{overlappedStall: c.stalled}, c.result)
 		if got != c.want || isFault != c.isFault {
 			t.Errorf("%s: subject %d, fault %t; want %d, %t", c.name, got, isFault, c.want, c.isFault)
 		}
@@ -30,10 +30,10 @@
 }
 
 func TestPendingAttemptOfRequest(t *testing.T) {
-	of := &request{attempts: sentAt(start, start)}
-	of.attempts[0].pending = false
-	for number, want := range map[int]*attempt{-1: nil, 0: nil, 1: of.attempts[1], 2: nil} {
-		if got := of.pendingAttempt(number); got != want {
+	open := &request{attempts: attemptsSentAt(start, start)}
+	open.attempts[0].pending = false
+	for number, want := range map[int]*attempt{-1: nil, 0: nil, 1: open.attempts[1], 2: nil} {
+		if got := open.pendingAttempt(number); got != want {
 			t.Errorf("attempt %d: got %p, want %p", number, got, want)
 		}
 	}
@@ -41,7 +41,7 @@
 	if unknown.pendingAttempt(0) != nil {
 		t.Error("nil request has a pending attempt")
 	}
-	if !of.hasPending() || !of.tried(of.attempts[0].backend) || of.tried(&backend{}) {
+	if !open.hasPending() || !open.hasTried(open.attempts[0].backend) || open.hasTried(&backend{}) {
 		t.Error("want one attempt pending, and only its backends tried")
 	}
 }
--- a/policy/requesttable.go
+++ b/policy/requesttable.go
@@ -9,16 +9,16 @@
 // requestTable holds the open requests, and those of their attempts that may still meet their objectives. A
 // request is in at most one of byID and predecessorRequests.
 type requestTable struct {
-	byID            map[uint64]*request // requests that have pending attempts or wait for a grant
-	ofPredecessor   map[uint64]*request // by ID; the predecessor completes them
-	withinObjective [][]*attempt        // by class, oldest first: attempts not yet found overdue
+	byID                map[uint64]*request // requests that have pending attempts or wait for a grant
+	predecessorRequests map[uint64]*request // by ID; the predecessor completes them
+	withinObjective     [][]*attempt        // by class, oldest first: attempts not yet found overdue
 }
 
 func newRequestTable(classes int) requestTable {
 	return requestTable{
-		byID:            map[uint64]*request{},
-		ofPredecessor:   map[uint64]*request{},
-		withinObjective: make([][]*attempt, classes),
+		byID:                map[uint64]*request{},
+		predecessorRequests: map[uint64]*request{},
+		withinObjective:     make([][]*attempt, classes),
 	}
 }
 
@@ -35,7 +35,7 @@
 
 // removeOlderAttempts removes and returns the attempts of a class that are older than the given age,
 // including those that have ended.
-func (t *requestTable) takeOlder(class int, now, age Time) []*attempt {
+func (t *requestTable) removeOlderAttempts(class int, now, age Time) []*attempt {
 	attempts, count := t.withinObjective[class], 0
 	for count < len(attempts) && now-attempts[count].sentAt > age {
 		count++
@@ -52,13 +52,13 @@
 		for _, attempt := range attempts {
 			attempt.overlappedStall = true
 		}
-		markOverdue(t.takeOlder(class, now, anyAge))
+		markOverdue(t.removeOlderAttempts(class, now, anyAge))
 	}
 }
 
 // addPredecessorRequest adds a request that the predecessor completes.
-func (t *requestTable) addOfPredecessor(request *request) {
-	t.ofPredecessor[request.ID] = request
+func (t *requestTable) addPredecessorRequest(request *request) {
+	t.predecessorRequests[request.ID] = request
 	for _, attempt := range request.attempts {
 		if attempt.pending && !attempt.overdue {
 			t.addAttempt(request.Class, attempt)
@@ -68,14 +68,14 @@
 }
 
 // removePredecessorRequests removes and returns the requests of the predecessor.
-func (t *requestTable) takeOfPredecessor() []*request {
-	requests := slices.Collect(maps.Values(t.ofPredecessor))
-	clear(t.ofPredecessor)
+func (t *requestTable) removePredecessorRequests() []*request {
+	requests := slices.Collect(maps.Values(t.predecessorRequests))
+	clear(t.predecessorRequests)
 	return requests
 }
 
 // withPendingAttempts returns the open requests of this process that have a pending attempt, ordered by ID.
-func (t *requestTable) withPending() []*request {
+func (t *requestTable) withPendingAttempts() []*request {
 	var requests []*request
 	for _, request := range t.byID {
 		if request.hasPending() {
@@ -95,7 +95,7 @@
 
 // each calls do for each open request of this process and of the predecessor.
 func (t *requestTable) each(do func(*request)) {
-	for _, requests := range []map[uint64]*request{t.byID, t.ofPredecessor} {
+	for _, requests := range []map[uint64]*request{t.byID, t.predecessorRequests} {
 		for _, request := range requests {
 			do(request)
 		}
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -8,7 +8,7 @@
 	ranRetryCost         = 1.0  // the cost of a retry after an attempt that may have run
 	notRunRetryCost      = 0.1  // the cost after one that did not run and has hardly used the backend
 	attemptTimeoutFactor = 10   // average latencies after which an attempt is abandoned for another
-	minRetryTime         = 10   // 1/n of the latency objective must be left for a retry
+	minRetryTimeDivisor  = 10   // 1/n of the latency objective must be left for a retry
 	dedupMarginEvents    = 4    // minimum event intervals by which a deduplication window ends early
 )
 
@@ -43,15 +43,15 @@
 
 // retryRule describes what may follow the attempts that a request has had.
 type retryRule struct {
-	allowed    bool     // whether another attempt may be made
-	within     *attempt // if not nil, another attempt must stay in the deduplication scope of this one
-	rejectable bool     // the request may be rejected, as it did not run or may run again
+	allowed     bool     // whether another attempt may be made
+	sameScopeAs *attempt // if not nil, another attempt must stay in the deduplication scope of this one
+	rejectable  bool     // the request may be rejected, as it did not run or may run again
 }
 
 // permits reports whether an attempt at the backend stays in the deduplication scope of an earlier attempt.
 // If that is nil, any backend is permitted.
-func (c *Class) permits(within *attempt, backend *backend) bool {
-	return within == nil || c.sameDedupScope(within.backend, backend)
+func (c *Class) permits(sameScopeAs *attempt, backend *backend) bool {
+	return sameScopeAs == nil || c.sameDedupScope(sameScopeAs.backend, backend)
 }
 
 // sameDedupScope reports whether two backends are in the same deduplication scope.
@@ -80,8 +80,8 @@
 		if c.Idempotency == NotIdempotent {
 			return retryRule{}
 		}
-		if rule.within == nil {
-			rule.within = attempt
+		if rule.sameScopeAs == nil {
+			rule.sameScopeAs = attempt
 			rule.allowed = rule.allowed && now < attempt.sentAt+c.DedupWindow-dedupMargin
 			rule.rejectable = c.DedupScope == DedupAll
 		}
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -37,15 +37,15 @@
 		{name: "not idempotent, may have run", class: never, attempts: []*attempt{notRun, ran}},
 		{
 			name: "key in its window", class: perCell, attempts: []*attempt{notRun, ran}, after: second / 2,
-			want: retryRule{allowed: true, within: ran},
+			want: retryRule{allowed: true, sameScopeAs: ran},
 		},
 		{
 			name: "key after its window", class: perCell, attempts: []*attempt{ran}, after: second,
-			want: retryRule{within: ran},
+			want: retryRule{sameScopeAs: ran},
 		},
 		{
 			name: "key in all cells", class: anywhere, attempts: []*attempt{ran},
-			want: retryRule{allowed: true, within: ran, rejectable: true},
+			want: retryRule{allowed: true, sameScopeAs: ran, rejectable: true},
 		},
 		{
 			name: "key that did not run", class: perCell, attempts: []*attempt{notRun}, after: 9 * second,
--- a/policy/simulation_actors_test.go
+++ b/policy/simulation_actors_test.go
@@ -12,7 +12,7 @@
 	freeAt    [simulatedCores]Time // the time at which each core becomes free
 	endsAt    []Time               // the end times of the requests in service or in the queue
 	startedAt Time                 // zero if the backend started before the simulation
-	gone      bool                 // removed, so connections are refused
+	isRemoved bool                 // removed, so connections are refused
 	cutOff    bool                 // requests to it are lost
 	fault     Result               // the immediate result of all attempts; zero if the backend works
 	received  []receivedRequest
@@ -25,7 +25,7 @@
 
 // serve returns the result and the end time of a request that arrives now.
 func (b *simulatedBackend) serve(now Time, settings *Settings, random *rand.Rand) (Result, Time) {
-	if b.gone {
+	if b.isRemoved {
 		return ResultConnectFailed, now
 	}
 	if b.cutOff {
@@ -79,11 +79,11 @@
 	})
 }
 
-func (n *simulatedGateway) Send(id uint64, backend uint32, until Time) (waiting bool) {
+func (n *simulatedGateway) Send(id uint64, backend uint32, deadline Time) (waiting bool) {
 	s := n.simulation
 	n.decided = true
-	if until == 0 || until > n.deadlines[id] {
-		until = n.deadlines[id]
+	if deadline == 0 || deadline > n.deadlines[id] {
+		deadline = n.deadlines[id]
 	}
 	b, number, sentAt := s.backends[backend-1], n.attempts[id], s.now
 	n.attempts[id]++
@@ -91,8 +91,8 @@
 		b.received = append(b.received, receivedRequest{sentAt, n.informed})
 	}
 	result, endsAt := b.serve(sentAt, &s.settings, s.random)
-	if endsAt > until {
-		result, endsAt = ResultTimedOut, until
+	if endsAt > deadline {
+		result, endsAt = ResultTimedOut, deadline
 	}
 	n.schedule(endsAt+simulatedDelay, func() {
 		if result == ResultOK {
@@ -106,21 +106,21 @@
 	return false
 }
 
-func (n *simulatedGateway) Reject(_ uint64, after Time)            { n.decided = n.decided || after > 0 }
+func (n *simulatedGateway) Reject(_ uint64, retryAfter Time)       { n.decided = n.decided || retryAfter > 0 }
 func (n *simulatedGateway) Fail(uint64)                            {}
 func (n *simulatedGateway) IncrementCounter(uint64, float64, Time) {}
 func (n *simulatedGateway) WatchEndpoints()                        {}
 func (n *simulatedGateway) Log(string, ...slog.Attr)               {}
 
-func (n *simulatedGateway) SetTimer(at Time, token uint32) {
-	n.schedule(at, func() { n.TimerFired(n.simulation.now, token) })
+func (n *simulatedGateway) SetTimer(at Time, timerID uint32) {
+	n.schedule(at, func() { n.TimerFired(n.simulation.now, timerID) })
 }
 
 func (n *simulatedGateway) HealthCheck(backend uint32) {
 	s := n.simulation
 	n.schedule(s.now+simulatedDelay, func() {
 		result := ResultOK
-		if s.backends[backend-1].gone {
+		if s.backends[backend-1].isRemoved {
 			result = ResultConnectFailed
 		} else if s.backends[backend-1].cutOff {
 			result = ResultTimedOut
--- a/policy/simulation_test.go
+++ b/policy/simulation_test.go
@@ -21,20 +21,20 @@
 
 // scenario is a course of events in which backends start. It is simulated with fleets of several sizes.
 type scenario struct {
-	name       string
-	backends   int     // the number of backends; zero derives it from the number of gateways
-	starting   float64 // the fraction of the backends that start at simulatedStart
-	uneven     bool    // a fifth of the gateways gets half of the traffic
-	shift      bool    // that traffic moves to other gateways two seconds after the start
-	late       float64 // the fraction of the gateways that receive updates late
-	lateBy     Time    // the additional delay of late updates
-	clockStep  Time    // how far the gateways' clocks are ahead of the clock of service discovery
-	staleLists bool    // lists arrive four times per second, in turn from before and after the start
-	mayBeIdle  bool    // minUse is not checked, as faults divert traffic from the starting backends
-	minUse     float64 // the minimum fraction of their capacity that starting backends use; zero means 0.25
-	zone       int     // the zone whose backends start; zero for any
-	handshake  float64 // the price of a handshake
-	crossZone  float64 // the price of crossing zones
+	name           string
+	backends       int     // the number of backends; zero derives it from the number of gateways
+	starting       float64 // the fraction of the backends that start at simulatedStart
+	uneven         bool    // a fifth of the gateways gets half of the traffic
+	shift          bool    // that traffic moves to other gateways two seconds after the start
+	lateFraction   float64 // the fraction of the gateways that receive updates late
+	lateBy         Time    // the additional delay of late updates
+	clockStep      Time    // how far the gateways' clocks are ahead of the clock of service discovery
+	staleLists     bool    // lists arrive four times per second, in turn from before and after the start
+	mayBeIdle      bool    // minUse is not checked, as faults divert traffic from the starting backends
+	minUtilization float64 // the minimum fraction of capacity that starting backends use; zero means 0.25
+	zone           int     // the zone whose backends start; zero for any
+	handshake      float64 // the price of a handshake
+	crossZone      float64 // the price of crossing zones
 
 	load       func(age Time) float64   // in capacities of all backends; nil for 0.7
 	settings   func(settings *Settings) // changes the default settings, if not nil
@@ -111,7 +111,7 @@
 		}
 		if stale {
 			endpoint.StartedAt = 0
-		} else if b.gone {
+		} else if b.isRemoved {
 			endpoint.State = EndpointRemoved
 		}
 		list = append(list, endpoint)
@@ -127,12 +127,12 @@
 	}
 	settings := s.settings
 	settings.Self, settings.Zone = self, self%2
-	g, err := New(settings, uint64(incarnation)<<40|s.random.Uint64()>>24, n)
+	controller, err := New(settings, uint64(incarnation)<<40|s.random.Uint64()>>24, n)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	n.Controller, s.gateways[self] = g, n
-	g.UpdateEndpoints(s.now, UpdateComplete, s.endpoints(false))
+	n.Controller, s.gateways[self] = controller, n
+	controller.UpdateEndpoints(s.now, UpdateComplete, s.endpoints(false))
 }
 
 // restartGateways schedules a restart of all gateways, one after the other.
@@ -146,7 +146,7 @@
 func (s *simulation) updateAll() {
 	for i := range s.gateways {
 		at := s.now + Time(s.random.IntN(20))*second/1000
-		if float64(i) < s.scenario.late*float64(len(s.gateways)) {
+		if float64(i) < s.scenario.lateFraction*float64(len(s.gateways)) {
 			at += s.scenario.lateBy
 		}
 		s.schedule(at, func() {
@@ -181,7 +181,7 @@
 // removeWarm removes all backends except the starting ones.
 func (s *simulation) removeWarm() {
 	for _, b := range s.backends {
-		b.gone = b.startedAt == 0
+		b.isRemoved = b.startedAt == 0
 	}
 	s.updateAll()
 }
@@ -249,7 +249,7 @@
 }
 
 // simulate runs the scenario with the given number of gateways.
-func (c *scenario) play(t *testing.T, settings Settings, gateways int, seed uint64) *simulation {
+func (c *scenario) simulate(t *testing.T, settings Settings, gateways int, seed uint64) *simulation {
 	t.Helper()
 	s := &simulation{
 		t: t, scenario: c, settings: settings, now: start,
@@ -352,7 +352,7 @@
 
 // use returns the requests that the starting backends received, as a fraction of those that they could serve
 // since their start.
-func (s *simulation) use() float64 {
+func (s *simulation) utilization() float64 {
 	received, capacity := 0.0, 0.0
 	for _, b := range s.backends {
 		if b.startedAt == 0 {
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -42,16 +42,16 @@
 // is less than one. An attempt is charged once, when it is written; while it waits for a connection, it is
 // reserved.
 type slowStart struct {
-	startedAt Time        // by the clock of this gateway; zero if unknown, which means warm
-	stamps    startStamps // of the last starts of the backend
-	bucket    tokenBucket // the attempts that may be sent now
-	reserved  int         // the number of attempts that wait for a connection
-	attempts  int         // the attempts charged since the slow start began
-	warmingUp bool        // the slow start was logged, and endIfWarm has not ended it yet
+	startedAt       Time        // by the clock of this gateway; zero if unknown, which means warm
+	stamps          startStamps // of the last starts of the backend
+	bucket          tokenBucket // the attempts that may be sent now
+	reserved        int         // the number of attempts that wait for a connection
+	chargedAttempts int         // the attempts charged since the slow start began
+	warmingUp       bool        // the slow start was logged, and endIfWarm has not ended it yet
 }
 
 // capacityShare returns the minimum share of its capacity that the backend has now. It is 1 if it is warm.
-func (s *slowStart) share(now Time, parameters *slowStartParameters) float64 {
+func (s *slowStart) capacityShare(now Time, parameters *slowStartParameters) float64 {
 	if s.startedAt == 0 || parameters.duration == 0 {
 		return 1
 	}
@@ -62,20 +62,20 @@
 // recordStart records that the backend has, or may have, started. The level is the initial level of the
 // bucket: less than one attempt, and random so that of many gateways neither all nor none send at once.
 // recordStart returns the capacity share of the backend; if it is below 1, the caller logs the slow start.
-func (s *slowStart) begin(
+func (s *slowStart) recordStart(
 	startedAt, now Time, level float64, parameters *slowStartParameters,
 ) (share float64) {
 	s.startedAt, s.bucket = startedAt, tokenBucket{level: level, updatedAt: now}
-	s.attempts = 0
-	share = s.share(now, parameters)
+	s.chargedAttempts = 0
+	share = s.capacityShare(now, parameters)
 	s.warmingUp = s.warmingUp || share < 1
 	return share
 }
 
 // importStart adopts the start known to the predecessor, which may have observed it. If this process knows a
 // start that the predecessor does not know, the later time applies.
-func (s *slowStart) restore(startedAt Time, stamps startStamps) {
-	if !stamps.includes(&s.stamps) {
+func (s *slowStart) importStart(startedAt Time, stamps startStamps) {
+	if !stamps.includesAll(&s.stamps) {
 		s.startedAt = max(s.startedAt, startedAt)
 		return
 	}
@@ -83,8 +83,8 @@
 }
 
 // endIfWarm ends the slow start if the backend is warm, and reports whether it did.
-func (s *slowStart) warmedUp(now Time, parameters *slowStartParameters) bool {
-	if !s.warmingUp || s.share(now, parameters) < 1 {
+func (s *slowStart) endIfWarm(now Time, parameters *slowStartParameters) bool {
+	if !s.warmingUp || s.capacityShare(now, parameters) < 1 {
 		return false
 	}
 	s.warmingUp = false
@@ -94,17 +94,17 @@
 // allowsAttempt reports whether a backend with a capacity share below 1 may get one more attempt. The bucket
 // is refilled at the given rate per second, up to what the rate yields in half of the overload window, so
 // that all gateways together load the backend no more than a warm one can serve.
-func (s *slowStart) allows(now Time, share, rate float64, parameters *slowStartParameters) bool {
+func (s *slowStart) allowsAttempt(now Time, share, rate float64, parameters *slowStartParameters) bool {
 	s.bucket.rate = parameters.margin * math.Max(rate, parameters.minRate(share))
 	// If half a window yields less than one attempt, an accumulated attempt is dropped unless it is used
 	// within another half window. Otherwise many gateways with little traffic would each hold one attempt and
 	// could send them all at once.
-	saved := s.bucket.rate * parameters.window / 2
-	if s.bucket.capacity = saved; saved < 1 {
-		s.bucket.capacity = 1 + saved
+	burst := s.bucket.rate * parameters.window / 2
+	if s.bucket.capacity = burst; burst < 1 {
+		s.bucket.capacity = 1 + burst
 	}
-	if overflow := s.bucket.refill(now); saved < 1 && overflow > 0 {
-		s.bucket.level = saved + math.Mod(overflow, 1)
+	if overflow := s.bucket.refill(now); burst < 1 && overflow > 0 {
+		s.bucket.level = burst + math.Mod(overflow, 1)
 	}
 	return s.bucket.level-float64(s.reserved) >= 1
 }
@@ -120,29 +120,29 @@
 
 // chargeAttempt charges an attempt to the bucket, or reserves it if the attempt waits for a connection,
 // because delayed connections may all be established at the same time.
-func (s *slowStart) charge(waiting bool) slowStartCharge {
+func (s *slowStart) chargeAttempt(waiting bool) slowStartCharge {
 	if waiting {
 		s.reserved++
 		return slowStartReserved
 	}
 	s.bucket.level--
-	s.attempts++
+	s.chargedAttempts++
 	return slowStartCharged
 }
 
-// releaseCharge cancels the reservation of an attempt, and refunds the charge of an attempt that has ended
+// release cancels the reservation of an attempt, and refunds the charge of an attempt that has ended
 // unsent. It returns the new charge of the attempt.
-func (s *slowStart) release(taken slowStartCharge, sentAt Time, unsent bool) slowStartCharge {
+func (s *slowStart) release(charge slowStartCharge, sentAt Time, unsent bool) slowStartCharge {
 	switch {
-	case taken == slowStartReserved:
+	case charge == slowStartReserved:
 		s.reserved--
 		return slowStartNotCharged
-	case taken == slowStartCharged && unsent:
+	case charge == slowStartCharged && unsent:
 		if sentAt >= s.startedAt { // charged to the current slow start
 			s.bucket.level++ // the next refill limits it to the capacity
 		}
 		return slowStartNotCharged
 	default:
-		return taken
+		return charge
 	}
 }
--- a/policy/slowstart_fleet_test.go
+++ b/policy/slowstart_fleet_test.go
@@ -30,10 +30,10 @@
 	s.schedule(s.now+6*second, s.removeWarm)
 }
 
-func loseOtherZone(s *simulation) {
+func removeOtherZone(s *simulation) {
 	s.schedule(s.now+6*second, func() {
 		for i, b := range s.backends {
-			b.gone = i%2 == 0
+			b.isRemoved = i%2 == 0
 		}
 		s.updateAll()
 	})
@@ -69,10 +69,10 @@
 	}
 }
 
-func failEarly(s *Settings)         { s.OverloadFactor, s.OverloadWindow = 1.1, 6*second }
-func shortWindow(s *Settings)       { s.OverloadWindow = second }
-func lowFactorAndFloor(s *Settings) { s.OverloadFactor, s.SlowStartFloor = 1.5, 0.15 }
-func restartGateways(s *simulation) { s.restartGateways() }
+func lowFactorLongWindow(s *Settings) { s.OverloadFactor, s.OverloadWindow = 1.1, 6*second }
+func shortWindow(s *Settings)         { s.OverloadWindow = second }
+func lowFactorAndFloor(s *Settings)   { s.OverloadFactor, s.SlowStartFloor = 1.5, 0.15 }
+func restartGateways(s *simulation)   { s.restartGateways() }
 
 var slowStartScenarios = []scenario{
 	{name: "even", starting: 0.2},
@@ -83,10 +83,10 @@
 		load: burstLoad,
 	},
 	{name: "lull", starting: 0.3, load: lullLoad},
-	{name: "late updates at some gateways", starting: 0.2, late: 0.2, lateBy: 2 * second},
+	{name: "late updates at some gateways", starting: 0.2, lateFraction: 0.2, lateBy: 2 * second},
 	{name: "many backends start", starting: 0.7, load: burstLoad},
-	{name: "all backends start", starting: 1, load: overload, minUse: 0.6},
-	{name: "warm backends removed", starting: 0.4, minUse: 0.6, afterStart: removeWarmSoon},
+	{name: "all backends start", starting: 1, load: overload, minUtilization: 0.6},
+	{name: "warm backends removed", starting: 0.4, minUtilization: 0.6, afterStart: removeWarmSoon},
 	{name: "all gateways restart", starting: 0.3, afterStart: restartGateways},
 	{
 		name: "all gateways restart, subsets, uneven", starting: 0.5, handshake: 0.08, uneven: true,
@@ -101,13 +101,13 @@
 	{name: "cross-zone price, rising load", starting: 0.3, crossZone: 0.1, load: risingLoad},
 	{
 		name: "half a zone starts, the other zone is lost", zone: 1, starting: 0.5, crossZone: 0.4,
-		mayBeIdle: true, afterStart: loseOtherZone,
+		mayBeIdle: true, afterStart: removeOtherZone,
 	},
 	{
 		name: "few backends, subsets", starting: 0.5, backends: 12, handshake: 0.08, uneven: true,
 		load: overload,
 	},
-	{name: "low overload factor", starting: 0.5, load: fullLoad, settings: failEarly},
+	{name: "low overload factor", starting: 0.5, load: fullLoad, settings: lowFactorLongWindow},
 	{
 		name: "stale list has starting backends draining", starting: 0.3, load: fullLoad, mayBeIdle: true,
 		afterStart: drainByStaleList,
@@ -150,7 +150,7 @@
 		for _, gateways := range []int{3, 20, 30, 300} {
 			t.Run(fmt.Sprintf("%s/%d", c.name, gateways), func(t *testing.T) {
 				t.Parallel()
-				assertWithinBudget(t, c.play(t, slowStartSettings(), gateways, 1))
+				assertWithinBudget(t, c.simulate(t, slowStartSettings(), gateways, 1))
 			})
 		}
 	}
@@ -164,11 +164,11 @@
 		t.Errorf("starting backend got %.0f requests in a window, %.0f from informed gateways, budget %.0f",
 			worst.total, worst.informed, worst.budget)
 	}
-	if s.use() < max(s.scenario.minUse, defaultMinUse) && !s.scenario.mayBeIdle {
-		t.Errorf("starting backends got %.2f of the requests that they could serve, too few", s.use())
+	if s.utilization() < max(s.scenario.minUtilization, defaultMinUse) && !s.scenario.mayBeIdle {
+		t.Errorf("starting backends got %.2f of the requests that they could serve, too few", s.utilization())
 	}
 	// The strict ratio is not checked: by the protocol, capacity rises at least linearly.
 	t.Logf("worst %.2f (%.0f, informed %.0f, of %.0f), strict %.2f, use %.2f, served %d of %d",
 		worst.ratio(), worst.total, worst.informed, worst.budget,
-		s.worstWindow(true).ratio(), s.use(), s.served, s.requests)
+		s.worstWindow(true).ratio(), s.utilization(), s.served, s.requests)
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -20,7 +20,7 @@
 		{name: "unknown start time", parameters: parameters, want: 1},
 		{name: "slow start disabled", slowStart: begun, want: 1},
 	} {
-		assertNear(t, c.name, c.slowStart.share(start+c.age, &c.parameters), c.want)
+		assertNear(t, c.name, c.slowStart.capacityShare(start+c.age, &c.parameters), c.want)
 	}
 }
 
@@ -28,18 +28,18 @@
 	parameters := slowStartParameters{floor: 0.5, duration: 10 * second, window: 4, margin: 1, gateways: 1}
 	const rate = 3.0
 	var s slowStart
-	s.begin(start, start, 0.5, &parameters)
-	if s.allows(start, 0.5, rate, &parameters) {
+	s.recordStart(start, start, 0.5, &parameters)
+	if s.allowsAttempt(start, 0.5, rate, &parameters) {
 		t.Error("attempt allowed although the bucket holds half of one")
 	}
 	now := start + 60*second // long enough to fill the bucket
 	allowed := 0
-	for s.allows(now, 0.5, rate, &parameters) {
-		s.charge(false)
+	for s.allowsAttempt(now, 0.5, rate, &parameters) {
+		s.chargeAttempt(false)
 		allowed++
 	}
-	if want := int(rate * parameters.window / 2); allowed != want || s.attempts != want {
-		t.Errorf("%d attempts allowed, %d counted, want %d", allowed, s.attempts, want)
+	if want := int(rate * parameters.window / 2); allowed != want || s.chargedAttempts != want {
+		t.Errorf("%d attempts allowed, %d counted, want %d", allowed, s.chargedAttempts, want)
 	}
 }
 
@@ -47,14 +47,14 @@
 func TestSlowStartBucketHoldsOneAttemptAtLowRates(t *testing.T) {
 	parameters := slowStartParameters{floor: 0.5, duration: 1e9 * second, window: 2, margin: 1, gateways: 10}
 	var s slowStart
-	s.begin(start, start, 0, &parameters)
+	s.recordStart(start, start, 0, &parameters)
 	allowed, now := 0, start
 	for range 400 {
 		now += second
-		for s.allows(now, 0.5, 0, &parameters) {
-			s.charge(false)
+		for s.allowsAttempt(now, 0.5, 0, &parameters) {
+			s.chargeAttempt(false)
 			allowed++
-			if s.allows(now, 0.5, 0, &parameters) {
+			if s.allowsAttempt(now, 0.5, 0, &parameters) {
 				t.Fatal("two attempts allowed at the same time")
 			}
 		}
@@ -74,8 +74,8 @@
 		want  bool
 	}{{3 * second, false}, {4 * second, true}, {5 * second, true}, {7 * second, false}, {8 * second, true}} {
 		var s slowStart
-		s.begin(start, start, 0, &parameters)
-		if got := s.allows(start+c.after, 0.5, rate, &parameters); got != c.want {
+		s.recordStart(start, start, 0, &parameters)
+		if got := s.allowsAttempt(start+c.after, 0.5, rate, &parameters); got != c.want {
 			t.Errorf("after %d s: allowed %t, want %t", c.after/second, got, c.want)
 		}
 	}
@@ -84,24 +84,24 @@
 func TestSlowStartReservesAndRefundsAttempts(t *testing.T) {
 	parameters := slowStartParameters{floor: 0.5, duration: 10 * second, window: 4, margin: 1, gateways: 1}
 	var s slowStart
-	s.begin(start, start, 0.9, &parameters)
+	s.recordStart(start, start, 0.9, &parameters)
 	s.bucket.level = 1
-	waiting := s.charge(true)
-	if waiting != slowStartReserved || s.allows(start, 0.5, 1, &parameters) {
+	waiting := s.chargeAttempt(true)
+	if waiting != slowStartReserved || s.allowsAttempt(start, 0.5, 1, &parameters) {
 		t.Error("reserved attempt available to another one")
 	}
 	waiting = s.release(waiting, start, false)
-	if waiting != slowStartNotCharged || s.reserved != 0 || !s.allows(start, 0.5, 1, &parameters) {
+	if waiting != slowStartNotCharged || s.reserved != 0 || !s.allowsAttempt(start, 0.5, 1, &parameters) {
 		t.Errorf("%d reserved after the release", s.reserved)
 	}
-	written := s.charge(false)
+	written := s.chargeAttempt(false)
 	if got := s.release(written, start, false); got != slowStartCharged || s.bucket.level >= 1 {
 		t.Error("charge of a sent attempt refunded")
 	}
 	if got := s.release(written, start, true); got != slowStartNotCharged || s.bucket.level < 1 {
 		t.Error("charge of an unsent attempt not refunded")
 	}
-	s.begin(start+second, start+second, 0, &parameters)
+	s.recordStart(start+second, start+second, 0, &parameters)
 	if s.release(written, start, true); s.bucket.level != 0 {
 		t.Error("charge to the previous slow start refunded to this one")
 	}
@@ -110,14 +110,14 @@
 func TestSlowStartEndIsReportedOnce(t *testing.T) {
 	parameters := slowStartParameters{floor: 0.5, duration: 10 * second}
 	var s slowStart
-	if share := s.begin(start, start, 0, &parameters); share != 0.5 || s.warmedUp(start, &parameters) {
+	if share := s.recordStart(start, start, 0, &parameters); share != 0.5 || s.endIfWarm(start, &parameters) {
 		t.Errorf("share %g at the start, want 0.5 and no end", share)
 	}
-	if !s.warmedUp(start+10*second, &parameters) || s.warmedUp(start+10*second, &parameters) {
+	if !s.endIfWarm(start+10*second, &parameters) || s.endIfWarm(start+10*second, &parameters) {
 		t.Error("want the end of the slow start reported once")
 	}
-	s.begin(start, start+10*second, 0, &parameters)
-	if s.warmedUp(start+20*second, &parameters) {
+	s.recordStart(start, start+10*second, 0, &parameters)
+	if s.endIfWarm(start+20*second, &parameters) {
 		t.Error("end reported for a backend that was warm when its start became known")
 	}
 }
@@ -134,7 +134,7 @@
 		{name: "a later start known here", own: []Time{9}, ownStart: 60, want: 60},
 	} {
 		s := slowStart{startedAt: c.ownStart, stamps: startStamps{known: c.own}}
-		if s.restore(50, startStamps{known: []Time{7}}); s.startedAt != c.want {
+		if s.importStart(50, startStamps{known: []Time{7}}); s.startedAt != c.want {
 			t.Errorf("%s: got start at %d, want %d", c.name, s.startedAt, c.want)
 		}
 	}
--- a/policy/slowstartpace_test.go
+++ b/policy/slowstartpace_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // answering returns a pace after a minute with the given rate of answers by each warm backend, and the time.
-func answering(warmBackends, perSecond int) (slowStartPace, Time) {
+func paceAfterAnswers(warmBackends, perSecond int) (slowStartPace, Time) {
 	var pace slowStartPace
 	now := start
 	pace.setWarmBackends(now, warmBackends)
@@ -18,7 +18,7 @@
 
 func TestPaceIsAnswerRateOfOneWarmBackend(t *testing.T) {
 	for _, warmBackends := range []int{1, 5} {
-		pace, now := answering(warmBackends, 20)
+		pace, now := paceAfterAnswers(warmBackends, 20)
 		if got := pace.answersPerSecond(now); got < 19 || got > 21 {
 			t.Errorf("%d warm backends: got %g answers per second of each, want 20", warmBackends, got)
 		}
@@ -29,7 +29,7 @@
 }
 
 func TestPaceIsConstantWithoutWarmBackends(t *testing.T) {
-	pace, now := answering(2, 20)
+	pace, now := paceAfterAnswers(2, 20)
 	before := pace.answersPerSecond(now)
 	for range 10 {
 		now += second
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -36,7 +36,7 @@
 		snapshot.Stamps = append(snapshot.Stamps, backend.slowStart.stamps.known)
 	}
 	snapshot.Now = c.clock.now
-	snapshot.Open = convertAll(c.requests.withPending(), encodeRequest)
+	snapshot.Open = convertAll(c.requests.withPendingAttempts(), encodeRequest)
 	return snapshot
 }
 
@@ -65,9 +65,9 @@
 	}
 	for i := range snapshot.Backends {
 		state := &snapshot.Backends[i]
-		backend := c.backends.unlisted(state.Backend, c.clock.now, c.random)
+		backend := c.backends.findOrAddUnlisted(state.Backend, c.clock.now, c.random)
 		state.decodeInto(backend, indices)
-		backend.slowStart.restore(min(state.Started, c.clock.now), snapshot.stampsOf(i))
+		backend.slowStart.importStart(min(state.Started, c.clock.now), snapshot.stampsOf(i))
 	}
 	for i := range snapshot.Open {
 		state := &snapshot.Open[i]
@@ -76,10 +76,10 @@
 			continue
 		}
 		for j := range state.Attempts {
-			backend := c.backends.unlisted(state.Attempts[j].Backend, c.clock.now, c.random)
+			backend := c.backends.findOrAddUnlisted(state.Attempts[j].Backend, c.clock.now, c.random)
 			request.restore(decodeAttempt(&state.Attempts[j], backend))
 		}
-		c.requests.addOfPredecessor(request)
+		c.requests.addPredecessorRequest(request)
 	}
 	return nil
 }
@@ -91,7 +91,7 @@
 	if !attempt.pending {
 		return
 	}
-	attempt.backend.load.add()
+	attempt.backend.load.addInFlight()
 	r.customer.inFlight++
 	if attempt.overdue {
 		attempt.backend.load.markOverdue()
--- a/policy/snapshot_codec.go
+++ b/policy/snapshot_codec.go
@@ -255,7 +255,7 @@
 		Backend: backend.ID, Started: backend.slowStart.startedAt,
 		Quiet: health.unansweredSince, SlowAt: backend.latency.updatedAt,
 		Left: health.ejectedAt, Wait: health.ejectionTime, TrialAt: health.nextProbeAt,
-		Slow: backend.latency.ratio, Errs: health.errorRate, Down: health.down, Silent: health.unresponsive,
+		Slow: backend.latency.ratio, Errs: health.errorRate, Down: health.isDown, Silent: health.unresponsive,
 		Breaks: encodeSum(health.connectionFailures), Words: encodeFaults(&backend.faults),
 		Cold: encodeBucket(backend.slowStart.bucket),
 	}
@@ -268,7 +268,7 @@
 	health.unansweredSince, health.errorRate = s.Quiet, s.Errs
 	health.connectionFailures = decodeSum(s.Breaks)
 	health.ejectedAt, health.ejectionTime, health.nextProbeAt = s.Left, s.Wait, s.TrialAt
-	health.down, health.unresponsive = s.Down, s.Silent
+	health.isDown, health.unresponsive = s.Down, s.Silent
 	backend.latency = latencyRatio{ratio: s.Slow, updatedAt: s.SlowAt}
 	backend.slowStart.bucket = decodeBucket(s.Cold)
 	decodeFaults(s.Words, indices, &backend.faults)
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -42,12 +42,12 @@
 // An ejected backend stays so; classes are matched by their names.
 func TestHandoverKeepsWhatWasLearnt(t *testing.T) {
 	h := newHarness(t, namedSettings())
-	h.backends.byID[2].health.down, h.backends.byID[2].health.nextProbeAt = true, h.at+second
+	h.backends.byID[2].health.isDown, h.backends.byID[2].health.nextProbeAt = true, h.at+second
 	h.latency.byClass[0] = movingAverage{value: 1000, samples: 5}
 	settings := namedSettings()
 	settings.Classes[0], settings.Classes[2] = settings.Classes[2], settings.Classes[0]
 	next := h.successor(t, settings)
-	if !next.backends.byID[2].health.down || !next.unhealthy(next.backends.byID[2]) {
+	if !next.backends.byID[2].health.isDown || !next.unhealthy(next.backends.byID[2]) {
 		t.Error("a backend that is down was reinstated by the handover")
 	}
 	assertNear(t, "latency of the class", next.latency.byClass[2].value, 1000)
--- a/policy/startstamps.go
+++ b/policy/startstamps.go
@@ -26,7 +26,7 @@
 }
 
 // includesAll reports whether s has all stamps of other.
-func (s *startStamps) includes(other *startStamps) bool {
+func (s *startStamps) includesAll(other *startStamps) bool {
 	isUnknown := func(stamp Time) bool { return !slices.Contains(s.known, stamp) }
 	return !slices.ContainsFunc(other.known, isUnknown)
 }
@@ -35,7 +35,7 @@
 // which the backend is in slow start. An announced start has just happened, so it is timed by this gateway's
 // own clock: a stamp may be off by as much as a clock was stepped. A gateway that has just started itself has
 // only the stamp; a stamp in the future is wrong and counts as now.
-func startOf(stamp, now Time, isAnnounced bool) (startedAt Time, reason slowStartReason) {
+func inferStart(stamp, now Time, isAnnounced bool) (startedAt Time, reason slowStartReason) {
 	if isAnnounced {
 		return now, startAnnounced
 	}
--- a/policy/startstamps_test.go
+++ b/policy/startstamps_test.go
@@ -24,7 +24,7 @@
 		other []Time
 		want  bool
 	}{{nil, true}, {[]Time{2}, true}, {[]Time{2, 1}, true}, {[]Time{2, 3}, false}} {
-		if got := known.includes(&startStamps{known: c.other}); got != c.want {
+		if got := known.includesAll(&startStamps{known: c.other}); got != c.want {
 			t.Errorf("%v: got %t, want %t", c.other, got, c.want)
 		}
 	}
@@ -42,7 +42,7 @@
 		{name: "listed", stamp: start - 9, want: start - 9, reason: startListed},
 		{name: "listed with a future stamp", stamp: start + 9, want: start, reason: startListed},
 	} {
-		if at, reason := startOf(c.stamp, start, c.isAnnounced); at != c.want || reason != c.reason {
+		if at, reason := inferStart(c.stamp, start, c.isAnnounced); at != c.want || reason != c.reason {
 			t.Errorf("%s: got start at %d for reason %v", c.name, at, reason)
 		}
 	}
