--- a/policy/controller_quota.go
+++ b/policy/controller_quota.go
@@ -48,7 +48,7 @@
 
 // refund returns a request's units to the buckets if it never reached a backend.
 func (c *Controller) refund(request *request) {
-	if request.reachedBackend {
+	if request.mayHaveReachedBackend {
 		return
 	}
 	c.refillBuckets(request.customer)
