--- a/policy/quotarequests_test.go
+++ b/policy/quotarequests_test.go
@@ -67,10 +67,10 @@
 
 func TestRemoveEndedByAnswerAndTimeout(t *testing.T) {
 	sharing, set := participantSharing(t)
-	asking := &customer{account: set}
+	waitingCustomer := &customer{account: set}
 	waiting := func(id uint64, quotaRequest byte, deadline Time, sent int) *request {
 		return &request{
-			Request: Request{ID: id}, customer: asking,
+			Request: Request{ID: id}, customer: waitingCustomer,
 			quotaRequest: quotaRequest, grantDeadline: deadline, quotaRequestsSent: sent,
 		}
 	}
@@ -83,13 +83,13 @@
 	}{
 		{"no answer", nil, grant{}, []quotaResult{quotaUnanswered, quotaRetry}, 2},
 		{
-			"approved", asking,
+			"approved", waitingCustomer,
 			grant{quotaRequest: 3, approved: true},
 			[]quotaResult{quotaApproved, quotaUnanswered, quotaRetry},
 			1,
 		},
 		{
-			"denied", asking,
+			"denied", waitingCustomer,
 			grant{quotaRequest: 4},
 			[]quotaResult{quotaUnanswered, quotaDenied, quotaRetry},
 			1,
@@ -101,7 +101,7 @@
 			2,
 		},
 		{
-			"approved after the deadline", asking,
+			"approved after the deadline", waitingCustomer,
 			grant{quotaRequest: 1, approved: true},
 			[]quotaResult{quotaApproved, quotaUnanswered},
 			2,
@@ -151,14 +151,16 @@
 
 func TestClosedRequestsAreDropped(t *testing.T) {
 	sharing, set := participantSharing(t)
-	asking := &customer{account: set}
-	ended := &request{Request: Request{ID: 1}, customer: asking, quotaRequest: 1}
-	open := &request{Request: Request{ID: 2}, customer: asking, quotaRequest: 2, grantDeadline: 9 * second}
+	waitingCustomer := &customer{account: set}
+	ended := &request{Request: Request{ID: 1}, customer: waitingCustomer, quotaRequest: 1}
+	open := &request{
+		Request: Request{ID: 2}, customer: waitingCustomer, quotaRequest: 2, grantDeadline: 9 * second,
+	}
 	requests := newQuotaRequests(12)
 	requests.add(ended)
 	requests.add(open)
 	requests.dropClosed(map[uint64]*request{2: open})
-	if got := requests.removeEnded(second, sharing, asking, grant{quotaRequest: 1}); len(got) != 0 {
+	if got := requests.removeEnded(second, sharing, waitingCustomer, grant{quotaRequest: 1}); len(got) != 0 {
 		t.Errorf("%d quota requests ended, want none", len(got))
 	}
 	if removed := requests.removeOpen(map[uint64]*request{2: open}); len(removed) != 1 || removed[0] != open {
