--- a/policy/customertable.go
+++ b/policy/customertable.go
@@ -8,7 +8,7 @@
 const sweepInterval = second // time between two searches for idle customers
 
 // customerTable holds the records of the recently active customers. byID and inOrder hold the same records.
-// reportQueue holds each customer with reports left once.
+// reportQueue holds each customer that has reports left, once.
 type customerTable struct {
 	byID        map[uint64]*customer
 	inOrder     []*customer // oldest record first
--- a/policy/quotasharing.go
+++ b/policy/quotasharing.go
@@ -157,8 +157,8 @@
 }
 
 // requiresGrant reports whether a coordinator is asked before each request is admitted. This is the case in a
-// wide replica set if the quota is so small that a gateway's share may not hold one request, and the
-// coordinators can receive that many quota requests.
+// wide replica set with a small quota: a gateway's share of it may not hold one request, and the coordinators
+// can receive a quota request for each request.
 func (s *quotaSharing) requiresGrant(account *account) bool {
 	rate := s.plan(account).Rate / float64(s.coordinatorCount(account))
 	return s.isWide(account) && rate*float64(s.receiveTime(1)) < quotaRequestShare*float64(second)
