--- a/policy/controller_quota.go
+++ b/policy/controller_quota.go
@@ -121,13 +121,13 @@
 		case quotaDenied:
 			c.admit(request, unitsUnavailable)
 		case quotaUnanswered:
-			c.counters.unanswered++
+			c.counters.quotaRequestsUnanswered++
 			request.customer.grant.creditRequest(request.Cost)
 			source := request.customer.localUnitSource(c.clock.now, c.clock.startedAt, &c.sharing,
 				request.Cost)
 			c.admit(request, source)
 		case quotaRetry:
-			c.counters.unanswered++
+			c.counters.quotaRequestsUnanswered++
 			c.admitOrRequestQuota(request)
 		}
 	}
