--- a/internal/gateway/handover_gateway.go
+++ b/internal/gateway/handover_gateway.go
@@ -51,7 +51,7 @@
 	a.handover.stopListening()
 	a.listening.handOver()
 	a.gossip.Close()
-	a.controller.GiveUpOwnership(a.events.Now())
+	a.controller.ReleaseOwnership(a.events.Now())
 	for _, b := range a.backends.byNumber {
 		a.backends.closeIdle(b)
 	}
@@ -70,7 +70,7 @@
 		a.listening.resume()
 	}
 	a.gossip.Resume()
-	a.controller.AdvertiseAll()
+	a.controller.ReportAllUsage()
 }
 
 // resumeOwnership implements handoverGateway. It is unknown what the successor has granted, and the sockets
--- a/internal/gateway/takeover.go
+++ b/internal/gateway/takeover.go
@@ -218,7 +218,7 @@
 type predecessorAttemptSent struct{ sent handover.AttemptSent }
 
 func (e predecessorAttemptSent) Handle(g *Gateway) {
-	g.controller.PredecessorSent(g.events.Now(), e.sent.RequestID, e.sent.Backend)
+	g.controller.PredecessorAttemptSent(g.events.Now(), e.sent.RequestID, e.sent.Backend)
 }
 
 // predecessorAttemptEnded reports the outcome of an attempt that the predecessor has sent.
--- a/policy/controller_gossip.go
+++ b/policy/controller_gossip.go
@@ -125,8 +125,8 @@
 	}
 }
 
-// AdvertiseAll schedules reports of all customers, as messages may have been lost.
-func (c *Controller) AdvertiseAll() {
+// ReportAllUsage schedules reports of all customers, as messages may have been lost.
+func (c *Controller) ReportAllUsage() {
 	for _, customer := range c.customers.inOrder {
 		c.customers.scheduleReport(&c.sharing, customer)
 	}
--- a/policy/ownership.go
+++ b/policy/ownership.go
@@ -3,9 +3,9 @@
 // Two processes of one gateway share its work while one takes over from the other: the one that
 // owns the buckets admits requests, the other one only carries its open requests to their end.
 
-// GiveUpOwnership has this controller admit nothing more, as another process owns the buckets from
+// ReleaseOwnership has this controller admit nothing more, as another process owns the buckets from
 // now on. Requests that wait for a coordinator's grant are rejected: its answer goes to the other.
-func (c *Controller) GiveUpOwnership(now Time) {
+func (c *Controller) ReleaseOwnership(now Time) {
 	c.advanceClock(now)
 	c.gaveUpOwnership = true
 	for _, request := range c.quotaRequests.removeOpen(c.requests.byID) {
@@ -28,8 +28,8 @@
 	c.sharedBucket.level = 0
 }
 
-// PredecessorSent counts another attempt that the former process has sent.
-func (c *Controller) PredecessorSent(now Time, id uint64, backend uint32) {
+// PredecessorAttemptSent counts another attempt that the former process has sent.
+func (c *Controller) PredecessorAttemptSent(now Time, id uint64, backend uint32) {
 	c.advanceClock(now)
 	if request := c.requests.ofPredecessor[id]; request != nil {
 		c.chargeSlowStart(c.recordSend(request, c.backends.unlisted(backend, c.clock.now, c.random)), false)
--- a/policy/ownership_test.go
+++ b/policy/ownership_test.go
@@ -13,7 +13,7 @@
 	}
 	backendID := h.lastAttempt(id).backend.ID
 	next := h.successor(t, namedSettings())
-	h.GiveUpOwnership(h.at)
+	h.ReleaseOwnership(h.at)
 	if next.serve(2, 7, 1) {
 		t.Error("the second process granted a burst again")
 	}
@@ -48,8 +48,8 @@
 	h := newHarness(t, namedSettings())
 	id, _ := h.request(0, 1, 8, 2)
 	next := h.successor(t, namedSettings())
-	next.PredecessorSent(next.at, id, 2)
-	next.PredecessorSent(next.at, 999, 2) // of an unknown request
+	next.PredecessorAttemptSent(next.at, id, 2)
+	next.PredecessorAttemptSent(next.at, 999, 2) // of an unknown request
 	inFlight := func() (total int) {
 		for _, backend := range next.backends.inOrder {
 			total += backend.load.inFlight
@@ -76,7 +76,7 @@
 func TestResumedOwnershipGrantsNoFreshBurst(t *testing.T) {
 	h := newHarness(t, namedSettings())
 	h.serve(2, 7, 1)
-	h.GiveUpOwnership(h.at)
+	h.ReleaseOwnership(h.at)
 	h.ResumeOwnership(h.at)
 	customer := h.customers.byID[7]
 	plan := h.settings.Plans[2]
