--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		return err
 	}
-	cfg, err := control.Read()
+	cfg, err := control.ReadConfig()
 	if err != nil {
 		return err
 	}
--- a/cmd/gateway/signals.go
+++ b/cmd/gateway/signals.go
@@ -24,5 +24,5 @@
 			reload <- struct{}{}
 		}
 	}()
-	return gateway.Control{Stop: shutdown, Reload: reload, Read: readConfiguration}
+	return gateway.Control{Stop: shutdown, Reload: reload, ReadConfig: readConfiguration}
 }
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -8,9 +8,9 @@
 
 // Control lets the surrounding program shut a gateway down and reload its configuration.
 type Control struct {
-	Stop   <-chan struct{}               // closed to request a planned shutdown
-	Reload <-chan struct{}               // receives a value for each requested reload of the configuration
-	Read   func() (config.Config, error) // reads the current configuration
+	Stop       <-chan struct{}               // closed to request a planned shutdown
+	Reload     <-chan struct{}               // receives a value to request a reload of the configuration
+	ReadConfig func() (config.Config, error) // reads the current configuration
 }
 
 // run forwards requests to the event loop until ctx ends. If a configuration cannot be read, the one in force
@@ -25,7 +25,7 @@
 		case <-stop:
 			stop, e = nil, shutdownRequested{}
 		case <-c.Reload:
-			cfg, err := c.Read()
+			cfg, err := c.ReadConfig()
 			if err != nil {
 				g.rejectConfig(err)
 				continue
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -24,9 +24,9 @@
 // String returns the name of the phase for log messages.
 func (p endpointPhase) String() string { return [...]string{"configured", "imported", "received"}[p] }
 
-// endpointSteps lists the legal steps. A list from discovery is never replaced by that of a predecessor, nor
-// either of them by that of the configuration.
-var endpointSteps = phase.Steps[endpointPhase]{
+// endpointTransitions lists the legal transitions. A list from discovery is never replaced by that of a
+// predecessor, nor either of them by that of the configuration.
+var endpointTransitions = phase.Steps[endpointPhase]{
 	endpointsConfigured: {endpointsImported, endpointsReceived},
 	endpointsImported:   {endpointsReceived},
 }
@@ -56,7 +56,7 @@
 // newEndpointList returns an endpoint list that knows the zones of the configuration.
 func newEndpointList(zones []string, gateway endpointGateway, log *slog.Logger) *endpointList {
 	return &endpointList{
-		phase: phase.New("endpoints", endpointsConfigured, endpointSteps, reportIllegalStep(log)),
+		phase: phase.New("endpoints", endpointsConfigured, endpointTransitions, reportIllegalTransition(log)),
 		zones: zones, gateway: gateway,
 	}
 }
--- a/internal/gateway/endpoints_phase_test.go
+++ b/internal/gateway/endpoints_phase_test.go
@@ -28,7 +28,7 @@
 }
 
 func newFakeEndpoints() (*endpointList, *fakeEndpointGateway, *[]string) {
-	log, illegal := newIllegalStepLog()
+	log, illegal := newIllegalTransitionLog()
 	f := &fakeEndpointGateway{draining: map[string]discovery.Endpoint{}}
 	return newEndpointList([]string{"own"}, f, log), f, illegal
 }
@@ -53,7 +53,7 @@
 		wantPhase(t, &e.phase, endpointsReceived)
 		f.wantCalls(t, "updateEndpoints", "startAccepting")
 	}
-	wantIllegalSteps(t, illegal)
+	wantIllegalTransitions(t, illegal)
 }
 
 // A list that discovery has sent is not replaced by a predecessor's list.
@@ -64,17 +64,17 @@
 	e.importList(nil)
 	wantPhase(t, &e.phase, endpointsReceived)
 	f.wantCalls(t)
-	wantIllegalSteps(t, illegal)
+	wantIllegalTransitions(t, illegal)
 }
 
-func TestEndpointListRejectsIllegalSteps(t *testing.T) {
+func TestEndpointListRejectsIllegalTransitions(t *testing.T) {
 	e, f, illegal := newFakeEndpoints()
 	e.importList(nil)
 	f.wantCalls(t, "updateEndpoints")
 	e.importList(nil)
 	wantPhase(t, &e.phase, endpointsImported)
 	f.wantCalls(t)
-	wantIllegalSteps(t, illegal, "endpoints: no step from imported to imported")
+	wantIllegalTransitions(t, illegal, "endpoints: no step from imported to imported")
 }
 
 // An update with an older revision does not end a drain, unless the backend has restarted.
--- a/internal/gateway/handover.go
+++ b/internal/gateway/handover.go
@@ -31,8 +31,9 @@
 	return [...]string{"none", "offered", "accepted"}[p]
 }
 
-// handoverSteps lists the legal steps. A successor that exits, or takes too long, leads back to none.
-var handoverSteps = phase.Steps[handoverPhase]{
+// handoverTransitions lists the legal transitions. A successor that exits, or takes too long, leads back to
+// none.
+var handoverTransitions = phase.Steps[handoverPhase]{
 	handoverNone:     {handoverOffered},
 	handoverOffered:  {handoverAccepted, handoverNone},
 	handoverAccepted: {handoverNone},
@@ -91,7 +92,7 @@
 
 func newOutgoingHandover(gateway handoverGateway, log *slog.Logger) *outgoingHandover {
 	return &outgoingHandover{
-		phase:   phase.New("handover", handoverNone, handoverSteps, reportIllegalStep(log)),
+		phase:   phase.New("handover", handoverNone, handoverTransitions, reportIllegalTransition(log)),
 		gateway: gateway, log: log,
 	}
 }
--- a/internal/gateway/handover_phase_test.go
+++ b/internal/gateway/handover_phase_test.go
@@ -68,9 +68,9 @@
 func (f *fakeHandoverGateway) stopIfIdle()                         { f.record("stopIfIdle") }
 func (f *fakeHandoverGateway) setStateTimeout(successorLink)       { f.record("setStateTimeout") }
 
-// newFakeHandover returns a handover, its fake gateway, and the illegal steps that it reports.
+// newFakeHandover returns a handover, its fake gateway, and the illegal transitions that it reports.
 func newFakeHandover() (*outgoingHandover, *fakeHandoverGateway, *[]string) {
-	log, illegal := newIllegalStepLog()
+	log, illegal := newIllegalTransitionLog()
 	f := &fakeHandoverGateway{}
 	return newOutgoingHandover(f, log), f, illegal
 }
@@ -103,7 +103,7 @@
 	h.close()
 	link.wantCalls(t, "SendAttemptSent", "SendAttemptEnded", "SendCostSettled", "SendClient", "CloseAndWait")
 	f.wantCalls(t)
-	wantIllegalSteps(t, illegal)
+	wantIllegalTransitions(t, illegal)
 }
 
 // If a successor does not accept the state in time, or exits before, this process remains the owner.
@@ -129,7 +129,7 @@
 			h.close()
 			f.wantCalls(t)
 			link.wantCalls(t, "Close")
-			wantIllegalSteps(t, illegal)
+			wantIllegalTransitions(t, illegal)
 		})
 	}
 }
@@ -151,7 +151,7 @@
 	wantPhase(t, &h.phase, handoverOffered)
 	f.wantCalls(t, "pauseServing", "setStateTimeout")
 	second.wantCalls(t, "SendState")
-	wantIllegalSteps(t, illegal)
+	wantIllegalTransitions(t, illegal)
 }
 
 func TestHandoverRefusesSuccessor(t *testing.T) {
@@ -175,12 +175,12 @@
 			wantPhase(t, &h.phase, before)
 			f.wantCalls(t)
 			link.wantCalls(t, "Close")
-			wantIllegalSteps(t, illegal)
+			wantIllegalTransitions(t, illegal)
 		})
 	}
 }
 
-func TestHandoverRejectsIllegalSteps(t *testing.T) {
+func TestHandoverRejectsIllegalTransitions(t *testing.T) {
 	h, f, illegal := newFakeHandover()
 	link := &fakeLink{}
 	h.offerState(link)
@@ -188,11 +188,11 @@
 	f.calls = nil
 	h.handleStateAccepted(link)
 	wantPhase(t, &h.phase, handoverAccepted)
-	wantIllegalSteps(t, illegal, "handover: no step from accepted to accepted")
+	wantIllegalTransitions(t, illegal, "handover: no step from accepted to accepted")
 	h.handleSuccessorExited(link)
 	f.wantCalls(t, "resumeOwnership", "stopIfIdle")
 	h.end()
 	wantPhase(t, &h.phase, handoverNone)
 	f.wantCalls(t)
-	wantIllegalSteps(t, illegal, "handover: no step from none to none")
+	wantIllegalTransitions(t, illegal, "handover: no step from none to none")
 }
--- a/internal/gateway/listening.go
+++ b/internal/gateway/listening.go
@@ -35,9 +35,9 @@
 	return [...]string{"waiting", "accepting", "paused", "handed_over", "draining", "closed"}[p]
 }
 
-// listeningSteps lists the legal steps. A handover that is not completed leads back to accepting. A shutdown
-// drains the backlog in any phase, unless the successor has the listener.
-var listeningSteps = phase.Steps[listeningPhase]{
+// listeningTransitions lists the legal transitions. A handover that is not completed leads back to accepting.
+// A shutdown drains the backlog in any phase, unless the successor has the listener.
+var listeningTransitions = phase.Steps[listeningPhase]{
 	listeningWaiting:    {listeningAccepting, listeningDraining},
 	listeningAccepting:  {listeningPaused, listeningDraining},
 	listeningPaused:     {listeningAccepting, listeningHandedOver, listeningDraining},
@@ -60,7 +60,7 @@
 
 func newListening(slots chan struct{}, post func(event), log *slog.Logger) *listening {
 	return &listening{
-		phase: phase.New("listening", listeningWaiting, listeningSteps, reportIllegalStep(log)),
+		phase: phase.New("listening", listeningWaiting, listeningTransitions, reportIllegalTransition(log)),
 		slots: slots, drainBacklog: make(chan struct{}), post: post, log: log,
 	}
 }
--- a/internal/gateway/listening_test.go
+++ b/internal/gateway/listening_test.go
@@ -6,7 +6,7 @@
 // waits for a slot until it is stopped.
 func newListeningWithoutSocket(t *testing.T) (s *listening, illegal *[]string) {
 	t.Helper()
-	log, illegal := newIllegalStepLog()
+	log, illegal := newIllegalTransitionLog()
 	s = newListening(make(chan struct{}), func(event) { t.Error("an event was posted") }, log)
 	t.Cleanup(func() {
 		if s.stopAccepting != nil {
@@ -56,7 +56,7 @@
 				call(s)
 			}
 			wantPhase(t, &s.phase, run.want)
-			wantIllegalSteps(t, illegal)
+			wantIllegalTransitions(t, illegal)
 			accepts := run.want == listeningAccepting || run.want == listeningDraining
 			if got := s.stopAccepting != nil; got != accepts {
 				t.Errorf("accept goroutine is running: got %t", got)
@@ -72,19 +72,19 @@
 	}
 }
 
-func TestListeningRejectsIllegalSteps(t *testing.T) {
+func TestListeningRejectsIllegalTransitions(t *testing.T) {
 	s, illegal := newListeningWithoutSocket(t)
 	s.pause()
 	wantPhase(t, &s.phase, listeningWaiting)
-	wantIllegalSteps(t, illegal, "listening: no step from waiting to paused")
+	wantIllegalTransitions(t, illegal, "listening: no step from waiting to paused")
 	s.resume()
 	s.resume()
 	wantPhase(t, &s.phase, listeningAccepting)
-	wantIllegalSteps(t, illegal, "listening: no step from accepting to accepting")
+	wantIllegalTransitions(t, illegal, "listening: no step from accepting to accepting")
 	s.shutDown(false)
 	s.shutDown(false)
 	s.resume()
 	wantPhase(t, &s.phase, listeningDraining)
-	wantIllegalSteps(t, illegal, "listening: no step from draining to draining",
+	wantIllegalTransitions(t, illegal, "listening: no step from draining to draining",
 		"listening: no step from draining to accepting")
 }
--- a/internal/gateway/phases_test.go
+++ b/internal/gateway/phases_test.go
@@ -9,24 +9,24 @@
 	"sparspread/internal/phase"
 )
 
-// illegalStepLog is a log handler that collects the illegal steps of state machines.
-type illegalStepLog struct {
+// illegalTransitionLog is a log handler that collects the illegal transitions of state machines.
+type illegalTransitionLog struct {
 	slog.Handler
 	illegal *[]string
 }
 
-// newIllegalStepLog returns a log, and the illegal steps that are reported to it.
-func newIllegalStepLog() (log *slog.Logger, illegal *[]string) {
+// newIllegalTransitionLog returns a log, and the illegal transitions that are reported to it.
+func newIllegalTransitionLog() (log *slog.Logger, illegal *[]string) {
 	illegal = new([]string)
-	return slog.New(illegalStepLog{slog.DiscardHandler, illegal}), illegal
+	return slog.New(illegalTransitionLog{slog.DiscardHandler, illegal}), illegal
 }
 
 // Enabled implements slog.Handler.
-func (illegalStepLog) Enabled(context.Context, slog.Level) bool { return true }
+func (illegalTransitionLog) Enabled(context.Context, slog.Level) bool { return true }
 
 // Handle implements slog.Handler.
-func (h illegalStepLog) Handle(_ context.Context, record slog.Record) error {
-	if record.Message == illegalStepMessage && record.Level == slog.LevelError {
+func (h illegalTransitionLog) Handle(_ context.Context, record slog.Record) error {
+	if record.Message == illegalTransitionMessage && record.Level == slog.LevelError {
 		record.Attrs(func(a slog.Attr) bool {
 			*h.illegal = append(*h.illegal, a.Value.String())
 			return true
@@ -35,11 +35,11 @@
 	return nil
 }
 
-// wantIllegalSteps checks which steps were reported as illegal, and clears the report.
-func wantIllegalSteps(t *testing.T, illegal *[]string, want ...string) {
+// wantIllegalTransitions checks which transitions were reported as illegal, and clears the report.
+func wantIllegalTransitions(t *testing.T, illegal *[]string, want ...string) {
 	t.Helper()
 	if !slices.Equal(*illegal, want) {
-		t.Errorf("illegal steps %q, want %q", *illegal, want)
+		t.Errorf("illegal transitions: got %q, want %q", *illegal, want)
 	}
 	*illegal = nil
 }
@@ -48,7 +48,7 @@
 func wantPhase[P phase.Phase](t *testing.T, m *phase.Machine[P], want P) {
 	t.Helper()
 	if m.Current() != want {
-		t.Errorf("phase %s, want %s", m.Current(), want)
+		t.Errorf("got phase %s, want %s", m.Current(), want)
 	}
 }
 
@@ -61,7 +61,7 @@
 func (e *callRecorder) wantCalls(t *testing.T, calls ...string) {
 	t.Helper()
 	if !slices.Equal(e.calls, calls) {
-		t.Errorf("calls %q, want %q", e.calls, calls)
+		t.Errorf("got calls %q, want %q", e.calls, calls)
 	}
 	e.calls = nil
 }
@@ -71,13 +71,13 @@
 func checkPhaseTable[P interface {
 	phase.Phase
 	~uint8
-}](t *testing.T, steps phase.Steps[P], n int, first ...P) {
+}](t *testing.T, transitions phase.Steps[P], n int, first ...P) {
 	t.Helper()
 	reached := map[P]bool{}
 	for queue := first; len(queue) > 0; queue = queue[1:] {
 		if !reached[queue[0]] {
 			reached[queue[0]] = true
-			queue = append(queue, steps[queue[0]]...)
+			queue = append(queue, transitions[queue[0]]...)
 		}
 	}
 	names := map[string]bool{}
@@ -94,21 +94,21 @@
 
 func TestPhaseTablesReachEachPhase(t *testing.T) {
 	t.Run("listening", func(t *testing.T) {
-		checkPhaseTable(t, listeningSteps, 6, listeningWaiting)
+		checkPhaseTable(t, listeningTransitions, 6, listeningWaiting)
 	})
 	t.Run("takeover", func(t *testing.T) {
-		checkPhaseTable(t, takeoverSteps, 6, takeoverNone, takeoverPending)
+		checkPhaseTable(t, takeoverTransitions, 6, takeoverNone, takeoverPending)
 	})
 	t.Run("handover", func(t *testing.T) {
-		checkPhaseTable(t, handoverSteps, 3, handoverNone)
+		checkPhaseTable(t, handoverTransitions, 3, handoverNone)
 	})
 	t.Run("shutdown", func(t *testing.T) {
-		checkPhaseTable(t, shutdownSteps, 4, shutdownNone)
+		checkPhaseTable(t, shutdownTransitions, 4, shutdownNone)
 	})
 	t.Run("reload", func(t *testing.T) {
-		checkPhaseTable(t, reloadSteps, 3, reloadNone)
+		checkPhaseTable(t, reloadTransitions, 3, reloadNone)
 	})
 	t.Run("endpoints", func(t *testing.T) {
-		checkPhaseTable(t, endpointSteps, 3, endpointsConfigured)
+		checkPhaseTable(t, endpointTransitions, 3, endpointsConfigured)
 	})
 }
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -19,9 +19,9 @@
 // String returns the name of the phase for log messages.
 func (p reloadPhase) String() string { return [...]string{"none", "checking", "applying"}[p] }
 
-// reloadSteps lists the legal steps. An invalid configuration is rejected as a whole, before any of it is
-// applied.
-var reloadSteps = phase.Steps[reloadPhase]{
+// reloadTransitions lists the legal transitions. An invalid configuration is rejected as a whole, before any
+// of it is applied.
+var reloadTransitions = phase.Steps[reloadPhase]{
 	reloadNone:     {reloadChecking},
 	reloadChecking: {reloadNone, reloadApplying},
 	reloadApplying: {reloadNone},
@@ -47,7 +47,7 @@
 
 func newReload(gateway reloadGateway, log *slog.Logger) *reload {
 	return &reload{
-		phase:   phase.New("reload", reloadNone, reloadSteps, reportIllegalStep(log)),
+		phase:   phase.New("reload", reloadNone, reloadTransitions, reportIllegalTransition(log)),
 		gateway: gateway,
 	}
 }
--- a/internal/gateway/reload_phase_test.go
+++ b/internal/gateway/reload_phase_test.go
@@ -29,7 +29,7 @@
 }
 
 func newFakeReload() (*reload, *fakeReloadGateway, *[]string) {
-	log, illegal := newIllegalStepLog()
+	log, illegal := newIllegalTransitionLog()
 	f := &fakeReloadGateway{}
 	return newReload(f, log), f, illegal
 }
@@ -41,7 +41,7 @@
 		f.wantCalls(t, "applySettings", "applyReload")
 		wantPhase(t, &r.phase, reloadNone)
 	}
-	wantIllegalSteps(t, illegal)
+	wantIllegalTransitions(t, illegal)
 }
 
 func TestReloadRejectsInvalidConfiguration(t *testing.T) {
@@ -53,11 +53,11 @@
 	f.checkErr = nil
 	r.load(config.Config{})
 	f.wantCalls(t, "applySettings", "applyReload")
-	wantIllegalSteps(t, illegal)
+	wantIllegalTransitions(t, illegal)
 }
 
 // A reload cannot start during another one.
-func TestReloadRejectsIllegalSteps(t *testing.T) {
+func TestReloadRejectsIllegalTransitions(t *testing.T) {
 	r, f, illegal := newFakeReload()
 	f.during = func() {
 		wantPhase(t, &r.phase, reloadChecking)
@@ -65,5 +65,5 @@
 	}
 	r.load(config.Config{})
 	f.wantCalls(t, "applySettings", "applyReload")
-	wantIllegalSteps(t, illegal, "reload: no step from checking to checking")
+	wantIllegalTransitions(t, illegal, "reload: no step from checking to checking")
 }
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -62,22 +62,22 @@
 	return typed
 }
 
-// discardLog returns a log that discards its records, except for an illegal step of a state machine, which
-// panics.
-func discardLog() *slog.Logger { return slog.New(illegalStepPanicHandler{}) }
+// discardLog returns a log that discards its records, except for an illegal transition of a state machine,
+// which panics.
+func discardLog() *slog.Logger { return slog.New(illegalTransitionPanicHandler{}) }
 
-// illegalStepPanicHandler is a log handler that panics on an illegal step of a state machine and discards all
-// other records.
-type illegalStepPanicHandler struct{}
+// illegalTransitionPanicHandler is a log handler that panics on an illegal transition of a state machine and
+// discards all other records.
+type illegalTransitionPanicHandler struct{}
 
 // Enabled implements slog.Handler. It enables all levels.
-func (illegalStepPanicHandler) Enabled(context.Context, slog.Level) bool { return true }
+func (illegalTransitionPanicHandler) Enabled(context.Context, slog.Level) bool { return true }
 
 // Handle implements slog.Handler. It formats all values, like a handler that writes them.
-func (illegalStepPanicHandler) Handle(_ context.Context, record slog.Record) error {
+func (illegalTransitionPanicHandler) Handle(_ context.Context, record slog.Record) error {
 	record.Attrs(func(a slog.Attr) bool {
-		if text := a.Value.String(); record.Message == illegalStepMessage {
-			panic(illegalStepMessage + ": " + text)
+		if text := a.Value.String(); record.Message == illegalTransitionMessage {
+			panic(illegalTransitionMessage + ": " + text)
 		}
 		return true
 	})
@@ -85,10 +85,10 @@
 }
 
 // WithAttrs implements slog.Handler. It returns the same handler.
-func (h illegalStepPanicHandler) WithAttrs([]slog.Attr) slog.Handler { return h }
+func (h illegalTransitionPanicHandler) WithAttrs([]slog.Attr) slog.Handler { return h }
 
 // WithGroup implements slog.Handler. It returns the same handler.
-func (h illegalStepPanicHandler) WithGroup(string) slog.Handler { return h }
+func (h illegalTransitionPanicHandler) WithGroup(string) slog.Handler { return h }
 
 // fakeClock is a clock of an event loop that stands still until the test advances or starts it.
 type fakeClock struct {
@@ -269,7 +269,7 @@
 		reload: make(chan struct{}), configs: make(chan func() (config.Config, error), 1),
 	}
 	read := func() (config.Config, error) { return (<-r.configs)() }
-	control := Control{Stop: r.stopped, Reload: r.reload, Read: read}
+	control := Control{Stop: r.stopped, Reload: r.reload, ReadConfig: read}
 	go func() { g.serve(control); close(r.ended) }()
 	tb.Cleanup(func() {
 		r.shutDown()
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -57,9 +57,9 @@
 	return [...]string{"none", "accepting", "closing", "answered"}[p]
 }
 
-// shutdownSteps lists the legal steps. A shutdown passes through all phases in order, unless the gateway
-// stops earlier.
-var shutdownSteps = phase.Steps[shutdownPhase]{
+// shutdownTransitions lists the legal transitions. A shutdown passes through all phases in order, unless the
+// gateway stops earlier.
+var shutdownTransitions = phase.Steps[shutdownPhase]{
 	shutdownNone:      {shutdownAccepting},
 	shutdownAccepting: {shutdownClosing},
 	shutdownClosing:   {shutdownAnswered},
@@ -94,7 +94,7 @@
 
 func newShutdown(gateway shutdownGateway, log *slog.Logger) *shutdown {
 	return &shutdown{
-		phase:   phase.New("shutdown", shutdownNone, shutdownSteps, reportIllegalStep(log)),
+		phase:   phase.New("shutdown", shutdownNone, shutdownTransitions, reportIllegalTransition(log)),
 		gateway: gateway,
 	}
 }
--- a/internal/gateway/shutdown_phase_test.go
+++ b/internal/gateway/shutdown_phase_test.go
@@ -21,7 +21,7 @@
 }
 
 func newFakeShutdown() (*shutdown, *fakeShutdownGateway, *[]string) {
-	log, illegal := newIllegalStepLog()
+	log, illegal := newIllegalTransitionLog()
 	f := &fakeShutdownGateway{}
 	return newShutdown(f, log), f, illegal
 }
@@ -54,7 +54,7 @@
 	}
 	s.takeStep(stepExit)
 	f.wantCalls(t, "stop")
-	wantIllegalSteps(t, illegal)
+	wantIllegalTransitions(t, illegal)
 }
 
 // A shutdown stops the gateway at any step as soon as nothing is open.
@@ -67,7 +67,7 @@
 	f.wantCalls(t, "stopAccepting", "stop")
 	s.takeStep(stepAnswerAll)
 	f.wantCalls(t, "answerAll", "stop")
-	wantIllegalSteps(t, illegal)
+	wantIllegalTransitions(t, illegal)
 }
 
 // A process that waits for the state of its predecessor exits immediately, and the predecessor continues.
@@ -76,18 +76,18 @@
 	f.takesOver = true
 	s.start()
 	f.wantCalls(t, "announce", "abandonTakeover", "stop")
-	wantIllegalSteps(t, illegal)
+	wantIllegalTransitions(t, illegal)
 }
 
-func TestShutdownRejectsIllegalSteps(t *testing.T) {
+func TestShutdownRejectsIllegalTransitions(t *testing.T) {
 	s, f, illegal := newFakeShutdown()
 	s.takeStep(stepStopAccepting)
 	wantPhase(t, &s.phase, shutdownNone)
-	wantIllegalSteps(t, illegal, "shutdown: no step from none to closing")
+	wantIllegalTransitions(t, illegal, "shutdown: no step from none to closing")
 	s.start()
 	f.calls = nil
 	s.takeStep(stepAnswerAll)
 	wantPhase(t, &s.phase, shutdownAccepting)
-	wantIllegalSteps(t, illegal, "shutdown: no step from accepting to answered")
+	wantIllegalTransitions(t, illegal, "shutdown: no step from accepting to answered")
 	f.wantCalls(t)
 }
--- a/internal/gateway/takeover.go
+++ b/internal/gateway/takeover.go
@@ -29,8 +29,8 @@
 	return [...]string{"none", "pending", "started", "watching", "complete", "abandoned"}[p]
 }
 
-// takeoverSteps lists the legal steps.
-var takeoverSteps = phase.Steps[takeoverPhase]{
+// takeoverTransitions lists the legal transitions.
+var takeoverTransitions = phase.Steps[takeoverPhase]{
 	takeoverPending:  {takeoverStarted, takeoverAbandoned},
 	takeoverStarted:  {takeoverWatching, takeoverComplete, takeoverAbandoned},
 	takeoverWatching: {takeoverComplete},
@@ -70,7 +70,7 @@
 	if from != nil {
 		first, t.link, t.gossip = takeoverPending, from, from.Gossip
 	}
-	t.phase = phase.New("takeover", first, takeoverSteps, reportIllegalStep(log))
+	t.phase = phase.New("takeover", first, takeoverTransitions, reportIllegalTransition(log))
 	return t
 }
 
--- a/internal/gateway/takeover_test.go
+++ b/internal/gateway/takeover_test.go
@@ -28,7 +28,7 @@
 }
 
 func TestTakeoverWithoutPredecessor(t *testing.T) {
-	log, illegal := newIllegalStepLog()
+	log, illegal := newIllegalTransitionLog()
 	f := &fakeTakeover{}
 	o := newTakeover(nil, f, log)
 	o.requestState(nil)
@@ -39,11 +39,11 @@
 	if o.hasPredecessor() || o.isPending() || o.predecessorRuns() {
 		t.Error("the takeover has a predecessor")
 	}
-	wantIllegalSteps(t, illegal)
+	wantIllegalTransitions(t, illegal)
 }
 
 func TestTakeoverWithState(t *testing.T) {
-	log, illegal := newIllegalStepLog()
+	log, illegal := newIllegalTransitionLog()
 	o, f := newPendingTakeover(log)
 	if !o.hasPredecessor() || !o.isPending() || o.predecessorRuns() {
 		t.Error("the takeover is not pending")
@@ -63,22 +63,22 @@
 	f.wantCalls(t, "useAllResources")
 	o.close()
 	f.wantCalls(t, "Abandon")
-	wantIllegalSteps(t, illegal)
+	wantIllegalTransitions(t, illegal)
 }
 
 func TestTakeoverWithoutState(t *testing.T) {
-	log, illegal := newIllegalStepLog()
+	log, illegal := newIllegalTransitionLog()
 	o, f := newPendingTakeover(log)
 	o.requestState(nil)
 	o.receiveState(nil)
 	o.handlePredecessorExited()
 	wantPhase(t, &o.phase, takeoverComplete)
 	f.wantCalls(t, "Start", "startServing")
-	wantIllegalSteps(t, illegal)
+	wantIllegalTransitions(t, illegal)
 }
 
 func TestTakeoverAbandon(t *testing.T) {
-	log, illegal := newIllegalStepLog()
+	log, illegal := newIllegalTransitionLog()
 	for _, started := range []bool{false, true} {
 		o, f := newPendingTakeover(log)
 		if started {
@@ -94,15 +94,15 @@
 			t.Error("abandoned takeover is pending, or has no predecessor")
 		}
 	}
-	wantIllegalSteps(t, illegal)
+	wantIllegalTransitions(t, illegal)
 }
 
-func TestTakeoverRejectsIllegalSteps(t *testing.T) {
-	log, illegal := newIllegalStepLog()
+func TestTakeoverRejectsIllegalTransitions(t *testing.T) {
+	log, illegal := newIllegalTransitionLog()
 	o, f := newPendingTakeover(log)
 	o.receiveState(&handover.State{}) // before it was requested
 	wantPhase(t, &o.phase, takeoverPending)
-	wantIllegalSteps(t, illegal, "takeover: no step from pending to watching")
+	wantIllegalTransitions(t, illegal, "takeover: no step from pending to watching")
 	o.requestState(nil)
 	o.receiveState(nil)
 	f.wantCalls(t, "Start", "startServing")
@@ -110,6 +110,6 @@
 	o.abandon()
 	wantPhase(t, &o.phase, takeoverComplete)
 	f.wantCalls(t)
-	wantIllegalSteps(t, illegal, "takeover: no step from complete to watching",
+	wantIllegalTransitions(t, illegal, "takeover: no step from complete to watching",
 		"takeover: no step from complete to abandoned")
 }
