--- a/internal/gateway/handover.go
+++ b/internal/gateway/handover.go
@@ -159,12 +159,12 @@
 
 // end ends a handover that was not completed, or whose successor has exited: this process serves again.
 func (h *outgoingHandover) end() {
-	given, commands := h.hasReleasedOwnership(), h.queuedCommands
+	released, commands := h.hasReleasedOwnership(), h.queuedCommands
 	if !h.phase.Step(handoverNone) {
 		return
 	}
 	h.link, h.queuedCommands = nil, nil
-	if given {
+	if released {
 		h.gateway.resumeOwnership()
 	} else {
 		h.gateway.retainOwnership()
--- a/internal/gateway/listening.go
+++ b/internal/gateway/listening.go
@@ -172,11 +172,11 @@
 // acceptConns posts new connections until paused is closed, the listener is closed, or a backlog that is
 // drained is empty. It acquires a slot for each connection, so that at most as many connections are open as
 // there are slots.
-func (s *listening) acceptConns(listener *net.TCPListener, paused <-chan struct{}) {
+func (s *listening) acceptConns(listener *net.TCPListener, stop <-chan struct{}) {
 	for {
 		select {
 		case s.slots <- struct{}{}:
-		case <-paused:
+		case <-stop:
 			return
 		}
 		draining := isClosed(s.drainBacklog)
@@ -196,7 +196,7 @@
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		if isClosed(paused) {
+		if isClosed(stop) {
 			return
 		}
 		if !draining && !closed {
