--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// SetTimer schedules a call of the policy's TimerFired with the token.
+// SetTimer schedules a call of the policy's TimerFired with the token at the given time.
 func (p policyActions) SetTimer(at policy.Time, token uint32) {
 	p.events.Schedule(at, policyTimer(token))
 }
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -3,8 +3,8 @@
 //
 // One goroutine runs the event loop. It owns all state and is the only one that calls the policy. Goroutines
 // that block on sockets (a reader for each connection, the accept goroutine, dials) and the clients of other
-// services post typed events to the loop. Each of them ends when the loop closes its socket or
-// cancels its context.
+// services post typed events to the loop. Each of them ends when the loop closes its socket or cancels its
+// context.
 //
 // Startup, reload, handover and shutdown are state machines, each with a type of its own: listening,
 // endpointList, reload, takeover, outgoingHandover and shutdown. Each declares an interface with the
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -44,8 +44,8 @@
 }
 
 // endpointList holds the state of the endpoint list apart from the backends themselves: its source, its
-// newest revision and the numbers of its zones. The number of a zone never changes. An endpointList belongs
-// to the event loop.
+// newest revision and the numbers of its zones. The number of a zone never changes. It belongs to the event
+// loop.
 type endpointList struct {
 	phase          phase.Machine[endpointPhase]
 	newestRevision uint64   // the highest revision of all updates so far
--- a/internal/gateway/endpoints_phase_test.go
+++ b/internal/gateway/endpoints_phase_test.go
@@ -93,7 +93,7 @@
 			discovery.Endpoint{ID: "a", Phase: "Ready", UpSinceMS: update.upSinceMS},
 			discovery.Endpoint{ID: "b", Phase: "Ready", UpSinceMS: update.upSinceMS}))
 		if got := f.updated; got[0].Phase != update.want || got[1].Phase != "Ready" {
-			t.Errorf("revision %d, started at %d: phases %s and %s, want %s and Ready",
+			t.Errorf("revision %d, started at %d: got phases %s and %s, want %s and Ready",
 				update.revision, update.upSinceMS, got[0].Phase, got[1].Phase, update.want)
 		}
 	}
@@ -106,7 +106,7 @@
 		number int
 	}{{"own", 0}, {"b", 1}, {"c", 2}, {"b", 1}, {"own", 0}} {
 		if got := e.zoneNumber(zone.name); got != zone.number {
-			t.Errorf("zone %s has number %d, want %d", zone.name, got, zone.number)
+			t.Errorf("zone %s: got number %d, want %d", zone.name, got, zone.number)
 		}
 	}
 }
--- a/internal/gateway/handover.go
+++ b/internal/gateway/handover.go
@@ -54,14 +54,15 @@
 
 // handoverGateway has the operations of the gateway that a handover needs.
 type handoverGateway interface {
-	// canHandOver reports whether this process has started to accept clients, and has not stopped for a
-	// shutdown.
+	// canHandOver reports whether this process has started to accept clients, and has not stopped accepting
+	// them for a shutdown.
 	canHandOver() bool
 	// exportState returns the encoded state.
 	exportState() ([]byte, error)
 	// pauseServing stops accepting clients and sending gossip.
 	pauseServing()
-	// releaseOwnership closes the sockets that the successor now uses, and ends the policy's decisions.
+	// releaseOwnership ends the decisions of this process, closes the sockets that the successor now uses,
+	// and releases the successor's share of the resources.
 	releaseOwnership()
 	// stopReading stops reading from clients. Each connection is handed over once nothing is open on it.
 	stopReading()
@@ -79,8 +80,8 @@
 
 // outgoingHandover is the handover from this process to a successor. It owns the link to the successor, the
 // socket on which a successor requests the handover, and the commands that were read while neither process
-// decided. Commands are queued only in the phase offered, and link is set unless the phase is none. An
-// outgoingHandover belongs to the event loop.
+// decided. Commands are queued only in the phase offered, and link is set unless the phase is none.
+// It belongs to the event loop.
 type outgoingHandover struct {
 	phase          phase.Machine[handoverPhase]
 	listener       *handover.Listener // accepts successors; nil if there is no socket for them
--- a/internal/gateway/handover_phase_test.go
+++ b/internal/gateway/handover_phase_test.go
@@ -122,7 +122,7 @@
 			wantPhase(t, &h.phase, handoverNone)
 			f.wantCalls(t, "retainOwnership", "handleQueuedCommand", "stopIfIdle")
 			link.wantCalls(t, "SendState", "Close")
-			h.handleStateAccepted(link) // too late
+			h.handleStateAccepted(link) // has no effect any more
 			h.handleStateTimeout(link)
 			h.handleSuccessorExited(link)
 			h.reportAttemptSent(1, 1)
--- a/internal/gateway/listening.go
+++ b/internal/gateway/listening.go
@@ -46,8 +46,8 @@
 }
 
 // listening accepts connections of clients. It owns the listener and the accept goroutine, which runs while
-// this process accepts or drains; there is never more than one. A listening belongs to the event loop, except
-// for acceptConns, which is the accept goroutine.
+// this process accepts or drains; there is never more than one. All of it belongs to the event loop, except
+// for acceptConns, which runs on the accept goroutine.
 type listening struct {
 	phase         phase.Machine[listeningPhase]
 	listener      *net.TCPListener
@@ -169,9 +169,9 @@
 	g.shutdown.stopIfIdle()
 }
 
-// acceptConns posts new connections until paused is closed, the listener is closed, or a backlog that is
-// drained is empty. It acquires a slot for each connection, so that at most as many connections are open as
-// there are slots.
+// acceptConns posts new connections until stop is closed, the listener is closed, or drainBacklog is closed
+// and the backlog is empty. It acquires a slot for each connection, so that at most as many connections are
+// open as there are slots.
 func (s *listening) acceptConns(listener *net.TCPListener, stop <-chan struct{}) {
 	for {
 		select {
@@ -200,7 +200,7 @@
 			return
 		}
 		if !draining && !closed {
-			continue // shutDown has set the deadline, and draining starts with the next connection
+			continue // shutDown has set the deadline: draining starts with the next iteration
 		}
 		_ = listener.Close() // may be closed already
 		if draining {
--- a/internal/gateway/phases_test.go
+++ b/internal/gateway/phases_test.go
@@ -24,7 +24,7 @@
 // Enabled implements slog.Handler.
 func (illegalTransitionLog) Enabled(context.Context, slog.Level) bool { return true }
 
-// Handle implements slog.Handler.
+// Handle implements slog.Handler. It keeps only illegal transitions.
 func (h illegalTransitionLog) Handle(_ context.Context, record slog.Record) error {
 	if record.Message == illegalTransitionMessage && record.Level == slog.LevelError {
 		record.Attrs(func(a slog.Attr) bool {
--- a/internal/gateway/reload_settings_test.go
+++ b/internal/gateway/reload_settings_test.go
@@ -64,6 +64,6 @@
 	d.setEntries(b.listEntry("s-00000001", "Ready"))
 	d.awaitWatch(t)
 	if len(elsewhere.calls) > 0 {
-		t.Error("the address of discovery changed by a rejected configuration")
+		t.Error("a rejected configuration has changed the address of discovery")
 	}
 }
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -86,7 +86,7 @@
 }
 
 // shutdown is the planned shutdown of this process. Its phase only advances. From the phase closing on, only
-// connections from the backlog are accepted. A shutdown belongs to the event loop.
+// connections from the backlog are accepted. It belongs to the event loop.
 type shutdown struct {
 	phase   phase.Machine[shutdownPhase]
 	gateway shutdownGateway
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -68,7 +68,7 @@
 		t.Helper()
 		return startFaultyDiscovery(t, func(conn *net.TCPConn) {
 			const half = "HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n{\"revision\":9,\"members\":["
-			_, _ = fmt.Fprint(conn, half) // the test fails elsewhere if the connection is closed
+			_, _ = fmt.Fprint(conn, half) // a closed connection fails the test elsewhere
 			called <- "half a list"
 		})
 	},
--- a/internal/gateway/takeover.go
+++ b/internal/gateway/takeover.go
@@ -55,7 +55,7 @@
 }
 
 // takeover is the handover from a predecessor to this process. It owns the link to the predecessor. This
-// process decides only in the phases none, watching and complete. A takeover belongs to the event loop.
+// process decides only in the phases none, watching and complete. It belongs to the event loop.
 type takeover struct {
 	phase   phase.Machine[takeoverPhase]
 	link    predecessorLink // nil if there is no predecessor
--- a/internal/gateway/takeover_test.go
+++ b/internal/gateway/takeover_test.go
@@ -49,7 +49,7 @@
 		t.Error("the takeover is not pending")
 	}
 	o.requestState(nil)
-	o.requestState(nil) // with each further endpoint list
+	o.requestState(nil) // as for each further endpoint list
 	wantPhase(t, &o.phase, takeoverStarted)
 	f.wantCalls(t, "Start")
 	o.receiveState(&handover.State{})
