--- a/policy/controller_outcomes_test.go
+++ b/policy/controller_outcomes_test.go
@@ -9,7 +9,7 @@
 	h := newHarness(t, testSettings())
 	id, _ := h.request(0, 1, 9, 1)
 	backend := h.lastAttempt(id).backend
-	h.end(id, ResultConnectFailed, false)
+	h.endAttempt(id, ResultConnectFailed, false)
 	h.at += second
 	h.TimerFired(h.at, gossipTimer)
 	if checks := ofKind(h.performed, healthCheckAction); len(checks) != 1 || checks[0].backend != backend.ID {
@@ -27,23 +27,23 @@
 	h := newHarness(t, testSettings())
 	id, _ := h.request(0, 1, 9, 1)
 	backend := h.lastAttempt(id).backend
-	h.end(id, ResultReset, true)
-	if backend.health.down || h.unhealthy(backend) {
+	h.endAttempt(id, ResultReset, true)
+	if backend.health.isDown || h.unhealthy(backend) {
 		t.Error("ejected after a single reset")
 	}
 	h.at += 10 * second
 	h.TimerFired(h.at, gossipTimer)
-	if h.connectionFailed(backend, true) || backend.health.down {
+	if h.failConnection(backend, true) || backend.health.isDown {
 		t.Error("ejected after two resets far apart")
 	}
 	for range 3 {
-		h.connectionFailed(backend, true)
+		h.failConnection(backend, true)
 	}
-	if !backend.health.down {
+	if !backend.health.isDown {
 		t.Fatal("not ejected after several resets at the same time")
 	}
 	h.HealthCheckEnded(h.at, backend.ID, ResultOK, nil)
-	if backend.health.down || h.slowStartShare(backend) < 1 {
+	if backend.health.isDown || h.slowStartShare(backend) < 1 {
 		t.Error("backend not reinstated warm after resets only")
 	}
 }
@@ -58,18 +58,18 @@
 	backend := h.lastAttempt(late).backend
 	answered, _ := h.request(0, 1, 9, 1)
 	h.at += second / 10
-	h.end(answered, ResultOK, true)
+	h.endAttempt(answered, ResultOK, true)
 	h.at += second / 10
-	h.endWith(late, Outcome{
+	h.endAttemptWith(late, Outcome{
 		Result: ResultConnectFailed, Latency: second / 5, ClientAnswered: true, DialUnanswered: true,
 	})
-	if backend.health.down || h.slowStartShare(backend) < 1 {
+	if backend.health.isDown || h.slowStartShare(backend) < 1 {
 		t.Error("ejected for a late connection while other attempts were answered")
 	}
 	refused, _ := h.request(0, 1, 9, 1)
-	h.end(refused, ResultConnectFailed, true)
+	h.endAttempt(refused, ResultConnectFailed, true)
 	h.HealthCheckEnded(h.at, backend.ID, ResultOK, nil)
-	if backend.health.down || h.slowStartShare(backend) == 1 {
+	if backend.health.isDown || h.slowStartShare(backend) == 1 {
 		t.Error("not reinstated in slow start after a refused connection")
 	}
 }
@@ -83,10 +83,10 @@
 		h.at += second / 100
 		h.TimerFired(h.at, gossipTimer)
 		if id, sent := h.request(0, 1, uint64(i), 1); sent && h.lastAttempt(id).backend != backend {
-			h.end(id, ResultOK, true)
+			h.endAttempt(id, ResultOK, true)
 		}
 	}
-	if !backend.health.down || !h.unhealthy(backend) {
+	if !backend.health.isDown || !h.unhealthy(backend) {
 		t.Error("backend still in rotation after several objectives without an answer")
 	}
 	h.at += second
@@ -103,13 +103,13 @@
 		id, sent := h.request(0, 1, uint64(i), 1)
 		for sent && h.requests.byID[id] != nil {
 			if h.lastAttempt(id).backend.ID == 2 {
-				h.end(id, ResultFailed, false)
+				h.endAttempt(id, ResultFailed, false)
 			} else {
-				h.end(id, ResultOK, true)
+				h.endAttempt(id, ResultOK, true)
 			}
 		}
 	}
-	if n := h.count(sendAction) - 200; n > 20 {
+	if n := h.countActions(sendAction) - 200; n > 20 {
 		t.Errorf("%d of 200 requests were retried, want at most 20", n)
 	}
 	backend := h.backends.byID[2]
@@ -129,10 +129,10 @@
 	backend := h.lastAttempt(id).backend
 	h.TimerFired(h.at, gossipTimer)
 	h.at += 3 * second
-	if _, sent := h.request(0, 1, 8, 1); !sent || backend.health.down {
+	if _, sent := h.request(0, 1, 8, 1); !sent || backend.health.isDown {
 		t.Error("attempt that was pending during a stall counted as unanswered")
 	}
-	h.endWith(id, Outcome{Result: ResultOK, Latency: 3 * second, ClientAnswered: true})
+	h.endAttemptWith(id, Outcome{Result: ResultOK, Latency: 3 * second, ClientAnswered: true})
 	if backend.latency.ratio != 0 || h.latency.all.value != 0 {
 		t.Error("latency of an attempt that overlapped a stall was recorded")
 	}
@@ -154,7 +154,7 @@
 			a, b := gossipPair(t)
 			id, _ := a.request(0, 1, 9, 1)
 			faulty := a.lastAttempt(id).backend.ID
-			a.end(id, c.result, true)
+			a.endAttempt(id, c.result, true)
 			gossipRound(a, b)
 			uses := func(class, plan int) bool {
 				for i := range 40 {
@@ -163,7 +163,7 @@
 						return true
 					}
 					if sent {
-						b.end(id, ResultOK, true)
+						b.endAttempt(id, ResultOK, true)
 					}
 				}
 				return false
@@ -194,7 +194,7 @@
 	if got := h.UnavailableBackends(); got != 0 {
 		t.Errorf("%d backends unavailable, want none", got)
 	}
-	if backend.health.down = true; h.UnavailableBackends() != 1 {
+	if backend.health.isDown = true; h.UnavailableBackends() != 1 {
 		t.Errorf("%d backends unavailable, want 1", h.UnavailableBackends())
 	}
 }
--- a/policy/controller_quota.go
+++ b/policy/controller_quota.go
@@ -48,7 +48,7 @@
 
 // refund returns a request's units to the buckets if it never reached a backend.
 func (c *Controller) refund(request *request) {
-	if request.reachedBackend {
+	if request.mayHaveReachedBackend {
 		return
 	}
 	c.refillBuckets(request.customer)
@@ -121,13 +121,13 @@
 		case quotaDenied:
 			c.admit(request, unitsUnavailable)
 		case quotaUnanswered:
-			c.counters.unanswered++
+			c.counters.quotaRequestsUnanswered++
 			request.customer.grant.creditRequest(request.Cost)
 			source := request.customer.localUnitSource(c.clock.now, c.clock.startedAt, &c.sharing,
 				request.Cost)
 			c.admit(request, source)
 		case quotaRetry:
-			c.counters.unanswered++
+			c.counters.quotaRequestsUnanswered++
 			c.admitOrRequestQuota(request)
 		}
 	}
--- a/policy/controller_slowstart_test.go
+++ b/policy/controller_slowstart_test.go
@@ -22,7 +22,7 @@
 			open = append(open, id)
 		}
 		for len(open) > 0 && h.at-h.lastAttempt(open[0]).sentAt >= second/10 {
-			h.end(open[0], ResultOK, true)
+			h.endAttempt(open[0], ResultOK, true)
 			open = open[1:]
 		}
 	}
@@ -67,7 +67,7 @@
 				sent++
 			}
 			if ok {
-				h.end(id, ResultOK, true)
+				h.endAttempt(id, ResultOK, true)
 			}
 		}
 	}
@@ -107,7 +107,7 @@
 			open = append(open, id)
 		}
 		for len(open) > 0 && h.at-h.lastAttempt(open[0]).sentAt >= second/4 {
-			h.end(open[0], ResultOK, true)
+			h.endAttempt(open[0], ResultOK, true)
 			open = open[1:]
 		}
 	}
@@ -161,7 +161,7 @@
 		if !sent || h.slowStartAllows(backend) {
 			t.Fatalf("sent %t; want one attempt sent and no other allowed", sent)
 		}
-		h.end(id, ResultNotSent, true)
+		h.endAttempt(id, ResultNotSent, true)
 		if !h.slowStartAllows(backend) || backend.slowStart.reserved != 0 {
 			t.Errorf("bucket level %g, %d reserved after the attempt was not sent",
 				backend.slowStart.bucket.level, backend.slowStart.reserved)
@@ -192,14 +192,14 @@
 				customer++
 				if id, ok := h.request(0, 1, customer*gateways+uint64(i), 1); ok {
 					attempts[h.lastAttempt(id).backend.ID]++
-					h.end(id, ResultOK, true)
+					h.endAttempt(id, ResultOK, true)
 				}
-				h.take()
+				h.takeActions()
 			}
 		}
 		return attempts
 	}
-	each := serve(4)[1] / 4
+	warmRate := serve(4)[1] / 4
 	for i := range list[warm:] {
 		list[warm+i].StartedAt = fleet[0].at
 	}
@@ -207,7 +207,7 @@
 		h.UpdateEndpoints(h.at, UpdateComplete, list)
 	}
 	got, average := serve(window), 0.0
-	budget := settings.OverloadFactor * settings.SlowStartFloor * each * backends / warm * window
+	budget := settings.OverloadFactor * settings.SlowStartFloor * warmRate * backends / warm * window
 	for _, starting := range list[warm:] {
 		if got[starting.ID] > budget {
 			t.Errorf("starting backend %d got %.0f attempts in %d s, want %.0f at most",
@@ -215,9 +215,9 @@
 		}
 		average += got[starting.ID] / (backends - warm) / window
 	}
-	if average < settings.SlowStartFloor*each {
+	if average < settings.SlowStartFloor*warmRate {
 		t.Errorf("starting backend got %.1f attempts/s, a warm one got %.1f before: want at least its share",
-			average, each)
+			average, warmRate)
 	}
 }
 
--- a/policy/coordinator_test.go
+++ b/policy/coordinator_test.go
@@ -32,7 +32,7 @@
 
 // receive passes a request to the participant and returns the request's ID.
 func (p *coordinatorPair) receive(plan int, customer uint64) (id uint64) {
-	id, _ = p.participant.receive(Request{
+	id, _ = p.participant.receiveRequest(Request{
 		Plan: plan, Customer: customer, Cost: 1,
 		Timeout: 2 * second, FirstReplica: p.firstReplicas[customer], Replicas: 12,
 	})
@@ -42,15 +42,15 @@
 // serve passes a request to the participant, delivers the messages of both gateways, and reports
 // whether the request was sent.
 func (p *coordinatorPair) serve(plan int, customer uint64) bool {
-	p.participant.take()
+	p.participant.takeActions()
 	id := p.receive(plan, customer)
 	sent := p.participant.countSent(id) > 0
-	deliver(p.participant, p.coordinator)
-	deliver(p.coordinator, p.participant)
+	deliverGossip(p.participant, p.coordinator)
+	deliverGossip(p.coordinator, p.participant)
 	if !sent && p.participant.countSent(id) == 0 {
 		return false
 	}
-	p.participant.end(id, ResultOK, true)
+	p.participant.endAttempt(id, ResultOK, true)
 	return true
 }
 
@@ -79,7 +79,7 @@
 				gossipRound(pair.participant, pair.coordinator)
 				pair.coordinator.at = pair.participant.at
 				pair.coordinator.TimerFired(pair.coordinator.at, gossipTimer)
-				deliver(pair.coordinator, pair.participant)
+				deliverGossip(pair.coordinator, pair.participant)
 			}
 			if got := float64(sent) / 30; math.Abs(got-c.rate) > c.tolerance*c.rate {
 				t.Errorf("sent %.2f units per second, want about %g", got, c.rate)
@@ -136,13 +136,13 @@
 // reports whether the request was sent.
 func (f gatewayFleet) serveLarge(receiver int) bool {
 	h := f[receiver]
-	h.take()
-	id, _ := h.receive(Request{Customer: 9, Cost: 2, Timeout: 4 * second, Replicas: len(f)})
+	h.takeActions()
+	id, _ := h.receiveRequest(Request{Customer: 9, Cost: 2, Timeout: 4 * second, Replicas: len(f)})
 	f.deliverAll()
-	if h.count(sendAction) == 0 {
+	if h.countActions(sendAction) == 0 {
 		return false
 	}
-	h.endWith(id, Outcome{Result: ResultOK, ClientAnswered: true})
+	h.endAttemptWith(id, Outcome{Result: ResultOK, ClientAnswered: true})
 	return true
 }
 
@@ -181,17 +181,17 @@
 	}
 	request := Request{Customer: 9, Cost: 2, Timeout: 4 * second, Replicas: 12}
 	timeout := Time(quotaRequestTimeoutShare * float64(h.shortestObjective))
-	h.take()
-	first, _ := h.receive(request)
+	h.takeActions()
+	first, _ := h.receiveRequest(request)
 	h.at += timeout
 	h.TimerFired(h.at, quotaRequestTimer)
 	if peers := askedPeers(); len(peers) != 2 || peers[0] == peers[1] {
 		t.Fatalf("asked gateways %v, want two different coordinators", peers)
 	}
 	unresponsive := askedPeers()[0]
-	h.take()
+	h.takeActions()
 	for range 20 {
-		h.receive(request)
+		h.receiveRequest(request)
 	}
 	if peers := askedPeers(); len(peers) != 20 || slices.Contains(peers, unresponsive) {
 		t.Errorf("asked gateways %v, want 20 without the unresponsive coordinator %d", peers, unresponsive)
@@ -208,18 +208,18 @@
 func TestQuotaRequestTimeoutFallsBackToOwnShare(t *testing.T) {
 	pair := newCoordinatorPair(t)
 	participant := pair.participant
-	participant.take()
+	participant.takeActions()
 	id := pair.receive(0, 9)
 	requests := ofKind(participant.performed, gossipAction)
-	if participant.count(sendAction) != 0 || len(requests) != 1 || requests[0].peer != 0 ||
-		participant.count(timerAction) != 1 {
+	if participant.countActions(sendAction) != 0 || len(requests) != 1 || requests[0].peer != 0 ||
+		participant.countActions(timerAction) != 1 {
 		t.Fatalf("actions %+v, want a quota request and a timer", participant.performed)
 	}
 	participant.TimerFired(participant.at+second/10, quotaRequestTimer)
 	if participant.countSent(id) != 1 {
 		t.Errorf("actions %+v, want the request sent", participant.performed)
 	}
-	participant.take()
+	participant.takeActions()
 	participant.GossipReceived(participant.at+second/5, 0, quotaAnswer(1, true))
 	if len(participant.performed) != 0 {
 		t.Errorf("a late answer caused actions: %+v", participant.performed)
@@ -249,7 +249,7 @@
 					len(participant.quotaRequests.pending))
 			}
 			participant.RequestCancelled(participant.at, id)
-			participant.take()
+			participant.takeActions()
 			resolve(participant)
 			if len(participant.performed) != 0 || len(participant.quotaRequests.pending) != 0 {
 				t.Errorf("actions for a disconnected client: %+v, %d requests wait; want none",
--- a/policy/faultreports.go
+++ b/policy/faultreports.go
@@ -40,7 +40,7 @@
 // class, or -1 for a new one; newPlans has the new index of each old plan, or -1 if the plan was removed.
 func (r *faultReports) renumber(oldClasses, newPlans []int, planCount int) {
 	renumbered := newFaultReports(len(oldClasses), planCount)
-	pickFrom(renumbered.byClass, r.byClass, oldClasses)
+	copyByOldIndex(renumbered.byClass, r.byClass, oldClasses)
 	for old, plan := range newPlans {
 		if plan >= 0 {
 			renumbered.byPlan[plan] = r.byPlan[old]
