--- a/policy/activitycounters.go
+++ b/policy/activitycounters.go
@@ -3,40 +3,40 @@
 import "log/slog"
 
 const (
-	counterLogInterval = 5 * second // the least time between two log events of counters
-	halfFullDivisor    = 2          // the part of a bucket, 1/n, that counts as half full
+	counterLogInterval = 5 * second // the minimum time between two log events with counters
+	halfFullDivisor    = 2          // a bucket with 1/halfFullDivisor of its capacity is half full
 )
 
-// rejectReason says why a request was rejected.
+// rejectReason is the reason why a request was rejected.
 type rejectReason int
 
 const (
-	rejectExpired     rejectReason = iota // it arrived in a stall and can't be answered in time
+	rejectExpired     rejectReason = iota // it arrived during a stall, too long ago to meet its objective
 	rejectAtCapacity                      // the backends are at capacity
-	rejectOverQuota                       // neither the quota nor the shared bucket covers its cost
-	rejectOverCeiling                     // it is beyond this gateway's share of the ceiling
+	rejectOverQuota                       // neither the quota nor the shared bucket covers the cost
+	rejectOverCeiling                     // this gateway's share of the ceiling does not cover the cost
 	rejectNoBackend                       // no backend is ready
-	rejectNeverRan                        // all its attempts ended, and it may be sent again
+	rejectNeverRan                        // all its attempts ended, and the client may send it again
 	rejectReasonCount
 )
 
-// activityCounters count what happened since the last log event of counters. Each decision is counted once,
-// by the event that made it.
+// activityCounters count the attempts, rejections and quota requests since the counters were last logged.
+// Each decision is counted once, when the event that caused it is handled.
 type activityCounters struct {
 	since                   Time
-	attemptsSent            int // attempts
-	consecutive             int // attempts to the same backend as the one before: many show herding
+	attemptsSent            int
+	consecutive             int // attempts at the backend of the previous attempt: many indicate herding
 	lastBackend             *backend
 	rejected                [rejectReasonCount]int
 	overQuotaByShare        int // rejected requests whose units the customer's whole bucket held
-	bucketHalfFull          int // those of them with at least half of the bucket left
+	bucketHalfFull          int // those of overQuotaByShare whose bucket was at least half full
 	quotaRequests           int
 	quotaRequestsUnanswered int // quota requests that timed out
 	results                 [ResultNotSent + 1]int
-	retriesAfter            [ResultNotSent + 1]int // by the result of the attempt before
+	retriesAfter            [ResultNotSent + 1]int // retries by the result of the previous attempt
 
-	slowStartAttempts int // to backends in slow start
-	slowStartDenied   int // how often a backend was passed over as its slow start allowed no attempt
+	slowStartAttempts int // attempts sent to backends in slow start
+	slowStartDenied   int // times that a backend was skipped because its slow start allowed no attempt
 }
 
 func (c *activityCounters) countAttempt(backend *backend) {
@@ -47,8 +47,9 @@
 	c.lastBackend = backend
 }
 
-// countOverQuota counts a request that was rejected although the whole bucket held its units: for this
-// gateway's share of it, for the plan's limit of attempts in flight, or by a coordinator.
+// countOverQuota counts a rejected request if the customer's whole bucket holds its units. The request was
+// then rejected because of this gateway's share of the bucket, because of the plan's limit of attempts in
+// flight, or by a coordinator.
 func (c *activityCounters) countOverQuota(bucket *tokenBucket, units float64) {
 	if bucket.level < units {
 		return
@@ -59,26 +60,26 @@
 	}
 }
 
-// isDue reports whether it is time to log the counters: an event for each request would cost more than the
-// request.
+// isDue reports whether it is time to log the counters. They are not logged for each request, because a log
+// event costs more than a request.
 func (c *activityCounters) isDue(now Time) bool { return now-c.since >= counterLogInterval }
 
-// loadMetrics is the load view, of the given number of gateways, and the backends' health.
+// loadMetrics are the load and the health of the backends, as logged with the counters.
 type loadMetrics struct {
 	view              loadView
-	lateShare         float64 // the share of answers after their objective
+	lateShare         float64 // the share of answers that missed their latency objective
 	meanLatency       float64 // of successful answers, in microseconds
 	healthy, backends int
 }
 
-// slowStartMetrics are the backends in slow start, and the answers of warm ones, from which their rate
-// derives.
+// slowStartMetrics are the number of backends in slow start, and the answer rate of warm backends, from which
+// the attempt rate of a slow start is derived.
 type slowStartMetrics struct {
 	backends, warmBackends int
-	answersOfWarm          float64 // successful answers a second of a warm backend
+	answersOfWarm          float64 // successful answers per second and warm backend
 }
 
-// take returns the attributes of a log event and begins to count anew.
+// flush returns the counters and metrics as the attributes of a log event, and resets the counters.
 func (c *activityCounters) flush(now Time, load loadMetrics, slowStart slowStartMetrics) []slog.Attr {
 	attributes := []slog.Attr{
 		slog.Int("attempts_sent", c.attemptsSent),
@@ -97,7 +98,7 @@
 	return attributes
 }
 
-// rejectionAttr groups the rejected requests by reason.
+// rejectionAttr groups the counts of rejected requests by reason.
 func rejectionAttr(rejected *[rejectReasonCount]int) slog.Attr {
 	return slog.GroupAttrs("rejected",
 		slog.Int("expired", rejected[rejectExpired]),
@@ -108,7 +109,7 @@
 		slog.Int("never_ran", rejected[rejectNeverRan]))
 }
 
-// resultsAttr groups attempts by their result.
+// resultsAttr groups counts of attempts by result.
 func resultsAttr(key string, counts *[ResultNotSent + 1]int) slog.Attr {
 	return slog.GroupAttrs(key,
 		slog.Int("ok", counts[ResultOK]),
@@ -132,7 +133,7 @@
 		slog.Int("backends", load.backends))
 }
 
-// slowStartAttr groups what backends in slow start got, and the figures on them.
+// slowStartAttr groups the counters and metrics of slow starts.
 func (c *activityCounters) slowStartAttr(slowStart *slowStartMetrics) slog.Attr {
 	return slog.GroupAttrs("slow_start",
 		slog.Int("backends", slowStart.backends),
--- a/policy/clock.go
+++ b/policy/clock.go
@@ -1,29 +1,29 @@
 package policy
 
-const stallEventIntervals = 8 // a timer that is later than this many least event intervals shows a stall
+const stallEventIntervals = 8 // a timer delayed by more minimum event intervals than this indicates a stall
 
-// clock is the time of the current event and what is known of stalls, in which the process did not run and
-// could see no answers. Neither now nor activeTime ever decreases.
+// clock holds the time of the current event and the stalls detected so far. During a stall the process did
+// not run and could not observe answers. Neither now nor activeTime ever decreases.
 type clock struct {
 	now         Time
-	activeTime  Time // now less stalledTime
-	stalledTime Time // the total of all stalls
+	activeTime  Time // now minus stalledTime
+	stalledTime Time // the total duration of all stalls
 	timerDue    Time // when the gossip timer is due
-	resumedAt   Time // the end of the last stall
-	startedAt   Time // 0: no event yet
+	resumedAt   Time // when the last stall ended
+	startedAt   Time // zero before the first event
 }
 
-// clockEvent is what a clock finds as it advances.
+// clockEvent is what clock.advance detected.
 type clockEvent uint8
 
 const (
-	clockAdvanced clockEvent = iota // nothing else
-	clockStarted                    // this is the first event of all
+	clockAdvanced clockEvent = iota // time has passed
+	clockStarted                    // the event is the first one
 	clockResumed                    // a stall has ended
 )
 
-// advance brings the clock to the time of an event. A gossip timer that is overdue by more than stallTicks
-// least event intervals shows a stall, which ends now.
+// advance sets the clock to the time of an event. If the gossip timer is overdue by more than
+// stallEventIntervals minimum event intervals, the process was stalled since the timer was due.
 func (c *clock) advance(now, minEventInterval Time) clockEvent {
 	c.now = max(c.now, now)
 	if c.startedAt == 0 {
@@ -40,20 +40,20 @@
 	return event
 }
 
-// scheduleTimer notes that the gossip timer is due after a period, and returns when.
+// scheduleTimer records that the gossip timer is due after the given period, and returns its due time.
 func (c *clock) scheduleTimer(period Time) Time {
 	c.timerDue = c.now + period
 	return c.timerDue
 }
 
-// isResuming reports whether the current event is the first one after a stall, or of the same moment: what it
-// tells of may have happened long ago.
+// isResuming reports whether the current event is the first after a stall, or has the same time. It may
+// report something that happened early in the stall.
 func (c *clock) isResuming() bool { return c.now <= c.resumedAt }
 
-// restart has the clock's owner start now: what it knew before is as old as after a restart.
+// resetStart sets the start time to now, because the owner's state is as outdated as after a restart.
 func (c *clock) resetStart() { c.startedAt = c.now }
 
-// restore goes on with the start and the stalls of the process that wrote a snapshot.
+// importState continues with the start time and the stalls of the process that wrote a snapshot.
 func (c *clock) importState(startedAt, resumedAt, stalledTime Time) {
 	c.startedAt, c.resumedAt = startedAt, resumedAt
 	c.stalledTime, c.activeTime = stalledTime, c.now-stalledTime
--- a/policy/controller_gossip.go
+++ b/policy/controller_gossip.go
@@ -1,6 +1,7 @@
 package policy
 
-// runGossipRound reports the customers whose use has changed to peers, or else to the shared counter.
+// runGossipRound reports the usage of customers that have reports pending: to peers, or to the shared counter
+// if the gateways exchange no gossip.
 func (c *Controller) runGossipRound() {
 	c.customers.sortReportQueue()
 	for _, customer := range c.customers.reportQueue {
@@ -16,7 +17,8 @@
 	}
 }
 
-// reportUsage reports one customer's use, unless its time has not come or the messages are full.
+// reportUsage reports one customer's usage, unless its report is not due yet or the messages to its receivers
+// are full.
 func (c *Controller) reportUsage(customer *customer) {
 	switch {
 	case !customer.reportIsDue(c.clock.now, &c.sharing):
@@ -29,7 +31,8 @@
 	}
 }
 
-// queueUsage adds a customer's usage entry to the messages for its receivers, if all have room.
+// queueUsage adds a customer's usage entry to the messages for all its receivers, or to none if one of the
+// messages has no room. It reports whether it added the entry.
 func (c *Controller) queueUsage(customer *customer) bool {
 	first, count := c.sharing.reportReceivers(&customer.account)
 	for i := range count {
@@ -47,7 +50,7 @@
 	return true
 }
 
-// queueGrant adds a customer's grant to the message for a peer. A full message is sent first.
+// queueGrant adds a customer's grant to the message for a peer. A message without room for it is sent first.
 func (c *Controller) queueGrant(index int, customer *customer) {
 	if !c.gossip.fits(index, grantSize) {
 		c.actions.SendGossip(index, c.gossip.takeMessage(index))
@@ -56,15 +59,15 @@
 	c.gossip.addGrant(index, grant{customer: customer.id, fraction: customer.grant.fraction})
 }
 
-// prepareMessage begins a message for a peer unless one is in preparation. The load view is taken at this
-// moment only, as reading a decaying sum rounds it.
+// prepareMessage starts a message for a peer unless one is in preparation. The load view is computed only
+// for a new message, because each read of a decaying sum rounds it.
 func (c *Controller) prepareMessage(index int) {
 	if !c.gossip.hasMessage(index) {
 		c.gossip.startMessage(index, c.loadView())
 	}
 }
 
-// GossipReceived handles a peer's message. A malformed one is ignored.
+// GossipReceived handles a message from a peer. Malformed messages and unknown peers are ignored.
 func (c *Controller) GossipReceived(now Time, from int, raw []byte) {
 	c.advanceClock(now)
 	message, ok := decodeGossip(raw)
@@ -93,7 +96,8 @@
 	}
 }
 
-// applyUsage applies a peer's usage entry, and answers its quota request or corrects its grant.
+// applyUsage applies a peer's usage entry. It then answers the entry's quota request, or else sends the peer
+// the current grant if the fraction that the peer reported deviates too far from it.
 func (c *Controller) applyUsage(sender usageSender, entry *usageEntry) {
 	if !hasIndex(c.settings.Plans, entry.plan) || !c.sharing.isValidSetSize(entry.replicas) {
 		return
@@ -113,7 +117,7 @@
 	}
 }
 
-// applyGrant applies a coordinator's grant, and what it answers of a quota request.
+// applyGrant applies a coordinator's grant, and resolves the quota request that it answers, if any.
 func (c *Controller) applyGrant(received grant) {
 	customer := c.customers.byID[received.customer]
 	if customer == nil || !c.sharing.isWide(&customer.account) {
@@ -125,7 +129,7 @@
 	}
 }
 
-// ReportAllUsage schedules reports of all customers, as messages may have been lost.
+// ReportAllUsage schedules a usage report of every customer, because earlier messages may have been lost.
 func (c *Controller) ReportAllUsage() {
 	for _, customer := range c.customers.inOrder {
 		c.customers.scheduleReport(&c.sharing, customer)
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -3,29 +3,29 @@
 import "math"
 
 const (
-	faultRepeats   = 8          // messages that carry a fault report
-	replicaTimeout = second / 2 // after which the demand of a replica that sends nothing is not relied on
+	faultRepeats   = 8          // the number of messages that carry each fault report
+	replicaTimeout = second / 2 // a replica that sent nothing for longer is inactive: its demand is unknown
 )
 
-// gossipState is this gateway's side of the gossip between gateways: the messages that it prepares, and what
-// tells a peer's messages in their order from late ones. Every message has the next sequence number, in the
-// order in which they are begun.
+// gossipState is this gateway's state of the gossip between gateways: the messages in preparation, and the
+// last sequence number of each peer, by which messages that arrive out of order are detected. A message gets
+// the next sequence number when it is started, not when it is sent.
 type gossipState struct {
 	incarnation uint32               // distinguishes this start of the gateway from earlier ones
-	sequence    byte                 // of the last message; wraps, never 0
-	faults      []pendingFaultReport // to be sent with the next messages, oldest first
-	peers       []peer               // by gateway index; this gateway's own entry is unused
+	sequence    byte                 // of the last message started; wraps around and skips 0
+	faults      []pendingFaultReport // pending, oldest first
+	peers       []peer               // by gateway index; the entry of this gateway is unused
 }
 
-// peer is what this gateway knows of another one.
+// peer is the gossip state of another gateway.
 type peer struct {
-	incarnation    uint32 // of its last message; 0: none received
-	sequence       byte   // of its newest message; 0: none received
-	lastReceivedAt Time   // the active time of its last message
-	message        []byte // the message for the next round; empty: none
+	incarnation    uint32 // of its last message; zero if none was received
+	sequence       byte   // of its newest message; zero if none was received
+	lastReceivedAt Time   // active time; this gateway's start if no message was received
+	message        []byte // in preparation for the next round; empty if there is none
 }
 
-// pendingFaultReport is a fault report and the number of messages that are still to carry it.
+// pendingFaultReport is a fault report and the number of further messages that will carry it.
 type pendingFaultReport struct {
 	faultReport
 	repeats int
@@ -35,15 +35,16 @@
 	return gossipState{incarnation: incarnation, peers: make([]peer, gateways)}
 }
 
-// start counts all peers as active at this gateway's start.
+// start sets the receive time of all peers to this gateway's start, from which their first messages are
+// weighted.
 func (g *gossipState) start(now Time) {
 	for i := range g.peers {
 		g.peers[i].lastReceivedAt = now
 	}
 }
 
-// restore goes on with the incarnation of another process of this gateway. What that one knew of the peers is
-// of use only if there are as many.
+// importState continues with the incarnation and the sequence number of another process of this gateway. The
+// state of the peers is imported only if the number of gateways is the same.
 func (g *gossipState) importState(incarnation uint32, sequence byte, peers []peer) {
 	g.incarnation, g.sequence = incarnation, sequence
 	if len(peers) != len(g.peers) {
@@ -56,7 +57,8 @@
 	}
 }
 
-// newMessage begins a message with this gateway's load view, its sequence number and fault reports.
+// newMessage starts a message with this gateway's load view, the next sequence number and the pending fault
+// reports.
 func (g *gossipState) newMessage(view loadView) []byte {
 	g.sequence = max(1, g.sequence+1)
 	message := messageHeader(g.incarnation, view.inFlight/view.gateways, view.onTimeRate/view.gateways)
@@ -75,34 +77,36 @@
 // hasMessage reports whether a message for a peer is in preparation.
 func (g *gossipState) hasMessage(peer int) bool { return len(g.peers[peer].message) > 0 }
 
-// fits reports whether an item of a size fits into the message for a peer.
+// fits reports whether an item of the given size fits into the message for a peer.
 func (g *gossipState) fits(peer, size int) bool {
 	return len(g.peers[peer].message)+size <= maxMessageSize
 }
 
-// begin begins the message for a peer that has none.
+// startMessage starts the message for a peer that has none in preparation.
 func (g *gossipState) startMessage(peer int, view loadView) {
 	g.peers[peer].message = g.newMessage(view)
 }
 
-// addUsage adds an entry to the message for a peer, which has begun and has room.
+// addUsage adds an entry to the message for a peer, which must be in preparation and have room.
 func (g *gossipState) addUsage(peer int, entry *usageEntry) {
 	g.peers[peer].message = entry.appendTo(g.peers[peer].message)
 }
 
-// addGrant adds a grant to the message for a peer, which has begun and has room.
+// addGrant adds a grant to the message for a peer, which must be in preparation and have room.
 func (g *gossipState) addGrant(peer int, item grant) {
 	g.peers[peer].message = item.appendTo(g.peers[peer].message)
 }
 
-// takeMessage returns the message for a peer, which is to be sent; empty: none.
+// takeMessage removes and returns the message in preparation for a peer, for the caller to send. It is empty
+// if there is none.
 func (g *gossipState) takeMessage(peer int) []byte {
 	message := g.peers[peer].message
 	g.peers[peer].message = nil
 	return message
 }
 
-// addFault has the next messages carry a fault report. The oldest ones make room for it.
+// addFault queues a fault report for the next messages. The oldest reports are dropped if a message can't
+// hold them all.
 func (g *gossipState) addFault(report faultReport) {
 	if excess := len(g.faults) + 1 - maxFaultsPerMessage; excess > 0 {
 		g.faults = g.faults[excess:]
@@ -110,17 +114,17 @@
 	g.faults = append(g.faults, pendingFaultReport{faultReport: report, repeats: faultRepeats})
 }
 
-// dropFaults drops all fault reports, whose subjects are no longer those of the settings.
+// dropFaults drops all pending fault reports, because their class and plan indices are outdated.
 func (g *gossipState) dropFaults() { g.faults = nil }
 
-// reception says what a message tells of its sender.
+// receiveResult is what a received message shows about its sender.
 type receiveResult struct {
-	newest    bool    // no later message of the peer has been received
-	restarted bool    // the peer has another incarnation than in its message before
-	weight    float64 // of its load view, so that a peer counts as one however often it sends
+	newest    bool    // the message has the highest sequence number of the peer so far
+	restarted bool    // the peer's incarnation differs from that of its previous message
+	weight    float64 // of its load view: smaller after a recent message, so that all peers count alike
 }
 
-// receive notes a peer's message, which came at an active time.
+// receive records a peer's message that was received at the given active time.
 func (g *gossipState) receive(from int, activeTime Time, message *gossipMessage) receiveResult {
 	sender := &g.peers[from]
 	received := receiveResult{
@@ -131,9 +135,10 @@
 	return received
 }
 
-// acceptSequence reports whether a message is the peer's newest so far, and notes it if so.
+// acceptSequence reports whether a message is the newest of the peer so far, and if so records its sequence
+// number.
 func (p *peer) acceptSequence(message *gossipMessage) bool {
-	const maxAhead = math.MaxInt8 // a larger step of the wrapping number is a step back
+	const maxAhead = math.MaxInt8 // a larger increase of the wrapping number means an older message
 	if message.sequence == 0 || p.sequence != 0 && p.incarnation == message.incarnation &&
 		message.sequence-p.sequence-1 >= maxAhead {
 		return false
@@ -142,7 +147,7 @@
 	return true
 }
 
-// allActive reports whether all other gateways of an account have sent messages recently.
+// allActive reports whether all other replicas of an account have sent a message within replicaTimeout.
 func (g *gossipState) allActive(sharing *quotaSharing, account *account, activeTime Time) bool {
 	for i := range account.replicas {
 		index := sharing.replica(account, i)
--- a/policy/gossip_codec.go
+++ b/policy/gossip_codec.go
@@ -5,11 +5,11 @@
 	"math"
 )
 
-// A gossip message is a header followed by items, each of which begins with a byte that gives its
-// kind. Numbers are little-endian. Gateways of different versions exchange these bytes, so that the
-// layout must not change within a version.
+// A gossip message is a header followed by items. The first byte of each item is its kind. Numbers
+// are little-endian. Gateways of different releases exchange these bytes, so the layout must not
+// change unless gossipVersion does.
 //
-//	header    version u8, incarnation u32, in flight u16, on-time rate u16 (in counts)
+//	header    version u8, incarnation u32, in flight u16, on-time rate u16 (both in 1/8)
 //	usage     kind u8, customer u40, plan u8, first replica u16, replicas u16, consumed u16,
 //	          requested u16, newly requested u8, wanted halves u8, quota request u8, remaining u8
 //	grant     kind u8, customer u40, fraction u8, quota request u8, approved u8
@@ -24,12 +24,12 @@
 	faultSize    = 6
 	sequenceSize = 2
 
-	initialMessageSize  = 16 // holds the header and a sequence number; most messages have no more
+	initialMessageSize  = 16 // for a header and a sequence number; most messages have no other items
 	maxMessageSize      = 256
 	maxFaultsPerMessage = 3
-	countsPerUnit       = 8.0 // units are sent as whole eighths; totals wrap
-	halvesPerUnit       = 2.0 // units that a quota request asks for are sent as whole halves
-	idLowBits           = 32  // of a customer's ID, which are sent first
+	countsPerUnit       = 8.0 // units are sent as multiples of 1/8; totals wrap around
+	halvesPerUnit       = 2.0 // the units of a quota request are sent as multiples of 1/2
+	idLowBits           = 32  // low bits of a customer's ID, sent before the high byte
 )
 
 // The kinds of items.
@@ -48,35 +48,35 @@
 // gossipMessage is a decoded message.
 type gossipMessage struct {
 	incarnation uint32
-	inFlight    float64 // the sender's load view, per gateway
-	onTimeRate  float64
+	inFlight    float64 // attempts in flight per gateway, by the sender's load view
+	onTimeRate  float64 // on-time answers per second and gateway, by the same view
 	usage       []usageEntry
 	grants      []grant
 	faults      []faultReport
-	sequence    byte // 0: none
+	sequence    byte // zero if the message has none
 }
 
-// usageEntry reports the use of one customer at the sender.
+// usageEntry reports the usage of one customer at the sender.
 type usageEntry struct {
 	customer               uint64
 	plan                   int
 	firstReplica, replicas int
-	consumed, requested    uint16  // counts since the sender's start
-	newlyRequested         uint16  // the part of requested since the last report; at most 255 are sent
+	consumed, requested    uint16  // wrapping counts of 1/8 unit since the sender's start
+	newlyRequested         uint16  // the increase of requested since the last report; sent as at most 255
 	wantedHalves           byte    // half units that a quota request asks for
-	quotaRequest           byte    // its number; 0: none
-	remaining              float64 // the level as a fraction of the burst; in wide sets the grant
+	quotaRequest           byte    // the number of the quota request; zero if there is none
+	remaining              float64 // bucket level as a fraction of the burst; granted fraction in wide sets
 }
 
-// grant is a coordinator's message on one customer.
+// grant is a coordinator's grant for one customer.
 type grant struct {
 	customer     uint64
-	fraction     float64 // of the requested units that the receiver may grant
-	quotaRequest byte    // the quota request that this answers; 0: none
-	approved     bool    // whether that is granted
+	fraction     float64 // the part of the requested units that the receiver may admit
+	quotaRequest byte    // the number of the quota request that this answers; zero if none
+	approved     bool    // whether that quota request is granted
 }
 
-// faultReport reports a fault of a backend with one class or plan.
+// faultReport reports a fault of a backend on a request of one class or plan.
 type faultReport struct {
 	backend uint32
 	subject faultSubject
@@ -86,14 +86,15 @@
 
 func unpackUnits(counts uint16) float64 { return float64(counts) / countsPerUnit }
 
-// packFraction packs a fraction of one into a byte, with a finer resolution near 0.
+// packFraction packs a fraction between 0 and 1 into a byte, with a finer resolution near 0. Other values are
+// clamped.
 func packFraction(x float64) byte {
 	return byte(math.Round(math.MaxUint8 * math.Sqrt(math.Min(1, math.Max(0, x)))))
 }
 
 func unpackFraction(b byte) float64 { return float64(b) / math.MaxUint8 * float64(b) / math.MaxUint8 }
 
-// messageHeader begins a message.
+// messageHeader returns a new message that consists of a header.
 func messageHeader(incarnation uint32, inFlight, onTimeRate float64) []byte {
 	message := make([]byte, 0, initialMessageSize)
 	message = binary.LittleEndian.AppendUint32(append(message, gossipVersion), incarnation)
@@ -101,10 +102,10 @@
 	return binary.LittleEndian.AppendUint16(message, packLoad(onTimeRate))
 }
 
-// packLoad packs a figure of the load view, which saturates.
+// packLoad packs a value of the load view. A value that is too large saturates.
 func packLoad(x float64) uint16 { return uint16(math.Min(math.MaxUint16, x*countsPerUnit)) }
 
-// appendItemID begins an item on a customer, whose lower 40 bits are sent.
+// appendItemID appends the kind of an item on a customer and the lower 40 bits of the customer's ID.
 func appendItemID(message []byte, kind byte, customer uint64) []byte {
 	message = binary.LittleEndian.AppendUint32(append(message, kind), uint32(customer))
 	return append(message, byte(customer>>idLowBits))
@@ -157,7 +158,8 @@
 	return faultReport{backend: binary.LittleEndian.Uint32(b[1:]), subject: faultSubject(b[5])}
 }
 
-// decodeGossip decodes a message. One of another version or with an incomplete item is not ok.
+// decodeGossip decodes a message. It is not ok if its version differs or it has an unknown or incomplete
+// item.
 func decodeGossip(b []byte) (message gossipMessage, ok bool) {
 	if len(b) < headerSize || b[0] != gossipVersion {
 		return message, false
@@ -175,7 +177,7 @@
 	return message, true
 }
 
-// decodeItem adds the complete item that the bytes begin with.
+// decodeItem adds the item at the beginning of b, which must be complete.
 func (m *gossipMessage) decodeItem(b []byte) {
 	switch b[0] {
 	case usageItem:
--- a/policy/logevent.go
+++ b/policy/logevent.go
@@ -2,8 +2,8 @@
 
 import "log/slog"
 
-// The messages of the events that a controller logs. Messages and keys are stable: operators search for
-// them, and docs/operations.md lists them. A key names its unit where the value has one.
+// The messages of the events that a controller logs. Messages and attribute keys are stable, because
+// operators search for them; docs/operations.md lists them. The key of a value with a unit names the unit.
 const (
 	messageSlowStart  = "backend in slow start"
 	messageWarm       = "backend warm"
@@ -12,23 +12,23 @@
 	messageCounters   = "decision counters"
 )
 
-// The keys that several events share.
+// Attribute keys that several events share.
 const (
 	backendKey = "backend"
 	reasonKey  = "reason"
 )
 
-// ejectionReason says why a backend was ejected.
+// ejectionReason is the reason why a backend was ejected.
 type ejectionReason uint8
 
 const (
-	notEjected               ejectionReason = iota // it stays in rotation
-	ejectedUnresponsive                            // it answered none of its overdue attempts
-	ejectedErrors                                  // too many of its answers were errors
+	notEjected               ejectionReason = iota // the backend stays in rotation
+	ejectedUnresponsive                            // it left its overdue attempts unanswered for too long
+	ejectedErrors                                  // its error rate was too high
 	ejectedConnectionsFailed                       // connections to it failed or were reset
 )
 
-// String is the reason as it is logged.
+// String returns the reason as it is logged.
 func (r ejectionReason) String() string {
 	switch r {
 	case ejectedUnresponsive:
@@ -42,16 +42,16 @@
 	}
 }
 
-// slowStartReason says why a backend is taken for one that has started.
+// slowStartReason is the reason for the assumption that a backend has started.
 type slowStartReason uint8
 
 const (
-	startAnnounced    slowStartReason = iota // an update of the endpoint list told of the start
-	startListed                              // the list that this gateway got as it started holds it
-	connectionsFailed                        // it could not be connected to, and may have restarted
+	startAnnounced    slowStartReason = iota // an endpoint update announced the start
+	startListed                              // it is in the endpoint list of this gateway's own start
+	connectionsFailed                        // connections to it failed, so it may have restarted
 )
 
-// String is the reason as it is logged.
+// String returns the reason as it is logged.
 func (r slowStartReason) String() string {
 	switch r {
 	case startAnnounced:
@@ -67,18 +67,19 @@
 
 func backendAttr(id uint32) slog.Attr { return slog.Uint64(backendKey, uint64(id)) }
 
-// logSlowStart logs that a backend of the given age begins a slow start with a share of its capacity.
+// logSlowStart logs that a backend of the given age enters slow start with the given share of its capacity.
 func logSlowStart(actions Actions, id uint32, reason slowStartReason, age Time, share float64) {
 	actions.Log(messageSlowStart, backendAttr(id), slog.String(reasonKey, reason.String()),
 		slog.Float64("age_seconds", float64(age)/float64(second)), slog.Float64("capacity_share", share))
 }
 
-// logWarm logs that a backend has ended its slow start, in which this gateway sent it so many attempts.
+// logWarm logs that a backend has completed its slow start, and how many attempts this gateway sent to it
+// during the slow start.
 func logWarm(actions Actions, id uint32, attempts int) {
 	actions.Log(messageWarm, backendAttr(id), slog.Int("attempts", attempts))
 }
 
-// logEjection logs that a backend was ejected, if it was.
+// logEjection logs that a backend was ejected, unless the reason is notEjected.
 func logEjection(actions Actions, id uint32, reason ejectionReason) {
 	if reason == notEjected {
 		return
--- a/policy/ownership.go
+++ b/policy/ownership.go
@@ -1,10 +1,11 @@
 package policy
 
-// Two processes of one gateway share its work while one takes over from the other: the one that
-// owns the buckets admits requests, the other one only carries its open requests to their end.
+// During a handover two processes of one gateway run at the same time. The one that owns the buckets
+// admits requests. The other one only completes its open requests.
 
-// ReleaseOwnership has this controller admit nothing more, as another process owns the buckets from
-// now on. Requests that wait for a coordinator's grant are rejected: its answer goes to the other.
+// ReleaseOwnership stops this controller from admitting requests, because another process owns the
+// buckets from now on. Requests that wait for a coordinator's grant are rejected, because the answer
+// goes to the other process.
 func (c *Controller) ReleaseOwnership(now Time) {
 	c.advanceClock(now)
 	c.gaveUpOwnership = true
@@ -14,8 +15,9 @@
 	}
 }
 
-// ResumeOwnership has a controller that gave up its buckets own them again, as the other process
-// has ended. What that one admitted is unknown, so no bucket holds more than after a restart.
+// ResumeOwnership returns the ownership of the buckets to a controller that gave it up, after the
+// other process has exited. What that process admitted is unknown, so each bucket is limited to its
+// level after a restart.
 func (c *Controller) ResumeOwnership(now Time) {
 	c.advanceClock(now)
 	c.clock.resetStart()
@@ -28,7 +30,7 @@
 	c.sharedBucket.level = 0
 }
 
-// PredecessorAttemptSent counts another attempt that the former process has sent.
+// PredecessorAttemptSent records that the predecessor has sent another attempt of one of its requests.
 func (c *Controller) PredecessorAttemptSent(now Time, id uint64, backend uint32) {
 	c.advanceClock(now)
 	if request := c.requests.ofPredecessor[id]; request != nil {
@@ -36,7 +38,7 @@
 	}
 }
 
-// PredecessorAttemptEnded handles the outcome of an attempt of the former process.
+// PredecessorAttemptEnded handles the outcome of an attempt of the predecessor.
 func (c *Controller) PredecessorAttemptEnded(now Time, outcome Outcome) {
 	c.advanceClock(now)
 	request := c.requests.ofPredecessor[outcome.RequestID]
@@ -51,7 +53,7 @@
 	}
 }
 
-// PredecessorExited notes that the former process has ended, and its pending attempts with it.
+// PredecessorExited ends the pending attempts of the predecessor, which has exited.
 func (c *Controller) PredecessorExited(now Time) {
 	c.advanceClock(now)
 	for _, request := range c.requests.takeOfPredecessor() {
--- a/policy/reload.go
+++ b/policy/reload.go
@@ -1,9 +1,9 @@
 package policy
 
-// Reload puts other settings in force. Classes and plans are matched by name, as their indices may
-// change. A class that is gone or has changed stays after the new ones, as it was, while requests of
-// it are open; so does a plan that is gone while customers have it. Only a restart can change the
-// gateways and how they hear of each other: those settings stay as they are.
+// Reload replaces the settings. Classes and plans are matched by name, because their indices may
+// change. A removed or changed class is kept, unchanged and after the new classes, if requests of it
+// are open. A removed plan is kept after the new plans if customers have it. The settings of the
+// gateways and of how they communicate, which only a restart can change, keep their values.
 func (c *Controller) Reload(now Time, settings Settings) error {
 	if err := settings.validate(); err != nil {
 		return err
@@ -12,7 +12,7 @@
 	settings.retainFixed(&c.settings)
 	change := matchSettings(&c.settings, &settings, c.requests.hasClass, c.customers.hasPlan)
 	if err := settings.validate(); err != nil {
-		return err // what must be kept does not fit
+		return err // too many classes and plans with those that are kept
 	}
 	c.renumber(&settings, &change)
 	for _, customer := range c.customers.inOrder {
@@ -29,8 +29,8 @@
 	return nil
 }
 
-// renumber moves all state to the indices that classes and plans have in the new settings. What was learnt of
-// a class holds for the class of its name, whatever else of it has changed.
+// renumber moves all state to the indices that classes and plans have in the new settings. Measurements of a
+// class stay with the class of the same name, even if its settings have changed.
 func (c *Controller) renumber(settings *Settings, change *settingsChange) {
 	classCount, planCount := len(settings.Classes), len(settings.Plans)
 	c.latency.renumber(change.oldClasses)
@@ -39,10 +39,10 @@
 	c.backends.renumberFaults(change.oldClasses, change.plans, planCount)
 	c.requests.renumber(change.classes, change.plans, classCount)
 	c.sharedBucket.renumberPlans(c.settings.Plans, settings.Plans, change.plans)
-	c.gossip.dropFaults() // they name classes by their old index
+	c.gossip.dropFaults() // they refer to classes by their old indices
 }
 
-// deriveFromSettings computes what follows from the settings alone.
+// deriveFromSettings computes the state that depends on the settings alone.
 func (c *Controller) deriveFromSettings() {
 	c.sharing = newQuotaSharing(&c.settings)
 	c.slowStart = c.settings.slowStartParameters()
--- a/policy/report.go
+++ b/policy/report.go
@@ -1,6 +1,6 @@
 package policy
 
-// logCounters logs the counters, the load view and the slow starts once in a while.
+// logCounters logs the activity counters with the load and slow-start metrics, once per counterLogInterval.
 func (c *Controller) logCounters() {
 	now := c.clock.now
 	if !c.counters.isDue(now) {
--- a/policy/settingschange.go
+++ b/policy/settingschange.go
@@ -2,15 +2,16 @@
 
 import "slices"
 
-// settingsChange says where classes and plans stand before and after a reload. Every class and plan that
-// something still needs has a new index.
+// settingsChange maps the indices of classes and plans before a reload to those after it. Every class and
+// plan that is still needed has a new index.
 type settingsChange struct {
-	classes, plans []int // the new index by the old one; -1: nothing needs it any more
-	oldClasses     []int // the old index of a class by the new one; -1: it is new
+	classes, plans []int // the new index of each old one; -1 if it is no longer needed
+	oldClasses     []int // the old index of each new class; -1 if there was none of that name
 }
 
-// matchSettings matches the classes and plans of new settings with those in force, by name. It appends those
-// to the new settings that are gone from them, or have changed, and that requests or customers still need.
+// matchSettings matches the classes and plans of new settings with the current ones, by name. It appends to
+// the new settings the removed or changed classes that open requests need, and the removed plans that
+// customers need.
 func matchSettings(current, settings *Settings, needsClass, needsPlan func(index int) bool) settingsChange {
 	classes := matchClasses(current, settings, needsClass)
 	return settingsChange{
@@ -20,8 +21,8 @@
 	}
 }
 
-// matchClasses returns the new index of each class. A class with the same name that is not the same otherwise
-// is another one.
+// matchClasses returns the new index of each current class. A class of the same name that differs in any
+// other field is no match.
 func matchClasses(current, settings *Settings, isNeeded func(index int) bool) []int {
 	configured := len(settings.Classes)
 	indices := make([]int, len(current.Classes))
@@ -39,7 +40,7 @@
 	return indices
 }
 
-// matchPlans returns the new index of each plan. A plan of the same name takes the place of the old one.
+// matchPlans returns the new index of each current plan. A plan of the same name replaces the current one.
 func matchPlans(current, settings *Settings, isNeeded func(index int) bool) []int {
 	indices := make([]int, len(current.Plans))
 	for i, plan := range current.Plans {
@@ -52,7 +53,8 @@
 	return indices
 }
 
-// oldClassIndices is the inverse of the indices from matchClasses, completed by name.
+// oldClassIndices returns the old index of each new class: by the indices from matchClasses, or else by
+// name.
 func oldClassIndices(old, classes []Class, newIndices []int) []int {
 	indices := make([]int, len(classes))
 	for i := range indices {
@@ -63,7 +65,8 @@
 	return indices
 }
 
-// pickFrom sets each item of to from the one at its old index in from, if that is not -1.
+// copyByOldIndex sets each item of to from the item of from at its old index. Items whose old index is -1 stay
+// as they are.
 func copyByOldIndex[T any](to, from []T, oldIndices []int) {
 	for i, old := range oldIndices {
 		if old >= 0 {
@@ -72,7 +75,7 @@
 	}
 }
 
-// indexByName is the index of the item of that name; -1: none.
+// indexByName returns the index of the item with the given name, or -1 if there is none.
 func indexByName[T any](items []T, nameOf func(*T) string, name string) int {
 	return slices.IndexFunc(items, func(item T) bool { return nameOf(&item) == name })
 }
@@ -80,8 +83,8 @@
 func className(class *Class) string { return class.Name }
 func planName(plan *Plan) string    { return plan.Name }
 
-// retainFixed copies what only a restart can change from the settings in force. It also copies the lists,
-// which are appended to.
+// retainFixed copies the settings that only a restart can change from the current settings. It also clones
+// the lists of classes and plans, because matchSettings appends to them.
 func (s *Settings) retainFixed(current *Settings) {
 	s.Self, s.Gateways, s.Zone = current.Self, current.Gateways, current.Zone
 	s.PollEndpoints, s.LoadReport = current.PollEndpoints, current.LoadReport
@@ -90,7 +93,7 @@
 	s.Classes, s.Plans = slices.Clone(s.Classes), slices.Clone(s.Plans)
 }
 
-// shortestObjective is the tightest latency objective of all classes.
+// shortestObjective is the shortest latency objective of all classes.
 func (s *Settings) shortestObjective() Time {
 	shortest := s.Classes[0].LatencyObjective
 	for i := range s.Classes {
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -1,7 +1,7 @@
 package policy
 
-// Export returns the state that the process which takes over needs. The retry budget is halved, as
-// both processes may retry for a while.
+// Export returns the state that a successor needs. It halves the retry budget, because both processes
+// may retry during the handover.
 func (c *Controller) Export(now Time) *Snapshot {
 	c.advanceClock(now)
 	c.retryBudget.split()
@@ -40,8 +40,8 @@
 	return snapshot
 }
 
-// Import imports the state of another process, whose classes and plans it knows by name. The
-// controller must not have decided on anything yet.
+// Import imports the state that another process exported. Classes and plans are matched by name. It
+// must be called before the controller has made any decision.
 func (c *Controller) Import(now Time, snapshot *Snapshot) error {
 	if err := snapshot.validate(); err != nil {
 		return err
@@ -84,8 +84,8 @@
 	return nil
 }
 
-// restore adds an attempt of the former process to a request, as load of its backend and its customer while
-// it is pending.
+// importAttempt adds an attempt of the predecessor to a request. A pending attempt counts as load of its
+// backend and its customer.
 func (r *request) importAttempt(attempt *attempt) {
 	r.attempts = append(r.attempts, attempt)
 	if !attempt.pending {
--- a/policy/snapshot_clock.go
+++ b/policy/snapshot_clock.go
@@ -1,10 +1,11 @@
 package policy
 
-// The two processes of a handover read clocks that may differ: each takes the wall clock's time once, at
-// its start, and the wall clock may have been stepped since. Spans are the same by both.
+// The clocks of the two processes of a handover may differ: each process reads the wall clock once, at its
+// start, and the wall clock may have been stepped between the two starts. Durations are the same by both
+// clocks.
 
-// writtenAt is when the snapshot was written, by the writer's clock. Older versions do not state it: the
-// writer's buckets are all refilled when it writes, and the newest of their times is that one.
+// writtenAt is when the snapshot was written, by the writer's clock. Older versions do not state it, but they
+// refill all buckets when they write a snapshot, so the newest update time of a bucket stands for it.
 func (s *Snapshot) writtenAt() Time {
 	if s.Now != 0 {
 		return s.Now
@@ -16,7 +17,7 @@
 	return newest
 }
 
-// rebase moves all times of the snapshot from the writer's clock to one by which it is now.
+// rebase converts all times of the snapshot from the writer's clock to this process's, which reads now.
 func (s *Snapshot) rebase(now Time) {
 	shift := timeShift(now - s.writtenAt())
 	s.Now = now
@@ -42,7 +43,7 @@
 	}
 }
 
-// timeShift is what is added to times. A time of 0 stands for none and stays.
+// timeShift is an offset that is added to times. A time of zero is unset and stays zero.
 type timeShift Time
 
 func (shift timeShift) applyToTimes(times ...*Time) {
--- a/policy/snapshot_codec.go
+++ b/policy/snapshot_codec.go
@@ -2,112 +2,112 @@
 
 import "errors"
 
-// The types of a snapshot go from the process of one version to that of the next by gob, which
-// matches fields by name. Names of types and fields, the order of fields and the positions in
-// arrays are therefore frozen: a renamed field compiles and is silently lost. That is why the
-// names differ from those in the rest of the package; the comments say what each field is there.
-// A new field is absent, hence zero, in the snapshot of an older version.
-
-// Snapshot is the state of a controller as plain data, for the process that succeeds it.
-// Classes and plans are given by index in it; their names say which they are.
+// A snapshot passes from a process of one version to a process of another by gob, which matches
+// fields by name. The names of types and fields, the order of fields and the positions in arrays are
+// therefore frozen: a renamed field compiles, but its value is silently lost. That is why the names
+// differ from those in the rest of the package; each comment says what the field is called there or
+// what it holds. A field that was added later is zero in the snapshot of an older version.
+
+// Snapshot is the state of a controller as plain data, which a process hands over to its successor.
+// It refers to classes and plans by their indices in the lists Classes and Plans.
 type Snapshot struct {
-	Classes, Plans []string // the names, by index
+	Classes, Plans []string // their names, by index
 
 	Born    Time     // clock.startedAt
 	Still   Time     // clock.stalledTime
 	Woke    Time     // clock.resumedAt
-	Swept   Time     // when idle customers were last searched for
+	Swept   Time     // customerTable.sweptAt
 	Boot    uint32   // the gateway's incarnation
 	Turn    byte     // the sequence number of its last gossip message
 	Boots   []uint32 // the incarnation of each peer
-	HeardAt []Time   // when each peer was last heard
+	HeardAt []Time   // when the last message of each peer was received
 	Turns   []byte   // the sequence number of each peer's newest message
 
 	Lend      [4]float64 // the shared bucket
-	IdleSpill []float64  // the overflow of customers without a record, by plan
+	IdleSpill []float64  // the overflow of customers without a record, by plan, in units a second
 	Customers []CustomerState
 	Backends  []BackendState
 	Open      []OpenState // requests with pending attempts
 
-	InTime      [2]float64     // answers within their objective (a sum)
-	Peers       [2]float64     // peers that reported (a sum)
-	PeersHeld   [2]float64     // their attempts in flight (a sum)
-	PeersInTime [2]float64     // their rates of answers within the objective (a sum)
-	Pace        [2]float64     // the answer rate of warm backends (a sum); their send rate in old snapshots
-	Mean        [2]float64     // the latency of all backends (an average)
-	ColdMean    [2]float64     // the latency of backends in slow start (an average)
-	Late        [2]float64     // the share of late answers (an average)
-	Worth       [2]float64     // the priority in relation to the work (an average)
-	Base        [][2]float64   // the latency of each class (averages)
-	Grace       [][][2]float64 // how long clients wait, by plan and class (averages)
+	InTime      [2]float64     // decaying sum: answers within their objective
+	Peers       [2]float64     // decaying sum: peers that reported their load
+	PeersHeld   [2]float64     // decaying sum: the peers' attempts in flight
+	PeersInTime [2]float64     // decaying sum: the peers' rates of answers within the objective
+	Pace        [2]float64     // decaying sum: answers per warm backend; attempts in old snapshots
+	Mean        [2]float64     // moving average: the latency of all backends
+	ColdMean    [2]float64     // moving average: the latency of backends in slow start
+	Late        [2]float64     // moving average: the share of late answers
+	Worth       [2]float64     // moving average: the priorities of requests, relative to their work
+	Base        [][2]float64   // moving averages: the latency, by class
+	Grace       [][][2]float64 // moving averages: how long clients wait, by plan and class
 	Again       float64        // the retry budget
 
-	Now    Time     // when it was written, by the writer's clock; 0 in old snapshots
-	Stamps [][]Time // the known stamps of each backend's starts; nil in old snapshots
+	Now    Time     // when the snapshot was written, by the writer's clock; zero in old snapshots
+	Stamps [][]Time // the known start stamps of each backend; nil in old snapshots
 }
 
 // CustomerState is the state of one customer.
 type CustomerState struct {
 	ID        uint64
 	Plan      int
-	First     int          // the first gateway of the replica set
-	Spread    int          // the number of gateways in it
-	Store     [4]float64   // the bucket
+	First     int          // the index of the first gateway of the replica set
+	Spread    int          // the number of gateways in the replica set
+	Store     [4]float64   // the quota's bucket
 	Ceiling   [4]float64   // the ceiling's bucket
 	Taken     float64      // units consumed
-	Told      float64      // the part of them reported
+	Told      float64      // the part of Taken that was reported
 	Asked     float64      // units requested
-	AskedTold float64      // the part of them reported
+	AskedTold float64      // the part of Asked that was reported
 	LastAsk   float64      // the cost of the last request
-	Grant     float64      // the fraction granted
-	Slice     float64      // granted units
-	Granted   float64      // the grant advertised
+	Grant     float64      // the granted fraction of requested units
+	Slice     float64      // units saved up under the grant
+	Granted   float64      // the fraction that was last advertised
 	Total     float64      // the shared counter's total
-	Part      float64      // the metered quota share
-	Use       [2]float64   // the demand (a sum)
-	Others    [2]float64   // the peers' demand (a sum)
-	Metered   [2]float64   // the metered demand (a sum)
-	Heard     []HeardState // what each gateway of the set reported
-	Tallies   [][3]float64 // the use under each coordinator; nil in old snapshots, with one coordinator
-	GrantAt   Time         // when the grant may be advertised again
-	TellAt    Time         // when the use may be reported again
+	Part      float64      // the quota share by the meter
+	Use       [2]float64   // decaying sum: the demand at this gateway
+	Others    [2]float64   // decaying sum: the demand at peers
+	Metered   [2]float64   // decaying sum: the demand over the meter period
+	Heard     []HeardState // what each gateway of the replica set last reported
+	Tallies   [][3]float64 // usage by coordinator; nil in old snapshots, which had one coordinator
+	GrantAt   Time         // when the grant may next be advertised
+	TellAt    Time         // when usage may next be reported
 	Asks      byte         // the number of the last quota request
 }
 
-// HeardState is what another gateway last reported of a customer.
+// HeardState is the usage of a customer that another gateway last reported.
 type HeardState struct {
-	Known bool   // it reported at all
-	Boot  uint32 // its incarnation
+	Known bool   // whether it has reported any usage
+	Boot  uint32 // the incarnation of the gateway
 	Taken uint16 // the wrapping count of units consumed
 	Asked uint16 // the wrapping count of units requested
 }
 
 // BackendState is the state of one backend.
 type BackendState struct {
-	Backend uint32       // its ID
-	Started Time         // its start, as told or as inferred
-	Quiet   Time         // since when it has answered nothing
-	SlowAt  Time         // when the latency ratio was updated
+	Backend uint32       // the ID of the backend
+	Started Time         // when it started, as announced or inferred
+	Quiet   Time         // the active time since which it has answered nothing
+	SlowAt  Time         // when the latency ratio was last updated
 	Left    Time         // when it was last ejected
-	Wait    Time         // for how long
-	TrialAt Time         // when it is tried again
+	Wait    Time         // the duration of that ejection
+	TrialAt Time         // when it is next probed
 	Slow    float64      // the latency ratio
 	Errs    float64      // the error rate
-	Down    bool         // it is down
-	Silent  bool         // it is unresponsive
-	Breaks  [2]float64   // connection failures (a sum)
-	Words   [][2]float64 // fault reports, by class and then by plan (sums)
+	Down    bool         // whether it is down
+	Silent  bool         // whether it is unresponsive
+	Breaks  [2]float64   // decaying sum: connection failures
+	Words   [][2]float64 // decaying sums: fault reports, first by class, then by plan
 	Cold    [4]float64   // the slow start bucket
 }
 
-// OpenState is a request with pending attempts. The process that sent them carries it to its end;
-// the one that takes over only counts them as load.
+// OpenState is a request with pending attempts. The process that sent the attempts completes it; its
+// successor only counts them as load.
 type OpenState struct {
 	ID       uint64
 	Customer uint64
 	Class    int
 	Plan     int
-	Units    float64 // the cost
+	Units    float64 // the cost of the request
 	Attempts []AttemptState
 }
 
@@ -116,14 +116,14 @@
 	Backend uint32
 	At      Time // when it was sent
 	Pending bool
-	Late    bool // it is overdue
-	Blind   bool // it overlapped a stall
-	MayRun  bool // it may have run
+	Late    bool // whether it is overdue
+	Blind   bool // whether it overlapped a stall of the gateway
+	MayRun  bool // whether the request may have run
 }
 
-// The positions in the arrays are known to the following functions only.
+// Only the following functions know the positions in the arrays.
 
-// The positions of the times in the arrays.
+// The positions of the update times in the arrays.
 const (
 	bucketUpdatedAt = 3
 	sumUpdatedAt    = 1
@@ -163,7 +163,7 @@
 	return customerUsage{consumed: state[0], requested: state[1], requestedReported: state[2]}
 }
 
-// convertAll converts each item of a slice. The result is nil for an empty one, as in old versions.
+// convertAll converts each item of a slice. The result for an empty slice is nil, as in older versions.
 func convertAll[From, To any](items []From, convert func(From) To) []To {
 	var converted []To
 	for _, item := range items {
@@ -184,7 +184,7 @@
 	}
 }
 
-// peers is what the writer knew of the gateways; nil if the lists differ in length.
+// peers returns the writer's gossip state of its peers, or nil if the lists differ in length.
 func (s *Snapshot) peers() []peer {
 	if len(s.HeardAt) != len(s.Boots) || len(s.Turns) != len(s.Boots) {
 		return nil
@@ -214,7 +214,8 @@
 	}
 }
 
-// decodeCustomer converts all but what follows from the plan, which has the given index here.
+// decodeCustomer converts a customer's state, except for the fields that are derived from the plan, which has
+// the given index in this process.
 func decodeCustomer(state *CustomerState, plan int) *customer {
 	return &customer{
 		account: account{id: state.ID, plan: plan, firstReplica: state.First, replicas: state.Spread},
@@ -261,8 +262,8 @@
 	}
 }
 
-// decodeInto sets a backend's state but for its start. Its fault reports are those on classes and plans that
-// this process has too.
+// decodeInto sets a backend's state, except for its start. Fault reports on classes and plans that this
+// process does not have are dropped.
 func (s *BackendState) decodeInto(backend *backend, indices snapshotIndices) {
 	health := &backend.health
 	health.unansweredSince, health.errorRate = s.Quiet, s.Errs
@@ -274,8 +275,8 @@
 	decodeFaults(s.Words, indices, &backend.faults)
 }
 
-// snapshotIndices are the indices that a snapshot's classes and plans have in a process; -1: they are not in
-// its settings.
+// snapshotIndices maps the indices of a snapshot's classes and plans to those in this process; -1 if its
+// settings do not have the class or plan.
 type snapshotIndices struct{ class, plan []int }
 
 func (s *Snapshot) indicesIn(settings *Settings) snapshotIndices {
@@ -291,7 +292,7 @@
 	}
 }
 
-// decodeLatency sets the averages, those of classes that this process has too among them.
+// decodeLatency sets the latency averages, except for those of classes that this process does not have.
 func (s *Snapshot) decodeLatency(indices snapshotIndices, latency *latencyEstimate) {
 	latency.all, latency.slowStart = decodeAverage(s.Mean), decodeAverage(s.ColdMean)
 	for i, state := range s.Base {
@@ -301,7 +302,7 @@
 	}
 }
 
-// decodeTimeouts sets the averages of plans and classes that this process has too.
+// decodeTimeouts sets the client timeouts, except for plans and classes that this process does not have.
 func (s *Snapshot) decodeTimeouts(indices snapshotIndices, timeouts clientTimeouts) {
 	for i, row := range s.Grace {
 		for j, state := range row {
@@ -312,7 +313,7 @@
 	}
 }
 
-// stampsOf are the stamps of the backend at an index, none in old snapshots.
+// stampsOf returns the start stamps of the backend at an index, which old snapshots do not have.
 func (s *Snapshot) stampsOf(i int) startStamps {
 	if i >= len(s.Stamps) {
 		return startStamps{}
@@ -320,12 +321,12 @@
 	return startStamps{known: s.Stamps[i]}
 }
 
-// encodeFaults converts fault reports, those of the plans after those of the classes.
+// encodeFaults converts fault reports. Those on plans follow those on classes.
 func encodeFaults(faults *faultReports) [][2]float64 {
 	return append(convertAll(faults.byClass, encodeSum), convertAll(faults.byPlan, encodeSum)...)
 }
 
-// decodeFaults sets the fault reports on classes and plans that this process has too.
+// decodeFaults sets the fault reports, except for those on classes and plans that this process does not have.
 func decodeFaults(states [][2]float64, indices snapshotIndices, faults *faultReports) {
 	for i, state := range states {
 		if i < len(indices.class) {
@@ -346,8 +347,8 @@
 	}
 }
 
-// decodeRequest converts all but the attempts of a request that the former process carries to its end; nil
-// if its class, plan or customer is unknown here.
+// decodeRequest converts a request that the predecessor completes, without its attempts. It returns nil if
+// this process does not know the request's class, plan or customer.
 func decodeRequest(state *OpenState, indices snapshotIndices, customer *customer) *request {
 	class, plan := indices.class[state.Class], indices.plan[state.Plan]
 	if customer == nil || class < 0 || plan < 0 {
@@ -369,7 +370,7 @@
 	}
 }
 
-// decodeAttempt converts an attempt at the given backend.
+// decodeAttempt converts the state of an attempt at the given backend.
 func decodeAttempt(state *AttemptState, backend *backend) *attempt {
 	return &attempt{
 		backend: backend, sentAt: state.At, pending: state.Pending, overdue: state.Late && state.Pending,
@@ -377,10 +378,10 @@
 	}
 }
 
-// ErrSnapshotIndex is the error of Import for a snapshot with an index that no class or plan has.
-var ErrSnapshotIndex = errors.New("snapshot: an index without its class or plan")
+// ErrSnapshotIndex is returned by Import for a snapshot with an index outside its list of classes or plans.
+var ErrSnapshotIndex = errors.New("snapshot: class or plan index out of range")
 
-// validate checks that all indices lie within their lists: another version may have written them.
+// validate checks that all indices are within their lists, because another version may have written them.
 func (s *Snapshot) validate() error {
 	valid := len(s.Base) <= len(s.Classes) && len(s.Grace) <= len(s.Plans) && len(s.IdleSpill) <= len(s.Plans)
 	for _, row := range s.Grace {
