--- a/policy/activitycounters_test.go
+++ b/policy/activitycounters_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-func TestCountersAreTakenOnceAnInterval(t *testing.T) {
+func TestFlushResetsCountersAndInterval(t *testing.T) {
 	counters := activityCounters{since: second}
 	if counters.isDue(second+counterLogInterval-1) || !counters.isDue(second+counterLogInterval) {
-		t.Error("the counters are not due after their interval")
+		t.Error("the counters are not due exactly at the end of their interval")
 	}
 	counters.quotaRequests = 3
 	now := second + counterLogInterval
@@ -18,18 +18,18 @@
 		found = found || attribute.Equal(slog.Int("quota_requests", 3))
 	}
 	if !found {
-		t.Errorf("%v, want 3 quota requests", attributes)
+		t.Errorf("got %v, want 3 quota requests", attributes)
 	}
 	if counters != (activityCounters{since: now}) {
-		t.Errorf("%+v is left after the counters were taken", counters)
+		t.Errorf("after the flush: got %+v, want reset counters", counters)
 	}
 	if counters.isDue(now) {
-		t.Error("the counters are due again at once")
+		t.Error("the counters are due right after the flush")
 	}
 }
 
-// The order of the attributes is that in which operators read them.
-func TestCounterAttributesKeepTheirOrder(t *testing.T) {
+// The order is part of the log format that operators read.
+func TestFlushOrdersAttributes(t *testing.T) {
 	want := []string{
 		"attempts_sent", "consecutive_to_one_backend", "rejected", "over_quota_by_share",
 		"over_quota_bucket_half_full", "quota_requests", "quota_requests_unanswered", "results", "load",
@@ -37,22 +37,22 @@
 	}
 	got := new(activityCounters).flush(0, loadMetrics{}, slowStartMetrics{})
 	if len(got) != len(want) {
-		t.Fatalf("%d attributes, want %d", len(got), len(want))
+		t.Fatalf("got %d attributes, want %d", len(got), len(want))
 	}
 	for i, attribute := range got {
 		if attribute.Key != want[i] {
-			t.Errorf("attribute %d is %s, want %s", i, attribute.Key, want[i])
+			t.Errorf("attribute %d: got %s, want %s", i, attribute.Key, want[i])
 		}
 	}
 }
 
-func TestConsecutiveAttemptsShowHerding(t *testing.T) {
+func TestCountAttemptDetectsConsecutiveBackend(t *testing.T) {
 	a, b := &backend{}, &backend{}
 	var counters activityCounters
 	for _, backend := range []*backend{a, a, b, a, a, a} {
 		counters.countAttempt(backend)
 	}
 	if counters.attemptsSent != 6 || counters.consecutive != 3 {
-		t.Errorf("%d sent, %d of them consecutive; want 6 and 3", counters.attemptsSent, counters.consecutive)
+		t.Errorf("got %d sent and %d consecutive, want 6 and 3", counters.attemptsSent, counters.consecutive)
 	}
 }
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// The benchmarks show what a controller alone does as the fleet grows along one axis; docs/CAPACITY.md
-// works with their figures.
+// The benchmarks measure a controller without I/O as the fleet grows along one axis. docs/CAPACITY.md uses
+// their results.
 
 func newBenchController(b *testing.B, settings Settings) *Controller {
 	b.Helper()
@@ -18,20 +18,20 @@
 	return controller
 }
 
-// newSizedController makes one of that many gateways with that many backends.
+// newSizedController returns the controller of one gateway in a fleet of the given size.
 func newSizedController(b *testing.B, gateways, backends int) *Controller {
 	b.Helper()
 	settings := testSettings()
 	settings.Gateways, settings.Gossip, settings.GossipPerSecond = gateways, true, 40
 	settings.HandshakePrice = 0.1
-	settings.Plans[1].Rate, settings.Plans[1].Burst = 1e6, 1e6 // no quota is a limit
+	settings.Plans[1].Rate, settings.Plans[1].Burst = 1e6, 1e6 // the quota is never exhausted
 	controller := newBenchController(b, settings)
 	controller.UpdateEndpoints(start, UpdateComplete, endpoints(backends))
 	b.ReportAllocs()
 	return controller
 }
 
-// serveOne has a request sent and answered.
+// serveOne handles a request and its answer.
 func serveOne(b *testing.B, controller *Controller, now Time, id, customer uint64) {
 	b.Helper()
 	const replicas = 2
@@ -40,7 +40,7 @@
 	})
 	request := controller.requests.byID[id]
 	if request == nil {
-		b.Fatal("a request was not sent")
+		b.Fatal("request was not sent")
 	}
 	controller.AttemptEnded(now, Outcome{
 		RequestID: id, Backend: request.attempts[0].backend.ID, Latency: 1000, ClientAnswered: true,
@@ -52,19 +52,20 @@
 		b.Run(fmt.Sprintf("%dx%d", c.gateways, c.backends), func(b *testing.B) {
 			settings := testSettings()
 			settings.Gateways = c.gateways
-			settings.Plans[1].Rate = 60 // too large for quota requests: each request is decided at once
+			settings.Plans[1].Rate = 60 // too high for quota requests: each request is decided at once
 			controller := newBenchController(b, settings)
 			controller.UpdateEndpoints(start, UpdateStale, endpoints(c.backends))
 			b.ReportAllocs()
 			now := start
-			for id := uint64(1); b.Loop(); id++ { // this gateway would coordinate the customer of ID 0
+			for id := uint64(1); b.Loop(); id++ { // not from 0: this gateway coordinates customer 0
 				now += 5000
 				controller.RequestReceived(now, Request{
 					ID: id, Plan: 1, Customer: id % 200, Cost: 1, Timeout: second, Replicas: c.replicas,
 				})
 				if request := controller.requests.byID[id]; request != nil {
 					controller.AttemptEnded(now, Outcome{
-						RequestID: id, Backend: request.attempts[0].backend.ID, Latency: 1000, ClientAnswered: true,
+						RequestID: id, Backend: request.attempts[0].backend.ID, Latency: 1000,
+						ClientAnswered: true,
 					})
 				}
 			}
@@ -130,7 +131,8 @@
 	}
 }
 
-// A second of a gateway at which that many customers are active: a request of each, and all rounds.
+// BenchmarkSecondByCustomers simulates a second of a gateway per iteration: one request of each active
+// customer, and all gossip rounds.
 func BenchmarkSecondByCustomers(b *testing.B) {
 	for _, customers := range []uint64{60, 300, 1500, 6000} {
 		b.Run(strconv.FormatUint(customers, 10), func(b *testing.B) {
--- a/policy/clock_test.go
+++ b/policy/clock_test.go
@@ -4,7 +4,7 @@
 
 const testEventInterval = second / 100
 
-// startedClock is a clock that has started at the usual time, with its timer due a period later.
+// startedClock returns a clock that has started at start, with its timer due after the period.
 func startedClock(t *testing.T, period Time) *clock {
 	t.Helper()
 	c := &clock{}
@@ -17,7 +17,7 @@
 	return c
 }
 
-func TestClockTellsStallsFromLateTimers(t *testing.T) {
+func TestClockDetectsStallByTimerDelay(t *testing.T) {
 	const period = second / 10
 	tolerated := period + stallEventIntervals*testEventInterval
 	for _, c := range []struct {
@@ -27,42 +27,42 @@
 		inactive Time
 	}{
 		{"before the timer", period - 1, clockAdvanced, 0},
-		{"a tolerated delay", tolerated, clockAdvanced, 0},
-		{"a stall", tolerated + 1, clockResumed, tolerated + 1 - period},
+		{"timer delayed within tolerance", tolerated, clockAdvanced, 0},
+		{"timer delayed beyond tolerance", tolerated + 1, clockResumed, tolerated + 1 - period},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			clock := startedClock(t, period)
 			if event := clock.advance(start+c.after, testEventInterval); event != c.want {
-				t.Errorf("got event %d, want %d", event, c.want)
+				t.Errorf("event: got %d, want %d", event, c.want)
 			}
 			if want := start + c.after - c.inactive; clock.activeTime != want {
-				t.Errorf("active time %d, want %d", clock.activeTime, want)
+				t.Errorf("active time: got %d, want %d", clock.activeTime, want)
 			}
 			if got := clock.isResuming(); got != (c.want == clockResumed) {
-				t.Errorf("is resuming: %t", got)
+				t.Errorf("isResuming: got %t", got)
 			}
 		})
 	}
 }
 
-func TestClockNeverGoesBack(t *testing.T) {
+func TestClockIgnoresEarlierEventTime(t *testing.T) {
 	clock := startedClock(t, second)
 	clock.advance(start+second/2, testEventInterval)
 	active := clock.activeTime
 	clock.advance(start, testEventInterval)
 	if clock.now != start+second/2 || clock.activeTime != active {
-		t.Errorf("now %d, active time %d after an earlier event", clock.now, clock.activeTime)
+		t.Errorf("after an event with an earlier time: now %d, active time %d", clock.now, clock.activeTime)
 	}
 }
 
-func TestClockGoesOnWithTheStallsOfASnapshot(t *testing.T) {
+func TestClockImportsStateOfSnapshot(t *testing.T) {
 	clock := startedClock(t, second)
 	clock.importState(start-second, start-second/2, second/4)
 	if clock.activeTime != start-second/4 || clock.startedAt != start-second || clock.isResuming() {
-		t.Errorf("restored %+v", *clock)
+		t.Errorf("after the import: got %+v", *clock)
 	}
 	clock.advance(start+second/2, testEventInterval)
 	if clock.resetStart(); clock.startedAt != start+second/2 {
-		t.Errorf("restarted at %d", clock.startedAt)
+		t.Errorf("start time after the reset: got %d", clock.startedAt)
 	}
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,10 +7,10 @@
 	"sparspread/policy"
 )
 
-// host is what a program brings to a controller: it prints what it is asked to do, and keeps timers.
+// host implements Actions for a controller: it prints the actions and keeps the timers.
 type host struct {
 	now    policy.Time
-	timers []policy.Time // when they are due; all have token 0
+	timers []policy.Time // due times; all timers have ID 0
 }
 
 func (h *host) Send(id uint64, backend uint32, _ policy.Time) (waiting bool) {
@@ -31,7 +31,7 @@
 func (h *host) IncrementCounter(uint64, float64, policy.Time) {}
 func (h *host) WatchEndpoints()                               {}
 
-// run moves the clock forward and fires the timers that are due.
+// run advances the clock and fires the timers that are due until then.
 func (h *host) run(controller *policy.Controller, until policy.Time) {
 	for len(h.timers) > 0 && h.timers[0] <= until {
 		h.now, h.timers = h.timers[0], h.timers[1:]
@@ -40,7 +40,7 @@
 	h.now = until
 }
 
-// A host reports each event with its time and does what the controller asks for, all from one
+// A host reports each event with its time and carries out the actions of the controller, all from one
 // goroutine.
 func Example() {
 	h := &host{now: 1000}
--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-func TestLateRepeatedAndLostMessagesDoNoHarm(t *testing.T) {
+// Guards against usage that is charged twice, or never, if gossip messages are lost, repeated or reordered.
+func TestApplyUsageWithLostRepeatedAndReorderedMessages(t *testing.T) {
 	a, b := gossipPair(t)
 	var messages [][]byte
 	for range 3 {
@@ -18,14 +19,14 @@
 	}
 	b.GossipReceived(b.at, 0, messages[0])
 	level := b.customers.byID[9].bucket.level
-	b.GossipReceived(b.at, 0, messages[2]) // the second one is lost
+	b.GossipReceived(b.at, 0, messages[2]) // messages[1] has not arrived yet
 	assertNear(t, "level after 8 more units", b.customers.byID[9].bucket.level, level-8)
 	b.GossipReceived(b.at, 0, messages[2])
 	b.GossipReceived(b.at, 0, messages[1])
-	assertNear(t, "level after a repeat and a late message", b.customers.byID[9].bucket.level, level-8)
+	assertNear(t, "level after a repeated and a reordered message", b.customers.byID[9].bucket.level, level-8)
 }
 
-func TestMalformedMessagesAreIgnored(t *testing.T) {
+func TestGossipReceivedIgnoresMalformedMessagesAndUnknownPeers(t *testing.T) {
 	_, b := gossipPair(t)
 	valid := (&usageEntry{customer: 9, plan: 0, replicas: 2}).appendTo(messageHeader(1, 0, 0))
 	otherVersion := slices.Clone(valid)
@@ -39,27 +40,27 @@
 		b.GossipReceived(b.at, unknownPeer, valid)
 	}
 	if len(b.customers.byID) != 0 {
-		t.Error("a malformed message made a customer's record")
+		t.Error("a malformed message created a customer record")
 	}
 }
 
-func TestFractionsArePackedFinerNearZero(t *testing.T) {
+func TestPackFractionRoundTripAndClamping(t *testing.T) {
 	for b := range 256 {
 		if got := packFraction(unpackFraction(byte(b))); got != byte(b) {
-			t.Errorf("byte %d is packed as %d", b, got)
+			t.Errorf("byte %d: packed again as %d", b, got)
 		}
 	}
 	if unpackFraction(1) > 0.0001 {
-		t.Errorf("the least fraction is %g", unpackFraction(1))
+		t.Errorf("smallest fraction above 0: got %g, want at most 0.0001", unpackFraction(1))
 	}
 	for _, outside := range []float64{-1, 2} {
 		if got, want := unpackFraction(packFraction(outside)), min(1, max(0, outside)); got != want {
-			t.Errorf("%g is packed as %g, want %g", outside, got, want)
+			t.Errorf("fraction %g: got %g after packing, want %g", outside, got, want)
 		}
 	}
 }
 
-func TestOnlyNewerMessagesOfAnIncarnationAreTheNewest(t *testing.T) {
+func TestAcceptSequenceRejectsOlderMessagesOfIncarnation(t *testing.T) {
 	var p peer
 	for _, c := range []struct {
 		incarnation uint32
@@ -82,6 +83,6 @@
 		p.incarnation = c.incarnation
 	}
 	if p.sequence != 254 {
-		t.Errorf("newest sequence %d, want 254", p.sequence)
+		t.Errorf("newest sequence: got %d, want 254", p.sequence)
 	}
 }
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -26,12 +26,12 @@
 	logAction
 )
 
-// action is one call of an Actions method. Fields that its kind does not have are zero.
+// action is one call of an Actions method. Fields that don't apply to its kind are zero.
 type action struct {
 	kind       actionKind
 	request    uint64
 	backend    uint32
-	at         Time // an attempt's deadline, the time to retry after, or a timer's time
+	at         Time // an attempt's deadline, the time to retry after, or a timer's due time
 	timerID    uint32
 	peer       int
 	message    []byte
@@ -41,10 +41,10 @@
 	attributes []slog.Attr
 }
 
-// recorder is an Actions that records the calls.
+// recorder implements Actions and records the calls.
 type recorder struct {
 	performed    []action
-	noConnection uint32 // the backend to which none is at hand: attempts wait for one
+	noConnection uint32 // the backend without an open connection: attempts at it wait for one
 }
 
 func (r *recorder) recordAction(a action) { r.performed = append(r.performed, a) }
@@ -82,23 +82,23 @@
 	r.recordAction(action{kind: logAction, event: message, attributes: attributes})
 }
 
-// take returns the recorded actions and forgets them.
+// takeActions removes and returns the recorded actions.
 func (r *recorder) takeActions() []action {
 	performed := r.performed
 	r.performed = nil
 	return performed
 }
 
-// count is the number of actions of a kind.
+// countActions returns the number of recorded actions of a kind.
 func (r *recorder) countActions(kind actionKind) int { return len(ofKind(r.performed, kind)) }
 
-// countSent is the number of attempts that were sent for a request.
+// countSent returns the number of attempts that were sent for a request.
 func (r *recorder) countSent(request uint64) int {
 	isOther := func(a action) bool { return a.request != request }
 	return len(slices.DeleteFunc(ofKind(r.performed, sendAction), isOther))
 }
 
-// countLogged is the number of log events with the message and the attributes.
+// countLogged returns the number of log events with the given message and all given attributes.
 func (r *recorder) countLogged(message string, attributes ...slog.Attr) int {
 	count := 0
 	for _, a := range r.performed {
@@ -109,7 +109,7 @@
 	return count
 }
 
-// hasAttributes reports whether a log event has all of the attributes, those of its groups among them.
+// hasAttributes reports whether a log event has all of the wanted attributes, in its groups or outside them.
 func (a action) hasAttributes(wanted []slog.Attr) bool {
 	all := slices.Clone(a.attributes)
 	for i := 0; i < len(all); i++ {
@@ -121,7 +121,7 @@
 	return !slices.ContainsFunc(wanted, isMissing)
 }
 
-// last is the last action that is no log line.
+// lastAction returns the last recorded action that is not a log event.
 func (r *recorder) lastAction() action {
 	for _, a := range slices.Backward(r.performed) {
 		if a.kind != logAction {
@@ -135,7 +135,7 @@
 	return slices.DeleteFunc(slices.Clone(actions), func(a action) bool { return a.kind != kind })
 }
 
-// discardActions is an Actions for benchmarks, which records nothing that happens for each request.
+// discardActions implements Actions for benchmarks. It discards the actions that occur for each request.
 type discardActions struct{ Actions }
 
 func (discardActions) Send(uint64, uint32, Time) (waiting bool) { return false }
@@ -144,8 +144,9 @@
 func (discardActions) SendGossip(int, []byte)                   {}
 func (discardActions) Log(string, ...slog.Attr)                 {}
 
-// testSettings have three classes (idempotent, not idempotent, idempotent with a key per cell) and
-// three plans (whose overage does not pay, whose overage pays, the same with a ceiling).
+// testSettings returns settings with three classes (idempotent, not idempotent, idempotent with a key
+// per cell) and three plans (overage costs more than it earns, overage pays, overage pays up to a
+// ceiling).
 func testSettings() Settings {
 	return Settings{
 		Gateways: 2, Gossip: true, HealthChecks: true, RetryAfterAdvice: true, GossipPerSecond: 60,
@@ -170,7 +171,8 @@
 	}
 }
 
-// namedSettings are the same with names, by which state passes from one process to another.
+// namedSettings returns testSettings with names for the classes and plans, by which a handover or a
+// reload matches them.
 func namedSettings() Settings {
 	settings := testSettings()
 	for i := range settings.Classes {
@@ -182,7 +184,7 @@
 	return settings
 }
 
-// endpoints lists that many ready endpoints of two cells, with IDs from 1.
+// endpoints returns a list of ready endpoints in two cells, with IDs from 1.
 func endpoints(count int) []Endpoint {
 	var list []Endpoint
 	for i := range count {
@@ -191,7 +193,7 @@
 	return list
 }
 
-// harness is a controller with its recorded actions and the time of the next event.
+// harness is a controller with a recorder of its actions and the time of the next event.
 type harness struct {
 	*Controller
 	*recorder
@@ -200,7 +202,7 @@
 	nextID uint64 // the ID of the last request
 }
 
-// newUnstartedHarness makes a harness at the given time whose controller has had no event yet.
+// newUnstartedHarness returns a harness at the given time whose controller has had no event yet.
 func newUnstartedHarness(t *testing.T, settings Settings, seed uint64, at Time) *harness {
 	t.Helper()
 	r := &recorder{}
@@ -211,7 +213,7 @@
 	return &harness{Controller: controller, recorder: r, t: t, at: at}
 }
 
-// newHarness makes a harness with four backends of two cells that has run for a second.
+// newHarness returns a harness with four backends in two cells that has run for a second.
 func newHarness(t *testing.T, settings Settings) *harness {
 	t.Helper()
 	h := newUnstartedHarness(t, settings, 7, start)
@@ -220,15 +222,16 @@
 	return h
 }
 
-// request has a customer of two gateways send a request. It returns the request's ID and whether
-// it was sent to a backend at once.
+// request has a customer with two replicas send a request to the gateway. It returns the request's ID
+// and whether the request was sent to a backend at once.
 func (h *harness) request(class, plan int, customer uint64, cost float64) (id uint64, sent bool) {
 	return h.receiveRequest(Request{
 		Class: class, Plan: plan, Customer: customer, Cost: cost, Timeout: 2 * second, Replicas: 2,
 	})
 }
 
-// receive gives the request the next ID. It returns the ID and whether the request was sent at once.
+// receiveRequest handles a request under the next ID. It returns the ID and whether the request was sent
+// at once.
 func (h *harness) receiveRequest(request Request) (id uint64, sent bool) {
 	h.nextID++
 	request.ID = h.nextID
@@ -237,28 +240,28 @@
 	return request.ID, h.countActions(sendAction) > before
 }
 
-// slowStartShare is the share of its capacity that a backend in slow start has by the last event.
+// slowStartShare returns a backend's share of its capacity as of the last event; it is 1 when warm.
 func (h *harness) slowStartShare(backend *backend) float64 {
 	return backend.slowStart.share(h.clock.now, &h.slowStart)
 }
 
-// unhealthy reports whether a backend gets no attempts as of the last event.
+// unhealthy reports whether a backend's health forbids attempts as of the last event.
 func (h *harness) unhealthy(backend *backend) bool {
 	return !backend.acceptsAttempts(h.clock.now, h.settings.HealthChecks)
 }
 
-// connectionFailed has a connection to a backend fail, and reports whether it is down.
+// failConnection records a failed connection to a backend, and reports whether the backend is down.
 func (h *harness) failConnection(backend *backend, mayRun bool) bool {
 	down, _ := backend.health.recordConnectionFailure(h.clock.now, mayRun)
 	return down
 }
 
-// effectiveInFlight is how many of the gateway's attempts load the backends as of the last event.
+// effectiveInFlight returns the number of the gateway's attempts that load the backends as of the last event.
 func (h *harness) effectiveInFlight() float64 {
 	return h.backends.effectiveInFlight(h.clock.now, h.limit.lateShare.value)
 }
 
-// lastAttempt is the last attempt of an open request.
+// lastAttempt returns the last attempt of an open request.
 func (h *harness) lastAttempt(id uint64) *attempt {
 	h.t.Helper()
 	request := h.requests.byID[id]
@@ -268,13 +271,14 @@
 	return request.attempts[len(request.attempts)-1]
 }
 
-// end ends the last attempt of a request after a tenth of a second.
+// endAttempt ends the last attempt of a request with a latency of a tenth of a second.
 func (h *harness) endAttempt(id uint64, result Result, answered bool) {
 	h.t.Helper()
 	h.endAttemptWith(id, Outcome{Result: result, Latency: second / 10, ClientAnswered: answered})
 }
 
-// endWith ends the last attempt of a request with an outcome, whose address it fills in.
+// endAttemptWith ends the last attempt of a request with an outcome. It sets the outcome's request, attempt
+// and backend.
 func (h *harness) endAttemptWith(id uint64, outcome Outcome) {
 	h.t.Helper()
 	backend := h.lastAttempt(id).backend.ID
@@ -282,8 +286,8 @@
 	h.AttemptEnded(h.at, outcome)
 }
 
-// serve has a customer send an idempotent request that is answered at once. It reports whether it
-// was sent.
+// serve handles an idempotent request of a customer and, if the request is sent, its answer. It reports
+// whether the request was sent.
 func (h *harness) serve(plan int, customer uint64, cost float64) bool {
 	h.t.Helper()
 	id, sent := h.request(0, plan, customer, cost)
@@ -293,7 +297,7 @@
 	return sent
 }
 
-// gossipPair makes two gateways that have exchanged messages.
+// gossipPair returns two gateways that have exchanged gossip messages.
 func gossipPair(t *testing.T) (a, b *harness) {
 	t.Helper()
 	settings := testSettings()
@@ -305,7 +309,7 @@
 	return a, b
 }
 
-// gossipRound has one gateway run a gossip round a tenth of a second later and another receive it.
+// gossipRound runs one gateway's gossip round a tenth of a second later and delivers it to another gateway.
 func gossipRound(from, to *harness) {
 	from.takeActions()
 	from.at += second / 10
@@ -313,7 +317,7 @@
 	deliverGossip(from, to)
 }
 
-// deliver has a gateway receive the messages that another one has sent to it.
+// deliverGossip delivers the recorded gossip messages of one gateway to another.
 func deliverGossip(from, to *harness) {
 	to.at = max(to.at, from.at)
 	for _, a := range from.takeActions() {
@@ -323,7 +327,7 @@
 	}
 }
 
-// gatewayFleet is all gateways of one group, by index.
+// gatewayFleet holds all gateways of a fleet, by index.
 type gatewayFleet []*harness
 
 func newGatewayFleet(t *testing.T, settings Settings) gatewayFleet {
@@ -335,7 +339,7 @@
 	return fleet
 }
 
-// deliverAll delivers messages until none is left. Other actions stay recorded.
+// deliverAll delivers gossip messages until none is left. Other actions stay recorded.
 func (f gatewayFleet) deliverAll() {
 	for delivered := true; delivered; {
 		delivered = false
@@ -359,7 +363,7 @@
 	}
 }
 
-func TestSameEventsGiveSameActions(t *testing.T) {
+func TestControllerIsDeterministic(t *testing.T) {
 	run := func() []action {
 		h := newHarness(t, testSettings())
 		for i := range 3000 {
@@ -375,6 +379,6 @@
 		return h.performed
 	}
 	if !reflect.DeepEqual(run(), run()) {
-		t.Error("the same events gave other actions")
+		t.Error("the same events caused different actions")
 	}
 }
--- a/policy/ownership_test.go
+++ b/policy/ownership_test.go
@@ -2,29 +2,29 @@
 
 import "testing"
 
-func TestHandoverGrantsNothingTwice(t *testing.T) {
+func TestHandoverTransfersBucketsAndAttempts(t *testing.T) {
 	h := newHarness(t, namedSettings())
 	for h.serve(2, 7, 1) { // until the bucket or the ceiling is empty
 		continue
 	}
 	id, sent := h.request(0, 1, 8, 2)
 	if !sent {
-		t.Fatal("not sent")
+		t.Fatal("request was not sent")
 	}
 	backendID := h.lastAttempt(id).backend.ID
 	next := h.successor(t, namedSettings())
 	h.ReleaseOwnership(h.at)
 	if next.serve(2, 7, 1) {
-		t.Error("the second process granted a burst again")
+		t.Error("the successor granted the burst again")
 	}
 	if h.serve(1, 9, 1) {
-		t.Error("the first process went on granting")
+		t.Error("the predecessor admitted a request after it gave up ownership")
 	}
 	before, after := h.customers.byID[8], next.customers.byID[8]
 	assertNear(t, "bucket", after.bucket.level, before.bucket.level)
 	assertNear(t, "consumed", after.usage.consumed, before.usage.consumed)
 	if next.gossip.incarnation != h.gossip.incarnation {
-		t.Errorf("incarnation %d, want %d", next.gossip.incarnation, h.gossip.incarnation)
+		t.Errorf("incarnation: got %d, want %d", next.gossip.incarnation, h.gossip.incarnation)
 	}
 	backend := next.backends.byID[backendID]
 	if after.inFlight != 1 || backend.load.inFlight != 1 {
@@ -43,13 +43,14 @@
 	}
 }
 
-// What the predecessor sent and never reported the end of counts as no load once it has exited.
-func TestNothingOfThePredecessorStaysInFlight(t *testing.T) {
+// Guards against attempts of the predecessor that count as load forever because it exited before it reported
+// their outcomes.
+func TestPredecessorExitedReleasesPendingAttempts(t *testing.T) {
 	h := newHarness(t, namedSettings())
 	id, _ := h.request(0, 1, 8, 2)
 	next := h.successor(t, namedSettings())
 	next.PredecessorAttemptSent(next.at, id, 2)
-	next.PredecessorAttemptSent(next.at, 999, 2) // of an unknown request
+	next.PredecessorAttemptSent(next.at, 999, 2) // an unknown request
 	inFlight := func() (total int) {
 		for _, backend := range next.backends.inOrder {
 			total += backend.load.inFlight
@@ -72,8 +73,8 @@
 	}
 }
 
-// If the new process ends, the old one grants no more than one that has just started.
-func TestResumedOwnershipGrantsNoFreshBurst(t *testing.T) {
+// Guards against granting a burst again if the successor exits during a handover.
+func TestResumeOwnershipLimitsBucketsToRestart(t *testing.T) {
 	h := newHarness(t, namedSettings())
 	h.serve(2, 7, 1)
 	h.ReleaseOwnership(h.at)
@@ -81,6 +82,7 @@
 	customer := h.customers.byID[7]
 	plan := h.settings.Plans[2]
 	if customer.bucket.level > plan.Burst/2 || customer.ceiling.level > plan.CeilingSlack/4 {
-		t.Errorf("bucket %g, ceiling %g", customer.bucket.level, customer.ceiling.level)
+		t.Errorf("bucket %g, ceiling %g: more than after a restart",
+			customer.bucket.level, customer.ceiling.level)
 	}
 }
--- a/policy/recorded_play_test.go
+++ b/policy/recorded_play_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// recordedPlay is a fleet of gateways that meet all kinds of events, drawn by a seed, and the
-// transcript of what they do but what they log.
+// recordedPlay is a fleet of gateways that handle random events of all kinds, drawn from a seed, and
+// the transcript of their actions, without log events.
 type recordedPlay struct {
 	settings   Settings
 	random     *rand.Rand
@@ -29,7 +29,7 @@
 	return p
 }
 
-// run plays 500 steps of a hundredth of a second.
+// run simulates 500 steps of a hundredth of a second, with a stall of one gateway.
 func (p *recordedPlay) run() {
 	for step := range 500 {
 		at := start + Time(step)*second/100
@@ -61,7 +61,7 @@
 	})
 }
 
-// endAttempts ends most open attempts of a gateway.
+// endAttempts ends the last attempts of most open requests of a gateway, and cancels some requests.
 func (p *recordedPlay) endAttempts(gateway int) {
 	h := p.gateways[gateway]
 	var open []uint64
@@ -82,13 +82,14 @@
 		p.transcript = append(p.transcript, fmt.Sprintf("%d holds %d %t", gateway, id, maySend))
 		result := Result(max(0, p.random.IntN(20)-12))
 		h.endAttemptWith(id, Outcome{
-			Result: result, Latency: Time(1+p.random.IntN(60)) * second / 100, ClientAnswered: result == ResultOK,
-			MeterReading: p.random.IntN(150), ActualCost: float64(p.random.IntN(5)) / 2,
+			Result: result, Latency: Time(1+p.random.IntN(60)) * second / 100,
+			ClientAnswered: result == ResultOK,
+			MeterReading:   p.random.IntN(150), ActualCost: float64(p.random.IntN(5)) / 2,
 		})
 	}
 }
 
-// updateEndpoints sends all gateways a list with drawn states and starts.
+// updateEndpoints sends all gateways an endpoint list with random states and start times.
 func (p *recordedPlay) updateEndpoints(at Time) {
 	list := endpoints(6)
 	for i := range list {
@@ -105,7 +106,7 @@
 	}
 }
 
-// fireTimers fires a gateway's timers that are due.
+// fireTimers fires the timers of a gateway that are due.
 func (p *recordedPlay) fireTimers(gateway int, at Time) {
 	h := p.gateways[gateway]
 	pending := p.timers[gateway]
@@ -120,7 +121,7 @@
 	}
 }
 
-// performActions carries out what the gateways have asked for until nothing is left.
+// performActions carries out the actions of all gateways until none causes another event.
 func (p *recordedPlay) performActions() {
 	for busy := true; busy; {
 		busy = false
@@ -136,12 +137,12 @@
 	}
 }
 
-// perform carries out one action. It reports whether it caused an event at a gateway.
+// perform carries out one action. It reports whether the action caused an event at a gateway.
 func (p *recordedPlay) perform(gateway int, a action) bool {
 	h := p.gateways[gateway]
 	switch a.kind {
 	case gossipAction:
-		if p.random.IntN(20) == 0 { // lost
+		if p.random.IntN(20) == 0 { // the message is lost
 			return false
 		}
 		to := p.gateways[a.peer]
@@ -160,8 +161,7 @@
 	return true
 }
 
-// recordedLine is an action in the words of the recorded files, which are those of the program that
-// wrote them.
+// recordedLine returns an action in the format of the recorded files, whose words are frozen.
 func recordedLine(a action) string {
 	switch a.kind {
 	case sendAction:
@@ -183,9 +183,9 @@
 	}
 }
 
-// The decisions are the recorded ones, action by action and bit by bit: also in the order in which
-// random numbers are drawn and sums are added up.
-func TestDecisionsAreTheRecordedOnes(t *testing.T) {
+// Compares all decisions with recorded ones, action by action and bit by bit. This guards against changes of
+// behavior, including the order in which random numbers are drawn and floating-point sums are added.
+func TestDecisionsMatchRecording(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		set  func(*Settings)
--- a/policy/recorded_test.go
+++ b/policy/recorded_test.go
@@ -14,12 +14,12 @@
 	"sparspread/internal/testfill"
 )
 
-// The files in testdata were written by the program of commit d086cf6, with -update. They are what an
-// older gateway sends and stores: a program that does not read them, or writes something else, does
-// not work with an older one. The names in them are those of that program.
-var update = flag.Bool("update", false, "write the recorded files anew: only where a form is meant to change")
+// The files in testdata were written with -update by the gateway of commit d086cf6. They hold what an
+// older gateway sends and stores: a gateway that can't read them, or writes something else, is
+// incompatible with an older one. The names in them are those of the older gateway.
+var update = flag.Bool("update", false, "rewrite the recorded files: only for an intended change of a format")
 
-// assertRecorded compares with a recorded file, or writes it.
+// assertRecorded compares the bytes with a recorded file. With -update it writes the file first.
 func assertRecorded(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -33,11 +33,11 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Errorf("%s: wrote %d bytes that differ from the %d recorded ones", name, len(got), len(want))
+		t.Errorf("%s: the %d bytes differ from the %d recorded ones", name, len(got), len(want))
 	}
 }
 
-// recordedMessages are gossip messages with each kind of item.
+// recordedMessages are gossip messages that together have each kind of item.
 var recordedMessages = []struct {
 	name    string
 	message gossipMessage
@@ -80,7 +80,7 @@
 	return b
 }
 
-func TestGossipMessagesAreWrittenAsRecorded(t *testing.T) {
+func TestGossipEncodingMatchesRecording(t *testing.T) {
 	var file bytes.Buffer
 	for _, c := range recordedMessages {
 		fmt.Fprintf(&file, "%s %x\n", c.name, encodeMessage(c.message))
@@ -88,14 +88,14 @@
 	assertRecorded(t, "gossip.txt", file.Bytes())
 }
 
-func TestRecordedGossipMessagesAreRead(t *testing.T) {
+func TestDecodeGossipReadsRecording(t *testing.T) {
 	raw, err := os.ReadFile("testdata/gossip.txt")
 	if err != nil {
 		t.Fatal(err)
 	}
 	lines := strings.Split(strings.TrimSpace(string(raw)), "\n")
 	if len(lines) != len(recordedMessages) {
-		t.Fatalf("%d recorded messages, want %d", len(lines), len(recordedMessages))
+		t.Fatalf("got %d recorded messages, want %d", len(lines), len(recordedMessages))
 	}
 	for i, line := range lines {
 		want := recordedMessages[i]
@@ -105,18 +105,18 @@
 			t.Fatal(err)
 		}
 		if got, ok := decodeGossip(b); !ok || name != want.name || !reflect.DeepEqual(got, want.message) {
-			t.Errorf("%s: read %+v (%t), want %+v", name, got, ok, want.message)
+			t.Errorf("%s: decoded %+v (ok %t), want %+v", name, got, ok, want.message)
 		}
 		for _, otherVersion := range []byte{0, 1, 2, 4} {
 			b[0] = otherVersion
 			if _, ok := decodeGossip(b); ok {
-				t.Errorf("%s: a message of version %d was read", name, otherVersion)
+				t.Errorf("%s: a message of version %d was decoded", name, otherVersion)
 			}
 		}
 	}
 }
 
-// recordedState brings a gateway to the state that testdata/snapshot.gob holds: customer 7 has used
+// recordedState returns a gateway in the state that testdata/snapshot.gob holds: customer 7 has used
 // up its bucket, customer 8 has an open request (40) at backend 1 and customer 9 was reported by a
 // peer; backend 2 is down, backend 3 in slow start.
 func recordedState(t *testing.T) *harness {
@@ -135,7 +135,7 @@
 	}
 	gossipRound(peer, h)
 	h.nextID = 20
-	for h.serve(0, 7, 1) { // until nothing is left
+	for h.serve(0, 7, 1) { // until the quota is used up
 		continue
 	}
 	for !h.backends.byID[2].health.down {
@@ -144,13 +144,13 @@
 	h.nextID = 39
 	id, sent := h.request(1, 1, 8, 3)
 	if !sent || id != 40 {
-		t.Fatalf("request %d, sent %t", id, sent)
+		t.Fatalf("got request %d, sent %t; want request 40, sent", id, sent)
 	}
 	return h
 }
 
-// recordedSnapshot reads a recorded snapshot; with -update it writes this one first. Its bytes hold
-// the names of packages, which mean nothing to the reader: what is compared is what they say.
+// recordedSnapshot reads a recorded snapshot; with -update it writes the current one first. Tests compare
+// the decoded snapshots, because the bytes include package names, which decoding ignores.
 func recordedSnapshot(t *testing.T, name string, current *Snapshot) *Snapshot {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -166,22 +166,22 @@
 	return decodeSnapshot(t, raw)
 }
 
-func TestSnapshotIsWrittenAsRecorded(t *testing.T) {
+func TestExportMatchesRecordedSnapshot(t *testing.T) {
 	h := recordedState(t)
 	current := h.Export(h.at)
 	want := recordedSnapshot(t, "snapshot.gob", current)
-	// Since then this sum is of answers, not of attempts: 8 so far, at 3 backends that are warm.
+	// Since the recording, this sum counts answers instead of attempts: 8 answers by 3 warm backends.
 	want.Pace[0] = 8.0 / 3
-	// These were added.
+	// These fields were added after the recording.
 	want.Now, want.Stamps = h.at, [][]Time{nil, nil, {start + second}, nil}
 	if got := decodeSnapshot(t, encodeSnapshot(t, current)); !reflect.DeepEqual(got, want) {
-		t.Errorf("wrote\n%+v, want\n%+v", got, want)
+		t.Errorf("exported\n%+v, want\n%+v", got, want)
 	}
 }
 
-// What the program of before has handed over goes on here: nothing is granted twice, a backend in
-// slow start or ejected stays so, and an open request is counted until it ends.
-func TestRecordedSnapshotIsImported(t *testing.T) {
+// Guards against an import from an older version that grants a burst again, reinstates an ejected backend,
+// ends a slow start, or does not count an open request until it ends.
+func TestImportOfRecordedSnapshot(t *testing.T) {
 	before := recordedState(t)
 	snapshot := recordedSnapshot(t, "snapshot.gob", before.Export(before.at))
 	settings := namedSettings()
@@ -196,22 +196,22 @@
 	}
 	level := func(h *harness, customer uint64) float64 { return h.customers.byID[customer].bucket.level }
 	assertNear(t, "bucket with an open request", level(h, 8), level(before, 8))
-	assertNear(t, "bucket that a peer reported", level(h, 9), level(before, 9))
+	assertNear(t, "bucket with usage reported by a peer", level(h, 9), level(before, 9))
 	if !h.backends.byID[2].health.down || !h.unhealthy(h.backends.byID[2]) {
 		t.Error("a backend that is down was reinstated")
 	}
 	starting, startingBefore := h.backends.byID[3], before.backends.byID[3]
 	got, want := h.slowStartShare(starting), before.slowStartShare(startingBefore)
 	if got == 1 || got != want {
-		t.Errorf("the backend in slow start has a share of %g, want %g", got, want)
+		t.Errorf("share of the backend in slow start: got %g, want %g", got, want)
 	}
 	if got, want := starting.slowStart.bucket, startingBefore.slowStart.bucket; got != want {
-		t.Errorf("slow start bucket %+v, want %+v", got, want)
+		t.Errorf("slow start bucket: got %+v, want %+v", got, want)
 	}
 	assertOpenRequestImported(t, h, before.lastAttempt(40).backend.ID)
 }
 
-// assertOpenRequestImported checks that request 40 of customer 8 at a backend counts until it ends.
+// assertOpenRequestImported checks that request 40 of customer 8 counts as load of the backend until it ends.
 func assertOpenRequestImported(t *testing.T, h *harness, backendID uint32) {
 	t.Helper()
 	customer, backend := h.customers.byID[8], h.backends.byID[backendID]
@@ -226,25 +226,26 @@
 	})
 	assertNear(t, "bucket after the actual cost", customer.bucket.level, level-2)
 	if backend.load.inFlight != 0 || customer.inFlight != 0 {
-		t.Errorf("in flight: backend %d, customer %d after the end", backend.load.inFlight, customer.inFlight)
+		t.Errorf("in flight after the end: backend %d, customer %d; want none",
+			backend.load.inFlight, customer.inFlight)
 	}
 }
 
-// recordedStyle is the style in which the fields of the recorded snapshot were filled.
+// recordedStyle determines the values that fill the fields of the recorded snapshot.
 var recordedStyle = testfill.Style{
 	Text:    func(n int) string { return fmt.Sprint("name ", n) },
 	Modulus: 251,
 }
 
-// Every field of a snapshot has its name and its place: a renamed one would be lost without an error.
-func TestEveryFieldOfASnapshotIsReadAndWritten(t *testing.T) {
+// Guards against renamed or moved fields of a snapshot, whose values gob would drop without an error.
+func TestSnapshotEncodingKeepsEveryField(t *testing.T) {
 	all := testfill.Numbered[Snapshot](recordedStyle)
 	if got := decodeSnapshot(t, encodeSnapshot(t, &all)); !reflect.DeepEqual(*got, all) {
-		t.Errorf("read\n%+v, want\n%+v", *got, all)
+		t.Errorf("decoded\n%+v, want\n%+v", *got, all)
 	}
 	older := all
-	older.Now, older.Stamps = 0, nil // were added later, behind the others
+	older.Now, older.Stamps = 0, nil // added after the recording, as the last fields
 	if got := *recordedSnapshot(t, "snapshot-fields.gob", &older); !reflect.DeepEqual(got, older) {
-		t.Errorf("read\n%+v, want\n%+v", got, older)
+		t.Errorf("decoded\n%+v, want\n%+v", got, older)
 	}
 }
--- a/policy/reload_test.go
+++ b/policy/reload_test.go
@@ -5,15 +5,15 @@
 	"testing"
 )
 
-// Classes and plans are matched by name: their indices shift, an open request keeps its class as it
-// was, and new figures of a plan bring no fresh burst.
+// Classes and plans are matched by name although their indices shift. An open request keeps its old class,
+// and a larger burst of a plan grants no new units at once.
 func TestReloadMatchesClassesAndPlansByName(t *testing.T) {
 	h := newHarness(t, namedSettings())
 	for h.serve(0, 7, 1) { // until the bucket is empty
 		continue
 	}
 	level := h.customers.byID[7].bucket.level
-	open, _ := h.request(0, 1, 8, 1) // of class a, which is idempotent
+	open, _ := h.request(0, 1, 8, 1) // class a is idempotent
 	settings := namedSettings()
 	settings.Classes = []Class{
 		{Name: "new", LatencyObjective: second, Idempotency: NotIdempotent, PriorityWeight: 1},
@@ -30,7 +30,8 @@
 	customer := h.customers.byID[7]
 	assertNear(t, "level", customer.bucket.level, level)
 	if customer.plan != 1 || customer.bucket.capacity != 32 {
-		t.Errorf("plan %d, capacity %g", customer.plan, customer.bucket.capacity)
+		t.Errorf("got plan %d, capacity %g; want plan 1, capacity 32",
+			customer.plan, customer.bucket.capacity)
 	}
 	assertRetriedOnce(t, h, open)
 	stricter, _ := h.request(2, 0, 9, 1)
@@ -41,12 +42,12 @@
 	assertUnneededClassesDropped(t, h, settings)
 }
 
-// assertUnneededClassesDropped checks that another reload of the settings leaves their three classes alone in
-// force, and that settings without classes are rejected and leave them too.
+// assertUnneededClassesDropped checks that another reload keeps only the three classes of the settings, and
+// that settings without classes are rejected and change nothing.
 func assertUnneededClassesDropped(t *testing.T, h *harness, settings Settings) {
 	t.Helper()
 	if err := h.Reload(h.at, settings); err != nil || len(h.settings.Classes) != 3 {
-		t.Errorf("%d classes, %v: what nothing needs any more is dropped", len(h.settings.Classes), err)
+		t.Errorf("got %d classes, error %v; want the 3 of the settings", len(h.settings.Classes), err)
 	}
 	settings.Classes = nil
 	if err := h.Reload(h.at, settings); err == nil || len(h.settings.Classes) != 3 {
@@ -54,34 +55,36 @@
 	}
 }
 
-// assertRetriedOnce fails the attempts of an open request, the first of which is pending.
+// assertRetriedOnce checks that an open request, whose first attempt is pending, is retried once and then
+// ends when its attempts fail.
 func assertRetriedOnce(t *testing.T, h *harness, id uint64) {
 	t.Helper()
 	h.endAttempt(id, ResultFailed, false)
 	if request := h.requests.byID[id]; request == nil || len(request.attempts) != 2 {
-		t.Fatal("the open request was not retried, as its class allows")
+		t.Fatal("the open request was not retried although its class allows it")
 	}
 	h.endAttempt(id, ResultFailed, false)
 	if h.requests.byID[id] != nil {
-		t.Error("a third attempt where two are allowed")
+		t.Error("the request has a third attempt, want at most two")
 	}
 }
 
-// assertOldClassRetained checks that an open request has the class that is gone from the settings, and
-// the new index of its plan.
+// assertOldClassRetained checks that an open request keeps its class, which the new settings have changed,
+// and gets the new index of its plan.
 func assertOldClassRetained(t *testing.T, h *harness, id uint64) {
 	t.Helper()
 	request := h.requests.byID[id]
 	class := h.settings.Classes[request.Class]
 	if class.Name != "a" || class.Idempotency != Idempotent {
-		t.Errorf("class of the open request: %+v", class)
+		t.Errorf("class of the open request: got %+v, want the old class a", class)
 	}
 	if len(h.settings.Classes) != 4 || request.Plan != 0 {
-		t.Errorf("%d classes, plan %d of the open request", len(h.settings.Classes), request.Plan)
+		t.Errorf("got %d classes and plan %d of the open request, want 4 and 0",
+			len(h.settings.Classes), request.Plan)
 	}
 }
 
-func TestClassesInUseStayAsTheyWere(t *testing.T) {
+func TestMatchClassesKeepsClassesInUse(t *testing.T) {
 	current := []Class{{Name: "a"}, {Name: "b"}, {Name: "c"}, {Name: "d"}}
 	settings := Settings{Classes: []Class{
 		{Name: "b", PriorityWeight: 2}, {Name: "a"}, {Name: "c", PriorityWeight: 2},
@@ -89,22 +92,22 @@
 	isUsed := func(class int) bool { return class <= 1 }
 	got := matchClasses(&Settings{Classes: current}, &settings, isUsed)
 	if want := []int{1, 3, -1, -1}; !slices.Equal(got, want) {
-		t.Errorf("indices %d, want %d", got, want)
+		t.Errorf("new indices: got %d, want %d", got, want)
 	}
 	if len(settings.Classes) != 4 || settings.Classes[3] != current[1] {
-		t.Errorf("classes %+v, want the one that has changed and is in use last", settings.Classes)
+		t.Errorf("got classes %+v, want the changed class that is in use as the last one", settings.Classes)
 	}
 	old := oldClassIndices(current, settings.Classes, got)
 	if want := []int{1, 0, 2, 1}; !slices.Equal(old, want) {
-		t.Errorf("old indices %d, want %d: what was learnt holds for the name", old, want)
+		t.Errorf("old indices: got %d, want %d", old, want)
 	}
 }
 
-func TestPlansInUseStay(t *testing.T) {
+func TestMatchPlansKeepsPlansInUse(t *testing.T) {
 	current := []Plan{{Name: "p"}, {Name: "q"}, {Name: "r"}}
 	settings := Settings{Plans: []Plan{{Name: "r", Rate: 5}}}
 	got := matchPlans(&Settings{Plans: current}, &settings, func(plan int) bool { return plan != 0 })
 	if want := []int{-1, 1, 0}; !slices.Equal(got, want) || len(settings.Plans) != 2 {
-		t.Errorf("indices %d of %d plans, want %d", got, len(settings.Plans), want)
+		t.Errorf("got indices %d of %d plans, want %d of 2", got, len(settings.Plans), want)
 	}
 }
--- a/policy/report_test.go
+++ b/policy/report_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestCountersSayWhyRequestsWereRejected(t *testing.T) {
+func TestLoggedCountersIncludeRejectReasons(t *testing.T) {
 	h := newHarness(t, testSettings())
 	for range 6 {
 		h.serve(0, 9, 2) // a burst of 8 holds four
@@ -14,13 +14,13 @@
 	h.at += counterLogInterval
 	h.TimerFired(h.at, gossipTimer)
 	if h.countLogged(messageCounters, slog.Int("attempts_sent", 4), slog.Int("over_quota", 2)) != 1 {
-		t.Errorf("%+v, want one event of counters with 4 sent and 2 rejected over quota",
+		t.Errorf("got log events %+v, want one with 4 attempts sent and 2 requests over quota",
 			ofKind(h.performed, logAction))
 	}
 }
 
-// A request that a peer could have admitted is counted apart from one beyond the quota.
-func TestCountersTellQuotaSharesFromQuotas(t *testing.T) {
+// A request that a peer could have admitted is counted separately from one that exceeds the whole quota.
+func TestCountOverQuotaDistinguishesShareFromQuota(t *testing.T) {
 	h := newHarness(t, namedSettings())
 	customer := h.customerRecord(h.sharing.newAccount(7, 0, 0, 2))
 	for _, want := range []struct {
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestNewNamesTheFieldItCannotServe(t *testing.T) {
+func TestNewReportsInvalidField(t *testing.T) {
 	for field, invalidate := range map[string]func(*Settings){
 		"gateways":       func(s *Settings) { s.Gateways = 0 },
 		"self":           func(s *Settings) { s.Self = 2 },
@@ -20,7 +20,7 @@
 			invalidate(&settings)
 			var invalid *SettingsError
 			if _, err := New(settings, 1, &recorder{}); !errors.As(err, &invalid) || invalid.Field != field {
-				t.Errorf("got error %v", err)
+				t.Errorf("got error %v, want a SettingsError for the field", err)
 			}
 		})
 	}
--- a/policy/settingschange_test.go
+++ b/policy/settingschange_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-func TestClassesAndPlansAreMatchedByName(t *testing.T) {
+func TestMatchSettingsByName(t *testing.T) {
 	current, settings := namedSettings(), namedSettings()
-	settings.Classes = []Class{{Name: "new"}, settings.Classes[1], {Name: "c"}} // a is gone, c has changed
-	settings.Plans = []Plan{settings.Plans[2], {Name: "p", Rate: 99}}           // q is gone, p has changed
+	settings.Classes = []Class{{Name: "new"}, settings.Classes[1], {Name: "c"}} // a is removed, c is changed
+	settings.Plans = []Plan{settings.Plans[2], {Name: "p", Rate: 99}}           // q is removed, p is changed
 	for _, c := range []struct {
 		name           string
 		needed         bool
@@ -30,32 +30,34 @@
 			isNeeded := func(int) bool { return c.needed }
 			got := matchSettings(&current, &changed, isNeeded, isNeeded)
 			if !slices.Equal(got.classes, c.classes) || !slices.Equal(got.plans, c.plans) {
-				t.Errorf("classes %v, plans %v; want %v, %v", got.classes, got.plans, c.classes, c.plans)
+				t.Errorf("got classes %v, plans %v; want %v, %v", got.classes, got.plans, c.classes, c.plans)
 			}
 			if !slices.Equal(got.oldClasses, c.oldClasses) || len(changed.Classes) != len(c.oldClasses) {
-				t.Errorf("old classes %v of %d, want %v", got.oldClasses, len(changed.Classes), c.oldClasses)
+				t.Errorf("got old classes %v of %d, want %v",
+					got.oldClasses, len(changed.Classes), c.oldClasses)
 			}
 		})
 	}
 }
 
-func TestSettingsThatNeedARestartAreRetained(t *testing.T) {
+func TestRetainFixedKeepsSettingsThatNeedRestart(t *testing.T) {
 	current, changed := namedSettings(), namedSettings()
 	changed.Gateways, changed.Zone, changed.Gossip, changed.MaxAttempts = 9, 1, false, 7
 	changed.retainFixed(&current)
 	if changed.Gateways != current.Gateways || changed.Zone != current.Zone || !changed.Gossip {
-		t.Errorf("%d gateways, zone %d, gossip %t", changed.Gateways, changed.Zone, changed.Gossip)
+		t.Errorf("got %d gateways, zone %d, gossip %t; want the current ones",
+			changed.Gateways, changed.Zone, changed.Gossip)
 	}
 	if changed.MaxAttempts != 7 {
-		t.Errorf("%d attempts, want those of the new settings", changed.MaxAttempts)
+		t.Errorf("got %d attempts, want the number in the new settings", changed.MaxAttempts)
 	}
 	changed.Classes[0].Name = "changed"
 	if current.Classes[0].Name != "a" {
-		t.Error("a change of the new settings reached those in force")
+		t.Error("a change of the new settings changed the current ones")
 	}
 }
 
-func TestShortestObjectiveIsThatOfAnyClass(t *testing.T) {
+func TestShortestObjectiveOfAllClasses(t *testing.T) {
 	settings := namedSettings()
 	settings.Classes[2].LatencyObjective = second / 10
 	if got := settings.shortestObjective(); got != second/10 {
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// encodeSnapshot encodes a snapshot as it is handed over.
+// encodeSnapshot encodes a snapshot as a handover does.
 func encodeSnapshot(t *testing.T, snapshot *Snapshot) []byte {
 	t.Helper()
 	var b bytes.Buffer
@@ -27,7 +27,7 @@
 	return snapshot
 }
 
-// successor makes the gateway that takes over from this one, with its snapshot imported.
+// successor returns a harness that has imported the exported snapshot of this one.
 func (h *harness) successor(t *testing.T, settings Settings) *harness {
 	t.Helper()
 	snapshot := decodeSnapshot(t, encodeSnapshot(t, h.Export(h.at)))
@@ -39,8 +39,8 @@
 	return next
 }
 
-// An ejected backend stays so; classes are matched by their names.
-func TestHandoverKeepsWhatWasLearnt(t *testing.T) {
+// An ejected backend stays ejected, and latencies follow the names of their classes.
+func TestHandoverKeepsBackendHealthAndLatency(t *testing.T) {
 	h := newHarness(t, namedSettings())
 	h.backends.byID[2].health.down, h.backends.byID[2].health.nextProbeAt = true, h.at+second
 	h.latency.byClass[0] = movingAverage{value: 1000, samples: 5}
@@ -54,7 +54,7 @@
 	assertNear(t, "latency of another class", next.latency.byClass[0].value, 0)
 }
 
-func TestImportRejectsIndicesOutsideTheirLists(t *testing.T) {
+func TestImportRejectsIndexOutOfRange(t *testing.T) {
 	for name, snapshot := range map[string]*Snapshot{
 		"customer": {Customers: []CustomerState{{Plan: 1}}},
 		"open":     {Plans: []string{"p"}, Open: []OpenState{{Class: 0}}},
@@ -63,16 +63,15 @@
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, namedSettings())
 			if err := h.Import(h.at, snapshot); !errors.Is(err, ErrSnapshotIndex) {
-				t.Errorf("got error %v", err)
+				t.Errorf("got error %v, want ErrSnapshotIndex", err)
 			}
 		})
 	}
 }
 
-// Guards against coordinators that get the same units reported twice, or never: what a participant
-// consumed under each of several coordinators is handed over, and an older process, which knew one,
-// reported all to it.
-func TestHandoverKeepsWhatEachCoordinatorWasTold(t *testing.T) {
+// Guards against units that are reported to a coordinator twice or never after a handover. A participant's
+// usage is handed over by coordinator. An older version has one coordinator, to which it reported all usage.
+func TestHandoverKeepsUsageByCoordinator(t *testing.T) {
 	settings := namedSettings()
 	settings.Gateways, settings.MaxCost = 12, 1
 	settings.Plans[0].Rate, settings.Plans[0].Burst = 60, 60
@@ -83,14 +82,14 @@
 	}
 	customer := h.customerRecord(h.sharing.newAccount(9, 0, first, 12))
 	if n := h.sharing.coordinatorCount(&customer.account); n < 2 {
-		t.Fatalf("%d coordinators, want several", n)
+		t.Fatalf("got %d coordinators, want at least 2", n)
 	}
 	*customer.usage.forCoordinator(1) = customerUsage{consumed: 5, requested: 8, requestedReported: 7}
 	*customer.usage.forCoordinator(0) = customerUsage{consumed: 2, requested: 3, requestedReported: 3}
 	customer.usage.customerUsage = customerUsage{consumed: 7, requested: 11, requestedReported: 10}
 	got := h.successor(t, settings).customers.byID[9].usage.byCoordinator
 	if !slices.Equal(got, customer.usage.byCoordinator) {
-		t.Errorf("use by coordinator: got %v, want %v", got, customer.usage.byCoordinator)
+		t.Errorf("usage by coordinator: got %v, want %v", got, customer.usage.byCoordinator)
 	}
 	snapshot := h.Export(h.at)
 	full := tokenBucket{level: 60, rate: 60, capacity: 60, updatedAt: h.at}
@@ -104,9 +103,11 @@
 	imported := next.customers.byID[9]
 	want := []customerUsage{customer.usage.customerUsage}
 	if !slices.Equal(imported.usage.byCoordinator, want) {
-		t.Errorf("from an older process: got %v, want %v", imported.usage.byCoordinator, want)
+		t.Errorf("usage by coordinator from an older version: got %v, want %v",
+			imported.usage.byCoordinator, want)
 	}
 	if part := 60 / float64(next.sharing.coordinatorCount(&imported.account)); imported.bucket.level > part {
-		t.Errorf("a coordinator holds %g of a burst, want its part of %g", imported.bucket.level, part)
+		t.Errorf("bucket level at a coordinator: got %g, want at most its part %g of the burst",
+			imported.bucket.level, part)
 	}
 }
--- a/policy/stepped_clock_test.go
+++ b/policy/stepped_clock_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// clockSteps are by how much one wall clock may be ahead of another.
+// clockSteps are the offsets of one wall clock from another that the tests cover.
 var clockSteps = []Time{-3600 * second, -5 * second, 0, 5 * second, 3600 * second}
 
-// steppedStart is late enough that no step leads before time 0.
+// steppedStart is late enough that no step leads to a time below zero.
 const steppedStart = 4 * 3600 * second
 
 func newSteppedHarness(t *testing.T, settings Settings, at Time) *harness {
@@ -18,7 +18,7 @@
 	return h
 }
 
-// forEachStep runs a test for each step of a clock.
+// forEachStep runs a subtest for each of clockSteps.
 func forEachStep(t *testing.T, test func(t *testing.T, step Time)) {
 	t.Helper()
 	for _, step := range clockSteps {
@@ -26,13 +26,14 @@
 	}
 }
 
-// A start that is announced while the gateway runs is timed by its own clock.
-func TestAnnouncedStartIsTimedFromThenOnWithSteppedClock(t *testing.T) {
+// The slow start of a backend whose start is announced while the gateway runs begins at the announcement, by
+// the gateway's own clock.
+func TestAnnouncedStartBeginsSlowStartNowWithSteppedClock(t *testing.T) {
 	forEachStep(t, func(t *testing.T, step Time) {
 		t.Helper()
 		settings := slowStartSettings()
 		h := newSteppedHarness(t, settings, steppedStart)
-		for round := range Time(3) { // each after another step, the last one back
+		for round := range Time(3) { // clock steps of step, 0 and -step
 			stamp := h.at + step*(1-round)
 			h.UpdateEndpoints(h.at, UpdateIncremental, []Endpoint{{ID: 4, Cell: 1, StartedAt: stamp}})
 			backend := h.backends.byID[4]
@@ -43,14 +44,14 @@
 			h.at += settings.SlowStartTime / 2
 			h.TimerFired(h.at, gossipTimer)
 			assertNear(t, "share at the end", h.slowStartShare(backend), 1)
-			h.at += second // no two starts have one stamp
+			h.at += second // the next start has another stamp
 		}
 	})
 }
 
-// A backend that is listed as the gateway starts has only its stamp. One from the future is a start now: the
-// backend is warm a slow start later, not when the clocks meet.
-func TestStampFromTheFutureIsAStartNowWithSteppedClock(t *testing.T) {
+// The age of a backend in the first endpoint list is known only from its stamp. A stamp in the future counts
+// as a start now, so that the slow start ends after its usual duration, not after the stamp is past as well.
+func TestFutureStampBeginsSlowStartNowWithSteppedClock(t *testing.T) {
 	settings := slowStartSettings()
 	h := newUnstartedHarness(t, settings, 1, steppedStart)
 	list := endpoints(4)
@@ -58,15 +59,16 @@
 	list[1].StartedAt = steppedStart - 3600*second
 	h.UpdateEndpoints(h.at, UpdateComplete, list)
 	assertNear(t, "share", h.slowStartShare(h.backends.byID[1]), settings.SlowStartFloor)
-	assertNear(t, "share of the old one", h.slowStartShare(h.backends.byID[2]), 1)
+	assertNear(t, "share of the backend with an old stamp", h.slowStartShare(h.backends.byID[2]), 1)
 	h.at += settings.SlowStartTime
 	h.UpdateEndpoints(h.at, UpdateComplete, list)
 	assertNear(t, "share at the end", h.slowStartShare(h.backends.byID[1]), 1)
 }
 
-// A gateway that restarts has the list that it had last: what is not in it has started since, whatever the
-// clocks say. A list that is out of date in most places tells nothing, and the stamps count.
-func TestStartSinceTheKnownListIsAStartNowWithSteppedClock(t *testing.T) {
+// A gateway that restarts begins with its last known endpoint list. A stamp that is not in that list is of a
+// start since then and counts as a start now, whatever the clocks say. If most stamps are not in the list, it
+// is too old to tell, and the age follows from the stamps.
+func TestStampMissingFromKnownListBeginsSlowStartNowWithSteppedClock(t *testing.T) {
 	forEachStep(t, func(t *testing.T, step Time) {
 		t.Helper()
 		settings := slowStartSettings()
@@ -96,7 +98,8 @@
 	})
 }
 
-// Lists from before a start, and backends that are missing from a list for a while, begin no slow start.
+// Guards against a slow start of a warm backend because a stale list brings back an earlier stamp, or because
+// the backend is missing from the list for a while.
 func TestKnownStampsBeginNoSlowStart(t *testing.T) {
 	settings := slowStartSettings()
 	h := newSteppedHarness(t, settings, steppedStart)
@@ -118,12 +121,12 @@
 	h.at += departedRetention + second
 	h.TimerFired(h.at, gossipTimer)
 	if n := len(h.backends.departed); n != 0 {
-		t.Errorf("%d backends remembered long after they were listed", n)
+		t.Errorf("%d departed backends remembered after departedRetention", n)
 	}
 }
 
-// handOverStepped hands over to a process whose clock is ahead by a step; with older the snapshot is that
-// of a version that states neither its time nor stamps.
+// handOverStepped hands over to a process whose clock is ahead by step. If older is set, the snapshot is one
+// of an older version, without its time and without stamps.
 func (h *harness) handOverStepped(t *testing.T, settings Settings, step Time, older bool) *harness {
 	t.Helper()
 	snapshot := decodeSnapshot(t, encodeSnapshot(t, h.Export(h.at)))
@@ -138,8 +141,8 @@
 	return next
 }
 
-// What a predecessor has granted is not granted again, and what it would grant later is not withheld, however
-// far the clocks of the two processes are apart.
+// Guards against a successor that grants a burst again, or refills the buckets too late, because its clock
+// differs from the predecessor's.
 func TestHandoverKeepsBucketsWithSteppedClock(t *testing.T) {
 	forEachStep(t, func(t *testing.T, step Time) {
 		t.Helper()
@@ -150,7 +153,7 @@
 			}
 			next := h.handOverStepped(t, namedSettings(), step, older)
 			if next.serve(2, 7, 1) {
-				t.Errorf("older %t: granted a burst again", older)
+				t.Errorf("older %t: the successor granted the burst again", older)
 			}
 			served := [2]int{}
 			for range 100 {
@@ -168,7 +171,7 @@
 	})
 }
 
-// A slow start and an ejection go on where they were.
+// A slow start and an ejection continue at the successor with their remaining duration.
 func TestHandoverKeepsSlowStartAndEjectionWithSteppedClock(t *testing.T) {
 	forEachStep(t, func(t *testing.T, step Time) {
 		t.Helper()
@@ -176,7 +179,7 @@
 			settings := slowStartSettings()
 			h := newSteppedHarness(t, settings, steppedStart)
 			h.UpdateEndpoints(h.at, UpdateIncremental, []Endpoint{{ID: 4, Cell: 1, StartedAt: h.at + step}})
-			h.serve(0, 7, 1) // a customer, by whose bucket an older snapshot shows its time
+			h.serve(0, 7, 1) // the bucket of a customer gives an older snapshot its time
 			h.at += settings.SlowStartTime / 4
 			h.TimerFired(h.at, gossipTimer)
 			h.failConnection(h.backends.byID[1], false)
