--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -242,7 +242,7 @@
 
 // slowStartShare returns a backend's share of its capacity as of the last event; it is 1 when warm.
 func (h *harness) slowStartShare(backend *backend) float64 {
-	return backend.slowStart.share(h.clock.now, &h.slowStart)
+	return backend.slowStart.capacityShare(h.clock.now, &h.slowStart)
 }
 
 // unhealthy reports whether a backend's health forbids attempts as of the last event.
--- a/policy/ownership.go
+++ b/policy/ownership.go
@@ -8,7 +8,7 @@
 // goes to the other process.
 func (c *Controller) ReleaseOwnership(now Time) {
 	c.advanceClock(now)
-	c.gaveUpOwnership = true
+	c.releasedOwnership = true
 	for _, request := range c.quotaRequests.removeOpen(c.requests.byID) {
 		c.requests.remove(request.ID)
 		c.reject(request.ID, rejectOverQuota, c.shortestObjective/retryAfterDivisor)
@@ -21,7 +21,7 @@
 func (c *Controller) ResumeOwnership(now Time) {
 	c.advanceClock(now)
 	c.clock.resetStart()
-	c.gaveUpOwnership = false
+	c.releasedOwnership = false
 	for _, customer := range c.customers.inOrder {
 		c.refillBuckets(customer)
 		customer.limitToRestartLevels(&c.sharing)
@@ -33,15 +33,16 @@
 // PredecessorAttemptSent records that the predecessor has sent another attempt of one of its requests.
 func (c *Controller) PredecessorAttemptSent(now Time, id uint64, backend uint32) {
 	c.advanceClock(now)
-	if request := c.requests.ofPredecessor[id]; request != nil {
-		c.chargeSlowStart(c.recordSend(request, c.backends.unlisted(backend, c.clock.now, c.random)), false)
+	if request := c.requests.predecessorRequests[id]; request != nil {
+		c.chargeSlowStart(
+			c.recordSend(request, c.backends.findOrAddUnlisted(backend, c.clock.now, c.random)), false)
 	}
 }
 
 // PredecessorAttemptEnded handles the outcome of an attempt of the predecessor.
 func (c *Controller) PredecessorAttemptEnded(now Time, outcome Outcome) {
 	c.advanceClock(now)
-	request := c.requests.ofPredecessor[outcome.RequestID]
+	request := c.requests.predecessorRequests[outcome.RequestID]
 	attempt := request.pendingAttempt(outcome.Attempt)
 	if attempt == nil || outcome.Result > ResultNotSent {
 		return
@@ -49,14 +50,14 @@
 	attempt.pending = false
 	c.settleAttempt(request, attempt, &outcome)
 	if outcome.ClientAnswered && !request.hasPending() {
-		delete(c.requests.ofPredecessor, outcome.RequestID)
+		delete(c.requests.predecessorRequests, outcome.RequestID)
 	}
 }
 
 // PredecessorExited ends the pending attempts of the predecessor, which has exited.
 func (c *Controller) PredecessorExited(now Time) {
 	c.advanceClock(now)
-	for _, request := range c.requests.takeOfPredecessor() {
-		request.releasePending()
+	for _, request := range c.requests.removePredecessorRequests() {
+		request.releasePendingAttempts()
 	}
 }
