--- a/policy/api.go
+++ b/policy/api.go
@@ -120,7 +120,7 @@
 	Zone, Cell   int
 	State        EndpointState
 	CapacityHint float64
-	StartedAt    Time // by the clock of service discovery; zero if unknown, which means warm
+	StartedAt    Time // by the clock of service discovery; zero if unknown: the backend counts as warm
 }
 
 // UpdateKind is the kind of an endpoint update.
--- a/policy/backendtable.go
+++ b/policy/backendtable.go
@@ -34,8 +34,8 @@
 		b.slowStart.capacityShare(now, parameters) == 1
 }
 
-// update applies an entry of the endpoint list. It reports whether the entry has a new start; if so, the
-// error rate and latency of the previous process are reset.
+// update applies an entry of the endpoint list. It reports whether the entry has a new start. If so, it
+// resets the error rate and the latency, which are those of the previous process.
 func (b *backend) update(endpoint Endpoint) (started bool) {
 	b.Endpoint, b.listed = endpoint, endpoint.State != EndpointRemoved
 	if !b.slowStart.stamps.isNewStart(endpoint.StartedAt) {
--- a/policy/concurrencylimit_test.go
+++ b/policy/concurrencylimit_test.go
@@ -5,7 +5,7 @@
 // fourBackends is the capacity of four backends of one gateway with an allowed latency of a second.
 var fourBackends = backendCapacity{healthy: 4, gateways: 1, allowedLatency: float64(second)}
 
-// answeringPerSecond returns a limit after many seconds with the given rate of answers on time, and the time.
+// limitAfterAnswers returns a limit after many seconds with the given rate of answers on time, and the time.
 func limitAfterAnswers(answers int) (*concurrencyLimit, Time) {
 	var limit concurrencyLimit
 	now := start
--- a/policy/controller_attempts.go
+++ b/policy/controller_attempts.go
@@ -12,8 +12,9 @@
 	return c.chooseLeastLoaded(request, sameScopeAs, true)
 }
 
-// chooseLeastLoaded returns the least loaded backend, or nil if there is none. Unhealthy backends, and those
-// that the request has tried, qualify only if allowUnhealthy is set.
+// chooseLeastLoaded returns the least loaded backend, or nil if there is none. Only ready backends whose slow
+// start allows an attempt qualify. Unhealthy backends, and those that the request has tried, qualify only if
+// allowUnhealthy is set.
 func (c *Controller) chooseLeastLoaded(request *request, sameScopeAs *attempt, allowUnhealthy bool) *backend {
 	class, prices := &c.settings.Classes[request.Class], c.settings.loadPrices()
 	var best leastLoaded
--- a/policy/controller_backends_test.go
+++ b/policy/controller_backends_test.go
@@ -114,8 +114,8 @@
 	return preferring
 }
 
-// Guards against connections from every gateway to every backend, and against uneven subsets, also after most
-// backends were replaced.
+// Guards against connections from every gateway to every backend, and against uneven subsets: each backend
+// must be preferred by about as many gateways as any other, also after most backends were replaced.
 func TestSubsetsCoverBackendsEvenly(t *testing.T) {
 	for _, c := range []subsetCase{{3, 12, 0.08}, {80, 60, 0}, {80, 60, 0.08}, {200, 33, 0.08}} {
 		for _, firstNew := range []uint32{1, 1000} {
--- a/policy/controller_capacity_test.go
+++ b/policy/controller_capacity_test.go
@@ -12,7 +12,7 @@
 		}
 	}
 	if sentCount == 0 || sentCount == 100 {
-		t.Fatalf("%d of 100 attempts sent, want a limit between", sentCount)
+		t.Fatalf("%d of 100 attempts sent, want some but not all", sentCount)
 	}
 	h.at += 2 * second
 	for _, backend := range h.backends.inOrder {
--- a/policy/controller_outcomes.go
+++ b/policy/controller_outcomes.go
@@ -15,7 +15,8 @@
 		attempt.backend.health.recordAnswer(c.clock.now, c.clock.activeTime)
 	}
 	c.recordResult(attempt, request.Class, outcome)
-	if subject, isFault := request.faultOf(attempt, outcome.Result); isFault { // rare at each gateway
+	if subject, isFault := request.faultOf(attempt, outcome.Result); isFault {
+		// The report goes to all gateways, as each of them sees such faults too rarely to learn alone.
 		attempt.backend.faults.add(c.clock.now, subject)
 		c.gossip.addFault(faultReport{backend: attempt.backend.ID, subject: subject})
 	}
--- a/policy/discoverywatch_test.go
+++ b/policy/discoverywatch_test.go
@@ -32,7 +32,7 @@
 		want bool
 	}{{UpdateStale, false}, {UpdateComplete, false}, {UpdateIncremental, true}, {UpdateStale, true}} {
 		if got := watch.recordUpdate(c.kind); got != c.want {
-			t.Errorf("update %d: listed before %t, want %t", i, got, c.want)
+			t.Errorf("update %d: had a current list %t, want %t", i, got, c.want)
 		}
 	}
 }
--- a/policy/requesttable_test.go
+++ b/policy/requesttable_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// sentAt returns pending attempts at different backends that were sent at the given times.
+// attemptsSentAt returns pending attempts at different backends that were sent at the given times.
 func attemptsSentAt(times ...Time) []*attempt {
 	var attempts []*attempt
 	for _, at := range times {
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -8,7 +8,7 @@
 	ranRetryCost         = 1.0  // the cost of a retry after an attempt that may have run
 	notRunRetryCost      = 0.1  // the cost after one that did not run and has hardly used the backend
 	attemptTimeoutFactor = 10   // average latencies after which an attempt is abandoned for another
-	minRetryTimeDivisor  = 10   // 1/n of the latency objective must be left for a retry
+	minRetryTimeDivisor  = 10   // a retry needs at least 1/n of the latency objective
 	dedupMarginEvents    = 4    // minimum event intervals by which a deduplication window ends early
 )
 
--- a/policy/simulation_test.go
+++ b/policy/simulation_test.go
@@ -30,7 +30,7 @@
 	lateBy         Time    // the additional delay of late updates
 	clockStep      Time    // how far the gateways' clocks are ahead of the clock of service discovery
 	staleLists     bool    // lists arrive four times per second, in turn from before and after the start
-	mayBeIdle      bool    // minUse is not checked, as faults divert traffic from the starting backends
+	mayBeIdle      bool    // minUtilization is not checked, as faults divert traffic from starting backends
 	minUtilization float64 // the minimum fraction of capacity that starting backends use; zero means 0.25
 	zone           int     // the zone whose backends start; zero for any
 	handshake      float64 // the price of a handshake
@@ -350,8 +350,8 @@
 	return capacity + 2*math.Sqrt(capacity) + 2
 }
 
-// use returns the requests that the starting backends received, as a fraction of those that they could serve
-// since their start.
+// utilization returns the requests that the starting backends received, as a fraction of those that they
+// could serve since their start.
 func (s *simulation) utilization() float64 {
 	received, capacity := 0.0, 0.0
 	for _, b := range s.backends {
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -42,7 +42,7 @@
 // is less than one. An attempt is charged once, when it is written; while it waits for a connection, it is
 // reserved.
 type slowStart struct {
-	startedAt       Time        // by the clock of this gateway; zero if unknown, which means warm
+	startedAt       Time        // by the clock of this gateway; zero if unknown: the backend counts as warm
 	stamps          startStamps // of the last starts of the backend
 	bucket          tokenBucket // the attempts that may be sent now
 	reserved        int         // the number of attempts that wait for a connection
--- a/policy/slowstart_fleet_test.go
+++ b/policy/slowstart_fleet_test.go
@@ -14,7 +14,8 @@
 	return settings
 }
 
-// Load functions return the load, in capacities of all backends, by the time since the start.
+// The load functions of scenarios return loads, in capacities of all backends, by the time since the start.
+
 func burstLoad(age Time) float64 { return 0.7 + 0.35*indicator(age > second && age < 6*second) }
 func fullLoad(Time) float64      { return 0.95 }
 func overload(Time) float64      { return 1.6 }
--- a/policy/slowstartpace_test.go
+++ b/policy/slowstartpace_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// answering returns a pace after a minute with the given rate of answers by each warm backend, and the time.
+// paceAfterAnswers returns a pace after a minute with the given rate of answers by each warm backend, and the
+// time.
 func paceAfterAnswers(warmBackends, perSecond int) (slowStartPace, Time) {
 	var pace slowStartPace
 	now := start
