--- a/policy/controller_backends_test.go
+++ b/policy/controller_backends_test.go
@@ -25,7 +25,7 @@
 					t.Fatal("attempt sent to a draining or removed backend")
 				}
 			}
-			if h.count(sendAction) == 0 {
+			if h.countActions(sendAction) == 0 {
 				t.Error("no attempt was sent")
 			}
 		})
@@ -37,12 +37,12 @@
 	settings.PollEndpoints, settings.MaxWatchGap = true, 10*second
 	h := newHarness(t, settings)
 	h.UpdateEndpoints(h.at, UpdateUnavailable, nil)
-	if h.count(watchAction) != 1 {
+	if h.countActions(watchAction) != 1 {
 		t.Fatal("no watch requested at the start")
 	}
 	h.at += 4 * second
 	h.TimerFired(h.at, gossipTimer)
-	if h.count(watchAction) != 2 {
+	if h.countActions(watchAction) != 2 {
 		t.Error("no watch requested after a failure")
 	}
 }
@@ -57,7 +57,7 @@
 		if h.lastAttempt(id).backend.ID == 1 {
 			load = 0
 		}
-		h.endWith(id, Outcome{
+		h.endAttemptWith(id, Outcome{
 			Result: ResultOK, Latency: second / 10, ClientAnswered: true, LoadReport: []float32{load},
 		})
 	}
--- a/policy/controller_slowstart_test.go
+++ b/policy/controller_slowstart_test.go
@@ -22,7 +22,7 @@
 			open = append(open, id)
 		}
 		for len(open) > 0 && h.at-h.lastAttempt(open[0]).sentAt >= second/10 {
-			h.end(open[0], ResultOK, true)
+			h.endAttempt(open[0], ResultOK, true)
 			open = open[1:]
 		}
 	}
@@ -67,7 +67,7 @@
 				sent++
 			}
 			if ok {
-				h.end(id, ResultOK, true)
+				h.endAttempt(id, ResultOK, true)
 			}
 		}
 	}
@@ -107,7 +107,7 @@
 			open = append(open, id)
 		}
 		for len(open) > 0 && h.at-h.lastAttempt(open[0]).sentAt >= second/4 {
-			h.end(open[0], ResultOK, true)
+			h.endAttempt(open[0], ResultOK, true)
 			open = open[1:]
 		}
 	}
@@ -161,7 +161,7 @@
 		if !sent || h.slowStartAllows(backend) {
 			t.Fatalf("sent %t; want one attempt sent and no other allowed", sent)
 		}
-		h.end(id, ResultNotSent, true)
+		h.endAttempt(id, ResultNotSent, true)
 		if !h.slowStartAllows(backend) || backend.slowStart.reserved != 0 {
 			t.Errorf("bucket level %g, %d reserved after the attempt was not sent",
 				backend.slowStart.bucket.level, backend.slowStart.reserved)
@@ -192,9 +192,9 @@
 				customer++
 				if id, ok := h.request(0, 1, customer*gateways+uint64(i), 1); ok {
 					attempts[h.lastAttempt(id).backend.ID]++
-					h.end(id, ResultOK, true)
+					h.endAttempt(id, ResultOK, true)
 				}
-				h.take()
+				h.takeActions()
 			}
 		}
 		return attempts
