--- a/policy/backendhealth.go
+++ b/policy/backendhealth.go
@@ -27,8 +27,8 @@
 	nextProbeAt  Time // the earliest time of the next health check or trial attempt
 }
 
-// failing reports whether the backend is down or has too many errors.
-func (h *backendHealth) failing() bool { return h.isDown || h.errorRate >= ejectionErrorRate }
+// isFailing reports whether the backend is down or has too many errors.
+func (h *backendHealth) isFailing() bool { return h.isDown || h.errorRate >= ejectionErrorRate }
 
 // acceptsAttempts reports whether the backend, with the given number of attempts in flight, may get another
 // one. If health checks are allowed, a backend that is down gets none before a check succeeds. A failing
@@ -37,7 +37,7 @@
 	if h.isDown && healthChecks {
 		return false
 	}
-	return !h.failing() || now >= h.nextProbeAt && inFlight == 0
+	return !h.isFailing() || now >= h.nextProbeAt && inFlight == 0
 }
 
 // expectAnswer records that an attempt is sent while the given number of others are in flight.
--- a/policy/backendhealth_test.go
+++ b/policy/backendhealth_test.go
@@ -19,7 +19,7 @@
 
 func TestRecordErrorEjectsAtErrorRate(t *testing.T) {
 	health := ejectedByErrors(t)
-	if !health.failing() || health.isDown {
+	if !health.isFailing() || health.isDown {
 		t.Errorf("error rate %g, down %t: want failing and not down", health.errorRate, health.isDown)
 	}
 	if health.acceptsAttempts(start, 0, true) {
@@ -42,7 +42,7 @@
 	for range 20 {
 		health.recordSuccess()
 	}
-	if health.failing() || !health.acceptsAttempts(after, 9, true) {
+	if health.isFailing() || !health.acceptsAttempts(after, 9, true) {
 		t.Errorf("still failing after 20 successes, with error rate %g", health.errorRate)
 	}
 }
--- a/policy/backendtable.go
+++ b/policy/backendtable.go
@@ -172,7 +172,7 @@
 func (t *backendTable) countUnavailable() int {
 	count := 0
 	for _, backend := range t.inOrder {
-		if backend.listed && (backend.State != EndpointReady || backend.health.failing()) {
+		if backend.listed && (backend.State != EndpointReady || backend.health.isFailing()) {
 			count++
 		}
 	}
--- a/policy/concurrencylimit.go
+++ b/policy/concurrencylimit.go
@@ -3,12 +3,12 @@
 import "math"
 
 const (
-	fullLatencyShare     = 0.35 // the average latency of backends at capacity, in allowed latencies
-	minInFlight          = 4.0  // the minimum capacity of a backend in attempts: one per core
-	minInFlightWhenLate  = 1.0  // the minimum if all answers are late, as an overloaded backend must drain
-	minOwnInFlight       = 2.0  // attempts that a gateway may have in flight in addition to maxOwnShare
-	maxOwnShare          = 2.0  // in even shares of the capacity; above 1 because arrivals are uneven
-	sufficientAnswerRate = 8.0  // own answers per second at which the figures of peers count half
+	fullLatencyShare         = 0.35 // the average latency of backends at capacity, in allowed latencies
+	minInFlight              = 4.0  // the minimum capacity of a backend in attempts: one per core
+	minInFlightWhenLate      = 1.0  // the minimum if all answers are late, so that backends drain
+	minOwnInFlight           = 2.0  // attempts that a gateway may have in flight in addition to maxOwnShare
+	maxOwnShare              = 2.0  // in even shares of the capacity; above 1 because arrivals are uneven
+	halfPeerWeightAnswerRate = 8.0  // own answers per second at which the figures of peers count half
 )
 
 // concurrencyLimit limits the attempts in flight by the load on the backends that this gateway and its peers
@@ -51,9 +51,9 @@
 	l.onTime.add(activeTime, second, indicator(!isLate))
 }
 
-// recordPeer adds the load view of a peer to those of the other peers. The weight is below 1 if the peer sent
-// another one shortly before.
-func (l *concurrencyLimit) recordPeer(activeTime Time, weight, inFlight, onTimeRate float64) {
+// recordPeerView adds the load view of a peer to those of the other peers. The weight is below 1 if the peer
+// sent another one shortly before.
+func (l *concurrencyLimit) recordPeerView(activeTime Time, weight, inFlight, onTimeRate float64) {
 	l.peers.add(activeTime, second, weight)
 	l.peersInFlight.add(activeTime, second, weight*inFlight)
 	l.peersOnTime.add(activeTime, second, weight*onTimeRate)
@@ -61,7 +61,7 @@
 
 // peerWeight returns the weight of the figures of peers. It falls as this gateway gets more answers itself.
 func (l *concurrencyLimit) peerWeight(activeTime Time) float64 {
-	return sufficientAnswerRate / (sufficientAnswerRate + l.onTime.value(activeTime, second))
+	return halfPeerWeightAnswerRate / (halfPeerWeightAnswerRate + l.onTime.value(activeTime, second))
 }
 
 // view returns the load by this gateway, given its attempts in flight, and by its peers.
@@ -74,17 +74,18 @@
 	}
 }
 
-// isReached reports whether the given part of the capacity is in use. By Little's law, the capacity follows
-// from the rate of answers on time and the allowed latency. It has a minimum per backend, all of which is
-// open whatever the part. This gateway alone must also stay within its own share of the open capacity.
+// isReached reports whether all gateways together have reached the limit, which is the given part of the
+// capacity, or this gateway alone has reached its own limit. By Little's law, the capacity follows from the
+// rate of answers on time and the allowed latency. The limit is at least the minimum capacity, whatever the
+// part.
 func (l *concurrencyLimit) isReached(
 	activeTime Time, ownInFlight, part float64, capacity backendCapacity,
 ) bool {
 	view := l.view(activeTime, ownInFlight)
 	perBackend := minInFlight - (minInFlight-minInFlightWhenLate)*l.lateShare.value
-	least := perBackend * float64(capacity.healthy) / float64(capacity.gateways) * view.gateways
-	answered := view.onTimeRate * capacity.allowedLatency / float64(second) * fullLatencyShare * part
-	open := math.Max(least, answered)
-	ownOpen := minOwnInFlight + maxOwnShare*open/view.gateways
-	return view.inFlight >= open || ownInFlight >= ownOpen
+	minimum := perBackend * float64(capacity.healthy) / float64(capacity.gateways) * view.gateways
+	measured := view.onTimeRate * capacity.allowedLatency / float64(second) * fullLatencyShare * part
+	limit := math.Max(minimum, measured)
+	ownLimit := minOwnInFlight + maxOwnShare*limit/view.gateways
+	return view.inFlight >= limit || ownInFlight >= ownLimit
 }
--- a/policy/concurrencylimit_test.go
+++ b/policy/concurrencylimit_test.go
@@ -62,7 +62,7 @@
 	var limit concurrencyLimit
 	const peers = 9
 	for range peers {
-		limit.recordPeer(start, 1, 0, 0)
+		limit.recordPeerView(start, 1, 0, 0)
 	}
 	capacity := backendCapacity{healthy: 25, gateways: 10, allowedLatency: float64(second)}
 	const evenShare = 10 // one of ten gateways' share of the minimum capacity of 25 backends, 100 attempts
@@ -74,8 +74,8 @@
 
 func TestPeerWeightFallsWithOwnAnswers(t *testing.T) {
 	var limit concurrencyLimit
-	limit.recordPeer(start, 1, 6, 40)
-	limit.recordPeer(start, 0.5, 4, 20)
+	limit.recordPeerView(start, 1, 6, 40)
+	limit.recordPeerView(start, 0.5, 4, 20)
 	want := loadView{inFlight: 11, onTimeRate: 50, gateways: 2.5}
 	if got := limit.view(start, 3); got != want {
 		t.Errorf("got %+v, want %+v", got, want)
--- a/policy/controller_gossip.go
+++ b/policy/controller_gossip.go
@@ -72,7 +72,7 @@
 		return
 	}
 	received := c.gossip.receive(from, c.clock.activeTime, &message)
-	c.limit.recordPeer(c.clock.activeTime, received.weight, message.inFlight, message.onTimeRate)
+	c.limit.recordPeerView(c.clock.activeTime, received.weight, message.inFlight, message.onTimeRate)
 	if received.restarted {
 		for _, customer := range c.customers.inOrder {
 			c.refillBuckets(customer)
