--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -24,9 +24,9 @@
 // String returns the name of the phase for log messages.
 func (p endpointPhase) String() string { return [...]string{"configured", "imported", "received"}[p] }
 
-// endpointSteps lists the legal steps. A list from discovery is never replaced by that of a predecessor, nor
-// either of them by that of the configuration.
-var endpointSteps = phase.Steps[endpointPhase]{
+// endpointTransitions lists the legal transitions. A list from discovery is never replaced by that of a
+// predecessor, nor either of them by that of the configuration.
+var endpointTransitions = phase.Steps[endpointPhase]{
 	endpointsConfigured: {endpointsImported, endpointsReceived},
 	endpointsImported:   {endpointsReceived},
 }
@@ -44,8 +44,8 @@
 }
 
 // endpointList holds the state of the endpoint list apart from the backends themselves: its source, its
-// newest revision and the numbers of its zones. The number of a zone never changes. An endpointList belongs
-// to the event loop.
+// newest revision and the numbers of its zones. The number of a zone never changes. It belongs to the event
+// loop.
 type endpointList struct {
 	phase          phase.Machine[endpointPhase]
 	newestRevision uint64   // the highest revision of all updates so far
@@ -56,7 +56,7 @@
 // newEndpointList returns an endpoint list that knows the zones of the configuration.
 func newEndpointList(zones []string, gateway endpointGateway, log *slog.Logger) *endpointList {
 	return &endpointList{
-		phase: phase.New("endpoints", endpointsConfigured, endpointSteps, reportIllegalStep(log)),
+		phase: phase.New("endpoints", endpointsConfigured, endpointTransitions, reportIllegalTransition(log)),
 		zones: zones, gateway: gateway,
 	}
 }
--- a/internal/gateway/takeover.go
+++ b/internal/gateway/takeover.go
@@ -29,8 +29,8 @@
 	return [...]string{"none", "pending", "started", "watching", "complete", "abandoned"}[p]
 }
 
-// takeoverSteps lists the legal steps.
-var takeoverSteps = phase.Steps[takeoverPhase]{
+// takeoverTransitions lists the legal transitions.
+var takeoverTransitions = phase.Steps[takeoverPhase]{
 	takeoverPending:  {takeoverStarted, takeoverAbandoned},
 	takeoverStarted:  {takeoverWatching, takeoverComplete, takeoverAbandoned},
 	takeoverWatching: {takeoverComplete},
@@ -55,7 +55,7 @@
 }
 
 // takeover is the handover from a predecessor to this process. It owns the link to the predecessor. This
-// process decides only in the phases none, watching and complete. A takeover belongs to the event loop.
+// process decides only in the phases none, watching and complete. It belongs to the event loop.
 type takeover struct {
 	phase   phase.Machine[takeoverPhase]
 	link    predecessorLink // nil if there is no predecessor
@@ -70,7 +70,7 @@
 	if from != nil {
 		first, t.link, t.gossip = takeoverPending, from, from.Gossip
 	}
-	t.phase = phase.New("takeover", first, takeoverSteps, reportIllegalStep(log))
+	t.phase = phase.New("takeover", first, takeoverTransitions, reportIllegalTransition(log))
 	return t
 }
 
@@ -218,7 +218,7 @@
 type predecessorAttemptSent struct{ sent handover.AttemptSent }
 
 func (e predecessorAttemptSent) Handle(g *Gateway) {
-	g.controller.PredecessorSent(g.events.Now(), e.sent.RequestID, e.sent.Backend)
+	g.controller.PredecessorAttemptSent(g.events.Now(), e.sent.RequestID, e.sent.Backend)
 }
 
 // predecessorAttemptEnded reports the outcome of an attempt that the predecessor has sent.
