--- a/internal/gateway/backend_dial_test.go
+++ b/internal/gateway/backend_dial_test.go
@@ -56,7 +56,7 @@
 	_ = call.conn.Close()
 	handleNextEvent(t, g, "the reset")
 	wait(t, dialing, "the second dial")
-	useFakeClock(t, g).shown.Add(31_000_000) // the window is 30 s
+	fakeClockOf(t, g).shown.Add(31_000_000) // the window is 30 s
 	close(unblock)
 	handleNextEvent(t, g, "the second dial's end")
 	c.wantLine("-BUSY 2000") // all backends drop its repeats: the client may come again
--- a/internal/gateway/dial_fault_test.go
+++ b/internal/gateway/dial_fault_test.go
@@ -65,7 +65,7 @@
 					n, len(g.requests.byID))
 			}
 			recovered()
-			useFakeClock(t, g).shown.Add(firstShortagePause)
+			fakeClockOf(t, g).shown.Add(firstShortagePause)
 			g.events.RunTimers()
 			handleNextEvent(t, g, "the second dial")
 			b.nextCall(t).replyValue(t, "ok")
@@ -88,7 +88,7 @@
 		case e := <-g.events.Queue():
 			g.events.HandleEvent(e)
 		case <-time.After(time.Millisecond):
-			useFakeClock(t, g).shown.Add(firstShortagePause)
+			fakeClockOf(t, g).shown.Add(firstShortagePause)
 			g.events.RunTimers()
 		}
 	}
--- a/internal/gateway/endpoints_phase_test.go
+++ b/internal/gateway/endpoints_phase_test.go
@@ -33,8 +33,8 @@
 	return newEndpointList([]string{"own"}, f, log), f, illegal
 }
 
-// listed returns the event of a complete list with a revision.
-func listed(revision uint64, endpoints ...discovery.Endpoint) discovery.Event {
+// completeListEvent returns the event of a complete list with a revision.
+func completeListEvent(revision uint64, endpoints ...discovery.Endpoint) discovery.Event {
 	return discovery.Event{
 		Kind: policy.UpdateComplete, Update: discovery.Update{Revision: revision, Endpoints: endpoints},
 	}
@@ -49,7 +49,7 @@
 	wantPhase(t, &e.phase, endpointsImported)
 	f.wantCalls(t, "updateEndpoints")
 	for range 2 {
-		e.handleEvent(listed(1))
+		e.handleEvent(completeListEvent(1))
 		wantPhase(t, &e.phase, endpointsReceived)
 		f.wantCalls(t, "updateEndpoints", "startAccepting")
 	}
@@ -59,7 +59,7 @@
 // A list that discovery has sent is not replaced by a predecessor's list.
 func TestEndpointListImportKeepsReceivedList(t *testing.T) {
 	e, f, illegal := newFakeEndpoints()
-	e.handleEvent(listed(1))
+	e.handleEvent(completeListEvent(1))
 	f.wantCalls(t, "updateEndpoints", "startAccepting")
 	e.importList(nil)
 	wantPhase(t, &e.phase, endpointsReceived)
@@ -80,7 +80,7 @@
 // An update with an older revision does not end a drain, unless the backend has restarted.
 func TestEndpointListOlderUpdateRetainsDraining(t *testing.T) {
 	e, f, _ := newFakeEndpoints()
-	e.handleEvent(listed(5))
+	e.handleEvent(completeListEvent(5))
 	f.draining["a"] = discovery.Endpoint{ID: "a", Phase: "Terminating", UpSinceMS: 100}
 	for _, update := range []struct {
 		revision  uint64
@@ -89,7 +89,7 @@
 	}{
 		{4, 100, "Terminating"}, {4, 200, "Ready"}, {5, 100, "Ready"}, {6, 100, "Ready"},
 	} {
-		e.handleEvent(listed(update.revision,
+		e.handleEvent(completeListEvent(update.revision,
 			discovery.Endpoint{ID: "a", Phase: "Ready", UpSinceMS: update.upSinceMS},
 			discovery.Endpoint{ID: "b", Phase: "Ready", UpSinceMS: update.upSinceMS}))
 		if got := f.updated; got[0].Phase != update.want || got[1].Phase != "Ready" {
--- a/internal/gateway/handover_older_predecessor_test.go
+++ b/internal/gateway/handover_older_predecessor_test.go
@@ -98,7 +98,7 @@
 		t.FailNow()
 	}
 	g.backends.dial.Timeout = testTimeout
-	useFakeClock(t, g).shown.Store(old.recording.At)
+	fakeClockOf(t, g).shown.Store(old.recording.At)
 	r := serveGateway(t, g)
 	old.link.Expect(olderTakeover)
 	return old, r, b
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -112,8 +112,8 @@
 	return now
 }
 
-// useFakeClock returns the fake clock that a gateway was created with.
-func useFakeClock(tb testing.TB, g *Gateway) *fakeClock {
+// fakeClockOf returns the fake clock that a gateway was created with.
+func fakeClockOf(tb testing.TB, g *Gateway) *fakeClock {
 	tb.Helper()
 	clock, ok := g.clock.(*fakeClock)
 	if !ok {
@@ -264,7 +264,7 @@
 func serveGateway(tb testing.TB, g *Gateway) *rig {
 	tb.Helper()
 	r := &rig{
-		addr: g.listening.listener.Addr().String(), gateway: g, clock: useFakeClock(tb, g),
+		addr: g.listening.listener.Addr().String(), gateway: g, clock: fakeClockOf(tb, g),
 		stopped: make(chan struct{}), ended: make(chan struct{}),
 		reload: make(chan struct{}), configs: make(chan func() (config.Config, error), 1),
 	}
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -37,7 +37,7 @@
 // are due.
 func advanceClock(t *testing.T, g *Gateway, period policy.Time) {
 	t.Helper()
-	useFakeClock(t, g).shown.Add(period)
+	fakeClockOf(t, g).shown.Add(period)
 	g.events.RunTimers()
 }
 
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -102,7 +102,7 @@
 			if g.events.RunTimers(); !g.listening.isWaiting() {
 				t.Fatal("the gateway is ready before readinessWait")
 			}
-			useFakeClock(t, g).shown.Add(readinessWait)
+			fakeClockOf(t, g).shown.Add(readinessWait)
 			if g.events.RunTimers(); g.listening.isWaiting() {
 				t.Fatal("the gateway is not ready after readinessWait")
 			}
