--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,26 +1,27 @@
-// Package eventloop runs events and timers one after another on one goroutine, so that the state which they
-// act on needs no lock.
+// Package eventloop handles events and timers one after another on one goroutine, so that the state that they
+// use needs no lock.
 //
-// Events are handled in this order: timers that are due come first, before each event; then urgent events,
-// then the others, each kind in the order of posting. Where the loop waits and two kinds arrive together,
-// it takes either first. What an event or a timer defers is handled right after it.
+// Before each event, the loop handles all timers that are due. Urgent events are handled before other events.
+// Events of the same priority are handled in the order in which they were posted. If an urgent event and
+// another event arrive at the same time while the loop is waiting, either may be handled first. Events that
+// are deferred while an event or a timer is handled are handled immediately after it.
 package eventloop
 
 import "context"
 
-// Event is something that happened, or that is due. S is the state that it acts on, which the loop hands in.
+// Event is an event to be handled by a loop. S is the type of the loop's state.
 type Event[S any] interface {
-	// Handle runs on the loop's goroutine, and must not block.
+	// Handle handles the event. The loop calls it on its goroutine with the loop's state. It must not block.
 	Handle(state S)
 }
 
 const (
-	queueLength       = 1024 // events that wait for the loop before Post waits
-	urgentQueueLength = 16
+	queueLength       = 1024 // number of queued events at which Post blocks
+	urgentQueueLength = 16   // number of queued events at which PostUrgent blocks
 )
 
-// Loop is an event loop. Any goroutine may use Post and PostUrgent; all other methods belong to the goroutine
-// of Run, or to its caller before Run.
+// Loop is an event loop. Post and PostUrgent are safe for concurrent use. All other methods must be called on
+// the goroutine of Run or before Run is called.
 type Loop[S any] struct {
 	state    S
 	clock    Clock
@@ -28,12 +29,12 @@
 
 	queue    chan Event[S]
 	urgent   chan Event[S]
-	deferred []Event[S] // to be handled right after the event or timer at hand
+	deferred []Event[S] // to be handled after the current event or timer
 	timers   timerQueue[S]
 	stopped  bool
 }
 
-// New returns a loop whose events act on a state.
+// New returns a loop that passes state to its events and takes the time from clock.
 func New[S any](state S, clock Clock) *Loop[S] {
 	return &Loop[S]{
 		state: state, clock: clock,
@@ -45,8 +46,8 @@
 // Post queues an event. It blocks while the queue is full.
 func (l *Loop[S]) Post(e Event[S]) { l.queue <- e }
 
-// PostUrgent queues an event ahead of all that Post has queued. It blocks while the urgent queue is full, and
-// gives up when ctx ends.
+// PostUrgent queues an event to be handled before all events queued by Post. It blocks while the urgent queue
+// is full. If ctx is done, the event may be dropped.
 func (l *Loop[S]) PostUrgent(ctx context.Context, e Event[S]) {
 	select {
 	case l.urgent <- e:
@@ -54,17 +55,17 @@
 	}
 }
 
-// Defer has an event handled right after the event or timer at hand and what was deferred before.
+// Defer schedules an event to be handled after the current event or timer and the events deferred before it.
 func (l *Loop[S]) Defer(e Event[S]) { l.deferred = append(l.deferred, e) }
 
-// Now is the time in microseconds since 1970. It never goes back, also where the clock does.
+// Now returns the time in microseconds since 1970. The result never decreases, even if the clock is set back.
 func (l *Loop[S]) Now() int64 {
 	l.lastTime = max(l.lastTime, l.clock.Now())
 	return l.lastTime
 }
 
-// Stop has Run return once the event at hand is handled. After a timer, Run handles one more event or wakeup
-// first.
+// Stop makes Run return after the current event is handled. If Stop is called by a timer, Run first handles
+// one more event or wakeup.
 func (l *Loop[S]) Stop() { l.stopped = true }
 
 // Stopped reports whether Stop was called.
@@ -86,19 +87,20 @@
 		case e := <-l.queue:
 			l.HandleEvent(e)
 		case <-l.timers.wakeup.C:
-			l.timers.armedFor = 0 // the wakeup has fired: the next RunTimers arms it again
+			l.timers.armedFor = 0 // the wakeup has fired; the next call of RunTimers arms it again
 		}
 	}
 }
 
-// HandleEvent handles an event and what it defers. Together with Queue and RunTimers it lets a caller step
-// through a loop that does not run, as tests do.
+// HandleEvent handles an event and the events that it defers. Together with Queue and RunTimers it allows
+// tests to step through a loop without calling Run.
 func (l *Loop[S]) HandleEvent(e Event[S]) {
 	e.Handle(l.state)
 	l.HandleDeferred()
 }
 
-// HandleDeferred handles what was deferred outside of an event, and what that defers.
+// HandleDeferred handles the deferred events, including those deferred while it runs. Only a caller that
+// defers events outside of an event or timer needs to call it.
 func (l *Loop[S]) HandleDeferred() {
 	for i := 0; i < len(l.deferred); i++ {
 		l.deferred[i].Handle(l.state)
@@ -107,8 +109,8 @@
 	l.deferred = l.deferred[:0]
 }
 
-// Queue returns the queue that Post fills, for a caller that steps through the loop.
+// Queue returns the queue of Post, for tests that step through the loop.
 func (l *Loop[S]) Queue() <-chan Event[S] { return l.queue }
 
-// Deferred returns the events that are deferred and not handled yet. The caller must not keep the slice.
+// Deferred returns the deferred events that are not handled yet. The caller must not retain the slice.
 func (l *Loop[S]) Deferred() []Event[S] { return l.deferred }
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -10,13 +10,13 @@
 	"sparspread/internal/eventloop"
 )
 
-// testTimeout bounds every wait of a test.
+// testTimeout is the time limit of each wait in a test.
 const testTimeout = 30 * time.Second
 
-// start is what the fake clock shows first.
+// start is the initial time of the fake clock, in microseconds.
 const start = 1_000_000
 
-// fakeClock shows what the test sets.
+// fakeClock is a clock whose time the test sets.
 type fakeClock struct{ shown atomic.Int64 }
 
 func newFakeClock() *fakeClock {
@@ -27,7 +27,7 @@
 
 func (c *fakeClock) Now() int64 { return c.shown.Load() }
 
-// journal is the state that the tests' events act on: it records their names in the order of handling.
+// journal is the state of the loop under test. It records the names of events in the order of their handling.
 type journal struct {
 	loop    *eventloop.Loop[*journal]
 	entries []string
@@ -39,7 +39,7 @@
 	return j
 }
 
-// want checks what was recorded, and forgets it.
+// want checks the recorded names and clears them.
 func (j *journal) want(t *testing.T, names ...string) {
 	t.Helper()
 	if !slices.Equal(j.entries, names) {
@@ -56,21 +56,21 @@
 	select {
 	case <-ended:
 	case <-time.After(testTimeout):
-		t.Fatal("the loop did not end")
+		t.Fatal("timed out waiting for Run to return")
 	}
 }
 
-// record is an event that records its name.
+// record is an event that records its own name in the journal.
 type record string
 
 func (r record) Handle(j *journal) { j.entries = append(j.entries, string(r)) }
 
-// do is an event that calls a function.
+// do is a function that is called as an event.
 type do func(j *journal)
 
 func (f do) Handle(j *journal) { f(j) }
 
-// stop ends the loop.
+// stop is an event that stops the loop.
 type stop struct{}
 
 func (stop) Handle(j *journal) { j.loop.Stop() }
@@ -85,11 +85,11 @@
 	j.run(t)
 	j.want(t, "urgent", "urgent too", "first", "second")
 	if !j.loop.Stopped() {
-		t.Error("the loop has ended and says that it was not stopped")
+		t.Error("Stopped() = false after Stop was called")
 	}
 }
 
-// An urgent event that comes while others wait is handled before them.
+// An urgent event that is posted while other events are queued is handled before them.
 func TestUrgentEventsOvertakeQueuedOnes(t *testing.T) {
 	j := newJournal(newFakeClock())
 	j.loop.Post(do(func(j *journal) { j.loop.PostUrgent(context.Background(), record("urgent")) }))
@@ -105,7 +105,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		for ctx.Err() == nil { // beyond the length of the queue, which nothing empties
+		for ctx.Err() == nil { // fills the queue, so that PostUrgent blocks
 			j.loop.PostUrgent(ctx, record("urgent"))
 		}
 	}()
@@ -113,7 +113,7 @@
 	select {
 	case <-ended:
 	case <-time.After(testTimeout):
-		t.Fatal("PostUrgent waits after the end of its context")
+		t.Fatal("PostUrgent blocks after its context was cancelled")
 	}
 }
 
@@ -132,11 +132,11 @@
 	j.run(t)
 	j.want(t, "event", "deferred", "deferred too", "deferred by a deferred one", "next")
 	if n := len(j.loop.Deferred()); n != 0 {
-		t.Errorf("%d deferred events are left", n)
+		t.Errorf("%d deferred events are not handled, want 0", n)
 	}
 }
 
-// Each timer's deferred events are handled before the next timer.
+// The events that a timer defers are handled before the next timer.
 func TestDeferredEventsFollowTheTimerAtHand(t *testing.T) {
 	j := newJournal(newFakeClock())
 	j.loop.Schedule(start-1, record("second timer"))
@@ -145,25 +145,25 @@
 	j.want(t, "deferred", "second timer")
 }
 
-// What was deferred outside of an event waits for the caller.
+// Events that are deferred outside of an event or timer are handled when the caller calls HandleDeferred.
 func TestHandleDeferred(t *testing.T) {
 	j := newJournal(newFakeClock())
 	j.loop.Defer(record("deferred"))
 	if got := j.loop.Deferred(); len(got) != 1 || got[0] != record("deferred") {
-		t.Errorf("deferred events %v", got)
+		t.Errorf("deferred events %v, want one", got)
 	}
 	j.want(t)
 	j.loop.HandleDeferred()
 	j.want(t, "deferred")
 }
 
-// A loop that is stepped through by its caller handles what the caller takes from the queue.
+// HandleEvent handles an event that the caller has received from the queue of a loop that does not run.
 func TestHandleEvent(t *testing.T) {
 	j := newJournal(newFakeClock())
 	j.loop.Post(do(func(j *journal) { j.loop.Defer(record("deferred")) }))
 	j.loop.HandleEvent(<-j.loop.Queue())
 	j.want(t, "deferred")
 	if n := len(j.loop.Queue()); n != 0 {
-		t.Errorf("%d events are left", n)
+		t.Errorf("%d events are queued, want 0", n)
 	}
 }
--- a/internal/eventloop/timers.go
+++ b/internal/eventloop/timers.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// Timer is an event that is scheduled for a time.
+// Timer is an event that is scheduled to be handled at a given time.
 type Timer[S any] struct {
-	at    int64
+	at    int64 // in microseconds since 1970
 	event Event[S]
-	index int // in the heap; -1: no longer in it
+	index int // in the heap; -1 if the timer was handled or cancelled
 }
 
 // timerQueue holds the timers of a loop.
 type timerQueue[S any] struct {
 	heap     timerHeap[S]
-	wakeup   *time.Timer // wakes the loop for the first of the heap
-	armedFor int64       // when wakeup fires; 0: it is not armed
+	wakeup   *time.Timer // wakes the loop for the first timer of the heap
+	armedFor int64       // when wakeup fires, in microseconds since 1970; zero if it is not armed
 }
 
 func newTimerQueue[S any]() timerQueue[S] {
@@ -26,25 +26,26 @@
 	return timerQueue[S]{wakeup: wakeup}
 }
 
-// Schedule has an event handled at a time, in microseconds since 1970. Those of one time have no order.
+// Schedule schedules an event to be handled at a time, in microseconds since 1970. The order of timers with
+// the same time is undefined.
 func (l *Loop[S]) Schedule(at int64, e Event[S]) *Timer[S] {
 	t := &Timer[S]{at: at, event: e}
 	heap.Push(&l.timers.heap, t)
 	return t
 }
 
-// After has an event handled after a delay, in microseconds.
+// After schedules an event to be handled after a delay, in microseconds.
 func (l *Loop[S]) After(delay int64, e Event[S]) *Timer[S] { return l.Schedule(l.Now()+delay, e) }
 
-// Cancel removes a timer, so that it does not keep in memory what its event refers to. It does nothing where
-// the timer is nil, or was handled or cancelled before.
+// Cancel removes a timer, so that the loop holds no reference to its event. It does nothing if the timer is
+// nil or was already handled or cancelled.
 func (l *Loop[S]) Cancel(t *Timer[S]) {
 	if t != nil && t.index >= 0 {
 		heap.Remove(&l.timers.heap, t.index)
 	}
 }
 
-// Scheduled returns the events of all timers, in no order.
+// Scheduled iterates over the events of all timers, in undefined order.
 func (l *Loop[S]) Scheduled() iter.Seq[Event[S]] {
 	return func(yield func(Event[S]) bool) {
 		for _, t := range l.timers.heap {
@@ -70,7 +71,7 @@
 	}
 }
 
-// arm has the loop woken up by the time of the next timer.
+// arm makes the wakeup fire no later than the time of the next timer.
 func (q *timerQueue[S]) arm(next, now int64) {
 	if q.armedFor == 0 || next < q.armedFor {
 		q.wakeup.Reset(time.Duration(next-now) * time.Microsecond)
@@ -78,7 +79,7 @@
 	}
 }
 
-// timerHeap implements heap.Interface, the earliest timer first.
+// timerHeap implements heap.Interface. Its first element is the earliest timer.
 type timerHeap[S any] []*Timer[S]
 
 func (h timerHeap[S]) Len() int           { return len(h) }
@@ -93,7 +94,7 @@
 func (h *timerHeap[S]) Push(x any) {
 	t, ok := x.(*Timer[S])
 	if !ok {
-		panic("eventloop: a heap of timers was given something else")
+		panic("eventloop: value pushed on a heap of timers is not a timer")
 	}
 	t.index = len(*h)
 	*h = append(*h, t)
--- a/internal/eventloop/timers_test.go
+++ b/internal/eventloop/timers_test.go
@@ -24,7 +24,7 @@
 	j.want(t, "third")
 }
 
-// A timer that an event or timer schedules for a time that has passed fires at once.
+// A timer that another timer schedules for the current time fires in the same call of RunTimers.
 func TestTimerScheduledByATimer(t *testing.T) {
 	j := newJournal(newFakeClock())
 	j.loop.Schedule(start, do(func(j *journal) { j.loop.Schedule(start, record("scheduled by a timer")) }))
@@ -40,7 +40,7 @@
 		timers = append(timers, j.loop.Schedule(start+int64(i), record(name)))
 	}
 	j.loop.Cancel(timers[1])
-	j.loop.Cancel(timers[1]) // a second time
+	j.loop.Cancel(timers[1]) // already cancelled
 	j.loop.Cancel(nil)
 	j.loop.Cancel(timers[3])
 	left := slices.Sorted(func(yield func(string) bool) {
@@ -56,14 +56,14 @@
 	}
 	clock.shown.Store(start + 100)
 	j.loop.RunTimers()
-	j.loop.Cancel(timers[0]) // which has fired
+	j.loop.Cancel(timers[0]) // already fired
 	j.want(t, "a", "c", "e")
 	for e := range j.loop.Scheduled() {
 		t.Errorf("%v is still scheduled", e)
 	}
 }
 
-// A timer may cancel one that is due at the same time.
+// A timer may cancel another timer that is already due.
 func TestTimerCancelsOneThatIsDue(t *testing.T) {
 	j := newJournal(newFakeClock())
 	victim := j.loop.Schedule(start-1, record("cancelled"))
@@ -72,7 +72,7 @@
 	j.want(t)
 }
 
-// Timers that are due run before each event, also where an event makes them due.
+// Due timers fire before each event, including timers that become due while an event is handled.
 func TestTimersFireBeforeEachEvent(t *testing.T) {
 	clock := newFakeClock()
 	j := newJournal(clock)
@@ -86,7 +86,8 @@
 	j.want(t, "due", "urgent", "due after the event", "next")
 }
 
-// The loop wakes up by itself for a timer, also for one that is scheduled later for a time before the others.
+// The loop wakes up for a timer without an event, also for a timer that is scheduled after the wakeup was
+// armed and is due earlier.
 func TestTimersWakeTheLoop(t *testing.T) {
 	j := newJournal(eventloop.SystemClock())
 	now := j.loop.Now()
@@ -105,11 +106,11 @@
 	j.loop.Schedule(start+5, record("due in 5"))
 	clock.shown.Store(start + 3)
 	if now := j.loop.Now(); now != start+3 {
-		t.Errorf("time %d, want %d", now, start+3)
+		t.Errorf("Now() = %d, want %d", now, start+3)
 	}
 	clock.shown.Store(start - 1000)
 	if now := j.loop.Now(); now != start+3 {
-		t.Errorf("time %d after the clock was stepped back, want %d", now, start+3)
+		t.Errorf("Now() = %d after the clock was set back, want %d", now, start+3)
 	}
 	j.loop.RunTimers()
 	j.want(t)
@@ -124,6 +125,6 @@
 	first := clock.Now()
 	second := clock.Now()
 	if first < before || second < first || second > time.Now().Add(time.Second).UnixMicro() {
-		t.Errorf("clock shows %d, then %d; before it was %d", first, second, before)
+		t.Errorf("Now() = %d, then %d; want ascending times from %d on", first, second, before)
 	}
 }
--- a/internal/gateway/endpoints_phase_test.go
+++ b/internal/gateway/endpoints_phase_test.go
@@ -74,7 +74,7 @@
 	e.importList(nil)
 	wantPhase(t, &e.phase, endpointsImported)
 	f.want(t)
-	wantIllegal(t, illegal, "endpoints: no step from imported to imported")
+	wantIllegal(t, illegal, "endpoints: no transition from imported to imported")
 }
 
 // An update of an older revision does not end a drain, but a restart since then does.
--- a/internal/gateway/handover_phase_test.go
+++ b/internal/gateway/handover_phase_test.go
@@ -188,11 +188,11 @@
 	f.calls = nil
 	h.accept(link)
 	wantPhase(t, &h.phase, handoverAccepted)
-	wantIllegal(t, illegal, "handover: no step from accepted to accepted")
+	wantIllegal(t, illegal, "handover: no transition from accepted to accepted")
 	h.successorExited(link)
 	f.want(t, "resumeOwnership", "endIfIdle")
 	h.end()
 	wantPhase(t, &h.phase, handoverNone)
 	f.want(t)
-	wantIllegal(t, illegal, "handover: no step from none to none")
+	wantIllegal(t, illegal, "handover: no transition from none to none")
 }
--- a/internal/gateway/listening_test.go
+++ b/internal/gateway/listening_test.go
@@ -76,15 +76,15 @@
 	s, illegal := newSocketlessListening(t)
 	s.pause()
 	wantPhase(t, &s.phase, listeningWaiting)
-	wantIllegal(t, illegal, "listening: no step from waiting to paused")
+	wantIllegal(t, illegal, "listening: no transition from waiting to paused")
 	s.resume()
 	s.resume()
 	wantPhase(t, &s.phase, listeningAccepting)
-	wantIllegal(t, illegal, "listening: no step from accepting to accepting")
+	wantIllegal(t, illegal, "listening: no transition from accepting to accepting")
 	s.shutDown(false)
 	s.shutDown(false)
 	s.resume()
 	wantPhase(t, &s.phase, listeningDraining)
-	wantIllegal(t, illegal, "listening: no step from draining to draining",
-		"listening: no step from draining to accepting")
+	wantIllegal(t, illegal, "listening: no transition from draining to draining",
+		"listening: no transition from draining to accepting")
 }
--- a/internal/gateway/reload_phase_test.go
+++ b/internal/gateway/reload_phase_test.go
@@ -65,5 +65,5 @@
 	}
 	r.load(config.Config{})
 	f.want(t, "check", "applyReload")
-	wantIllegal(t, illegal, "reload: no step from checking to checking")
+	wantIllegal(t, illegal, "reload: no transition from checking to checking")
 }
--- a/internal/gateway/shutdown_phase_test.go
+++ b/internal/gateway/shutdown_phase_test.go
@@ -83,11 +83,11 @@
 	s, f, illegal := newFakeShutdown()
 	s.takeStep(stepStopAccepting)
 	wantPhase(t, &s.phase, shutdownNone)
-	wantIllegal(t, illegal, "shutdown: no step from none to closing")
+	wantIllegal(t, illegal, "shutdown: no transition from none to closing")
 	s.request()
 	f.calls = nil
 	s.takeStep(stepAnswerAll)
 	wantPhase(t, &s.phase, shutdownAccepting)
-	wantIllegal(t, illegal, "shutdown: no step from accepting to answered")
+	wantIllegal(t, illegal, "shutdown: no transition from accepting to answered")
 	f.want(t)
 }
--- a/internal/gateway/takeover_test.go
+++ b/internal/gateway/takeover_test.go
@@ -102,7 +102,7 @@
 	o, f := newPendingTakeover(log)
 	o.receive(&handover.State{}) // before it was asked for
 	wantPhase(t, &o.phase, takeoverPending)
-	wantIllegal(t, illegal, "takeover: no step from pending to watching")
+	wantIllegal(t, illegal, "takeover: no transition from pending to watching")
 	o.request(nil)
 	o.receive(nil)
 	f.want(t, "Start", "serve")
@@ -110,6 +110,6 @@
 	o.abandon()
 	wantPhase(t, &o.phase, takeoverComplete)
 	f.want(t)
-	wantIllegal(t, illegal, "takeover: no step from complete to watching",
-		"takeover: no step from complete to abandoned")
+	wantIllegal(t, illegal, "takeover: no transition from complete to watching",
+		"takeover: no transition from complete to abandoned")
 }
--- a/internal/phase/phase.go
+++ b/internal/phase/phase.go
@@ -1,4 +1,4 @@
-// Package phase has state machines whose legal steps stand in one table.
+// Package phase provides state machines whose transitions are defined by a table.
 package phase
 
 import (
@@ -6,16 +6,16 @@
 	"slices"
 )
 
-// Phase is one of the phases of a state machine, usually an enumeration.
+// Phase is a state of a state machine, usually a constant of an enumeration.
 type Phase interface {
 	comparable
 	fmt.Stringer
 }
 
-// Steps lists, for each phase, those that may follow it.
+// Steps lists the legal transitions: for each phase, the phases that may follow it.
 type Steps[P Phase] map[P][]P
 
-// Machine is a state machine. It belongs to one goroutine.
+// Machine is a state machine. It is not safe for concurrent use.
 type Machine[P Phase] struct {
 	name    string
 	current P
@@ -23,18 +23,20 @@
 	report  func(error)
 }
 
-// New returns a machine in its first phase. Report is called with a *StepError for each illegal step.
+// New returns a machine in the phase first. The machine calls report with a *StepError for each illegal
+// transition.
 func New[P Phase](name string, first P, legal Steps[P], report func(error)) Machine[P] {
 	return Machine[P]{name: name, current: first, legal: legal, report: report}
 }
 
-// Current is the phase that the machine is in.
+// Current returns the current phase.
 func (m *Machine[P]) Current() P { return m.current }
 
-// Is reports whether the machine is in one of some phases.
+// Is reports whether the current phase is one of the given phases.
 func (m *Machine[P]) Is(phases ...P) bool { return slices.Contains(phases, m.current) }
 
-// Step enters the next phase. An illegal step is reported, returns false and leaves the machine as it is.
+// Step makes next the current phase and returns true. If the table does not allow the transition, Step calls
+// the report function, returns false and does not change the phase.
 func (m *Machine[P]) Step(next P) bool {
 	if !slices.Contains(m.legal[m.current], next) {
 		m.report(&StepError{Machine: m.name, From: m.current.String(), To: next.String()})
@@ -44,12 +46,12 @@
 	return true
 }
 
-// StepError is a step that the table of a machine does not list.
+// StepError reports a transition that the table of a machine does not allow.
 type StepError struct {
-	Machine  string // its name
-	From, To string // the phases
+	Machine  string // the name of the machine
+	From, To string // the phases of the transition
 }
 
 func (e *StepError) Error() string {
-	return fmt.Sprintf("%s: no step from %s to %s", e.Machine, e.From, e.To)
+	return fmt.Sprintf("%s: no transition from %s to %s", e.Machine, e.From, e.To)
 }
--- a/internal/phase/phase_test.go
+++ b/internal/phase/phase_test.go
@@ -17,15 +17,15 @@
 	m := phase.New("light", color("green"), colors, func(err error) { t.Error(err) })
 	for _, next := range []color{"yellow", "green", "yellow", "red"} {
 		if !m.Step(next) || m.Current() != next {
-			t.Errorf("in %s after the step to %s", m.Current(), next)
+			t.Errorf("phase %s after the transition to %s", m.Current(), next)
 		}
 	}
 	if !m.Is("green", "red") || m.Is("green", "yellow") || m.Is() {
-		t.Error("it is not in the phase that it is in")
+		t.Errorf("phase %s: Is returns a wrong result", m.Current())
 	}
 }
 
-// An illegal step is reported, and changes nothing.
+// An illegal transition is reported and does not change the phase.
 func TestIllegalSteps(t *testing.T) {
 	for _, step := range []struct{ from, to color }{
 		{"green", "red"}, {"green", "green"}, {"red", "green"}, {"green", "blue"}, {"blue", "green"},
@@ -33,7 +33,7 @@
 		var reported error
 		m := phase.New("light", step.from, colors, func(err error) { reported = err })
 		if m.Step(step.to) || m.Current() != step.from {
-			t.Errorf("from %s to %s: in %s", step.from, step.to, m.Current())
+			t.Errorf("from %s to %s: accepted, or phase changed to %s", step.from, step.to, m.Current())
 		}
 		var illegal *phase.StepError
 		if !errors.As(reported, &illegal) ||
@@ -45,7 +45,7 @@
 
 func TestStepErrorNamesMachineAndPhases(t *testing.T) {
 	err := &phase.StepError{Machine: "light", From: "green", To: "red"}
-	if got, want := err.Error(), "light: no step from green to red"; got != want {
+	if got, want := err.Error(), "light: no transition from green to red"; got != want {
 		t.Errorf("error %q, want %q", got, want)
 	}
 }
