--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -8,8 +8,8 @@
 	"sparspread/policy"
 )
 
-// adapter owns the controllers of a simulation, one for each running instance. All of them write their
-// actions to the one reply; the events of a batch are handled one after the other.
+// adapter holds the controllers of a simulation, one for each running instance. The events of a batch are
+// handled one after another, and all controllers write their actions to the same reply.
 type adapter struct {
 	controllers map[uint16]*policy.Controller // by instance
 	reply       simproto.Reply
@@ -20,8 +20,8 @@
 	return &adapter{controllers: map[uint16]*policy.Controller{}}
 }
 
-// handleBatch passes the events of a batch to their instances and returns the frame of the actions, which is
-// valid until the next call.
+// handleBatch passes the events of a batch to their instances. It returns the frame of the reply with the
+// resulting actions, which is valid until the next call.
 func (a *adapter) handleBatch(batch *simproto.Batch) ([]byte, error) {
 	a.reply.Reset(batch.Index)
 	err := batch.Decode(func(instance uint16, event simproto.Event) {
@@ -33,8 +33,8 @@
 	return a.reply.Bytes(), nil
 }
 
-// handleEvent passes one event to its instance; events of instances that do not run are ignored. An instance
-// that panics is removed and reported as failed.
+// handleEvent passes an event to its instance. Events of instances that are not running are ignored. If a
+// controller panics, its instance is removed and reported as failed.
 func (a *adapter) handleEvent(now policy.Time, instance uint16, event simproto.Event) {
 	a.reply.SetInstance(instance)
 	defer func() {
@@ -55,8 +55,8 @@
 	}
 }
 
-// startInstance makes a controller from the event's settings, in place of any that the instance had. Settings
-// that cannot be served are reported as a failure of the instance.
+// startInstance creates the controller of an instance from the event's settings and replaces an existing one.
+// If the settings are invalid, the instance is reported as failed.
 func (a *adapter) startInstance(instance uint16, event simproto.InstanceStarted) {
 	controller, err := a.newController(event)
 	if err != nil {
@@ -67,7 +67,7 @@
 	a.controllers[instance] = controller
 }
 
-// newController makes the controller of an instance from its settings.
+// newController returns a controller with the settings and the seed of the event.
 func (a *adapter) newController(event simproto.InstanceStarted) (*policy.Controller, error) {
 	parsed, err := settings.ParseText(event.Settings)
 	if err != nil {
@@ -76,7 +76,7 @@
 	return policy.New(parsed, event.Seed, &a.reply)
 }
 
-// deliver calls the controller's method for an event that happens to a running instance.
+// deliver calls the controller's method for an event of a running instance.
 func deliver(controller *policy.Controller, now policy.Time, event simproto.Event) {
 	switch e := event.(type) {
 	case simproto.EndpointsUpdated:
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,8 +1,8 @@
-// Command simadapter runs the gateways of a simulation: it reads batches of events from standard input and
-// writes the actions that package policy takes for them to standard output. It decides nothing itself.
+// Command simadapter runs the policy of simulated gateways. It reads batches of events from standard input,
+// passes them to package policy and writes the resulting actions to standard output.
 //
-// It exits with 0 at the end of its input, and with 1 and a message to standard error where the input is
-// malformed or the output cannot be written.
+// The exit code is 0 at the end of the input. If the input is malformed or the output cannot be written, the
+// command writes a message to standard error and exits with 1.
 package main
 
 import (
@@ -25,7 +25,7 @@
 	}
 }
 
-// run answers the batches of in until its end.
+// run reads batches from in until its end and writes a reply to each of them to out.
 func run(in io.Reader, out io.Writer) error {
 	reader, writer := bufio.NewReaderSize(in, ioBufferSize), bufio.NewWriterSize(out, ioBufferSize)
 	a := newAdapter()
@@ -44,12 +44,12 @@
 			return err
 		}
 		if err := writeReply(writer, reply); err != nil {
-			return fmt.Errorf("writing reply %d: %w", batch.Index, err)
+			return fmt.Errorf("write reply %d: %w", batch.Index, err)
 		}
 	}
 }
 
-// writeReply writes a frame and flushes it: the simulator waits for each reply.
+// writeReply writes a frame and flushes it, because the simulator waits for each reply.
 func writeReply(w *bufio.Writer, reply []byte) error {
 	if _, err := w.Write(reply); err != nil {
 		return err
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -10,7 +10,7 @@
 	"sparspread/policy"
 )
 
-// batchWith returns the frame of the batch with index 1 and the given records.
+// batchWith returns the frame of a batch with index 1 and the given records.
 func batchWith(count uint32, records string) string {
 	b := binary.LittleEndian.AppendUint32(nil, 1)
 	b = binary.LittleEndian.AppendUint32(b, count)
@@ -34,7 +34,7 @@
 	for _, c := range []struct {
 		name, input string
 		wantErr     bool
-		wantOutput  string // a part of it
+		wantOutput  string // a substring of the output
 	}{
 		{"empty batch", batchWith(0, ""), false, emptyReply},
 		{"valid settings", batchWith(1, instanceStarted(validSettings)), false, emptyReply},
@@ -43,11 +43,11 @@
 			false, "setting balancers",
 		},
 		{
-			"settings that cannot be served", batchWith(1, instanceStarted(validSettings+"balancers=0\n")),
+			"invalid settings", batchWith(1, instanceStarted(validSettings+"balancers=0\n")),
 			false, "gateways",
 		},
 		{
-			"event of an instance that does not run", batchWith(1, "\x04\x09\x00\x00\x00\x00\x00"),
+			"event of an unknown instance", batchWith(1, "\x04\x09\x00\x00\x00\x00\x00"),
 			false, emptyReply,
 		},
 		{"truncated frame", batchWith(1, "\x06\x01\x00")[:21], true, ""},
@@ -57,7 +57,7 @@
 			var out bytes.Buffer
 			err := run(strings.NewReader(c.input), &out)
 			if (err != nil) != c.wantErr || !strings.Contains(out.String(), c.wantOutput) {
-				t.Errorf("output %q, error %v, want an output with %q, an error %t",
+				t.Errorf("output %q, error %v; want output containing %q, error %t",
 					out.String(), err, c.wantOutput, c.wantErr)
 			}
 		})
@@ -66,10 +66,10 @@
 
 func TestPanicIsReportedAsFailedInstance(t *testing.T) {
 	a := newAdapter()
-	a.controllers[4] = &policy.Controller{} // panics, as policy.New did not make it
+	a.controllers[4] = &policy.Controller{} // panics, because it was not created by policy.New
 	a.reply.Reset(1)
 	a.handleEvent(1, 4, simproto.TimerFired{})
 	if got := string(a.reply.Bytes()); !strings.Contains(got, "panic") {
-		t.Errorf("reply %q, want one that reports a panic", got)
+		t.Errorf("reply %q, want a substring \"panic\"", got)
 	}
 }
--- a/internal/handover/codec.go
+++ b/internal/handover/codec.go
@@ -1,6 +1,7 @@
-// Package handover carries the state and the clients' connections of a gateway to the next process of the
-// same gateway: from its predecessor (Listener, Link) to its successor (Dial, Takeover). It knows nothing of
-// the event loops on both sides, which receive its events through PredecessorEvents and SuccessorEvents.
+// Package handover transfers the state and the client connections of a gateway process to the process that
+// replaces it. The predecessor uses Listener and Link, the successor uses Dial and Takeover. The package does
+// not depend on the event loop of either process: it delivers events to implementations of PredecessorEvents
+// and SuccessorEvents.
 package handover
 
 import (
@@ -15,37 +16,38 @@
 	"sparspread/policy"
 )
 
-// This file has the encoded forms of the messages, and only converts. The two processes may run different
-// versions, and gob and JSON match fields by their names: the names of the fields that are encoded are
-// frozen, and those of the types that gob writes. The files in testdata, written by the program of commit
-// d086cf6, hold them.
+// This file defines the encoded forms of the messages, and converts them to and from the types that the rest
+// of the program uses. The two processes may run different versions, and gob and JSON match fields by name.
+// Therefore the names of all encoded fields, and of the types whose names gob encodes, are frozen. The tests
+// check them against the files in testdata, which were written by the program of commit d086cf6.
 
-// stateVersion is the version of handoverState.
+// stateVersion is the version of the encoded form handoverState.
 const stateVersion = 1
 
-// ErrVersion is the cause where the other process encodes its state in a form that this one does not know.
-var ErrVersion = errors.New("handover: unknown version of the state")
+// ErrVersion reports that the other process encoded its state in a version that this process does not know.
+var ErrVersion = errors.New("handover: unknown state version")
 
-// State is what the successor has to know.
+// State is the state that the predecessor transfers to the successor.
 type State struct {
 	NextRequestID uint64
-	Endpoints     []discovery.Endpoint // as discovery last listed them
+	Endpoints     []discovery.Endpoint // from the most recent list that discovery sent
 	Policy        *policy.Snapshot
 }
 
-// ClientConnection is what is known of a client's connection, sent with its socket.
+// ClientConnection describes a client's connection. It is sent together with the connection's socket.
 type ClientConnection struct {
-	Requests int           // well-formed commands received so far
+	Requests int           // number of well-formed commands received so far
 	OpenedAt time.Time     // by the sender's wall clock
-	Age      time.Duration // since then, when it was sent; 0: the sender's version does not state it
+	Age      time.Duration // when it was sent; zero if the sender's version does not send it
 }
 
-// maxAgeWithoutCommand is how old a connection can be that has sent no complete command: older ones were
-// closed.
+// maxAgeWithoutCommand is the highest age of a connection that has sent no complete command: a gateway closes
+// such a connection after this time.
 const maxAgeWithoutCommand = 5 * time.Second
 
-// OpenedBefore is when the connection was opened, by the clock of now. The wall clocks of the two processes
-// may differ: where the age is not stated, one that can't be is taken for none.
+// OpenedBefore returns the time at which the connection was opened, by the clock that now was read from. If
+// the sender did not send the age, it is derived from OpenedAt. The wall clocks of the two processes may
+// differ, so a derived age that is impossible is replaced by zero.
 func (c *ClientConnection) OpenedBefore(now time.Time) time.Time {
 	age := c.Age
 	if age == 0 {
@@ -57,19 +59,20 @@
 	return now.Add(-age)
 }
 
-// AttemptSent is a further attempt of a request that stayed with the predecessor.
+// AttemptSent reports that the predecessor has sent another attempt of a request that it still serves.
 type AttemptSent struct {
 	RequestID uint64
 	Backend   uint32
 }
 
-// CostSettled is what a request cost beyond its estimate, where that is known only after its outcome.
+// CostSettled reports the difference between the actual and the estimated cost of a request, if the actual
+// cost becomes known only after the request's outcome.
 type CostSettled struct {
 	Customer uint64
-	Extra    float64 // below 0 where the estimate was too high
+	Extra    float64 // actual minus estimated cost; negative if the estimate was too high
 }
 
-// handoverState is the encoded form of State; its name and those of its fields are frozen.
+// handoverState is the encoded form of State. The names of the type and of its fields are frozen.
 type handoverState struct {
 	Version int
 	NextID  uint64
@@ -77,7 +80,7 @@
 	Module  *policy.Snapshot
 }
 
-// member is the encoded form of an endpoint; its name and those of its fields are frozen.
+// member is the encoded form of an endpoint. The names of the type and of its fields are frozen.
 type member struct {
 	ID       string
 	HostPort string
@@ -88,39 +91,39 @@
 	UpSince  int64
 }
 
-// clientConnectionForm is the encoded form of ClientConnection; its field names are frozen.
+// clientConnectionForm is the encoded form of ClientConnection. Its field names are frozen.
 type clientConnectionForm struct {
 	Asked  int
-	Opened int64 // microseconds since 1970, by the writer's clock
-	Age    int64 `json:",omitempty"` // microseconds; absent in older versions
+	Opened int64 // in microseconds since 1970, by the sender's clock
+	Age    int64 `json:",omitempty"` // in microseconds; older versions do not send it
 }
 
-// attemptSentForm is the encoded form of AttemptSent; its field names are frozen.
+// attemptSentForm is the encoded form of AttemptSent. Its field names are frozen.
 type attemptSentForm struct {
 	ID      uint64
 	Backend uint32
 }
 
-// attemptEndedForm is the encoded form of an attempt's outcome; its field names are frozen.
+// attemptEndedForm is the encoded form of policy.Outcome. Its field names are frozen.
 type attemptEndedForm struct {
 	ID        uint64
 	Attempt   int
 	Backend   uint32
 	Result    uint8
-	Took      int64 // microseconds
+	Took      int64 // in microseconds
 	Over      bool
 	Metered   int
 	TrueUnits float64
 	Load      []float32
 }
 
-// costSettledForm is the encoded form of CostSettled; its field names are frozen.
+// costSettledForm is the encoded form of CostSettled. Its field names are frozen.
 type costSettledForm struct {
 	Customer uint64
 	More     float64
 }
 
-// EncodeState encodes a state.
+// EncodeState encodes a state for DecodeState of the other process.
 func EncodeState(s *State) ([]byte, error) {
 	form := handoverState{Version: stateVersion, NextID: s.NextRequestID, Module: s.Policy}
 	for _, e := range s.Endpoints {
@@ -132,24 +135,24 @@
 	return encodeForm(&form)
 }
 
-// encodeForm encodes a state that is in its frozen form already.
+// encodeForm encodes the frozen form of a state.
 func encodeForm(form *handoverState) ([]byte, error) {
 	var b bytes.Buffer
 	if err := gob.NewEncoder(&b).Encode(form); err != nil {
-		return nil, fmt.Errorf("handover: encode the state: %w", err)
+		return nil, fmt.Errorf("handover: encode state: %w", err)
 	}
 	return b.Bytes(), nil
 }
 
-// DecodeState decodes a state that another process has encoded. The error is ErrVersion where the form is
-// another.
+// DecodeState decodes a state that another process has encoded. The error wraps ErrVersion if the encoded
+// state has another version than stateVersion.
 func DecodeState(b []byte) (*State, error) {
 	var form handoverState
 	if err := gob.NewDecoder(bytes.NewReader(b)).Decode(&form); err != nil {
-		return nil, fmt.Errorf("handover: decode the state: %w", err)
+		return nil, fmt.Errorf("handover: decode state: %w", err)
 	}
 	if form.Version != stateVersion {
-		return nil, fmt.Errorf("%w: %d, %d wanted", ErrVersion, form.Version, stateVersion)
+		return nil, fmt.Errorf("%w: %d: expected %d", ErrVersion, form.Version, stateVersion)
 	}
 	s := &State{NextRequestID: form.NextID, Policy: form.Module}
 	for _, m := range form.Members {
@@ -178,12 +181,12 @@
 	})
 }
 
-// EncodeAttemptSent encodes the report of a further attempt.
+// EncodeAttemptSent encodes the report of another attempt.
 func EncodeAttemptSent(a AttemptSent) ([]byte, error) {
 	return encodeMessage(attemptSentForm{ID: a.RequestID, Backend: a.Backend})
 }
 
-// DecodeAttemptSent decodes the report of a further attempt.
+// DecodeAttemptSent decodes the report of another attempt.
 func DecodeAttemptSent(b []byte) (AttemptSent, error) {
 	return decodeMessage(b, func(form attemptSentForm) AttemptSent {
 		return AttemptSent{RequestID: form.ID, Backend: form.Backend}
@@ -209,12 +212,12 @@
 	})
 }
 
-// EncodeCostSettled encodes the settlement of a cost.
+// EncodeCostSettled encodes the settlement of a request's cost.
 func EncodeCostSettled(s CostSettled) ([]byte, error) {
 	return encodeMessage(costSettledForm{Customer: s.Customer, More: s.Extra})
 }
 
-// DecodeCostSettled decodes the settlement of a cost.
+// DecodeCostSettled decodes the settlement of a request's cost.
 func DecodeCostSettled(b []byte) (CostSettled, error) {
 	return decodeMessage(b, func(form costSettledForm) CostSettled {
 		return CostSettled{Customer: form.Customer, Extra: form.More}
@@ -225,17 +228,17 @@
 func encodeMessage(form any) ([]byte, error) {
 	b, err := json.Marshal(form)
 	if err != nil {
-		return nil, fmt.Errorf("handover: encode a message: %w", err)
+		return nil, fmt.Errorf("handover: encode message: %w", err)
 	}
 	return b, nil
 }
 
-// decodeMessage decodes the frozen form of a message and converts it.
+// decodeMessage decodes the frozen form of a message and converts it to the type of the program.
 func decodeMessage[Form, Message any](b []byte, convert func(Form) Message) (Message, error) {
 	var form Form
 	if err := json.Unmarshal(b, &form); err != nil {
 		var none Message
-		return none, fmt.Errorf("handover: decode a message: %w", err)
+		return none, fmt.Errorf("handover: decode message: %w", err)
 	}
 	return convert(form), nil
 }
--- a/internal/handover/codec_test.go
+++ b/internal/handover/codec_test.go
@@ -15,7 +15,8 @@
 	"sparspread/policy"
 )
 
-// readRecorded reads a message that the program of commit d086cf6 has written.
+// readRecorded reads a file from testdata: a message written by the program of commit d086cf6, which these
+// tests call the older program.
 func readRecorded(t *testing.T, name string) []byte {
 	t.Helper()
 	b, err := os.ReadFile(filepath.Join("testdata", name))
@@ -32,9 +33,9 @@
 		t.Fatal(err)
 	}
 	want := testfill.Numbered[handoverState](testfill.Letters)
-	want.Module.Now, want.Module.Stamps = 0, nil // the older program has no such fields
+	want.Module.Now, want.Module.Stamps = 0, nil // the older program does not have these fields
 	if got.NextRequestID != want.NextID {
-		t.Errorf("next request id %d, want %d", got.NextRequestID, want.NextID)
+		t.Errorf("next request ID %d, want %d", got.NextRequestID, want.NextID)
 	}
 	endpoints := []discovery.Endpoint{
 		{
@@ -47,14 +48,14 @@
 		},
 	}
 	if !reflect.DeepEqual(got.Endpoints, endpoints) {
-		t.Errorf("endpoints\n%+v, want\n%+v", got.Endpoints, endpoints)
+		t.Errorf("endpoints:\ngot  %+v\nwant %+v", got.Endpoints, endpoints)
 	}
 	if !reflect.DeepEqual(got.Policy, want.Module) {
-		t.Errorf("snapshot\n%+v, want\n%+v", got.Policy, want.Module)
+		t.Errorf("policy snapshot:\ngot  %+v\nwant %+v", got.Policy, want.Module)
 	}
 }
 
-// readOlder reads a state as the older program does.
+// readOlder decodes a state with the forms of the older program.
 func readOlder(t *testing.T, raw []byte) olderform.State {
 	t.Helper()
 	s, err := olderform.DecodeState(raw)
@@ -69,30 +70,31 @@
 	want := testfill.Numbered[olderform.State](testfill.Letters)
 	want.Version = 1
 	if got := readOlder(t, raw); !reflect.DeepEqual(got, want) {
-		t.Fatalf("the older program reads of what it has written itself\n%+v, want\n%+v", got, want)
+		t.Fatalf("recorded state, decoded by the older program:\ngot  %+v\nwant %+v", got, want)
 	}
 	state, err := DecodeState(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
-	state.Policy.Now, state.Policy.Stamps = 1, [][]policy.Time{{2}, nil} // the older program passes over them
+	state.Policy.Now, state.Policy.Stamps = 1, [][]policy.Time{{2}, nil} // the older program ignores them
 	written, err := EncodeState(state)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got := readOlder(t, written); !reflect.DeepEqual(got, want) {
-		t.Errorf("the older program reads\n%+v, want\n%+v", got, want)
+		t.Errorf("encoded state, decoded by the older program:\ngot  %+v\nwant %+v", got, want)
 	}
 }
 
-// addedFields are the fields that a type has got since, behind the older ones.
+// addedFields lists the fields that were added to the end of a type after commit d086cf6.
 var addedFields = map[reflect.Type][]string{reflect.TypeFor[policy.Snapshot](): {"Now", "Stamps"}}
 
 func TestEncodedFormsHaveTheFieldsOfTheOlderProgram(t *testing.T) {
 	wantSameFields(t, reflect.TypeFor[handoverState](), reflect.TypeFor[olderform.State]())
 }
 
-// wantSameFields compares the names and kinds of all fields, however deep, but for the added ones.
+// wantSameFields checks recursively that two types have fields of the same names and kinds, apart from the
+// fields in addedFields.
 func wantSameFields(t *testing.T, got, want reflect.Type) {
 	t.Helper()
 	if got.Kind() != want.Kind() {
@@ -102,7 +104,7 @@
 	switch got.Kind() {
 	case reflect.Pointer, reflect.Slice, reflect.Array:
 		if got.Kind() == reflect.Array && got.Len() != want.Len() {
-			t.Errorf("%s has %d items, want %d", got, got.Len(), want.Len())
+			t.Errorf("%s has length %d, want %d", got, got.Len(), want.Len())
 		}
 		wantSameFields(t, got.Elem(), want.Elem())
 	case reflect.Struct:
@@ -122,7 +124,7 @@
 			}
 			wantSameFields(t, got.Field(i).Type, want.Field(i).Type)
 		}
-	default: // a plain value has no fields
+	default: // other kinds have no fields or elements
 	}
 }
 
@@ -136,26 +138,28 @@
 	}
 	for _, b := range [][]byte{nil, []byte("rubbish"), raw, bytes.Repeat([]byte{0xff}, 100)} {
 		if _, err := DecodeState(b); err == nil {
-			t.Errorf("%.20q was accepted", b)
+			t.Errorf("DecodeState(%.20q): no error, want one", b)
 		}
 	}
 }
 
-// The age of a connection does not depend on the wall clocks of the two processes.
+// Guards against a connection's age that is derived from the wall clocks of both processes, one of which was
+// stepped between the opening of the connection and the handover.
 func TestAgeOfAConnectionOutlastsASteppedClock(t *testing.T) {
 	now := time.Now()
-	ahead, behind := now.Add(-time.Hour), now.Add(time.Hour) // as a clock that was stepped reads an opening
+	// The opening time of a new connection if the successor's clock is an hour ahead or behind.
+	ahead, behind := now.Add(-time.Hour), now.Add(time.Hour)
 	for _, c := range []struct {
 		name string
 		sent ClientConnection
 		want time.Duration
 	}{
-		{"stated, an hour behind", ClientConnection{OpenedAt: behind, Age: time.Second}, time.Second},
-		{"stated, an hour ahead", ClientConnection{OpenedAt: ahead, Age: time.Second}, time.Second},
-		{"older version", ClientConnection{OpenedAt: now.Add(-time.Second)}, time.Second},
-		{"older version, an hour behind", ClientConnection{OpenedAt: behind, Requests: 1}, 0},
-		{"older version, an hour ahead", ClientConnection{OpenedAt: ahead}, 0},
-		{"older version, long in use", ClientConnection{OpenedAt: ahead, Requests: 1}, time.Hour},
+		{"age sent, clock an hour behind", ClientConnection{OpenedAt: behind, Age: time.Second}, time.Second},
+		{"age sent, clock an hour ahead", ClientConnection{OpenedAt: ahead, Age: time.Second}, time.Second},
+		{"no age, clocks agree", ClientConnection{OpenedAt: now.Add(-time.Second)}, time.Second},
+		{"no age, clock an hour behind", ClientConnection{OpenedAt: behind, Requests: 1}, 0},
+		{"no age, clock an hour ahead", ClientConnection{OpenedAt: ahead}, 0},
+		{"no age, open for an hour", ClientConnection{OpenedAt: ahead, Requests: 1}, time.Hour},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			raw, err := EncodeClientConnection(c.sent)
@@ -195,8 +199,8 @@
 	})
 }
 
-// wantRecorded checks that a recorded message is read as want, written again to the byte, and refused when
-// it is cut.
+// wantRecorded checks that a recorded message is decoded as want, that encoding the result reproduces the
+// recorded bytes, and that a truncated message is rejected.
 func wantRecorded[T any](
 	t *testing.T, file string, want T, decode func([]byte) (T, error), encode func(T) ([]byte, error),
 ) {
@@ -207,16 +211,16 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("read %+v, want %+v", got, want)
+		t.Errorf("decoded %+v, want %+v", got, want)
 	}
 	written, err := encode(got)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Equal(written, raw) {
-		t.Errorf("wrote %s, want %s", written, raw)
+		t.Errorf("encoded %s, want %s", written, raw)
 	}
 	if _, err := decode(raw[:len(raw)-1]); err == nil {
-		t.Error("a message that is cut was read")
+		t.Error("truncated message: no error, want one")
 	}
 }
--- a/internal/handover/conn.go
+++ b/internal/handover/conn.go
@@ -10,24 +10,24 @@
 	"sparspread/policy"
 )
 
-// Link is the predecessor's connection to its successor. Messages are queued and written in order by a
-// goroutine of the link, which Close ends. All methods belong to one goroutine, the event loop.
+// Link is the predecessor's connection to its successor. It queues messages, and its goroutine writes them in
+// order until Close is called. All methods must be called from one goroutine, that of the event loop.
 type Link struct {
 	conn    *net.UnixConn
 	queue   chan outgoingMessage
-	written chan struct{} // closed when the queue is closed and written
+	written chan struct{} // closed when the queue is closed and all its messages are written
 	closed  bool
 }
 
-// outgoingMessage is a message that waits to be written.
+// outgoingMessage is a message to be written.
 type outgoingMessage struct {
 	kind   kind
 	body   []byte
-	socket syscall.RawConn // carried by the message; nil: none
-	onSent func()          // called when the message is written or can't be; nil: nobody
+	socket syscall.RawConn // sent with the message; may be nil
+	onSent func()          // called when the message is written or writing has failed; may be nil
 }
 
-// newLink returns a link that owns the connection and begins to write what is queued.
+// newLink returns a link that owns the connection, and starts the goroutine that writes the queued messages.
 func newLink(conn *net.UnixConn) *Link {
 	link := &Link{
 		conn:    conn,
@@ -38,14 +38,15 @@
 	return link
 }
 
-// writeQueue writes messages until the queue is closed. After a failure the successor is gone: the rest is
-// dropped.
+// writeQueue writes messages until the queue is closed. After a failed write the connection is unusable, and
+// the remaining messages are dropped.
 func (k *Link) writeQueue() {
 	defer close(k.written)
 	var failed error
 	for m := range k.queue {
 		if failed == nil {
-			_ = k.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails only on a closed connection
+			// SetWriteDeadline fails only on a closed connection.
+			_ = k.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 			if failed = writeMessage(k.conn, m.kind, m.body, m.socket); failed != nil {
 				_ = k.conn.Close()
 			}
@@ -60,7 +61,8 @@
 // send queues a message. It blocks while the queue is full.
 func (k *Link) send(m outgoingMessage) { k.queue <- m }
 
-// sendInChunks sends a body of any length. The last chunk has a kind of its own.
+// sendInChunks sends a body of any length, the last chunk as a message of kind last and the chunks before it
+// as messages of kind chunk.
 func (k *Link) sendInChunks(chunk, last kind, body []byte) {
 	for len(body) > maxBodyBytes {
 		k.send(outgoingMessage{kind: chunk, body: body[:maxBodyBytes]})
@@ -74,12 +76,12 @@
 	k.sendInChunks(kindStateChunk, kindStateEnd, encoded)
 }
 
-// SendGo lets the successor decide from now on.
+// SendGo transfers ownership of the state to the successor, which starts to serve.
 func (k *Link) SendGo() { k.send(outgoingMessage{kind: kindGo}) }
 
-// SendClient sends a client's connection with the input that was read from it and not processed. The caller
-// closes its own descriptor in onSent. The connection is sent also where the error is not nil, then without
-// what is known of it.
+// SendClient sends a client's connection, and the input that was read from it but not processed. The caller
+// must keep its own descriptor open until onSent is called, and then close it. If the description of the
+// connection can't be encoded, SendClient sends the socket without it and returns the error.
 func (k *Link) SendClient(
 	client ClientConnection, input []byte, socket syscall.RawConn, onSent func(),
 ) error {
@@ -91,25 +93,27 @@
 	return err
 }
 
-// SendAttemptSent reports a further attempt of a request that stays with this process.
+// SendAttemptSent reports another attempt of a request that this process still serves.
 func (k *Link) SendAttemptSent(a AttemptSent) error {
 	body, err := EncodeAttemptSent(a)
 	return k.sendEncoded(kindAttemptSent, body, err)
 }
 
-// SendAttemptEnded reports the outcome of an attempt of such a request.
+// SendAttemptEnded reports the outcome of an attempt of a request that this process still serves.
 func (k *Link) SendAttemptEnded(o policy.Outcome) error {
 	body, err := EncodeAttemptEnded(o)
 	return k.sendEncoded(kindAttemptEnded, body, err)
 }
 
-// SendCostSettled reports the cost of such a request beyond its estimate.
+// SendCostSettled reports the difference between the actual and the estimated cost of a request that this
+// process served.
 func (k *Link) SendCostSettled(s CostSettled) error {
 	body, err := EncodeCostSettled(s)
 	return k.sendEncoded(kindCostSettled, body, err)
 }
 
-// sendEncoded sends a message unless its encoding has failed: JSON has no form for NaN and infinities.
+// sendEncoded sends an encoded message, or returns the error of its encoding: JSON can't represent NaN and
+// infinities.
 func (k *Link) sendEncoded(messageKind kind, body []byte, err error) error {
 	if err != nil {
 		return err
@@ -118,11 +122,11 @@
 	return nil
 }
 
-// IsClosed reports whether nothing can be sent any more.
+// IsClosed reports whether Close was called. No message may be sent on a closed link.
 func (k *Link) IsClosed() bool { return k.closed }
 
-// Close ends the link once all that is queued is written, and does not wait for that. Only the first call
-// counts.
+// Close closes the link after all queued messages are written, without waiting for that. Calls after the
+// first have no effect.
 func (k *Link) Close() {
 	if !k.closed {
 		k.closed = true
@@ -130,8 +134,8 @@
 	}
 }
 
-// CloseAndWait closes the link and waits, for a limited time, until all is written. A link that is closed
-// already is not waited for.
+// CloseAndWait closes the link and waits up to writeTimeout for all queued messages to be written. It does
+// nothing if the link is already closed.
 func (k *Link) CloseAndWait() {
 	if k.closed {
 		return
@@ -143,7 +147,7 @@
 	}
 }
 
-// writeMessage writes one packet; sockets that are nil are left out.
+// writeMessage writes one packet with a message and its sockets. It omits sockets that are nil.
 func writeMessage(conn *net.UnixConn, messageKind kind, body []byte, sockets ...syscall.RawConn) error {
 	packet := append([]byte{byte(messageKind)}, body...)
 	err := withDescriptors(sockets, nil, func(descriptors []int) error {
@@ -155,13 +159,13 @@
 		return err
 	})
 	if err != nil {
-		return fmt.Errorf("handover: write a message: %w", err)
+		return fmt.Errorf("handover: write message: %w", err)
 	}
 	return nil
 }
 
-// withDescriptors calls use with the descriptors of the sockets appended to descriptors. A descriptor is
-// valid only within Control, so the calls are nested, one for each socket.
+// withDescriptors appends the descriptors of the sockets to descriptors and calls use with the result. A
+// descriptor is valid only during a call of Control, so the calls of Control are nested, one for each socket.
 func withDescriptors(sockets []syscall.RawConn, descriptors []int, use func(descriptors []int) error) error {
 	if len(sockets) == 0 {
 		return use(descriptors)
@@ -180,14 +184,14 @@
 	return useErr
 }
 
-// incomingMessage is a message as it was read. Its body lies in the buffer that it was read into.
+// incomingMessage is a received message. Its body is a part of the buffer that was passed to readMessage.
 type incomingMessage struct {
 	kind  kind
 	body  []byte
-	files []*os.File // the sockets it carried; the receiver closes them
+	files []*os.File // the sockets sent with the message; the receiver closes them
 }
 
-// readMessage reads one packet and the sockets that it carries.
+// readMessage reads one packet with a message and its sockets.
 func readMessage(conn *net.UnixConn, buffer []byte) (incomingMessage, error) {
 	control := make([]byte, syscall.CmsgSpace(maxSocketsRead*socketDescBytes))
 	n, controlBytes, _, _, err := conn.ReadMsgUnix(buffer, control)
@@ -195,7 +199,7 @@
 		err = net.ErrClosed
 	}
 	if err != nil {
-		return incomingMessage{}, fmt.Errorf("handover: read a message: %w", err)
+		return incomingMessage{}, fmt.Errorf("handover: read message: %w", err)
 	}
 	return incomingMessage{
 		kind:  kind(buffer[0]),
@@ -204,8 +208,8 @@
 	}, nil
 }
 
-// receivedFiles opens the descriptors in a control message. One that can't be parsed carries none: the
-// receiver then misses the socket that it expects.
+// receivedFiles returns the descriptors in a control message as files. Control messages that can't be parsed
+// are ignored: callers must handle the case that an expected socket is missing.
 func receivedFiles(control []byte) []*os.File {
 	messages, err := syscall.ParseSocketControlMessage(control)
 	if err != nil {
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -6,35 +6,37 @@
 // so the values are frozen.
 type kind byte
 
-// The successor sends hello, takeover and accepted; the predecessor sends the others.
+// The kinds of messages. The successor sends kindHello, kindTakeover and kindAccepted; the predecessor sends
+// the others.
 const (
-	kindHello        kind = 'h' // asks for the sockets
-	kindSockets      kind = 'l' // carries the listening socket and, with gossip, the UDP socket
-	kindTakeover     kind = 't' // the successor is ready: asks for the state
-	kindStateChunk   kind = 's' // a chunk of the state that others follow
+	kindHello        kind = 'h' // requests the sockets
+	kindSockets      kind = 'l' // carries the listening socket and, if gossip is enabled, the UDP socket
+	kindTakeover     kind = 't' // the successor is ready and requests the state
+	kindStateChunk   kind = 's' // a chunk of the state, except the last
 	kindStateEnd     kind = 'S' // the last chunk of the state
 	kindAccepted     kind = 'a' // the successor has decoded the state
-	kindGo           kind = 'g' // the predecessor has given up ownership: the successor decides from here on
-	kindInput        kind = 'b' // a chunk of the input read from the client whose socket follows
+	kindGo           kind = 'g' // the predecessor has released ownership, and the successor acquires it
+	kindInput        kind = 'b' // a chunk of the unprocessed input of the client in the next kindClient
 	kindClient       kind = 'c' // carries a client's socket
-	kindAttemptSent  kind = 'n' // a further attempt of a request that stayed with the predecessor
-	kindAttemptEnded kind = 'o' // the outcome of an attempt of such a request
-	kindCostSettled  kind = 'u' // the cost of such a request beyond its estimate
+	kindAttemptSent  kind = 'n' // another attempt of a request that the predecessor still serves
+	kindAttemptEnded kind = 'o' // the outcome of an attempt of a request that the predecessor still serves
+	kindCostSettled  kind = 'u' // the actual minus the estimated cost of a request of the predecessor
 )
 
-// Limits of the protocol, frozen like the messages: the other process reads with the same buffer.
+// The limits of the protocol are frozen like the messages, because the other process reads with buffers of
+// the same sizes.
 const (
-	maxBodyBytes      = 32 << 10 // of one message, without its kind
-	requestBodyBytes  = 63       // of what a successor sends, none of which has a body
-	maxSockets        = 2        // that the predecessor sends at once: listener and gossip
-	maxSocketsRead    = 4        // that one message may carry before descriptors are dropped
-	socketDescBytes   = 4        // of one descriptor in a control message
-	maxQueuedMessages = 4096     // that wait to be written before the sender blocks
+	maxBodyBytes      = 32 << 10 // maximum length of a message, without the byte of its kind
+	requestBodyBytes  = 63       // buffer for the body of a successor's message, which is always empty
+	maxSockets        = 2        // maximum number of sockets that the predecessor sends: listener and gossip
+	maxSocketsRead    = 4        // maximum number of sockets read with a message; the kernel drops others
+	socketDescBytes   = 4        // size of a descriptor in a control message
+	maxQueuedMessages = 4096     // number of messages waiting to be written at which the sender blocks
 )
 
 const (
-	writeTimeout    = 2 * time.Second  // for the other process to read one message
-	replyTimeout    = time.Second      // for its answer to a question
-	transferTimeout = 2 * replyTimeout // for the state to arrive, be decoded and be accepted
-	readyTimeout    = 10 * time.Second // between the sockets and the successor's request for the state
+	writeTimeout    = 2 * time.Second  // for writing one message, until the other process reads it
+	replyTimeout    = time.Second      // for the reply to a request
+	transferTimeout = 2 * replyTimeout // for the state to be sent, decoded and accepted
+	readyTimeout    = 10 * time.Second // from sending the sockets to the successor's request for the state
 )
--- a/internal/handover/olderform/forms.go
+++ b/internal/handover/olderform/forms.go
@@ -1,4 +1,5 @@
-// Package olderform declares the forms of a handover as an older program does, for the tests of both sides.
+// Package olderform declares the encoded forms of the handover's messages as an older version of the program
+// did. Tests use it to act as a predecessor or successor of that version.
 package olderform
 
 import (
@@ -8,10 +9,10 @@
 	"fmt"
 )
 
-// The forms in which the program of commit d086cf6 reads and writes a handover, as it declares them. They
-// stand here a second time on purpose: gob passes over what it can't match by its name, without an error.
+// The forms below are copied from the program of commit d086cf6. The copy is intended: gob skips fields that
+// it can't match by name without reporting an error, so only a comparison of the forms finds a renamed field.
 
-// State is the form of the state.
+// State is the encoded form of the state.
 type State struct {
 	Version int
 	NextID  uint64
@@ -19,7 +20,7 @@
 	Module  *Snapshot
 }
 
-// Member is the form of an endpoint.
+// Member is the encoded form of an endpoint.
 type Member struct {
 	ID       string
 	HostPort string
@@ -30,7 +31,7 @@
 	UpSince  int64
 }
 
-// Snapshot is the form of the policy's state.
+// Snapshot is the encoded form of the state of package policy.
 type Snapshot struct {
 	Classes, Plans []string
 
@@ -54,7 +55,7 @@
 	Again                                       float64
 }
 
-// CustomerState is the form of one customer's state.
+// CustomerState is the encoded form of the state of a customer.
 type CustomerState struct {
 	ID                             uint64
 	Plan, First, Spread            int
@@ -69,14 +70,14 @@
 	Asks                           byte
 }
 
-// HeardState is the form of what another gateway reported of a customer.
+// HeardState is the encoded form of what another gateway has reported about a customer.
 type HeardState struct {
 	Known        bool
 	Boot         uint32
 	Taken, Asked uint16
 }
 
-// BackendState is the form of one backend's state.
+// BackendState is the encoded form of the state of a backend.
 type BackendState struct {
 	Backend                            uint32
 	Started, Quiet, SlowAt, Left, Wait int64
@@ -88,7 +89,7 @@
 	Cold                               [4]float64
 }
 
-// OpenState is the form of an open request.
+// OpenState is the encoded form of an open request.
 type OpenState struct {
 	ID, Customer uint64
 	Class, Plan  int
@@ -96,26 +97,26 @@
 	Attempts     []AttemptState
 }
 
-// AttemptState is the form of an attempt of an open request.
+// AttemptState is the encoded form of an attempt of an open request.
 type AttemptState struct {
 	Backend                      uint32
 	At                           int64
 	Pending, Late, Blind, MayRun bool
 }
 
-// ClientConnection is the form that goes along with a client's socket.
+// ClientConnection is the encoded form of the message that carries a client's socket.
 type ClientConnection struct {
 	Asked  int
 	Opened int64
 }
 
-// AttemptSent is the form of a further attempt.
+// AttemptSent is the encoded form of the report of another attempt.
 type AttemptSent struct {
 	ID      uint64
 	Backend uint32
 }
 
-// AttemptEnded is the form of an attempt's outcome.
+// AttemptEnded is the encoded form of the outcome of an attempt.
 type AttemptEnded struct {
 	ID        uint64
 	Attempt   int
@@ -128,43 +129,44 @@
 	Load      []float32
 }
 
-// CostSettled is the form of a late settlement.
+// CostSettled is the encoded form of the settlement of a request's cost after its outcome.
 type CostSettled struct {
 	Customer uint64
 	More     float64
 }
 
-// DecodeState reads a state as the older program does.
+// DecodeState decodes a state as the older program does.
 func DecodeState(encoded []byte) (State, error) {
 	var s State
 	if err := gob.NewDecoder(bytes.NewReader(encoded)).Decode(&s); err != nil {
-		return State{}, fmt.Errorf("olderform: decode the state: %w", err)
+		return State{}, fmt.Errorf("olderform: decode state: %w", err)
 	}
 	return s, nil
 }
 
-// addedLater are the fields that messages have got since, which the older program passes over.
+// addedLater lists the fields that were added to messages after commit d086cf6. The older program ignores
+// them.
 var addedLater = []string{"Age"}
 
-// DecodeMessage reads the body of a message into one of the forms. A field that the form lacks is an error,
-// unless it is known to have been added: it may be a renamed one.
+// DecodeMessage decodes the body of a message into a form. It returns an error if the body has a field that
+// the form lacks, because the field may be a renamed one. Fields in addedLater are ignored.
 func DecodeMessage[T any](body []byte) (T, error) {
 	var form T
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
-		return form, fmt.Errorf("olderform: decode a message: %w", err)
+		return form, fmt.Errorf("olderform: decode message: %w", err)
 	}
 	for _, name := range addedLater {
 		delete(fields, name)
 	}
 	known, err := json.Marshal(fields)
 	if err != nil {
-		return form, fmt.Errorf("olderform: decode a message: %w", err)
+		return form, fmt.Errorf("olderform: decode message: %w", err)
 	}
 	decoder := json.NewDecoder(bytes.NewReader(known))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&form); err != nil {
-		return form, fmt.Errorf("olderform: decode a message: %w", err)
+		return form, fmt.Errorf("olderform: decode message: %w", err)
 	}
 	return form, nil
 }
--- a/internal/handover/predecessor.go
+++ b/internal/handover/predecessor.go
@@ -11,46 +11,52 @@
 	"time"
 )
 
-// acceptRetryDelay is the pause after an accept that failed, such as for a lack of descriptors.
+// acceptRetryDelay is the delay before accept is called again after it failed, for example because the
+// process has reached its limit of open files.
 const acceptRetryDelay = 20 * time.Millisecond
 
-// errUnexpectedMessage is the cause where a successor does not keep to the protocol.
+// errUnexpectedMessage reports that a successor has violated the protocol.
 var errUnexpectedMessage = errors.New("handover: unexpected message")
 
-// PredecessorEvents receives the steps of a handover in the process that hands over. A Listener calls it from
-// its own goroutine, in this order for each link; SuccessorExited always comes last.
+// PredecessorEvents receives the events of a handover in the predecessor. Listener.Serve calls the methods
+// from its own goroutine, for each link in the order of their declaration. SuccessorExited is always the last
+// call for a link.
 type PredecessorEvents interface {
-	// TakeoverRequested: a successor is ready. The receiver sends the state over the link, or closes it.
+	// TakeoverRequested is called when a successor is ready. The receiver sends the state over the link or
+	// closes the link.
 	TakeoverRequested(*Link)
-	// StateAccepted: the successor has decoded the state and waits for SendGo.
+	// StateAccepted is called when the successor has decoded the state and waits for SendGo.
 	StateAccepted(*Link)
-	// SuccessorExited: the successor has ended or given up, whatever was reached before.
+	// SuccessorExited is called when the successor has exited or abandoned the handover, in any phase of the
+	// handover.
 	SuccessorExited(*Link)
 }
 
-// Listener is where a successor asks this process to hand over. Close belongs to the goroutine that opened
-// it; a nil Listener has nothing to close.
+// Listener accepts connections of successors at the handover socket. Close must be called from the goroutine
+// that called Listen. Close does nothing if the Listener is nil.
 type Listener struct {
 	listener *net.UnixListener
 	log      *slog.Logger
 	closed   bool
 }
 
-// Listen opens the handover socket at a path and replaces what an earlier process left there.
+// Listen opens the handover socket at a path. It replaces a socket file that an earlier process has left
+// there.
 func Listen(path string, log *slog.Logger) (*Listener, error) {
 	if err := os.Remove(path); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		log.Warn("handover: stale socket", "error", err)
+		log.Warn("handover: cannot remove stale socket", "error", err)
 	}
 	listener, err := net.ListenUnix(socketNetwork, socketAddress(path))
 	if err != nil {
 		return nil, fmt.Errorf("handover: listen for a successor: %w", err)
 	}
-	_ = os.Chmod(path, socketMode) // a stricter umask, or a directory without modes, serves as well
+	// The error is ignored: the umask may be strict enough, or the file system may not support modes.
+	_ = os.Chmod(path, socketMode)
 	return &Listener{listener: listener, log: log}, nil
 }
 
-// Close ends the listening. The socket's file is removed only if asked for: a successor may have put its own
-// there.
+// Close closes the handover socket. It removes the socket file only if removeFile is set: a successor may
+// have replaced the file with its own.
 func (p *Listener) Close(removeFile bool) {
 	if p == nil || p.closed {
 		return
@@ -60,8 +66,9 @@
 	_ = p.listener.Close()
 }
 
-// Serve leads one successor after another through the handover until the listener is closed. One that sends
-// something else, or nothing, loses its connection and changes nothing.
+// Serve accepts successors and hands over to them, one at a time, until the listener is closed. If a
+// successor violates the protocol or does not send a message in time, its connection is closed and this
+// process continues to serve.
 func (p *Listener) Serve(clients *net.TCPListener, gossip *net.UDPConn, events PredecessorEvents) {
 	for {
 		conn, err := p.listener.AcceptUnix()
@@ -69,17 +76,17 @@
 			return
 		}
 		if err != nil {
-			p.log.Warn("handover: accept", "error", err)
+			p.log.Warn("handover: accept failed", "error", err)
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		if err := handOver(conn, clients, gossip, events); err != nil {
-			p.log.Info("handover: not done", "error", err)
+			p.log.Info("handover: not completed", "error", err)
 		}
 	}
 }
 
-// handOver leads one successor through the handover, and stays with it until it ends.
+// handOver hands over to one successor. It returns when the handover has failed or the successor has exited.
 func handOver(
 	conn *net.UnixConn, clients *net.TCPListener, gossip *net.UDPConn, events PredecessorEvents,
 ) error {
@@ -87,7 +94,7 @@
 		_ = conn.Close()
 		return err
 	}
-	link := newLink(conn) // closes the connection from here on
+	link := newLink(conn) // the link closes the connection
 	events.TakeoverRequested(link)
 	err := expect(conn, kindAccepted, transferTimeout)
 	if err == nil {
@@ -98,7 +105,7 @@
 	return err
 }
 
-// sendSockets sends the sockets and waits until the successor is ready for the state.
+// sendSockets sends the sockets when the successor requests them, and waits until it requests the state.
 func sendSockets(conn *net.UnixConn, clients *net.TCPListener, gossip *net.UDPConn) error {
 	if err := expect(conn, kindHello, replyTimeout); err != nil {
 		return err
@@ -114,7 +121,7 @@
 	return expect(conn, kindTakeover, readyTimeout)
 }
 
-// rawSockets returns the sockets that the successor is to serve on.
+// rawSockets returns the sockets to be sent to the successor. gossip may be nil.
 func rawSockets(clients *net.TCPListener, gossip *net.UDPConn) ([]syscall.RawConn, error) {
 	sockets := make([]syscall.RawConn, 0, maxSockets)
 	raw, err := clients.SyscallConn()
@@ -131,7 +138,8 @@
 	return append(sockets, raw), nil
 }
 
-// expect waits for a message of one kind. A successor sends no bodies and no sockets.
+// expect reads a message and returns an error if it is of another kind or does not arrive within the timeout.
+// Messages of a successor have no body and carry no sockets.
 func expect(conn *net.UnixConn, want kind, timeout time.Duration) error {
 	_ = conn.SetReadDeadline(time.Now().Add(timeout)) // fails only on a closed connection
 	message, err := readMessage(conn, make([]byte, 1+requestBodyBytes))
@@ -140,17 +148,18 @@
 	}
 	closeFiles(message.files)
 	if message.kind != want {
-		return fmt.Errorf("%w %q, want %q", errUnexpectedMessage, message.kind, want)
+		return fmt.Errorf("%w: %q: expected %q", errUnexpectedMessage, message.kind, want)
 	}
 	return nil
 }
 
-// awaitExit waits until the successor exits. It has nothing more to say: any message counts as its exit.
+// awaitExit waits until the successor closes its connection. A successor sends no messages after it has
+// accepted the state, so any message is treated like the end of the connection.
 func awaitExit(conn *net.UnixConn) {
 	_ = conn.SetReadDeadline(time.Time{}) // fails only on a closed connection
 	message, err := readMessage(conn, make([]byte, 1+requestBodyBytes))
 	if err != nil {
-		return // the exit that was waited for
+		return // the successor has closed the connection
 	}
 	closeFiles(message.files)
 }
--- a/internal/handover/successor.go
+++ b/internal/handover/successor.go
@@ -14,40 +14,46 @@
 )
 
 const (
-	maxDialAttempts   = 2 // where a process listens and does not answer
-	maxTakeovers      = 3 // that may break off before this process begins without the state
-	socketsReplyBytes = 64
+	maxDialAttempts   = 2  // if a process listens but does not reply
+	maxTakeovers      = 3  // number of failed attempts after which this process starts without the state
+	socketsReplyBytes = 64 // size of the buffer for the reply with the sockets
 )
 
-// errNoSockets is the cause where a predecessor does not answer with its sockets.
-var errNoSockets = errors.New("handover: the predecessor sent no sockets")
+// errNoSockets reports that the predecessor's reply to kindHello carried no sockets.
+var errNoSockets = errors.New("handover: predecessor sent no sockets")
 
-// Client is a client's connection that the predecessor handed over.
+// Client is a client's connection that the predecessor has handed over.
 type Client struct {
 	ClientConnection
 	Conn  *net.TCPConn
-	Input []byte // read from the connection by the predecessor, and not processed
+	Input []byte // read from the connection by the predecessor, but not processed
 }
 
-// SuccessorEvents receives what a predecessor sends. A Takeover calls it from its own goroutine:
-// StateReceived first, then the others as they come, and PredecessorExited last where there was a state.
+// SuccessorEvents receives the events of a handover in the successor. A Takeover calls the methods from its
+// own goroutine: StateReceived first, then the others in the order in which the messages arrive, and
+// PredecessorExited last. If the state passed to StateReceived is nil, no other method is called.
 type SuccessorEvents interface {
-	// StateReceived: this process decides from now on, without a state where state is nil.
+	// StateReceived is called when this process has acquired ownership. state is nil if the state could not
+	// be received.
 	StateReceived(state *State)
-	// ClientReceived: the receiver owns the connection.
+	// ClientReceived is called for each client's connection. The receiver owns the connection.
 	ClientReceived(Client)
+	// AttemptSent is called when the predecessor has sent another attempt of a request that it still serves.
 	AttemptSent(AttemptSent)
+	// AttemptEnded is called when an attempt of a request that the predecessor still serves has ended.
 	AttemptEnded(policy.Outcome)
+	// CostSettled is called when the actual cost of a request of the predecessor becomes known.
 	CostSettled(CostSettled)
+	// PredecessorExited is called when the predecessor has closed its connection.
 	PredecessorExited()
 }
 
 // Takeover is the successor's side of a handover.
 type Takeover struct {
-	// Clients listens for clients; its owner closes it.
+	// Clients listens for clients. The caller of Dial owns and closes it.
 	Clients *net.TCPListener
-	// Gossip is the socket for messages between gateways, nil where the predecessor has none; its owner
-	// closes it.
+	// Gossip is the socket for messages between gateways, or nil if the predecessor has none. The caller of
+	// Dial owns and closes it.
 	Gossip *net.UDPConn
 
 	path  string
@@ -55,12 +61,12 @@
 	start sync.Once
 
 	mu        sync.Mutex
-	conn      *net.UnixConn // guarded by mu where another goroutine than that of Start uses it
-	abandoned bool          // guarded by mu; nothing is taken over any more
+	conn      *net.UnixConn // replaced under mu by the goroutine of Start, which reads it without mu
+	abandoned bool          // guarded by mu; set by Abandon
 }
 
-// Dial asks the process that serves clients at listenAddress for its sockets. It returns nil if there is
-// none.
+// Dial requests the sockets of the process that serves clients at listenAddress. It returns nil if no such
+// process exists or if it does not reply.
 func Dial(listenAddress string, log *slog.Logger) *Takeover {
 	path := SocketPath(listenAddress)
 	if path == "" {
@@ -72,18 +78,18 @@
 			return t
 		}
 		if errors.Is(err, fs.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) {
-			return nil // no process listens
+			return nil // no process listens at the handover socket
 		}
-		log.Warn("handover: the other process did not answer", "error", err)
+		log.Warn("handover: predecessor did not answer", "error", err)
 	}
 	return nil
 }
 
-// dialOnce connects to the process at a path and receives its sockets.
+// dialOnce connects to the handover socket at a path and receives the predecessor's sockets.
 func dialOnce(path string, log *slog.Logger) (*Takeover, error) {
 	conn, err := net.DialUnix(socketNetwork, nil, socketAddress(path))
 	if err != nil {
-		return nil, fmt.Errorf("handover: dial the predecessor: %w", err)
+		return nil, fmt.Errorf("handover: dial predecessor: %w", err)
 	}
 	t := &Takeover{path: path, log: log, conn: conn}
 	if err := t.requestSockets(); err != nil {
@@ -94,7 +100,7 @@
 	return t, nil
 }
 
-// requestSockets receives the sockets on which this process is to serve.
+// requestSockets requests and receives the sockets for clients and gossip.
 func (t *Takeover) requestSockets() error {
 	_ = t.conn.SetDeadline(time.Now().Add(replyTimeout)) // fails only on a closed connection
 	if err := writeMessage(t.conn, kindHello, nil); err != nil {
@@ -117,7 +123,7 @@
 	return err
 }
 
-// closeSockets closes the sockets that were received; a takeover that failed has no use for them.
+// closeSockets closes the received sockets, for a takeover that does not use them.
 func (t *Takeover) closeSockets() {
 	if t.Clients != nil {
 		_ = t.Clients.Close()
@@ -127,7 +133,8 @@
 	}
 }
 
-// Abandon ends the takeover: nothing more is received. It may be called at any time, from any goroutine.
+// Abandon ends the takeover, so that no further messages are received. It may be called at any time and is
+// safe for concurrent use.
 func (t *Takeover) Abandon() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -135,13 +142,13 @@
 	_ = t.conn.Close()
 }
 
-// redial replaces a connection that broke, and reports whether the takeover can be tried again.
+// redial replaces a broken connection. It returns false if that fails or if the takeover was abandoned.
 func (t *Takeover) redial() bool {
 	other, err := dialOnce(t.path, t.log)
 	if err != nil {
-		return false // the caller has logged why the last connection broke
+		return false // the caller has logged why the previous connection failed
 	}
-	other.closeSockets() // duplicates of those at hand
+	other.closeSockets() // duplicates of the sockets received before
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.conn = other.conn
@@ -151,14 +158,14 @@
 	return !t.abandoned
 }
 
-// Start takes over in a goroutine that ends when the predecessor does, or with Abandon. Only the first call
-// counts.
+// Start runs the takeover in a goroutine, which ends when the predecessor exits or Abandon is called. Calls
+// after the first have no effect.
 func (t *Takeover) Start(events SuccessorEvents) {
 	t.start.Do(func() { go t.run(events) })
 }
 
-// run requests the state and then watches the predecessor until that exits. Where the state can't be had,
-// this process begins without one, on the sockets that it has.
+// run requests the state and then delivers the predecessor's messages until the predecessor exits. If all
+// attempts to receive the state fail, this process starts without it, on the sockets that it has received.
 func (t *Takeover) run(events SuccessorEvents) {
 	for attempt := 1; ; attempt++ {
 		state, early, err := t.requestState()
@@ -180,11 +187,11 @@
 	}
 }
 
-// delivery passes one received message on.
+// delivery calls the method of SuccessorEvents for one received message.
 type delivery func(SuccessorEvents)
 
-// requestState receives the state and the permission to decide. Reports that come before that are returned,
-// to be delivered after the state.
+// requestState requests the state and waits until the predecessor has released ownership. It returns the
+// deliveries of messages that arrive before that, to be called after StateReceived.
 func (t *Takeover) requestState() (state *State, early []delivery, err error) {
 	_ = t.conn.SetDeadline(time.Now().Add(transferTimeout)) // fails only on a closed connection
 	if err := writeMessage(t.conn, kindTakeover, nil); err != nil {
@@ -213,7 +220,7 @@
 	}
 }
 
-// acceptState decodes the state and tells the predecessor so.
+// acceptState decodes the state and confirms it to the predecessor.
 func (t *Takeover) acceptState(encoded []byte) (*State, error) {
 	state, err := DecodeState(encoded)
 	if err != nil {
@@ -222,14 +229,14 @@
 	return state, writeMessage(t.conn, kindAccepted, nil)
 }
 
-// watchPredecessor delivers what the predecessor sends until it ends.
+// watchPredecessor delivers the predecessor's messages until the predecessor exits.
 func (t *Takeover) watchPredecessor(events SuccessorEvents) {
 	reader := newMessageReader(t.conn)
 	for {
 		_, _, deliver, err := reader.next()
 		if err != nil {
 			_ = t.conn.Close()
-			return // the predecessor has ended
+			return // the predecessor has exited
 		}
 		if deliver != nil {
 			deliver(events)
@@ -237,20 +244,21 @@
 	}
 }
 
-// messageReader reads a predecessor's messages.
+// messageReader reads the messages that a predecessor sends after its sockets.
 type messageReader struct {
 	conn   *net.UnixConn
 	buffer []byte
-	input  []byte // of the client whose socket follows
+	input  []byte // received for the client of the next kindClient message
 }
 
-// newMessageReader returns a reader that leaves the connection to its owner.
+// newMessageReader returns a reader of a connection. The reader does not close the connection.
 func newMessageReader(conn *net.UnixConn) *messageReader {
 	return &messageReader{conn: conn, buffer: make([]byte, 1+maxBodyBytes)}
 }
 
-// next reads one message. The body is valid until the next call; deliver is nil for messages of the handover
-// itself, and for those that can't be decoded: each of them stands alone, and the rest is worth having.
+// next reads one message. The body is valid until the next call of next. deliver is nil for the messages on
+// which requestState acts, and for messages that can't be decoded. The latter are skipped, because messages
+// are independent of each other.
 func (r *messageReader) next() (messageKind kind, body []byte, deliver delivery, err error) {
 	message, err := readMessage(r.conn, r.buffer)
 	if err != nil {
@@ -269,13 +277,13 @@
 	case kindCostSettled:
 		deliver = decodeDelivery(message.body, DecodeCostSettled, SuccessorEvents.CostSettled)
 	case kindHello, kindSockets, kindTakeover, kindStateChunk, kindStateEnd, kindAccepted, kindGo:
-		// The handover's own messages: requestState acts on those that it waits for.
+		// Not delivered: requestState acts on the kinds that it waits for.
 	}
 	return message.kind, message.body, deliver, nil
 }
 
-// clientDelivery joins a client's socket with the input that came before it; nil if the connection broke on
-// the way.
+// clientDelivery returns the delivery of a client's socket with the input that was received before it. It
+// returns nil if the socket is missing or unusable, or if the message can't be decoded.
 func (r *messageReader) clientDelivery(message incomingMessage) delivery {
 	input := r.input
 	r.input = nil
@@ -291,7 +299,8 @@
 	return func(events SuccessorEvents) { events.ClientReceived(client) }
 }
 
-// decodeDelivery decodes a report, to be passed on by report; nil if it can't be decoded.
+// decodeDelivery decodes the body of a message and returns its delivery, which calls report. It returns nil
+// if the body can't be decoded.
 func decodeDelivery[T any](
 	body []byte, decode func([]byte) (T, error), report func(SuccessorEvents, T),
 ) delivery {
