--- a/internal/gateway/endpoints_test.go
+++ b/internal/gateway/endpoints_test.go
@@ -8,10 +8,11 @@
 	"sparspread/policy"
 )
 
-// The list at a new address may be older than what the address before has announced: a backend that was
-// announced as draining stays so until an update as new says otherwise, or it has started anew.
-func TestOlderUpdateKeepsBackendsDraining(t *testing.T) {
-	l := newTestLoop(t, newFakeDiscovery(t))
+// The list at a new address of discovery may be older than that of the previous address: a backend that was
+// announced as draining stays draining until an update of at least the same revision lists it as ready, or
+// until it has restarted.
+func TestOlderEndpointUpdateKeepsBackendDraining(t *testing.T) {
+	g := newTestGateway(t, newFakeDiscovery(t))
 	const id = "s-00000001"
 	for i, step := range []struct {
 		revision uint64
@@ -32,22 +33,22 @@
 		endpoint := discovery.Endpoint{
 			ID: id, Address: "127.0.0.1:9", Phase: step.phase, UpSinceMS: step.upSince,
 		}
-		l.events.HandleEvent(endpointsUpdated{discovery.Event{Kind: step.kind, Update: discovery.Update{
+		g.events.HandleEvent(endpointsUpdated{discovery.Event{Kind: step.kind, Update: discovery.Update{
 			Revision:  step.revision,
 			Complete:  step.kind == policy.UpdateComplete,
 			Endpoints: []discovery.Endpoint{endpoint},
 		}}})
-		if got := l.backends.byID[id].state; got != step.want {
+		if got := g.backends.byID[id].state; got != step.want {
 			t.Errorf("step %d: got state %d, want %d", i, got, step.want)
 		}
 	}
 }
 
-// The client gets what concerns it, whatever interval the settings name for polls.
-func TestDiscoveryConfigComesFromTheConfiguration(t *testing.T) {
+// The configuration of the discovery client does not depend on the poll interval in the settings.
+func TestDiscoveryConfig(t *testing.T) {
 	server := newFakeDiscovery(t)
 	withGrace := func(f map[string]any) {
-		f["settings"] = settingsWith(t, `"cold-from"`, `"drain-grace-us":500000,"cold-from"`)
+		f["settings"] = editSettings(t, `"cold-from"`, `"drain-grace-us":500000,"cold-from"`)
 	}
 	want := discovery.Config{
 		Address: server.Listener.Addr().String(), Seed: 0x8c1f30d27a5be964,
@@ -67,12 +68,12 @@
 
 	want.Poll = true
 	for _, interval := range []time.Duration{0, time.Second, 8 * time.Second, time.Minute} {
-		cfg.Settings.PollEndpoints, cfg.Settings.PollWithin = true, interval.Microseconds()
+		cfg.Settings.PollEndpoints, cfg.Settings.MaxWatchGap = true, interval.Microseconds()
 		assertDiscoveryConfig(t, discoveryConfig(&cfg), want)
 	}
 }
 
-// assertDiscoveryConfig compares all but the known revision.
+// assertDiscoveryConfig compares configurations, except for the known revision.
 func assertDiscoveryConfig(t *testing.T, got, want discovery.Config) {
 	t.Helper()
 	if got.Address != want.Address || got.Seed != want.Seed || got.Poll != want.Poll ||
--- a/internal/gateway/handover_clients.go
+++ b/internal/gateway/handover_clients.go
@@ -6,7 +6,7 @@
 	"sparspread/internal/handover"
 )
 
-// This file hands clients' connections over, each once nothing is open on it.
+// This file hands over connections of clients, each once nothing is open on it.
 
 // stopReading makes a connection's reader stop before the next command.
 func (c *client) stopReading() {
@@ -14,57 +14,59 @@
 	_ = c.conn.SetReadDeadline(time.Unix(1, 0)) // fails only on a closed connection
 }
 
-// resumeReading starts the reader again. One that has not stopped yet is started when it does.
-func (c *client) resumeReading(l *Loop) {
+// resumeReading starts the reader again if it has stopped. A reader that has not stopped yet is started again
+// by clientReaderStopped.
+func (c *client) resumeReading(g *Gateway) {
 	if c.readerStopped && !c.closed {
 		c.readerStopped = false
 		c.handingOver.Store(false)
 		c.inheritedInput, c.handoverInput = c.handoverInput, nil
 		_ = c.conn.SetReadDeadline(time.Time{}) // fails only on a closed connection
-		go c.readCommands(l, c.commands > 0)
+		go c.readCommands(g, c.commands > 0)
 	}
-	if l.shutdown.isClosing() {
-		c.closeAfterReplies(l)
+	if g.shutdown.isClosing() {
+		c.closeAfterReplies(g)
 	}
 }
 
-// clientReaderStopped: the reader has stopped before a command.
+// clientReaderStopped reports that the reader has stopped before a command.
 type clientReaderStopped struct{ client *client }
 
-func (e clientReaderStopped) Handle(l *Loop) {
+func (e clientReaderStopped) Handle(g *Gateway) {
 	c := e.client
 	c.readerStopped = true
-	if !l.handover.hasGivenOwnership() {
-		c.resumeReading(l) // the handover has ended meanwhile
+	if !g.handover.hasReleasedOwnership() {
+		c.resumeReading(g) // the handover has ended in the meantime
 		return
 	}
-	c.handOver(l)
+	c.handOver(g)
 }
 
-// canBeHandedOver reports whether nothing is open on the connection and a successor can take it.
-func (c *client) canBeHandedOver(l *Loop) bool {
+// canBeHandedOver reports whether nothing is open on the connection and there is a successor to send it to.
+func (c *client) canBeHandedOver(g *Gateway) bool {
 	return c.readerStopped && !c.closed && !c.closeWhenDrained && len(c.pipeline) == 0 &&
-		l.handover.hasGivenOwnership() && l.handover.canSend() && c.writer.Idle()
+		g.handover.hasReleasedOwnership() && g.handover.canSend() && c.writer.Idle()
 }
 
-// handOver sends the connection to the successor, with the input that was read and not processed.
-func (c *client) handOver(l *Loop) {
-	if !c.canBeHandedOver(l) {
+// handOver sends the connection to the successor, with the input that was read but not processed. It has no
+// effect if the connection cannot be handed over.
+func (c *client) handOver(g *Gateway) {
+	if !c.canBeHandedOver(g) {
 		return
 	}
 	c.closed = true
 	close(c.done)
-	delete(l.clients.conns, c)
-	<-l.clients.slots
+	delete(g.clients.conns, c)
+	<-g.clients.slots
 	conn, input := c.conn, c.handoverInput
 	c.handoverInput = nil
-	l.handover.sendClient(
+	g.handover.sendClient(
 		handover.ClientConnection{
 			Requests: c.commands, OpenedAt: c.openedAt, Age: max(time.Microsecond, time.Since(c.openedAt)),
 		},
 		input,
 		c.writer.RawConn(),
-		func() { _ = conn.Close() }, // the successor has a descriptor of its own, or the connection ends here
+		func() { _ = conn.Close() }, // the successor has its own descriptor, or the connection was not sent
 	)
-	l.shutdown.endIfIdle()
+	g.shutdown.stopIfIdle()
 }
--- a/internal/gateway/handover_older_predecessor_test.go
+++ b/internal/gateway/handover_older_predecessor_test.go
@@ -8,17 +8,17 @@
 	"sparspread/internal/handover"
 )
 
-// olderPredecessor stands in for the recorded process, which hands over.
+// olderPredecessor simulates the recorded process, which hands over.
 type olderPredecessor struct {
 	t         *testing.T
 	recording olderRecording
 	listener  *net.TCPListener
 	link      *olderConn
-	clients   []*testClient // whose connections were handed over, in this order
+	clients   []*testClient // clients whose connections were handed over, in this order
 }
 
-// play sends recorded messages up to the next one of a kind, and that.
-func (p *olderPredecessor) play(upTo byte) {
+// replayThrough sends the recorded messages up to and including the next one of a kind.
+func (p *olderPredecessor) replayThrough(last byte) {
 	p.t.Helper()
 	for len(p.recording.Messages) > 0 {
 		m := p.recording.Messages[0]
@@ -31,14 +31,14 @@
 			sockets = append(sockets, p.newClient())
 		}
 		p.link.Send(m.Kind, m.Body, sockets...)
-		if m.Kind == upTo {
+		if m.Kind == last {
 			return
 		}
 	}
-	p.t.Fatalf("no further message %q in the recording", upTo)
+	p.t.Fatalf("the recording has no further message %q", last)
 }
 
-// newClient connects a client to the older process and returns that side's socket.
+// newClient connects a client to the older process and returns the socket of the process's side.
 func (p *olderPredecessor) newClient() *os.File {
 	p.t.Helper()
 	side, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -55,7 +55,7 @@
 	return socketFile(p.t, conn)
 }
 
-// socketFile returns a socket as a file to send, which is closed with the test.
+// socketFile returns a socket as a file to send, which is closed at the end of the test.
 func socketFile(t *testing.T, socket interface{ File() (*os.File, error) }) *os.File {
 	t.Helper()
 	file, err := socket.File()
@@ -66,9 +66,9 @@
 	return file
 }
 
-// startFromOlder starts a gateway that takes over from a recorded process, up to its request for the state.
-// Its clock stands at the time of the recording.
-func startFromOlder(t *testing.T) (*olderPredecessor, *rig, *fakeBackend) {
+// startAfterOlderPredecessor starts a gateway that takes over from the recorded process, and returns once the
+// gateway has requested the state. The gateway's clock is stopped at the time of the recording.
+func startAfterOlderPredecessor(t *testing.T) (*olderPredecessor, *rig, *fakeBackend) {
 	t.Helper()
 	useShortTempDir(t)
 	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -80,26 +80,26 @@
 
 	b := newBackend(t)
 	d := newFakeDiscovery(t, recordedEndpoints(t, b, old.recording.At)...)
-	cfg := configureRecorded(t, d, listener.Addr().String())
+	cfg := recordedConfig(t, d, listener.Addr().String())
 	successors := listenAsOlder(t, handover.SocketPath(cfg.Listen))
-	started := make(chan *Loop, 1)
+	started := make(chan *Gateway, 1)
 	go func() {
-		l, err := newLoop(cfg, discardLog(), newFakeClock())
+		g, err := newGateway(cfg, discardLog(), newFakeClock())
 		if err != nil {
 			t.Error(err)
 		}
-		started <- l
+		started <- g
 	}()
 	old.link = acceptAsOlder(t, successors)
 	old.link.Expect(olderHello)
-	old.play(olderSockets)
-	l := wait(t, started, "the gateway")
-	if l == nil {
+	old.replayThrough(olderSockets)
+	g := wait(t, started, "the gateway")
+	if g == nil {
 		t.FailNow()
 	}
-	l.backends.dial.Timeout = testTimeout
-	useFakeClock(t, l).shown.Store(old.recording.At)
-	r := serveLoop(t, l)
+	g.backends.dial.Timeout = testTimeout
+	useFakeClock(t, g).shown.Store(old.recording.At)
+	r := serveGateway(t, g)
 	old.link.Expect(olderTakeover)
 	return old, r, b
 }
--- a/policy/backendload.go
+++ b/policy/backendload.go
@@ -1,27 +1,28 @@
 package policy
 
-// backendLoad counts the attempts in flight at a backend: overdue is at most inFlight.
+// backendLoad counts the attempts in flight at a backend.
 type backendLoad struct {
 	inFlight int
-	overdue  int // those of them that are pending for longer than their objective
+	overdue  int // the part of inFlight that is pending for longer than the latency objective
 }
 
-// add counts another attempt.
-func (l *backendLoad) add() { l.inFlight++ }
+// addInFlight counts another attempt.
+func (l *backendLoad) addInFlight() { l.inFlight++ }
 
-// markOverdue counts one of the attempts as overdue.
+// markOverdue counts an attempt in flight as overdue.
 func (l *backendLoad) markOverdue() { l.overdue++ }
 
-// remove counts an attempt as ended.
-func (l *backendLoad) remove(overdue bool) {
+// removeInFlight removes an attempt that has ended.
+func (l *backendLoad) removeInFlight(overdue bool) {
 	l.inFlight--
 	if overdue {
 		l.overdue--
 	}
 }
 
-// effective is how many of the attempts load the backend: overdue ones as far as answers are late everywhere,
-// since they may be lost, and would else block all others.
+// effective returns the number of attempts that load the backend. Overdue attempts are weighted by the share
+// of late answers of all backends: if other answers are on time, overdue attempts are probably lost and must
+// not block new ones.
 func (l *backendLoad) effective(lateShare float64) float64 {
 	return float64(l.inFlight) - float64(l.overdue)*(1-lateShare)
 }
--- a/policy/controller_attempts.go
+++ b/policy/controller_attempts.go
@@ -2,18 +2,19 @@
 
 import "slices"
 
-// chooseBackend picks the backend for a request's next attempt: the least loaded healthy one not tried
-// yet, else any ready one, else nil; where within is set only from its deduplication scope.
-func (c *Controller) chooseBackend(request *request, within *attempt) *backend {
-	if backend := c.chooseLeastLoaded(request, within, false); backend != nil {
+// chooseBackend returns the backend for the next attempt of a request: the least loaded healthy backend that
+// the request has not tried, else the least loaded ready one, else nil. If sameScopeAs is not nil, only
+// backends in the deduplication scope of that attempt qualify.
+func (c *Controller) chooseBackend(request *request, sameScopeAs *attempt) *backend {
+	if backend := c.chooseLeastLoaded(request, sameScopeAs, false); backend != nil {
 		return backend
 	}
-	return c.chooseLeastLoaded(request, within, true)
+	return c.chooseLeastLoaded(request, sameScopeAs, true)
 }
 
-// chooseLeastLoaded picks the least loaded backend; only if that is allowed also an unhealthy one, or one
-// that the request has tried.
-func (c *Controller) chooseLeastLoaded(request *request, within *attempt, allowUnhealthy bool) *backend {
+// chooseLeastLoaded returns the least loaded backend, or nil if there is none. Unhealthy backends, and those
+// that the request has tried, qualify only if allowUnhealthy is set.
+func (c *Controller) chooseLeastLoaded(request *request, sameScopeAs *attempt, allowUnhealthy bool) *backend {
 	class, prices := &c.settings.Classes[request.Class], c.settings.loadPrices()
 	var best leastLoaded
 	for _, backend := range c.backends.inOrder {
@@ -24,44 +25,44 @@
 			c.counters.slowStartDenied++
 			continue
 		}
-		if !class.permits(within, backend) || !allowUnhealthy &&
-			(!backend.acceptsAttempts(c.clock.now, c.settings.HealthChecks) || request.tried(backend)) {
+		if !class.permits(sameScopeAs, backend) || !allowUnhealthy &&
+			(!backend.acceptsAttempts(c.clock.now, c.settings.HealthChecks) || request.hasTried(backend)) {
 			continue
 		}
 		faults := backend.faults.value(c.clock.now, request.Class, request.Plan)
 		candidate := candidate{
 			inFlight: backend.load.inFlight, slowness: backend.latency.slowness(c.clock.now),
-			share:       backend.slowStart.share(c.clock.now, &c.slowStart),
-			isOtherZone: backend.Zone != c.settings.Zone, inSubset: backend.inSubset,
+			capacityShare: backend.slowStart.capacityShare(c.clock.now, &c.slowStart),
+			isOtherZone:   backend.Zone != c.settings.Zone, inSubset: backend.inSubset,
 			capacityHint: backend.CapacityHint, faults: c.limit.peerWeight(c.clock.activeTime) * faults,
 		}
-		best.offer(backend, prices.score(&candidate), c.random)
+		best.considerBackend(backend, prices.score(&candidate), c.random)
 	}
 	return best.backend
 }
 
-// send starts a request's next attempt.
+// send starts the next attempt of a request.
 func (c *Controller) send(request *request, backend *backend) {
 	attempt := c.recordSend(request, backend)
 	deadline := c.attemptDeadline(request)
-	c.counters.countSend(backend)
+	c.counters.countAttempt(backend)
 	waiting := c.actions.Send(request.ID, backend.ID, deadline)
 	c.chargeSlowStart(attempt, waiting)
 }
 
-// recordSend adds an attempt to a request and to the load of its backend and its customer.
+// recordSend adds an attempt to a request, and to the load of its backend and its customer.
 func (c *Controller) recordSend(request *request, backend *backend) *attempt {
 	attempt := request.addAttempt(backend, c.clock.now)
 	c.requests.addAttempt(request.Class, attempt)
 	backend.health.expectAnswer(c.clock.activeTime, backend.load.inFlight)
-	backend.load.add()
+	backend.load.addInFlight()
 	request.customer.inFlight++
 	return attempt
 }
 
-// ConfirmSend reports whether an attempt that had to wait may be written now: its request is open, its
-// backend ready, it repeats nothing that may have run and must not run twice, and the slow start of its
-// backend, which may have begun since, has an attempt left, which it takes.
+// ConfirmSend reports whether an attempt that waited for a connection may be written now. It may if its
+// request is open, its backend is ready, the retry rule of its class allows it beside the other attempts, and
+// the slow start of its backend, if it is in one, allows an attempt, which is then charged.
 func (c *Controller) ConfirmSend(now Time, id uint64, attemptNumber int) bool {
 	c.advanceClock(now)
 	request := c.requests.byID[id]
@@ -71,11 +72,11 @@
 	}
 	others := slices.Delete(slices.Clone(request.attempts), attemptNumber, attemptNumber+1)
 	rule, class := c.settings.retryRule(request.Class, others, now), &c.settings.Classes[request.Class]
-	if !attempt.backend.ready() || !rule.allowed || !class.permits(rule.within, attempt.backend) {
+	if !attempt.backend.ready() || !rule.allowed || !class.permits(rule.sameScopeAs, attempt.backend) {
 		return false
 	}
 	attempt.slowStart = attempt.backend.slowStart.release(attempt.slowStart, attempt.sentAt, false)
-	if !c.slowStartAllows(attempt.backend) { // it may have been warm when it was chosen
+	if !c.slowStartAllows(attempt.backend) { // the backend may have restarted since it was chosen
 		c.counters.slowStartDenied++
 		return false
 	}
@@ -83,8 +84,8 @@
 	return true
 }
 
-// AttemptEnded handles an attempt's outcome. Once no attempt is pending and the client has no answer,
-// it retries the request or gives the final answer.
+// AttemptEnded handles the outcome of an attempt. If no other attempt is pending and the client has no
+// answer yet, it retries the request or gives the final answer.
 func (c *Controller) AttemptEnded(now Time, outcome Outcome) {
 	c.advanceClock(now)
 	request := c.requests.byID[outcome.RequestID]
@@ -95,9 +96,9 @@
 	attempt.pending = false
 	c.counters.results[outcome.Result]++
 	attempt.mayHaveRun = !outcome.Result.provesNotRun()
-	request.reachedBackend = request.reachedBackend || outcome.Result != ResultNotSent
+	request.mayHaveReachedBackend = request.mayHaveReachedBackend || outcome.Result != ResultNotSent
 	c.settleAttempt(request, attempt, &outcome)
-	request.answered = request.answered || outcome.Answered
+	request.answered = request.answered || outcome.ClientAnswered
 	if request.hasPending() {
 		return
 	}
@@ -116,18 +117,18 @@
 	}
 }
 
-// retry sends another attempt if the rule, the number of attempts, the budget and the time that is
-// left allow it and there is a backend. It reports whether it did.
+// retry sends another attempt if the rule, the number of attempts, the retry budget and the remaining time
+// allow it and a backend is available. It reports whether it sent one.
 func (c *Controller) retry(
 	request *request, last *attempt, lastResult Result, rule retryRule, now Time,
 ) bool {
 	cost := retryCost(last, lastResult)
-	minTime := c.settings.Classes[request.Class].LatencyObjective / minRetryTime
+	minTime := c.settings.Classes[request.Class].LatencyObjective / minRetryTimeDivisor
 	if !rule.allowed || len(request.attempts) >= c.settings.MaxAttempts || !c.retryBudget.affords(cost) ||
 		request.deadline-now <= minTime {
 		return false
 	}
-	backend := c.chooseBackend(request, rule.within)
+	backend := c.chooseBackend(request, rule.sameScopeAs)
 	if backend == nil {
 		return false
 	}
@@ -137,8 +138,9 @@
 	return true
 }
 
-// attemptDeadline is when the request's newest attempt is given up for another one, 0 if there is
-// no budget, capacity or time for another.
+// attemptDeadline returns the time at which the newest attempt of a request is abandoned in favour of another
+// one. It is zero if the class, the retry budget, the number of attempts, the capacity or the time does not
+// allow another attempt.
 func (c *Controller) attemptDeadline(request *request) Time {
 	class, latency := &c.settings.Classes[request.Class], Time(c.latency.ofClass(request.Class))
 	deadline := c.clock.now + attemptTimeoutFactor*latency
@@ -150,7 +152,8 @@
 	return deadline
 }
 
-// ResponseStarted notes that the client gets a streamed answer: no other attempt may follow.
+// ResponseStarted records that a streamed answer to the client has started, after which no other attempt may
+// follow.
 func (c *Controller) ResponseStarted(now Time, id uint64) {
 	c.advanceClock(now)
 	if request := c.requests.byID[id]; request != nil {
@@ -158,7 +161,7 @@
 	}
 }
 
-// RequestCancelled notes that the client has disconnected or its deadline has passed.
+// RequestCancelled records that the client has disconnected or its deadline has passed.
 func (c *Controller) RequestCancelled(now Time, id uint64) {
 	c.ResponseStarted(now, id)
 	if request := c.requests.byID[id]; request != nil && !request.hasPending() {
--- a/policy/leastloaded_test.go
+++ b/policy/leastloaded_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// idle is a warm backend of this gateway's zone and subset that has nothing to do.
-var idle = candidate{slowness: 1, share: 1, inSubset: true, capacityHint: 2}
+// idle is a warm backend in the zone and the subset of this gateway without attempts in flight.
+var idle = candidate{slowness: 1, capacityShare: 1, inSubset: true, capacityHint: 2}
 
-func TestScoreIsTheLoadAndWhatAnAttemptCosts(t *testing.T) {
+func TestScoreCombinesLoadAndPrices(t *testing.T) {
 	prices := loadPrices{crossZone: 0.1, handshake: 0.2}
 	for _, c := range []struct {
 		name   string
@@ -19,7 +19,10 @@
 		{name: "idle", prices: prices, change: func(*candidate) {}, want: 1},
 		{name: "busy", prices: prices, change: func(c *candidate) { c.inFlight = 3 }, want: 4},
 		{name: "slow", prices: prices, change: func(c *candidate) { c.slowness = 2.5 }, want: 2.5},
-		{name: "in slow start", prices: prices, change: func(c *candidate) { c.share = 0.25 }, want: 0.25},
+		{
+			name: "in slow start", prices: prices, change: func(c *candidate) { c.capacityShare = 0.25 },
+			want: 0.25,
+		},
 		{
 			name: "another zone", prices: prices, change: func(c *candidate) { c.isOtherZone = true },
 			want: 1.5,
@@ -35,13 +38,13 @@
 			change: func(c *candidate) { c.capacityHint = 0 }, want: 1,
 		},
 	} {
-		of := idle
-		c.change(&of)
-		assertNear(t, c.name, c.prices.score(&of), c.want)
+		compared := idle
+		c.change(&compared)
+		assertNear(t, c.name, c.prices.score(&compared), c.want)
 	}
 }
 
-func TestLeastLoadedIsDrawnAmongTies(t *testing.T) {
+func TestLeastLoadedBreaksTiesUniformly(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	backends := []*backend{{}, {}, {}, {}, {}}
 	scores := []float64{2, 1, 3, 1, 1}
@@ -50,18 +53,18 @@
 	for range draws {
 		var best leastLoaded
 		for i, backend := range backends {
-			best.offer(backend, scores[i], random)
+			best.considerBackend(backend, scores[i], random)
 		}
 		chosen[best.backend]++
 	}
 	for i, backend := range backends {
 		got, want := chosen[backend], draws/3*int(indicator(scores[i] == 1))
 		if got < want*9/10 || got > want*11/10 {
-			t.Errorf("backend %d of score %g was chosen %d times, want about %d", i, scores[i], got, want)
+			t.Errorf("backend %d with score %g chosen %d times, want about %d", i, scores[i], got, want)
 		}
 	}
 	var none leastLoaded
 	if none.backend != nil {
-		t.Error("a backend was chosen of none")
+		t.Error("zero value has a backend")
 	}
 }
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -36,7 +36,7 @@
 		snapshot.Stamps = append(snapshot.Stamps, backend.slowStart.stamps.known)
 	}
 	snapshot.Now = c.clock.now
-	snapshot.Open = convertAll(c.requests.withPending(), encodeRequest)
+	snapshot.Open = convertAll(c.requests.withPendingAttempts(), encodeRequest)
 	return snapshot
 }
 
@@ -49,25 +49,25 @@
 	c.advanceClock(now)
 	snapshot.rebase(c.clock.now)
 	indices := snapshot.indicesIn(&c.settings)
-	c.clock.restore(snapshot.Born, snapshot.Woke, snapshot.Still)
+	c.clock.importState(snapshot.Born, snapshot.Woke, snapshot.Still)
 	c.customers.sweptAt = snapshot.Swept
-	c.gossip.restore(snapshot.Boot, snapshot.Turn, snapshot.peers())
+	c.gossip.importState(snapshot.Boot, snapshot.Turn, snapshot.peers())
 	c.limit, c.pace.answerRate = snapshot.decodeLimit(), decodeSum(snapshot.Pace)
 	c.priority.movingAverage, c.retryBudget = decodeAverage(snapshot.Worth), retryBudget(snapshot.Again)
 	snapshot.decodeLatency(indices, &c.latency)
 	snapshot.decodeTimeouts(indices, c.clientTimeouts)
-	c.sharedBucket.restore(decodeBucket(snapshot.Lend), snapshot.IdleSpill, indices.plan)
+	c.sharedBucket.importState(decodeBucket(snapshot.Lend), snapshot.IdleSpill, indices.plan)
 	for i := range snapshot.Customers {
 		state := &snapshot.Customers[i]
-		if plan := indices.plan[state.Plan]; plan >= 0 && c.sharing.isSetSize(state.Spread) {
-			c.customers.restore(&c.sharing, decodeCustomer(state, plan))
+		if plan := indices.plan[state.Plan]; plan >= 0 && c.sharing.isValidSetSize(state.Spread) {
+			c.customers.importCustomer(&c.sharing, decodeCustomer(state, plan))
 		}
 	}
 	for i := range snapshot.Backends {
 		state := &snapshot.Backends[i]
-		backend := c.backends.unlisted(state.Backend, c.clock.now, c.random)
+		backend := c.backends.findOrAddUnlisted(state.Backend, c.clock.now, c.random)
 		state.decodeInto(backend, indices)
-		backend.slowStart.restore(min(state.Started, c.clock.now), snapshot.stampsOf(i))
+		backend.slowStart.importStart(min(state.Started, c.clock.now), snapshot.stampsOf(i))
 	}
 	for i := range snapshot.Open {
 		state := &snapshot.Open[i]
@@ -76,22 +76,22 @@
 			continue
 		}
 		for j := range state.Attempts {
-			backend := c.backends.unlisted(state.Attempts[j].Backend, c.clock.now, c.random)
-			request.restore(decodeAttempt(&state.Attempts[j], backend))
+			backend := c.backends.findOrAddUnlisted(state.Attempts[j].Backend, c.clock.now, c.random)
+			request.importAttempt(decodeAttempt(&state.Attempts[j], backend))
 		}
-		c.requests.addOfPredecessor(request)
+		c.requests.addPredecessorRequest(request)
 	}
 	return nil
 }
 
 // restore adds an attempt of the former process to a request, as load of its backend and its customer while
 // it is pending.
-func (r *request) restore(attempt *attempt) {
+func (r *request) importAttempt(attempt *attempt) {
 	r.attempts = append(r.attempts, attempt)
 	if !attempt.pending {
 		return
 	}
-	attempt.backend.load.add()
+	attempt.backend.load.addInFlight()
 	r.customer.inFlight++
 	if attempt.overdue {
 		attempt.backend.load.markOverdue()
--- a/policy/snapshot_codec.go
+++ b/policy/snapshot_codec.go
@@ -203,14 +203,14 @@
 		Taken: customer.usage.consumed, Told: customer.usage.consumedReported,
 		Asked: customer.usage.requested, AskedTold: customer.usage.requestedReported,
 		LastAsk: customer.grant.lastRequestCost, Grant: customer.grant.fraction,
-		Slice: customer.grant.units, Granted: customer.grant.advertised,
+		Slice: customer.grant.units, Granted: customer.grant.advertisedFraction,
 		Total: customer.counter.total, Part: customer.meter.share,
 		Use: encodeSum(customer.demand.own), Others: encodeSum(customer.demand.peers),
 		Metered: encodeSum(customer.meter.demand),
 		Heard:   convertAll(customer.usage.peers, encodePeerUsage),
 		Tallies: convertAll(customer.usage.byCoordinator, encodeUsage),
-		GrantAt: customer.grant.nextAt, TellAt: customer.grant.nextReportAt,
-		Asks: customer.grant.quotaRequests,
+		GrantAt: customer.grant.nextAdvertisementAt, TellAt: customer.grant.nextReportAt,
+		Asks: customer.grant.lastRequestNumber,
 	}
 }
 
@@ -223,8 +223,8 @@
 		usage:  decodeLedger(state),
 		grant: quotaGrant{
 			fraction: state.Grant, units: state.Slice, lastRequestCost: state.LastAsk,
-			nextReportAt: state.TellAt, quotaRequests: state.Asks,
-			advertised: state.Granted, nextAt: state.GrantAt,
+			nextReportAt: state.TellAt, lastRequestNumber: state.Asks,
+			advertisedFraction: state.Granted, nextAdvertisementAt: state.GrantAt,
 		},
 		counter: sharedCounter{total: state.Total},
 		meter:   usageMeter{demand: decodeSum(state.Metered), share: state.Part},
@@ -255,7 +255,7 @@
 		Backend: backend.ID, Started: backend.slowStart.startedAt,
 		Quiet: health.unansweredSince, SlowAt: backend.latency.updatedAt,
 		Left: health.ejectedAt, Wait: health.ejectionTime, TrialAt: health.nextProbeAt,
-		Slow: backend.latency.ratio, Errs: health.errorRate, Down: health.down, Silent: health.unresponsive,
+		Slow: backend.latency.ratio, Errs: health.errorRate, Down: health.isDown, Silent: health.unresponsive,
 		Breaks: encodeSum(health.connectionFailures), Words: encodeFaults(&backend.faults),
 		Cold: encodeBucket(backend.slowStart.bucket),
 	}
@@ -268,7 +268,7 @@
 	health.unansweredSince, health.errorRate = s.Quiet, s.Errs
 	health.connectionFailures = decodeSum(s.Breaks)
 	health.ejectedAt, health.ejectionTime, health.nextProbeAt = s.Left, s.Wait, s.TrialAt
-	health.down, health.unresponsive = s.Down, s.Silent
+	health.isDown, health.unresponsive = s.Down, s.Silent
 	backend.latency = latencyRatio{ratio: s.Slow, updatedAt: s.SlowAt}
 	backend.slowStart.bucket = decodeBucket(s.Cold)
 	decodeFaults(s.Words, indices, &backend.faults)
