--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -26,7 +26,7 @@
 
 // endpointSteps lists the legal steps. A list from discovery is never replaced by that of a predecessor, nor
 // either of them by that of the configuration.
-var endpointSteps = phase.Steps[endpointPhase]{
+var endpointSteps = phase.Transitions[endpointPhase]{
 	endpointsConfigured: {endpointsImported, endpointsReceived},
 	endpointsImported:   {endpointsReceived},
 }
@@ -72,7 +72,7 @@
 
 // importList applies the list of a predecessor, unless discovery has already sent a list.
 func (e *endpointList) importList(endpoints []discovery.Endpoint) {
-	if !e.phase.Is(endpointsReceived) && e.phase.Step(endpointsImported) {
+	if !e.phase.Is(endpointsReceived) && e.phase.TransitionTo(endpointsImported) {
 		e.gateway.updateEndpoints(policy.UpdateStale, endpoints)
 	}
 }
@@ -84,7 +84,7 @@
 		return
 	}
 	if !e.phase.Is(endpointsReceived) {
-		e.phase.Step(endpointsReceived)
+		e.phase.TransitionTo(endpointsReceived)
 	}
 	e.retainDraining(&event.Update)
 	e.gateway.updateEndpoints(event.Kind, event.Update.Endpoints)
--- a/internal/gateway/handover.go
+++ b/internal/gateway/handover.go
@@ -32,7 +32,7 @@
 }
 
 // handoverSteps lists the legal steps. A successor that exits, or takes too long, leads back to none.
-var handoverSteps = phase.Steps[handoverPhase]{
+var handoverSteps = phase.Transitions[handoverPhase]{
 	handoverNone:     {handoverOffered},
 	handoverOffered:  {handoverAccepted, handoverNone},
 	handoverAccepted: {handoverNone},
@@ -41,7 +41,7 @@
 // successorLink is the connection to a successor. It is implemented by *handover.Link.
 type successorLink interface {
 	SendState(encoded []byte)
-	SendGo()
+	TransferOwnership()
 	SendClient(client handover.ClientConnection, input []byte, socket syscall.RawConn, onSent func()) error
 	SendAttemptSent(handover.AttemptSent) error
 	SendAttemptEnded(policy.Outcome) error
@@ -115,7 +115,7 @@
 		link.Close()
 		return
 	}
-	if !h.phase.Step(handoverOffered) {
+	if !h.phase.TransitionTo(handoverOffered) {
 		link.Close()
 		return
 	}
@@ -127,10 +127,10 @@
 
 // handleStateAccepted transfers ownership to the successor, which has decoded the state and now decides.
 func (h *outgoingHandover) handleStateAccepted(link successorLink) {
-	if h.link != link || link.IsClosed() || !h.phase.Step(handoverAccepted) {
+	if h.link != link || link.IsClosed() || !h.phase.TransitionTo(handoverAccepted) {
 		return
 	}
-	link.SendGo()
+	link.TransferOwnership()
 	h.gateway.releaseOwnership()
 	for _, command := range h.queuedCommands {
 		h.queueCommand(command)
@@ -159,7 +159,7 @@
 // end ends a handover that was not completed, or whose successor has exited: this process serves again.
 func (h *outgoingHandover) end() {
 	given, commands := h.hasReleasedOwnership(), h.queuedCommands
-	if !h.phase.Step(handoverNone) {
+	if !h.phase.TransitionTo(handoverNone) {
 		return
 	}
 	h.link, h.queuedCommands = nil, nil
--- a/internal/gateway/handover_phase_test.go
+++ b/internal/gateway/handover_phase_test.go
@@ -15,8 +15,8 @@
 	closed bool
 }
 
-func (f *fakeLink) SendState([]byte) { f.record("SendState") }
-func (f *fakeLink) SendGo()          { f.record("SendGo") }
+func (f *fakeLink) SendState([]byte)   { f.record("SendState") }
+func (f *fakeLink) TransferOwnership() { f.record("TransferOwnership") }
 
 func (f *fakeLink) SendClient(handover.ClientConnection, []byte, syscall.RawConn, func()) error {
 	f.record("SendClient")
@@ -91,7 +91,7 @@
 	h.handleStateAccepted(link)
 	wantPhase(t, &h.phase, handoverAccepted)
 	f.wantCalls(t, "releaseOwnership", "stopReading", "stopIfIdle")
-	link.wantCalls(t, "SendGo")
+	link.wantCalls(t, "TransferOwnership")
 	if got := string(c.handoverInput); got != "*1\r\n$4\r\nPING\r\n" || len(c.pipelineSlots) != 0 {
 		t.Errorf("got input %q for the successor and %d slots in use", got, len(c.pipelineSlots))
 	}
--- a/internal/gateway/listening.go
+++ b/internal/gateway/listening.go
@@ -37,7 +37,7 @@
 
 // listeningSteps lists the legal steps. A handover that is not completed leads back to accepting. A shutdown
 // drains the backlog in any phase, unless the successor has the listener.
-var listeningSteps = phase.Steps[listeningPhase]{
+var listeningSteps = phase.Transitions[listeningPhase]{
 	listeningWaiting:    {listeningAccepting, listeningDraining},
 	listeningAccepting:  {listeningPaused, listeningDraining},
 	listeningPaused:     {listeningAccepting, listeningHandedOver, listeningDraining},
@@ -106,7 +106,7 @@
 
 // resume starts accepting connections, for the first time or after pause or handOver.
 func (s *listening) resume() {
-	if s.phase.Step(listeningAccepting) {
+	if s.phase.TransitionTo(listeningAccepting) {
 		s.startAcceptLoop()
 	}
 }
@@ -120,7 +120,7 @@
 
 // pause stops accepting connections. New ones stay in the listener's backlog.
 func (s *listening) pause() {
-	if !s.phase.Step(listeningPaused) {
+	if !s.phase.TransitionTo(listeningPaused) {
 		return
 	}
 	close(s.stopAccepting)
@@ -132,7 +132,7 @@
 // listener, the phase stays draining and a listenerClosed event follows as usual.
 func (s *listening) handOver() {
 	if s.phase.Is(listeningPaused) {
-		s.phase.Step(listeningHandedOver)
+		s.phase.TransitionTo(listeningHandedOver)
 	}
 	s.close()
 }
@@ -145,10 +145,10 @@
 // listenerClosed event follows the last connection.
 func (s *listening) shutDown(handedOver bool) {
 	if handedOver {
-		s.phase.Step(listeningClosed) // the successor has it
+		s.phase.TransitionTo(listeningClosed) // the successor has it
 		return
 	}
-	if !s.phase.Step(listeningDraining) {
+	if !s.phase.TransitionTo(listeningDraining) {
 		return
 	}
 	close(s.drainBacklog)
@@ -164,7 +164,7 @@
 
 func (listenerClosed) Handle(g *Gateway) {
 	if !g.listening.isClosed() {
-		g.listening.phase.Step(listeningClosed)
+		g.listening.phase.TransitionTo(listeningClosed)
 	}
 	g.shutdown.stopIfIdle()
 }
--- a/internal/gateway/phases_test.go
+++ b/internal/gateway/phases_test.go
@@ -71,7 +71,7 @@
 func checkPhaseTable[P interface {
 	phase.Phase
 	~uint8
-}](t *testing.T, steps phase.Steps[P], n int, first ...P) {
+}](t *testing.T, steps phase.Transitions[P], n int, first ...P) {
 	t.Helper()
 	reached := map[P]bool{}
 	for queue := first; len(queue) > 0; queue = queue[1:] {
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -21,7 +21,7 @@
 
 // reloadSteps lists the legal steps. An invalid configuration is rejected as a whole, before any of it is
 // applied.
-var reloadSteps = phase.Steps[reloadPhase]{
+var reloadSteps = phase.Transitions[reloadPhase]{
 	reloadNone:     {reloadChecking},
 	reloadChecking: {reloadNone, reloadApplying},
 	reloadApplying: {reloadNone},
@@ -54,15 +54,15 @@
 
 // load checks a configuration and puts it in force. Requests and connections continue.
 func (r *reload) load(cfg config.Config) {
-	if !r.phase.Step(reloadChecking) {
+	if !r.phase.TransitionTo(reloadChecking) {
 		return
 	}
 	if err := r.gateway.applySettings(&cfg); err != nil {
 		r.gateway.rejectConfig(err)
-	} else if r.phase.Step(reloadApplying) {
+	} else if r.phase.TransitionTo(reloadApplying) {
 		r.gateway.applyReload(cfg)
 	}
-	r.phase.Step(reloadNone)
+	r.phase.TransitionTo(reloadNone)
 }
 
 // configLoaded has a configuration that was read for a reload.
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -59,7 +59,7 @@
 
 // shutdownSteps lists the legal steps. A shutdown passes through all phases in order, unless the gateway
 // stops earlier.
-var shutdownSteps = phase.Steps[shutdownPhase]{
+var shutdownSteps = phase.Transitions[shutdownPhase]{
 	shutdownNone:      {shutdownAccepting},
 	shutdownAccepting: {shutdownClosing},
 	shutdownClosing:   {shutdownAnswered},
@@ -105,7 +105,7 @@
 
 // start starts the shutdown. Only the first call has an effect.
 func (s *shutdown) start() {
-	if s.hasStarted() || !s.phase.Step(shutdownAccepting) {
+	if s.hasStarted() || !s.phase.TransitionTo(shutdownAccepting) {
 		return
 	}
 	s.gateway.announce()
@@ -130,11 +130,11 @@
 func (s *shutdown) takeStep(step shutdownStep) {
 	switch step {
 	case stepStopAccepting:
-		if s.phase.Step(shutdownClosing) {
+		if s.phase.TransitionTo(shutdownClosing) {
 			s.gateway.stopAccepting()
 		}
 	case stepAnswerAll:
-		if s.phase.Step(shutdownAnswered) {
+		if s.phase.TransitionTo(shutdownAnswered) {
 			s.gateway.answerAll()
 		}
 	case stepExit:
--- a/internal/gateway/takeover.go
+++ b/internal/gateway/takeover.go
@@ -30,7 +30,7 @@
 }
 
 // takeoverSteps lists the legal steps.
-var takeoverSteps = phase.Steps[takeoverPhase]{
+var takeoverSteps = phase.Transitions[takeoverPhase]{
 	takeoverPending:  {takeoverStarted, takeoverAbandoned},
 	takeoverStarted:  {takeoverWatching, takeoverComplete, takeoverAbandoned},
 	takeoverWatching: {takeoverComplete},
@@ -85,7 +85,7 @@
 
 // requestState requests the state from the predecessor. Only the first call has an effect.
 func (t *takeover) requestState(events handover.SuccessorEvents) {
-	if t.phase.Is(takeoverPending) && t.phase.Step(takeoverStarted) {
+	if t.phase.Is(takeoverPending) && t.phase.TransitionTo(takeoverStarted) {
 		t.link.Start(events)
 	}
 }
@@ -97,7 +97,7 @@
 	if state == nil {
 		next = takeoverComplete
 	}
-	if !t.phase.Step(next) {
+	if !t.phase.TransitionTo(next) {
 		return
 	}
 	if state != nil {
@@ -108,14 +108,14 @@
 
 // handlePredecessorExited takes over the predecessor's share of the resources.
 func (t *takeover) handlePredecessorExited() {
-	if t.predecessorRuns() && t.phase.Step(takeoverComplete) {
+	if t.predecessorRuns() && t.phase.TransitionTo(takeoverComplete) {
 		t.gateway.useAllResources()
 	}
 }
 
 // abandon ends a takeover in which the predecessor still decides; the predecessor continues to serve.
 func (t *takeover) abandon() {
-	if t.phase.Step(takeoverAbandoned) {
+	if t.phase.TransitionTo(takeoverAbandoned) {
 		t.link.Abandon()
 	}
 }
@@ -201,7 +201,7 @@
 	}
 	clientConnected{
 		conn:           e.client.Conn,
-		openedAt:       e.client.OpenedBefore(time.Now()),
+		openedAt:       e.client.OpeningTime(time.Now()),
 		commands:       e.client.Requests,
 		inheritedInput: e.client.Input,
 	}.Handle(g)
--- a/internal/handover/codec.go
+++ b/internal/handover/codec.go
@@ -45,10 +45,10 @@
 // such a connection after this time.
 const maxAgeWithoutCommand = 5 * time.Second
 
-// OpenedBefore returns the time at which the connection was opened, by the clock that now was read from. If
+// OpeningTime returns the time at which the connection was opened, by the clock that now was read from. If
 // the sender did not send the age, it is derived from OpenedAt. The wall clocks of the two processes may
 // differ, so a derived age that is impossible is replaced by zero.
-func (c *ClientConnection) OpenedBefore(now time.Time) time.Time {
+func (c *ClientConnection) OpeningTime(now time.Time) time.Time {
 	age := c.Age
 	if age == 0 {
 		age = now.Sub(c.OpenedAt)
--- a/internal/handover/codec_test.go
+++ b/internal/handover/codec_test.go
@@ -170,7 +170,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if age := now.Sub(got.OpenedBefore(now)); age < c.want || age > c.want+time.Millisecond {
+			if age := now.Sub(got.OpeningTime(now)); age < c.want || age > c.want+time.Millisecond {
 				t.Errorf("age %v, want %v", age, c.want)
 			}
 		})
--- a/internal/handover/conn.go
+++ b/internal/handover/conn.go
@@ -76,8 +76,8 @@
 	k.sendInChunks(kindStateChunk, kindStateEnd, encoded)
 }
 
-// SendGo transfers ownership of the state to the successor, which starts to serve.
-func (k *Link) SendGo() { k.send(outgoingMessage{kind: kindGo}) }
+// TransferOwnership makes the successor the owner of the state. The successor then starts to serve.
+func (k *Link) TransferOwnership() { k.send(outgoingMessage{kind: kindOwnership}) }
 
 // SendClient sends a client's connection, and the input that was read from it but not processed. The caller
 // must keep its own descriptor open until onSent is called, and then close it. If the description of the
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -15,7 +15,7 @@
 	kindStateChunk   kind = 's' // a chunk of the state, except the last
 	kindStateEnd     kind = 'S' // the last chunk of the state
 	kindAccepted     kind = 'a' // the successor has decoded the state
-	kindGo           kind = 'g' // the predecessor has released ownership, and the successor acquires it
+	kindOwnership    kind = 'g' // the predecessor has released ownership, and the successor acquires it
 	kindInput        kind = 'b' // a chunk of the unprocessed input of the client in the next kindClient
 	kindClient       kind = 'c' // carries a client's socket
 	kindAttemptSent  kind = 'n' // another attempt of a request that the predecessor still serves
--- a/internal/handover/predecessor.go
+++ b/internal/handover/predecessor.go
@@ -25,7 +25,7 @@
 	// TakeoverRequested is called when a successor is ready. The receiver sends the state over the link or
 	// closes the link.
 	TakeoverRequested(*Link)
-	// StateAccepted is called when the successor has decoded the state and waits for SendGo.
+	// StateAccepted is called when the successor has decoded the state and waits for TransferOwnership.
 	StateAccepted(*Link)
 	// SuccessorExited is called when the successor has exited or abandoned the handover, in any phase of the
 	// handover.
--- a/internal/handover/successor.go
+++ b/internal/handover/successor.go
@@ -211,7 +211,7 @@
 			if state, err = t.acceptState(encoded); err != nil {
 				return nil, nil, err
 			}
-		case messageKind == kindGo && state != nil:
+		case messageKind == kindOwnership && state != nil:
 			_ = t.conn.SetDeadline(time.Time{}) // fails only on a closed connection
 			return state, early, nil
 		case deliver != nil:
@@ -276,7 +276,7 @@
 		deliver = decodeDelivery(message.body, DecodeAttemptEnded, SuccessorEvents.AttemptEnded)
 	case kindCostSettled:
 		deliver = decodeDelivery(message.body, DecodeCostSettled, SuccessorEvents.CostSettled)
-	case kindHello, kindSockets, kindTakeover, kindStateChunk, kindStateEnd, kindAccepted, kindGo:
+	case kindHello, kindSockets, kindTakeover, kindStateChunk, kindStateEnd, kindAccepted, kindOwnership:
 		// Not delivered: requestState acts on the kinds that it waits for.
 	}
 	return message.kind, message.body, deliver, nil
--- a/internal/phase/phase_test.go
+++ b/internal/phase/phase_test.go
@@ -11,12 +11,12 @@
 
 func (c color) String() string { return string(c) }
 
-var colors = phase.Steps[color]{"green": {"yellow"}, "yellow": {"red", "green"}}
+var colors = phase.Transitions[color]{"green": {"yellow"}, "yellow": {"red", "green"}}
 
 func TestLegalSteps(t *testing.T) {
 	m := phase.New("light", color("green"), colors, func(err error) { t.Error(err) })
 	for _, next := range []color{"yellow", "green", "yellow", "red"} {
-		if !m.Step(next) || m.Current() != next {
+		if !m.TransitionTo(next) || m.Current() != next {
 			t.Errorf("phase %s after the transition to %s", m.Current(), next)
 		}
 	}
@@ -32,19 +32,19 @@
 	} {
 		var reported error
 		m := phase.New("light", step.from, colors, func(err error) { reported = err })
-		if m.Step(step.to) || m.Current() != step.from {
+		if m.TransitionTo(step.to) || m.Current() != step.from {
 			t.Errorf("from %s to %s: accepted, or phase changed to %s", step.from, step.to, m.Current())
 		}
-		var illegal *phase.StepError
+		var illegal *phase.TransitionError
 		if !errors.As(reported, &illegal) ||
-			*illegal != (phase.StepError{Machine: "light", From: string(step.from), To: string(step.to)}) {
+			*illegal != (phase.TransitionError{Machine: "light", From: string(step.from), To: string(step.to)}) {
 			t.Errorf("from %s to %s: reported %v", step.from, step.to, reported)
 		}
 	}
 }
 
 func TestStepErrorNamesMachineAndPhases(t *testing.T) {
-	err := &phase.StepError{Machine: "light", From: "green", To: "red"}
+	err := &phase.TransitionError{Machine: "light", From: "green", To: "red"}
 	if got, want := err.Error(), "light: no transition from green to red"; got != want {
 		t.Errorf("error %q, want %q", got, want)
 	}
