--- a/internal/gateway/reload_phase_test.go
+++ b/internal/gateway/reload_phase_test.go
@@ -65,5 +65,5 @@
 	}
 	r.load(config.Config{})
 	f.wantCalls(t, "applySettings", "applyReload")
-	wantIllegalTransitions(t, illegal, "reload: no step from checking to checking")
+	wantIllegalTransitions(t, illegal, "reload: no transition from checking to checking")
 }
--- a/internal/phase/phase.go
+++ b/internal/phase/phase.go
@@ -1,4 +1,4 @@
-// Package phase has state machines whose legal steps stand in one table.
+// Package phase provides state machines whose transitions are defined by a table.
 package phase
 
 import (
@@ -6,50 +6,52 @@
 	"slices"
 )
 
-// Phase is one of the phases of a state machine, usually an enumeration.
+// Phase is a state of a state machine, usually a constant of an enumeration.
 type Phase interface {
 	comparable
 	fmt.Stringer
 }
 
-// Steps lists, for each phase, those that may follow it.
-type Steps[P Phase] map[P][]P
+// Transitions lists the legal transitions: for each phase, the phases that may follow it.
+type Transitions[P Phase] map[P][]P
 
-// Machine is a state machine. It belongs to one goroutine.
+// Machine is a state machine. It is not safe for concurrent use.
 type Machine[P Phase] struct {
 	name    string
 	current P
-	legal   Steps[P]
+	legal   Transitions[P]
 	report  func(error)
 }
 
-// New returns a machine in its first phase. Report is called with a *StepError for each illegal step.
-func New[P Phase](name string, first P, legal Steps[P], report func(error)) Machine[P] {
+// New returns a machine in the phase first. The machine calls report with a *TransitionError for each illegal
+// transition.
+func New[P Phase](name string, first P, legal Transitions[P], report func(error)) Machine[P] {
 	return Machine[P]{name: name, current: first, legal: legal, report: report}
 }
 
-// Current is the phase that the machine is in.
+// Current returns the current phase.
 func (m *Machine[P]) Current() P { return m.current }
 
-// Is reports whether the machine is in one of some phases.
+// Is reports whether the current phase is one of the given phases.
 func (m *Machine[P]) Is(phases ...P) bool { return slices.Contains(phases, m.current) }
 
-// Step enters the next phase. An illegal step is reported, returns false and leaves the machine as it is.
-func (m *Machine[P]) Step(next P) bool {
+// TransitionTo makes next the current phase and returns true. If the table does not allow the transition, it
+// calls the report function, returns false and does not change the phase.
+func (m *Machine[P]) TransitionTo(next P) bool {
 	if !slices.Contains(m.legal[m.current], next) {
-		m.report(&StepError{Machine: m.name, From: m.current.String(), To: next.String()})
+		m.report(&TransitionError{Machine: m.name, From: m.current.String(), To: next.String()})
 		return false
 	}
 	m.current = next
 	return true
 }
 
-// StepError is a step that the table of a machine does not list.
-type StepError struct {
-	Machine  string // its name
-	From, To string // the phases
+// TransitionError reports a transition that the table of a machine does not allow.
+type TransitionError struct {
+	Machine  string // the name of the machine
+	From, To string // the phases of the transition
 }
 
-func (e *StepError) Error() string {
-	return fmt.Sprintf("%s: no step from %s to %s", e.Machine, e.From, e.To)
+func (e *TransitionError) Error() string {
+	return fmt.Sprintf("%s: no transition from %s to %s", e.Machine, e.From, e.To)
 }
