--- a/policy/concurrencylimit.go
+++ b/policy/concurrencylimit.go
@@ -76,8 +76,7 @@
 
 // isReached reports whether all gateways together have reached the limit, which is the given part of the
 // capacity, or this gateway alone has reached its own limit. By Little's law, the capacity follows from the
-// rate of answers on time and the allowed latency. The limit is at least the minimum capacity, whatever the
-// part.
+// rate of answers on time and the allowed latency. The limit is never below the minimum capacity.
 func (l *concurrencyLimit) isReached(
 	activeTime Time, ownInFlight, part float64, capacity backendCapacity,
 ) bool {
--- a/policy/controller_attempts.go
+++ b/policy/controller_attempts.go
@@ -62,7 +62,7 @@
 }
 
 // ConfirmSend reports whether an attempt that waited for a connection may be written now. It may if its
-// request is open, its backend is ready, the retry rule of its class allows it beside the other attempts, and
+// request is open, its backend is ready, the retry rule of its class allows it given the other attempts, and
 // the slow start of its backend, if it is in one, allows an attempt, which is then charged.
 func (c *Controller) ConfirmSend(now Time, id uint64, attemptNumber int) bool {
 	c.advanceClock(now)
--- a/policy/controller_outcomes.go
+++ b/policy/controller_outcomes.go
@@ -16,7 +16,7 @@
 	}
 	c.recordResult(attempt, request.Class, outcome)
 	if subject, isFault := request.faultOf(attempt, outcome.Result); isFault {
-		// The report goes to all gateways, as each of them sees such faults too rarely to learn alone.
+		// Other gateways get a report, as each sees such faults too rarely to learn by itself.
 		attempt.backend.faults.add(c.clock.now, subject)
 		c.gossip.addFault(faultReport{backend: attempt.backend.ID, subject: subject})
 	}
--- a/policy/requesttable.go
+++ b/policy/requesttable.go
@@ -28,7 +28,7 @@
 // remove removes a request that has ended.
 func (t *requestTable) remove(id uint64) { delete(t.byID, id) }
 
-// addAttempt adds an attempt of a request of the class. It must be the newest one of its class.
+// addAttempt appends an attempt to those of a class, which the caller keeps in the order of their send times.
 func (t *requestTable) addAttempt(class int, attempt *attempt) {
 	t.withinObjective[class] = append(t.withinObjective[class], attempt)
 }
