--- a/internal/gateway/handover_gateway.go
+++ b/internal/gateway/handover_gateway.go
@@ -8,7 +8,7 @@
 	"sparspread/policy"
 )
 
-// This file has the effects of a handover on the gateway, and the events that a successor causes.
+// This file contains the effects of a handover on the gateway, and the events that a successor causes.
 
 // handoverAdapter implements handoverGateway.
 type handoverAdapter struct{ *Gateway }
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -65,7 +65,7 @@
 	r.phase.Step(reloadNone)
 }
 
-// configLoaded has a configuration that was read for a reload.
+// configLoaded carries a configuration that was read for a reload.
 type configLoaded struct{ cfg config.Config }
 
 func (e configLoaded) Handle(g *Gateway) { g.reload.load(e.cfg) }
--- a/internal/gateway/takeover.go
+++ b/internal/gateway/takeover.go
@@ -179,8 +179,8 @@
 
 func (s successorEvents) PredecessorExited() { s.gateway.events.Post(predecessorExited{}) }
 
-// stateReceived has the state of the predecessor, which this process owns from now on. The state is nil if
-// the predecessor did not send it.
+// stateReceived carries the state of the predecessor, which this process owns from now on. The state is nil
+// if the predecessor did not send it.
 type stateReceived struct{ state *handover.State }
 
 func (e stateReceived) Handle(g *Gateway) {
