--- a/internal/gateway/endpoints_phase_test.go
+++ b/internal/gateway/endpoints_phase_test.go
@@ -74,7 +74,7 @@
 	e.importList(nil)
 	wantPhase(t, &e.phase, endpointsImported)
 	f.wantCalls(t)
-	wantIllegalTransitions(t, illegal, "endpoints: no step from imported to imported")
+	wantIllegalTransitions(t, illegal, "endpoints: no transition from imported to imported")
 }
 
 // An update with an older revision does not end a drain, unless the backend has restarted.
--- a/internal/gateway/listening_test.go
+++ b/internal/gateway/listening_test.go
@@ -76,15 +76,15 @@
 	s, illegal := newListeningWithoutSocket(t)
 	s.pause()
 	wantPhase(t, &s.phase, listeningWaiting)
-	wantIllegalTransitions(t, illegal, "listening: no step from waiting to paused")
+	wantIllegalTransitions(t, illegal, "listening: no transition from waiting to paused")
 	s.resume()
 	s.resume()
 	wantPhase(t, &s.phase, listeningAccepting)
-	wantIllegalTransitions(t, illegal, "listening: no step from accepting to accepting")
+	wantIllegalTransitions(t, illegal, "listening: no transition from accepting to accepting")
 	s.shutDown(false)
 	s.shutDown(false)
 	s.resume()
 	wantPhase(t, &s.phase, listeningDraining)
-	wantIllegalTransitions(t, illegal, "listening: no step from draining to draining",
-		"listening: no step from draining to accepting")
+	wantIllegalTransitions(t, illegal, "listening: no transition from draining to draining",
+		"listening: no transition from draining to accepting")
 }
--- a/internal/gateway/shutdown_phase_test.go
+++ b/internal/gateway/shutdown_phase_test.go
@@ -83,11 +83,11 @@
 	s, f, illegal := newFakeShutdown()
 	s.takeStep(stepStopAccepting)
 	wantPhase(t, &s.phase, shutdownNone)
-	wantIllegalTransitions(t, illegal, "shutdown: no step from none to closing")
+	wantIllegalTransitions(t, illegal, "shutdown: no transition from none to closing")
 	s.start()
 	f.calls = nil
 	s.takeStep(stepAnswerAll)
 	wantPhase(t, &s.phase, shutdownAccepting)
-	wantIllegalTransitions(t, illegal, "shutdown: no step from accepting to answered")
+	wantIllegalTransitions(t, illegal, "shutdown: no transition from accepting to answered")
 	f.wantCalls(t)
 }
--- a/internal/gateway/takeover_test.go
+++ b/internal/gateway/takeover_test.go
@@ -102,7 +102,7 @@
 	o, f := newPendingTakeover(log)
 	o.receiveState(&handover.State{}) // before it was requested
 	wantPhase(t, &o.phase, takeoverPending)
-	wantIllegalTransitions(t, illegal, "takeover: no step from pending to watching")
+	wantIllegalTransitions(t, illegal, "takeover: no transition from pending to watching")
 	o.requestState(nil)
 	o.receiveState(nil)
 	f.wantCalls(t, "Start", "startServing")
@@ -110,6 +110,6 @@
 	o.abandon()
 	wantPhase(t, &o.phase, takeoverComplete)
 	f.wantCalls(t)
-	wantIllegalTransitions(t, illegal, "takeover: no step from complete to watching",
-		"takeover: no step from complete to abandoned")
+	wantIllegalTransitions(t, illegal, "takeover: no transition from complete to watching",
+		"takeover: no transition from complete to abandoned")
 }
