--- a/cmd/gateway/configuration.go
+++ b/cmd/gateway/configuration.go
@@ -14,10 +14,10 @@
 	opsAddressVariable = "RELAY_OPS"
 )
 
-// errNoConfigPath says that the environment does not name the file.
+// errNoConfigPath reports that the environment variable with the path of the configuration file is not set.
 var errNoConfigPath = errors.New(configPathVariable + " is not set")
 
-// readConfiguration reads the configuration as its file is now.
+// readConfiguration reads the current contents of the configuration file.
 func readConfiguration() (config.Config, error) {
 	path := os.Getenv(configPathVariable)
 	if path == "" {
@@ -29,7 +29,7 @@
 	}
 	cfg, err := config.Parse(raw)
 	if address := os.Getenv(opsAddressVariable); address != "" {
-		cfg.Ops = address // processes that share one file each have an address of their own
+		cfg.Ops = address // processes that share a configuration file need different addresses
 	}
 	return cfg, err
 }
--- a/cmd/gateway/descriptors_test.go
+++ b/cmd/gateway/descriptors_test.go
@@ -11,10 +11,10 @@
 	"testing"
 )
 
-// outOfDescriptors is the system's error for a lack of descriptors.
+// outOfDescriptors is the text of the error EMFILE.
 const outOfDescriptors = "too many open files"
 
-// withDescriptorLimit has the configuration state a limit on descriptors besides another change.
+// withDescriptorLimit returns a change that sets the configured limit on descriptors and then applies change.
 func withDescriptorLimit(descriptors int, change configChange) configChange {
 	return func(fields map[string]any) {
 		fields["limits"] = map[string]any{"memory_mb": 192, "sockets": descriptors}
@@ -22,16 +22,18 @@
 	}
 }
 
-// saturatedGateway is a gateway with more idle clients than it has room for.
+// saturatedGateway is a gateway with more idle clients than its limit on descriptors allows.
 type saturatedGateway struct {
 	process        *gatewayProcess
 	idle           *idleClients
-	maxDescriptors int // that the process held at once when it was looked at
-	resent         atomic.Int64
-	rejected       atomic.Int64
+	maxDescriptors int          // largest number of open descriptors that was observed
+	resent         atomic.Int64 // number of requests that were sent a second time
+	rejected       atomic.Int64 // number of rejections that clients received
 }
 
-// newSaturatedGateway returns once the gateway has closed as many idle clients as came.
+// newSaturatedGateway starts a gateway that may open the allowed number of descriptors, with the configured
+// limit in its configuration, and connects twice the allowed number of idle clients. It returns when the
+// gateway has closed as many of their connections as there are clients.
 func newSaturatedGateway(
 	t *testing.T, host string, allowed, configured int, change configChange,
 ) *saturatedGateway {
@@ -41,19 +43,20 @@
 	}
 	count := 2 * allowed
 	g.idle = startIdleClients(t, host+clientPort, count)
-	g.process.waitFor(t, "more idle clients than there is room for", func() bool {
+	g.process.waitFor(t, "the gateway to close connections of idle clients", func() bool {
 		g.countDescriptors()
 		return g.idle.closedByServer.Load() >= int64(count)
 	})
 	return g
 }
 
-// countDescriptors looks at how many descriptors the process holds now.
+// countDescriptors updates maxDescriptors with the number of descriptors that are open now.
 func (g *saturatedGateway) countDescriptors() {
 	g.maxDescriptors = max(g.maxDescriptors, g.process.openDescriptors())
 }
 
-// requireServed has clients send a request each at once and checks that all are answered.
+// requireServed makes the given number of clients send a request each, at the same time, and checks that all
+// requests are answered by a backend.
 func (g *saturatedGateway) requireServed(t *testing.T, clients int) {
 	t.Helper()
 	var running sync.WaitGroup
@@ -71,29 +74,30 @@
 	g.countDescriptors()
 }
 
-// requireReachable checks that PING and operators are answered.
+// requireReachable checks that the gateway answers PING and the interface for operators.
 func (g *saturatedGateway) requireReachable(t *testing.T) {
 	t.Helper()
 	if !g.process.answersPing() {
-		t.Error("no answer to PING")
+		t.Error("PING was not answered")
 	}
 	for _, path := range []string{"/ops/readiness", "/ops/stats"} {
 		if status, err := g.process.getOps(path); status != 200 || err != nil {
-			t.Errorf("%s: status %d, error %v", path, status, err)
+			t.Errorf("%s: status %d, error %v, want status 200", path, status, err)
 		}
 	}
 }
 
-// requireDescriptors checks that no call of the process failed for want of a descriptor.
+// requireDescriptors checks that the process has logged no call that failed because the limit on descriptors
+// was reached.
 func (p *gatewayProcess) requireDescriptors(t *testing.T) {
 	t.Helper()
 	if n := strings.Count(p.logText(), outOfDescriptors); n > 0 {
-		t.Errorf("%d calls found no descriptor", n)
+		t.Errorf("%d calls failed because the limit on descriptors was reached, want 0", n)
 	}
 }
 
-// runSideBySide runs all cases of a test at once, as they mostly wait, and returns when they have ended. The
-// test itself does not run beside others: their processes would take the machine from it.
+// runSideBySide runs all cases of a test in parallel, because they mostly wait, and returns when they have
+// ended. The calling test must not be parallel itself: the processes of other tests would slow it down.
 func runSideBySide[Case any](t *testing.T, cases []Case, run func(t *testing.T, c Case)) {
 	t.Helper()
 	for _, c := range cases {
@@ -104,26 +108,27 @@
 	}
 }
 
-// While discovery is down idle clients take all the room there is, and as many again try to connect.
-// Everybody else is served: the gateway hears discovery when it returns and follows its list, operators and
-// other clients are answered, and no call fails for want of a descriptor.
+// While discovery is unavailable, idle clients use all descriptors for clients, and as many more keep
+// connecting. Guards against idle clients that keep the gateway from serving others or from reaching
+// discovery: other clients and operators must be answered, the gateway must apply discovery's list when it is
+// available again, and no call may fail because the limit on descriptors is reached.
 func TestIdleClientsKeepNobodyOutWhileDiscoveryIsDown(t *testing.T) {
 	cases := []idleClientsCase{{32, true}, {64, false}, {256, true}, {1024, false}}
 	runSideBySide(t, cases, saturateWithoutDiscovery)
 }
 
-// idleClientsCase is a run of a gateway with more idle clients than it has room for.
+// idleClientsCase is a case of a saturated gateway without discovery.
 type idleClientsCase struct {
 	descriptors  int
-	unresponsive bool // discovery accepts calls and does not answer; else it refuses them
+	unresponsive bool // discovery accepts connections but does not answer; otherwise it refuses them
 }
 
-// String names the case.
+// String returns the name of the case.
 func (c idleClientsCase) String() string {
 	return fmt.Sprintf("%d descriptors, unresponsive %t", c.descriptors, c.unresponsive)
 }
 
-// saturateWithoutDiscovery checks a saturated gateway before and after discovery returns.
+// saturateWithoutDiscovery checks a saturated gateway before and after discovery becomes available.
 func saturateWithoutDiscovery(t *testing.T, c idleClientsCase) {
 	t.Helper()
 	host := randomHost()
@@ -142,24 +147,24 @@
 	discovery.serve(draining.entry(1, phaseTerminating), added.entry(2, phaseReady))
 	discovery.waitForWatch()
 	before := len(draining.received)
-	for range 5 { // as many at once as the smallest limit leaves room for
+	for range 5 { // two requests at a time, which is what the smallest limit allows
 		g.requireServed(t, 2)
 	}
 	g.requireReachable(t)
 	if n := len(draining.received) - before; n > 0 || len(added.received) < 10 {
-		t.Errorf("%d requests reached the draining backend, want 0; %d the added one, want 10",
+		t.Errorf("draining backend got %d requests, want 0; added backend got %d, want at least 10",
 			n, len(added.received))
 	}
 	g.process.requireDescriptors(t)
 	if n := g.rejected.Load(); n > 0 {
-		t.Errorf("requests were rejected %d times", n)
+		t.Errorf("requests were rejected %d times, want 0", n)
 	}
-	t.Logf("at most %d of %d descriptors; %d idle clients closed; %d resent requests; %d log lines",
+	t.Logf("at most %d of %d descriptors; %d idle connections closed; %d requests resent; %d log lines",
 		g.maxDescriptors, c.descriptors, g.idle.closedByServer.Load(), g.resent.Load(),
 		strings.Count(g.process.logText(), "\n"))
 }
 
-// openConnection connects, sends a text and keeps the connection until the test ends.
+// openConnection connects to an address, sends text and keeps the connection open until the test ends.
 func openConnection(t *testing.T, network, address, text string) {
 	t.Helper()
 	conn, err := dial(network, address, waitTimeout)
@@ -170,20 +175,20 @@
 	_, _ = io.WriteString(conn, text) // the gateway may have closed it
 }
 
-// Every part of the gateway takes all that it may at once: clients, backends, operators, a caller of the
-// handover's socket, and two addresses of discovery, one of which hangs. The sum stays within the limit, and
-// the gateway can still read a new configuration.
+// Every part of the gateway opens as many descriptors as it may at the same time: clients, backends,
+// operators, a connection to the handover socket, and two addresses of discovery, one of which hangs. Their
+// sum must stay within the limit, and the gateway must still be able to read a new configuration.
 func TestAllPartsAtOnceStayWithinDescriptorLimit(t *testing.T) {
 	runSideBySide(t, []int{32, 64, 256, 1024}, useAllPartsAtOnce)
 }
 
-// useAllPartsAtOnce has every part of a gateway with a limit take all that it may.
+// useAllPartsAtOnce makes every part of a gateway with the given limit open as many descriptors as it may.
 func useAllPartsAtOnce(t *testing.T, descriptors int) {
 	t.Helper()
 	host := randomHost()
 	hanging := newBackend(t)
 	var entries []string
-	for i := range descriptors { // with many backends the concurrency limit allows many attempts at once
+	for i := range descriptors { // with many backends, the concurrency limit allows many concurrent attempts
 		entries = append(entries, hanging.entry(i+1, phaseReady))
 	}
 	newDiscoveryServer(t, host).acceptWithoutAnswer()
@@ -202,12 +207,12 @@
 	for range connectionsPerSide {
 		openConnection(t, "tcp", host+clientPort, readCommand()+readCommand())
 	}
-	p.waitFor(t, "requests on every connection to backends", counting(func() bool {
+	p.waitFor(t, "a request on every connection to backends", counting(func() bool {
 		return len(hanging.received) >= connectionsPerSide
 	}))
 	startIdleClients(t, host+clientPort, descriptors)
 	for range 24 {
-		openConnection(t, "tcp", host+opsPort, "GET /ops/st") // an incomplete call
+		openConnection(t, "tcp", host+opsPort, "GET /ops/st") // an incomplete HTTP request
 	}
 	openConnection(t, "unixpacket", p.handoverSocket(), "h") // an incomplete message
 
@@ -224,21 +229,22 @@
 			return strings.Count(p.logText(), "msg=reload") == reloads+1
 		}))
 		if address == hangingAddress {
-			p.waitFor(t, "a dial that hangs", counting(hangingDiscovery.isDialed))
+			p.waitFor(t, "a hanging dial to discovery", counting(hangingDiscovery.isDialed))
 		}
 	}
 	hanging.startAnswering()
 	if !p.answersPing() {
-		t.Error("no answer to PING")
+		t.Error("PING was not answered")
 	}
 	if status, err := p.getOps("/ops/readiness"); status != 200 || err != nil {
-		t.Errorf("readiness: status %d, error %v", status, err)
+		t.Errorf("readiness: status %d, error %v, want status 200", status, err)
 	}
 	p.requireDescriptors(t)
 	t.Logf("at most %d of %d descriptors", maxDescriptors, descriptors)
 }
 
-// A process that may open fewer descriptors than its configuration states serves with those, and logs it.
+// If the process may open fewer descriptors than configured, the gateway logs that and serves with the lower
+// limit.
 func TestLowerLimitOfTheProcessIsServed(t *testing.T) {
 	b := newBackend(t)
 	b.startAnswering()
@@ -247,23 +253,23 @@
 		t.Error(outcome)
 	}
 	if n := strings.Count(g.process.logText(), "fewer descriptors than configured"); n != 1 {
-		t.Errorf("%d lines report the lower limit, want 1", n)
+		t.Errorf("%d log lines report the lower limit, want 1", n)
 	}
 	g.process.requireDescriptors(t)
 }
 
-// A process that may open too few descriptors exits at its start, with one message.
+// If the process may open too few descriptors, the gateway writes one message and exits with code 1.
 func TestTooLowLimitOfTheProcessIsAnError(t *testing.T) {
 	for _, descriptors := range []int{6, 31} {
 		p := startGateway(t, randomHost(), descriptors, nil)
 		<-p.exited
 		var exit *exec.ExitError
 		if !errors.As(p.exitError, &exit) || exit.ExitCode() != 1 {
-			t.Errorf("%d descriptors: ended with %v, want exit code 1", descriptors, p.exitError)
+			t.Errorf("%d descriptors: exited with error %v, want exit code 1", descriptors, p.exitError)
 		}
 		log := p.logText()
 		if strings.Count(log, "\n") != 1 || !strings.Contains(log, "at least 32 wanted") {
-			t.Errorf("%d descriptors: logged %q, want one line that names the least limit", descriptors, log)
+			t.Errorf("%d descriptors: logged %q, want one line with the minimum limit", descriptors, log)
 		}
 	}
 }
--- a/cmd/gateway/fleet_backends_test.go
+++ b/cmd/gateway/fleet_backends_test.go
@@ -10,76 +10,77 @@
 	"sparspread/internal/resp"
 )
 
-// backendMode is how a fleetBackend treats the commands and connections that reach it.
+// backendMode determines how a fleetBackend handles commands and connections.
 type backendMode int
 
-// The modes.
+// The modes of a fleetBackend.
 const (
-	backendServes      backendMode = iota
-	backendFails                   // answers each command with an error at once
-	backendRejects                 // answers each command with BUSY at once
-	backendHangs                   // reads commands and answers none
-	backendRefuses                 // is not there: its connections are reset, new ones are refused
-	backendUnreachable             // its connections are reset, new ones do not come up
+	backendServes      backendMode = iota // answers each command after its service time
+	backendFails                          // answers each command with an error immediately
+	backendRejects                        // answers each command with BUSY immediately
+	backendHangs                          // reads commands but does not answer them
+	backendRefuses                        // resets its connections and refuses new ones
+	backendUnreachable                    // resets its connections; dials hang
 )
 
-// What a fleetBackend serves when it is warm.
+// The capacity of a warm fleetBackend.
 const (
 	fleetBackendCores = 2
 	fleetServiceTime  = 20 * time.Millisecond
-	fleetCapacity     = float64(fleetBackendCores) / 0.020 // commands a second
-	fleetBackendQueue = 40                                 // commands that may wait; more are rejected
+	fleetCapacity     = float64(fleetBackendCores) / 0.020 // in commands per second
+	fleetBackendQueue = 40                                 // waiting commands at which others are rejected
 )
 
-// minBackendArgs is how many values a command for a backend has at least; the third is the request's ID.
+// minBackendArgs is the minimum number of arguments of a command for a backend. The third is the request ID.
 const minBackendArgs = 4
 
-// Answers of a fleetBackend.
+// The answers of a fleetBackend.
 const (
 	servedAnswer   = "*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n"
 	failedAnswer   = "-ERR failed\r\n"
 	rejectedAnswer = "-BUSY\r\n"
 )
 
-// arrival is a command that reached a backend.
+// arrival describes a command that a backend has received.
 type arrival struct {
 	at      time.Time // when its last byte was read
-	gateway string    // the part of the request's ID that names the gateway
+	gateway string    // the part of the request ID that names the gateway
 }
 
-// fleetBackend is a stand-in for a backend that many gateways share. It starts with a part of its capacity
-// and keeps what it received. It is safe for concurrent use.
+// fleetBackend is a fake backend that several gateways share. After a restart it has a fraction of its
+// capacity, which grows as slow describes. It records the commands that it receives. It is safe for
+// concurrent use.
 type fleetBackend struct {
 	tb      testing.TB
 	number  int
 	address string
 	slow    slowStart
-	cores   chan struct{} // a place for each command in service
+	cores   chan struct{} // semaphore of the commands in service
 
-	mu        sync.Mutex // guards all below
+	mu        sync.Mutex // guards the fields below
 	mode      backendMode
-	listener  *net.TCPListener // nil: refuses
-	hanging   *hangingListener // while it is unreachable
+	listener  *net.TCPListener // nil if connections are refused or dials hang
+	hanging   *hangingListener // nil unless dials hang
 	conns     map[*net.TCPConn]struct{}
-	startedAt time.Time // zero: long ago
-	waiting   int       // commands without a core
-	arrivals  []arrival
+	startedAt time.Time // time of the last restart; zero if the backend was never restarted and so is warm
+	waiting   int       // number of commands that wait for a core
+	arrivals  []arrival // since the last restart
 }
 
-// slowStart is what the settings say of a backend that has started.
+// slowStart describes how the capacity of a backend grows after its start, and which load overloads it.
 type slowStart struct {
-	floor          float64       // the part of its capacity that it has at its start
-	duration       time.Duration // until it has all of it
-	overloadFactor float64       // the load, in capacities, that it falls at
-	window         time.Duration // over which that is counted
+	floor          float64       // fraction of the capacity that is available at the start
+	duration       time.Duration // time from the start until the whole capacity is available
+	overloadFactor float64       // load, as a multiple of the available capacity, that overloads the backend
+	window         time.Duration // period in which the load is counted
 }
 
-// share is the part of its capacity that a backend of an age has.
+// share returns the fraction of its capacity that a backend has at the given age.
 func (s slowStart) share(age time.Duration) float64 {
 	return min(1, s.floor+(1-s.floor)*age.Seconds()/s.duration.Seconds())
 }
 
-// newFleetBackend starts a warm backend that ends with the test.
+// newFleetBackend starts a warm backend that is closed when the test ends.
 func newFleetBackend(tb testing.TB, number int, slow slowStart) *fleetBackend {
 	tb.Helper()
 	b := &fleetBackend{
@@ -91,7 +92,7 @@
 	return b
 }
 
-// setMode has the backend behave in another way from now on.
+// setMode changes how the backend handles commands and connections.
 func (b *fleetBackend) setMode(mode backendMode) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -118,13 +119,13 @@
 		b.hanging = nil
 	}
 	for conn := range b.conns {
-		_ = conn.SetLinger(0) // it is closed in any case
+		_ = conn.SetLinger(0) // makes Close reset the connection
 		_ = conn.Close()
 	}
 	clear(b.conns)
 }
 
-// listen accepts connections at the backend's address. The caller holds the lock.
+// listen starts to accept connections at the backend's address. The caller holds the lock.
 func (b *fleetBackend) listen() {
 	if b.hanging != nil {
 		b.hanging.close()
@@ -143,18 +144,19 @@
 			b.conns[conn] = struct{}{}
 			go b.serve(conn)
 		} else {
-			_ = conn.Close() // it came while the listener was being closed
+			_ = conn.Close() // accepted while the listener was being closed
 		}
 	})
 }
 
-// restart begins a new life of the backend: its connections end, and it has the least of its capacity.
+// restart resets the backend's connections and starts its slow start, in which it serves.
 func (b *fleetBackend) restart() {
 	b.restartUnreachable()
 	b.setMode(backendServes)
 }
 
-// restartUnreachable does the same, but no connection comes up until the mode is set.
+// restartUnreachable resets the backend's connections and starts its slow start. Dials hang until the mode is
+// changed.
 func (b *fleetBackend) restartUnreachable() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -185,7 +187,8 @@
 	}
 }
 
-// handle records a command and returns its answer once it is due; empty: none.
+// handle records a command and returns its answer after the service time. The answer is empty if the backend
+// does not answer.
 func (b *fleetBackend) handle(a arrival) string {
 	b.mu.Lock()
 	b.arrivals = append(b.arrivals, a)
@@ -218,7 +221,7 @@
 	return servedAnswer
 }
 
-// receivedCount is how many commands have reached the backend since its start.
+// receivedCount returns the number of commands that the backend has received since its last restart.
 func (b *fleetBackend) receivedCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/cmd/gateway/fleet_catalog_test.go
+++ b/cmd/gateway/fleet_catalog_test.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// fleetCatalog is a discovery service that all gateways of a fleet watch. It is safe for concurrent use.
+// fleetCatalog is a fake discovery service that all gateways of a fleet watch. It is safe for concurrent use.
 type fleetCatalog struct {
-	mu       sync.Mutex // guards all below
+	mu       sync.Mutex // guards the fields below
 	revision int
 	entries  []string
-	changed  chan struct{} // closed by the next change
+	changed  chan struct{} // closed by the next update
 }
 
-// update makes a list known.
+// update publishes a list of endpoints as a new revision.
 func (c *fleetCatalog) update(entries []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -27,23 +27,23 @@
 	c.changed = make(chan struct{})
 }
 
-// ServeHTTP answers with the complete list, a watch once there is a newer one than it knows or it has waited
-// for as long as it asked.
+// ServeHTTP answers with the complete list. A watch, which is a call with an index, is answered when the
+// revision exceeds the index or when the requested wait time has passed.
 func (c *fleetCatalog) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	index, err := strconv.Atoi(r.URL.Query().Get("index"))
-	wait, _ := strconv.Atoi(r.URL.Query().Get("wait")) // 0: it does not wait
+	wait, _ := strconv.Atoi(r.URL.Query().Get("wait")) // in milliseconds; zero if absent
 	waited := time.After(time.Duration(wait) * time.Millisecond)
 	for {
 		c.mu.Lock()
 		body, changed, newer := endpointList(c.revision, c.entries), c.changed, c.revision > index
 		c.mu.Unlock()
 		if err != nil || newer {
-			_, _ = w.Write(body) // the caller may have gone
+			_, _ = w.Write(body) // fails if the caller has closed the connection
 			return
 		}
 		select {
 		case <-waited:
-			index = -1 // whatever there is
+			index = -1 // answer with the current list
 		case <-changed:
 		case <-r.Context().Done():
 			return
--- a/cmd/gateway/fleet_clients_test.go
+++ b/cmd/gateway/fleet_clients_test.go
@@ -16,14 +16,15 @@
 	"sparspread/internal/resp"
 )
 
-// fleetGatewayDigits is how many digits of a request's ID name the gateway that it was sent to.
+// fleetGatewayDigits is the number of leading digits of a request ID that name the gateway to which the
+// request was sent.
 const fleetGatewayDigits = 4
 
-// fleetAnswers counts how the clients' requests ended.
+// fleetAnswers counts the requests of the clients by outcome.
 type fleetAnswers struct{ served, rejected, failed, lost atomic.Int64 }
 
-// load has clients send requests, spread over the gateways, at a rate in capacities of all backends. It goes
-// on until the test ends.
+// load starts clients that send requests, evenly distributed over the gateways, until stopLoad is called or
+// the test ends. Their rate is given as a multiple of the total capacity of all backends.
 func (f *fleet) load(capacities float64) {
 	rate := capacities * fleetCapacity * float64(len(f.backends)) / float64(len(f.hosts))
 	for i := range f.hosts {
@@ -32,7 +33,7 @@
 	f.tb.Cleanup(f.stopLoad)
 }
 
-// stopLoad ends the clients. It does nothing the second time.
+// stopLoad stops the clients and waits until they have ended. It may be called more than once.
 func (f *fleet) stopLoad() {
 	select {
 	case <-f.stop:
@@ -42,7 +43,8 @@
 	f.clients.Wait()
 }
 
-// runClients sends requests to a gateway at random moments, whether or not earlier ones have ended.
+// runClients sends requests to a gateway at random times with the given rate per second, independent of
+// whether earlier requests have ended.
 func (f *fleet) runClients(gateway int, rate float64) {
 	pool := make(chan net.Conn, 1024)
 	var running sync.WaitGroup
@@ -61,11 +63,11 @@
 	}
 }
 
-// clientTimeout is how long the clients of a fleet wait for an answer.
+// clientTimeout is the deadline of the requests of a fleet's clients.
 const clientTimeout = 2 * time.Second
 
-// request sends one request on a free connection, or a new one, and counts how it ended. Where a free one
-// had been closed, the request is sent once more.
+// request sends one request on a pooled connection, or on a new one, and counts its outcome. If the pooled
+// connection turns out to be closed, the request is sent again on a new one.
 func (f *fleet) request(gateway, sequence int, pool chan net.Conn) {
 	var conn net.Conn
 	var line string
@@ -93,7 +95,7 @@
 	}
 }
 
-// countError counts a request by the error line that answered it.
+// countError counts a request that was answered with an error.
 func (a *fleetAnswers) countError(line string) {
 	if strings.HasPrefix(line, "-BUSY") {
 		a.rejected.Add(1)
@@ -102,7 +104,7 @@
 	}
 }
 
-// command is a client's command. Its request ID names the gateway.
+// command returns the command of a request. Its request ID names the gateway.
 func (f *fleet) command(gateway, sequence int) []byte {
 	name := "API.READ"
 	if f.settings.runOnce {
@@ -118,7 +120,8 @@
 	return command
 }
 
-// roundTrip sends a command and returns the first line of its reply, once all of the reply has come.
+// roundTrip sends a command, reads the whole reply and returns its first line. It closes the connection if
+// that fails.
 func roundTrip(conn net.Conn, command []byte) (string, error) {
 	_ = conn.SetDeadline(time.Now().Add(clientTimeout + time.Second))
 	if _, err := conn.Write(command); err != nil {
@@ -130,7 +133,7 @@
 		_, err = in.ReadString('\n')
 	}
 	if err != nil {
-		_ = conn.Close() // it is of no more use
+		_ = conn.Close()
 	}
 	return line, err
 }
--- a/cmd/gateway/fleet_test.go
+++ b/cmd/gateway/fleet_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// fleet is a number of gateways in processes of their own, with the backends, the discovery service and the
-// clients that they share.
+// fleet is a group of gateway processes with the backends, the discovery service and the clients that they
+// share.
 type fleet struct {
 	tb       testing.TB
 	settings fleetSettings
@@ -22,26 +22,27 @@
 	hosts    []string
 	gateways []*gatewayProcess
 	backends []*fleetBackend
-	// clockStep is how far discovery's wall clock is ahead of that which the gateways read at their start.
+	// clockStep is the difference between discovery's wall clock and that of the gateways. It is positive if
+	// discovery's clock is ahead.
 	clockStep time.Duration
-	known     json.RawMessage // the list that gateways have at their start; nil: none
-	removed   map[int]bool    // backends that discovery lists no more
+	known     json.RawMessage // last known list in the gateways' configuration; nil if there is none
+	removed   map[int]bool    // indexes of the backends that discovery does not list
 	answers   fleetAnswers
-	stop      chan struct{} // closed when the clients are to end
+	stop      chan struct{} // closed to stop the clients
 	clients   sync.WaitGroup
 }
 
-// fleetSettings are what differs between deployments.
+// fleetSettings are the parameters of a fleet.
 type fleetSettings struct {
 	gateways    int
 	backends    int
-	load        float64 // in capacities of all backends
+	load        float64 // as a multiple of the total capacity of all backends
 	slow        slowStart
 	dialTimeout time.Duration
-	runOnce     bool // no request may run twice
+	runOnce     bool // no request may be executed more than once
 }
 
-// startFleet starts a fleet whose backends are all warm, and waits until its gateways serve.
+// startFleet starts a fleet whose backends are all warm, and waits until its gateways answer.
 func startFleet(tb testing.TB, settings fleetSettings) *fleet {
 	tb.Helper()
 	f := &fleet{
@@ -51,7 +52,7 @@
 	listener := listenUntilEnd(tb, "127.0.0.1:0")
 	f.address = listener.Addr().String()
 	server := &http.Server{Handler: f.catalog}
-	go func() { _ = server.Serve(listener) }() // until closed
+	go func() { _ = server.Serve(listener) }() // returns when the server is closed
 	tb.Cleanup(func() { _ = server.Close() })
 	for i := range settings.backends {
 		f.backends = append(f.backends, newFleetBackend(tb, i+1, settings.slow))
@@ -64,18 +65,18 @@
 		f.gateways = append(f.gateways, f.startGateway(i))
 	}
 	for _, p := range f.gateways {
-		p.waitFor(tb, "the gateway", p.answersPing)
+		p.waitFor(tb, "an answer to PING", p.answersPing)
 	}
 	return f
 }
 
-// startGateway starts a process of the gateway of a number.
+// startGateway starts a process of the gateway with the given number.
 func (f *fleet) startGateway(number int) *gatewayProcess {
 	f.tb.Helper()
 	return startGateway(f.tb, f.hosts[number], 1024, f.gatewayConfig(number))
 }
 
-// gatewayConfig is the configuration of the gateway of a number.
+// gatewayConfig returns the configuration of the gateway with the given number.
 func (f *fleet) gatewayConfig(number int) configChange {
 	return func(fields map[string]any) {
 		var peers []string
@@ -109,24 +110,24 @@
 	}
 }
 
-// as returns a value of decoded JSON as a T, which it has to be.
+// as returns a value of decoded JSON as a T. It ends the test if the value has another type.
 func as[T any](tb testing.TB, value any) T {
 	tb.Helper()
 	typed, ok := value.(T)
 	if !ok {
-		tb.Fatalf("got a %T, want a %T", value, typed)
+		tb.Fatalf("value of type %T, want %T", value, typed)
 	}
 	return typed
 }
 
-// keepList has gateways that start from now on know the list as it is now.
+// keepList puts the current list into the configuration of gateways that are started later.
 func (f *fleet) keepList() {
 	f.catalog.mu.Lock()
 	defer f.catalog.mu.Unlock()
 	f.known = endpointList(f.catalog.revision, f.catalog.entries)
 }
 
-// publish has discovery list the backends as they are.
+// publish publishes the backends, except the removed ones, as the new list of discovery.
 func (f *fleet) publish() {
 	var entries []string
 	for i, b := range f.backends {
@@ -147,13 +148,13 @@
 	f.catalog.update(entries)
 }
 
-// starting are the backends that start amid the run.
+// starting returns the backends that are restarted during the run.
 func (f *fleet) starting() []*fleetBackend { return f.backends[:startingBackends] }
 
-// warm are the backends that are warm all the time.
+// warm returns the backends that are not restarted.
 func (f *fleet) warm() []*fleetBackend { return f.backends[startingBackends:] }
 
-// restartBackends replaces the processes of the starting backends at once, and discovery tells of it.
+// restartBackends restarts the starting backends and publishes their new start times.
 func (f *fleet) restartBackends() {
 	for _, b := range f.starting() {
 		b.restart()
@@ -161,7 +162,8 @@
 	f.publish()
 }
 
-// replaceBackends does the same as in a release: discovery lists them no more for a while before.
+// replaceBackends restarts the starting backends as a deployment does: before the restart, discovery removes
+// them from its list, and then they refuse connections.
 func (f *fleet) replaceBackends() {
 	const gap = 700 * time.Millisecond
 	for i := range f.starting() {
@@ -175,7 +177,7 @@
 	f.restartBackends()
 }
 
-// replaceGateways kills all gateways and starts them again, with no state.
+// replaceGateways kills all gateways and starts them again without their state.
 func (f *fleet) replaceGateways() {
 	f.tb.Helper()
 	for i, p := range f.gateways {
@@ -184,11 +186,11 @@
 		f.gateways[i] = f.startGateway(i)
 	}
 	for _, p := range f.gateways {
-		p.waitFor(f.tb, "the gateway", p.answersPing)
+		p.waitFor(f.tb, "an answer to PING", p.answersPing)
 	}
 }
 
-// upgradeGateways starts a second process of each gateway, which takes over, and ends the first.
+// upgradeGateways starts a successor of each gateway and shuts the predecessor down after the takeover.
 func (f *fleet) upgradeGateways() {
 	f.tb.Helper()
 	for i, p := range f.gateways {
@@ -196,7 +198,7 @@
 	}
 }
 
-// setModes has backends behave in another way.
+// setModes changes the mode of the given backends.
 func (f *fleet) setModes(backends []*fleetBackend, mode backendMode) {
 	for _, b := range backends {
 		b.setMode(mode)
@@ -213,7 +215,7 @@
 	}
 }
 
-// countLogged counts how often the logs of the gateways' processes say something.
+// countLogged returns the number of occurrences of a text in the logs of the current gateway processes.
 func (f *fleet) countLogged(text string) int {
 	count := 0
 	for _, p := range f.gateways {
@@ -222,5 +224,6 @@
 	return count
 }
 
-// runFor lets the fleet work for a time. Nothing is waited for: load and slow start are rates.
+// runFor keeps the fleet running for a period. The period can't be replaced by waiting for an event, because
+// load and slow start are rates.
 func (f *fleet) runFor(period time.Duration) { time.Sleep(period) }
--- a/cmd/gateway/hanging_test.go
+++ b/cmd/gateway/hanging_test.go
@@ -16,15 +16,15 @@
 	"sparspread/internal/porttest"
 )
 
-// hangingListener is a listener to which no packet gets through: a dial to its address neither succeeds nor
-// fails, since the kernel repeats it until the listener is closed.
+// hangingListener is a listener that drops all packets. A dial to its address neither succeeds nor fails
+// until the listener is closed, because the kernel keeps retransmitting the SYN packet.
 type hangingListener struct {
 	address netip.AddrPort
 	socket  int
 }
 
-// listenHanging returns a listener at an IPv4 address, "IP:PORT", that the caller closes. It ends the test
-// where it can't listen there.
+// listenHanging returns a listener at an IPv4 address of the form "IP:PORT". The caller closes it. The test
+// fails if it can't listen at the address.
 func listenHanging(tb testing.TB, address string) *hangingListener {
 	tb.Helper()
 	addressAndPort, err := netip.ParseAddrPort(address)
@@ -36,8 +36,8 @@
 		tb.Fatal(err)
 	}
 	ip, port := addressAndPort.Addr().As4(), int(addressAndPort.Port())
-	// The filter, which accepts 0 bytes of each packet, is there before the socket listens: no dial gets
-	// ahead.
+	// The filter truncates each packet to 0 bytes, which drops it. It is attached before the socket listens,
+	// so that no dial can succeed.
 	dropAll := unix.SockFprog{Len: 1, Filter: &unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: 0}}
 	err = errors.Join(
 		unix.SetsockoptSockFprog(socket, unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, &dropAll),
@@ -51,8 +51,8 @@
 	return &hangingListener{address: addressAndPort, socket: socket}
 }
 
-// isDialed reports whether a dial hangs there: the kernel's table then has a connection to the address in the
-// state SYN_SENT, which is 02.
+// isDialed reports whether a dial to the listener hangs: the kernel's table then has a connection to its
+// address in the state SYN_SENT, which is written as 02.
 func (h *hangingListener) isDialed() bool {
 	ip := h.address.Addr().As4()
 	entry := fmt.Sprintf(" %02X%02X%02X%02X:%04X 02 ", ip[3], ip[2], ip[1], ip[0], h.address.Port())
@@ -60,11 +60,11 @@
 	return err == nil && bytes.Contains(table, []byte(entry))
 }
 
-// close ends the listener. Dials that hang are refused when the kernel repeats them.
+// close closes the listener. Hanging dials are refused when the kernel retransmits their SYN packets.
 func (h *hangingListener) close() { _ = unix.Close(h.socket) }
 
-// The tests of slow start and of discovery rely on it: a dial neither succeeds nor fails until the listener
-// is closed, not even the first one.
+// The tests of slow start and of discovery rely on this: no dial, not even the first, succeeds or fails
+// before the listener is closed.
 func TestDialToHangingListenerHangsUntilItIsClosed(t *testing.T) {
 	listener := listenHanging(t, porttest.Reserve(t))
 	dialed := make(chan error, 1)
@@ -80,9 +80,9 @@
 	for !listener.isDialed() {
 		select {
 		case err := <-dialed:
-			t.Fatalf("the dial ended with error %v while the listener was open", err)
+			t.Fatalf("dial returned error %v while the listener was open", err)
 		case <-ctx.Done():
-			t.Fatal("timed out waiting for the dial")
+			t.Fatal("timed out waiting for the dial to hang")
 		case <-time.After(time.Millisecond):
 		}
 	}
@@ -90,9 +90,9 @@
 	select {
 	case err := <-dialed:
 		if !errors.Is(err, syscall.ECONNREFUSED) {
-			t.Errorf("after the listener was closed: error %v, want %v", err, syscall.ECONNREFUSED)
+			t.Errorf("dial after the listener was closed: error %v, want %v", err, syscall.ECONNREFUSED)
 		}
 	case <-ctx.Done():
-		t.Error("timed out waiting for the end of the dial")
+		t.Error("timed out waiting for the dial to return")
 	}
 }
--- a/cmd/gateway/idleclients_test.go
+++ b/cmd/gateway/idleclients_test.go
@@ -9,14 +9,15 @@
 	"time"
 )
 
-// idleClients are clients that connect and send nothing. Each that the gateway closes connects again.
+// idleClients are clients that connect and send nothing. They connect again if the gateway closes their
+// connection.
 type idleClients struct {
 	address        string
 	closedByServer atomic.Int64
 	stop           chan struct{}
 }
 
-// startIdleClients starts clients that end with the test.
+// startIdleClients starts the given number of idle clients, which are stopped when the test ends.
 func startIdleClients(tb testing.TB, address string, count int) *idleClients {
 	tb.Helper()
 	c := &idleClients{address: address, stop: make(chan struct{})}
@@ -31,7 +32,7 @@
 	return c
 }
 
-// run connects again and again until the clients are stopped.
+// run runs one client until the clients are stopped.
 func (c *idleClients) run() {
 	for {
 		conn, err := dial("tcp", c.address, waitTimeout)
@@ -44,17 +45,17 @@
 		default:
 		}
 		if err != nil {
-			time.Sleep(time.Millisecond) // the gateway does not listen yet
+			time.Sleep(time.Millisecond) // the gateway may not listen yet
 		}
 	}
 }
 
-// hold keeps a connection until the gateway closes it or the clients are stopped.
+// hold keeps a connection open until the gateway closes it or the clients are stopped.
 func (c *idleClients) hold(conn net.Conn) {
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		_, _ = io.Copy(io.Discard, conn) // however it ends
+		_, _ = io.Copy(io.Discard, conn) // returns when either side closes the connection
 		c.closedByServer.Add(1)
 	}()
 	select {
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -1,9 +1,9 @@
-// Command gateway keeps each customer of a shared back end to its plan.
+// Command gateway forwards the requests of customers to shared backends and enforces each customer's plan.
 //
-// It reads its configuration from the file that RELAY_CONFIG names; RELAY_OPS, where set, replaces the
-// configuration's address for operators. SIGTERM and SIGINT shut it down gracefully, SIGHUP has it read the
-// configuration again. It exits with 0 after a graceful shutdown, and with 1 and one message to standard
-// error where it cannot start.
+// It reads its configuration from the file that the environment variable RELAY_CONFIG names. If RELAY_OPS is
+// set, it replaces the configuration's address for operators. SIGTERM and SIGINT shut the gateway down
+// gracefully, and SIGHUP reloads the configuration. The exit code is 0 after a graceful shutdown. If the
+// gateway cannot start, it writes one message to standard error and exits with 1.
 package main
 
 import (
@@ -17,8 +17,8 @@
 	"sparspread/internal/gateway"
 )
 
-// gcPercent is higher than the default: the heap is small, so collecting it less often costs little memory
-// and saves CPU time.
+// gcPercent is higher than the default of 100: the heap is small, so less frequent garbage collections cost
+// little memory and save CPU time.
 const gcPercent = 400
 
 func main() {
@@ -28,12 +28,13 @@
 	}
 }
 
-// run reads the configuration and serves until a shutdown. It returns an error if the gateway cannot start.
+// run reads the configuration and runs the gateway until it is shut down. It returns an error if the gateway
+// cannot start.
 func run() error {
-	// First of all: a signal that arrives early must not end the program.
+	// The signal handlers are installed first, so that an early signal does not end the process.
 	control := handleSignals()
-	// Before any file is opened: with too few descriptors the runtime itself would fail, with a message that
-	// explains less.
+	// The limit is checked before any file is opened: with too few descriptors the Go runtime itself would
+	// fail, with a less helpful message.
 	descriptorLimit, err := descriptors.ProcessLimit()
 	if err != nil {
 		return err
@@ -43,7 +44,7 @@
 		return err
 	}
 	cfg.DescriptorLimit = descriptorLimit
-	runtime.GOMAXPROCS(1) // the platform grants one core
+	runtime.GOMAXPROCS(1) // the platform provides one core
 	debug.SetGCPercent(gcPercent)
 
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil)).With("gateway", cfg.Name)
--- a/cmd/gateway/main_test.go
+++ b/cmd/gateway/main_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// SIGHUP would end a program that does not handle it.
+// Guards against a gateway that does not handle SIGHUP: the signal would end the process.
 func TestHangUpSignalAsksForReload(t *testing.T) {
 	control := handleSignals()
 	for range 2 {
@@ -19,7 +19,7 @@
 		select {
 		case <-control.Reload:
 		case <-time.After(waitTimeout):
-			t.Fatal("no reload")
+			t.Fatal("timed out waiting for the request to reload")
 		}
 	}
 }
@@ -31,7 +31,7 @@
 		"request-classes":[{"name":"c","promise-us":1}],"tariffs":[{"name":"t"}]},"discovery":`
 	for _, c := range []struct {
 		text          string
-		wantDiscovery string // empty: an error
+		wantDiscovery string // empty if an error is expected
 	}{
 		{head + `"127.0.0.1:1"}`, "127.0.0.1:1"},
 		{head + `"127.0.0.1:2"}`, "127.0.0.1:2"},
@@ -62,7 +62,8 @@
 	}
 	t.Setenv(configPathVariable, path)
 	t.Setenv(opsAddressVariable, "127.0.0.1:2")
-	if cfg, _ := readConfiguration(); cfg.Ops != "127.0.0.1:2" { // the rest of the file is missing
+	// The error is ignored: required settings are missing in the file.
+	if cfg, _ := readConfiguration(); cfg.Ops != "127.0.0.1:2" {
 		t.Errorf("address for operators %q, want that of %s", cfg.Ops, opsAddressVariable)
 	}
 }
--- a/cmd/gateway/network_test.go
+++ b/cmd/gateway/network_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// dial connects within a time. It is not bound to the test's context, which ends before the clients of a
-// fleet do.
+// dial connects to an address within a timeout. It does not use the test's context, because that is cancelled
+// before the clients of a fleet are stopped.
 func dial(network, address string, timeout time.Duration) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: timeout}
 	return dialer.DialContext(context.Background(), network, address)
 }
 
-// listenTCP listens at an address until the caller closes the listener.
+// listenTCP returns a listener at an address of the form "IP:PORT". The caller closes it.
 func listenTCP(address string) (*net.TCPListener, error) {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -24,7 +24,7 @@
 	return net.ListenTCP("tcp", net.TCPAddrFromAddrPort(parsed))
 }
 
-// listenUntilEnd listens at an address until the test ends.
+// listenUntilEnd returns a listener at an address, which is closed when the test ends.
 func listenUntilEnd(tb testing.TB, address string) *net.TCPListener {
 	tb.Helper()
 	listener, err := listenTCP(address)
@@ -35,7 +35,7 @@
 	return listener
 }
 
-// acceptEach passes each connection to a function until the listener is closed.
+// acceptEach calls handle for each accepted connection until the listener is closed.
 func acceptEach(listener *net.TCPListener, handle func(conn *net.TCPConn)) {
 	for {
 		conn, err := listener.AcceptTCP()
--- a/cmd/gateway/process_test.go
+++ b/cmd/gateway/process_test.go
@@ -23,16 +23,16 @@
 )
 
 const (
-	// waitTimeout bounds every wait for an event; no test asserts how fast one is.
+	// waitTimeout is the time limit of each wait for an event. No test checks how fast an event is.
 	waitTimeout = 30 * time.Second
-	// testProcessVariable has the test's own program run as a gateway.
+	// testProcessVariable is the environment variable that makes the test binary run as a gateway.
 	testProcessVariable = "SPARSPREAD_TEST_PROCESS"
 
 	pingCommand = "*1\r\n$4\r\nPING\r\n"
 	pongReply   = "+PONG\r\n"
 )
 
-// The ports of a gateway and of its discovery at their loopback address.
+// The ports of a gateway and of its discovery at the gateway's loopback address.
 const (
 	clientPort    = ":6379"
 	opsPort       = ":6380"
@@ -40,7 +40,7 @@
 	discoveryPort = ":8500"
 )
 
-// TestMain runs the gateway in place of the tests in processes that startGateway has started.
+// TestMain runs the gateway instead of the tests in processes that startGateway has started.
 func TestMain(m *testing.M) {
 	if os.Getenv(testProcessVariable) != "" {
 		main()
@@ -49,12 +49,12 @@
 	os.Exit(m.Run())
 }
 
-// randomHost returns a loopback address of a test's own: two tests hardly ever draw the same one.
+// randomHost returns a random loopback address for a test. Two tests are unlikely to get the same address.
 func randomHost() string {
 	return fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(250), rand.IntN(250), 1+rand.IntN(250))
 }
 
-// settingsText are the settings of a tier of one gateway.
+// settingsText contains the settings of the only gateway of a tier.
 const settingsText = `{"self-index":0,"balancers":1,"az":0,"granularity-us":4000,"localities":["a"],
  "ceilings":{"peers":true,"probes":false,"second-copies":true,"retry-after":true,"max-attempts":3,
   "max-retry-after-us":2000000,"max-open":20000,"dial-timeout-us":250000,"idle-close-us":30000000},
@@ -65,23 +65,23 @@
   "window-us":0,"worth":1}],
  "tariffs":[{"name":"team","rate":10000,"burst":10000,"value-factor":1}]}`
 
-// configChange changes the configuration of a gateway before it is written.
+// configChange changes the fields of a gateway's configuration before it is written.
 type configChange func(fields map[string]any)
 
-// gatewayProcess is a gateway that runs as a process of its own.
+// gatewayProcess is a gateway that runs in its own process.
 type gatewayProcess struct {
-	host       string // its loopback address
-	opsHost    string // that of its interface for operators; empty: the same
+	host       string // loopback address of the gateway
+	opsHost    string // loopback address of the interface for operators; if empty, host is used
 	command    *exec.Cmd
 	configPath string
-	exited     chan struct{} // closed when the process has ended
+	exited     chan struct{} // closed when the process has exited
 	exitError  error         // set before exited is closed
 
 	mu  sync.Mutex // guards log
 	log bytes.Buffer
 }
 
-// startGateway starts a gateway that may open the given number of descriptors.
+// startGateway starts a gateway that may open the given number of descriptors. change may be nil.
 func startGateway(tb testing.TB, host string, descriptors int, change configChange) *gatewayProcess {
 	tb.Helper()
 	dir, err := makeShortDir()
@@ -97,12 +97,12 @@
 	return p
 }
 
-// makeShortDir makes a directory with a short path, unlike testing.T.TempDir: that of a Unix socket in it is
-// limited.
+// makeShortDir creates a temporary directory. Its path is shorter than that of testing.T.TempDir, because the
+// length of a Unix socket's path is limited.
 func makeShortDir() (string, error) { return os.MkdirTemp("", "m") }
 
-// startSuccessor starts a second process of a gateway beside the first, waits until it has taken over, and
-// has the first one shut down.
+// startSuccessor starts a successor of a gateway process, waits until it has taken over and shuts the first
+// process down.
 func startSuccessor(tb testing.TB, first *gatewayProcess, change configChange) *gatewayProcess {
 	tb.Helper()
 	p := &gatewayProcess{
@@ -114,7 +114,7 @@
 		fields["ops"] = p.opsHost + opsPort
 	})
 	p.start(tb, 1024)
-	p.waitFor(tb, "the takeover", func() bool {
+	p.waitFor(tb, "the successor to be ready", func() bool {
 		status, err := p.getOps("/ops/readiness")
 		return err == nil && status == http.StatusOK
 	})
@@ -124,12 +124,13 @@
 	return p
 }
 
-// start starts the process. It is killed with the end of the test.
+// start starts the process, which is killed when the test ends.
 func (p *gatewayProcess) start(tb testing.TB, descriptors int) {
 	tb.Helper()
 	dir := filepath.Dir(p.configPath)
 	script := fmt.Sprintf(`ulimit -n %d && exec "$0"`, descriptors)
-	// The cleanup kills it: the test's context ends before other cleanups need the process.
+	// The cleanup below kills the process. The test's context can't be used: it is cancelled before the other
+	// cleanups run, some of which need the process.
 	p.command = exec.CommandContext(context.Background(), "/bin/sh", "-c", script, os.Args[0])
 	p.command.Env = append(
 		os.Environ(), testProcessVariable+"=1", "TMPDIR="+dir, configPathVariable+"="+p.configPath,
@@ -143,10 +144,10 @@
 		close(p.exited)
 	}()
 	tb.Cleanup(func() {
-		_ = p.command.Process.Kill() // it may have ended already
+		_ = p.command.Process.Kill() // fails if the process has already exited
 		<-p.exited
 		if strings.Contains(p.logText(), `msg="illegal step"`) {
-			tb.Error("a state machine of the process was to take an illegal step")
+			tb.Error("the process logged an illegal transition of a state machine")
 		}
 		if tb.Failed() {
 			tb.Log(p.logText())
@@ -154,21 +155,21 @@
 	})
 }
 
-// Write collects the process's log.
+// Write appends to the log of the process. It implements io.Writer.
 func (p *gatewayProcess) Write(b []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.log.Write(b)
 }
 
-// logText is what the process has logged so far.
+// logText returns the log of the process so far.
 func (p *gatewayProcess) logText() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.log.String()
 }
 
-// writeConfig writes the configuration; change may be nil.
+// writeConfig writes the configuration file of the gateway. change may be nil.
 func (p *gatewayProcess) writeConfig(tb testing.TB, change configChange) {
 	tb.Helper()
 	fields := map[string]any{
@@ -189,13 +190,14 @@
 	}
 }
 
-// waitFor polls a condition until it holds.
+// waitFor polls a condition until it is true. The test fails if the process exits or waitTimeout passes
+// before that.
 func (p *gatewayProcess) waitFor(tb testing.TB, what string, condition func() bool) {
 	tb.Helper()
 	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		select {
 		case <-p.exited:
-			tb.Fatalf("the process ended while the test waited for %s: %v", what, p.exitError)
+			tb.Fatalf("process exited while the test waited for %s: %v", what, p.exitError)
 		default:
 		}
 		if condition() {
@@ -220,7 +222,8 @@
 	return line == pongReply
 }
 
-// firstPing waits for the first answer to PING after a start.
+// firstPing waits until the gateway listens after a start and answers PING. It returns an error if that fails
+// or the deadline passes.
 func (p *gatewayProcess) firstPing(deadline time.Time) error {
 	for {
 		conn, err := dial("tcp", p.host+clientPort, time.Until(deadline))
@@ -228,7 +231,7 @@
 			if time.Now().After(deadline) {
 				return err
 			}
-			time.Sleep(time.Millisecond) // it does not listen yet
+			time.Sleep(time.Millisecond) // the gateway does not listen yet
 			continue
 		}
 		defer func() { _ = conn.Close() }()
@@ -237,13 +240,13 @@
 			return err
 		}
 		if line, err := bufio.NewReader(conn).ReadString('\n'); line != pongReply {
-			return fmt.Errorf("answer %q: %w", line, err)
+			return fmt.Errorf("PING: answer %q: %w", line, err)
 		}
 		return nil
 	}
 }
 
-// getOps calls the interface for operators and returns the status.
+// getOps sends a GET request to the interface for operators and returns the HTTP status.
 func (p *gatewayProcess) getOps(path string) (int, error) {
 	client := http.Client{Timeout: waitTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	url := "http://" + cmp.Or(p.opsHost, p.host) + opsPort + path
@@ -260,7 +263,7 @@
 	return response.StatusCode, err
 }
 
-// limitDescriptors sets how many descriptors the process may open, and returns the limit before.
+// limitDescriptors sets the limit on open descriptors of the process and returns the previous limit.
 func (p *gatewayProcess) limitDescriptors(tb testing.TB, limit unix.Rlimit) (before unix.Rlimit) {
 	tb.Helper()
 	if err := unix.Prlimit(p.command.Process.Pid, unix.RLIMIT_NOFILE, &limit, &before); err != nil {
@@ -269,16 +272,16 @@
 	return before
 }
 
-// openDescriptors counts the descriptors that the process holds.
+// openDescriptors returns the number of descriptors that the process has open.
 func (p *gatewayProcess) openDescriptors() int {
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.command.Process.Pid))
 	if err != nil {
-		return 0 // it has ended
+		return 0 // the process has exited
 	}
 	return len(entries)
 }
 
-// reload has the process read its configuration again.
+// reload signals the process to reload its configuration.
 func (p *gatewayProcess) reload(tb testing.TB) {
 	tb.Helper()
 	if err := p.command.Process.Signal(syscall.SIGHUP); err != nil {
@@ -286,7 +289,7 @@
 	}
 }
 
-// handoverSocket is the path at which another process would ask this one to hand over.
+// handoverSocket returns the path of the socket at which the process accepts a successor.
 func (p *gatewayProcess) handoverSocket() string {
 	return filepath.Join(filepath.Dir(p.configPath), "mothcleat-"+p.host+clientPort+".sock")
 }
--- a/cmd/gateway/requests_test.go
+++ b/cmd/gateway/requests_test.go
@@ -9,26 +9,26 @@
 	"time"
 )
 
-// backendAnswer is the first line of the answer that backends give.
+// backendAnswer is the first line that a client receives if a backend has answered its request.
 const backendAnswer = "$2"
 
-// requestOutcome is how a request of a client ended.
+// requestOutcome is the outcome of a client's request.
 type requestOutcome struct {
-	answer     string // its first line
-	sent       int    // how often the request was sent since the last rejection
-	rejections int    // how often the client came again after a rejection
+	answer     string // first line of the answer
+	sent       int    // number of times that the request was sent after the last rejection
+	rejections int    // number of times that the request was rejected and sent again
 	err        error
 }
 
-// String describes the outcome for a test's message.
+// String returns the outcome as text for the message of a failed test.
 func (o requestOutcome) String() string {
 	return fmt.Sprintf("answer %q, error %v, sent %d times, rejected %d times",
 		o.answer, o.err, o.sent, o.rejections)
 }
 
-// request sends a request on a connection of its own, as a client does: where the connection ends without an
-// answer, the request may have crossed its closing and is sent once more; where it is rejected, the client
-// comes again.
+// request sends a request on a new connection. Like a client, it sends the request a second time if the
+// connection ends without an answer, because the gateway may have closed it while the request was on the way.
+// After a rejection it starts over, until waitTimeout has passed.
 func (p *gatewayProcess) request() requestOutcome {
 	var o requestOutcome
 	for end := time.Now().Add(waitTimeout); time.Now().Before(end); o.rejections++ {
@@ -45,7 +45,7 @@
 	return o
 }
 
-// requestOnce sends a request on a connection of its own and returns the first line of the answer.
+// requestOnce sends a request on a new connection and returns the first line of the answer.
 func (p *gatewayProcess) requestOnce() (string, error) {
 	conn, err := dial("tcp", p.host+clientPort, waitTimeout)
 	if err != nil {
@@ -60,10 +60,10 @@
 	return strings.TrimSpace(line), err
 }
 
-// lastRequestID is the ID of the request that was sent last.
+// lastRequestID is the most recently assigned request ID.
 var lastRequestID atomic.Int64
 
-// readCommand returns a read command with a request ID of its own.
+// readCommand returns a read command with a new request ID.
 func readCommand() string {
 	id := fmt.Sprintf("%016x", lastRequestID.Add(1))
 	args := []string{"API.READ", "0000000000000007", id, "c=lookup,t=team,d=60000,units=1,spread=1,first=0"}
--- a/cmd/gateway/signals.go
+++ b/cmd/gateway/signals.go
@@ -8,8 +8,8 @@
 	"sparspread/internal/gateway"
 )
 
-// handleSignals has SIGTERM and SIGINT shut the gateway down and SIGHUP reload its configuration. Its
-// goroutines run until the process ends.
+// handleSignals makes SIGTERM and SIGINT shut the gateway down and SIGHUP reload its configuration. It starts
+// goroutines that run until the process exits.
 func handleSignals() gateway.Control {
 	shutdown, reload := make(chan struct{}), make(chan struct{}, 1)
 	shutdownSignals, reloadSignals := make(chan os.Signal, 1), make(chan os.Signal, 1)
--- a/cmd/gateway/slowstart_fleet_test.go
+++ b/cmd/gateway/slowstart_fleet_test.go
@@ -9,20 +9,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// slowStartRun is a run of a fleet in which backends start while something else goes wrong.
+// slowStartRun is a run of a fleet in which backends restart while a fault is injected.
 type slowStartRun struct {
 	name     string
-	settings func(settings *fleetSettings) // nil: the usual ones
-	fault    func(f *fleet)                // starts the backends
+	settings func(settings *fleetSettings) // changes the default settings; may be nil
+	fault    func(f *fleet)                // restarts the backends and injects the fault
 }
 
 const (
-	startingBackends  = 3
-	slowStartWarmUp   = 6 * time.Second // longer than the policy's memory of what it sends
-	slowStartObserved = 4 * time.Second // after the fault
+	startingBackends  = 3               // number of backends that are restarted
+	slowStartWarmUp   = 6 * time.Second // longer than the period over which the policy counts what it sends
+	slowStartObserved = 4 * time.Second // duration of the run after the fault
 )
 
-// usualSlowStart and fragileSlowStart are settings of deployments.
+// usualSlowStart and fragileSlowStart describe backends of different deployments.
 var (
 	usualSlowStart = slowStart{
 		floor: 0.27, duration: 16 * time.Second, overloadFactor: 2.5, window: time.Second,
@@ -32,8 +32,9 @@
 	}
 )
 
-// overloadBudget is what a starting backend may get in a window that begins at an age of it, with the
-// allowance for chance that the rule gives.
+// overloadBudget returns the number of commands that a starting backend may receive in a window that begins
+// at the given age. It is the load that overloads the backend plus the allowance for random variation that
+// the rules define.
 func (s slowStart) overloadBudget(age time.Duration) float64 {
 	const fewCommands = 30
 	bears := s.overloadFactor * s.share(age) * fleetCapacity * s.window.Seconds()
@@ -43,18 +44,18 @@
 	return bears + 2*math.Sqrt(bears) + 2
 }
 
-// overloadWindow is what a starting backend received in one window.
+// overloadWindow describes the commands that a starting backend received in one window.
 type overloadWindow struct {
 	backend  int
-	age      time.Duration
-	received int
-	budget   float64
+	age      time.Duration // of the backend, at the beginning of the window
+	received int           // number of commands
+	budget   float64       // maximum number of commands
 }
 
-// ratio is the part of its budget that the backend received; above 1 it was overloaded.
+// ratio returns the received commands as a fraction of the budget. Above 1, the backend was overloaded.
 func (w overloadWindow) ratio() float64 { return float64(w.received) / w.budget }
 
-// worstWindow is the fullest window of the backend in relation to its budget.
+// worstWindow returns the window with the highest ratio during the backend's slow start.
 func (b *fleetBackend) worstWindow() overloadWindow {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -72,7 +73,7 @@
 	return worst
 }
 
-// play starts a fleet, has it meet the fault and checks what the starting backends received.
+// play starts a fleet, injects the fault and checks that no starting backend was overloaded.
 func (r *slowStartRun) play(t *testing.T) {
 	t.Helper()
 	settings := fleetSettings{
@@ -90,7 +91,7 @@
 	f.checkBudgets(t)
 }
 
-// checkBudgets checks what the starting backends received.
+// checkBudgets checks that the starting backends received commands, and none of them more than its budget.
 func (f *fleet) checkBudgets(t *testing.T) {
 	t.Helper()
 	received, worst := 0, overloadWindow{budget: 1}
@@ -100,29 +101,30 @@
 		}
 		received += b.receivedCount()
 	}
-	t.Logf("worst: backend %d got %d of %.0f within %v at age %v (%.2f); %d received in all",
+	t.Logf("worst window: backend %d got %d of %.0f commands in %v at age %v (%.2f); %d commands in total",
 		worst.backend, worst.received, worst.budget, f.settings.slow.window, worst.age, worst.ratio(),
 		received)
 	t.Logf("requests: served %d, rejected %d, failed %d, lost %d",
 		f.answers.served.Load(), f.answers.rejected.Load(), f.answers.failed.Load(), f.answers.lost.Load())
 	if worst.ratio() > 1 {
-		t.Error("a starting backend was overloaded by all gateways together")
+		t.Error("a starting backend was overloaded")
 	}
 	if received == 0 {
-		t.Error("the starting backends were not used")
+		t.Error("the starting backends received no commands")
 	}
 }
 
-// pressed has clients ask for more than the backends can serve.
+// pressed makes clients send more requests than the backends can serve.
 func pressed(s *fleetSettings) { s.load = 1.3 }
 
-// fragile has backends that start with little of their capacity and bear little more.
+// fragile selects backends that start with a small fraction of their capacity and are overloaded by a small
+// excess.
 func fragile(s *fleetSettings) { s.slow = fragileSlowStart }
 
-// slowDials has dials last long, of requests that are not given up early.
+// slowDials sets a long dial timeout. The requests are not retryable, so that they are not abandoned early.
 func slowDials(s *fleetSettings) { s.dialTimeout, s.runOnce = 4*time.Second, true }
 
-// withWarmBackends has the warm backends behave in another way for a while, from the start of the others on.
+// withWarmBackends changes the mode of the warm backends for 3 seconds after the other backends have started.
 func withWarmBackends(mode backendMode) func(f *fleet) {
 	return func(f *fleet) {
 		f.replaceBackends()
@@ -132,7 +134,7 @@
 	}
 }
 
-// withClockStep has discovery's clock ahead of the gateways' when backends start.
+// withClockStep sets discovery's clock ahead of the gateways' clocks before the backends start.
 func withClockStep(step time.Duration) func(f *fleet) {
 	return func(f *fleet) {
 		f.clockStep = step
@@ -140,7 +142,7 @@
 	}
 }
 
-// stopAndContinue stops all processes during the slow start.
+// stopAndContinue suspends and resumes all gateway processes during the slow start.
 func stopAndContinue(f *fleet) {
 	f.replaceBackends()
 	f.runFor(time.Second)
@@ -149,14 +151,15 @@
 	f.signalAll(syscall.SIGCONT)
 }
 
-// killGateways restarts all gateways with no state during the slow start.
+// killGateways kills all gateways during the slow start and starts them again without their state.
 func killGateways(f *fleet) {
 	f.replaceBackends()
 	f.runFor(time.Second)
 	f.replaceGateways()
 }
 
-// killWithClockStep does the same amid a step, with the list from before the start as last known.
+// killWithClockStep sets discovery's clock ahead before the backends start, and kills all gateways during the
+// slow start. The last known list of the new gateway processes is from before the backends' start.
 func killWithClockStep(step time.Duration) func(f *fleet) {
 	return func(f *fleet) {
 		f.keepList()
@@ -165,14 +168,14 @@
 	}
 }
 
-// upgradeGateways has second processes take over during the slow start.
+// upgradeGateways makes successors take over from all gateways during the slow start.
 func upgradeGateways(f *fleet) {
 	f.replaceBackends()
 	f.runFor(time.Second)
 	f.upgradeGateways()
 }
 
-// connectLate has no connection to the starting backends come up for a while.
+// connectLate makes dials to the starting backends hang for a part of the slow start.
 func connectLate(f *fleet) {
 	f.replaceBackends()
 	f.runFor(time.Second)
@@ -181,14 +184,15 @@
 	f.setModes(f.starting(), backendServes)
 }
 
-// hangThenRestart has warm backends restart for which attempts wait.
+// hangThenRestart restarts backends while dials to them hang and attempts wait for these dials.
 func hangThenRestart(f *fleet) {
 	f.setModes(f.starting(), backendUnreachable)
 	f.runFor(2900 * time.Millisecond)
 	f.restartBackends()
 }
 
-// exhaustDescriptors has no gateway open another descriptor for a while. No backend may be blamed for it.
+// exhaustDescriptors prevents all gateways from opening descriptors for a part of the slow start. It checks
+// that no backend is ejected because of that.
 func exhaustDescriptors(f *fleet) {
 	f.replaceBackends()
 	f.runFor(time.Second)
@@ -203,23 +207,24 @@
 	}
 	f.runFor(time.Second)
 	if n := f.countLogged("own_shortage"); n == 0 {
-		f.tb.Error("no dial failed for a shortage")
+		f.tb.Error("no dial failed because of the limit on descriptors")
 	}
 	if n := f.countLogged(" ejected: "); n != before {
-		f.tb.Errorf("%d ejections, %d before the shortage", n, before)
+		f.tb.Errorf("%d ejections after the limit on descriptors was lowered, want %d as before", n, before)
 	}
 }
 
-// fragileAndSlowDials is both.
+// fragileAndSlowDials combines fragile and slowDials.
 func fragileAndSlowDials(s *fleetSettings) {
 	fragile(s)
 	slowDials(s)
 }
 
-// fleetPlaces bounds how many fleets run at a time: their processes share the machine's cores.
+// fleetPlaces is a semaphore that limits the number of fleets that run at the same time, because their
+// processes share the machine's cores.
 var fleetPlaces = make(chan struct{}, 2)
 
-// playAll plays runs, two at a time.
+// playAll runs the given runs as subtests, two at a time.
 func playAll(t *testing.T, runs []slowStartRun) {
 	t.Helper()
 	for _, r := range runs {
@@ -232,42 +237,44 @@
 	}
 }
 
-// Through all gateways together, as real processes, a starting backend gets no more than it bears.
+// Guards against gateways that together overload a starting backend although each of them limits what it
+// sends.
 func TestSlowStartBudgetHoldsOnRealProcesses(t *testing.T) {
 	t.Parallel()
 	playAll(t, []slowStartRun{
 		{name: "no fault", fault: withClockStep(0)},
-		{name: "no fault, fragile", settings: fragile, fault: withClockStep(0)},
-		{name: "gateways stop and go on", settings: fragile, fault: stopAndContinue},
+		{name: "no fault, fragile backends", settings: fragile, fault: withClockStep(0)},
+		{name: "gateways are suspended", settings: fragile, fault: stopAndContinue},
 		{name: "gateways are killed", settings: fragile, fault: killGateways},
 		{name: "gateways are upgraded", settings: fragile, fault: upgradeGateways},
 		{name: "gateways run out of descriptors", settings: fragile, fault: exhaustDescriptors},
-		{name: "connections come up late", settings: fragileAndSlowDials, fault: connectLate},
-		{name: "start amid dials", settings: fragileAndSlowDials, fault: hangThenRestart},
+		{name: "dials hang for a time", settings: fragileAndSlowDials, fault: connectLate},
+		{name: "backends restart during dials", settings: fragileAndSlowDials, fault: hangThenRestart},
 	})
 }
 
-// Attempts that warm backends reject or fail at once, and their retries, are no measure of what a backend
-// serves.
+// Guards against a policy that derives a backend's capacity from attempts that warm backends reject or fail
+// immediately, and from the retries of these attempts.
 func TestSlowStartBudgetHoldsWhileWarmBackendsReject(t *testing.T) {
 	t.Parallel()
 	playAll(t, []slowStartRun{
-		{name: "reject", fault: withWarmBackends(backendRejects)},
-		{name: "reject, overload", settings: pressed, fault: withWarmBackends(backendRejects)},
-		{name: "fail, overload", settings: pressed, fault: withWarmBackends(backendFails)},
-		{name: "refuse connections", fault: withWarmBackends(backendRefuses)},
-		{name: "hang", fault: withWarmBackends(backendHangs)},
+		{name: "rejected", fault: withWarmBackends(backendRejects)},
+		{name: "rejected, excess load", settings: pressed, fault: withWarmBackends(backendRejects)},
+		{name: "failed, excess load", settings: pressed, fault: withWarmBackends(backendFails)},
+		{name: "refused", fault: withWarmBackends(backendRefuses)},
+		{name: "not answered", fault: withWarmBackends(backendHangs)},
 	})
 }
 
-// A start that was seen to happen is timed by the monotonic clock, whatever the wall clocks say.
+// Guards against a backend's age that is derived from wall clocks although the gateway has observed the
+// start: it must be measured with the monotonic clock.
 func TestSlowStartBudgetHoldsAfterSteppedClock(t *testing.T) {
 	t.Parallel()
 	playAll(t, []slowStartRun{
-		{name: "hour back", settings: fragile, fault: withClockStep(-time.Hour)},
-		{name: "8 s back", settings: fragile, fault: withClockStep(-8 * time.Second)},
+		{name: "1 h behind", settings: fragile, fault: withClockStep(-time.Hour)},
+		{name: "8 s behind", settings: fragile, fault: withClockStep(-8 * time.Second)},
 		{name: "5 s ahead", settings: fragile, fault: withClockStep(5 * time.Second)},
-		{name: "hour back, gateways are killed", settings: fragile, fault: killWithClockStep(-time.Hour)},
-		{name: "hour ahead", settings: fragile, fault: withClockStep(time.Hour)},
+		{name: "1 h behind, gateways are killed", settings: fragile, fault: killWithClockStep(-time.Hour)},
+		{name: "1 h ahead", settings: fragile, fault: withClockStep(time.Hour)},
 	})
 }
--- a/cmd/gateway/standins_test.go
+++ b/cmd/gateway/standins_test.go
@@ -13,27 +13,28 @@
 	"time"
 )
 
-// discoveryServer is discovery's side. Calls are refused until acceptWithoutAnswer or serve.
+// discoveryServer is a fake discovery service. It refuses connections until acceptWithoutAnswer or serve is
+// called.
 type discoveryServer struct {
 	tb       testing.TB
 	address  string
-	watches  chan string      // queries of the calls that were served
-	listener *net.TCPListener // nil: calls are refused
+	watches  chan string      // query strings of the received calls
+	listener *net.TCPListener // set by acceptWithoutAnswer
 
 	mu      sync.Mutex // guards waiting
-	waiting []net.Conn // calls without an answer
+	waiting []net.Conn // connections that are not answered
 }
 
-// newDiscoveryServer returns the discovery of the gateway at a host.
+// newDiscoveryServer returns the discovery service of the gateway at a host.
 func newDiscoveryServer(tb testing.TB, host string) *discoveryServer {
 	tb.Helper()
 	return &discoveryServer{tb: tb, address: host + discoveryPort, watches: make(chan string, 1024)}
 }
 
-// acceptWithoutAnswer accepts calls and never answers them.
+// acceptWithoutAnswer accepts connections and does not answer the calls on them.
 func (d *discoveryServer) acceptWithoutAnswer() {
 	d.tb.Helper()
-	d.tb.Cleanup(d.closeWaiting) // runs after the listener was closed
+	d.tb.Cleanup(d.closeWaiting) // runs after the listener is closed
 	d.listener = listenUntilEnd(d.tb, d.address)
 	go acceptEach(d.listener, func(conn *net.TCPConn) {
 		d.mu.Lock()
@@ -42,7 +43,7 @@
 	})
 }
 
-// closeWaiting ends the calls that have no answer.
+// closeWaiting closes the connections that are not answered.
 func (d *discoveryServer) closeWaiting() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -52,8 +53,8 @@
 	d.waiting = nil
 }
 
-// serve answers calls from now on with the given entries as revision 2, except for watches from that revision
-// on, which wait.
+// serve starts to answer calls with the given entries as revision 2. Watches for later revisions are not
+// answered.
 func (d *discoveryServer) serve(entries ...string) {
 	d.tb.Helper()
 	if d.listener != nil {
@@ -71,14 +72,14 @@
 			<-r.Context().Done()
 			return
 		}
-		_, _ = w.Write(body) // the caller may have gone
+		_, _ = w.Write(body) // fails if the caller has closed the connection
 	}
 	server := &http.Server{Handler: http.HandlerFunc(handler)}
 	d.tb.Cleanup(func() { _ = server.Close() })
-	go func() { _ = server.Serve(listener) }() // until closed
+	go func() { _ = server.Serve(listener) }() // returns when the server is closed
 }
 
-// waitForWatch waits until the gateway watches from revision 2 on: it has applied the list by then.
+// waitForWatch waits until the gateway watches for revisions after 2: it has then applied the list of serve.
 func (d *discoveryServer) waitForWatch() {
 	d.tb.Helper()
 	for end := time.After(waitTimeout); ; {
@@ -88,21 +89,21 @@
 				return
 			}
 		case <-end:
-			d.tb.Fatal("timed out waiting for a watch from the new list on")
+			d.tb.Fatal("timed out waiting for a watch for revisions after 2")
 		}
 	}
 }
 
-// isWatchFromRevision2 reports whether a call waits for what comes after the list of serve.
+// isWatchFromRevision2 reports whether a query string is that of a watch for revisions after 2.
 func isWatchFromRevision2(query string) bool { return strings.HasPrefix(query, "index=2&") }
 
-// endpointList returns a complete list as discovery writes it.
+// endpointList returns a complete list of endpoints in the format of discovery.
 func endpointList(revision int, entries []string) json.RawMessage {
 	members := strings.Join(entries, ",")
 	return fmt.Appendf(nil, `{"revision":%d,"complete":true,"members":[%s]}`, revision, members)
 }
 
-// withKnownEndpoints has a configuration hold the list as last known.
+// withKnownEndpoints returns a change that sets the last known list of the configuration.
 func withKnownEndpoints(entries ...string) configChange {
 	return func(fields map[string]any) { fields["known"] = endpointList(1, entries) }
 }
@@ -113,17 +114,17 @@
 	phaseTerminating = "Terminating"
 )
 
-// commandLines is how many lines a command of four values has.
+// commandLines is the number of lines of a command with four arguments.
 const commandLines = 9
 
-// backend answers every command, from startAnswering on.
+// backend is a fake backend. It answers all commands after startAnswering is called.
 type backend struct {
 	address   string
-	received  chan struct{} // one value for each command
+	received  chan struct{} // gets a value for each received command
 	answering chan struct{} // closed by startAnswering
 }
 
-// newBackend starts a backend that ends with the test.
+// newBackend starts a backend that stops listening when the test ends.
 func newBackend(tb testing.TB) *backend {
 	tb.Helper()
 	listener := listenUntilEnd(tb, "127.0.0.1:0")
@@ -135,7 +136,8 @@
 	return b
 }
 
-// startAnswering has the backend answer, also the commands that wait. It is called once.
+// startAnswering makes the backend answer all commands, including those already received. It must be called
+// only once.
 func (b *backend) startAnswering() { close(b.answering) }
 
 // serve answers the commands of a connection.
--- a/cmd/gateway/start_test.go
+++ b/cmd/gateway/start_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// readyWithin is how soon a gateway must be ready after a restart.
+// readyWithin is the time within which a gateway must be ready after a restart.
 const readyWithin = 10 * time.Second
 
-// Gateways that start at the same time, each with a long list, are all ready in time whether discovery
-// refuses calls, does not answer them or can't even be dialed.
+// Guards against gateways that start too slowly if several of them start at the same time with long lists of
+// endpoints while discovery refuses connections, does not answer calls or can't be dialed.
 func TestGatewaysThatStartTogetherAreReady(t *testing.T) {
 	const (
 		gateways  = 12
@@ -44,5 +44,5 @@
 		}
 		last = time.Since(started)
 	}
-	t.Logf("the last of %d was ready after %v", gateways, last)
+	t.Logf("the last of %d gateways was ready after %v", gateways, last)
 }
