--- a/internal/gateway/listening.go
+++ b/internal/gateway/listening.go
@@ -35,9 +35,9 @@
 	return [...]string{"waiting", "accepting", "paused", "handed_over", "draining", "closed"}[p]
 }
 
-// listeningSteps lists the legal steps. A handover that is not completed leads back to accepting. A shutdown
-// drains the backlog in any phase, unless the successor has the listener.
-var listeningSteps = phase.Transitions[listeningPhase]{
+// listeningTransitions lists the legal transitions. A handover that is not completed leads back to accepting.
+// A shutdown drains the backlog in any phase, unless the successor has the listener.
+var listeningTransitions = phase.Transitions[listeningPhase]{
 	listeningWaiting:    {listeningAccepting, listeningDraining},
 	listeningAccepting:  {listeningPaused, listeningDraining},
 	listeningPaused:     {listeningAccepting, listeningHandedOver, listeningDraining},
@@ -46,8 +46,8 @@
 }
 
 // listening accepts connections of clients. It owns the listener and the accept goroutine, which runs while
-// this process accepts or drains; there is never more than one. A listening belongs to the event loop, except
-// for acceptConns, which is the accept goroutine.
+// this process accepts or drains; there is never more than one. All of it belongs to the event loop, except
+// for acceptConns, which runs on the accept goroutine.
 type listening struct {
 	phase         phase.Machine[listeningPhase]
 	listener      *net.TCPListener
@@ -60,7 +60,7 @@
 
 func newListening(slots chan struct{}, post func(event), log *slog.Logger) *listening {
 	return &listening{
-		phase: phase.New("listening", listeningWaiting, listeningSteps, reportIllegalStep(log)),
+		phase: phase.New("listening", listeningWaiting, listeningTransitions, reportIllegalTransition(log)),
 		slots: slots, drainBacklog: make(chan struct{}), post: post, log: log,
 	}
 }
@@ -169,14 +169,14 @@
 	g.shutdown.stopIfIdle()
 }
 
-// acceptConns posts new connections until paused is closed, the listener is closed, or a backlog that is
-// drained is empty. It acquires a slot for each connection, so that at most as many connections are open as
-// there are slots.
-func (s *listening) acceptConns(listener *net.TCPListener, paused <-chan struct{}) {
+// acceptConns posts new connections until stop is closed, the listener is closed, or drainBacklog is closed
+// and the backlog is empty. It acquires a slot for each connection, so that at most as many connections are
+// open as there are slots.
+func (s *listening) acceptConns(listener *net.TCPListener, stop <-chan struct{}) {
 	for {
 		select {
 		case s.slots <- struct{}{}:
-		case <-paused:
+		case <-stop:
 			return
 		}
 		draining := isClosed(s.drainBacklog)
@@ -196,11 +196,11 @@
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		if isClosed(paused) {
+		if isClosed(stop) {
 			return
 		}
 		if !draining && !closed {
-			continue // shutDown has set the deadline, and draining starts with the next connection
+			continue // shutDown has set the deadline: draining starts with the next iteration
 		}
 		_ = listener.Close() // may be closed already
 		if draining {
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -19,9 +19,9 @@
 // String returns the name of the phase for log messages.
 func (p reloadPhase) String() string { return [...]string{"none", "checking", "applying"}[p] }
 
-// reloadSteps lists the legal steps. An invalid configuration is rejected as a whole, before any of it is
-// applied.
-var reloadSteps = phase.Transitions[reloadPhase]{
+// reloadTransitions lists the legal transitions. An invalid configuration is rejected as a whole, before any
+// of it is applied.
+var reloadTransitions = phase.Transitions[reloadPhase]{
 	reloadNone:     {reloadChecking},
 	reloadChecking: {reloadNone, reloadApplying},
 	reloadApplying: {reloadNone},
@@ -39,7 +39,7 @@
 }
 
 // reload replaces the configuration in force: all of it or, if anything in the new one is invalid, nothing.
-// A reload belongs to the event loop, and is in the phase none between events.
+// It belongs to the event loop, and is in the phase none between events.
 type reload struct {
 	phase   phase.Machine[reloadPhase]
 	gateway reloadGateway
@@ -47,7 +47,7 @@
 
 func newReload(gateway reloadGateway, log *slog.Logger) *reload {
 	return &reload{
-		phase:   phase.New("reload", reloadNone, reloadSteps, reportIllegalStep(log)),
+		phase:   phase.New("reload", reloadNone, reloadTransitions, reportIllegalTransition(log)),
 		gateway: gateway,
 	}
 }
