--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -11,17 +11,17 @@
 // attempt is one send of a request to a backend or, without a request, a health check. It belongs to the
 // loop.
 type attempt struct {
-	request      *request // nil: a health check
-	number       int      // of the request's attempts, from 0
-	backend      uint32
-	sentAt       policy.Time  // when the policy decided on it
-	expiresAt    policy.Time  // when it times out
-	conn         *backendConn // nil: it waits for one, or has ended
-	timeout      *timer
-	redialed     bool // its dial was reset and made again
-	unanswered   bool // its dial was not answered in time
-	ended        bool // it has its outcome
-	fullyWritten bool // to its last byte
+	request        *request // nil: a health check
+	number         int      // of the request's attempts, from 0
+	backend        uint32
+	sentAt         policy.Time  // when the policy decided on it
+	expiresAt      policy.Time  // when it times out
+	conn           *backendConn // nil: it waits for one, or has ended
+	timeout        *timer
+	redialed       bool // its dial was reset and made again
+	dialUnanswered bool // its dial was not answered in time
+	ended          bool // it has its outcome
+	fullyWritten   bool // to its last byte
 }
 
 // backendAnswer is what a backend's reply holds.
@@ -47,13 +47,13 @@
 		bs.endAttempt(a, policy.ResultNotSent)
 		return false
 	}
-	return bs.assign(b, a)
+	return bs.assignAttempt(b, a)
 }
 
 // canBeSent reports whether the client still waits, and a large body has not gone to an earlier attempt: it
 // is not kept.
 func (a *attempt) canBeSent() bool {
-	return a.request == nil || a.request.body.unassigned() && !a.request.client.disconnected.Load()
+	return a.request == nil || a.request.body.isUnassigned() && !a.request.client.disconnected.Load()
 }
 
 // attemptTimeout ends an attempt at its time, and its connection with it.
@@ -90,7 +90,7 @@
 	if a.request != nil && a.request.waitingAttempt == a {
 		a.request.waitingAttempt = nil
 	}
-	if a.bodyIncomplete() {
+	if a.isBodyIncomplete() {
 		if result != policy.ResultOverloaded {
 			result = policy.ResultNotSent // the request never was complete at the backend
 		}
@@ -125,7 +125,7 @@
 	g.reportOutcome(policy.Outcome{
 		RequestID: r.id, Attempt: e.attempt.number, Backend: e.attempt.backend, Result: e.result,
 		Latency: e.latency, ClientAnswered: r.answered || r.valueStarted || r.client.disconnected.Load(),
-		DialUnanswered: e.attempt.unanswered, ActualCost: e.cost, LoadReport: e.loadReport,
+		DialUnanswered: e.attempt.dialUnanswered, ActualCost: e.cost, LoadReport: e.loadReport,
 	})
 	g.releaseRequest(r)
 }
--- a/internal/gateway/backend.go
+++ b/internal/gateway/backend.go
@@ -22,29 +22,29 @@
 	startedAtMS     int64 // milliseconds since 1970, by discovery
 	state           policy.EndpointState
 	endpoint        discovery.Endpoint // as last listed
-	idle            []*backendConn     // the most recently used last
+	idleConns       []*backendConn     // the most recently used last
 	waiting         []*attempt         // for a connection, oldest first
-	dialing         int                // dials under way
+	activeDials     int                // dials under way
 	dialPaused      bool               // until dialPauseEnded
-	shortages       int                // pauses in a row, as this machine lacked what a dial takes
+	shortagePauses  int                // pauses in a row, as this machine lacked what a dial takes
 	quiesceTimerSet bool               // for the end of an idle connection's quiescence period
 }
 
 // backendConn is a connection to a backend. It carries one attempt at a time: replies come in order, so
 // that a slow one would delay all behind it, and giving one up closes the connection for the others.
 type backendConn struct {
-	conn        *net.TCPConn
-	writer      *sockwriter.Writer
-	bytesRead   atomic.Int64            // by the reader goroutine
-	done        chan struct{}           // closed by the loop with the connection
-	destination chan *sockwriter.Writer // from the loop to the reader: where a large value goes
+	conn             *net.TCPConn
+	writer           *sockwriter.Writer
+	bytesRead        atomic.Int64            // by the reader goroutine
+	done             chan struct{}           // closed by the loop with the connection
+	valueDestination chan *sockwriter.Writer // from the loop to the reader: where a large value goes
 
 	// The loop's.
-	backend   *backend
-	attempt   *attempt // nil: idle
-	closed    bool
-	idleSince policy.Time
-	bytesUsed int64 // of bytesRead, those of replies that were handled
+	backend       *backend
+	attempt       *attempt // nil: idle
+	closed        bool
+	idleSince     policy.Time
+	bytesConsumed int64 // of bytesRead, those of replies that were handled
 
 	// The reader's.
 	readTimeout time.Duration // for more input amid a reply; 0: no limit
@@ -67,9 +67,9 @@
 	byID        map[string]*backend
 	idleTimeout idleTimeoutEstimate
 	limit       int // connections and dials at a time
-	open        int // connections and dials
+	openConns   int // connections and dials
 	counts      backendCounts
-	dial        net.Dialer
+	dialer      net.Dialer
 }
 
 func newBackends(
@@ -80,7 +80,7 @@
 		events: events, attempts: attempts,
 		byNumber: map[uint32]*backend{}, byID: map[string]*backend{}, limit: limit,
 		idleTimeout: idleTimeoutEstimate{upperLimit: cfg.Host.IdleClose / idleCloseDivisor},
-		dial:        net.Dialer{Timeout: dialTimeout, KeepAlive: -1},
+		dialer:      net.Dialer{Timeout: dialTimeout, KeepAlive: -1},
 	}
 }
 
@@ -151,18 +151,18 @@
 	if b.address != e.Address || b.startedAtMS != e.UpSinceMS {
 		// It has moved or restarted: idle connections lead to the process before.
 		b.address, b.startedAtMS = e.Address, e.UpSinceMS
-		bs.closeIdle(b)
+		bs.closeIdleConns(b)
 	}
 	return b
 }
 
 // cleanUp closes what a backend that is not ready no longer needs, and deletes one that was removed.
 func (bs *backends) cleanUp(id string, b *backend) {
-	bs.closeIdle(b)
+	bs.closeIdleConns(b)
 	for len(b.waiting) > 0 {
 		bs.cancelWaiting(b.waiting[0]) // it can go to another backend at once
 	}
-	if b.state == policy.EndpointRemoved && len(b.waiting) == 0 && b.dialing == 0 && !b.dialPaused {
+	if b.state == policy.EndpointRemoved && len(b.waiting) == 0 && b.activeDials == 0 && !b.dialPaused {
 		delete(bs.byID, id)
 		delete(bs.byNumber, b.number)
 	}
--- a/internal/gateway/backend_dial.go
+++ b/internal/gateway/backend_dial.go
@@ -18,8 +18,8 @@
 
 // dialForWaiting dials until there are as many dials under way as attempts wait.
 func (bs *backends) dialForWaiting(b *backend) {
-	for b.dialing < len(b.waiting) && !b.dialPaused {
-		if bs.open >= bs.limit && !bs.evict() {
+	for b.activeDials < len(b.waiting) && !b.dialPaused {
+		if bs.openConns >= bs.limit && !bs.evictIdleConn() {
 			// A lack of file descriptors is not the backend's fault: nothing was sent, nothing is learnt of
 			// it.
 			last := len(b.waiting) - 1
@@ -28,8 +28,8 @@
 			bs.endAttempt(a, policy.ResultNotSent)
 			continue
 		}
-		b.dialing++
-		bs.open++
+		b.activeDials++
+		bs.openConns++
 		bs.counts.dials++
 		go bs.dialBackend(dialEnded{backend: b, address: b.address, startedAtMS: b.startedAtMS})
 	}
@@ -38,7 +38,7 @@
 // dialBackend dials the address of an event and posts it with the result. Its goroutine ends with the dial,
 // which has a timeout.
 func (bs *backends) dialBackend(e dialEnded) {
-	conn, err := bs.dial.DialContext(context.Background(), "tcp", e.address)
+	conn, err := bs.dialer.DialContext(context.Background(), "tcp", e.address)
 	if e.err = err; err == nil {
 		tcp, ok := conn.(*net.TCPConn)
 		if !ok {
@@ -60,19 +60,19 @@
 
 func (e dialEnded) Handle(g *Gateway) {
 	bs, b := g.backends, e.backend
-	b.dialing--
+	b.activeDials--
 	if e.err != nil {
-		bs.open--
+		bs.openConns--
 		fault := classifyDial(e.err)
 		bs.counts.dialsFailed[fault]++
 		bs.counts.lastDialError = e.err
-		bs.dialFailed(b, fault)
+		bs.handleDialFailure(b, fault)
 		return
 	}
-	b.shortages = 0
+	b.shortagePauses = 0
 	c := &backendConn{
 		backend: b, conn: e.conn, writer: sockwriter.New(e.conn), done: make(chan struct{}),
-		destination: make(chan *sockwriter.Writer, 1),
+		valueDestination: make(chan *sockwriter.Writer, 1),
 	}
 	if e.address != b.address || e.startedAtMS != b.startedAtMS {
 		bs.close(c, closeNotReady) // the backend has moved or restarted since
@@ -80,12 +80,12 @@
 		return
 	}
 	go c.readReplies(bs.events)
-	bs.release(c)
+	bs.releaseConn(c)
 }
 
 // dialFailed ends the attempt that has waited longest if more attempts wait than dials are under way.
-func (bs *backends) dialFailed(b *backend, fault dialFault) {
-	if len(b.waiting) <= b.dialing {
+func (bs *backends) handleDialFailure(b *backend, fault dialFault) {
+	if len(b.waiting) <= b.activeDials {
 		return
 	}
 	if fault == dialOwnShortage {
@@ -101,7 +101,7 @@
 		return
 	}
 	b.waiting = b.waiting[1:]
-	a.unanswered = fault == dialUnanswered
+	a.dialUnanswered = fault == dialUnanswered
 	bs.endAttempt(a, policy.ResultConnectFailed)
 }
 
@@ -111,16 +111,16 @@
 	if b.dialPaused {
 		return // by another dial that failed
 	}
-	if b.shortages >= maxShortagePauses {
-		b.shortages = 0
-		for len(b.waiting) > b.dialing {
+	if b.shortagePauses >= maxShortagePauses {
+		b.shortagePauses = 0
+		for len(b.waiting) > b.activeDials {
 			bs.cancelWaiting(b.waiting[0])
 		}
 		return
 	}
 	b.dialPaused = true
-	bs.events.After(firstShortagePause<<b.shortages, dialPauseEnded{backend: b})
-	b.shortages++
+	bs.events.After(firstShortagePause<<b.shortagePauses, dialPauseEnded{backend: b})
+	b.shortagePauses++
 }
 
 // dialPauseEnded fires when dials to a backend may be tried again.
--- a/internal/gateway/backend_dial_test.go
+++ b/internal/gateway/backend_dial_test.go
@@ -37,7 +37,7 @@
 			if e := eventAs[dialEnded](t, handleNextEvent(t, g, "the dial's end")); e.err != nil {
 				t.Fatal(e.err)
 			}
-			g.backends.closeIdle(g.backends.byNumber[1])
+			g.backends.closeIdleConns(g.backends.byNumber[1])
 			_ = wait(t, b.closed, "the connection's end")
 			if len(b.calls) > 0 {
 				t.Error("forwarded")
--- a/internal/gateway/backend_pool.go
+++ b/internal/gateway/backend_pool.go
@@ -23,19 +23,19 @@
 }
 
 // hasCarriedReply reports whether a reply was handled on the connection.
-func (c *backendConn) hasCarriedReply() bool { return c.bytesUsed > 0 }
+func (c *backendConn) hasCarriedReply() bool { return c.bytesConsumed > 0 }
 
 // hasUnsolicitedInput reports whether something has arrived that no request asked for, such as a duplicate of
 // the last reply or noise. It would be taken for the reply to the next request.
 func (c *backendConn) hasUnsolicitedInput() bool {
-	return c.bytesRead.Load() != c.bytesUsed || !c.writer.NoInput()
+	return c.bytesRead.Load() != c.bytesConsumed || !c.writer.NoInput()
 }
 
 // assign writes an attempt to an idle connection; without one it waits for a dial. It reports whether the
 // attempt waits.
-func (bs *backends) assign(b *backend, a *attempt) (waiting bool) {
-	for c := bs.takeIdle(b); c != nil; c = bs.takeIdle(b) {
-		if bs.write(c, a) {
+func (bs *backends) assignAttempt(b *backend, a *attempt) (waiting bool) {
+	for c := bs.takeIdleConn(b); c != nil; c = bs.takeIdleConn(b) {
+		if bs.writeAttempt(c, a) {
 			return false
 		}
 	}
@@ -43,23 +43,23 @@
 	if a.request != nil {
 		a.request.waitingAttempt = a
 	}
-	bs.awaitQuiescence(b)
+	bs.scheduleQuiescenceTimer(b)
 	bs.dialForWaiting(b)
 	return true
 }
 
 // takeIdle removes and returns the most recently used idle connection that is not quiescing; nil: there is
 // none. Connections that have been idle for longer than the idle timeout estimate are closed.
-func (bs *backends) takeIdle(b *backend) *backendConn {
+func (bs *backends) takeIdleConn(b *backend) *backendConn {
 	now := bs.events.Now()
-	oldest := now - bs.idleTimeout.current(now)
-	for i := len(b.idle) - 1; i >= 0; i-- {
-		switch c := b.idle[i]; {
+	earliestIdleSince := now - bs.idleTimeout.current(now)
+	for i := len(b.idleConns) - 1; i >= 0; i-- {
+		switch c := b.idleConns[i]; {
 		case c.isQuiescing(now):
-		case c.idleSince < oldest:
-			bs.close(c, closeOutlived)
+		case c.idleSince < earliestIdleSince:
+			bs.close(c, closeIdleExpired)
 		default:
-			b.idle = slices.Delete(b.idle, i, i+1)
+			b.idleConns = slices.Delete(b.idleConns, i, i+1)
 			return c
 		}
 	}
@@ -68,11 +68,11 @@
 
 // awaitQuiescence has the waiting attempts look for an idle connection again as soon as one has ended its
 // quiescence period: a dial may take longer.
-func (bs *backends) awaitQuiescence(b *backend) {
+func (bs *backends) scheduleQuiescenceTimer(b *backend) {
 	if len(b.waiting) == 0 || b.quiesceTimerSet {
 		return
 	}
-	for _, c := range b.idle {
+	for _, c := range b.idleConns {
 		if c.isQuiescing(bs.events.Now()) {
 			b.quiesceTimerSet = true
 			bs.events.Schedule(c.idleSince+quiescencePeriod, connectionQuiesced{backend: b})
@@ -88,18 +88,18 @@
 	bs, b := g.backends, e.backend
 	b.quiesceTimerSet = false
 	for len(b.waiting) > 0 {
-		c := bs.takeIdle(b)
+		c := bs.takeIdleConn(b)
 		if c == nil {
 			break
 		}
 		bs.assignToWaiting(c)
 	}
-	bs.awaitQuiescence(b)
+	bs.scheduleQuiescenceTimer(b)
 }
 
 // release makes a connection available: to the attempt that has waited longest if it is new, and after its
 // quiescence period if it has carried a reply.
-func (bs *backends) release(c *backendConn) {
+func (bs *backends) releaseConn(c *backendConn) {
 	b := c.backend
 	if !c.writer.Idle() {
 		// The reply came before the whole request was written, and the next request would be written into the
@@ -116,8 +116,8 @@
 		bs.assignToWaiting(c)
 		return
 	}
-	bs.addIdle(c)
-	bs.awaitQuiescence(b)
+	bs.addIdleConn(c)
+	bs.scheduleQuiescenceTimer(b)
 }
 
 // assignToWaiting writes the attempt that has waited longest to a connection, or keeps the connection idle.
@@ -130,7 +130,7 @@
 			bs.endAttempt(a, policy.ResultNotSent)
 			continue
 		}
-		if bs.write(c, a) {
+		if bs.writeAttempt(c, a) {
 			return
 		}
 		if c.closed {
@@ -139,7 +139,7 @@
 			return
 		}
 	}
-	bs.addIdle(c)
+	bs.addIdleConn(c)
 }
 
 // isAttemptWanted reports whether an attempt that has waited for a connection is still wanted.
@@ -152,17 +152,17 @@
 }
 
 // addIdle keeps a connection for a later attempt.
-func (bs *backends) addIdle(c *backendConn) {
+func (bs *backends) addIdleConn(c *backendConn) {
 	c.idleSince = bs.events.Now()
-	c.backend.idle = append(c.backend.idle, c)
+	c.backend.idleConns = append(c.backend.idleConns, c)
 }
 
 // evict closes the connection that has been idle longest and reports whether there was one.
-func (bs *backends) evict() bool {
+func (bs *backends) evictIdleConn() bool {
 	var oldest *backendConn
 	for _, b := range bs.byNumber {
-		if len(b.idle) > 0 && (oldest == nil || b.idle[0].idleSince < oldest.idleSince) {
-			oldest = b.idle[0]
+		if len(b.idleConns) > 0 && (oldest == nil || b.idleConns[0].idleSince < oldest.idleSince) {
+			oldest = b.idleConns[0]
 		}
 	}
 	if oldest == nil {
@@ -176,16 +176,16 @@
 func (bs *backends) sweep(idleClose policy.Time) {
 	oldest := bs.events.Now() - idleClose/idleCloseDivisor
 	for _, b := range bs.byNumber {
-		for len(b.idle) > 0 && b.idle[0].idleSince <= oldest {
-			bs.close(b.idle[0], closeOutlived)
+		for len(b.idleConns) > 0 && b.idleConns[0].idleSince <= oldest {
+			bs.close(b.idleConns[0], closeIdleExpired)
 		}
 	}
 }
 
 // closeIdle closes a backend's idle connections.
-func (bs *backends) closeIdle(b *backend) {
-	for len(b.idle) > 0 {
-		bs.close(b.idle[0], closeNotReady)
+func (bs *backends) closeIdleConns(b *backend) {
+	for len(b.idleConns) > 0 {
+		bs.close(b.idleConns[0], closeNotReady)
 	}
 }
 
@@ -197,9 +197,9 @@
 	c.closed = true
 	bs.counts.closed[reason]++
 	close(c.done)
-	bs.open--
+	bs.openConns--
 	_ = c.conn.Close() // nothing is left to do about a failed close
-	if i := slices.Index(c.backend.idle, c); i >= 0 {
-		c.backend.idle = slices.Delete(c.backend.idle, i, i+1)
+	if i := slices.Index(c.backend.idleConns, c); i >= 0 {
+		c.backend.idleConns = slices.Delete(c.backend.idleConns, i, i+1)
 	}
 }
--- a/internal/gateway/backend_read.go
+++ b/internal/gateway/backend_read.go
@@ -45,9 +45,9 @@
 			e.malformed = errors.Is(e.err, resp.ErrProtocol) || errors.Is(e.err, os.ErrDeadlineExceeded)
 		}
 		buffered := in.Buffered()
-		e.bytesUsed, e.more = c.bytesRead.Load()-int64(buffered), buffered > 0
+		e.bytesConsumed, e.trailingInput = c.bytesRead.Load()-int64(buffered), buffered > 0
 		events.Post(e)
-		if e.err != nil || e.more {
+		if e.err != nil || e.trailingInput {
 			return
 		}
 	}
@@ -55,13 +55,13 @@
 
 // replyReceived is a reply on a backend's connection, or the connection's end.
 type replyReceived struct {
-	conn      *backendConn
-	reply     resp.Reply
-	err       error
-	malformed bool  // a reply has arrived that can't be parsed
-	bytesUsed int64 // bytes read from the connection up to the end of the reply
-	more      bool  // bytes have arrived behind the reply
-	streamed  bool  // its value went to the client as it was read
+	conn          *backendConn
+	reply         resp.Reply
+	err           error
+	malformed     bool  // a reply has arrived that can't be parsed
+	bytesConsumed int64 // bytes read from the connection up to the end of the reply
+	trailingInput bool  // bytes have arrived behind the reply
+	streamed      bool  // its value went to the client as it was read
 }
 
 func (e replyReceived) Handle(g *Gateway) {
@@ -69,26 +69,26 @@
 	switch {
 	case c.closed:
 	case e.streamed:
-		e.finishStream(g)
+		e.handleStreamedValue(g)
 	case c.attempt == nil || e.err != nil && !e.malformed:
-		e.handleEnd(g)
+		e.handleConnEnd(g)
 	default:
 		e.handleReply(g)
 	}
 }
 
 // handleEnd handles the end of a connection, or input that no attempt waits for.
-func (e replyReceived) handleEnd(g *Gateway) {
+func (e replyReceived) handleConnEnd(g *Gateway) {
 	c, a := e.conn, e.conn.attempt
 	reused := c.hasCarriedReply()
-	c.bytesUsed = e.bytesUsed
+	c.bytesConsumed = e.bytesConsumed
 	c.attempt = nil
 	g.backends.close(c, closeEnded)
 	if a == nil {
 		return
 	}
 	if reused {
-		g.backends.reusedConnectionBroke(c, a)
+		g.backends.handleBrokenReuse(c, a)
 	}
 	// The request was written, or may have been: it may have run.
 	g.backends.endAttempt(a, policy.ResultReset)
@@ -96,11 +96,11 @@
 
 // reusedConnectionBroke takes note that a reused connection ended under an attempt. Those that have been idle
 // for longer are most likely broken too, though nothing shows it, and are closed.
-func (bs *backends) reusedConnectionBroke(c *backendConn, a *attempt) {
+func (bs *backends) handleBrokenReuse(c *backendConn, a *attempt) {
 	b, idle := c.backend, a.sentAt-c.idleSince
-	explained := bs.idleTimeout.explains(bs.events.Now(), idle)
-	for explained && len(b.idle) > 0 && b.idle[0].idleSince <= c.idleSince {
-		bs.close(b.idle[0], closeOutlived)
+	mayHaveExpired := bs.idleTimeout.mayHaveExpired(bs.events.Now(), idle)
+	for mayHaveExpired && len(b.idleConns) > 0 && b.idleConns[0].idleSince <= c.idleSince {
+		bs.close(b.idleConns[0], closeIdleExpired)
 	}
 	if bs.events.Now()-a.sentAt < staleReuseWindow {
 		bs.idleTimeout.recordBroken(bs.events.Now(), idle)
@@ -111,8 +111,8 @@
 func (e replyReceived) handleReply(g *Gateway) {
 	c, a := e.conn, e.conn.attempt
 	reused := c.hasCarriedReply()
-	c.bytesUsed = e.bytesUsed
-	bodyPending := a.bodyPending() // the rest of the body is not written, or is being written now
+	c.bytesConsumed = e.bytesConsumed
+	bodyPending := a.isBodyPending() // the rest of the body is not written, or is being written now
 	reply := classifyReply(e.reply, a.request == nil)
 	if e.malformed && reply.value == nil {
 		reply.result = policy.ResultFailed
@@ -121,7 +121,7 @@
 	if reused {
 		g.backends.idleTimeout.recordHealthy(g.events.Now(), a.sentAt-c.idleSince)
 	}
-	if !reply.wellFormed || e.malformed || e.more || bodyPending {
+	if !reply.wellFormed || e.malformed || e.trailingInput || bodyPending {
 		// What comes next on this connection may belong to no request. The others to the backend go on.
 		g.backends.close(c, closeMalformed)
 		g.backends.dialForWaiting(c.backend)
@@ -131,6 +131,6 @@
 		loadReport: loadReport(g.config, reply.load),
 	})
 	if !c.closed {
-		g.backends.release(c)
+		g.backends.releaseConn(c)
 	}
 }
--- a/internal/gateway/backend_report.go
+++ b/internal/gateway/backend_report.go
@@ -14,7 +14,7 @@
 	closeMalformed                           // its reply was malformed, or followed by more
 	closeUnsolicitedInput                    // something had arrived before an attempt was written
 	closeWriteFailed                         // an attempt could not be written to it
-	closeOutlived                            // it was idle for longer than it may be expected to last
+	closeIdleExpired                         // it was idle for longer than it may be expected to last
 	closeEvicted                             // it made room for another connection
 	closeNotReady                            // its backend is not ready, or has moved or restarted
 	closeReasonCount
@@ -37,9 +37,9 @@
 }
 
 // report logs the counts, after those of the clients, and begins anew.
-func (bs *backends) report(log *slog.Logger) {
+func (bs *backends) logCounts(log *slog.Logger) {
 	attributes := []any{
-		"dialed", bs.counts.dials, "open", bs.open, "limit", bs.limit,
+		"dialed", bs.counts.dials, "open", bs.openConns, "limit", bs.limit,
 	}
 	for fault, count := range bs.counts.dialsFailed {
 		if count > 0 {
--- a/internal/gateway/backend_write.go
+++ b/internal/gateway/backend_write.go
@@ -16,7 +16,7 @@
 
 // write writes an attempt to an idle connection. It reports whether the attempt is on its way or ended; if
 // not, the connection proved broken, nothing was sent, and the attempt may go on another one.
-func (bs *backends) write(c *backendConn, a *attempt) bool {
+func (bs *backends) writeAttempt(c *backendConn, a *attempt) bool {
 	if c.backend.state != policy.EndpointReady {
 		// The backend began to drain while the attempt waited for its connection.
 		bs.endAttempt(a, policy.ResultNotSent)
@@ -41,7 +41,7 @@
 	c.attempt, a.conn = a, c
 	if a.request != nil {
 		a.request.waitingAttempt = nil
-		a.request.body.assign(c)
+		a.request.body.assignConn(c)
 	}
 	return true
 }
@@ -50,7 +50,7 @@
 func (g *Gateway) attemptCommand(a *attempt) []byte {
 	switch {
 	case a.request != nil:
-		return a.request.forwarded(a.expiresAt - g.events.Now())
+		return a.request.forwardedCommand(a.expiresAt - g.events.Now())
 	case g.config.Host.ReportVia == loadReportPull:
 		return infoLoadCommand
 	default:
@@ -59,7 +59,7 @@
 }
 
 // forwarded is the request as a backend gets it; of a large body it has only the head.
-func (r *request) forwarded(timeout policy.Time) []byte {
+func (r *request) forwardedCommand(timeout policy.Time) []byte {
 	bodySize := 0
 	if r.body != nil {
 		bodySize = r.body.size
--- a/internal/gateway/capacity.go
+++ b/internal/gateway/capacity.go
@@ -22,19 +22,19 @@
 // capacityRejection is the reply to a request for which the gateway itself has no capacity; nil: it has.
 func (g *Gateway) capacityRejection(c *client, overMemory bool) []byte {
 	cs := g.clients
-	for c.commands == 1 && len(cs.conns) > cs.limit {
+	for c.commandCount == 1 && len(cs.conns) > cs.limit {
 		if !cs.evict(g, c) {
 			// Connections that have only just come are not closed, but neither do they keep out a client with
 			// a request.
-			c.overLimit = cs.busyCount() > cs.limit
+			c.overLimit = cs.countWithOpenRequest() > cs.limit
 			break
 		}
 	}
-	overMemory = overMemory || g.overCapacity()
+	overMemory = overMemory || g.isOverCapacity()
 	if !overMemory && !c.overLimit && !g.shutdown.hasAnsweredAll() {
 		return nil
 	}
-	c.closeWhenDrained = c.closeWhenDrained || c.overLimit
+	c.closeWhenAnswered = c.closeWhenAnswered || c.overLimit
 	if c.overLimit {
 		cs.counts.rejectedOverLimit++
 	} else {
@@ -48,8 +48,8 @@
 }
 
 // overCapacity reports whether the open requests are too many, or hold too much memory.
-func (g *Gateway) overCapacity() bool {
+func (g *Gateway) isOverCapacity() bool {
 	maxOpen := g.config.Host.MaxOpen
-	return maxOpen > 0 && g.requests.open > maxOpen ||
-		g.memory.retained >= g.config.MemoryMB*bytesPerMB/retainedMemoryDivisor
+	return maxOpen > 0 && g.requests.openCount > maxOpen ||
+		g.memory.retainedBytes >= g.config.MemoryMB*bytesPerMB/retainedMemoryDivisor
 }
--- a/internal/gateway/client.go
+++ b/internal/gateway/client.go
@@ -40,22 +40,22 @@
 	// The loop's.
 	pipeline              []*request // in the order of their commands, which is that of their replies
 	closed                bool       // nothing more can be written
-	closeWhenDrained      bool       // is closed as soon as pipeline is empty
+	closeWhenAnswered     bool       // is closed as soon as pipeline is empty
 	closeAfterNextCommand bool       // is closed after the command that has begun to arrive
 	writeClosed           bool       // the sending side is closed: no command is accepted any more
 	overLimit             bool       // beyond the limit of connections: rejected, then closed
-	commands              int        // well-formed commands
+	commandCount          int        // well-formed commands
 	consecutiveErrors     int        // malformed commands in a row
 	lastCommandAt         policy.Time
 	readerStopped         bool   // the reader has ended for a handover
 	handoverInput         []byte // commands that were read and that the next process decides on
 
 	// The reader's.
-	inheritedInput  []byte    // read by the process before, which did not decide on it
-	readAheadInput  []byte    // read while the reader waited; counted in queuedBytes
-	midCommand      bool      // a command has begun to arrive
-	identified      bool      // a well-formed command was read
-	commandDeadline time.Time // by when it has to be complete
+	inheritedInput   []byte    // read by the process before, which did not decide on it
+	readAheadInput   []byte    // read while the reader waited; counted in queuedBytes
+	midCommand       bool      // a command has begun to arrive
+	sentValidCommand bool      // a well-formed command was read
+	commandDeadline  time.Time // by when it has to be complete
 }
 
 // clients holds the connections of clients within their part of the file descriptor budget. All of it belongs
@@ -75,8 +75,8 @@
 
 // clientCounts counts connections and rejections since the last report in the log.
 type clientCounts struct {
-	since    policy.Time
-	accepted int
+	startedAt policy.Time
+	accepted  int
 
 	closedBeforeInput int // evicted without any input
 	closedMidCommand  int // evicted with the first command incomplete
@@ -91,37 +91,37 @@
 const clientReportInterval = 5 * second
 
 // report logs the counts at intervals.
-func (cs *clients) report(g *Gateway) {
+func (cs *clients) logCounts(g *Gateway) {
 	counts, now := &cs.counts, g.events.Now()
-	if now-counts.since < clientReportInterval {
+	if now-counts.startedAt < clientReportInterval {
 		return
 	}
 	g.log.Info("clients", "accepted", counts.accepted, "open", len(cs.conns), "limit", cs.limit,
 		"closed_silent", counts.closedBeforeInput, "closed_mid_command", counts.closedMidCommand,
 		"closed_idle", counts.closedIdle, "rejected_over_limit", counts.rejectedOverLimit,
 		"rejected_over_memory", counts.rejectedOverMemory, "longest_accept_us", counts.longestAccept,
-		"dialed_backends", g.backends.counts.dials, "to_backends", g.backends.open)
-	g.backends.report(g.log)
-	*counts = clientCounts{since: now}
+		"dialed_backends", g.backends.counts.dials, "to_backends", g.backends.openConns)
+	g.backends.logCounts(g.log)
+	*counts = clientCounts{startedAt: now}
 }
 
 // sweep closes connections that are idle for too long or more than the limit, and logs the counts.
 func (cs *clients) sweep(g *Gateway) {
 	for len(cs.conns) > cs.limit && cs.evict(g, nil) {
 	}
-	cs.report(g)
+	cs.logCounts(g)
 	now := g.events.Now()
 	for c := range cs.conns {
 		c.handOver(g)
-		if now-c.lastCommandAt > c.maxIdle() && len(c.pipeline) == 0 && !c.closeWhenDrained {
+		if now-c.lastCommandAt > c.idleTimeout() && len(c.pipeline) == 0 && !c.closeWhenAnswered {
 			c.closeNow(g)
 		}
 	}
 }
 
 // maxIdle is for how long the connection may be without a request.
-func (c *client) maxIdle() policy.Time {
-	if c.commands == 1 {
+func (c *client) idleTimeout() policy.Time {
+	if c.commandCount == 1 {
 		return maxIdleTimeAfterSingle
 	}
 	return maxIdleTime
--- a/internal/gateway/client_accept.go
+++ b/internal/gateway/client_accept.go
@@ -12,7 +12,7 @@
 type clientConnected struct {
 	conn           *net.TCPConn
 	openedAt       time.Time
-	commands       int
+	commandCount   int
 	inheritedInput []byte
 }
 
@@ -23,8 +23,8 @@
 	c := &client{
 		conn: e.conn, writer: sockwriter.New(e.conn), openedAt: e.openedAt, clock: g.clock,
 		pipelineSlots: make(chan struct{}, maxPipelined), done: make(chan struct{}),
-		queuedBytes: &g.memory.queued, lastCommandAt: now,
-		commands: e.commands, inheritedInput: e.inheritedInput,
+		queuedBytes: &g.memory.queuedBytes, lastCommandAt: now,
+		commandCount: e.commandCount, inheritedInput: e.inheritedInput,
 	}
 	cs.conns[c] = true
 	c.closeAfterNextCommand = g.shutdown.isClosing() // accepted from the backlog: one command is answered
@@ -36,5 +36,5 @@
 	if len(cs.conns) > cs.limit {
 		cs.evict(g, nil)
 	}
-	go c.readCommands(g, c.commands > 0)
+	go c.readCommands(g, c.commandCount > 0)
 }
--- a/internal/gateway/client_close.go
+++ b/internal/gateway/client_close.go
@@ -10,10 +10,10 @@
 
 // closeAfterReplies closes the connection after the replies to its open requests.
 func (c *client) closeAfterReplies(g *Gateway) {
-	if c.closeWhenDrained || c.closed {
+	if c.closeWhenAnswered || c.closed {
 		return
 	}
-	c.closeWhenDrained = true
+	c.closeWhenAnswered = true
 	if len(c.pipeline) == 0 {
 		c.closeWrite(g)
 	}
@@ -75,9 +75,9 @@
 
 // cancelRequest ends a request whose client has gone.
 func (g *Gateway) cancelRequest(r *request, now policy.Time) {
-	g.cancelValue(r)
+	g.cancelValueTransfer(r)
 	g.abortBody(r)
-	g.memory.retained -= len(r.reply)
+	g.memory.retainedBytes -= len(r.reply)
 	if r.answered {
 		return
 	}
--- a/internal/gateway/client_commands.go
+++ b/internal/gateway/client_commands.go
@@ -29,7 +29,7 @@
 // commandAnswered.
 type receivedCommand interface {
 	event
-	common() commandHead
+	head() commandHead
 }
 
 // commandHead is what all commands have in common.
@@ -41,7 +41,7 @@
 	body       *body    // a large one that is still to be read; nil: none
 }
 
-func (h commandHead) common() commandHead { return h }
+func (h commandHead) head() commandHead { return h }
 
 // readCommand reads one command; the error is that of the connection. It runs in the client's reader.
 func (c *client) readCommand(g *Gateway, in *resp.Reader) (receivedCommand, error) {
@@ -51,9 +51,9 @@
 	case errors.Is(err, resp.ErrTooLarge):
 		return commandAnswered{commandHead: head, reply: errorReply(err), malformed: true}, nil
 	case errors.Is(err, resp.ErrProtocol):
-		return head.withLostFraming(err), nil
+		return head.framingError(err), nil
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return head.withLostFraming(errCommandIncomplete), nil
+		return head.framingError(errCommandIncomplete), nil
 	case err != nil:
 		return nil, err
 	}
@@ -62,15 +62,15 @@
 		head.body = &body{size: bodySize, destination: make(chan *backendConn, 1)}
 	}
 	cfg := g.publishedConfig.Load()
-	if g.memory.queued.Add(int64(head.size)) > maxQueuedBytes(cfg) {
-		g.memory.queued.Add(-int64(head.size))
+	if g.memory.queuedBytes.Add(int64(head.size)) > maxQueuedBytes(cfg) {
+		g.memory.queuedBytes.Add(-int64(head.size))
 		head.args, head.size = nil, 0
 	}
 	return head.parse(cfg, args), nil
 }
 
 // withLostFraming returns the reply to input behind which nothing can be read.
-func (h commandHead) withLostFraming(err error) commandAnswered {
+func (h commandHead) framingError(err error) commandAnswered {
 	return commandAnswered{commandHead: h, reply: errorReply(err), malformed: true, framingLost: true}
 }
 
@@ -98,9 +98,9 @@
 
 // begin reports whether a command is to be handled. One that arrived while its connection was being closed is
 // not: the client sends it again.
-func (h commandHead) begin(g *Gateway) bool {
+func (h commandHead) dequeue(g *Gateway) bool {
 	c := h.client
-	g.memory.queued.Add(-int64(h.size))
+	g.memory.queuedBytes.Add(-int64(h.size))
 	if c.closed || c.writeClosed || c.ignoreInput.Load() {
 		h.body.discard()
 		<-c.pipelineSlots
@@ -117,10 +117,10 @@
 
 // append makes the request of a command, which may have nothing in it but its place in the client's
 // pipeline, and appends it there.
-func (h commandHead) append(g *Gateway, parsed command.Request) *request {
+func (h commandHead) appendRequest(g *Gateway, parsed command.Request) *request {
 	c := h.client
 	if c.closeAfterNextCommand {
-		c.closeWhenDrained = true
+		c.closeWhenAnswered = true
 		if h.body == nil {
 			c.ignoreInput.Store(true)
 		}
@@ -137,7 +137,7 @@
 		g.metrics.OpenRequests.Add(1)
 	}
 	c.pipeline = append(c.pipeline, r)
-	g.requests.open++
+	g.requests.openCount++
 	c.lastCommandAt = g.events.Now()
 	return r
 }
@@ -153,17 +153,17 @@
 
 func (e commandAnswered) Handle(g *Gateway) {
 	switch {
-	case !e.begin(g):
+	case !e.dequeue(g):
 	case e.isForSuccessor(g):
 		g.handover.queueCommand(e)
 	default:
-		e.answer(g)
+		e.sendReply(g)
 	}
 }
 
 // answer sends the reply in its turn.
-func (e commandAnswered) answer(g *Gateway) {
-	r := e.append(g, command.Request{})
+func (e commandAnswered) sendReply(g *Gateway) {
+	r := e.appendRequest(g, command.Request{})
 	e.client.countCommand(e.malformed, e.framingLost)
 	g.answer(r, e.reply)
 }
@@ -175,9 +175,9 @@
 }
 
 func (e requestDropped) Handle(g *Gateway) {
-	if e.begin(g) {
-		r := e.append(g, command.Request{ClientID: e.clientID})
-		g.rejectOrCount(r, true)
+	if e.dequeue(g) {
+		r := e.appendRequest(g, command.Request{ClientID: e.clientID})
+		g.tryReject(r, true)
 	}
 }
 
@@ -190,7 +190,7 @@
 
 func (e requestReceived) Handle(g *Gateway) {
 	switch {
-	case !e.begin(g):
+	case !e.dequeue(g):
 	case e.isForSuccessor(g):
 		g.handover.queueCommand(e)
 	case e.config != g.config:
@@ -207,21 +207,21 @@
 	case requestReceived:
 		parsed.admit(g)
 	case commandAnswered:
-		parsed.answer(g)
+		parsed.sendReply(g)
 	}
 }
 
 // admit has the policy decide on a request, unless the gateway itself rejects it. A large body can't be
 // handed over, so its request is rejected during a handover.
 func (e requestReceived) admit(g *Gateway) {
-	r := e.append(g, e.request)
-	if !g.rejectOrCount(r, g.handover.isActive()) {
+	r := e.appendRequest(g, e.request)
+	if !g.tryReject(r, g.handover.isActive()) {
 		g.admitRequest(r, e.request.Details, e.receivedAt)
 	}
 }
 
 // rejectOrCount counts a request as a command of its connection's. It reports whether it has rejected it.
-func (g *Gateway) rejectOrCount(r *request, overMemory bool) (rejected bool) {
+func (g *Gateway) tryReject(r *request, overMemory bool) (rejected bool) {
 	if g.requests.openByClientID[r.clientID] != nil {
 		// Two open requests of one id can't be told apart behind this gateway.
 		r.client.countCommand(true, false)
@@ -242,13 +242,13 @@
 // closed too.
 func (c *client) countCommand(malformed, framingLost bool) {
 	if !malformed {
-		c.commands++
+		c.commandCount++
 		c.consecutiveErrors = 0
 		return
 	}
 	c.consecutiveErrors++
 	if c.consecutiveErrors >= maxConsecutiveErrors || framingLost {
-		c.closeWhenDrained = true
+		c.closeWhenAnswered = true
 		c.ignoreInput.Store(true)
 	}
 }
@@ -259,11 +259,11 @@
 	g.requests.lastID++
 	r.id = g.requests.lastID
 	g.requests.byID[r.id], g.requests.openByClientID[r.clientID] = r, r
-	g.memory.retained += command.Size(r.args)
+	g.memory.retainedBytes += command.Size(r.args)
 	r.customer, r.estimatedCost = details.Customer, details.Cost
 	margin := min(deadlineMargin, details.Timeout/maxMarginDivisor)
 	r.receivedAt, r.deadline = receivedAt, receivedAt+details.Timeout-margin
-	r.guard = g.events.Schedule(r.deadline+margin/2, deadlineGuard{request: r})
+	r.deadlineTimer = g.events.Schedule(r.deadline+margin/2, deadlineTimeout{request: r})
 	details.ID, details.Timeout = r.id, max(0, r.deadline-now)
 	g.controller.RequestReceived(now, details)
 }
--- a/internal/gateway/client_disconnect_rig_test.go
+++ b/internal/gateway/client_disconnect_rig_test.go
@@ -129,9 +129,9 @@
 func (w *waitingRequest) wantNoOpenRequests() {
 	w.t.Helper()
 	g := w.loop
-	if len(g.requests.byID) != 0 || g.requests.open != 0 || g.memory.retained != 0 {
-		w.t.Errorf("%d requests remain, %d open, %d bytes", len(g.requests.byID), g.requests.open,
-			g.memory.retained)
+	if len(g.requests.byID) != 0 || g.requests.openCount != 0 || g.memory.retainedBytes != 0 {
+		w.t.Errorf("%d requests remain, %d open, %d bytes", len(g.requests.byID), g.requests.openCount,
+			g.memory.retainedBytes)
 	}
 }
 
@@ -152,7 +152,7 @@
 	}
 	t.Cleanup(func() { _ = stalled.Close() })
 	g := newTestGateway(t, newFakeDiscovery(t))
-	g.backends.dial.Control = withSmallestBuffer(syscall.SO_SNDBUF)
+	g.backends.dialer.Control = withSmallestBuffer(syscall.SO_SNDBUF)
 	g.updateEndpoint(policy.UpdateComplete, discovery.Endpoint{
 		ID: "s-00000001", Address: stalled.Addr().String(), Phase: "Ready",
 	})
--- a/internal/gateway/client_disconnect_test.go
+++ b/internal/gateway/client_disconnect_test.go
@@ -45,7 +45,7 @@
 		w.disconnectInQueue()
 		request := w.onlyRequest()
 		w.handleNext("the reset")
-		if n := w.onlyBackend().dialing; n != 0 || request.attempts != 1 {
+		if n := w.onlyBackend().activeDials; n != 0 || request.attempts != 1 {
 			w.t.Errorf("%d attempts, %d dials for a client that has gone", request.attempts, n)
 		}
 		w.handleNext("the client's disconnect")
@@ -59,11 +59,11 @@
 		close(w.unblock)
 		w.disconnectInQueue()
 		w.handleNext("the dial's end")
-		if len(w.onlyBackend().idle) != 1 {
+		if len(w.onlyBackend().idleConns) != 1 {
 			w.t.Fatal("forwarded")
 		}
 		w.handleNext("the client's disconnect")
-		w.loop.backends.closeIdle(w.onlyBackend())
+		w.loop.backends.closeIdleConns(w.onlyBackend())
 		_ = wait(w.t, w.backend.closed, "the connection's end")
 		if len(w.backend.calls) > 0 {
 			w.t.Error("forwarded")
@@ -81,7 +81,7 @@
 		w.client.sendOnce(secondRequestID, "team")
 		w.disconnectInQueue()
 		w.handleNext("the second request")
-		if n := len(w.onlyBackend().idle); n != 1 {
+		if n := len(w.onlyBackend().idleConns); n != 1 {
 			w.t.Fatalf("forwarded: %d idle connections", n)
 		}
 		w.handleNext("the client's disconnect")
@@ -100,7 +100,7 @@
 		w.disconnect()
 		w.handleDisconnect()
 		advanceClock(w.t, w.loop, quiescencePeriod)
-		if idle := len(w.onlyBackend().idle); idle != 1 {
+		if idle := len(w.onlyBackend().idleConns); idle != 1 {
 			w.t.Errorf("%d idle connections, want the quiesced one", idle)
 		}
 		w.wantNothingSent()
@@ -118,7 +118,7 @@
 			forEachDeparture(t, notRetryable, func(w *waitingRequest) {
 				w.client.write(bodyHead(secondRequestID, "team", len(body)) + text)
 				handleUntil(w.t, w.loop, "the second request", func() bool {
-					return w.loop.requests.open == 2
+					return w.loop.requests.openCount == 2
 				})
 				w.disconnect()
 				w.handleDisconnect()
@@ -139,7 +139,7 @@
 			_, body := largeHead()
 			c.write(bodyHead(secondRequestID, "team", len(body)) + body + "\r\n")
 			handleUntil(t, g, "the second dial's end", func() bool {
-				return g.requests.open == 2 && g.backends.byNumber[1].dialing == 0
+				return g.requests.openCount == 2 && g.backends.byNumber[1].activeDials == 0
 			})
 			departure.by(c)
 			for len(g.clients.conns) > 0 {
--- a/internal/gateway/client_eviction_test.go
+++ b/internal/gateway/client_eviction_test.go
@@ -14,7 +14,7 @@
 	conn := dialClient(t, g.listening.listener.Addr().String()).conn
 	c := &client{
 		conn: conn, writer: sockwriter.New(conn), done: make(chan struct{}),
-		commands: commands, lastCommandAt: lastCommandAt,
+		commandCount: commands, lastCommandAt: lastCommandAt,
 	}
 	g.clients.conns[c] = true
 	g.clients.slots <- struct{}{}
--- a/internal/gateway/client_read.go
+++ b/internal/gateway/client_read.go
@@ -21,12 +21,12 @@
 // for replies only while the pipeline is full, and reads ahead then, so that the end of the connection is
 // noticed while requests are open. A client that does not complete a command in time is cut off.
 // identified: the connection has sent a well-formed command.
-func (c *client) readCommands(g *Gateway, identified bool) {
+func (c *client) readCommands(g *Gateway, sentValidCommand bool) {
 	defer c.discardReadAhead(g)
 	in := resp.NewReader(c)
-	c.identified = identified
+	c.sentValidCommand = sentValidCommand
 	c.commandDeadline = c.openedAt.Add(firstCommandTimeout)
-	if !identified {
+	if !sentValidCommand {
 		c.setReadDeadline(c.commandDeadline)
 	}
 	for {
@@ -36,10 +36,10 @@
 			return
 		}
 		if err != nil {
-			c.disconnect(g)
+			c.reportDisconnect(g)
 			return
 		}
-		if !c.readNext(g, in) {
+		if !c.readNextCommand(g, in) {
 			return
 		}
 	}
@@ -47,24 +47,24 @@
 
 // readNext reads one command, which has begun to arrive, and posts it. It reports whether another one may
 // follow.
-func (c *client) readNext(g *Gateway, in *resp.Reader) bool {
-	if c.identified {
+func (c *client) readNextCommand(g *Gateway, in *resp.Reader) bool {
+	if c.sentValidCommand {
 		c.commandDeadline = time.Now().Add(commandTimeout)
 		c.setReadDeadline(c.commandDeadline)
 	}
 	e, err := c.readCommand(g, in)
 	if err != nil {
-		c.disconnect(g)
+		c.reportDisconnect(g)
 		return false
 	}
 	answered, _ := e.(commandAnswered)
-	c.identified = c.identified || !answered.malformed
-	if c.identified {
+	c.sentValidCommand = c.sentValidCommand || !answered.malformed
+	if c.sentValidCommand {
 		c.setReadDeadline(time.Time{})
 	}
-	head := e.common()
-	if !c.acquireSlot(g) {
-		g.memory.queued.Add(-int64(head.size))
+	head := e.head()
+	if !c.acquirePipelineSlot(g) {
+		g.memory.queuedBytes.Add(-int64(head.size))
 		return false
 	}
 	g.events.Post(e)
@@ -96,7 +96,7 @@
 }
 
 // acquireSlot waits for a slot in the pipeline and reports whether the connection is still of use.
-func (c *client) acquireSlot(g *Gateway) bool {
+func (c *client) acquirePipelineSlot(g *Gateway) bool {
 	select {
 	case c.pipelineSlots <- struct{}{}:
 		return true
@@ -110,7 +110,7 @@
 		case <-c.done:
 		}
 	})
-	if !c.identified {
+	if !c.sentValidCommand {
 		c.setReadDeadline(c.commandDeadline)
 	}
 	return acquired && !c.disconnected.Load()
@@ -118,7 +118,7 @@
 
 // disconnect reports that the peer has closed. No attempt begins from here on, whatever the loop handles
 // before the event.
-func (c *client) disconnect(g *Gateway) {
+func (c *client) reportDisconnect(g *Gateway) {
 	c.disconnected.Store(true)
 	g.events.Post(clientDisconnected{client: c})
 }
--- a/internal/gateway/client_reply.go
+++ b/internal/gateway/client_reply.go
@@ -3,8 +3,8 @@
 import "slices"
 
 // flush writes the replies at the head of the pipeline, in one write, up to the first request without one.
-func (c *client) flush(g *Gateway) {
-	answered, replies := c.takeReplies(g)
+func (c *client) flushReplies(g *Gateway) {
+	answered, replies := c.collectReplies(g)
 	if answered == 0 {
 		return
 	}
@@ -13,18 +13,18 @@
 		g.events.Defer(clientDisconnected{client: c})
 	}
 	if len(c.pipeline) == 0 {
-		if c.closeWhenDrained {
+		if c.closeWhenAnswered {
 			c.closeWrite(g)
 		}
 		c.handOver(g)
 	} else if next := c.pipeline[0]; next.valueConn != nil {
-		g.startValue(next)
+		g.startValueTransfer(next)
 	}
 }
 
 // takeReplies returns the number of requests at the head of the pipeline that are answered, and their replies
 // joined. Their pipeline slots are released.
-func (c *client) takeReplies(g *Gateway) (answered int, replies []byte) {
+func (c *client) collectReplies(g *Gateway) (answered int, replies []byte) {
 	for answered < len(c.pipeline) && c.pipeline[answered].answered {
 		r := c.pipeline[answered]
 		if replies == nil {
@@ -32,7 +32,7 @@
 		} else {
 			replies = append(replies[:len(replies):len(replies)], r.reply...)
 		}
-		g.memory.retained -= len(r.reply)
+		g.memory.retainedBytes -= len(r.reply)
 		r.reply = nil
 		answered++
 		<-c.pipelineSlots
--- a/internal/gateway/dial_fault_test.go
+++ b/internal/gateway/dial_fault_test.go
@@ -44,8 +44,8 @@
 
 // failDials has all dials to backends fail with an error until the returned function is called.
 func failDials(g *Gateway, err error) (recover func()) {
-	g.backends.dial.Control = func(string, string, syscall.RawConn) error { return err }
-	return func() { g.backends.dial.Control = nil }
+	g.backends.dialer.Control = func(string, string, syscall.RawConn) error { return err }
+	return func() { g.backends.dialer.Control = nil }
 }
 
 // A shortage of this machine's own ends no attempt at once, ejects no backend and begins no slow start: the
--- a/internal/gateway/event_loop_rig_test.go
+++ b/internal/gateway/event_loop_rig_test.go
@@ -21,8 +21,8 @@
 // its address to dialing before it waits.
 func blockDials(g *Gateway) (dialing chan string, unblock chan struct{}) {
 	dialing, unblock = make(chan string, 16), make(chan struct{})
-	g.backends.dial.Timeout = 0
-	g.backends.dial.Control = func(_, address string, _ syscall.RawConn) error {
+	g.backends.dialer.Timeout = 0
+	g.backends.dialer.Control = func(_, address string, _ syscall.RawConn) error {
 		dialing <- address
 		<-unblock
 		return nil
@@ -146,8 +146,8 @@
 		t.Errorf("%d attempts wait for a connection", n)
 	}
 	close(unblock)
-	handleUntil(t, g, "the dial's end", func() bool { return g.backends.byNumber[1].dialing == 0 })
-	g.backends.closeIdle(g.backends.byNumber[1])
+	handleUntil(t, g, "the dial's end", func() bool { return g.backends.byNumber[1].activeDials == 0 })
+	g.backends.closeIdleConns(g.backends.byNumber[1])
 	_ = wait(t, b.closed, "the connection's end")
 	if len(b.calls) > 0 {
 		t.Error("forwarded")
--- a/internal/gateway/handover.go
+++ b/internal/gateway/handover.go
@@ -184,7 +184,7 @@
 		h.queuedCommands = append(h.queuedCommands, e)
 		return
 	}
-	head := e.common()
+	head := e.head()
 	head.client.handoverInput = appendCommand(head.client.handoverInput, head.args)
 	<-head.client.pipelineSlots
 }
--- a/internal/gateway/handover_clients.go
+++ b/internal/gateway/handover_clients.go
@@ -22,7 +22,7 @@
 		c.handingOver.Store(false)
 		c.inheritedInput, c.handoverInput = c.handoverInput, nil
 		_ = c.conn.SetReadDeadline(time.Time{}) // fails only on a closed connection
-		go c.readCommands(g, c.commands > 0)
+		go c.readCommands(g, c.commandCount > 0)
 	}
 	if g.shutdown.isClosing() {
 		c.closeAfterReplies(g)
@@ -44,7 +44,7 @@
 
 // canBeHandedOver reports whether nothing is open on the connection and there is a successor to send it to.
 func (c *client) canBeHandedOver(g *Gateway) bool {
-	return c.readerStopped && !c.closed && !c.closeWhenDrained && len(c.pipeline) == 0 &&
+	return c.readerStopped && !c.closed && !c.closeWhenAnswered && len(c.pipeline) == 0 &&
 		g.handover.hasReleasedOwnership() && g.handover.canSend() && c.writer.Idle()
 }
 
@@ -62,7 +62,8 @@
 	c.handoverInput = nil
 	g.handover.sendClient(
 		handover.ClientConnection{
-			Requests: c.commands, OpenedAt: c.openedAt, Age: max(time.Microsecond, time.Since(c.openedAt)),
+			Requests: c.commandCount,
+			OpenedAt: c.openedAt, Age: max(time.Microsecond, time.Since(c.openedAt)),
 		},
 		input,
 		c.writer.RawConn(),
--- a/internal/gateway/handover_gateway.go
+++ b/internal/gateway/handover_gateway.go
@@ -46,14 +46,14 @@
 }
 
 func (a handoverAdapter) releaseOwnership() {
-	a.log.Info("handed over", "open", a.requests.open, "clients", len(a.clients.conns))
+	a.log.Info("handed over", "open", a.requests.openCount, "clients", len(a.clients.conns))
 	a.ops.SetReady(false)
 	a.handover.stopListening()
 	a.listening.handOver()
 	a.gossip.Close()
 	a.controller.ReleaseOwnership(a.events.Now())
 	for _, b := range a.backends.byNumber {
-		a.backends.closeIdle(b)
+		a.backends.closeIdleConns(b)
 	}
 	limitMemory(a.config, twoProcesses)
 }
@@ -117,7 +117,7 @@
 }
 
 func (a handoverAdapter) handleQueuedCommand(command receivedCommand) {
-	a.memory.queued.Add(int64(command.common().size)) // Handle subtracts it a second time
+	a.memory.queuedBytes.Add(int64(command.head().size)) // Handle subtracts it a second time
 	command.Handle(a.Gateway)
 }
 
--- a/internal/gateway/handover_older_predecessor_test.go
+++ b/internal/gateway/handover_older_predecessor_test.go
@@ -97,7 +97,7 @@
 	if g == nil {
 		t.FailNow()
 	}
-	g.backends.dial.Timeout = testTimeout
+	g.backends.dialer.Timeout = testTimeout
 	fakeClockOf(t, g).shown.Store(old.recording.At)
 	r := serveGateway(t, g)
 	old.link.Expect(olderTakeover)
--- a/internal/gateway/idle_timeout.go
+++ b/internal/gateway/idle_timeout.go
@@ -43,7 +43,7 @@
 
 // explains reports whether an idle time can be why a connection is broken: not if one idle for longer was
 // healthy of late. Something else breaks connections then, new ones as well.
-func (e *idleTimeoutEstimate) explains(now, idle policy.Time) bool {
+func (e *idleTimeoutEstimate) mayHaveExpired(now, idle policy.Time) bool {
 	return e.longestHealthyIdleAt == 0 || now-e.longestHealthyIdleAt > idleTimeoutRecovery ||
 		idle > e.longestHealthyIdle
 }
@@ -51,7 +51,7 @@
 // recordBroken records that a connection was broken when it was reused after an idle time. The estimate is
 // lowered by the second within idleTimeoutRecovery: a single one is chance.
 func (e *idleTimeoutEstimate) recordBroken(now, idle policy.Time) {
-	if !e.explains(now, idle) {
+	if !e.mayHaveExpired(now, idle) {
 		return
 	}
 	if e.lastBrokenAt != 0 && now-e.lastBrokenAt < idleTimeoutRecovery {
--- a/internal/gateway/idle_timeout_test.go
+++ b/internal/gateway/idle_timeout_test.go
@@ -52,7 +52,7 @@
 		t.Errorf("trusted for %d after two resets of longer idle ones, want half of their idling", got)
 	}
 	now += 2*idleTimeoutRecovery + 1
-	if !estimate.explains(now, 400_000) {
+	if !estimate.mayHaveExpired(now, 400_000) {
 		t.Error("a healthy connection of long ago still counts")
 	}
 }
--- a/internal/gateway/replies.go
+++ b/internal/gateway/replies.go
@@ -39,10 +39,10 @@
 
 // errorReply is an error as the client gets it, in printable ASCII.
 func errorReply(err error) []byte {
-	return fmt.Appendf(nil, "-ERR %s\r\n", strings.Map(printable, err.Error()))
+	return fmt.Appendf(nil, "-ERR %s\r\n", strings.Map(replaceUnprintable, err.Error()))
 }
 
-func printable(r rune) rune {
+func replaceUnprintable(r rune) rune {
 	if r < ' ' || r > '~' {
 		return '?'
 	}
--- a/internal/gateway/request_body.go
+++ b/internal/gateway/request_body.go
@@ -26,10 +26,10 @@
 }
 
 // unassigned reports whether an attempt may be made: there is no large body, or it has gone nowhere yet.
-func (b *body) unassigned() bool { return b == nil || !b.assigned }
+func (b *body) isUnassigned() bool { return b == nil || !b.assigned }
 
 // assign has the body go to a connection, on which the head of its command was written.
-func (b *body) assign(c *backendConn) {
+func (b *body) assignConn(c *backendConn) {
 	if b != nil && !b.assigned {
 		b.assigned, b.conn = true, c
 		b.destination <- c
@@ -37,15 +37,15 @@
 }
 
 // discard has the body skipped, unless it was assigned: its request has its reply.
-func (b *body) discard() { b.assign(nil) }
+func (b *body) discard() { b.assignConn(nil) }
 
 // bodyIncomplete reports whether the backend can't have all of an attempt's large body.
-func (a *attempt) bodyIncomplete() bool {
-	return a.bodyPending() && !a.request.body.lastBytesWriting.Load()
+func (a *attempt) isBodyIncomplete() bool {
+	return a.isBodyPending() && !a.request.body.lastBytesWriting.Load()
 }
 
 // bodyPending reports whether an attempt's large body is not known to be written to its end.
-func (a *attempt) bodyPending() bool {
+func (a *attempt) isBodyPending() bool {
 	return a.request != nil && a.request.body != nil && a.conn != nil && !a.fullyWritten
 }
 
@@ -56,7 +56,7 @@
 	if !ok {
 		return false // the attempt, if any, ends with the request
 	}
-	w := bodyWriter{client: c, loop: g, body: b, conn: conn}
+	w := bodyWriter{client: c, gateway: g, body: b, conn: conn}
 	err := c.forwardBodyBytes(in, &w)
 	if c.disconnected.Load() {
 		return false
@@ -73,7 +73,7 @@
 	case errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, resp.ErrProtocol):
 		g.events.Post(bodyFailed{body: b, malformed: true})
 	default:
-		c.disconnect(g)
+		c.reportDisconnect(g)
 	}
 	return false
 }
@@ -111,10 +111,10 @@
 
 // bodyWriter writes a body to its backend for the client's reader.
 type bodyWriter struct {
-	client *client
-	loop   *Gateway
-	body   *body
-	conn   *backendConn // nil: the body is skipped
+	client  *client
+	gateway *Gateway
+	body    *body
+	conn    *backendConn // nil: the body is skipped
 }
 
 // write writes a part of the body. After a failure the rest is skipped.
@@ -123,11 +123,11 @@
 		return
 	}
 	var err error
-	w.client.readAheadWhile(w.loop, func() {
+	w.client.readAheadWhile(w.gateway, func() {
 		err = w.conn.writer.WriteBlocking(part, transferStallTimeout)
 	})
 	if err != nil {
-		w.loop.events.Post(bodyFailed{body: w.body})
+		w.gateway.events.Post(bodyFailed{body: w.body})
 		w.conn = nil
 	}
 }
@@ -137,7 +137,7 @@
 	w.body.lastBytesWriting.Store(w.conn != nil)
 	w.write(crlf)
 	if w.conn != nil {
-		w.loop.events.Post(bodyWritten{body: w.body})
+		w.gateway.events.Post(bodyWritten{body: w.body})
 	}
 }
 
@@ -145,7 +145,7 @@
 type bodyWritten struct{ body *body }
 
 func (e bodyWritten) Handle(*Gateway) {
-	if a := e.body.conn.attempt; a != nil && a.request == e.body.request && a.bodyPending() {
+	if a := e.body.conn.attempt; a != nil && a.request == e.body.request && a.isBodyPending() {
 		a.markFullyWritten()
 	}
 }
@@ -177,7 +177,7 @@
 		return
 	}
 	c := r.body.conn
-	if a := c.attempt; a != nil && a.request == r && a.bodyIncomplete() {
+	if a := c.attempt; a != nil && a.request == r && a.isBodyIncomplete() {
 		g.backends.endAttempt(a, policy.ResultNotSent)
 		c.attempt = nil
 		g.backends.close(c, closeIncomplete)
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -244,12 +244,12 @@
 		timers := 0
 		for timer := range g.events.Scheduled() {
 			switch timer.(type) {
-			case deadlineGuard, attemptTimeout:
+			case deadlineTimeout, attemptTimeout:
 				timers++
 			}
 		}
 		remaining <- fmt.Sprint(timers, len(g.requests.byID), len(g.requests.openByClientID),
-			g.memory.retained, g.requests.open)
+			g.memory.retainedBytes, g.requests.openCount)
 	}))
 	if got := wait(t, remaining, "the loop"); got != "0 0 0 0 0" {
 		t.Errorf("timers, requests, ids, bytes, open: %s", got)
--- a/internal/gateway/request_trace.go
+++ b/internal/gateway/request_trace.go
@@ -51,7 +51,8 @@
 	g.log.Info("trace", "id", string(r.args[command.ClientIDArg]),
 		"customer", string(r.args[command.CustomerArg]),
 		"fields", string(r.args[command.FieldsArg]), "attempts", r.attempts, "ends", r.describeOutcomes(),
-		"answer", answer, "after_us", now-r.receivedAt, "left_us", r.deadline-now, "open", g.requests.open)
+		"answer", answer, "after_us", now-r.receivedAt, "left_us", r.deadline-now,
+		"open", g.requests.openCount)
 }
 
 // describeOutcomes lists the attempts of a request that have ended, for the log.
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -27,7 +27,7 @@
 	metrics       *metrics.Class // of its class; nil: no request to a backend
 	receivedAt    policy.Time    // when its last byte was read
 	deadline      policy.Time
-	guard         *timer // for deadlineGuard
+	deadlineTimer *timer // for deadlineGuard
 
 	attempts         int            // made so far
 	attemptsInFlight int            // those without an outcome
@@ -46,7 +46,7 @@
 	if r.answered || r.valueStarted {
 		return
 	}
-	g.cancelValue(r)
+	g.cancelValueTransfer(r)
 	if reply[0] == '-' {
 		g.traceError(r, reply)
 	}
@@ -54,21 +54,21 @@
 		countReply(r.metrics, reply)
 	}
 	r.reply = reply
-	g.memory.retained += len(reply)
+	g.memory.retainedBytes += len(reply)
 	g.markAnswered(r)
-	r.client.flush(g)
+	r.client.flushReplies(g)
 	g.releaseRequest(r)
 }
 
 // markAnswered ends all that waits on a request that has its final reply, or needs none any more.
 func (g *Gateway) markAnswered(r *request) {
 	r.answered = true
-	g.requests.open--
+	g.requests.openCount--
 	if r.metrics != nil {
 		g.metrics.OpenRequests.Add(-1)
 	}
-	g.events.Cancel(r.guard)
-	r.guard = nil
+	g.events.Cancel(r.deadlineTimer)
+	r.deadlineTimer = nil
 	r.body.discard()
 	g.backends.cancelWaiting(r.waitingAttempt)
 	if g.requests.openByClientID[r.clientID] == r {
@@ -80,15 +80,15 @@
 func (g *Gateway) releaseRequest(r *request) {
 	if r.answered && r.attemptsInFlight == 0 && g.requests.byID[r.id] == r {
 		delete(g.requests.byID, r.id)
-		g.memory.retained -= command.Size(r.args)
+		g.memory.retainedBytes -= command.Size(r.args)
 	}
 }
 
 // deadlineGuard fails a request that is still open just before its client stops waiting, whatever went wrong:
 // no request may be lost.
-type deadlineGuard struct{ request *request }
+type deadlineTimeout struct{ request *request }
 
-func (d deadlineGuard) Handle(g *Gateway) {
+func (d deadlineTimeout) Handle(g *Gateway) {
 	r := d.request
 	if r.answered {
 		return
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -130,7 +130,7 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	g.backends.dial.Timeout = testTimeout
+	g.backends.dialer.Timeout = testTimeout
 	return g
 }
 
@@ -189,7 +189,7 @@
 	tb.Helper()
 	r.waitUntil(tb, func(g *Gateway) bool {
 		for _, b := range g.backends.byNumber {
-			if len(b.idle) > 0 {
+			if len(b.idleConns) > 0 {
 				return true
 			}
 		}
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -162,7 +162,7 @@
 type shutdownAdapter struct{ *Gateway }
 
 func (a shutdownAdapter) announce() {
-	a.log.Info("stopping", "open", a.requests.open)
+	a.log.Info("stopping", "open", a.requests.openCount)
 	a.ops.SetReady(false)
 }
 
@@ -223,7 +223,7 @@
 		return false
 	}
 	return a.listening.isClosed() ||
-		a.shutdown.hasStarted() && a.handover.hasReleasedOwnership() && a.requests.open == 0
+		a.shutdown.hasStarted() && a.handover.hasReleasedOwnership() && a.requests.openCount == 0
 }
 
 func (a shutdownAdapter) stop() { a.events.Stop() }
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -48,7 +48,7 @@
 	c := (&rig{addr: g.listening.listener.Addr().String()}).client(t)
 	c.sendLookup(1) // stays in the kernel, because no connection is accepted yet
 	advanceClock(t, g, acceptPeriod)
-	handleUntil(t, g, "the request", func() bool { return g.requests.open == 1 })
+	handleUntil(t, g, "the request", func() bool { return g.requests.openCount == 1 })
 	handleUntil(t, g, "the listener to close", g.listening.isClosed)
 	advanceClock(t, g, 2*closePeriod) // the backend takes long
 	if g.events.Stopped() {
@@ -56,7 +56,7 @@
 	}
 	handleUntil(t, g, "the dial", func() bool { return len(g.backends.byNumber[1].waiting) == 0 })
 	b.nextCall(t).replyValue(t, "ok")
-	handleUntil(t, g, "the answer", func() bool { return g.requests.open == 0 })
+	handleUntil(t, g, "the answer", func() bool { return g.requests.openCount == 0 })
 	c.wantValue("ok")
 	c.wantClosed()
 	closeConn(t, c.conn)
@@ -158,7 +158,7 @@
 	c.write(command[:40])
 	r.waitUntil(t, func(g *Gateway) bool {
 		return slices.ContainsFunc(clientList(g), func(c *client) bool {
-			return c.commands == 0 && c.isMidCommand()
+			return c.commandCount == 0 && c.isMidCommand()
 		})
 	})
 	r.shutDownFor(t, acceptPeriod)
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -61,7 +61,7 @@
 	byID           map[uint64]*request // requests that are not answered yet or have an attempt in flight
 	openByClientID map[uint64]*request // requests without a final reply, by the ID that the client sent
 	lastID         uint64              // the highest ID assigned so far
-	open           int                 // requests without a final reply, including those not in byID
+	openCount      int                 // requests without a final reply, including those not in byID
 	nextTraceAt    traceSchedule
 }
 
@@ -71,6 +71,6 @@
 
 // memoryUse counts the bytes of memory that clients occupy.
 type memoryUse struct {
-	retained int          // requests in the table and replies not written yet; belongs to the event loop
-	queued   atomic.Int64 // input that waits for the event loop; safe for any goroutine
+	retainedBytes int          // requests in the table and replies not written yet; belongs to the event loop
+	queuedBytes   atomic.Int64 // input that waits for the event loop; safe for any goroutine
 }
--- a/internal/gateway/takeover.go
+++ b/internal/gateway/takeover.go
@@ -202,7 +202,7 @@
 	clientConnected{
 		conn:           e.client.Conn,
 		openedAt:       e.client.OpeningTime(time.Now()),
-		commands:       e.client.Requests,
+		commandCount:   e.client.Requests,
 		inheritedInput: e.client.Input,
 	}.Handle(g)
 }
--- a/internal/gateway/value_stream.go
+++ b/internal/gateway/value_stream.go
@@ -33,10 +33,10 @@
 		}
 	}
 	c.setReadDeadline(time.Time{})
-	events.Post(valueOffered{conn: c})
+	events.Post(valueArrived{conn: c})
 	var destination *sockwriter.Writer
 	select {
-	case destination = <-c.destination:
+	case destination = <-c.valueDestination:
 	case <-c.done:
 		return false
 	}
@@ -81,9 +81,9 @@
 }
 
 // valueOffered says that a large value has arrived for the request of a connection.
-type valueOffered struct{ conn *backendConn }
+type valueArrived struct{ conn *backendConn }
 
-func (e valueOffered) Handle(g *Gateway) {
+func (e valueArrived) Handle(g *Gateway) {
 	c, a := e.conn, e.conn.attempt
 	if c.closed {
 		return
@@ -99,33 +99,33 @@
 	}
 	a.request.valueConn = c
 	if a.request.client.pipeline[0] == a.request {
-		g.startValue(a.request)
+		g.startValueTransfer(a.request)
 	}
 }
 
 // startValue lets a large value go to the client, all earlier requests of which are answered. It is the final
 // reply: no further attempt is made, and neither the deadline nor a shutdown ends the transfer.
-func (g *Gateway) startValue(r *request) {
+func (g *Gateway) startValueTransfer(r *request) {
 	if r.valueStarted {
 		return
 	}
 	c, a := r.valueConn, r.valueConn.attempt
 	r.valueStarted = true
-	g.events.Cancel(r.guard)
+	g.events.Cancel(r.deadlineTimer)
 	g.events.Cancel(a.timeout)
-	r.guard, a.timeout = nil, nil
-	c.destination <- r.client.writer
-	g.events.Defer(valueStarted{attempt: a, latency: g.events.Now() - a.sentAt})
+	r.deadlineTimer, a.timeout = nil, nil
+	c.valueDestination <- r.client.writer
+	g.events.Defer(valueTransferStarted{attempt: a, latency: g.events.Now() - a.sentAt})
 }
 
 // valueStarted reports an attempt's success to the policy when its value starts: how long the client takes
 // for the rest says nothing of the backend.
-type valueStarted struct {
+type valueTransferStarted struct {
 	attempt *attempt
 	latency policy.Time
 }
 
-func (e valueStarted) Handle(g *Gateway) {
+func (e valueTransferStarted) Handle(g *Gateway) {
 	a := e.attempt
 	g.reportOutcome(policy.Outcome{
 		RequestID: a.request.id, Attempt: a.number, Backend: a.backend, Result: policy.ResultOK,
@@ -135,7 +135,7 @@
 
 // cancelValue gives up a large value that has not started: its request has another reply, or nobody waits for
 // it any more.
-func (g *Gateway) cancelValue(r *request) {
+func (g *Gateway) cancelValueTransfer(r *request) {
 	c := r.valueConn
 	if c == nil || r.valueStarted {
 		return
@@ -149,25 +149,25 @@
 }
 
 // finishStream ends the attempt of a large value that has gone to the client or, with an error, broke off.
-func (e replyReceived) finishStream(g *Gateway) {
+func (e replyReceived) handleStreamedValue(g *Gateway) {
 	c, a := e.conn, e.conn.attempt
 	r := a.request
 	c.attempt, a.ended, a.conn = nil, true, nil
-	c.bytesUsed = e.bytesUsed
+	c.bytesConsumed = e.bytesConsumed
 	r.attemptsInFlight--
 	if !r.answered {
-		g.finishValue(r, e.err)
+		g.finishValueRequest(r, e.err)
 	}
 	if cost := actualCost(g.config, itemText(e.reply, replyUsage)); cost > 0 {
 		g.settleCost(r.customer, cost-r.estimatedCost)
 	}
 	g.releaseRequest(r)
-	if e.err != nil || e.malformed || e.more {
+	if e.err != nil || e.malformed || e.trailingInput {
 		g.backends.close(c, closeIncomplete)
 		g.backends.dialForWaiting(c.backend)
 		return
 	}
-	g.backends.release(c)
+	g.backends.releaseConn(c)
 }
 
 // settleCost reports to the policy, and to a process that takes over, by how much a cost was underestimated.
@@ -178,7 +178,7 @@
 
 // finishValue ends a request whose value has been written. If it broke off, the client's connection is closed
 // amid the value, by which the client can tell.
-func (g *Gateway) finishValue(r *request, err error) {
+func (g *Gateway) finishValueRequest(r *request, err error) {
 	if err != nil {
 		g.log.Info("value incomplete", "id", string(r.args[command.ClientIDArg]), "error", err)
 		r.metrics.Failed.Add(1)
@@ -188,5 +188,5 @@
 	r.metrics.Served.Add(1)
 	g.markAnswered(r)
 	r.client.lastCommandAt = g.events.Now()
-	r.client.flush(g)
+	r.client.flushReplies(g)
 }
