--- a/internal/gateway/client_accept.go
+++ b/internal/gateway/client_accept.go
@@ -23,7 +23,7 @@
 	c := &client{
 		conn: e.conn, writer: sockwriter.New(e.conn), openedAt: e.openedAt, clock: g.clock,
 		pipelineSlots: make(chan struct{}, maxPipelined), done: make(chan struct{}),
-		queuedBytes: &g.memory.queuedBytes, lastCommandAt: now,
+		queuedBytes: &g.memory.inputBytes, lastCommandAt: now,
 		commandCount: e.commandCount, inheritedInput: e.inheritedInput,
 	}
 	cs.conns[c] = true
--- a/internal/gateway/client_commands.go
+++ b/internal/gateway/client_commands.go
@@ -62,8 +62,8 @@
 		head.body = &body{size: bodySize, destination: make(chan *backendConn, 1)}
 	}
 	cfg := g.publishedConfig.Load()
-	if g.memory.queuedBytes.Add(int64(head.size)) > maxQueuedBytes(cfg) {
-		g.memory.queuedBytes.Add(-int64(head.size))
+	if g.memory.inputBytes.Add(int64(head.size)) > maxQueuedBytes(cfg) {
+		g.memory.inputBytes.Add(-int64(head.size))
 		head.args, head.size = nil, 0
 	}
 	return head.parse(cfg, args), nil
@@ -100,7 +100,7 @@
 // not: the client sends it again.
 func (h commandHead) dequeue(g *Gateway) bool {
 	c := h.client
-	g.memory.queuedBytes.Add(-int64(h.size))
+	g.memory.inputBytes.Add(-int64(h.size))
 	if c.closed || c.writeClosed || c.ignoreInput.Load() {
 		h.body.discard()
 		<-c.pipelineSlots
--- a/internal/gateway/client_commands_test.go
+++ b/internal/gateway/client_commands_test.go
@@ -83,14 +83,14 @@
 	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
 	full := maxQueuedBytes(r.gateway.publishedConfig.Load())
-	r.gateway.memory.queuedBytes.Add(full)
+	r.gateway.memory.inputBytes.Add(full)
 	c.sendLookup(1)
 	c.wantLine("-BUSY 500")
 	c.send("PING")
 	c.wantLine("+PONG")
 	c.send("NONE")
 	c.wantLine(`-ERR unknown command "NONE"`)
-	if n := r.gateway.memory.queuedBytes.Add(-full); n != 0 {
+	if n := r.gateway.memory.inputBytes.Add(-full); n != 0 {
 		t.Errorf("%d bytes are counted", n)
 	}
 	call := c.openLookup(b, 1) // the id is free again
--- a/internal/gateway/client_read.go
+++ b/internal/gateway/client_read.go
@@ -64,7 +64,7 @@
 	}
 	head := e.head()
 	if !c.acquirePipelineSlot(g) {
-		g.memory.queuedBytes.Add(-int64(head.size))
+		g.memory.inputBytes.Add(-int64(head.size))
 		return false
 	}
 	g.events.Post(e)
--- a/internal/gateway/client_read_ahead.go
+++ b/internal/gateway/client_read_ahead.go
@@ -37,7 +37,7 @@
 // order. The end of the connection is not noticed behind that.
 func (c *client) readAhead(g *Gateway, waitOver <-chan struct{}) {
 	maxQueued := maxQueuedBytes(g.publishedConfig.Load()) / readAheadDivisor
-	for len(c.readAheadInput) < maxReadAhead && g.memory.queuedBytes.Load() < maxQueued {
+	for len(c.readAheadInput) < maxReadAhead && g.memory.inputBytes.Load() < maxQueued {
 		err := c.readAheadOnce(g)
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded):
@@ -67,7 +67,7 @@
 	n, err := c.conn.Read(c.readAheadInput[length:min(cap(c.readAheadInput), maxReadAhead)])
 	n = max(n, 0)
 	c.readAheadInput = c.readAheadInput[:length+n]
-	g.memory.queuedBytes.Add(int64(n))
+	g.memory.inputBytes.Add(int64(n))
 	return err
 }
 
@@ -84,6 +84,6 @@
 
 // discardReadAhead drops what was read ahead, when the reader ends.
 func (c *client) discardReadAhead(g *Gateway) {
-	g.memory.queuedBytes.Add(-int64(len(c.readAheadInput)))
+	g.memory.inputBytes.Add(-int64(len(c.readAheadInput)))
 	c.readAheadInput = nil
 }
--- a/internal/gateway/client_read_ahead_test.go
+++ b/internal/gateway/client_read_ahead_test.go
@@ -18,7 +18,7 @@
 		fmt.Fprintf(&text, "*1\r\n$5\r\nX%04d\r\n*1\r\n$4\r\nPING\r\n", i)
 	}
 	c.write(text.String())
-	for r.gateway.memory.queuedBytes.Load() < maxReadAhead/2 { // until much is read ahead
+	for r.gateway.memory.inputBytes.Load() < maxReadAhead/2 { // until much is read ahead
 		runtime.Gosched()
 	}
 	call.replyValue(t, "ok")
@@ -27,7 +27,7 @@
 		c.wantLine(fmt.Sprintf("-ERR unknown command \"X%04d\"", i))
 		c.wantLine("+PONG")
 	}
-	if n := r.gateway.memory.queuedBytes.Load(); n != 0 {
+	if n := r.gateway.memory.inputBytes.Load(); n != 0 {
 		t.Errorf("%d bytes are counted when all is answered", n)
 	}
 }
@@ -42,14 +42,14 @@
 	defer func() { _ = near.Close() }()
 	go func() { _, _ = far.conn.Write(make([]byte, 2*maxReadAhead)) }()
 	limit := maxQueuedBytes(g.config) / 2
-	g.memory.queuedBytes.Store(limit)
+	g.memory.inputBytes.Store(limit)
 	c := &client{conn: near}
 	if c.readAhead(g, nil); len(c.readAheadInput) != 0 {
 		t.Errorf("%d bytes read where there is no memory", len(c.readAheadInput))
 	}
-	g.memory.queuedBytes.Store(0)
+	g.memory.inputBytes.Store(0)
 	c.readAhead(g, nil)
-	length, capacity, counted := len(c.readAheadInput), cap(c.readAheadInput), g.memory.queuedBytes.Load()
+	length, capacity, counted := len(c.readAheadInput), cap(c.readAheadInput), g.memory.inputBytes.Load()
 	if length != maxReadAhead || capacity > maxReadAhead+maxReadAhead/4 || counted != maxReadAhead {
 		t.Errorf("%d bytes in %d read, %d counted, want %d", length, capacity, counted, maxReadAhead)
 	}
@@ -66,7 +66,7 @@
 	const ping = "*1\r\n$004\r\nPING\r\n"
 	c.write(strings.Repeat(ping, 2*maxPipelined))
 	c.sendOnce(2, "team")
-	for first.gateway.memory.queuedBytes.Load() < maxPipelined/2*int64(len(ping)) {
+	for first.gateway.memory.inputBytes.Load() < maxPipelined/2*int64(len(ping)) {
 		runtime.Gosched()
 	}
 	second := startGateway(t, cfg)
--- a/internal/gateway/handover_gateway.go
+++ b/internal/gateway/handover_gateway.go
@@ -117,7 +117,7 @@
 }
 
 func (a handoverAdapter) handleQueuedCommand(command receivedCommand) {
-	a.memory.queuedBytes.Add(int64(command.head().size)) // Handle subtracts it a second time
+	a.memory.inputBytes.Add(int64(command.head().size)) // Handle subtracts it a second time
 	command.Handle(a.Gateway)
 }
 
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -72,5 +72,5 @@
 // memoryUse counts the bytes of memory that clients occupy.
 type memoryUse struct {
 	retainedBytes int          // requests in the table and replies not written yet; belongs to the event loop
-	queuedBytes   atomic.Int64 // input that waits for the event loop; safe for any goroutine
+	inputBytes    atomic.Int64 // input that waits for the event loop; safe for any goroutine
 }
