--- a/internal/gateway/handover.go
+++ b/internal/gateway/handover.go
@@ -11,8 +11,9 @@
 )
 
 // This file is the predecessor's side of a handover, which may end at any step. This process decides until it
-// offers its state. The successor decides once it has accepted the state and received the message that lets
-// it proceed. In between neither of them decides, and commands are queued: at no time do both grant quota.
+// offers its state. The successor decides once it has accepted the state and this process has transferred the
+// ownership to it. In between neither of them decides, and commands are queued: at no time do both grant
+// quota.
 
 // stateTimeout is the time in which a successor has to accept the state.
 const stateTimeout = 1 * second
