--- a/cmd/gateway/descriptors_test.go
+++ b/cmd/gateway/descriptors_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// outOfDescriptors is the text of the error EMFILE.
-const outOfDescriptors = "too many open files"
+// tooManyOpenFiles is the text of the error EMFILE.
+const tooManyOpenFiles = "too many open files"
 
 // withDescriptorLimit returns a change that sets the configured limit on descriptors and then applies change.
 func withDescriptorLimit(descriptors int, change configChange) configChange {
@@ -25,33 +25,33 @@
 // saturatedGateway is a gateway with more idle clients than its limit on descriptors allows.
 type saturatedGateway struct {
 	process        *gatewayProcess
-	idle           *idleClients
+	idleClients    *idleClients
 	maxDescriptors int          // largest number of open descriptors that was observed
 	resent         atomic.Int64 // number of requests that were sent a second time
 	rejected       atomic.Int64 // number of rejections that clients received
 }
 
-// newSaturatedGateway starts a gateway that may open the allowed number of descriptors, with the configured
-// limit in its configuration, and connects twice the allowed number of idle clients. It returns when the
+// newSaturatedGateway starts a gateway with the given limits on descriptors of the process and of the
+// configuration, and twice as many idle clients as the process may open descriptors. It returns when the
 // gateway has closed as many of their connections as there are clients.
 func newSaturatedGateway(
-	t *testing.T, host string, allowed, configured int, change configChange,
+	t *testing.T, host string, processLimit, configuredLimit int, change configChange,
 ) *saturatedGateway {
 	t.Helper()
 	g := &saturatedGateway{
-		process: startGateway(t, host, allowed, withDescriptorLimit(configured, change)),
+		process: startGateway(t, host, processLimit, withDescriptorLimit(configuredLimit, change)),
 	}
-	count := 2 * allowed
-	g.idle = startIdleClients(t, host+clientPort, count)
+	count := 2 * processLimit
+	g.idleClients = startIdleClients(t, host+clientPort, count)
 	g.process.waitFor(t, "the gateway to close connections of idle clients", func() bool {
-		g.countDescriptors()
-		return g.idle.closedByServer.Load() >= int64(count)
+		g.updateMaxDescriptors()
+		return g.idleClients.closedByServer.Load() >= int64(count)
 	})
 	return g
 }
 
-// countDescriptors updates maxDescriptors with the number of descriptors that are open now.
-func (g *saturatedGateway) countDescriptors() {
+// updateMaxDescriptors updates maxDescriptors with the number of descriptors that are open now.
+func (g *saturatedGateway) updateMaxDescriptors() {
 	g.maxDescriptors = max(g.maxDescriptors, g.process.openDescriptors())
 }
 
@@ -71,7 +71,7 @@
 		})
 	}
 	running.Wait()
-	g.countDescriptors()
+	g.updateMaxDescriptors()
 }
 
 // requireReachable checks that the gateway answers PING and the interface for operators.
@@ -87,18 +87,18 @@
 	}
 }
 
-// requireDescriptors checks that the process has logged no call that failed because the limit on descriptors
-// was reached.
-func (p *gatewayProcess) requireDescriptors(t *testing.T) {
+// requireNoDescriptorErrors checks that the process has logged no call that failed because the limit on
+// descriptors was reached.
+func (p *gatewayProcess) requireNoDescriptorErrors(t *testing.T) {
 	t.Helper()
-	if n := strings.Count(p.logText(), outOfDescriptors); n > 0 {
+	if n := strings.Count(p.logText(), tooManyOpenFiles); n > 0 {
 		t.Errorf("%d calls failed because the limit on descriptors was reached, want 0", n)
 	}
 }
 
-// runSideBySide runs all cases of a test in parallel, because they mostly wait, and returns when they have
+// runInParallel runs all cases of a test in parallel, because they mostly wait, and returns when they have
 // ended. The calling test must not be parallel itself: the processes of other tests would slow it down.
-func runSideBySide[Case any](t *testing.T, cases []Case, run func(t *testing.T, c Case)) {
+func runInParallel[Case any](t *testing.T, cases []Case, run func(t *testing.T, c Case)) {
 	t.Helper()
 	for _, c := range cases {
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
@@ -112,24 +112,24 @@
 // connecting. Guards against idle clients that keep the gateway from serving others or from reaching
 // discovery: other clients and operators must be answered, the gateway must apply discovery's list when it is
 // available again, and no call may fail because the limit on descriptors is reached.
-func TestIdleClientsKeepNobodyOutWhileDiscoveryIsDown(t *testing.T) {
-	cases := []idleClientsCase{{32, true}, {64, false}, {256, true}, {1024, false}}
-	runSideBySide(t, cases, saturateWithoutDiscovery)
+func TestSaturatedGatewayServesOthersWithoutDiscovery(t *testing.T) {
+	cases := []saturationCase{{32, true}, {64, false}, {256, true}, {1024, false}}
+	runInParallel(t, cases, testSaturationWithoutDiscovery)
 }
 
-// idleClientsCase is a case of a saturated gateway without discovery.
-type idleClientsCase struct {
+// saturationCase is a case of a saturated gateway without discovery.
+type saturationCase struct {
 	descriptors  int
 	unresponsive bool // discovery accepts connections but does not answer; otherwise it refuses them
 }
 
 // String returns the name of the case.
-func (c idleClientsCase) String() string {
+func (c saturationCase) String() string {
 	return fmt.Sprintf("%d descriptors, unresponsive %t", c.descriptors, c.unresponsive)
 }
 
-// saturateWithoutDiscovery checks a saturated gateway before and after discovery becomes available.
-func saturateWithoutDiscovery(t *testing.T, c idleClientsCase) {
+// testSaturationWithoutDiscovery checks a saturated gateway before and after discovery becomes available.
+func testSaturationWithoutDiscovery(t *testing.T, c saturationCase) {
 	t.Helper()
 	host := randomHost()
 	draining, added := newBackend(t), newBackend(t)
@@ -155,12 +155,12 @@
 		t.Errorf("draining backend got %d requests, want 0; added backend got %d, want at least 10",
 			n, len(added.received))
 	}
-	g.process.requireDescriptors(t)
+	g.process.requireNoDescriptorErrors(t)
 	if n := g.rejected.Load(); n > 0 {
 		t.Errorf("requests were rejected %d times, want 0", n)
 	}
 	t.Logf("at most %d of %d descriptors; %d idle connections closed; %d requests resent; %d log lines",
-		g.maxDescriptors, c.descriptors, g.idle.closedByServer.Load(), g.resent.Load(),
+		g.maxDescriptors, c.descriptors, g.idleClients.closedByServer.Load(), g.resent.Load(),
 		strings.Count(g.process.logText(), "\n"))
 }
 
@@ -178,12 +178,13 @@
 // Every part of the gateway opens as many descriptors as it may at the same time: clients, backends,
 // operators, a connection to the handover socket, and two addresses of discovery, one of which hangs. Their
 // sum must stay within the limit, and the gateway must still be able to read a new configuration.
-func TestAllPartsAtOnceStayWithinDescriptorLimit(t *testing.T) {
-	runSideBySide(t, []int{32, 64, 256, 1024}, useAllPartsAtOnce)
+func TestMaximumDescriptorUseStaysWithinLimit(t *testing.T) {
+	runInParallel(t, []int{32, 64, 256, 1024}, testMaximumDescriptorUse)
 }
 
-// useAllPartsAtOnce makes every part of a gateway with the given limit open as many descriptors as it may.
-func useAllPartsAtOnce(t *testing.T, descriptors int) {
+// testMaximumDescriptorUse makes every part of a gateway with the given limit open as many descriptors as it
+// may.
+func testMaximumDescriptorUse(t *testing.T, descriptors int) {
 	t.Helper()
 	host := randomHost()
 	hanging := newBackend(t)
@@ -197,7 +198,7 @@
 	p.waitFor(t, "readiness", p.answersPing)
 
 	maxDescriptors := 0
-	counting := func(condition func() bool) func() bool {
+	countingDescriptors := func(condition func() bool) func() bool {
 		return func() bool {
 			maxDescriptors = max(maxDescriptors, p.openDescriptors())
 			return condition()
@@ -207,7 +208,7 @@
 	for range connectionsPerSide {
 		openConnection(t, "tcp", host+clientPort, readCommand()+readCommand())
 	}
-	p.waitFor(t, "a request on every connection to backends", counting(func() bool {
+	p.waitFor(t, "a request on every connection to backends", countingDescriptors(func() bool {
 		return len(hanging.received) >= connectionsPerSide
 	}))
 	startIdleClients(t, host+clientPort, descriptors)
@@ -225,11 +226,11 @@
 			fields["discovery"] = address
 		})
 		p.reload(t)
-		p.waitFor(t, "the new configuration", counting(func() bool {
+		p.waitFor(t, "the new configuration", countingDescriptors(func() bool {
 			return strings.Count(p.logText(), "msg=reload") == reloads+1
 		}))
 		if address == hangingAddress {
-			p.waitFor(t, "a hanging dial to discovery", counting(hangingDiscovery.isDialed))
+			p.waitFor(t, "a hanging dial to discovery", countingDescriptors(hangingDiscovery.isDialed))
 		}
 	}
 	hanging.startAnswering()
@@ -239,13 +240,13 @@
 	if status, err := p.getOps("/ops/readiness"); status != 200 || err != nil {
 		t.Errorf("readiness: status %d, error %v, want status 200", status, err)
 	}
-	p.requireDescriptors(t)
+	p.requireNoDescriptorErrors(t)
 	t.Logf("at most %d of %d descriptors", maxDescriptors, descriptors)
 }
 
 // If the process may open fewer descriptors than configured, the gateway logs that and serves with the lower
 // limit.
-func TestLowerLimitOfTheProcessIsServed(t *testing.T) {
+func TestGatewayServesWithLowerProcessLimit(t *testing.T) {
 	b := newBackend(t)
 	b.startAnswering()
 	g := newSaturatedGateway(t, randomHost(), 48, 1024, withKnownEndpoints(b.entry(1, phaseReady)))
@@ -255,11 +256,11 @@
 	if n := strings.Count(g.process.logText(), "fewer descriptors than configured"); n != 1 {
 		t.Errorf("%d log lines report the lower limit, want 1", n)
 	}
-	g.process.requireDescriptors(t)
+	g.process.requireNoDescriptorErrors(t)
 }
 
 // If the process may open too few descriptors, the gateway writes one message and exits with code 1.
-func TestTooLowLimitOfTheProcessIsAnError(t *testing.T) {
+func TestGatewayExitsIfProcessLimitIsTooLow(t *testing.T) {
 	for _, descriptors := range []int{6, 31} {
 		p := startGateway(t, randomHost(), descriptors, nil)
 		<-p.exited
--- a/cmd/gateway/fleet_clients_test.go
+++ b/cmd/gateway/fleet_clients_test.go
@@ -23,9 +23,9 @@
 // fleetAnswers counts the requests of the clients by outcome.
 type fleetAnswers struct{ served, rejected, failed, lost atomic.Int64 }
 
-// load starts clients that send requests, evenly distributed over the gateways, until stopLoad is called or
-// the test ends. Their rate is given as a multiple of the total capacity of all backends.
-func (f *fleet) load(capacities float64) {
+// startLoad starts clients that send requests, evenly distributed over the gateways, until stopLoad is called
+// or the test ends. Their rate is given as a multiple of the total capacity of all backends.
+func (f *fleet) startLoad(capacities float64) {
 	rate := capacities * fleetCapacity * float64(len(f.backends)) / float64(len(f.hosts))
 	for i := range f.hosts {
 		f.clients.Go(func() { f.runClients(i, rate) })
@@ -107,7 +107,7 @@
 // command returns the command of a request. Its request ID names the gateway.
 func (f *fleet) command(gateway, sequence int) []byte {
 	name := "API.READ"
-	if f.settings.runOnce {
+	if f.settings.notIdempotent {
 		name = "API.WRITE"
 	}
 	id := fmt.Sprintf("%0*x%012x", fleetGatewayDigits, gateway, sequence)
--- a/cmd/gateway/fleet_test.go
+++ b/cmd/gateway/fleet_test.go
@@ -34,12 +34,12 @@
 
 // fleetSettings are the parameters of a fleet.
 type fleetSettings struct {
-	gateways    int
-	backends    int
-	load        float64 // as a multiple of the total capacity of all backends
-	slow        slowStart
-	dialTimeout time.Duration
-	runOnce     bool // no request may be executed more than once
+	gateways      int
+	backends      int
+	load          float64 // as a multiple of the total capacity of all backends
+	slow          slowStart
+	dialTimeout   time.Duration
+	notIdempotent bool // the requests are not idempotent
 }
 
 // startFleet starts a fleet whose backends are all warm, and waits until its gateways answer.
@@ -57,7 +57,7 @@
 	for i := range settings.backends {
 		f.backends = append(f.backends, newFleetBackend(tb, i+1, settings.slow))
 	}
-	f.publish()
+	f.publishBackends()
 	for range settings.gateways {
 		f.hosts = append(f.hosts, randomHost())
 	}
@@ -99,19 +99,19 @@
 			"tip-after-us": slow.window.Microseconds(), "overload-factor": slow.overloadFactor,
 			"drain-grace-us": 500000,
 		}
-		ceilings := as[map[string]any](f.tb, settings["ceilings"])
+		ceilings := mustBe[map[string]any](f.tb, settings["ceilings"])
 		ceilings["dial-timeout-us"] = f.settings.dialTimeout.Microseconds()
-		class := as[map[string]any](f.tb, as[[]any](f.tb, settings["request-classes"])[0])
+		class := mustBe[map[string]any](f.tb, mustBe[[]any](f.tb, settings["request-classes"])[0])
 		class["promise-us"] = 500000
-		if f.settings.runOnce {
+		if f.settings.notIdempotent {
 			class["repeat"] = "fragile"
 		}
 		fields["settings"] = settings
 	}
 }
 
-// as returns a value of decoded JSON as a T. It ends the test if the value has another type.
-func as[T any](tb testing.TB, value any) T {
+// mustBe returns a value of decoded JSON as a T. It ends the test if the value has another type.
+func mustBe[T any](tb testing.TB, value any) T {
 	tb.Helper()
 	typed, ok := value.(T)
 	if !ok {
@@ -120,58 +120,58 @@
 	return typed
 }
 
-// keepList puts the current list into the configuration of gateways that are started later.
-func (f *fleet) keepList() {
+// useCurrentListAtStart puts the current list into the configuration of gateways that are started later.
+func (f *fleet) useCurrentListAtStart() {
 	f.catalog.mu.Lock()
 	defer f.catalog.mu.Unlock()
 	f.known = endpointList(f.catalog.revision, f.catalog.entries)
 }
 
-// publish publishes the backends, except the removed ones, as the new list of discovery.
-func (f *fleet) publish() {
+// publishBackends publishes the backends, except the removed ones, as the new list of discovery.
+func (f *fleet) publishBackends() {
 	var entries []string
 	for i, b := range f.backends {
 		if f.removed[i] {
 			continue
 		}
 		b.mu.Lock()
-		stamp := int64(0)
+		upSinceMS := int64(0)
 		if !b.startedAt.IsZero() {
-			stamp = b.startedAt.Add(f.clockStep).UnixMilli()
+			upSinceMS = b.startedAt.Add(f.clockStep).UnixMilli()
 		}
 		b.mu.Unlock()
 		entries = append(entries, fmt.Sprintf(
 			`{"id":"s-%08x","host_port":%q,"locality":"a","cell":1,"phase":%q,"size":1,"up_since_ms":%d}`,
-			b.number, b.address, phaseReady, stamp,
+			b.number, b.address, phaseReady, upSinceMS,
 		))
 	}
 	f.catalog.update(entries)
 }
 
-// starting returns the backends that are restarted during the run.
-func (f *fleet) starting() []*fleetBackend { return f.backends[:startingBackends] }
+// startingBackends returns the backends that are restarted during the run.
+func (f *fleet) startingBackends() []*fleetBackend { return f.backends[:startingBackendCount] }
 
-// warm returns the backends that are not restarted.
-func (f *fleet) warm() []*fleetBackend { return f.backends[startingBackends:] }
+// warmBackends returns the backends that are not restarted.
+func (f *fleet) warmBackends() []*fleetBackend { return f.backends[startingBackendCount:] }
 
 // restartBackends restarts the starting backends and publishes their new start times.
 func (f *fleet) restartBackends() {
-	for _, b := range f.starting() {
+	for _, b := range f.startingBackends() {
 		b.restart()
 	}
-	f.publish()
+	f.publishBackends()
 }
 
 // replaceBackends restarts the starting backends as a deployment does: before the restart, discovery removes
 // them from its list, and then they refuse connections.
 func (f *fleet) replaceBackends() {
 	const gap = 700 * time.Millisecond
-	for i := range f.starting() {
+	for i := range f.startingBackends() {
 		f.removed[i] = true
 	}
-	f.publish()
+	f.publishBackends()
 	f.runFor(gap)
-	f.setModes(f.starting(), backendRefuses)
+	f.setModes(f.startingBackends(), backendRefuses)
 	f.runFor(gap)
 	clear(f.removed)
 	f.restartBackends()
--- a/cmd/gateway/idleclients_test.go
+++ b/cmd/gateway/idleclients_test.go
@@ -37,7 +37,7 @@
 	for {
 		conn, err := dial("tcp", c.address, waitTimeout)
 		if err == nil {
-			c.hold(conn)
+			c.holdConnection(conn)
 		}
 		select {
 		case <-c.stop:
@@ -50,8 +50,8 @@
 	}
 }
 
-// hold keeps a connection open until the gateway closes it or the clients are stopped.
-func (c *idleClients) hold(conn net.Conn) {
+// holdConnection keeps a connection open until the gateway closes it or the clients are stopped.
+func (c *idleClients) holdConnection(conn net.Conn) {
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
--- a/cmd/gateway/main_test.go
+++ b/cmd/gateway/main_test.go
@@ -10,7 +10,7 @@
 )
 
 // Guards against a gateway that does not handle SIGHUP: the signal would end the process.
-func TestHangUpSignalAsksForReload(t *testing.T) {
+func TestSIGHUPRequestsReload(t *testing.T) {
 	control := handleSignals()
 	for range 2 {
 		if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestConfigurationIsReadFromItsFileEachTime(t *testing.T) {
+func TestReadConfigurationReadsCurrentFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	t.Setenv(configPathVariable, path)
 	const head = `{"listen":"127.0.0.1:0","seed":"01","settings":{"self-index":0,"balancers":1,
@@ -48,14 +48,14 @@
 	}
 }
 
-func TestConfigurationNeedsItsPath(t *testing.T) {
+func TestReadConfigurationRequiresPath(t *testing.T) {
 	t.Setenv(configPathVariable, "")
 	if _, err := readConfiguration(); !errors.Is(err, errNoConfigPath) {
 		t.Errorf("error %v, want %v", err, errNoConfigPath)
 	}
 }
 
-func TestOpsAddressVariableReplacesTheConfiguredOne(t *testing.T) {
+func TestOpsAddressVariableOverridesConfiguration(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(`{"ops":"127.0.0.1:1"}`), 0o600); err != nil {
 		t.Fatal(err)
--- a/cmd/gateway/process_test.go
+++ b/cmd/gateway/process_test.go
@@ -192,19 +192,19 @@
 
 // waitFor polls a condition until it is true. The test fails if the process exits or waitTimeout passes
 // before that.
-func (p *gatewayProcess) waitFor(tb testing.TB, what string, condition func() bool) {
+func (p *gatewayProcess) waitFor(tb testing.TB, awaited string, condition func() bool) {
 	tb.Helper()
-	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		select {
 		case <-p.exited:
-			tb.Fatalf("process exited while the test waited for %s: %v", what, p.exitError)
+			tb.Fatalf("process exited while the test waited for %s: %v", awaited, p.exitError)
 		default:
 		}
 		if condition() {
 			return
 		}
 	}
-	tb.Fatal("timed out waiting for ", what)
+	tb.Fatal("timed out waiting for ", awaited)
 }
 
 // answersPing reports whether the gateway answers PING on a new connection.
@@ -222,9 +222,9 @@
 	return line == pongReply
 }
 
-// firstPing waits until the gateway listens after a start and answers PING. It returns an error if that fails
-// or the deadline passes.
-func (p *gatewayProcess) firstPing(deadline time.Time) error {
+// waitForPing waits until the gateway listens after a start and answers PING. It returns an error if that
+// fails or the deadline passes.
+func (p *gatewayProcess) waitForPing(deadline time.Time) error {
 	for {
 		conn, err := dial("tcp", p.host+clientPort, time.Until(deadline))
 		if err != nil {
--- a/cmd/gateway/requests_test.go
+++ b/cmd/gateway/requests_test.go
@@ -31,7 +31,7 @@
 // After a rejection it starts over, until waitTimeout has passed.
 func (p *gatewayProcess) request() requestOutcome {
 	var o requestOutcome
-	for end := time.Now().Add(waitTimeout); time.Now().Before(end); o.rejections++ {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); o.rejections++ {
 		for o.sent = 1; o.sent <= 2; o.sent++ {
 			if o.answer, o.err = p.requestOnce(); o.err == nil {
 				break
--- a/cmd/gateway/slowstart_fleet_test.go
+++ b/cmd/gateway/slowstart_fleet_test.go
@@ -17,14 +17,14 @@
 }
 
 const (
-	startingBackends  = 3               // number of backends that are restarted
-	slowStartWarmUp   = 6 * time.Second // longer than the period over which the policy counts what it sends
-	slowStartObserved = 4 * time.Second // duration of the run after the fault
+	startingBackendCount = 3               // number of backends that are restarted
+	slowStartWarmUp      = 6 * time.Second // longer than the period over which the policy counts attempts
+	slowStartObserved    = 4 * time.Second // duration of the run after the fault
 )
 
-// usualSlowStart and fragileSlowStart describe backends of different deployments.
+// defaultSlowStart and fragileSlowStart describe backends of different deployments.
 var (
-	usualSlowStart = slowStart{
+	defaultSlowStart = slowStart{
 		floor: 0.27, duration: 16 * time.Second, overloadFactor: 2.5, window: time.Second,
 	}
 	fragileSlowStart = slowStart{
@@ -37,11 +37,11 @@
 // the rules define.
 func (s slowStart) overloadBudget(age time.Duration) float64 {
 	const fewCommands = 30
-	bears := s.overloadFactor * s.share(age) * fleetCapacity * s.window.Seconds()
-	if bears < fewCommands {
-		return bears + 3*math.Sqrt(bears) + 3
+	capacity := s.overloadFactor * s.share(age) * fleetCapacity * s.window.Seconds()
+	if capacity < fewCommands {
+		return capacity + 3*math.Sqrt(capacity) + 3
 	}
-	return bears + 2*math.Sqrt(bears) + 2
+	return capacity + 2*math.Sqrt(capacity) + 2
 }
 
 // overloadWindow describes the commands that a starting backend received in one window.
@@ -73,17 +73,17 @@
 	return worst
 }
 
-// play starts a fleet, injects the fault and checks that no starting backend was overloaded.
-func (r *slowStartRun) play(t *testing.T) {
+// run starts a fleet, injects the fault and checks that no starting backend was overloaded.
+func (r *slowStartRun) run(t *testing.T) {
 	t.Helper()
 	settings := fleetSettings{
-		gateways: 24, backends: 10, load: 0.95, slow: usualSlowStart, dialTimeout: time.Second / 4,
+		gateways: 24, backends: 10, load: 0.95, slow: defaultSlowStart, dialTimeout: time.Second / 4,
 	}
 	if r.settings != nil {
 		r.settings(&settings)
 	}
 	f := startFleet(t, settings)
-	f.load(settings.load)
+	f.startLoad(settings.load)
 	f.runFor(slowStartWarmUp)
 	r.fault(f)
 	f.runFor(slowStartObserved)
@@ -95,7 +95,7 @@
 func (f *fleet) checkBudgets(t *testing.T) {
 	t.Helper()
 	received, worst := 0, overloadWindow{budget: 1}
-	for _, b := range f.starting() {
+	for _, b := range f.startingBackends() {
 		if w := b.worstWindow(); w.ratio() > worst.ratio() {
 			worst = w
 		}
@@ -114,36 +114,36 @@
 	}
 }
 
-// pressed makes clients send more requests than the backends can serve.
-func pressed(s *fleetSettings) { s.load = 1.3 }
+// excessLoad makes clients send more requests than the backends can serve.
+func excessLoad(s *fleetSettings) { s.load = 1.3 }
 
-// fragile selects backends that start with a small fraction of their capacity and are overloaded by a small
-// excess.
-func fragile(s *fleetSettings) { s.slow = fragileSlowStart }
+// fragileBackends selects backends that start with a small fraction of their capacity and are overloaded by a
+// small excess.
+func fragileBackends(s *fleetSettings) { s.slow = fragileSlowStart }
 
-// slowDials sets a long dial timeout. The requests are not retryable, so that they are not abandoned early.
-func slowDials(s *fleetSettings) { s.dialTimeout, s.runOnce = 4*time.Second, true }
+// slowDials sets a long dial timeout. The requests are not idempotent, so that they are not abandoned early.
+func slowDials(s *fleetSettings) { s.dialTimeout, s.notIdempotent = 4*time.Second, true }
 
 // withWarmBackends changes the mode of the warm backends for 3 seconds after the other backends have started.
 func withWarmBackends(mode backendMode) func(f *fleet) {
 	return func(f *fleet) {
 		f.replaceBackends()
-		f.setModes(f.warm(), mode)
+		f.setModes(f.warmBackends(), mode)
 		f.runFor(3 * time.Second)
-		f.setModes(f.warm(), backendServes)
+		f.setModes(f.warmBackends(), backendServes)
 	}
 }
 
-// withClockStep sets discovery's clock ahead of the gateways' clocks before the backends start.
-func withClockStep(step time.Duration) func(f *fleet) {
+// replaceWithClockStep sets discovery's clock ahead of the gateways' clocks before the backends start.
+func replaceWithClockStep(step time.Duration) func(f *fleet) {
 	return func(f *fleet) {
 		f.clockStep = step
 		f.replaceBackends()
 	}
 }
 
-// stopAndContinue suspends and resumes all gateway processes during the slow start.
-func stopAndContinue(f *fleet) {
+// suspendGateways suspends and resumes all gateway processes during the slow start.
+func suspendGateways(f *fleet) {
 	f.replaceBackends()
 	f.runFor(time.Second)
 	f.signalAll(syscall.SIGSTOP)
@@ -158,11 +158,11 @@
 	f.replaceGateways()
 }
 
-// killWithClockStep sets discovery's clock ahead before the backends start, and kills all gateways during the
-// slow start. The last known list of the new gateway processes is from before the backends' start.
-func killWithClockStep(step time.Duration) func(f *fleet) {
+// killGatewaysAfterClockStep sets discovery's clock ahead before the backends start, and kills all gateways
+// during the slow start. The last known list of the new gateway processes is from before the backends' start.
+func killGatewaysAfterClockStep(step time.Duration) func(f *fleet) {
 	return func(f *fleet) {
-		f.keepList()
+		f.useCurrentListAtStart()
 		f.clockStep = step
 		killGateways(f)
 	}
@@ -175,18 +175,18 @@
 	f.upgradeGateways()
 }
 
-// connectLate makes dials to the starting backends hang for a part of the slow start.
-func connectLate(f *fleet) {
+// delayConnections makes dials to the starting backends hang for a part of the slow start.
+func delayConnections(f *fleet) {
 	f.replaceBackends()
 	f.runFor(time.Second)
-	f.setModes(f.starting(), backendUnreachable)
+	f.setModes(f.startingBackends(), backendUnreachable)
 	f.runFor(2900 * time.Millisecond)
-	f.setModes(f.starting(), backendServes)
+	f.setModes(f.startingBackends(), backendServes)
 }
 
-// hangThenRestart restarts backends while dials to them hang and attempts wait for these dials.
-func hangThenRestart(f *fleet) {
-	f.setModes(f.starting(), backendUnreachable)
+// restartDuringDials restarts backends while dials to them hang and attempts wait for these dials.
+func restartDuringDials(f *fleet) {
+	f.setModes(f.startingBackends(), backendUnreachable)
 	f.runFor(2900 * time.Millisecond)
 	f.restartBackends()
 }
@@ -214,67 +214,70 @@
 	}
 }
 
-// fragileAndSlowDials combines fragile and slowDials.
-func fragileAndSlowDials(s *fleetSettings) {
-	fragile(s)
+// fragileBackendsAndSlowDials combines fragileBackends and slowDials.
+func fragileBackendsAndSlowDials(s *fleetSettings) {
+	fragileBackends(s)
 	slowDials(s)
 }
 
-// fleetPlaces is a semaphore that limits the number of fleets that run at the same time, because their
+// fleetSlots is a semaphore that limits the number of fleets that run at the same time, because their
 // processes share the machine's cores.
-var fleetPlaces = make(chan struct{}, 2)
+var fleetSlots = make(chan struct{}, 2)
 
-// playAll runs the given runs as subtests, two at a time.
-func playAll(t *testing.T, runs []slowStartRun) {
+// runSlowStartTests runs the given runs as subtests, two at a time.
+func runSlowStartTests(t *testing.T, runs []slowStartRun) {
 	t.Helper()
 	for _, r := range runs {
 		t.Run(r.name, func(t *testing.T) {
 			t.Parallel()
-			fleetPlaces <- struct{}{}
-			defer func() { <-fleetPlaces }()
-			r.play(t)
+			fleetSlots <- struct{}{}
+			defer func() { <-fleetSlots }()
+			r.run(t)
 		})
 	}
 }
 
 // Guards against gateways that together overload a starting backend although each of them limits what it
 // sends.
-func TestSlowStartBudgetHoldsOnRealProcesses(t *testing.T) {
+func TestFleetKeepsSlowStartBudgetDuringFaults(t *testing.T) {
 	t.Parallel()
-	playAll(t, []slowStartRun{
-		{name: "no fault", fault: withClockStep(0)},
-		{name: "no fault, fragile backends", settings: fragile, fault: withClockStep(0)},
-		{name: "gateways are suspended", settings: fragile, fault: stopAndContinue},
-		{name: "gateways are killed", settings: fragile, fault: killGateways},
-		{name: "gateways are upgraded", settings: fragile, fault: upgradeGateways},
-		{name: "gateways run out of descriptors", settings: fragile, fault: exhaustDescriptors},
-		{name: "dials hang for a time", settings: fragileAndSlowDials, fault: connectLate},
-		{name: "backends restart during dials", settings: fragileAndSlowDials, fault: hangThenRestart},
+	runSlowStartTests(t, []slowStartRun{
+		{name: "no fault", fault: replaceWithClockStep(0)},
+		{name: "no fault, fragile backends", settings: fragileBackends, fault: replaceWithClockStep(0)},
+		{name: "gateways are suspended", settings: fragileBackends, fault: suspendGateways},
+		{name: "gateways are killed", settings: fragileBackends, fault: killGateways},
+		{name: "gateways are upgraded", settings: fragileBackends, fault: upgradeGateways},
+		{name: "gateways run out of descriptors", settings: fragileBackends, fault: exhaustDescriptors},
+		{name: "dials hang for a time", settings: fragileBackendsAndSlowDials, fault: delayConnections},
+		{name: "restart during dials", settings: fragileBackendsAndSlowDials, fault: restartDuringDials},
 	})
 }
 
 // Guards against a policy that derives a backend's capacity from attempts that warm backends reject or fail
 // immediately, and from the retries of these attempts.
-func TestSlowStartBudgetHoldsWhileWarmBackendsReject(t *testing.T) {
+func TestFleetKeepsSlowStartBudgetWhileWarmBackendsFail(t *testing.T) {
 	t.Parallel()
-	playAll(t, []slowStartRun{
-		{name: "rejected", fault: withWarmBackends(backendRejects)},
-		{name: "rejected, excess load", settings: pressed, fault: withWarmBackends(backendRejects)},
-		{name: "failed, excess load", settings: pressed, fault: withWarmBackends(backendFails)},
-		{name: "refused", fault: withWarmBackends(backendRefuses)},
-		{name: "not answered", fault: withWarmBackends(backendHangs)},
+	runSlowStartTests(t, []slowStartRun{
+		{name: "reject", fault: withWarmBackends(backendRejects)},
+		{name: "reject, excess load", settings: excessLoad, fault: withWarmBackends(backendRejects)},
+		{name: "fail, excess load", settings: excessLoad, fault: withWarmBackends(backendFails)},
+		{name: "refuse connections", fault: withWarmBackends(backendRefuses)},
+		{name: "hang", fault: withWarmBackends(backendHangs)},
 	})
 }
 
 // Guards against a backend's age that is derived from wall clocks although the gateway has observed the
 // start: it must be measured with the monotonic clock.
-func TestSlowStartBudgetHoldsAfterSteppedClock(t *testing.T) {
+func TestFleetKeepsSlowStartBudgetAfterClockStep(t *testing.T) {
 	t.Parallel()
-	playAll(t, []slowStartRun{
-		{name: "1 h behind", settings: fragile, fault: withClockStep(-time.Hour)},
-		{name: "8 s behind", settings: fragile, fault: withClockStep(-8 * time.Second)},
-		{name: "5 s ahead", settings: fragile, fault: withClockStep(5 * time.Second)},
-		{name: "1 h behind, gateways are killed", settings: fragile, fault: killWithClockStep(-time.Hour)},
-		{name: "1 h ahead", settings: fragile, fault: withClockStep(time.Hour)},
+	runSlowStartTests(t, []slowStartRun{
+		{name: "1 h behind", settings: fragileBackends, fault: replaceWithClockStep(-time.Hour)},
+		{name: "8 s behind", settings: fragileBackends, fault: replaceWithClockStep(-8 * time.Second)},
+		{name: "5 s ahead", settings: fragileBackends, fault: replaceWithClockStep(5 * time.Second)},
+		{
+			name: "1 h behind, gateways are killed", settings: fragileBackends,
+			fault: killGatewaysAfterClockStep(-time.Hour),
+		},
+		{name: "1 h ahead", settings: fragileBackends, fault: replaceWithClockStep(time.Hour)},
 	})
 }
--- a/cmd/gateway/start_test.go
+++ b/cmd/gateway/start_test.go
@@ -10,7 +10,7 @@
 
 // Guards against gateways that start too slowly if several of them start at the same time with long lists of
 // endpoints while discovery refuses connections, does not answer calls or can't be dialed.
-func TestGatewaysThatStartTogetherAreReady(t *testing.T) {
+func TestGatewaysStartingTogetherAreReadyInTime(t *testing.T) {
 	const (
 		gateways  = 12
 		endpoints = 3000
@@ -35,7 +35,7 @@
 	ready := make(chan error, gateways)
 	for _, host := range hosts {
 		p := startGateway(t, host, 256, withDescriptorLimit(256, withKnownEndpoints(entries...)))
-		go func() { ready <- p.firstPing(started.Add(readyWithin)) }()
+		go func() { ready <- p.waitForPing(started.Add(readyWithin)) }()
 	}
 	var last time.Duration
 	for range gateways {
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -30,7 +30,7 @@
 	emptyReply = "\x01\x00\x00\x00\x00\x00\x00\x00"
 )
 
-func TestRunAnswersBatches(t *testing.T) {
+func TestRunRepliesToBatches(t *testing.T) {
 	for _, c := range []struct {
 		name, input string
 		wantErr     bool
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestPanicIsReportedAsFailedInstance(t *testing.T) {
+func TestHandleEventReportsPanicAsFailedInstance(t *testing.T) {
 	a := newAdapter()
 	a.controllers[4] = &policy.Controller{} // panics, because it was not created by policy.New
 	a.reply.Reset(1)
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -13,157 +13,160 @@
 // testTimeout is the time limit of each wait in a test.
 const testTimeout = 30 * time.Second
 
-// start is the initial time of the fake clock, in microseconds.
-const start = 1_000_000
+// startTime is the initial time of the fake clock, in microseconds.
+const startTime = 1_000_000
 
 // fakeClock is a clock whose time the test sets.
-type fakeClock struct{ shown atomic.Int64 }
+type fakeClock struct{ now atomic.Int64 }
 
 func newFakeClock() *fakeClock {
 	c := &fakeClock{}
-	c.shown.Store(start)
+	c.now.Store(startTime)
 	return c
 }
 
-func (c *fakeClock) Now() int64 { return c.shown.Load() }
+func (c *fakeClock) Now() int64 { return c.now.Load() }
 
-// journal is the state of the loop under test. It records the names of events in the order of their handling.
-type journal struct {
-	loop    *eventloop.Loop[*journal]
-	entries []string
+// recorder is the state of the loop under test. It records the names of events in the order in which they are
+// handled.
+type recorder struct {
+	loop    *eventloop.Loop[*recorder]
+	handled []string
 }
 
-func newJournal(clock eventloop.Clock) *journal {
-	j := &journal{}
-	j.loop = eventloop.New(j, clock)
-	return j
+func newRecorder(clock eventloop.Clock) *recorder {
+	rec := &recorder{}
+	rec.loop = eventloop.New(rec, clock)
+	return rec
 }
 
-// want checks the recorded names and clears them.
-func (j *journal) want(t *testing.T, names ...string) {
+// checkHandled checks the recorded names and clears them.
+func (rec *recorder) checkHandled(t *testing.T, names ...string) {
 	t.Helper()
-	if !slices.Equal(j.entries, names) {
-		t.Errorf("handled %q, want %q", j.entries, names)
+	if !slices.Equal(rec.handled, names) {
+		t.Errorf("handled %q, want %q", rec.handled, names)
 	}
-	j.entries = nil
+	rec.handled = nil
 }
 
 // run runs the loop until an event stops it.
-func (j *journal) run(t *testing.T) {
+func (rec *recorder) run(t *testing.T) {
 	t.Helper()
-	ended := make(chan struct{})
-	go func() { j.loop.Run(); close(ended) }()
+	done := make(chan struct{})
+	go func() { rec.loop.Run(); close(done) }()
 	select {
-	case <-ended:
+	case <-done:
 	case <-time.After(testTimeout):
 		t.Fatal("timed out waiting for Run to return")
 	}
 }
 
-// record is an event that records its own name in the journal.
-type record string
+// namedEvent is an event that records its own name.
+type namedEvent string
 
-func (r record) Handle(j *journal) { j.entries = append(j.entries, string(r)) }
+func (e namedEvent) Handle(rec *recorder) { rec.handled = append(rec.handled, string(e)) }
 
-// do is a function that is called as an event.
-type do func(j *journal)
+// eventFunc is a function that is called as an event.
+type eventFunc func(rec *recorder)
 
-func (f do) Handle(j *journal) { f(j) }
+func (f eventFunc) Handle(rec *recorder) { f(rec) }
 
-// stop is an event that stops the loop.
-type stop struct{}
+// stopEvent is an event that stops the loop.
+type stopEvent struct{}
 
-func (stop) Handle(j *journal) { j.loop.Stop() }
+func (stopEvent) Handle(rec *recorder) { rec.loop.Stop() }
 
-func TestUrgentEventsAreHandledFirst(t *testing.T) {
-	j := newJournal(newFakeClock())
-	j.loop.Post(record("first"))
-	j.loop.Post(record("second"))
-	j.loop.Post(stop{})
-	j.loop.PostUrgent(t.Context(), record("urgent"))
-	j.loop.PostUrgent(t.Context(), record("urgent too"))
-	j.run(t)
-	j.want(t, "urgent", "urgent too", "first", "second")
-	if !j.loop.Stopped() {
+func TestLoopHandlesUrgentEventsFirst(t *testing.T) {
+	rec := newRecorder(newFakeClock())
+	rec.loop.Post(namedEvent("first"))
+	rec.loop.Post(namedEvent("second"))
+	rec.loop.Post(stopEvent{})
+	rec.loop.PostUrgent(t.Context(), namedEvent("urgent"))
+	rec.loop.PostUrgent(t.Context(), namedEvent("urgent too"))
+	rec.run(t)
+	rec.checkHandled(t, "urgent", "urgent too", "first", "second")
+	if !rec.loop.Stopped() {
 		t.Error("Stopped() = false after Stop was called")
 	}
 }
 
 // An urgent event that is posted while other events are queued is handled before them.
-func TestUrgentEventsOvertakeQueuedOnes(t *testing.T) {
-	j := newJournal(newFakeClock())
-	j.loop.Post(do(func(j *journal) { j.loop.PostUrgent(context.Background(), record("urgent")) }))
-	j.loop.Post(record("queued"))
-	j.loop.Post(stop{})
-	j.run(t)
-	j.want(t, "urgent", "queued")
+func TestUrgentEventPrecedesQueuedEvents(t *testing.T) {
+	rec := newRecorder(newFakeClock())
+	rec.loop.Post(eventFunc(func(rec *recorder) {
+		rec.loop.PostUrgent(context.Background(), namedEvent("urgent"))
+	}))
+	rec.loop.Post(namedEvent("queued"))
+	rec.loop.Post(stopEvent{})
+	rec.run(t)
+	rec.checkHandled(t, "urgent", "queued")
 }
 
-func TestPostUrgentGivesUpWithItsContext(t *testing.T) {
-	j := newJournal(newFakeClock())
+func TestPostUrgentReturnsWhenContextIsCancelled(t *testing.T) {
+	rec := newRecorder(newFakeClock())
 	ctx, cancel := context.WithCancel(t.Context())
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(done)
 		for ctx.Err() == nil { // fills the queue, so that PostUrgent blocks
-			j.loop.PostUrgent(ctx, record("urgent"))
+			rec.loop.PostUrgent(ctx, namedEvent("urgent"))
 		}
 	}()
 	cancel()
 	select {
-	case <-ended:
+	case <-done:
 	case <-time.After(testTimeout):
 		t.Fatal("PostUrgent blocks after its context was cancelled")
 	}
 }
 
-func TestDeferredEventsFollowTheEventAtHand(t *testing.T) {
-	j := newJournal(newFakeClock())
-	j.loop.Post(do(func(j *journal) {
-		j.loop.Defer(do(func(j *journal) {
-			record("deferred").Handle(j)
-			j.loop.Defer(record("deferred by a deferred one"))
+func TestDeferredEventsFollowCurrentEvent(t *testing.T) {
+	rec := newRecorder(newFakeClock())
+	rec.loop.Post(eventFunc(func(rec *recorder) {
+		rec.loop.Defer(eventFunc(func(rec *recorder) {
+			namedEvent("deferred").Handle(rec)
+			rec.loop.Defer(namedEvent("deferred by a deferred one"))
 		}))
-		j.loop.Defer(record("deferred too"))
-		record("event").Handle(j)
+		rec.loop.Defer(namedEvent("deferred too"))
+		namedEvent("event").Handle(rec)
 	}))
-	j.loop.Post(record("next"))
-	j.loop.Post(stop{})
-	j.run(t)
-	j.want(t, "event", "deferred", "deferred too", "deferred by a deferred one", "next")
-	if n := len(j.loop.Deferred()); n != 0 {
+	rec.loop.Post(namedEvent("next"))
+	rec.loop.Post(stopEvent{})
+	rec.run(t)
+	rec.checkHandled(t, "event", "deferred", "deferred too", "deferred by a deferred one", "next")
+	if n := len(rec.loop.Deferred()); n != 0 {
 		t.Errorf("%d deferred events are not handled, want 0", n)
 	}
 }
 
 // The events that a timer defers are handled before the next timer.
-func TestDeferredEventsFollowTheTimerAtHand(t *testing.T) {
-	j := newJournal(newFakeClock())
-	j.loop.Schedule(start-1, record("second timer"))
-	j.loop.Schedule(start-2, do(func(j *journal) { j.loop.Defer(record("deferred")) }))
-	j.loop.RunTimers()
-	j.want(t, "deferred", "second timer")
+func TestDeferredEventsFollowCurrentTimer(t *testing.T) {
+	rec := newRecorder(newFakeClock())
+	rec.loop.Schedule(startTime-1, namedEvent("second timer"))
+	rec.loop.Schedule(startTime-2, eventFunc(func(rec *recorder) { rec.loop.Defer(namedEvent("deferred")) }))
+	rec.loop.RunTimers()
+	rec.checkHandled(t, "deferred", "second timer")
 }
 
 // Events that are deferred outside of an event or timer are handled when the caller calls HandleDeferred.
-func TestHandleDeferred(t *testing.T) {
-	j := newJournal(newFakeClock())
-	j.loop.Defer(record("deferred"))
-	if got := j.loop.Deferred(); len(got) != 1 || got[0] != record("deferred") {
+func TestHandleDeferredHandlesDeferredEvents(t *testing.T) {
+	rec := newRecorder(newFakeClock())
+	rec.loop.Defer(namedEvent("deferred"))
+	if got := rec.loop.Deferred(); len(got) != 1 || got[0] != namedEvent("deferred") {
 		t.Errorf("deferred events %v, want one", got)
 	}
-	j.want(t)
-	j.loop.HandleDeferred()
-	j.want(t, "deferred")
+	rec.checkHandled(t)
+	rec.loop.HandleDeferred()
+	rec.checkHandled(t, "deferred")
 }
 
 // HandleEvent handles an event that the caller has received from the queue of a loop that does not run.
-func TestHandleEvent(t *testing.T) {
-	j := newJournal(newFakeClock())
-	j.loop.Post(do(func(j *journal) { j.loop.Defer(record("deferred")) }))
-	j.loop.HandleEvent(<-j.loop.Queue())
-	j.want(t, "deferred")
-	if n := len(j.loop.Queue()); n != 0 {
+func TestHandleEventHandlesDeferredEvents(t *testing.T) {
+	rec := newRecorder(newFakeClock())
+	rec.loop.Post(eventFunc(func(rec *recorder) { rec.loop.Defer(namedEvent("deferred")) }))
+	rec.loop.HandleEvent(<-rec.loop.Queue())
+	rec.checkHandled(t, "deferred")
+	if n := len(rec.loop.Queue()); n != 0 {
 		t.Errorf("%d events are queued, want 0", n)
 	}
 }
--- a/internal/handover/codec.go
+++ b/internal/handover/codec.go
@@ -237,8 +237,8 @@
 func decodeMessage[Form, Message any](b []byte, convert func(Form) Message) (Message, error) {
 	var form Form
 	if err := json.Unmarshal(b, &form); err != nil {
-		var none Message
-		return none, fmt.Errorf("handover: decode message: %w", err)
+		var zero Message
+		return zero, fmt.Errorf("handover: decode message: %w", err)
 	}
 	return convert(form), nil
 }
--- a/internal/handover/codec_test.go
+++ b/internal/handover/codec_test.go
@@ -26,7 +26,7 @@
 	return b
 }
 
-func TestRecordedStateIsReadAndWritten(t *testing.T) {
+func TestDecodeStateReadsRecordedState(t *testing.T) {
 	raw := readRecorded(t, "state.gob")
 	got, err := DecodeState(raw)
 	if err != nil {
@@ -55,8 +55,8 @@
 	}
 }
 
-// readOlder decodes a state with the forms of the older program.
-func readOlder(t *testing.T, raw []byte) olderform.State {
+// decodeAsOlderProgram decodes a state with the forms of the older program.
+func decodeAsOlderProgram(t *testing.T, raw []byte) olderform.State {
 	t.Helper()
 	s, err := olderform.DecodeState(raw)
 	if err != nil {
@@ -65,11 +65,11 @@
 	return s
 }
 
-func TestOlderProgramReadsWhatIsWritten(t *testing.T) {
+func TestOlderProgramDecodesEncodedState(t *testing.T) {
 	raw := readRecorded(t, "state.gob")
 	want := testfill.Numbered[olderform.State](testfill.Letters)
 	want.Version = 1
-	if got := readOlder(t, raw); !reflect.DeepEqual(got, want) {
+	if got := decodeAsOlderProgram(t, raw); !reflect.DeepEqual(got, want) {
 		t.Fatalf("recorded state, decoded by the older program:\ngot  %+v\nwant %+v", got, want)
 	}
 	state, err := DecodeState(raw)
@@ -81,7 +81,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := readOlder(t, written); !reflect.DeepEqual(got, want) {
+	if got := decodeAsOlderProgram(t, written); !reflect.DeepEqual(got, want) {
 		t.Errorf("encoded state, decoded by the older program:\ngot  %+v\nwant %+v", got, want)
 	}
 }
@@ -89,13 +89,13 @@
 // addedFields lists the fields that were added to the end of a type after commit d086cf6.
 var addedFields = map[reflect.Type][]string{reflect.TypeFor[policy.Snapshot](): {"Now", "Stamps"}}
 
-func TestEncodedFormsHaveTheFieldsOfTheOlderProgram(t *testing.T) {
-	wantSameFields(t, reflect.TypeFor[handoverState](), reflect.TypeFor[olderform.State]())
+func TestEncodedStateHasFieldsOfOlderProgram(t *testing.T) {
+	checkSameFields(t, reflect.TypeFor[handoverState](), reflect.TypeFor[olderform.State]())
 }
 
-// wantSameFields checks recursively that two types have fields of the same names and kinds, apart from the
+// checkSameFields checks recursively that two types have fields of the same names and kinds, apart from the
 // fields in addedFields.
-func wantSameFields(t *testing.T, got, want reflect.Type) {
+func checkSameFields(t *testing.T, got, want reflect.Type) {
 	t.Helper()
 	if got.Kind() != want.Kind() {
 		t.Errorf("%s is a %s, want %s", got, got.Kind(), want.Kind())
@@ -106,7 +106,7 @@
 		if got.Kind() == reflect.Array && got.Len() != want.Len() {
 			t.Errorf("%s has length %d, want %d", got, got.Len(), want.Len())
 		}
-		wantSameFields(t, got.Elem(), want.Elem())
+		checkSameFields(t, got.Elem(), want.Elem())
 	case reflect.Struct:
 		added := addedFields[got]
 		if got.NumField() != want.NumField()+len(added) {
@@ -122,13 +122,13 @@
 			if got.Field(i).Name != want.Field(i).Name {
 				t.Errorf("%s: field %d is %s, want %s", got, i, got.Field(i).Name, want.Field(i).Name)
 			}
-			wantSameFields(t, got.Field(i).Type, want.Field(i).Type)
+			checkSameFields(t, got.Field(i).Type, want.Field(i).Type)
 		}
 	default: // other kinds have no fields or elements
 	}
 }
 
-func TestStateOfUnknownVersionIsRejected(t *testing.T) {
+func TestDecodeStateRejectsUnknownVersion(t *testing.T) {
 	raw, err := encodeForm(&handoverState{Version: stateVersion + 1})
 	if err != nil {
 		t.Fatal(err)
@@ -145,21 +145,21 @@
 
 // Guards against a connection's age that is derived from the wall clocks of both processes, one of which was
 // stepped between the opening of the connection and the handover.
-func TestAgeOfAConnectionOutlastsASteppedClock(t *testing.T) {
+func TestClientConnectionAgeIgnoresClockStep(t *testing.T) {
 	now := time.Now()
 	// The opening time of a new connection if the successor's clock is an hour ahead or behind.
-	ahead, behind := now.Add(-time.Hour), now.Add(time.Hour)
+	anHourAgo, inAnHour := now.Add(-time.Hour), now.Add(time.Hour)
 	for _, c := range []struct {
 		name string
 		sent ClientConnection
 		want time.Duration
 	}{
-		{"age sent, clock an hour behind", ClientConnection{OpenedAt: behind, Age: time.Second}, time.Second},
-		{"age sent, clock an hour ahead", ClientConnection{OpenedAt: ahead, Age: time.Second}, time.Second},
+		{"age sent, clock 1 h behind", ClientConnection{OpenedAt: inAnHour, Age: time.Second}, time.Second},
+		{"age sent, clock 1 h ahead", ClientConnection{OpenedAt: anHourAgo, Age: time.Second}, time.Second},
 		{"no age, clocks agree", ClientConnection{OpenedAt: now.Add(-time.Second)}, time.Second},
-		{"no age, clock an hour behind", ClientConnection{OpenedAt: behind, Requests: 1}, 0},
-		{"no age, clock an hour ahead", ClientConnection{OpenedAt: ahead}, 0},
-		{"no age, open for an hour", ClientConnection{OpenedAt: ahead, Requests: 1}, time.Hour},
+		{"no age, clock 1 h behind", ClientConnection{OpenedAt: inAnHour, Requests: 1}, 0},
+		{"no age, clock 1 h ahead", ClientConnection{OpenedAt: anHourAgo}, 0},
+		{"no age, open for an hour", ClientConnection{OpenedAt: anHourAgo, Requests: 1}, time.Hour},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			raw, err := EncodeClientConnection(c.sent)
@@ -177,31 +177,31 @@
 	}
 }
 
-func TestRecordedMessagesAreReadAndWritten(t *testing.T) {
+func TestMessageCodecsRoundTripRecordedMessages(t *testing.T) {
 	t.Run("client", func(t *testing.T) {
 		want := ClientConnection{Requests: 1, OpenedAt: time.UnixMicro(2)}
-		wantRecorded(t, "client.json", want, DecodeClientConnection, EncodeClientConnection)
+		checkRoundTrip(t, "client.json", want, DecodeClientConnection, EncodeClientConnection)
 	})
 	t.Run("attempt sent", func(t *testing.T) {
 		want := AttemptSent{RequestID: 1, Backend: 2}
-		wantRecorded(t, "attempt-sent.json", want, DecodeAttemptSent, EncodeAttemptSent)
+		checkRoundTrip(t, "attempt-sent.json", want, DecodeAttemptSent, EncodeAttemptSent)
 	})
 	t.Run("attempt ended", func(t *testing.T) {
 		want := policy.Outcome{
 			RequestID: 1, Attempt: 2, Backend: 3, Result: policy.ResultOverloaded, Latency: 5,
 			ClientAnswered: true, MeterReading: 7, ActualCost: 8.5, LoadReport: []float32{9.5, 10.5},
 		}
-		wantRecorded(t, "attempt-ended.json", want, DecodeAttemptEnded, EncodeAttemptEnded)
+		checkRoundTrip(t, "attempt-ended.json", want, DecodeAttemptEnded, EncodeAttemptEnded)
 	})
 	t.Run("cost settled", func(t *testing.T) {
 		want := CostSettled{Customer: 1, Extra: 2.5}
-		wantRecorded(t, "cost-settled.json", want, DecodeCostSettled, EncodeCostSettled)
+		checkRoundTrip(t, "cost-settled.json", want, DecodeCostSettled, EncodeCostSettled)
 	})
 }
 
-// wantRecorded checks that a recorded message is decoded as want, that encoding the result reproduces the
+// checkRoundTrip checks that a recorded message is decoded as want, that encoding the result reproduces the
 // recorded bytes, and that a truncated message is rejected.
-func wantRecorded[T any](
+func checkRoundTrip[T any](
 	t *testing.T, file string, want T, decode func([]byte) (T, error), encode func(T) ([]byte, error),
 ) {
 	t.Helper()
--- a/internal/handover/conn.go
+++ b/internal/handover/conn.go
@@ -40,109 +40,109 @@
 
 // writeQueue writes messages until the queue is closed. After a failed write the connection is unusable, and
 // the remaining messages are dropped.
-func (k *Link) writeQueue() {
-	defer close(k.written)
-	var failed error
-	for m := range k.queue {
-		if failed == nil {
+func (l *Link) writeQueue() {
+	defer close(l.written)
+	var writeErr error
+	for m := range l.queue {
+		if writeErr == nil {
 			// SetWriteDeadline fails only on a closed connection.
-			_ = k.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-			if failed = writeMessage(k.conn, m.kind, m.body, m.socket); failed != nil {
-				_ = k.conn.Close()
+			_ = l.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+			if writeErr = writeMessage(l.conn, m.kind, m.body, m.socket); writeErr != nil {
+				_ = l.conn.Close()
 			}
 		}
 		if m.onSent != nil {
 			m.onSent()
 		}
 	}
-	_ = k.conn.Close()
+	_ = l.conn.Close()
 }
 
 // send queues a message. It blocks while the queue is full.
-func (k *Link) send(m outgoingMessage) { k.queue <- m }
+func (l *Link) send(m outgoingMessage) { l.queue <- m }
 
-// sendInChunks sends a body of any length, the last chunk as a message of kind last and the chunks before it
-// as messages of kind chunk.
-func (k *Link) sendInChunks(chunk, last kind, body []byte) {
+// sendInChunks sends a body of any length, the last chunk as a message of lastKind and the chunks before it
+// as messages of chunkKind.
+func (l *Link) sendInChunks(chunkKind, lastKind kind, body []byte) {
 	for len(body) > maxBodyBytes {
-		k.send(outgoingMessage{kind: chunk, body: body[:maxBodyBytes]})
+		l.send(outgoingMessage{kind: chunkKind, body: body[:maxBodyBytes]})
 		body = body[maxBodyBytes:]
 	}
-	k.send(outgoingMessage{kind: last, body: body})
+	l.send(outgoingMessage{kind: lastKind, body: body})
 }
 
 // SendState sends an encoded state.
-func (k *Link) SendState(encoded []byte) {
-	k.sendInChunks(kindStateChunk, kindStateEnd, encoded)
+func (l *Link) SendState(encoded []byte) {
+	l.sendInChunks(kindStateChunk, kindStateEnd, encoded)
 }
 
 // TransferOwnership makes the successor the owner of the state. The successor then starts to serve.
-func (k *Link) TransferOwnership() { k.send(outgoingMessage{kind: kindOwnership}) }
+func (l *Link) TransferOwnership() { l.send(outgoingMessage{kind: kindOwnership}) }
 
 // SendClient sends a client's connection, and the input that was read from it but not processed. The caller
 // must keep its own descriptor open until onSent is called, and then close it. If the description of the
 // connection can't be encoded, SendClient sends the socket without it and returns the error.
-func (k *Link) SendClient(
+func (l *Link) SendClient(
 	client ClientConnection, input []byte, socket syscall.RawConn, onSent func(),
 ) error {
 	if len(input) > 0 {
-		k.sendInChunks(kindInput, kindInput, input)
+		l.sendInChunks(kindInput, kindInput, input)
 	}
 	body, err := EncodeClientConnection(client)
-	k.send(outgoingMessage{kind: kindClient, body: body, socket: socket, onSent: onSent})
+	l.send(outgoingMessage{kind: kindClient, body: body, socket: socket, onSent: onSent})
 	return err
 }
 
 // SendAttemptSent reports another attempt of a request that this process still serves.
-func (k *Link) SendAttemptSent(a AttemptSent) error {
+func (l *Link) SendAttemptSent(a AttemptSent) error {
 	body, err := EncodeAttemptSent(a)
-	return k.sendEncoded(kindAttemptSent, body, err)
+	return l.sendEncoded(kindAttemptSent, body, err)
 }
 
 // SendAttemptEnded reports the outcome of an attempt of a request that this process still serves.
-func (k *Link) SendAttemptEnded(o policy.Outcome) error {
+func (l *Link) SendAttemptEnded(o policy.Outcome) error {
 	body, err := EncodeAttemptEnded(o)
-	return k.sendEncoded(kindAttemptEnded, body, err)
+	return l.sendEncoded(kindAttemptEnded, body, err)
 }
 
 // SendCostSettled reports the difference between the actual and the estimated cost of a request that this
 // process served.
-func (k *Link) SendCostSettled(s CostSettled) error {
+func (l *Link) SendCostSettled(s CostSettled) error {
 	body, err := EncodeCostSettled(s)
-	return k.sendEncoded(kindCostSettled, body, err)
+	return l.sendEncoded(kindCostSettled, body, err)
 }
 
 // sendEncoded sends an encoded message, or returns the error of its encoding: JSON can't represent NaN and
 // infinities.
-func (k *Link) sendEncoded(messageKind kind, body []byte, err error) error {
+func (l *Link) sendEncoded(messageKind kind, body []byte, err error) error {
 	if err != nil {
 		return err
 	}
-	k.send(outgoingMessage{kind: messageKind, body: body})
+	l.send(outgoingMessage{kind: messageKind, body: body})
 	return nil
 }
 
 // IsClosed reports whether Close was called. No message may be sent on a closed link.
-func (k *Link) IsClosed() bool { return k.closed }
+func (l *Link) IsClosed() bool { return l.closed }
 
 // Close closes the link after all queued messages are written, without waiting for that. Calls after the
 // first have no effect.
-func (k *Link) Close() {
-	if !k.closed {
-		k.closed = true
-		close(k.queue)
+func (l *Link) Close() {
+	if !l.closed {
+		l.closed = true
+		close(l.queue)
 	}
 }
 
 // CloseAndWait closes the link and waits up to writeTimeout for all queued messages to be written. It does
 // nothing if the link is already closed.
-func (k *Link) CloseAndWait() {
-	if k.closed {
+func (l *Link) CloseAndWait() {
+	if l.closed {
 		return
 	}
-	k.Close()
+	l.Close()
 	select {
-	case <-k.written:
+	case <-l.written:
 	case <-time.After(writeTimeout):
 	}
 }
@@ -193,7 +193,7 @@
 
 // readMessage reads one packet with a message and its sockets.
 func readMessage(conn *net.UnixConn, buffer []byte) (incomingMessage, error) {
-	control := make([]byte, syscall.CmsgSpace(maxSocketsRead*socketDescBytes))
+	control := make([]byte, syscall.CmsgSpace(maxSocketsRead*descriptorBytes))
 	n, controlBytes, _, _, err := conn.ReadMsgUnix(buffer, control)
 	if err == nil && n == 0 {
 		err = net.ErrClosed
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -26,12 +26,12 @@
 // The limits of the protocol are frozen like the messages, because the other process reads with buffers of
 // the same sizes.
 const (
-	maxBodyBytes      = 32 << 10 // maximum length of a message, without the byte of its kind
-	requestBodyBytes  = 63       // buffer for the body of a successor's message, which is always empty
-	maxSockets        = 2        // maximum number of sockets that the predecessor sends: listener and gossip
-	maxSocketsRead    = 4        // maximum number of sockets read with a message; the kernel drops others
-	socketDescBytes   = 4        // size of a descriptor in a control message
-	maxQueuedMessages = 4096     // number of messages waiting to be written at which the sender blocks
+	maxBodyBytes       = 32 << 10 // maximum length of a message, without the byte of its kind
+	successorBodyBytes = 63       // buffer for the body of a successor's message, which is always empty
+	maxSockets         = 2        // maximum number of sockets that the predecessor sends: listener and gossip
+	maxSocketsRead     = 4        // maximum number of sockets read with a message; the kernel drops others
+	descriptorBytes    = 4        // size of a descriptor in a control message
+	maxQueuedMessages  = 4096     // number of messages waiting to be written at which the sender blocks
 )
 
 const (
--- a/internal/handover/olderform/forms.go
+++ b/internal/handover/olderform/forms.go
@@ -144,19 +144,19 @@
 	return s, nil
 }
 
-// addedLater lists the fields that were added to messages after commit d086cf6. The older program ignores
-// them.
-var addedLater = []string{"Age"}
+// fieldsAddedLater lists the fields that were added to messages after commit d086cf6. The older program
+// ignores them.
+var fieldsAddedLater = []string{"Age"}
 
 // DecodeMessage decodes the body of a message into a form. It returns an error if the body has a field that
-// the form lacks, because the field may be a renamed one. Fields in addedLater are ignored.
+// the form lacks, because the field may be a renamed one. Fields in fieldsAddedLater are ignored.
 func DecodeMessage[T any](body []byte) (T, error) {
 	var form T
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
 		return form, fmt.Errorf("olderform: decode message: %w", err)
 	}
-	for _, name := range addedLater {
+	for _, name := range fieldsAddedLater {
 		delete(fields, name)
 	}
 	known, err := json.Marshal(fields)
--- a/internal/handover/predecessor.go
+++ b/internal/handover/predecessor.go
@@ -57,31 +57,31 @@
 
 // Close closes the handover socket. It removes the socket file only if removeFile is set: a successor may
 // have replaced the file with its own.
-func (p *Listener) Close(removeFile bool) {
-	if p == nil || p.closed {
+func (l *Listener) Close(removeFile bool) {
+	if l == nil || l.closed {
 		return
 	}
-	p.closed = true
-	p.listener.SetUnlinkOnClose(removeFile)
-	_ = p.listener.Close()
+	l.closed = true
+	l.listener.SetUnlinkOnClose(removeFile)
+	_ = l.listener.Close()
 }
 
 // Serve accepts successors and hands over to them, one at a time, until the listener is closed. If a
 // successor violates the protocol or does not send a message in time, its connection is closed and this
 // process continues to serve.
-func (p *Listener) Serve(clients *net.TCPListener, gossip *net.UDPConn, events PredecessorEvents) {
+func (l *Listener) Serve(clients *net.TCPListener, gossip *net.UDPConn, events PredecessorEvents) {
 	for {
-		conn, err := p.listener.AcceptUnix()
+		conn, err := l.listener.AcceptUnix()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			p.log.Warn("handover: accept failed", "error", err)
+			l.log.Warn("handover: accept failed", "error", err)
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		if err := handOver(conn, clients, gossip, events); err != nil {
-			p.log.Info("handover: not completed", "error", err)
+			l.log.Info("handover: not completed", "error", err)
 		}
 	}
 }
@@ -96,10 +96,10 @@
 	}
 	link := newLink(conn) // the link closes the connection
 	events.TakeoverRequested(link)
-	err := expect(conn, kindAccepted, transferTimeout)
+	err := awaitMessage(conn, kindAccepted, transferTimeout)
 	if err == nil {
 		events.StateAccepted(link)
-		awaitExit(conn)
+		awaitSuccessorExit(conn)
 	}
 	events.SuccessorExited(link)
 	return err
@@ -107,7 +107,7 @@
 
 // sendSockets sends the sockets when the successor requests them, and waits until it requests the state.
 func sendSockets(conn *net.UnixConn, clients *net.TCPListener, gossip *net.UDPConn) error {
-	if err := expect(conn, kindHello, replyTimeout); err != nil {
+	if err := awaitMessage(conn, kindHello, replyTimeout); err != nil {
 		return err
 	}
 	sockets, err := rawSockets(clients, gossip)
@@ -118,7 +118,7 @@
 	if err := writeMessage(conn, kindSockets, nil, sockets...); err != nil {
 		return err
 	}
-	return expect(conn, kindTakeover, readyTimeout)
+	return awaitMessage(conn, kindTakeover, readyTimeout)
 }
 
 // rawSockets returns the sockets to be sent to the successor. gossip may be nil.
@@ -138,11 +138,11 @@
 	return append(sockets, raw), nil
 }
 
-// expect reads a message and returns an error if it is of another kind or does not arrive within the timeout.
-// Messages of a successor have no body and carry no sockets.
-func expect(conn *net.UnixConn, want kind, timeout time.Duration) error {
+// awaitMessage reads a message. It returns an error if the message is of another kind or does not arrive
+// within the timeout. Messages of a successor have no body and carry no sockets.
+func awaitMessage(conn *net.UnixConn, want kind, timeout time.Duration) error {
 	_ = conn.SetReadDeadline(time.Now().Add(timeout)) // fails only on a closed connection
-	message, err := readMessage(conn, make([]byte, 1+requestBodyBytes))
+	message, err := readMessage(conn, make([]byte, 1+successorBodyBytes))
 	if err != nil {
 		return err
 	}
@@ -153,11 +153,11 @@
 	return nil
 }
 
-// awaitExit waits until the successor closes its connection. A successor sends no messages after it has
-// accepted the state, so any message is treated like the end of the connection.
-func awaitExit(conn *net.UnixConn) {
+// awaitSuccessorExit waits until the successor closes its connection. A successor sends no messages after it
+// has accepted the state, so any message is treated like the end of the connection.
+func awaitSuccessorExit(conn *net.UnixConn) {
 	_ = conn.SetReadDeadline(time.Time{}) // fails only on a closed connection
-	message, err := readMessage(conn, make([]byte, 1+requestBodyBytes))
+	message, err := readMessage(conn, make([]byte, 1+successorBodyBytes))
 	if err != nil {
 		return // the successor has closed the connection
 	}
--- a/internal/handover/socket.go
+++ b/internal/handover/socket.go
@@ -57,14 +57,14 @@
 // openSocket duplicates the socket of a received file and returns the duplicate as type T. The file stays
 // open.
 func openSocket[T any](file *os.File, open func(*os.File) (any, error)) (T, error) {
-	var none T
+	var zero T
 	opened, err := open(file)
 	if err != nil {
-		return none, fmt.Errorf("handover: open received socket: %w", err)
+		return zero, fmt.Errorf("handover: open received socket: %w", err)
 	}
 	socket, ok := opened.(T)
 	if !ok {
-		return none, errWrongSocket
+		return zero, errWrongSocket
 	}
 	return socket, nil
 }
--- a/internal/handover/socket_test.go
+++ b/internal/handover/socket_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestSocketPathIsWhereAnOlderProcessListens(t *testing.T) {
+func TestSocketPathMatchesOlderVersions(t *testing.T) {
 	dir := t.TempDir()
 	t.Setenv("TMPDIR", dir)
 	for _, tt := range []struct{ listen, want string }{
--- a/internal/handover/successor.go
+++ b/internal/handover/successor.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	maxDialAttempts   = 2  // if a process listens but does not reply
-	maxTakeovers      = 3  // number of failed attempts after which this process starts without the state
-	socketsReplyBytes = 64 // size of the buffer for the reply with the sockets
+	maxDialAttempts     = 2  // if a process listens but does not reply
+	maxTakeoverAttempts = 3  // number of failed attempts after which this process starts without the state
+	socketsReplyBytes   = 64 // size of the buffer for the reply with the sockets
 )
 
 // errNoSockets reports that the predecessor's reply to kindHello carried no sockets.
@@ -56,9 +56,9 @@
 	// Dial owns and closes it.
 	Gossip *net.UDPConn
 
-	path  string
-	log   *slog.Logger
-	start sync.Once
+	path      string
+	log       *slog.Logger
+	startOnce sync.Once
 
 	mu        sync.Mutex
 	conn      *net.UnixConn // replaced under mu by the goroutine of Start, which reads it without mu
@@ -144,14 +144,14 @@
 
 // redial replaces a broken connection. It returns false if that fails or if the takeover was abandoned.
 func (t *Takeover) redial() bool {
-	other, err := dialOnce(t.path, t.log)
+	replacement, err := dialOnce(t.path, t.log)
 	if err != nil {
 		return false // the caller has logged why the previous connection failed
 	}
-	other.closeSockets() // duplicates of the sockets received before
+	replacement.closeSockets() // duplicates of the sockets received before
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.conn = other.conn
+	t.conn = replacement.conn
 	if t.abandoned {
 		_ = t.conn.Close()
 	}
@@ -161,26 +161,26 @@
 // Start runs the takeover in a goroutine, which ends when the predecessor exits or Abandon is called. Calls
 // after the first have no effect.
 func (t *Takeover) Start(events SuccessorEvents) {
-	t.start.Do(func() { go t.run(events) })
+	t.startOnce.Do(func() { go t.run(events) })
 }
 
 // run requests the state and then delivers the predecessor's messages until the predecessor exits. If all
 // attempts to receive the state fail, this process starts without it, on the sockets that it has received.
 func (t *Takeover) run(events SuccessorEvents) {
 	for attempt := 1; ; attempt++ {
-		state, early, err := t.requestState()
+		state, deliveries, err := t.requestState()
 		if err == nil {
 			events.StateReceived(state)
-			for _, deliver := range early {
+			for _, deliver := range deliveries {
 				deliver(events)
 			}
-			t.watchPredecessor(events)
+			t.deliverUntilExit(events)
 			events.PredecessorExited()
 			return
 		}
 		t.log.Warn("handover: attempt failed", "attempt", attempt, "error", err)
 		_ = t.conn.Close()
-		if attempt == maxTakeovers || !t.redial() {
+		if attempt == maxTakeoverAttempts || !t.redial() {
 			events.StateReceived(nil)
 			return
 		}
@@ -192,7 +192,7 @@
 
 // requestState requests the state and waits until the predecessor has released ownership. It returns the
 // deliveries of messages that arrive before that, to be called after StateReceived.
-func (t *Takeover) requestState() (state *State, early []delivery, err error) {
+func (t *Takeover) requestState() (state *State, deliveries []delivery, err error) {
 	_ = t.conn.SetDeadline(time.Now().Add(transferTimeout)) // fails only on a closed connection
 	if err := writeMessage(t.conn, kindTakeover, nil); err != nil {
 		return nil, nil, err
@@ -213,9 +213,9 @@
 			}
 		case messageKind == kindOwnership && state != nil:
 			_ = t.conn.SetDeadline(time.Time{}) // fails only on a closed connection
-			return state, early, nil
+			return state, deliveries, nil
 		case deliver != nil:
-			early = append(early, deliver)
+			deliveries = append(deliveries, deliver)
 		}
 	}
 }
@@ -229,8 +229,8 @@
 	return state, writeMessage(t.conn, kindAccepted, nil)
 }
 
-// watchPredecessor delivers the predecessor's messages until the predecessor exits.
-func (t *Takeover) watchPredecessor(events SuccessorEvents) {
+// deliverUntilExit delivers the predecessor's messages until the predecessor exits.
+func (t *Takeover) deliverUntilExit(events SuccessorEvents) {
 	reader := newMessageReader(t.conn)
 	for {
 		_, _, deliver, err := reader.next()
@@ -246,9 +246,9 @@
 
 // messageReader reads the messages that a predecessor sends after its sockets.
 type messageReader struct {
-	conn   *net.UnixConn
-	buffer []byte
-	input  []byte // received for the client of the next kindClient message
+	conn         *net.UnixConn
+	buffer       []byte
+	pendingInput []byte // received for the client of the next kindClient message
 }
 
 // newMessageReader returns a reader of a connection. The reader does not close the connection.
@@ -258,7 +258,7 @@
 
 // next reads one message. The body is valid until the next call of next. deliver is nil for the messages on
 // which requestState acts, and for messages that can't be decoded. The latter are skipped, because messages
-// are independent of each other.
+// are independent of each replacement.
 func (r *messageReader) next() (messageKind kind, body []byte, deliver delivery, err error) {
 	message, err := readMessage(r.conn, r.buffer)
 	if err != nil {
@@ -267,7 +267,7 @@
 	defer closeFiles(message.files)
 	switch message.kind {
 	case kindInput:
-		r.input = append(r.input, message.body...)
+		r.pendingInput = append(r.pendingInput, message.body...)
 	case kindClient:
 		deliver = r.clientDelivery(message)
 	case kindAttemptSent:
@@ -285,8 +285,8 @@
 // clientDelivery returns the delivery of a client's socket with the input that was received before it. It
 // returns nil if the socket is missing or unusable, or if the message can't be decoded.
 func (r *messageReader) clientDelivery(message incomingMessage) delivery {
-	input := r.input
-	r.input = nil
+	input := r.pendingInput
+	r.pendingInput = nil
 	connection, err := DecodeClientConnection(message.body)
 	if len(message.files) == 0 || err != nil {
 		return nil
--- a/internal/phase/phase_test.go
+++ b/internal/phase/phase_test.go
@@ -13,7 +13,7 @@
 
 var colors = phase.Transitions[color]{"green": {"yellow"}, "yellow": {"red", "green"}}
 
-func TestLegalSteps(t *testing.T) {
+func TestMachineMakesLegalTransitions(t *testing.T) {
 	m := phase.New("light", color("green"), colors, func(err error) { t.Error(err) })
 	for _, next := range []color{"yellow", "green", "yellow", "red"} {
 		if !m.TransitionTo(next) || m.Current() != next {
@@ -26,7 +26,7 @@
 }
 
 // An illegal transition is reported and does not change the phase.
-func TestIllegalSteps(t *testing.T) {
+func TestMachineRejectsIllegalTransitions(t *testing.T) {
 	for _, step := range []struct{ from, to color }{
 		{"green", "red"}, {"green", "green"}, {"red", "green"}, {"green", "blue"}, {"blue", "green"},
 	} {
@@ -36,14 +36,15 @@
 			t.Errorf("from %s to %s: accepted, or phase changed to %s", step.from, step.to, m.Current())
 		}
 		var illegal *phase.TransitionError
-		if !errors.As(reported, &illegal) ||
-			*illegal != (phase.TransitionError{Machine: "light", From: string(step.from), To: string(step.to)}) {
+		if !errors.As(reported, &illegal) || *illegal != (phase.TransitionError{
+			Machine: "light", From: string(step.from), To: string(step.to),
+		}) {
 			t.Errorf("from %s to %s: reported %v", step.from, step.to, reported)
 		}
 	}
 }
 
-func TestStepErrorNamesMachineAndPhases(t *testing.T) {
+func TestTransitionErrorContainsMachineAndPhases(t *testing.T) {
 	err := &phase.TransitionError{Machine: "light", From: "green", To: "red"}
 	if got, want := err.Error(), "light: no transition from green to red"; got != want {
 		t.Errorf("error %q, want %q", got, want)
