--- a/policy/activitycounters.go
+++ b/policy/activitycounters.go
@@ -76,7 +76,7 @@
 // the attempt rate of a slow start is derived.
 type slowStartMetrics struct {
 	backends, warmBackends int
-	answersOfWarm          float64 // successful answers per second and warm backend
+	warmAnswerRate         float64 // successful answers per second and warm backend
 }
 
 // flush returns the counters and metrics as the attributes of a log event, and resets the counters.
@@ -139,6 +139,6 @@
 		slog.Int("backends", slowStart.backends),
 		slog.Int("attempts", c.slowStartAttempts),
 		slog.Int("denied", c.slowStartDenied),
-		slog.Float64("answers_of_warm_per_second", slowStart.answersOfWarm),
+		slog.Float64("answers_of_warm_per_second", slowStart.warmAnswerRate),
 		slog.Int("warm_backends", slowStart.warmBackends))
 }
--- a/policy/controller_gossip.go
+++ b/policy/controller_gossip.go
@@ -91,8 +91,8 @@
 			backend.faults.add(now, fault.subject)
 		}
 	}
-	for _, received := range message.grants {
-		c.applyGrant(received)
+	for _, receivedGrant := range message.grants {
+		c.applyGrant(receivedGrant)
 	}
 }
 
--- a/policy/recorded_play_test.go
+++ b/policy/recorded_play_test.go
@@ -131,14 +131,14 @@
 					continue
 				}
 				p.transcript = append(p.transcript, fmt.Sprintf("%d %s", gateway, recordedLine(a)))
-				busy = p.perform(gateway, a) || busy
+				busy = p.performAction(gateway, a) || busy
 			}
 		}
 	}
 }
 
-// perform carries out one action. It reports whether the action caused an event at a gateway.
-func (p *recordedPlay) perform(gateway int, a action) bool {
+// performAction carries out one action. It reports whether the action caused an event at a gateway.
+func (p *recordedPlay) performAction(gateway int, a action) bool {
 	h := p.gateways[gateway]
 	switch a.kind {
 	case gossipAction:
--- a/policy/report.go
+++ b/policy/report.go
@@ -12,7 +12,7 @@
 	}
 	slowStarts := slowStartMetrics{
 		backends: c.backends.countWarmingUp(now, &c.slowStart), warmBackends: c.pace.warmBackends,
-		answersOfWarm: c.pace.answersPerSecond(now),
+		warmAnswerRate: c.pace.answersPerSecond(now),
 	}
 	c.actions.Log(messageCounters, c.counters.flush(now, load, slowStarts)...)
 }
