--- a/internal/gateway/endpoints_phase_test.go
+++ b/internal/gateway/endpoints_phase_test.go
@@ -28,13 +28,13 @@
 }
 
 func newFakeEndpoints() (*endpointList, *fakeEndpointGateway, *[]string) {
-	log, illegal := newIllegalStepLog()
+	log, illegal := newIllegalTransitionLog()
 	f := &fakeEndpointGateway{draining: map[string]discovery.Endpoint{}}
 	return newEndpointList([]string{"own"}, f, log), f, illegal
 }
 
-// listed returns the event of a complete list with a revision.
-func listed(revision uint64, endpoints ...discovery.Endpoint) discovery.Event {
+// completeListEvent returns the event of a complete list with a revision.
+func completeListEvent(revision uint64, endpoints ...discovery.Endpoint) discovery.Event {
 	return discovery.Event{
 		Kind: policy.UpdateComplete, Update: discovery.Update{Revision: revision, Endpoints: endpoints},
 	}
@@ -49,38 +49,38 @@
 	wantPhase(t, &e.phase, endpointsImported)
 	f.wantCalls(t, "updateEndpoints")
 	for range 2 {
-		e.handleEvent(listed(1))
+		e.handleEvent(completeListEvent(1))
 		wantPhase(t, &e.phase, endpointsReceived)
 		f.wantCalls(t, "updateEndpoints", "startAccepting")
 	}
-	wantIllegalSteps(t, illegal)
+	wantIllegalTransitions(t, illegal)
 }
 
 // A list that discovery has sent is not replaced by a predecessor's list.
 func TestEndpointListImportKeepsReceivedList(t *testing.T) {
 	e, f, illegal := newFakeEndpoints()
-	e.handleEvent(listed(1))
+	e.handleEvent(completeListEvent(1))
 	f.wantCalls(t, "updateEndpoints", "startAccepting")
 	e.importList(nil)
 	wantPhase(t, &e.phase, endpointsReceived)
 	f.wantCalls(t)
-	wantIllegalSteps(t, illegal)
+	wantIllegalTransitions(t, illegal)
 }
 
-func TestEndpointListRejectsIllegalSteps(t *testing.T) {
+func TestEndpointListRejectsIllegalTransitions(t *testing.T) {
 	e, f, illegal := newFakeEndpoints()
 	e.importList(nil)
 	f.wantCalls(t, "updateEndpoints")
 	e.importList(nil)
 	wantPhase(t, &e.phase, endpointsImported)
 	f.wantCalls(t)
-	wantIllegalSteps(t, illegal, "endpoints: no step from imported to imported")
+	wantIllegalTransitions(t, illegal, "endpoints: no transition from imported to imported")
 }
 
 // An update with an older revision does not end a drain, unless the backend has restarted.
 func TestEndpointListOlderUpdateRetainsDraining(t *testing.T) {
 	e, f, _ := newFakeEndpoints()
-	e.handleEvent(listed(5))
+	e.handleEvent(completeListEvent(5))
 	f.draining["a"] = discovery.Endpoint{ID: "a", Phase: "Terminating", UpSinceMS: 100}
 	for _, update := range []struct {
 		revision  uint64
@@ -89,11 +89,11 @@
 	}{
 		{4, 100, "Terminating"}, {4, 200, "Ready"}, {5, 100, "Ready"}, {6, 100, "Ready"},
 	} {
-		e.handleEvent(listed(update.revision,
+		e.handleEvent(completeListEvent(update.revision,
 			discovery.Endpoint{ID: "a", Phase: "Ready", UpSinceMS: update.upSinceMS},
 			discovery.Endpoint{ID: "b", Phase: "Ready", UpSinceMS: update.upSinceMS}))
 		if got := f.updated; got[0].Phase != update.want || got[1].Phase != "Ready" {
-			t.Errorf("revision %d, started at %d: phases %s and %s, want %s and Ready",
+			t.Errorf("revision %d, started at %d: got phases %s and %s, want %s and Ready",
 				update.revision, update.upSinceMS, got[0].Phase, got[1].Phase, update.want)
 		}
 	}
@@ -106,7 +106,7 @@
 		number int
 	}{{"own", 0}, {"b", 1}, {"c", 2}, {"b", 1}, {"own", 0}} {
 		if got := e.zoneNumber(zone.name); got != zone.number {
-			t.Errorf("zone %s has number %d, want %d", zone.name, got, zone.number)
+			t.Errorf("zone %s: got number %d, want %d", zone.name, got, zone.number)
 		}
 	}
 }
--- a/internal/gateway/handover.go
+++ b/internal/gateway/handover.go
@@ -31,8 +31,9 @@
 	return [...]string{"none", "offered", "accepted"}[p]
 }
 
-// handoverSteps lists the legal steps. A successor that exits, or takes too long, leads back to none.
-var handoverSteps = phase.Steps[handoverPhase]{
+// handoverTransitions lists the legal transitions. A successor that exits, or takes too long, leads back to
+// none.
+var handoverTransitions = phase.Transitions[handoverPhase]{
 	handoverNone:     {handoverOffered},
 	handoverOffered:  {handoverAccepted, handoverNone},
 	handoverAccepted: {handoverNone},
@@ -41,7 +42,7 @@
 // successorLink is the connection to a successor. It is implemented by *handover.Link.
 type successorLink interface {
 	SendState(encoded []byte)
-	SendGo()
+	TransferOwnership()
 	SendClient(client handover.ClientConnection, input []byte, socket syscall.RawConn, onSent func()) error
 	SendAttemptSent(handover.AttemptSent) error
 	SendAttemptEnded(policy.Outcome) error
@@ -53,14 +54,15 @@
 
 // handoverGateway has the operations of the gateway that a handover needs.
 type handoverGateway interface {
-	// canHandOver reports whether this process has started to accept clients, and has not stopped for a
-	// shutdown.
+	// canHandOver reports whether this process has started to accept clients, and has not stopped accepting
+	// them for a shutdown.
 	canHandOver() bool
 	// exportState returns the encoded state.
 	exportState() ([]byte, error)
 	// pauseServing stops accepting clients and sending gossip.
 	pauseServing()
-	// releaseOwnership closes the sockets that the successor now uses, and ends the policy's decisions.
+	// releaseOwnership ends the decisions of this process, closes the sockets that the successor now uses,
+	// and releases the successor's share of the resources.
 	releaseOwnership()
 	// stopReading stops reading from clients. Each connection is handed over once nothing is open on it.
 	stopReading()
@@ -78,8 +80,8 @@
 
 // outgoingHandover is the handover from this process to a successor. It owns the link to the successor, the
 // socket on which a successor requests the handover, and the commands that were read while neither process
-// decided. Commands are queued only in the phase offered, and link is set unless the phase is none. An
-// outgoingHandover belongs to the event loop.
+// decided. Commands are queued only in the phase offered, and link is set unless the phase is none.
+// It belongs to the event loop.
 type outgoingHandover struct {
 	phase          phase.Machine[handoverPhase]
 	listener       *handover.Listener // accepts successors; nil if there is no socket for them
@@ -91,7 +93,7 @@
 
 func newOutgoingHandover(gateway handoverGateway, log *slog.Logger) *outgoingHandover {
 	return &outgoingHandover{
-		phase:   phase.New("handover", handoverNone, handoverSteps, reportIllegalStep(log)),
+		phase:   phase.New("handover", handoverNone, handoverTransitions, reportIllegalTransition(log)),
 		gateway: gateway, log: log,
 	}
 }
@@ -115,7 +117,7 @@
 		link.Close()
 		return
 	}
-	if !h.phase.Step(handoverOffered) {
+	if !h.phase.TransitionTo(handoverOffered) {
 		link.Close()
 		return
 	}
@@ -127,10 +129,10 @@
 
 // handleStateAccepted transfers ownership to the successor, which has decoded the state and now decides.
 func (h *outgoingHandover) handleStateAccepted(link successorLink) {
-	if h.link != link || link.IsClosed() || !h.phase.Step(handoverAccepted) {
+	if h.link != link || link.IsClosed() || !h.phase.TransitionTo(handoverAccepted) {
 		return
 	}
-	link.SendGo()
+	link.TransferOwnership()
 	h.gateway.releaseOwnership()
 	for _, command := range h.queuedCommands {
 		h.queueCommand(command)
@@ -158,12 +160,12 @@
 
 // end ends a handover that was not completed, or whose successor has exited: this process serves again.
 func (h *outgoingHandover) end() {
-	given, commands := h.hasReleasedOwnership(), h.queuedCommands
-	if !h.phase.Step(handoverNone) {
+	released, commands := h.hasReleasedOwnership(), h.queuedCommands
+	if !h.phase.TransitionTo(handoverNone) {
 		return
 	}
 	h.link, h.queuedCommands = nil, nil
-	if given {
+	if released {
 		h.gateway.resumeOwnership()
 	} else {
 		h.gateway.retainOwnership()
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -57,9 +57,9 @@
 	return [...]string{"none", "accepting", "closing", "answered"}[p]
 }
 
-// shutdownSteps lists the legal steps. A shutdown passes through all phases in order, unless the gateway
-// stops earlier.
-var shutdownSteps = phase.Steps[shutdownPhase]{
+// shutdownTransitions lists the legal transitions. A shutdown passes through all phases in order, unless the
+// gateway stops earlier.
+var shutdownTransitions = phase.Transitions[shutdownPhase]{
 	shutdownNone:      {shutdownAccepting},
 	shutdownAccepting: {shutdownClosing},
 	shutdownClosing:   {shutdownAnswered},
@@ -86,7 +86,7 @@
 }
 
 // shutdown is the planned shutdown of this process. Its phase only advances. From the phase closing on, only
-// connections from the backlog are accepted. A shutdown belongs to the event loop.
+// connections from the backlog are accepted. It belongs to the event loop.
 type shutdown struct {
 	phase   phase.Machine[shutdownPhase]
 	gateway shutdownGateway
@@ -94,7 +94,7 @@
 
 func newShutdown(gateway shutdownGateway, log *slog.Logger) *shutdown {
 	return &shutdown{
-		phase:   phase.New("shutdown", shutdownNone, shutdownSteps, reportIllegalStep(log)),
+		phase:   phase.New("shutdown", shutdownNone, shutdownTransitions, reportIllegalTransition(log)),
 		gateway: gateway,
 	}
 }
@@ -105,7 +105,7 @@
 
 // start starts the shutdown. Only the first call has an effect.
 func (s *shutdown) start() {
-	if s.hasStarted() || !s.phase.Step(shutdownAccepting) {
+	if s.hasStarted() || !s.phase.TransitionTo(shutdownAccepting) {
 		return
 	}
 	s.gateway.announce()
@@ -130,11 +130,11 @@
 func (s *shutdown) takeStep(step shutdownStep) {
 	switch step {
 	case stepStopAccepting:
-		if s.phase.Step(shutdownClosing) {
+		if s.phase.TransitionTo(shutdownClosing) {
 			s.gateway.stopAccepting()
 		}
 	case stepAnswerAll:
-		if s.phase.Step(shutdownAnswered) {
+		if s.phase.TransitionTo(shutdownAnswered) {
 			s.gateway.answerAll()
 		}
 	case stepExit:
--- a/policy/concurrencylimit_test.go
+++ b/policy/concurrencylimit_test.go
@@ -5,7 +5,7 @@
 // fourBackends is the capacity of four backends of one gateway with an allowed latency of a second.
 var fourBackends = backendCapacity{healthy: 4, gateways: 1, allowedLatency: float64(second)}
 
-// answeringPerSecond returns a limit after many seconds with the given rate of answers on time, and the time.
+// limitAfterAnswers returns a limit after many seconds with the given rate of answers on time, and the time.
 func limitAfterAnswers(answers int) (*concurrencyLimit, Time) {
 	var limit concurrencyLimit
 	now := start
@@ -62,7 +62,7 @@
 	var limit concurrencyLimit
 	const peers = 9
 	for range peers {
-		limit.recordPeer(start, 1, 0, 0)
+		limit.recordPeerView(start, 1, 0, 0)
 	}
 	capacity := backendCapacity{healthy: 25, gateways: 10, allowedLatency: float64(second)}
 	const evenShare = 10 // one of ten gateways' share of the minimum capacity of 25 backends, 100 attempts
@@ -74,8 +74,8 @@
 
 func TestPeerWeightFallsWithOwnAnswers(t *testing.T) {
 	var limit concurrencyLimit
-	limit.recordPeer(start, 1, 6, 40)
-	limit.recordPeer(start, 0.5, 4, 20)
+	limit.recordPeerView(start, 1, 6, 40)
+	limit.recordPeerView(start, 0.5, 4, 20)
 	want := loadView{inFlight: 11, onTimeRate: 50, gateways: 2.5}
 	if got := limit.view(start, 3); got != want {
 		t.Errorf("got %+v, want %+v", got, want)
