--- a/policy/clock_test.go
+++ b/policy/clock_test.go
@@ -39,7 +39,7 @@
 				t.Errorf("active time: got %d, want %d", clock.activeTime, want)
 			}
 			if got := clock.isResuming(); got != (c.want == clockResumed) {
-				t.Errorf("isResuming: got %t", got)
+				t.Errorf("isResuming: got %t, want it only after a stall", got)
 			}
 		})
 	}
@@ -63,6 +63,6 @@
 	}
 	clock.advance(start+second/2, testEventInterval)
 	if clock.resetStart(); clock.startedAt != start+second/2 {
-		t.Errorf("start time after the reset: got %d", clock.startedAt)
+		t.Errorf("start time after the reset: got %d, want now", clock.startedAt)
 	}
 }
--- a/policy/ownership_test.go
+++ b/policy/ownership_test.go
@@ -65,11 +65,11 @@
 	next.PredecessorExited(next.at)
 	for _, backend := range next.backends.inOrder {
 		if load := backend.load; load.inFlight != 0 || load.overdue != 0 {
-			t.Errorf("backend %d: in flight %d, overdue %d", backend.ID, load.inFlight, load.overdue)
+			t.Errorf("backend %d: in flight %d, overdue %d; want 0", backend.ID, load.inFlight, load.overdue)
 		}
 	}
 	if next.customers.byID[8].inFlight != 0 {
-		t.Errorf("in flight: customer %d", next.customers.byID[8].inFlight)
+		t.Errorf("in flight: customer %d, want none", next.customers.byID[8].inFlight)
 	}
 }
 
--- a/policy/stepped_clock_test.go
+++ b/policy/stepped_clock_test.go
@@ -164,7 +164,7 @@
 				}
 			}
 			if served[0] == 0 || served[1] != served[0] {
-				t.Errorf("older %t: served %d in 10 s, the predecessor would have served %d",
+				t.Errorf("older %t: served %d requests in 10 s, want %d as by the predecessor",
 					older, served[1], served[0])
 			}
 		}
