--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -5,40 +5,41 @@
 	"sparspread/policy"
 )
 
-// bulkOverhead is what a bulk string takes at most beside its bytes: the length and two line ends.
+// bulkOverhead is the maximum number of bytes that the encoding of a bulk string adds to its content: the
+// length and two line ends.
 const bulkOverhead = 16
 
-// attempt is one send of a request to a backend or, without a request, a health check. It belongs to the
-// loop.
+// attempt is one attempt to run a request on a backend or, if request is nil, a health check. It belongs to
+// the event loop.
 type attempt struct {
-	request        *request // nil: a health check
-	number         int      // of the request's attempts, from 0
+	request        *request // nil for a health check
+	number         int      // among the attempts of the request, from 0
 	backend        uint32
-	sentAt         policy.Time  // when the policy decided on it
+	sentAt         policy.Time  // when the policy decided to send it
 	expiresAt      policy.Time  // when it times out
-	conn           *backendConn // nil: it waits for one, or has ended
+	conn           *backendConn // nil while it waits for a connection and after it has ended
 	timeout        *timer
-	redialed       bool // its dial was reset and made again
+	redialed       bool // its dial was reset and has been repeated
 	dialUnanswered bool // its dial was not answered in time
-	ended          bool // it has its outcome
-	fullyWritten   bool // to its last byte
+	ended          bool // its outcome is decided
+	fullyWritten   bool // the last byte of the request was written
 }
 
-// backendAnswer is what a backend's reply holds.
+// backendAnswer is the content of a reply from a backend.
 type backendAnswer struct {
 	value      []byte
-	cost       float64   // the actual one; 0: not given
-	loadReport []float32 // nil: none
+	cost       float64   // actual cost; zero if the reply has none
+	loadReport []float32 // nil if the reply has none
 }
 
-// markFullyWritten counts an attempt that was written to its last byte.
+// markFullyWritten records that the last byte of the request was written, and counts the attempt.
 func (a *attempt) markFullyWritten() {
 	a.fullyWritten = true
 	a.request.metrics.Attempts.Add(1)
 }
 
-// startAttempt sends an attempt or health check to a backend. It reports whether the attempt waits for a
-// connection.
+// startAttempt starts an attempt or health check on the backend with the given number. It reports whether the
+// attempt waits for a connection.
 func (bs *backends) startAttempt(a *attempt, number uint32) (waiting bool) {
 	a.backend = number
 	b := bs.byNumber[number]
@@ -50,13 +51,13 @@
 	return bs.assignAttempt(b, a)
 }
 
-// canBeSent reports whether the client still waits, and a large body has not gone to an earlier attempt: it
-// is not kept.
+// canBeSent reports whether the client is still connected and the request has no large body that was assigned
+// to an earlier attempt. Large bodies are not kept for further attempts.
 func (a *attempt) canBeSent() bool {
 	return a.request == nil || a.request.body.isUnassigned() && !a.request.client.disconnected.Load()
 }
 
-// attemptTimeout ends an attempt at its time, and its connection with it.
+// attemptTimeout ends an attempt that has timed out, and closes its connection.
 type attemptTimeout struct{ attempt *attempt }
 
 func (t attemptTimeout) Handle(g *Gateway) {
@@ -65,7 +66,7 @@
 		return
 	}
 	if a.request != nil && a.request.valueConn != nil && a.request.valueConn == a.conn {
-		a.request.valueConn = nil // the replies before it were not sent in time
+		a.request.valueConn = nil // it was still waiting for the replies to earlier requests
 	}
 	if a.conn == nil {
 		g.backends.cancelWaiting(a)
@@ -76,12 +77,13 @@
 	g.backends.endAttempt(a, policy.ResultTimedOut)
 }
 
-// endAttempt ends an attempt without a reply.
+// endAttempt ends an attempt that got no reply from its backend.
 func (bs *backends) endAttempt(a *attempt, result policy.Result) {
 	bs.endAttemptWithAnswer(a, result, backendAnswer{})
 }
 
-// endAttemptWithAnswer ends an attempt: the first call decides, and defers the attempt's one outcome.
+// endAttemptWithAnswer ends an attempt and defers the event with its outcome. Only the first call for an
+// attempt has an effect.
 func (bs *backends) endAttemptWithAnswer(a *attempt, result policy.Result, answer backendAnswer) {
 	if a.ended {
 		return
@@ -92,10 +94,10 @@
 	}
 	if a.isBodyIncomplete() {
 		if result != policy.ResultOverloaded {
-			result = policy.ResultNotSent // the request never was complete at the backend
+			result = policy.ResultNotSent // the backend never had the complete request
 		}
 	} else if a.request != nil && a.conn != nil && !a.fullyWritten && a.conn.writer.Idle() {
-		a.markFullyWritten() // the writer has written the rest since
+		a.markFullyWritten() // the writer has written the rest in the meantime
 	}
 	bs.events.Cancel(a.timeout)
 	a.timeout, a.conn = nil, nil
@@ -103,7 +105,7 @@
 	bs.events.Defer(attemptEnded{attempt: a, result: result, backendAnswer: answer, latency: latency})
 }
 
-// attemptEnded is the outcome of an attempt: exactly one for each.
+// attemptEnded is the outcome of an attempt. Each attempt has exactly one.
 type attemptEnded struct {
 	attempt *attempt
 	result  policy.Result
@@ -130,7 +132,7 @@
 	g.releaseRequest(r)
 }
 
-// reportOutcome tells the policy, and a process that takes over, how an attempt ended.
+// reportOutcome reports the outcome of an attempt to the policy and, during a handover, to the successor.
 func (g *Gateway) reportOutcome(outcome policy.Outcome) {
 	g.handover.reportAttemptEnded(outcome)
 	g.controller.AttemptEnded(g.events.Now(), outcome)
--- a/internal/gateway/backend.go
+++ b/internal/gateway/backend.go
@@ -15,59 +15,60 @@
 	"sparspread/policy"
 )
 
-// backend is an endpoint that discovery has listed, with its connections. It belongs to the loop.
+// backend is an endpoint that discovery has listed, with its connections. It belongs to the event loop.
 type backend struct {
-	number          uint32 // by which the policy and the gossip name it
+	number          uint32 // identifies it in the policy and in gossip
 	address         string
-	startedAtMS     int64 // milliseconds since 1970, by discovery
+	startedAtMS     int64 // start time reported by discovery, in milliseconds since 1970
 	state           policy.EndpointState
 	endpoint        discovery.Endpoint // as last listed
-	idleConns       []*backendConn     // the most recently used last
-	waiting         []*attempt         // for a connection, oldest first
-	activeDials     int                // dials under way
-	dialPaused      bool               // until dialPauseEnded
-	shortagePauses  int                // pauses in a row, as this machine lacked what a dial takes
-	quiesceTimerSet bool               // for the end of an idle connection's quiescence period
+	idleConns       []*backendConn     // ordered by the time of their last use, most recent last
+	waiting         []*attempt         // attempts that wait for a connection, oldest first
+	activeDials     int                // dials in progress
+	dialPaused      bool               // no dials until dialPauseEnded
+	shortagePauses  int                // consecutive dial pauses because of shortages on this machine
+	quiesceTimerSet bool               // connectionQuiesced is scheduled
 }
 
-// backendConn is a connection to a backend. It carries one attempt at a time: replies come in order, so
-// that a slow one would delay all behind it, and giving one up closes the connection for the others.
+// backendConn is a connection to a backend. It carries one attempt at a time: replies arrive in order, so a
+// slow reply would delay all attempts behind it, and cancelling one attempt closes the connection for the
+// others.
 type backendConn struct {
 	conn             *net.TCPConn
 	writer           *sockwriter.Writer
-	bytesRead        atomic.Int64            // by the reader goroutine
-	done             chan struct{}           // closed by the loop with the connection
-	valueDestination chan *sockwriter.Writer // from the loop to the reader: where a large value goes
+	bytesRead        atomic.Int64            // counted by the reader goroutine
+	done             chan struct{}           // closed by the event loop when it closes the connection
+	valueDestination chan *sockwriter.Writer // of a large value; sent by the event loop to the reader
 
-	// The loop's.
+	// Owned by the event loop.
 	backend       *backend
-	attempt       *attempt // nil: idle
+	attempt       *attempt // nil if the connection is idle
 	closed        bool
 	idleSince     policy.Time
-	bytesConsumed int64 // of bytesRead, those of replies that were handled
+	bytesConsumed int64 // the part of bytesRead that belongs to handled replies
 
-	// The reader's.
-	readTimeout time.Duration // for more input amid a reply; 0: no limit
+	// Owned by the reader goroutine.
+	readTimeout time.Duration // for further input of an incomplete reply; zero for no limit
 }
 
-// attemptSource is what backends need of the gateway that makes attempts.
+// attemptSource has the operations of the gateway that backends need to send attempts.
 type attemptSource interface {
 	// isAttemptWanted reports whether an attempt that has waited for a connection is still wanted.
 	isAttemptWanted(*attempt) bool
-	// attemptCommand returns what an attempt writes, but for a large body.
+	// attemptCommand returns the bytes to write for an attempt, without a large body.
 	attemptCommand(*attempt) []byte
 }
 
 // backends holds all backends and the connections to them, and ends attempts: each gets one attemptEnded. It
-// belongs to the loop, but for dial.
+// belongs to the event loop, except for dialer, which is safe for any goroutine.
 type backends struct {
 	events      *eventLoop
 	attempts    attemptSource
 	byNumber    map[uint32]*backend
 	byID        map[string]*backend
 	idleTimeout idleTimeoutEstimate
-	limit       int // connections and dials at a time
-	openConns   int // connections and dials
+	limit       int // maximum of openConns
+	openConns   int // connections and dials in progress
 	counts      backendCounts
 	dialer      net.Dialer
 }
@@ -84,15 +85,16 @@
 	}
 }
 
-// findOrCreate returns the backend of an id. Its number is the hexadecimal end of the id or else a hash of
-// it: all gateways use the same, as their gossip names backends by it.
+// findOrCreate returns the backend with the given ID. Its number is the hexadecimal suffix of the ID or, if
+// there is none, a hash of the ID. All gateways have to derive the same number, because gossip identifies
+// backends by it.
 func (bs *backends) findOrCreate(id string) *backend {
 	if b := bs.byID[id]; b != nil {
 		return b
 	}
 	number := backendNumber(id)
 	for bs.byNumber[number] != nil {
-		number++ // another id has the same number
+		number++ // another ID has the same number
 	}
 	b := &backend{number: number, state: policy.EndpointRemoved}
 	bs.byID[id], bs.byNumber[number] = b, b
@@ -109,14 +111,14 @@
 	return hash.Sum32()
 }
 
-// applyList applies discovery's list, or its changes. It returns the entries as the policy gets them, which
-// has to decide by them before cleanUpUnready is called.
+// applyList applies a complete list from discovery, or changes of it. It returns the entries in the form of
+// the policy. The policy must process them before cleanUpUnready is called.
 func (bs *backends) applyList(
 	kind policy.UpdateKind, list []discovery.Endpoint, zoneNumber func(name string) int,
 ) []policy.Endpoint {
 	if kind != policy.UpdateIncremental {
 		for _, b := range bs.byNumber {
-			b.state = policy.EndpointRemoved // unless the list names it
+			b.state = policy.EndpointRemoved // unless it is in the list
 		}
 	}
 	endpoints := make([]policy.Endpoint, 0, len(list))
@@ -130,8 +132,8 @@
 	return endpoints
 }
 
-// cleanUpUnready closes what backends that are not ready no longer need. It returns the number of backends
-// that are listed.
+// cleanUpUnready closes the unused connections of backends that are not ready. It returns the number of
+// listed backends.
 func (bs *backends) cleanUpUnready() (listed int64) {
 	for id, b := range bs.byID {
 		if b.state != policy.EndpointRemoved {
@@ -144,23 +146,24 @@
 	return listed
 }
 
-// updateEndpoint applies one entry of discovery's list.
+// updateEndpoint applies one entry of a list from discovery.
 func (bs *backends) updateEndpoint(e discovery.Endpoint) *backend {
 	b := bs.findOrCreate(e.ID)
 	b.state, b.endpoint = e.State(), e
 	if b.address != e.Address || b.startedAtMS != e.UpSinceMS {
-		// It has moved or restarted: idle connections lead to the process before.
+		// The backend has moved or restarted: idle connections lead to its previous process.
 		b.address, b.startedAtMS = e.Address, e.UpSinceMS
 		bs.closeIdleConns(b)
 	}
 	return b
 }
 
-// cleanUp closes what a backend that is not ready no longer needs, and deletes one that was removed.
+// cleanUp closes the idle connections of a backend that is not ready and ends the attempts that wait for one.
+// It deletes the backend if discovery has removed it and no dial is in progress or pending.
 func (bs *backends) cleanUp(id string, b *backend) {
 	bs.closeIdleConns(b)
 	for len(b.waiting) > 0 {
-		bs.cancelWaiting(b.waiting[0]) // it can go to another backend at once
+		bs.cancelWaiting(b.waiting[0]) // so that the policy can try another backend at once
 	}
 	if b.state == policy.EndpointRemoved && len(b.waiting) == 0 && b.activeDials == 0 && !b.dialPaused {
 		delete(bs.byID, id)
@@ -168,7 +171,7 @@
 	}
 }
 
-// cancelWaiting ends an attempt that waits for a connection, as not sent; nil: there is none.
+// cancelWaiting ends an attempt that waits for a connection as not sent. It has no effect if a is nil.
 func (bs *backends) cancelWaiting(a *attempt) {
 	if a == nil {
 		return
--- a/internal/gateway/backend_dial.go
+++ b/internal/gateway/backend_dial.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// A dial that failed for a shortage of this machine's is repeated after a pause, which doubles each time.
-	// After maxShortagePauses in a row the attempts that wait for it end: others may have more luck.
+	// A dial that failed because of a resource shortage on this machine is repeated after a pause, which
+	// doubles each time. After maxShortagePauses consecutive pauses the waiting attempts end, since an
+	// attempt on another backend may succeed.
 	firstShortagePause = 5 * millisecond
 	maxShortagePauses  = 4
 )
 
-// dialForWaiting dials until there are as many dials under way as attempts wait.
+// dialForWaiting starts dials until as many are in progress as attempts wait for a connection.
 func (bs *backends) dialForWaiting(b *backend) {
 	for b.activeDials < len(b.waiting) && !b.dialPaused {
 		if bs.openConns >= bs.limit && !bs.evictIdleConn() {
-			// A lack of file descriptors is not the backend's fault: nothing was sent, nothing is learnt of
-			// it.
+			// A lack of file descriptors says nothing about the backend: the attempt was not sent.
 			last := len(b.waiting) - 1
 			a := b.waiting[last]
 			b.waiting = b.waiting[:last]
@@ -35,14 +35,14 @@
 	}
 }
 
-// dialBackend dials the address of an event and posts it with the result. Its goroutine ends with the dial,
-// which has a timeout.
+// dialBackend dials the address in e and posts e with the result. It runs in a goroutine of its own, which
+// ends with the dial, at the latest at the dial timeout.
 func (bs *backends) dialBackend(e dialEnded) {
 	conn, err := bs.dialer.DialContext(context.Background(), "tcp", e.address)
 	if e.err = err; err == nil {
 		tcp, ok := conn.(*net.TCPConn)
 		if !ok {
-			panic(fmt.Sprintf("a dial over TCP made a %T", conn))
+			panic(fmt.Sprintf("dial tcp: got a %T, expected a *net.TCPConn", conn))
 		}
 		e.conn = tcp
 	}
@@ -52,7 +52,7 @@
 // dialEnded is the result of a dial.
 type dialEnded struct {
 	backend     *backend
-	address     string // as discovery listed it when the dial began, like startedAtMS
+	address     string // address and startedAtMS are as discovery listed them at the start of the dial
 	startedAtMS int64
 	conn        *net.TCPConn
 	err         error
@@ -75,7 +75,7 @@
 		valueDestination: make(chan *sockwriter.Writer, 1),
 	}
 	if e.address != b.address || e.startedAtMS != b.startedAtMS {
-		bs.close(c, closeNotReady) // the backend has moved or restarted since
+		bs.close(c, closeNotReady) // the backend has moved or restarted in the meantime
 		bs.dialForWaiting(b)
 		return
 	}
@@ -83,7 +83,8 @@
 	bs.releaseConn(c)
 }
 
-// dialFailed ends the attempt that has waited longest if more attempts wait than dials are under way.
+// handleDialFailure handles a failed dial. If more attempts wait than dials are in progress, it ends the
+// attempt that has waited longest, unless the dial can be repeated.
 func (bs *backends) handleDialFailure(b *backend, fault dialFault) {
 	if len(b.waiting) <= b.activeDials {
 		return
@@ -94,8 +95,8 @@
 	}
 	a := b.waiting[0]
 	if fault == dialReset && !a.redialed {
-		// Something listens there, else the dial would have been refused. Nothing was sent, so a second dial
-		// is safe.
+		// A process listens on the address, otherwise the dial would have been refused. Nothing was sent, so
+		// a second dial is safe.
 		a.redialed = true
 		bs.dialForWaiting(b)
 		return
@@ -105,11 +106,11 @@
 	bs.endAttempt(a, policy.ResultConnectFailed)
 }
 
-// pauseDials has the waiting attempts' dials repeated after a pause. What this machine lacks says nothing of
-// the backend: after some pauses the attempts end as not sent.
+// pauseDials repeats the dials for waiting attempts after a pause. After maxShortagePauses consecutive pauses
+// the attempts end as not sent, since a shortage on this machine says nothing about the backend.
 func (bs *backends) pauseDials(b *backend) {
 	if b.dialPaused {
-		return // by another dial that failed
+		return // another dial has failed for the same reason
 	}
 	if b.shortagePauses >= maxShortagePauses {
 		b.shortagePauses = 0
@@ -123,7 +124,7 @@
 	b.shortagePauses++
 }
 
-// dialPauseEnded fires when dials to a backend may be tried again.
+// dialPauseEnded is the event of the time at which dials to a backend may be repeated.
 type dialPauseEnded struct{ backend *backend }
 
 func (e dialPauseEnded) Handle(g *Gateway) {
--- a/internal/gateway/backend_pool.go
+++ b/internal/gateway/backend_pool.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// quiescencePeriod is for how long a connection is not reused after a reply. A duplicate of the reply
-	// may follow some milliseconds later (0.9 to 3.9 were seen), and would pass for the reply to the next
-	// request.
+	// quiescencePeriod is the time after a reply during which the connection is not reused. A duplicate of
+	// the reply may follow some milliseconds later (0.9 to 3.9 ms were observed), and would be mistaken for
+	// the reply to the next request.
 	quiescencePeriod = 10 * millisecond
 
-	// idleCloseDivisor is by how much sooner idle connections are closed than their backends close them: a
-	// request that crosses the backend's close would end as a reset.
+	// Idle connections are closed after the idle timeout of backends divided by idleCloseDivisor, before a
+	// backend closes them: a request that is sent while the backend closes its connection ends in a reset.
 	idleCloseDivisor = 2
 )
 
-// isQuiescing reports whether more may still arrive behind the last reply.
+// isQuiescing reports whether the quiescence period after the last reply is not over.
 func (c *backendConn) isQuiescing(now policy.Time) bool {
 	return c.hasCarriedReply() && now-c.idleSince < quiescencePeriod
 }
@@ -25,14 +25,15 @@
 // hasCarriedReply reports whether a reply was handled on the connection.
 func (c *backendConn) hasCarriedReply() bool { return c.bytesConsumed > 0 }
 
-// hasUnsolicitedInput reports whether something has arrived that no request asked for, such as a duplicate of
-// the last reply or noise. It would be taken for the reply to the next request.
+// hasUnsolicitedInput reports whether input has arrived that belongs to no request, such as a duplicate of
+// the last reply. It would be mistaken for the reply to the next request. A closed connection counts as
+// well.
 func (c *backendConn) hasUnsolicitedInput() bool {
 	return c.bytesRead.Load() != c.bytesConsumed || !c.writer.NoInput()
 }
 
-// assign writes an attempt to an idle connection; without one it waits for a dial. It reports whether the
-// attempt waits.
+// assignAttempt writes an attempt to an idle connection. If there is none, the attempt waits for a
+// connection, and a dial is started. assignAttempt reports whether the attempt waits.
 func (bs *backends) assignAttempt(b *backend, a *attempt) (waiting bool) {
 	for c := bs.takeIdleConn(b); c != nil; c = bs.takeIdleConn(b) {
 		if bs.writeAttempt(c, a) {
@@ -48,8 +49,9 @@
 	return true
 }
 
-// takeIdle removes and returns the most recently used idle connection that is not quiescing; nil: there is
-// none. Connections that have been idle for longer than the idle timeout estimate are closed.
+// takeIdleConn removes and returns the most recently used idle connection that is not quiescing. It returns
+// nil if there is none. Connections that have been idle for longer than the idle timeout estimate are
+// closed.
 func (bs *backends) takeIdleConn(b *backend) *backendConn {
 	now := bs.events.Now()
 	earliestIdleSince := now - bs.idleTimeout.current(now)
@@ -66,8 +68,8 @@
 	return nil
 }
 
-// awaitQuiescence has the waiting attempts look for an idle connection again as soon as one has ended its
-// quiescence period: a dial may take longer.
+// scheduleQuiescenceTimer schedules connectionQuiesced if attempts wait and a connection is quiescing. The
+// attempts can then use that connection, since a dial may take longer.
 func (bs *backends) scheduleQuiescenceTimer(b *backend) {
 	if len(b.waiting) == 0 || b.quiesceTimerSet {
 		return
@@ -81,7 +83,8 @@
 	}
 }
 
-// connectionQuiesced fires when a connection has ended its quiescence period for which attempts may wait.
+// connectionQuiesced is the event of the end of a connection's quiescence period. Attempts may wait for the
+// connection.
 type connectionQuiesced struct{ backend *backend }
 
 func (e connectionQuiesced) Handle(g *Gateway) {
@@ -97,13 +100,13 @@
 	bs.scheduleQuiescenceTimer(b)
 }
 
-// release makes a connection available: to the attempt that has waited longest if it is new, and after its
-// quiescence period if it has carried a reply.
+// releaseConn makes a connection available. A new connection goes to the attempt that has waited longest. A
+// connection that has carried a reply can be used after its quiescence period.
 func (bs *backends) releaseConn(c *backendConn) {
 	b := c.backend
 	if !c.writer.Idle() {
-		// The reply came before the whole request was written, and the next request would be written into the
-		// rest of it.
+		// The reply came before the whole request was written. The next request on this connection would be
+		// read as the rest of that request.
 		bs.close(c, closeIncomplete)
 		bs.dialForWaiting(b)
 		return
@@ -120,7 +123,8 @@
 	bs.scheduleQuiescenceTimer(b)
 }
 
-// assignToWaiting writes the attempt that has waited longest to a connection, or keeps the connection idle.
+// assignToWaiting writes the attempt that has waited longest to a connection. If no attempt waits, the
+// connection becomes idle.
 func (bs *backends) assignToWaiting(c *backendConn) {
 	b := c.backend
 	for len(b.waiting) > 0 {
@@ -151,13 +155,13 @@
 	return !r.client.disconnected.Load() && g.controller.ConfirmSend(g.events.Now(), r.id, a.number)
 }
 
-// addIdle keeps a connection for a later attempt.
+// addIdleConn keeps a connection for a later attempt.
 func (bs *backends) addIdleConn(c *backendConn) {
 	c.idleSince = bs.events.Now()
 	c.backend.idleConns = append(c.backend.idleConns, c)
 }
 
-// evict closes the connection that has been idle longest and reports whether there was one.
+// evictIdleConn closes the connection that has been idle longest. It reports whether there was an idle one.
 func (bs *backends) evictIdleConn() bool {
 	var oldest *backendConn
 	for _, b := range bs.byNumber {
@@ -172,7 +176,7 @@
 	return true
 }
 
-// sweep closes connections that have been idle for too long, by when backends close them.
+// sweep closes connections that have been idle for too long. Backends close them after idleClose.
 func (bs *backends) sweep(idleClose policy.Time) {
 	oldest := bs.events.Now() - idleClose/idleCloseDivisor
 	for _, b := range bs.byNumber {
@@ -182,14 +186,15 @@
 	}
 }
 
-// closeIdle closes a backend's idle connections.
+// closeIdleConns closes the idle connections of a backend.
 func (bs *backends) closeIdleConns(b *backend) {
 	for len(b.idleConns) > 0 {
 		bs.close(b.idleConns[0], closeNotReady)
 	}
 }
 
-// close closes a connection that carries no attempt any more, which ends its reader.
+// close closes a connection, which ends its reader. The caller ends the attempt that the connection
+// carries, if any.
 func (bs *backends) close(c *backendConn, reason closeReason) {
 	if c.closed {
 		return
--- a/internal/gateway/backend_read.go
+++ b/internal/gateway/backend_read.go
@@ -9,11 +9,12 @@
 	"sparspread/policy"
 )
 
-// replyTimeout is how soon more must arrive of a reply that has begun: its length may be corrupt and promise
-// more than ever arrives.
+// replyTimeout is the maximum time between two parts of a reply. A reply with a corrupt length may announce
+// more bytes than ever arrive.
 const replyTimeout = time.Second
 
-// Read implements io.Reader for the reader goroutine, with a deadline amid a reply. It counts what arrives.
+// Read implements io.Reader for the reader goroutine. It sets a read deadline while a reply is incomplete,
+// and counts the bytes that arrive.
 func (c *backendConn) Read(b []byte) (int, error) {
 	if c.readTimeout > 0 {
 		c.setReadDeadline(time.Now().Add(c.readTimeout))
@@ -23,13 +24,13 @@
 	return n, err
 }
 
-// setReadDeadline sets by when input has to arrive; zero: no deadline.
+// setReadDeadline sets the time by which input has to arrive. A zero deadline removes the limit.
 func (c *backendConn) setReadDeadline(deadline time.Time) {
-	_ = c.conn.SetReadDeadline(deadline) // fails only for a closed connection, and then so does the next read
+	_ = c.conn.SetReadDeadline(deadline) // fails only on a closed connection, as does the next read
 }
 
-// readReplies posts a backend's replies until the connection ends or the framing is lost. It runs in the
-// connection's reader goroutine, which closing the connection ends.
+// readReplies posts the replies of a backend until the connection ends or the framing is lost. It is the
+// reader goroutine of the connection, which ends when the connection is closed.
 func (c *backendConn) readReplies(events *eventLoop) {
 	in := resp.NewReader(c)
 	for {
@@ -53,15 +54,15 @@
 	}
 }
 
-// replyReceived is a reply on a backend's connection, or the connection's end.
+// replyReceived is a reply on a connection to a backend, or the end of the connection.
 type replyReceived struct {
 	conn          *backendConn
 	reply         resp.Reply
 	err           error
-	malformed     bool  // a reply has arrived that can't be parsed
-	bytesConsumed int64 // bytes read from the connection up to the end of the reply
-	trailingInput bool  // bytes have arrived behind the reply
-	streamed      bool  // its value went to the client as it was read
+	malformed     bool  // the reply cannot be parsed
+	bytesConsumed int64 // bytes read from the connection, up to the end of the reply
+	trailingInput bool  // input has arrived behind the reply
+	streamed      bool  // the value was forwarded to the client while it was read
 }
 
 func (e replyReceived) Handle(g *Gateway) {
@@ -77,7 +78,7 @@
 	}
 }
 
-// handleEnd handles the end of a connection, or input that no attempt waits for.
+// handleConnEnd handles the end of a connection, or input that no attempt waits for.
 func (e replyReceived) handleConnEnd(g *Gateway) {
 	c, a := e.conn, e.conn.attempt
 	reused := c.hasCarriedReply()
@@ -90,12 +91,13 @@
 	if reused {
 		g.backends.handleBrokenReuse(c, a)
 	}
-	// The request was written, or may have been: it may have run.
+	// At least a part of the request may have been written, so it may have run.
 	g.backends.endAttempt(a, policy.ResultReset)
 }
 
-// reusedConnectionBroke takes note that a reused connection ended under an attempt. Those that have been idle
-// for longer are most likely broken too, though nothing shows it, and are closed.
+// handleBrokenReuse records that a reused connection has ended while it carried an attempt. If the idle
+// time explains it, connections that have been idle for longer are closed: they are most likely broken too,
+// although they show no error yet.
 func (bs *backends) handleBrokenReuse(c *backendConn, a *attempt) {
 	b, idle := c.backend, a.sentAt-c.idleSince
 	mayHaveExpired := bs.idleTimeout.mayHaveExpired(bs.events.Now(), idle)
@@ -107,12 +109,12 @@
 	}
 }
 
-// handleReply ends the attempt of a connection with a reply, which may be malformed.
+// handleReply ends the attempt on a connection with the reply, which may be malformed.
 func (e replyReceived) handleReply(g *Gateway) {
 	c, a := e.conn, e.conn.attempt
 	reused := c.hasCarriedReply()
 	c.bytesConsumed = e.bytesConsumed
-	bodyPending := a.isBodyPending() // the rest of the body is not written, or is being written now
+	bodyPending := a.isBodyPending() // the rest of the body is not written yet, or is being written
 	reply := classifyReply(e.reply, a.request == nil)
 	if e.malformed && reply.value == nil {
 		reply.result = policy.ResultFailed
@@ -122,7 +124,8 @@
 		g.backends.idleTimeout.recordHealthy(g.events.Now(), a.sentAt-c.idleSince)
 	}
 	if !reply.wellFormed || e.malformed || e.trailingInput || bodyPending {
-		// What comes next on this connection may belong to no request. The others to the backend go on.
+		// Further input on this connection may belong to no request. Other connections to the backend stay
+		// open.
 		g.backends.close(c, closeMalformed)
 		g.backends.dialForWaiting(c.backend)
 	}
--- a/internal/gateway/backend_reply.go
+++ b/internal/gateway/backend_reply.go
@@ -12,27 +12,27 @@
 	"sparspread/policy"
 )
 
-// The position of each part in the array that a backend replies with.
+// Indices of the items of a backend's array reply.
 const (
 	replyValue = iota
 	replyUsage
 	replyLoad
 )
 
-// busyError is the error word by which a backend says that it did not run a request.
+// busyError is the first word of the error reply of a backend that did not run the request.
 const busyError = "BUSY"
 
-// classifiedReply is what a backend's reply means.
+// classifiedReply is the interpretation of a reply from a backend.
 type classifiedReply struct {
 	result     policy.Result
-	value      []byte // nil: none
-	usage      string // such as "used=37,cost=4"; empty: none
-	load       string // the load report, of the same form; empty: none
-	wellFormed bool   // in the agreed form: an array with the value first, or an error
+	value      []byte // nil if there is none
+	usage      string // such as "used=37,cost=4"; empty if there is none
+	load       string // the load report, in the same form; empty if there is none
+	wellFormed bool   // in the expected form: an array whose first item is the value, or an error
 }
 
-// classifyReply interprets a reply to a request or to a health check. What follows the value, such as a load
-// report that can't be parsed, does not make it malformed.
+// classifyReply interprets a reply to a request or to a health check. Items behind the value, such as a load
+// report that cannot be parsed, do not make the reply malformed.
 func classifyReply(reply resp.Reply, healthCheck bool) classifiedReply {
 	switch {
 	case reply.Kind == '-':
@@ -50,7 +50,7 @@
 	}
 }
 
-// classifyError interprets an error reply: a word and a text, which may end in a load report.
+// classifyError interprets an error reply: a word and a text, whose last word may be a load report.
 func classifyError(text string) classifiedReply {
 	word, rest, _ := strings.Cut(text, " ")
 	if word == busyError {
@@ -60,7 +60,7 @@
 	return classifiedReply{result: policy.ResultFailed, load: load, wellFormed: true}
 }
 
-// itemText is the text of one item of an array; empty if there is none.
+// itemText returns the text of the item at index i of an array, or an empty string if there is no such item.
 func itemText(reply resp.Reply, i int) string {
 	if len(reply.Items) <= i {
 		return ""
@@ -68,8 +68,8 @@
 	return string(reply.Items[i].Text)
 }
 
-// actualCost parses the cost in the usage part of a reply; 0: none is given, or one that no request can have,
-// which must not reach a customer's token bucket.
+// actualCost returns the cost from the usage part of a reply. It returns zero if the part has no cost, or one
+// that no request can have, which must not reach the token bucket of a customer.
 func actualCost(cfg *config.Config, usage string) float64 {
 	if !cfg.Settings.SettlesCost {
 		return 0
@@ -88,14 +88,15 @@
 	return 0
 }
 
-// loadReport parses a load report into the order of the settings; nil: it is none. One that is incomplete or
-// holds impossible values must not reach the decisions: it would draw all requests to its backend, or none.
+// loadReport parses a load report and returns its values in the order of the configured names. It returns
+// nil if the text is no load report, is incomplete or has impossible values: such a report would attract
+// all requests to its backend, or none.
 func loadReport(cfg *config.Config, text string) []float32 {
 	names := cfg.Host.ReportNames
 	if len(cfg.Settings.LoadReport) == 0 || !strings.Contains(text, "=") {
 		return nil
 	}
-	load, present := make([]float32, len(names)), 0 // present: a bit for each name
+	load, present := make([]float32, len(names)), 0 // present has a bit for each name
 	for pair := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(pair, "=")
 		number, err := strconv.ParseFloat(value, 32)
--- a/internal/gateway/backend_report.go
+++ b/internal/gateway/backend_report.go
@@ -2,25 +2,24 @@
 
 import "log/slog"
 
-// closeReason is why a connection to a backend was closed.
+// closeReason is the reason why a connection to a backend was closed.
 type closeReason int
 
-// The reasons.
 const (
-	closeEnded            closeReason = iota // it ended, or input came that no attempt waited for
-	closeTimedOut                            // its attempt timed out
-	closeCancelled                           // nobody waits for its attempt any more
-	closeIncomplete                          // the request or the reply on it was not complete
-	closeMalformed                           // its reply was malformed, or followed by more
-	closeUnsolicitedInput                    // something had arrived before an attempt was written
-	closeWriteFailed                         // an attempt could not be written to it
-	closeIdleExpired                         // it was idle for longer than it may be expected to last
-	closeEvicted                             // it made room for another connection
-	closeNotReady                            // its backend is not ready, or has moved or restarted
+	closeEnded            closeReason = iota // it ended, or input arrived that no attempt waited for
+	closeTimedOut                            // the attempt timed out
+	closeCancelled                           // the result of the attempt is no longer needed
+	closeIncomplete                          // the request or the reply was incomplete
+	closeMalformed                           // the reply was malformed, or followed by further input
+	closeUnsolicitedInput                    // input had arrived before an attempt was written
+	closeWriteFailed                         // writing an attempt failed
+	closeIdleExpired                         // it was idle for too long to be reused
+	closeEvicted                             // it was closed to make room for another connection
+	closeNotReady                            // the backend is not ready, or has moved or restarted
 	closeReasonCount
 )
 
-// String is the reason as the log has it.
+// String returns the name of the reason in the log.
 func (r closeReason) String() string {
 	return [closeReasonCount]string{
 		"ended", "timed_out", "cancelled", "incomplete", "malformed", "unsolicited_input", "write_failed",
@@ -28,15 +27,15 @@
 	}[r]
 }
 
-// backendCounts counts what happened to connections to backends since the last report in the log.
+// backendCounts counts dials and closed connections since they were last logged.
 type backendCounts struct {
 	dials         int
 	dialsFailed   [dialFaultCount]int
-	lastDialError error // nil: no dial failed
+	lastDialError error // nil if no dial failed
 	closed        [closeReasonCount]int
 }
 
-// report logs the counts, after those of the clients, and begins anew.
+// logCounts logs the counts and resets them.
 func (bs *backends) logCounts(log *slog.Logger) {
 	attributes := []any{
 		"dialed", bs.counts.dials, "open", bs.openConns, "limit", bs.limit,
--- a/internal/gateway/backend_write.go
+++ b/internal/gateway/backend_write.go
@@ -5,20 +5,21 @@
 	"sparspread/policy"
 )
 
-// loadReportPull is the setting by which health checks ask for a load report.
+// loadReportPull is the value of the setting report.via with which health checks request a load report.
 const loadReportPull = "pull"
 
-// The commands of a health check.
+// Commands of health checks.
 var (
 	pingCommand     = []byte("*1\r\n$4\r\nPING\r\n")
 	infoLoadCommand = []byte("*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n")
 )
 
-// write writes an attempt to an idle connection. It reports whether the attempt is on its way or ended; if
-// not, the connection proved broken, nothing was sent, and the attempt may go on another one.
+// writeAttempt writes an attempt to an idle connection. It returns true if the attempt was written or has
+// ended. Otherwise the connection was broken and is closed, nothing was sent, and the attempt can use
+// another one.
 func (bs *backends) writeAttempt(c *backendConn, a *attempt) bool {
 	if c.backend.state != policy.EndpointReady {
-		// The backend began to drain while the attempt waited for its connection.
+		// The backend started to drain while the attempt waited for the connection.
 		bs.endAttempt(a, policy.ResultNotSent)
 		bs.close(c, closeNotReady)
 		return true
@@ -46,7 +47,7 @@
 	return true
 }
 
-// attemptCommand is what an attempt writes, but for a large body.
+// attemptCommand returns the bytes to write for an attempt, without a large body.
 func (g *Gateway) attemptCommand(a *attempt) []byte {
 	switch {
 	case a.request != nil:
@@ -58,7 +59,8 @@
 	}
 }
 
-// forwarded is the request as a backend gets it; of a large body it has only the head.
+// forwardedCommand returns the request in the form for a backend. It includes the length of a large body,
+// but not the body.
 func (r *request) forwardedCommand(timeout policy.Time) []byte {
 	bodySize := 0
 	if r.body != nil {
--- a/internal/gateway/capacity.go
+++ b/internal/gateway/capacity.go
@@ -5,27 +5,29 @@
 	"sparspread/policy"
 )
 
-// This file is what the gateway itself has no capacity for, whatever the policy says.
+// This file rejects requests that exceed the capacity of the gateway itself, before the policy decides on
+// them.
 
 const (
-	overloadRetryAfter = 500 * millisecond // advice to a client rejected for lack of capacity
+	overloadRetryAfter = 500 * millisecond // retry advice to a client rejected for lack of capacity
 
-	queuedMemoryDivisor   = 8 // the part of the memory limit that input waiting for the loop may take
-	retainedMemoryDivisor = 4 // and the part that open requests and unsent replies may take
+	queuedMemoryDivisor   = 8 // input that waits for the event loop may take this part of the memory
+	retainedMemoryDivisor = 4 // open requests and unsent replies may take this part of the memory
 )
 
-// maxQueuedBytes is how many bytes of input may wait for the loop.
+// maxQueuedBytes returns the maximum number of bytes of input that may wait for the event loop.
 func maxQueuedBytes(cfg *config.Config) int64 {
 	return int64(cfg.MemoryMB) * bytesPerMB / queuedMemoryDivisor
 }
 
-// capacityRejection is the reply to a request for which the gateway itself has no capacity; nil: it has.
+// capacityRejection returns the reply to a request for which the gateway itself has no capacity. It returns
+// nil if there is capacity for the request.
 func (g *Gateway) capacityRejection(c *client, overMemory bool) []byte {
 	cs := g.clients
 	for c.commandCount == 1 && len(cs.conns) > cs.limit {
 		if !cs.evict(g, c) {
-			// Connections that have only just come are not closed, but neither do they keep out a client with
-			// a request.
+			// Connections that were accepted very recently are not closed, but they do not count against a
+			// client with a request either.
 			c.overLimit = cs.countWithOpenRequest() > cs.limit
 			break
 		}
@@ -47,7 +49,7 @@
 	return busyReply(after)
 }
 
-// overCapacity reports whether the open requests are too many, or hold too much memory.
+// isOverCapacity reports whether there are too many open requests, or they occupy too much memory.
 func (g *Gateway) isOverCapacity() bool {
 	maxOpen := g.config.Host.MaxOpen
 	return maxOpen > 0 && g.requests.openCount > maxOpen ||
--- a/internal/gateway/client.go
+++ b/internal/gateway/client.go
@@ -13,56 +13,57 @@
 )
 
 const (
-	maxPipelined   = 256               // commands of one connection without a reply
-	maxUnreadReply = 2 * resp.MaxValue // bytes of replies that a client has not read
+	maxPipelined   = 256               // commands of one connection that wait for a reply
+	maxUnreadReply = 2 * resp.MaxValue // bytes of replies that the client has not read
 
-	// A connection without a request is closed after maxIdleTime, one with a single request so far sooner.
+	// A connection is closed if it has sent no request for maxIdleTime, or for maxIdleTimeAfterSingle if it
+	// has sent a single request so far.
 	maxIdleTime            = 8 * second
 	maxIdleTimeAfterSingle = 3 * second
 )
 
-// client is one client's connection.
+// client is the connection of one client.
 type client struct {
 	conn          *net.TCPConn
 	writer        *sockwriter.Writer
-	openedAt      time.Time       // when it was accepted, by whichever process
-	clock         eventloop.Clock // the loop's
-	pipelineSlots chan struct{}   // one for each request: acquired by the reader, released by the loop
-	done          chan struct{}   // closed by the loop with the connection
-	queuedBytes   *atomic.Int64   // memoryUse.queued
-
-	// Shared between the loop and the reader goroutine.
-	ignoreInput  atomic.Bool  // set by the loop: what still arrives is not read as commands
-	disconnected atomic.Bool  // set by the reader: the peer has gone, which the loop may not have handled yet
-	lastInputAt  atomic.Int64 // set by the reader: when bytes last arrived; 0: none yet
-	handingOver  atomic.Bool  // set by the loop: to be handed over as soon as nothing is open on it
-
-	// The loop's.
-	pipeline              []*request // in the order of their commands, which is that of their replies
-	closed                bool       // nothing more can be written
-	closeWhenAnswered     bool       // is closed as soon as pipeline is empty
-	closeAfterNextCommand bool       // is closed after the command that has begun to arrive
-	writeClosed           bool       // the sending side is closed: no command is accepted any more
-	overLimit             bool       // beyond the limit of connections: rejected, then closed
-	commandCount          int        // well-formed commands
-	consecutiveErrors     int        // malformed commands in a row
+	openedAt      time.Time       // when it was accepted by this process or a predecessor
+	clock         eventloop.Clock // of the event loop
+	pipelineSlots chan struct{}   // one per request: acquired by the reader, released by the event loop
+	done          chan struct{}   // closed by the event loop when it closes the connection
+	queuedBytes   *atomic.Int64   // memoryUse.inputBytes
+
+	// Shared by the event loop and the reader goroutine.
+	ignoreInput  atomic.Bool  // set by the event loop: further input is not parsed
+	disconnected atomic.Bool  // set by the reader: the peer has closed; its event may be queued
+	lastInputAt  atomic.Int64 // set by the reader: when input last arrived; zero if none has
+	handingOver  atomic.Bool  // set by the event loop: hand over once nothing is open
+
+	// Owned by the event loop.
+	pipeline              []*request // requests without a written reply, in the order of their commands
+	closed                bool       // nothing can be written any more
+	closeWhenAnswered     bool       // close when pipeline is empty
+	closeAfterNextCommand bool       // close after the reply to the next command
+	writeClosed           bool       // the sending side is closed; no further command is accepted
+	overLimit             bool       // exceeds the limit of connections: requests are rejected
+	commandCount          int        // number of well-formed commands
+	consecutiveErrors     int        // number of malformed commands since the last well-formed one
 	lastCommandAt         policy.Time
-	readerStopped         bool   // the reader has ended for a handover
-	handoverInput         []byte // commands that were read and that the next process decides on
+	readerStopped         bool   // the reader has stopped for a handover
+	handoverInput         []byte // input that was read and is for the successor to process
 
-	// The reader's.
-	inheritedInput   []byte    // read by the process before, which did not decide on it
-	readAheadInput   []byte    // read while the reader waited; counted in queuedBytes
-	midCommand       bool      // a command has begun to arrive
+	// Owned by the reader goroutine.
+	inheritedInput   []byte    // read but not processed by a predecessor
+	readAheadInput   []byte    // read while the reader was waiting; counted in queuedBytes
+	midCommand       bool      // part of a command has arrived
 	sentValidCommand bool      // a well-formed command was read
-	commandDeadline  time.Time // by when it has to be complete
+	commandDeadline  time.Time // time by which the current command has to be complete
 }
 
-// clients holds the connections of clients within their part of the file descriptor budget. All of it belongs
-// to the loop, but for the channel.
+// clients holds the connections of clients, within their part of the file descriptor budget. It belongs to
+// the event loop, except for the channel slots.
 type clients struct {
-	slots  chan struct{} // one for each open connection: acquired by accept, released by the loop
-	limit  int           // connections that are served; those beyond it have their requests rejected
+	slots  chan struct{} // one per open connection: acquired on accept, released by the event loop
+	limit  int           // maximum number of connections that are served; the rest are rejected
 	conns  map[*client]bool
 	counts clientCounts
 }
@@ -73,24 +74,24 @@
 	}
 }
 
-// clientCounts counts connections and rejections since the last report in the log.
+// clientCounts counts connections and rejections since they were last logged.
 type clientCounts struct {
 	startedAt policy.Time
 	accepted  int
 
-	closedBeforeInput int // evicted without any input
-	closedMidCommand  int // evicted with the first command incomplete
-	closedIdle        int // evicted after their replies
+	closedBeforeInput int // evicted before any input arrived
+	closedMidCommand  int // evicted before the first command was complete
+	closedIdle        int // evicted while idle after a reply
 
-	rejectedOverLimit  int // requests rejected for lack of connections
-	rejectedOverMemory int // requests rejected for lack of memory
+	rejectedOverLimit  int // requests rejected because of too many connections
+	rejectedOverMemory int // requests rejected because of other limits, such as memory
 
-	longestAccept policy.Time // from accepting a connection to the loop's handling it
+	longestAccept policy.Time // longest time from accept until the event loop handled the connection
 }
 
 const clientReportInterval = 5 * second
 
-// report logs the counts at intervals.
+// logCounts logs and resets the counts once per clientReportInterval.
 func (cs *clients) logCounts(g *Gateway) {
 	counts, now := &cs.counts, g.events.Now()
 	if now-counts.startedAt < clientReportInterval {
@@ -105,7 +106,7 @@
 	*counts = clientCounts{startedAt: now}
 }
 
-// sweep closes connections that are idle for too long or more than the limit, and logs the counts.
+// sweep closes connections that have been idle for too long or exceed the limit, and logs the counts.
 func (cs *clients) sweep(g *Gateway) {
 	for len(cs.conns) > cs.limit && cs.evict(g, nil) {
 	}
@@ -119,7 +120,7 @@
 	}
 }
 
-// maxIdle is for how long the connection may be without a request.
+// idleTimeout returns how long the connection may be open without a request.
 func (c *client) idleTimeout() policy.Time {
 	if c.commandCount == 1 {
 		return maxIdleTimeAfterSingle
@@ -127,7 +128,7 @@
 	return maxIdleTime
 }
 
-// isMidCommand reports whether a command has begun to arrive that the reader does not have complete.
+// isMidCommand reports whether the connection has no open request and an incomplete command has arrived.
 func (c *client) isMidCommand() bool {
 	return len(c.pipeline) == 0 && c.lastInputAt.Load() > c.lastCommandAt
 }
--- a/internal/gateway/client_accept.go
+++ b/internal/gateway/client_accept.go
@@ -7,8 +7,8 @@
 	"sparspread/internal/sockwriter"
 )
 
-// clientConnected is a new connection, or one that another process has handed over with the input that it had
-// read and not decided on.
+// clientConnected reports a new connection, or one that a predecessor has handed over with the input that it
+// has read but not processed.
 type clientConnected struct {
 	conn           *net.TCPConn
 	openedAt       time.Time
@@ -27,7 +27,7 @@
 		commandCount: e.commandCount, inheritedInput: e.inheritedInput,
 	}
 	cs.conns[c] = true
-	c.closeAfterNextCommand = g.shutdown.isClosing() // accepted from the backlog: one command is answered
+	c.closeAfterNextCommand = g.shutdown.isClosing() // from the backlog: only one command is answered
 	if g.handover.hasReleasedOwnership() {
 		c.readerStopped, c.handoverInput, c.inheritedInput = true, e.inheritedInput, nil
 		c.handOver(g)
--- a/internal/gateway/client_close.go
+++ b/internal/gateway/client_close.go
@@ -3,12 +3,12 @@
 import "sparspread/policy"
 
 const (
-	lingerTime       = 500 * millisecond // for the peer to close after the last reply
-	lingerAfterError = 200 * millisecond // and after an error that ends the connection
-	maxLingers       = 10                // further periods of lingerTime while it still reads replies
+	lingerTime       = 500 * millisecond // time for the peer to close after the last reply
+	lingerAfterError = 200 * millisecond // time for the peer to close after an error that ends the connection
+	maxLingers       = 10                // extensions by lingerTime while replies are unread
 )
 
-// closeAfterReplies closes the connection after the replies to its open requests.
+// closeAfterReplies closes the connection when its open requests are answered.
 func (c *client) closeAfterReplies(g *Gateway) {
 	if c.closeWhenAnswered || c.closed {
 		return
@@ -19,8 +19,8 @@
 	}
 }
 
-// closeWrite closes the sending side and gives the peer some time to close first: closing with unread input
-// would reset the connection, and lose a reply that is still on its way.
+// closeWrite closes the sending side and gives the peer some time to close the connection first. Closing it
+// with unread input would reset it, and the peer could lose a reply in transit.
 func (c *client) closeWrite(g *Gateway) {
 	if c.writeClosed {
 		return
@@ -34,10 +34,10 @@
 	g.events.After(linger, lingerTimer{client: c})
 }
 
-// lingerTimer closes a connection that the peer leaves open.
+// lingerTimer closes a connection that the peer has not closed.
 type lingerTimer struct {
 	client     *client
-	extensions int // periods added so far because replies were still unread
+	extensions int // number of extensions so far
 }
 
 func (t lingerTimer) Handle(g *Gateway) {
@@ -51,7 +51,7 @@
 // closeNow closes the connection at once, as if the peer had closed it.
 func (c *client) closeNow(g *Gateway) { clientDisconnected{client: c}.Handle(g) }
 
-// clientDisconnected says that a client has closed its connection. It no longer waits for its open requests.
+// clientDisconnected reports that a client has closed its connection. Its open requests are cancelled.
 type clientDisconnected struct{ client *client }
 
 func (e clientDisconnected) Handle(g *Gateway) {
@@ -61,7 +61,7 @@
 	}
 	c.closed = true
 	close(c.done)
-	_ = c.conn.Close() // nothing is left to do about a failed close
+	_ = c.conn.Close() // a failed close needs no handling
 	delete(g.clients.conns, c)
 	<-g.clients.slots
 	c.handoverInput = nil
@@ -73,7 +73,7 @@
 	g.shutdown.stopIfIdle()
 }
 
-// cancelRequest ends a request whose client has gone.
+// cancelRequest ends a request whose client has disconnected.
 func (g *Gateway) cancelRequest(r *request, now policy.Time) {
 	g.cancelValueTransfer(r)
 	g.abortBody(r)
--- a/internal/gateway/client_commands.go
+++ b/internal/gateway/client_commands.go
@@ -11,39 +11,40 @@
 	"sparspread/policy"
 )
 
-// maxConsecutiveErrors is how many malformed commands in a row a connection may send.
+// maxConsecutiveErrors is the number of consecutive malformed commands after which a connection is closed.
 const maxConsecutiveErrors = 5
 
 // Errors whose text is sent to the client.
 var (
-	errCommandIncomplete = errors.New("command not whole in time")
-	errIDIsOpen          = errors.New("id: that request is open")
+	errCommandIncomplete = errors.New("command: incomplete after its time limit")
+	errIDIsOpen          = errors.New("id: a request with this ID is already open")
 )
 
-// unknownCommandError is a command that there is not: its name. The text is sent to the client.
+// unknownCommandError is the name of an unknown command. Its text is sent to the client.
 type unknownCommandError []byte
 
 func (e unknownCommandError) Error() string { return fmt.Sprintf("unknown command %.32q", []byte(e)) }
 
-// receivedCommand is what a client's reader posts for each command: requestReceived, requestDropped or
-// commandAnswered.
+// receivedCommand is the event that the reader of a client posts for a command: requestReceived,
+// requestDropped or commandAnswered.
 type receivedCommand interface {
 	event
 	head() commandHead
 }
 
-// commandHead is what all commands have in common.
+// commandHead is the part that all received commands have in common.
 type commandHead struct {
 	client     *client
 	receivedAt policy.Time
-	size       int      // bytes that it holds, counted in memoryUse.queued
-	args       [][]byte // as read; nil: they were not read, or were dropped for lack of memory
-	body       *body    // a large one that is still to be read; nil: none
+	size       int      // bytes counted in memoryUse.inputBytes
+	args       [][]byte // nil if they were not read, or dropped for lack of memory
+	body       *body    // a large body that has not been read yet; nil if there is none
 }
 
 func (h commandHead) head() commandHead { return h }
 
-// readCommand reads one command; the error is that of the connection. It runs in the client's reader.
+// readCommand reads one command. It returns an error only if the connection has failed. It runs in the reader
+// goroutine of the client.
 func (c *client) readCommand(g *Gateway, in *resp.Reader) (receivedCommand, error) {
 	args, bodySize, err := in.ReadCommandHead()
 	head := commandHead{client: c, receivedAt: g.clock.Now()}
@@ -69,13 +70,13 @@
 	return head.parse(cfg, args), nil
 }
 
-// withLostFraming returns the reply to input behind which nothing can be read.
+// framingError returns the reply to input after which the start of the next command is unknown.
 func (h commandHead) framingError(err error) commandAnswered {
 	return commandAnswered{commandHead: h, reply: errorReply(err), malformed: true, framingLost: true}
 }
 
-// parse returns a request or, for what is none, the reply. Args are those of the command, also where the head
-// has dropped them.
+// parse returns the event for a command: a request, or the reply to a command that is no valid request. It
+// takes the arguments from args, because h.args is nil if they were dropped for lack of memory.
 func (h commandHead) parse(cfg *config.Config, args [][]byte) receivedCommand {
 	name := args[command.NameArg]
 	switch {
@@ -87,7 +88,7 @@
 	request, err := command.Parse(cfg, args)
 	switch {
 	case err != nil:
-		// A client may still use a class that a reload has removed: no error of the connection's.
+		// A client may still use a class that a reload has removed, which does not count as malformed.
 		malformed := !errors.Is(err, command.ErrUnknownClass)
 		return commandAnswered{commandHead: h, reply: errorReply(err), malformed: malformed}
 	case h.args == nil:
@@ -96,8 +97,8 @@
 	return requestReceived{commandHead: h, request: request, config: cfg}
 }
 
-// begin reports whether a command is to be handled. One that arrived while its connection was being closed is
-// not: the client sends it again.
+// dequeue ends the accounting of a command as queued input and reports whether to handle the command. A
+// command that arrived while its connection was being closed is not handled: the client sends it again.
 func (h commandHead) dequeue(g *Gateway) bool {
 	c := h.client
 	g.memory.inputBytes.Add(-int64(h.size))
@@ -109,14 +110,14 @@
 	return true
 }
 
-// isForSuccessor reports whether the process that takes over decides on a command. It does not get a large
-// body, which can't be handed over, nor a command that was not kept.
+// isForSuccessor reports whether the successor has to process a command. A command with a large body or with
+// dropped arguments cannot be handed over.
 func (h commandHead) isForSuccessor(g *Gateway) bool {
 	return g.handover.isActive() && h.args != nil && h.body == nil
 }
 
-// append makes the request of a command, which may have nothing in it but its place in the client's
-// pipeline, and appends it there.
+// appendRequest appends a request for the command to the pipeline of the client. The request of a command
+// that is not forwarded only reserves the place of its reply.
 func (h commandHead) appendRequest(g *Gateway, parsed command.Request) *request {
 	c := h.client
 	if c.closeAfterNextCommand {
@@ -142,13 +143,13 @@
 	return r
 }
 
-// commandAnswered is a command that is answered without a decision of the policy: PING, and what is no valid
+// commandAnswered is a command that is answered without a decision of the policy: PING, or an invalid
 // command.
 type commandAnswered struct {
 	commandHead
 	reply       []byte
-	malformed   bool // it counts as an error of the connection's
-	framingLost bool // nothing behind it can be read
+	malformed   bool // counts towards maxConsecutiveErrors
+	framingLost bool // the start of the next command is unknown
 }
 
 func (e commandAnswered) Handle(g *Gateway) {
@@ -161,14 +162,14 @@
 	}
 }
 
-// answer sends the reply in its turn.
+// sendReply sends the reply after the replies to earlier commands.
 func (e commandAnswered) sendReply(g *Gateway) {
 	r := e.appendRequest(g, command.Request{})
 	e.client.countCommand(e.malformed, e.framingLost)
 	g.answer(r, e.reply)
 }
 
-// requestDropped is a request that was dropped for lack of memory.
+// requestDropped is a request whose arguments were dropped for lack of memory.
 type requestDropped struct {
 	commandHead
 	clientID uint64
@@ -181,11 +182,11 @@
 	}
 }
 
-// requestReceived is a request that a client has sent.
+// requestReceived is a valid request from a client.
 type requestReceived struct {
 	commandHead
 	request command.Request
-	config  *config.Config // by which it was parsed
+	config  *config.Config // the configuration with which it was parsed
 }
 
 func (e requestReceived) Handle(g *Gateway) {
@@ -200,8 +201,8 @@
 	}
 }
 
-// handleAfterReload handles a request that was parsed before a reload: its class may have another number now,
-// or none.
+// handleAfterReload handles a request that was parsed before a reload. The reload may have changed the
+// number of its class or removed the class.
 func (e requestReceived) handleAfterReload(g *Gateway) {
 	switch parsed := e.parse(g.config, e.args).(type) {
 	case requestReceived:
@@ -211,8 +212,8 @@
 	}
 }
 
-// admit has the policy decide on a request, unless the gateway itself rejects it. A large body can't be
-// handed over, so its request is rejected during a handover.
+// admit passes a request to the policy unless the gateway itself rejects it. Large bodies cannot be handed
+// over, so a request with one is rejected during a handover.
 func (e requestReceived) admit(g *Gateway) {
 	r := e.appendRequest(g, e.request)
 	if !g.tryReject(r, g.handover.isActive()) {
@@ -220,10 +221,11 @@
 	}
 }
 
-// rejectOrCount counts a request as a command of its connection's. It reports whether it has rejected it.
+// tryReject rejects a request that the gateway cannot serve, and reports whether it did. It counts the
+// request as a command of its connection.
 func (g *Gateway) tryReject(r *request, overMemory bool) (rejected bool) {
 	if g.requests.openByClientID[r.clientID] != nil {
-		// Two open requests of one id can't be told apart behind this gateway.
+		// Backends cannot distinguish two open requests with the same ID.
 		r.client.countCommand(true, false)
 		g.answer(r, errorReply(errIDIsOpen))
 		return true
@@ -237,9 +239,9 @@
 	return true
 }
 
-// countCommand counts a well-formed or a malformed command. A connection with too many malformed ones in a
-// row is closed after the reply, as each costs as much as a request; one that has lost its framing is
-// closed too.
+// countCommand counts a well-formed or a malformed command. After too many consecutive malformed commands,
+// each of which costs as much as a request, or after a loss of framing, the connection is closed after the
+// reply.
 func (c *client) countCommand(malformed, framingLost bool) {
 	if !malformed {
 		c.commandCount++
@@ -253,7 +255,7 @@
 	}
 }
 
-// admitRequest has the policy decide on a request.
+// admitRequest adds a request to the request table and passes it to the policy.
 func (g *Gateway) admitRequest(r *request, details policy.Request, receivedAt policy.Time) {
 	now := g.events.Now()
 	g.requests.lastID++
--- a/internal/gateway/client_eviction.go
+++ b/internal/gateway/client_eviction.go
@@ -7,37 +7,44 @@
 )
 
 const (
-	// maxUnfinishedPercent is the percentage of the limit that connections without a complete command may be.
+	// Connections without a complete command may be at most this percentage of the limit of connections. If
+	// there are more, they are evicted first.
 	maxNoCommandPercent = 75
 	hundredPercent      = 100
 
-	newConnGrace        = 100 * millisecond // a connection this old may be expected to have sent something
-	noInputTimeout      = 300 * millisecond // and one this old should have
-	minIdleAfterSeveral = 2 * second        // for a connection that has sent several requests
+	newConnGrace        = 100 * millisecond // age from which a connection without a command may be evicted
+	noInputTimeout      = 300 * millisecond // age from which a connection without input is stale
+	minIdleAfterSeveral = 2 * second        // idle time from which it may be evicted after several requests
 
-	minNewConnGrace   = newConnGrace / 5 // spared even for the sake of a client with a request
-	minIdleAfterOne   = 2 * newConnGrace // a client with one request that is still open may be about to leave
-	briefIdleAfterOne = newConnGrace / 4 // a client without another request has closed by now
+	// minNewConnGrace replaces newConnGrace if the eviction makes room for a client with a request.
+	minNewConnGrace = newConnGrace / 5
+
+	// After a single request, a connection is preferred for eviction from minIdleAfterOne, since until then
+	// the client may be about to close it. From briefIdleAfterOne it may be evicted, since a client that
+	// sends no further request has usually closed it by that time.
+	minIdleAfterOne   = 2 * newConnGrace
+	briefIdleAfterOne = newConnGrace / 4
 )
 
-// evictionRank orders connections without an open request; the lowest is evicted first.
+// evictionRank is the eviction order of connections without an open request. The lowest rank is evicted
+// first.
 type evictionRank int
 
 const (
-	rankExcessNoInput       evictionRank = iota // has sent nothing, and there are too many like it
-	rankExcessMidCommand                        // amid its first command, and there are too many like it
-	rankStale                                   // has sent nothing, or has not finished its command in time
+	rankExcessNoInput       evictionRank = iota // no input, and too many others have no complete command
+	rankExcessMidCommand                        // first command incomplete, and too many others have none
+	rankStale                                   // no input or first command incomplete for too long
 	rankIdleAfterOne                            // idle after its only request
 	rankIdleAfterSeveral                        // idle after several requests
 	rankBrieflyIdleAfterOne                     // idle for a short time after its only request
-	rankMidCommand                              // has sent part of its first command, which may take 2 s
-	rankExempt                                  // is not evicted
+	rankMidCommand                              // first command incomplete; clients may take 2 s to write it
+	rankExempt                                  // not evicted
 )
 
-// evict closes the connection of the lowest rank, the one idle longest among equals, and reports whether
-// there was any to close. Connections without a complete command may be maxUnfinishedPercent of the limit;
-// beyond it they go first. For a client with a request (requester; nil: a connection has come that has sent
-// nothing yet) any idle connection may be closed.
+// evict closes the connection of the lowest rank and, among those, the one that has been idle longest. It
+// reports whether it has closed one. If requester is set, the eviction makes room for a client with a
+// request, and any idle connection may be closed. If requester is nil, it makes room for a new connection,
+// which has sent no request yet.
 func (cs *clients) evict(g *Gateway, requester *client) bool {
 	now := g.events.Now()
 	excess := cs.countWithoutCommand() > cs.limit*maxNoCommandPercent/hundredPercent
@@ -60,7 +67,7 @@
 	return true
 }
 
-// countEviction counts a connection that is evicted, by what its client has sent.
+// countEviction counts an evicted connection by the input that its client has sent.
 func (counts *clientCounts) countEviction(c *client) {
 	switch {
 	case c.commandCount > 0:
@@ -72,7 +79,7 @@
 	}
 }
 
-// unfinishedCount counts the connections without a complete command so far.
+// countWithoutCommand returns the number of connections that have not sent a complete command yet.
 func (cs *clients) countWithoutCommand() (n int) {
 	for c := range cs.conns {
 		if c.commandCount == 0 && !c.closeWhenAnswered {
@@ -82,7 +89,7 @@
 	return n
 }
 
-// busyCount counts the connections with an open request.
+// countWithOpenRequest returns the number of connections with an open request.
 func (cs *clients) countWithOpenRequest() (n int) {
 	for c := range cs.conns {
 		if len(c.pipeline) > 0 {
@@ -92,13 +99,15 @@
 	return n
 }
 
-// evictionRank ranks a connection without an open request.
+// evictionRank returns the rank of a connection without an open request. forRequest is set if the eviction
+// makes room for a client with a request, and excess if too many connections have not sent a complete
+// command.
 func (c *client) evictionRank(now policy.Time, forRequest, excess bool) evictionRank {
 	idle, lastInput := now-c.lastCommandAt, c.lastInputAt.Load()
 	if c.commandCount == 0 {
 		return newConnRank(idle, lastInput, forRequest, excess)
 	}
-	inactive := min(idle, now-lastInput) // also without a part of the next command
+	inactive := min(idle, now-lastInput) // time without any input, including parts of the next command
 	switch {
 	case c.commandCount == 1 && (forRequest || inactive >= minIdleAfterOne):
 		return rankIdleAfterOne
@@ -110,8 +119,8 @@
 	return rankExempt
 }
 
-// newcomerRank ranks a connection without a complete command, by its age and when input last arrived (0:
-// never).
+// newConnRank returns the rank of a connection without a complete command. lastInput is when input last
+// arrived, or zero if none has.
 func newConnRank(age, lastInput policy.Time, forRequest, excess bool) evictionRank {
 	noInput := lastInput == 0
 	switch {
--- a/internal/gateway/client_read.go
+++ b/internal/gateway/client_read.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	firstCommandTimeout = 2500 * time.Millisecond // for a connection's first command, from its opening
-	commandTimeout      = 2500 * time.Millisecond // for any other, from its first byte: up to 2 s are usual
+	firstCommandTimeout = 2500 * time.Millisecond // for the first command, from accept
+	commandTimeout      = 2500 * time.Millisecond // for later ones, from the first byte; up to 2 s are usual
 )
 
-// errHandingOver says that the connection is to be handed over and no command has begun to arrive.
+// errHandingOver reports that the connection is to be handed over and no part of a command has arrived.
 var errHandingOver = errors.New("connection is being handed over")
 
-// readCommands reads commands and posts them until the connection ends, is to be handed over, or can't be
-// read any more. It runs in the connection's reader goroutine, which closing the connection ends. It waits
-// for replies only while the pipeline is full, and reads ahead then, so that the end of the connection is
-// noticed while requests are open. A client that does not complete a command in time is cut off.
-// identified: the connection has sent a well-formed command.
+// readCommands reads commands and posts them until the connection ends, is to be handed over or has lost
+// its framing. It is the reader goroutine of the connection, which ends when the connection is closed. It
+// waits for replies only while the pipeline is full. It then reads ahead, to detect the end of the
+// connection while requests are open. A client that does not complete a command in time is disconnected.
+// sentValidCommand reports whether the connection has already sent a well-formed command.
 func (c *client) readCommands(g *Gateway, sentValidCommand bool) {
 	defer c.discardReadAhead(g)
 	in := resp.NewReader(c)
@@ -45,8 +45,8 @@
 	}
 }
 
-// readNext reads one command, which has begun to arrive, and posts it. It reports whether another one may
-// follow.
+// readNextCommand reads and posts a command of which the first byte has arrived. It reports whether another
+// command may follow.
 func (c *client) readNextCommand(g *Gateway, in *resp.Reader) bool {
 	if c.sentValidCommand {
 		c.commandDeadline = time.Now().Add(commandTimeout)
@@ -72,7 +72,7 @@
 		return false
 	}
 	if answered.framingLost || c.ignoreInput.Load() {
-		c.readAheadWhile(g, func() { <-c.done }) // the loop closes it after its last reply
+		c.readAheadWhile(g, func() { <-c.done }) // the event loop closes the connection after the last reply
 		return false
 	}
 	return true
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// acquireSlot waits for a slot in the pipeline and reports whether the connection is still of use.
+// acquirePipelineSlot waits for a slot in the pipeline. It returns false if the connection has ended.
 func (c *client) acquirePipelineSlot(g *Gateway) bool {
 	select {
 	case c.pipelineSlots <- struct{}{}:
@@ -116,20 +116,21 @@
 	return acquired && !c.disconnected.Load()
 }
 
-// disconnect reports that the peer has closed. No attempt begins from here on, whatever the loop handles
-// before the event.
+// reportDisconnect reports that the peer has closed the connection. From then on no attempt is sent for its
+// requests, even before the event loop handles the event.
 func (c *client) reportDisconnect(g *Gateway) {
 	c.disconnected.Store(true)
 	g.events.Post(clientDisconnected{client: c})
 }
 
-// setReadDeadline sets by when input has to arrive; zero: no deadline.
+// setReadDeadline sets the time by which input has to arrive. A zero deadline removes the limit.
 func (c *client) setReadDeadline(deadline time.Time) {
-	_ = c.conn.SetReadDeadline(deadline) // fails only for a closed connection, and then so does the next read
+	_ = c.conn.SetReadDeadline(deadline) // fails only on a closed connection, as does the next read
 }
 
-// Read implements io.Reader for the reader goroutine: first what the process before had read, then what was
-// read ahead, then the connection. A handover interrupts the wait for a command, but not one that has begun.
+// Read implements io.Reader for the reader goroutine. It returns the input that a predecessor has read,
+// then the input that was read ahead, then input from the connection. A handover interrupts the wait for a
+// command, but not the reading of a command of which the first byte has arrived.
 func (c *client) Read(b []byte) (int, error) {
 	if len(c.inheritedInput) > 0 {
 		n := copy(b, c.inheritedInput)
--- a/internal/gateway/client_read_ahead.go
+++ b/internal/gateway/client_read_ahead.go
@@ -12,13 +12,14 @@
 
 const (
 	maxReadAhead  = 2 * resp.MaxValue // bytes that are read while the reader waits
-	readAheadStep = 4096              // bytes by which their buffer grows at least
+	readAheadStep = 4096              // minimum number of bytes by which the buffer grows
 
-	readAheadDivisor = 2 // the part of the memory for queued input at which no more is read ahead
+	readAheadDivisor = 2 // reading ahead stops at this part of the memory for queued input
 )
 
-// readAheadWhile calls wait, which blocks, in the reader goroutine. Meanwhile another goroutine, which ends
-// before it returns, reads ahead only to notice the end of the connection. No read deadline is left set.
+// readAheadWhile calls wait, which may block, in the reader goroutine. Meanwhile another goroutine reads
+// ahead in order to detect the end of the connection. That goroutine ends, and the read deadline is
+// cleared, before readAheadWhile returns.
 func (c *client) readAheadWhile(g *Gateway, wait func()) {
 	waitOver, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -32,24 +33,24 @@
 	c.setReadDeadline(time.Time{})
 }
 
-// readAhead buffers input for the reader until the reader's wait is over. It stops at maxReadAhead, and
-// where all that waits for the loop takes half of its memory: the other half is for input that is read in
-// order. The end of the connection is not noticed behind that.
+// readAhead buffers input for the reader until the reader's wait is over. It stops at maxReadAhead bytes,
+// and when the input that waits for the event loop takes half of the memory for it: the other half is for
+// input that is not read ahead. After it has stopped, the end of the connection is not detected.
 func (c *client) readAhead(g *Gateway, waitOver <-chan struct{}) {
 	maxQueued := maxQueuedBytes(g.publishedConfig.Load()) / readAheadDivisor
 	for len(c.readAheadInput) < maxReadAhead && g.memory.inputBytes.Load() < maxQueued {
 		err := c.readAheadOnce(g)
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			// The wait may be over; otherwise a deadline was left from before, or the connection is to be
-			// handed over, which the reader sees after its wait. The order matters: waitOver is closed before
-			// the deadline that interrupts this is set.
+			// The wait may be over. Otherwise the deadline was set earlier, or for a handover, which the
+			// reader detects after its wait. waitOver must be closed before the deadline is set that
+			// interrupts this read.
 			c.setReadDeadline(time.Time{})
 			if isClosed(waitOver) {
 				return
 			}
 		case errors.Is(err, net.ErrClosed):
-			return // by this gateway
+			return // closed by this gateway
 		case err != nil:
 			c.reportDisconnect(g)
 			return
@@ -57,7 +58,7 @@
 	}
 }
 
-// readAheadOnce appends what one read returns to the buffer.
+// readAheadOnce appends the result of one read to the buffer.
 func (c *client) readAheadOnce(g *Gateway) error {
 	length := len(c.readAheadInput)
 	if length == cap(c.readAheadInput) {
@@ -76,13 +77,13 @@
 	n := copy(b, c.readAheadInput)
 	c.readAheadInput = c.readAheadInput[n:]
 	if len(c.readAheadInput) == 0 {
-		c.readAheadInput = nil // an idle connection holds no buffer
+		c.readAheadInput = nil // so that an idle connection has no buffer
 	}
 	c.queuedBytes.Add(-int64(n))
 	return n
 }
 
-// discardReadAhead drops what was read ahead, when the reader ends.
+// discardReadAhead drops the buffered input when the reader ends.
 func (c *client) discardReadAhead(g *Gateway) {
 	g.memory.inputBytes.Add(-int64(len(c.readAheadInput)))
 	c.readAheadInput = nil
--- a/internal/gateway/client_reply.go
+++ b/internal/gateway/client_reply.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// flush writes the replies at the head of the pipeline, in one write, up to the first request without one.
+// flushReplies writes the replies at the head of the pipeline in one write, up to the first unanswered
+// request.
 func (c *client) flushReplies(g *Gateway) {
 	answered, replies := c.collectReplies(g)
 	if answered == 0 {
@@ -22,8 +23,8 @@
 	}
 }
 
-// takeReplies returns the number of requests at the head of the pipeline that are answered, and their replies
-// joined. Their pipeline slots are released.
+// collectReplies returns the number of answered requests at the head of the pipeline, and their concatenated
+// replies. It releases their pipeline slots.
 func (c *client) collectReplies(g *Gateway) (answered int, replies []byte) {
 	for answered < len(c.pipeline) && c.pipeline[answered].answered {
 		r := c.pipeline[answered]
--- a/internal/gateway/dial_fault.go
+++ b/internal/gateway/dial_fault.go
@@ -7,30 +7,30 @@
 	"syscall"
 )
 
-// dialFault is what the error of a dial to a backend says.
+// dialFault is the cause of a failed dial to a backend.
 type dialFault int
 
-// The faults. Of a dial that failed nothing was sent.
+// The causes. In each case, no part of a request was sent.
 const (
-	dialRefused     dialFault = iota // no process listens there: the backend may have restarted
-	dialUnanswered                   // nothing came back in time: the backend may be running all the same
-	dialReset                        // something listens there and gave the connection up
-	dialOwnShortage                  // this machine has no descriptor, port, memory or route left
+	dialRefused     dialFault = iota // no process listens on the address: the backend may be restarting
+	dialUnanswered                   // no reply within the dial timeout: the backend may still be running
+	dialReset                        // a process listens on the address and has reset the connection
+	dialOwnShortage                  // this machine lacks a descriptor, port, memory or route
 	dialFaultCount
 )
 
-// String is the fault as the log has it.
+// String returns the name of the cause in the log.
 func (f dialFault) String() string {
 	return [...]string{"refused", "unanswered", "reset", "own_shortage"}[f]
 }
 
-// ownShortages are the errors of socket and connect that say nothing of the peer.
+// ownShortages lists the errors of socket and connect that say nothing about the peer.
 var ownShortages = []error{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
 	syscall.EADDRINUSE, syscall.EAGAIN, syscall.EINTR, syscall.ENETUNREACH, syscall.ENETDOWN,
 }
 
-// classifyDial says what the error of a dial means.
+// classifyDial returns the cause of the error of a dial.
 func classifyDial(err error) dialFault {
 	var netErr net.Error
 	isErr := func(target error) bool { return errors.Is(err, target) }
--- a/internal/gateway/idle_timeout.go
+++ b/internal/gateway/idle_timeout.go
@@ -2,26 +2,27 @@
 
 import "sparspread/policy"
 
-// idleTimeoutEstimate learns for how long an idle connection can be trusted. A middlebox may drop the state
-// of idle connections without telling either side: the next request then ends as a reset, and may have run.
+// idleTimeoutEstimate estimates how long a connection can be idle and still be reused. A middlebox may drop
+// the state of idle connections without notifying either side. The next request then ends in a reset, and
+// may have run.
 type idleTimeoutEstimate struct {
-	upperLimit           policy.Time // the estimate while nothing speaks against it
-	learned              policy.Time // the estimate at learnedAt; 0: upperLimit
+	upperLimit           policy.Time // the highest estimate, which is also the initial one
+	learned              policy.Time // the estimate at learnedAt; zero if it is still upperLimit
 	learnedAt            policy.Time
-	lastBrokenAt         policy.Time // when a reused connection last proved broken; 0: never
-	longestHealthyIdle   policy.Time // the longest idle time, of late, after which a connection was healthy
-	longestHealthyIdleAt policy.Time // when it was seen; 0: never
+	lastBrokenAt         policy.Time // time of the last broken reuse; zero if there was none
+	longestHealthyIdle   policy.Time // longest recent idle time after which a reuse succeeded
+	longestHealthyIdleAt policy.Time // when longestHealthyIdle was recorded; zero if it never was
 }
 
 const (
-	staleReuseWindow    = 20 * millisecond // in which a connection that was broken before its reuse ends
-	minIdleTimeout      = 30 * millisecond // the least estimate
-	idleTimeoutRecovery = 2 * second       // in which the estimate doubles, and in which two breaks count
+	staleReuseWindow    = 20 * millisecond // a connection broken before its reuse ends within this
+	minIdleTimeout      = 30 * millisecond // the lowest estimate
+	idleTimeoutRecovery = 2 * second       // the estimate doubles in it, and two breaks within it count
 
-	brokenIdleDivisor = 2 // the part of the idle time of a broken connection that is trusted from then on
+	brokenIdleDivisor = 2 // the lowered estimate is the idle time of the broken connection divided by this
 )
 
-// current is the estimate: for how long a connection may have been idle to be reused.
+// current returns the estimate, the longest idle time after which a connection is reused.
 func (e *idleTimeoutEstimate) current(now policy.Time) policy.Time {
 	if e.learned == 0 {
 		return e.upperLimit
@@ -34,22 +35,23 @@
 	return min(estimate, e.upperLimit)
 }
 
-// recordHealthy records that a connection was healthy when it was reused after an idle time.
+// recordHealthy records that a connection was healthy when it was reused after the given idle time.
 func (e *idleTimeoutEstimate) recordHealthy(now, idle policy.Time) {
 	if idle >= e.longestHealthyIdle || now-e.longestHealthyIdleAt > idleTimeoutRecovery {
 		e.longestHealthyIdle, e.longestHealthyIdleAt = idle, now
 	}
 }
 
-// explains reports whether an idle time can be why a connection is broken: not if one idle for longer was
-// healthy of late. Something else breaks connections then, new ones as well.
+// mayHaveExpired reports whether a connection may be broken because of its idle time. That is not so if a
+// connection that was idle for longer was recently healthy: then the cause is another one, which also
+// breaks new connections.
 func (e *idleTimeoutEstimate) mayHaveExpired(now, idle policy.Time) bool {
 	return e.longestHealthyIdleAt == 0 || now-e.longestHealthyIdleAt > idleTimeoutRecovery ||
 		idle > e.longestHealthyIdle
 }
 
-// recordBroken records that a connection was broken when it was reused after an idle time. The estimate is
-// lowered by the second within idleTimeoutRecovery: a single one is chance.
+// recordBroken records that a connection was broken when it was reused after the given idle time. The second
+// broken reuse within idleTimeoutRecovery lowers the estimate; a single one may be a coincidence.
 func (e *idleTimeoutEstimate) recordBroken(now, idle policy.Time) {
 	if !e.mayHaveExpired(now, idle) {
 		return
--- a/internal/gateway/replies.go
+++ b/internal/gateway/replies.go
@@ -9,13 +9,14 @@
 	"sparspread/policy"
 )
 
-// Replies that are the gateway's own.
+// Replies of the gateway itself.
 var (
 	pongReply   = []byte("+PONG\r\n")
 	failedReply = []byte("-ERR failed\r\n")
 )
 
-// busyReply rejects a request. A positive after advises the client when to retry, in whole milliseconds.
+// busyReply returns the reply that rejects a request. If after is positive, the reply advises the client to
+// retry after that time, in whole milliseconds.
 func busyReply(after policy.Time) []byte {
 	if after <= 0 {
 		return []byte("-BUSY\r\n")
@@ -25,7 +26,7 @@
 
 func isBusyReply(reply []byte) bool { return bytes.HasPrefix(reply, []byte("-BUSY")) }
 
-// countReply counts a request under what its final reply says.
+// countReply counts a request by the outcome in its final reply.
 func countReply(class *metrics.Class, reply []byte) {
 	switch {
 	case reply[0] == '$':
@@ -37,7 +38,7 @@
 	}
 }
 
-// errorReply is an error as the client gets it, in printable ASCII.
+// errorReply returns the reply for an error. Characters other than printable ASCII are replaced.
 func errorReply(err error) []byte {
 	return fmt.Appendf(nil, "-ERR %s\r\n", strings.Map(replaceUnprintable, err.Error()))
 }
--- a/internal/gateway/request_body.go
+++ b/internal/gateway/request_body.go
@@ -12,23 +12,26 @@
 
 var crlf = []byte("\r\n")
 
-// body is the large body of a request, which its client's reader forwards as it reads it. It goes to one
-// attempt, or is skipped: it is not kept for another. A nil body is that of a request without a large one.
+// body is the large body of a request. The reader of the client forwards it while reading it. It is
+// forwarded to a single attempt or skipped, because it is not kept for further attempts. A nil body is that
+// of a request without a large body.
 type body struct {
 	size             int
-	destination      chan *backendConn // from the loop to the reader: where it goes; nil: nowhere
-	lastBytesWriting atomic.Bool       // set by the reader when it writes the last bytes: the attempt may run
+	destination      chan *backendConn // sent by the event loop to the reader; nil to skip the body
+	lastBytesWriting atomic.Bool       // set by the reader before the last write: the request may run
 
-	// The loop's.
+	// Owned by the event loop.
 	request  *request
-	assigned bool         // destination was sent
-	conn     *backendConn // the destination
+	assigned bool         // a value was sent to destination
+	conn     *backendConn // the connection that was sent to destination, if any
 }
 
-// unassigned reports whether an attempt may be made: there is no large body, or it has gone nowhere yet.
+// isUnassigned reports whether an attempt can be made: there is no large body, or it was neither forwarded
+// nor skipped yet.
 func (b *body) isUnassigned() bool { return b == nil || !b.assigned }
 
-// assign has the body go to a connection, on which the head of its command was written.
+// assignConn makes the reader forward the body to a connection, on which the head of the command was
+// written. It has no effect if the body is already assigned.
 func (b *body) assignConn(c *backendConn) {
 	if b != nil && !b.assigned {
 		b.assigned, b.conn = true, c
@@ -36,21 +39,23 @@
 	}
 }
 
-// discard has the body skipped, unless it was assigned: its request has its reply.
+// discard makes the reader skip the body, unless it is already assigned. It is called when the request has
+// its reply.
 func (b *body) discard() { b.assignConn(nil) }
 
-// bodyIncomplete reports whether the backend can't have all of an attempt's large body.
+// isBodyIncomplete reports whether the backend cannot have received the complete large body of an attempt.
 func (a *attempt) isBodyIncomplete() bool {
 	return a.isBodyPending() && !a.request.body.lastBytesWriting.Load()
 }
 
-// bodyPending reports whether an attempt's large body is not known to be written to its end.
+// isBodyPending reports whether the large body of an attempt is not known to be fully written.
 func (a *attempt) isBodyPending() bool {
 	return a.request != nil && a.request.body != nil && a.conn != nil && !a.fullyWritten
 }
 
-// forwardBody reads a large body and writes it to its backend, a buffer at a time: a slow backend delays the
-// reading, and nothing else. It runs in the client's reader and reports whether the next command can be read.
+// forwardBody reads a large body and writes it to its backend, a buffer at a time. A slow backend therefore
+// delays only this reader. forwardBody runs in the client's reader goroutine and reports whether the next
+// command can be read.
 func (c *client) forwardBody(g *Gateway, in *resp.Reader, b *body) bool {
 	conn, ok := c.awaitDestination(g, b)
 	if !ok {
@@ -78,8 +83,8 @@
 	return false
 }
 
-// awaitDestination waits until it is decided where a body goes (nil: nowhere). It returns false if the
-// connection ends before.
+// awaitDestination waits for the destination of a body, which is nil if the body is to be skipped. ok is
+// false if the connection ends first.
 func (c *client) awaitDestination(g *Gateway, b *body) (conn *backendConn, ok bool) {
 	closed := false
 	c.readAheadWhile(g, func() {
@@ -92,7 +97,7 @@
 	return conn, !closed && !c.disconnected.Load()
 }
 
-// forwardBodyBytes forwards a body but for the line end behind it.
+// forwardBodyBytes forwards a body without the line end behind it.
 func (c *client) forwardBodyBytes(in *resp.Reader, w *bodyWriter) error {
 	size := w.body.size
 	buf := make([]byte, min(size, transferBufferSize))
@@ -109,15 +114,15 @@
 	return nil
 }
 
-// bodyWriter writes a body to its backend for the client's reader.
+// bodyWriter writes a body to its backend. It is used by the client's reader goroutine.
 type bodyWriter struct {
 	client  *client
 	gateway *Gateway
 	body    *body
-	conn    *backendConn // nil: the body is skipped
+	conn    *backendConn // nil if the body is skipped
 }
 
-// write writes a part of the body. After a failure the rest is skipped.
+// write writes a part of the body. After a failure the rest of the body is skipped.
 func (w *bodyWriter) write(part []byte) {
 	if w.conn == nil {
 		return
@@ -132,7 +137,7 @@
 	}
 }
 
-// finish writes the line end behind the body.
+// finish writes the line end behind the body and reports that the body is written.
 func (w *bodyWriter) finish() {
 	w.body.lastBytesWriting.Store(w.conn != nil)
 	w.write(crlf)
@@ -141,7 +146,7 @@
 	}
 }
 
-// bodyWritten says that a body was written to its last byte.
+// bodyWritten reports that the last byte of a body was written.
 type bodyWritten struct{ body *body }
 
 func (e bodyWritten) Handle(*Gateway) {
@@ -150,8 +155,9 @@
 	}
 }
 
-// bodyFailed says that a body can't be forwarded: its backend accepts no more of it or, malformed, the client
-// did not send all of it in time. What is behind a malformed one can't be read.
+// bodyFailed reports that a body cannot be forwarded. Either its backend does not accept the rest or, if
+// malformed is set, the client has not sent a well-formed body in time. In the latter case the framing is
+// lost.
 type bodyFailed struct {
 	body      *body
 	malformed bool
@@ -171,7 +177,8 @@
 	g.abortBody(r)
 }
 
-// abortBody ends the attempt that a request's large body has not completely reached, and its connection.
+// abortBody ends the attempt that has not received the complete large body of a request, and closes its
+// connection.
 func (g *Gateway) abortBody(r *request) {
 	if r.body == nil || r.body.conn == nil {
 		return
--- a/internal/gateway/request_trace.go
+++ b/internal/gateway/request_trace.go
@@ -9,20 +9,20 @@
 	"sparspread/policy"
 )
 
-// traceInterval is the least time between two requests of one kind in the log.
+// traceInterval is the minimum time between the log messages for two requests of one kind.
 const traceInterval = 5 * second
 
-// traceKind is a kind of request that ended with an error.
+// traceKind classifies requests that ended with an error.
 type traceKind int
 
 const (
-	traceRejected    traceKind = iota // the policy's BUSY
-	traceFailed                       // any other error of a request that the policy decided on
+	traceRejected    traceKind = iota // rejected by the policy
+	traceFailed                       // any other error after the policy's decision
 	traceNotAdmitted                  // an error before the policy's decision
 	traceKindCount
 )
 
-// traceSchedule holds when the next request of each kind may be logged.
+// traceSchedule holds the time from which the next request of each kind may be logged.
 type traceSchedule [traceKindCount]policy.Time
 
 func traceKindOf(r *request, reply []byte) traceKind {
@@ -35,8 +35,8 @@
 	return traceRejected
 }
 
-// traceError logs a request that ended with an error, at most one of each kind in a traceInterval: a line for
-// each would cost more than the request.
+// traceError logs a request that ended with an error. It logs at most one request of each kind per
+// traceInterval, since logging a request costs more than serving it.
 func (g *Gateway) traceError(r *request, reply []byte) {
 	now, kind := g.events.Now(), traceKindOf(r, reply)
 	if now < g.requests.nextTraceAt[kind] {
@@ -55,7 +55,7 @@
 		"open", g.requests.openCount)
 }
 
-// describeOutcomes lists the attempts of a request that have ended, for the log.
+// describeOutcomes describes the ended attempts of a request for the log.
 func (r *request) describeOutcomes() string {
 	var list strings.Builder
 	for _, outcome := range r.outcomes {
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -6,42 +6,44 @@
 	"sparspread/policy"
 )
 
-// deadlineMargin is how long before the client stops waiting a request is ended: the reply has to reach the
-// client, and this process may be descheduled. It is at most the timeout divided by maxMarginDivisor.
+// A request is ended deadlineMargin before its client stops waiting, because the reply has to reach the
+// client and this process may be descheduled. The margin is at most the timeout divided by
+// maxMarginDivisor.
 const (
 	deadlineMargin   = 25 * millisecond
 	maxMarginDivisor = 4
 )
 
-// request is a command of a client's that has a place in its pipeline. Unless the gateway replies to it at
+// request is a command of a client with a place in the client's pipeline. Unless the gateway answers it at
 // once, it is in the request table until it is answered and none of its attempts is in flight. It belongs
-// to the loop.
+// to the event loop.
 type request struct {
-	id            uint64 // the gateway's; 0: the policy did not decide on it
-	clientID      uint64 // the id that the client gave
+	id            uint64 // assigned by the gateway; zero if the request was not passed to the policy
+	clientID      uint64 // ID that the client has sent
 	client        *client
-	args          [][]byte     // of the command; nil: not a request to a backend
-	timeoutSpan   command.Span // of the timeout in args[command.FieldsArg]
+	args          [][]byte     // of the command; nil if it is not forwarded to a backend
+	timeoutSpan   command.Span // position of the timeout in args[command.FieldsArg]
 	customer      uint64
 	estimatedCost float64
-	metrics       *metrics.Class // of its class; nil: no request to a backend
-	receivedAt    policy.Time    // when its last byte was read
+	metrics       *metrics.Class // of its class; nil if args is nil
+	receivedAt    policy.Time    // when the last byte of the command was read
 	deadline      policy.Time
-	deadlineTimer *timer // for deadlineGuard
+	deadlineTimer *timer // schedules deadlineTimeout
 
-	attempts         int            // made so far
-	attemptsInFlight int            // those without an outcome
-	waitingAttempt   *attempt       // the one that waits for a connection; nil: none
-	outcomes         []attemptEnded // of its attempts
+	attempts         int            // number of attempts so far
+	attemptsInFlight int            // number of attempts without an outcome
+	waitingAttempt   *attempt       // waits for a connection; nil if none does
+	outcomes         []attemptEnded // of its ended attempts
 
 	answered     bool
-	reply        []byte       // until it is written
-	valueConn    *backendConn // has a large value for it; nil: none
-	valueStarted bool         // the large value is on its way to the client
-	body         *body        // a large one; nil: none
+	reply        []byte       // nil after it is written
+	valueConn    *backendConn // has received a large value as the reply; nil if there is none
+	valueStarted bool         // the transfer of the large value to the client has started
+	body         *body        // nil if the request has no large body
 }
 
-// answer gives a request its final reply. The first call decides; later ones do nothing.
+// answer gives a request its final reply. It has no effect if the request is already answered or the
+// transfer of a large value to the client has started.
 func (g *Gateway) answer(r *request, reply []byte) {
 	if r.answered || r.valueStarted {
 		return
@@ -60,7 +62,8 @@
 	g.releaseRequest(r)
 }
 
-// markAnswered ends all that waits on a request that has its final reply, or needs none any more.
+// markAnswered records that a request has its final reply, or needs none because its client has
+// disconnected. It ends the timer, body and attempt that wait for the request.
 func (g *Gateway) markAnswered(r *request) {
 	r.answered = true
 	g.requests.openCount--
@@ -76,7 +79,7 @@
 	}
 }
 
-// releaseRequest removes a request that nothing waits for any more.
+// releaseRequest removes a request from the request table if it is answered and has no attempt in flight.
 func (g *Gateway) releaseRequest(r *request) {
 	if r.answered && r.attemptsInFlight == 0 && g.requests.byID[r.id] == r {
 		delete(g.requests.byID, r.id)
@@ -84,8 +87,8 @@
 	}
 }
 
-// deadlineGuard fails a request that is still open just before its client stops waiting, whatever went wrong:
-// no request may be lost.
+// deadlineTimeout fails a request that is still open shortly before its client stops waiting. It ensures
+// that every request gets a reply, even after an unexpected fault.
 type deadlineTimeout struct{ request *request }
 
 func (d deadlineTimeout) Handle(g *Gateway) {
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -33,7 +33,7 @@
 	events          *eventLoop
 	controller      *policy.Controller
 	config          *config.Config                // in force
-	publishedConfig atomic.Pointer[config.Config] // the same as config, for other goroutines
+	publishedConfig atomic.Pointer[config.Config] // same value as config, for other goroutines
 
 	requests requestTable
 	memory   memoryUse
--- a/internal/gateway/value_stream.go
+++ b/internal/gateway/value_stream.go
@@ -10,14 +10,15 @@
 )
 
 const (
-	minValuePrefix       = 1 << 10         // bytes of a large value that arrive before it is offered
-	transferBufferSize   = 16 << 10        // bytes of a large value or body that are held
-	transferStallTimeout = 5 * time.Second // in which either side must go on
+	minValuePrefix       = 1 << 10         // bytes of a large value that arrive before the loop is notified
+	transferBufferSize   = 16 << 10        // bytes of a large value or body that are buffered
+	transferStallTimeout = 5 * time.Second // maximum time without progress of the sender or the receiver
 )
 
-// streamValue offers a large value to the loop and forwards it to the client, a buffer at a time: a slow
-// client delays the reading, and nothing else. It runs in the connection's reader and reports whether the
-// event is still to be posted.
+// streamValue notifies the event loop of a large value and, when the loop has sent the destination,
+// forwards the value to the client, a buffer at a time. A slow client therefore delays only this reader.
+// streamValue runs in the connection's reader goroutine. It fills in e, and reports whether the reader has
+// to post it.
 func (c *backendConn) streamValue(
 	events *eventLoop, in *resp.Reader, e *replyReceived,
 ) bool {
@@ -28,7 +29,7 @@
 		n, err := in.ReadValueBytes(buf[buffered:min(size, transferBufferSize)])
 		buffered += n
 		if err != nil {
-			e.reply, e.err = resp.Reply{}, err // its length was corrupt: as good as no reply
+			e.reply, e.err = resp.Reply{}, err // the length was corrupt, so the attempt got no reply
 			return true
 		}
 	}
@@ -43,7 +44,7 @@
 	e.streamed = true
 	e.err = c.forwardValue(in, destination, size, buf, buffered)
 	if e.err == nil {
-		// The client has the whole value: what is behind it can make only the connection unusable.
+		// The client has the complete value: malformed input behind it only makes this connection unusable.
 		c.readTimeout = replyTimeout
 		var err error
 		e.reply, err = in.ReadRemainingItems(e.reply)
@@ -52,7 +53,7 @@
 	return true
 }
 
-// forwardValue writes a value of a size to a client, its first bytes from the buffer.
+// forwardValue writes a value of size bytes to a client. The first buffered bytes of the value are in buf.
 func (c *backendConn) forwardValue(
 	in *resp.Reader, destination *sockwriter.Writer, size int, buf []byte, buffered int,
 ) error {
@@ -80,7 +81,7 @@
 	return destination.WriteBlocking(crlf, transferStallTimeout)
 }
 
-// valueOffered says that a large value has arrived for the request of a connection.
+// valueArrived reports that the first bytes of a large value have arrived on a connection.
 type valueArrived struct{ conn *backendConn }
 
 func (e valueArrived) Handle(g *Gateway) {
@@ -89,7 +90,7 @@
 		return
 	}
 	if a == nil || a.request == nil || a.request.answered || a.request.valueConn != nil {
-		// Nobody waits for it any more.
+		// The value is no longer needed.
 		g.backends.close(c, closeCancelled)
 		c.attempt = nil
 		if a != nil {
@@ -103,8 +104,9 @@
 	}
 }
 
-// startValue lets a large value go to the client, all earlier requests of which are answered. It is the final
-// reply: no further attempt is made, and neither the deadline nor a shutdown ends the transfer.
+// startValueTransfer starts forwarding a large value to the client. All earlier requests of the client must
+// be answered. The value is the final reply: no further attempt is made, and neither the deadline nor a
+// shutdown ends the transfer.
 func (g *Gateway) startValueTransfer(r *request) {
 	if r.valueStarted {
 		return
@@ -118,8 +120,8 @@
 	g.events.Defer(valueTransferStarted{attempt: a, latency: g.events.Now() - a.sentAt})
 }
 
-// valueStarted reports an attempt's success to the policy when its value starts: how long the client takes
-// for the rest says nothing of the backend.
+// valueTransferStarted reports the success of an attempt to the policy at the start of the transfer,
+// because the time in which the client reads the value says nothing about the backend.
 type valueTransferStarted struct {
 	attempt *attempt
 	latency policy.Time
@@ -133,8 +135,8 @@
 	})
 }
 
-// cancelValue gives up a large value that has not started: its request has another reply, or nobody waits for
-// it any more.
+// cancelValueTransfer cancels the attempt with the large value for a request, unless the transfer has
+// started. It is called when the request has another reply or its client has disconnected.
 func (g *Gateway) cancelValueTransfer(r *request) {
 	c := r.valueConn
 	if c == nil || r.valueStarted {
@@ -148,7 +150,8 @@
 	g.backends.close(c, closeCancelled)
 }
 
-// finishStream ends the attempt of a large value that has gone to the client or, with an error, broke off.
+// handleStreamedValue ends the attempt whose large value was forwarded to the client or, if err is set,
+// incompletely forwarded.
 func (e replyReceived) handleStreamedValue(g *Gateway) {
 	c, a := e.conn, e.conn.attempt
 	r := a.request
@@ -170,14 +173,15 @@
 	g.backends.releaseConn(c)
 }
 
-// settleCost reports to the policy, and to a process that takes over, by how much a cost was underestimated.
+// settleCost reports to the policy and, during a handover, to the successor by how much the cost of a
+// request was underestimated.
 func (g *Gateway) settleCost(customer uint64, extra float64) {
 	g.handover.reportCostSettled(customer, extra)
 	g.controller.CostSettled(g.events.Now(), customer, extra)
 }
 
-// finishValue ends a request whose value has been written. If it broke off, the client's connection is closed
-// amid the value, by which the client can tell.
+// finishValueRequest ends a request whose large value was forwarded. If the value is incomplete, the
+// connection to the client is closed, so that the client detects the error.
 func (g *Gateway) finishValueRequest(r *request, err error) {
 	if err != nil {
 		g.log.Info("value incomplete", "id", string(r.args[command.ClientIDArg]), "error", err)
