--- a/cmd/gateway/main_test.go
+++ b/cmd/gateway/main_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// SIGHUP would end a program that does not handle it.
-func TestHangUpSignalAsksForReload(t *testing.T) {
+// Guards against a gateway that does not handle SIGHUP: the signal would end the process.
+func TestSIGHUPRequestsReload(t *testing.T) {
 	control := handleSignals()
 	for range 2 {
 		if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
@@ -19,19 +19,19 @@
 		select {
 		case <-control.Reload:
 		case <-time.After(waitTimeout):
-			t.Fatal("no reload")
+			t.Fatal("timed out waiting for the request to reload")
 		}
 	}
 }
 
-func TestConfigurationIsReadFromItsFileEachTime(t *testing.T) {
+func TestReadConfigurationReadsCurrentFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	t.Setenv(configPathVariable, path)
 	const head = `{"listen":"127.0.0.1:0","seed":"01","settings":{"self-index":0,"balancers":1,
 		"request-classes":[{"name":"c","promise-us":1}],"tariffs":[{"name":"t"}]},"discovery":`
 	for _, c := range []struct {
 		text          string
-		wantDiscovery string // empty: an error
+		wantDiscovery string // empty if an error is expected
 	}{
 		{head + `"127.0.0.1:1"}`, "127.0.0.1:1"},
 		{head + `"127.0.0.1:2"}`, "127.0.0.1:2"},
@@ -48,21 +48,22 @@
 	}
 }
 
-func TestConfigurationNeedsItsPath(t *testing.T) {
+func TestReadConfigurationRequiresPath(t *testing.T) {
 	t.Setenv(configPathVariable, "")
 	if _, err := readConfiguration(); !errors.Is(err, errNoConfigPath) {
 		t.Errorf("error %v, want %v", err, errNoConfigPath)
 	}
 }
 
-func TestOpsAddressVariableReplacesTheConfiguredOne(t *testing.T) {
+func TestOpsAddressVariableOverridesConfiguration(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(`{"ops":"127.0.0.1:1"}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	t.Setenv(configPathVariable, path)
 	t.Setenv(opsAddressVariable, "127.0.0.1:2")
-	if cfg, _ := readConfiguration(); cfg.Ops != "127.0.0.1:2" { // the rest of the file is missing
+	// The error is ignored: required settings are missing in the file.
+	if cfg, _ := readConfiguration(); cfg.Ops != "127.0.0.1:2" {
 		t.Errorf("address for operators %q, want that of %s", cfg.Ops, opsAddressVariable)
 	}
 }
--- a/cmd/gateway/slowstart_fleet_test.go
+++ b/cmd/gateway/slowstart_fleet_test.go
@@ -9,22 +9,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// slowStartRun is a run of a fleet in which backends start while something else goes wrong.
+// slowStartRun is a run of a fleet in which backends restart while a fault is injected.
 type slowStartRun struct {
 	name     string
-	settings func(settings *fleetSettings) // nil: the usual ones
-	fault    func(f *fleet)                // starts the backends
+	settings func(settings *fleetSettings) // changes the default settings; may be nil
+	fault    func(f *fleet)                // restarts the backends and injects the fault
 }
 
 const (
-	startingBackends  = 3
-	slowStartWarmUp   = 6 * time.Second // longer than the policy's memory of what it sends
-	slowStartObserved = 4 * time.Second // after the fault
+	startingBackendCount = 3               // number of backends that are restarted
+	slowStartWarmUp      = 6 * time.Second // longer than the period over which the policy counts attempts
+	slowStartObserved    = 4 * time.Second // duration of the run after the fault
 )
 
-// usualSlowStart and fragileSlowStart are settings of deployments.
+// defaultSlowStart and fragileSlowStart describe backends of different deployments.
 var (
-	usualSlowStart = slowStart{
+	defaultSlowStart = slowStart{
 		floor: 0.27, duration: 16 * time.Second, overloadFactor: 2.5, window: time.Second,
 	}
 	fragileSlowStart = slowStart{
@@ -32,29 +32,30 @@
 	}
 )
 
-// overloadBudget is what a starting backend may get in a window that begins at an age of it, with the
-// allowance for chance that the rule gives.
+// overloadBudget returns the number of commands that a starting backend may receive in a window that begins
+// at the given age. It is the load that overloads the backend plus the allowance for random variation that
+// the rules define.
 func (s slowStart) overloadBudget(age time.Duration) float64 {
 	const fewCommands = 30
-	bears := s.overloadFactor * s.share(age) * fleetCapacity * s.window.Seconds()
-	if bears < fewCommands {
-		return bears + 3*math.Sqrt(bears) + 3
+	capacity := s.overloadFactor * s.share(age) * fleetCapacity * s.window.Seconds()
+	if capacity < fewCommands {
+		return capacity + 3*math.Sqrt(capacity) + 3
 	}
-	return bears + 2*math.Sqrt(bears) + 2
+	return capacity + 2*math.Sqrt(capacity) + 2
 }
 
-// overloadWindow is what a starting backend received in one window.
+// overloadWindow describes the commands that a starting backend received in one window.
 type overloadWindow struct {
 	backend  int
-	age      time.Duration
-	received int
-	budget   float64
+	age      time.Duration // of the backend, at the beginning of the window
+	received int           // number of commands
+	budget   float64       // maximum number of commands
 }
 
-// ratio is the part of its budget that the backend received; above 1 it was overloaded.
+// ratio returns the received commands as a fraction of the budget. Above 1, the backend was overloaded.
 func (w overloadWindow) ratio() float64 { return float64(w.received) / w.budget }
 
-// worstWindow is the fullest window of the backend in relation to its budget.
+// worstWindow returns the window with the highest ratio during the backend's slow start.
 func (b *fleetBackend) worstWindow() overloadWindow {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -72,17 +73,17 @@
 	return worst
 }
 
-// play starts a fleet, has it meet the fault and checks what the starting backends received.
-func (r *slowStartRun) play(t *testing.T) {
+// run starts a fleet, injects the fault and checks that no starting backend was overloaded.
+func (r *slowStartRun) run(t *testing.T) {
 	t.Helper()
 	settings := fleetSettings{
-		gateways: 24, backends: 10, load: 0.95, slow: usualSlowStart, dialTimeout: time.Second / 4,
+		gateways: 24, backends: 10, load: 0.95, slow: defaultSlowStart, dialTimeout: time.Second / 4,
 	}
 	if r.settings != nil {
 		r.settings(&settings)
 	}
 	f := startFleet(t, settings)
-	f.load(settings.load)
+	f.startLoad(settings.load)
 	f.runFor(slowStartWarmUp)
 	r.fault(f)
 	f.runFor(slowStartObserved)
@@ -90,58 +91,59 @@
 	f.checkBudgets(t)
 }
 
-// checkBudgets checks what the starting backends received.
+// checkBudgets checks that the starting backends received commands, and none of them more than its budget.
 func (f *fleet) checkBudgets(t *testing.T) {
 	t.Helper()
 	received, worst := 0, overloadWindow{budget: 1}
-	for _, b := range f.starting() {
+	for _, b := range f.startingBackends() {
 		if w := b.worstWindow(); w.ratio() > worst.ratio() {
 			worst = w
 		}
 		received += b.receivedCount()
 	}
-	t.Logf("worst: backend %d got %d of %.0f within %v at age %v (%.2f); %d received in all",
+	t.Logf("worst window: backend %d got %d of %.0f commands in %v at age %v (%.2f); %d commands in total",
 		worst.backend, worst.received, worst.budget, f.settings.slow.window, worst.age, worst.ratio(),
 		received)
 	t.Logf("requests: served %d, rejected %d, failed %d, lost %d",
 		f.answers.served.Load(), f.answers.rejected.Load(), f.answers.failed.Load(), f.answers.lost.Load())
 	if worst.ratio() > 1 {
-		t.Error("a starting backend was overloaded by all gateways together")
+		t.Error("a starting backend was overloaded")
 	}
 	if received == 0 {
-		t.Error("the starting backends were not used")
+		t.Error("the starting backends received no commands")
 	}
 }
 
-// pressed has clients ask for more than the backends can serve.
-func pressed(s *fleetSettings) { s.load = 1.3 }
+// excessLoad makes clients send more requests than the backends can serve.
+func excessLoad(s *fleetSettings) { s.load = 1.3 }
 
-// fragile has backends that start with little of their capacity and bear little more.
-func fragile(s *fleetSettings) { s.slow = fragileSlowStart }
+// fragileBackends selects backends that start with a small fraction of their capacity and are overloaded by a
+// small excess.
+func fragileBackends(s *fleetSettings) { s.slow = fragileSlowStart }
 
-// slowDials has dials last long, of requests that are not given up early.
-func slowDials(s *fleetSettings) { s.dialTimeout, s.runOnce = 4*time.Second, true }
+// slowDials sets a long dial timeout. The requests are not idempotent, so that they are not abandoned early.
+func slowDials(s *fleetSettings) { s.dialTimeout, s.notIdempotent = 4*time.Second, true }
 
-// withWarmBackends has the warm backends behave in another way for a while, from the start of the others on.
+// withWarmBackends changes the mode of the warm backends for 3 seconds after the other backends have started.
 func withWarmBackends(mode backendMode) func(f *fleet) {
 	return func(f *fleet) {
 		f.replaceBackends()
-		f.setModes(f.warm(), mode)
+		f.setModes(f.warmBackends(), mode)
 		f.runFor(3 * time.Second)
-		f.setModes(f.warm(), backendServes)
+		f.setModes(f.warmBackends(), backendServes)
 	}
 }
 
-// withClockStep has discovery's clock ahead of the gateways' when backends start.
-func withClockStep(step time.Duration) func(f *fleet) {
+// replaceWithClockStep sets discovery's clock ahead of the gateways' clocks before the backends start.
+func replaceWithClockStep(step time.Duration) func(f *fleet) {
 	return func(f *fleet) {
 		f.clockStep = step
 		f.replaceBackends()
 	}
 }
 
-// stopAndContinue stops all processes during the slow start.
-func stopAndContinue(f *fleet) {
+// suspendGateways suspends and resumes all gateway processes during the slow start.
+func suspendGateways(f *fleet) {
 	f.replaceBackends()
 	f.runFor(time.Second)
 	f.signalAll(syscall.SIGSTOP)
@@ -149,46 +151,48 @@
 	f.signalAll(syscall.SIGCONT)
 }
 
-// killGateways restarts all gateways with no state during the slow start.
+// killGateways kills all gateways during the slow start and starts them again without their state.
 func killGateways(f *fleet) {
 	f.replaceBackends()
 	f.runFor(time.Second)
 	f.replaceGateways()
 }
 
-// killWithClockStep does the same amid a step, with the list from before the start as last known.
-func killWithClockStep(step time.Duration) func(f *fleet) {
+// killGatewaysAfterClockStep sets discovery's clock ahead before the backends start, and kills all gateways
+// during the slow start. The last known list of the new gateway processes is from before the backends' start.
+func killGatewaysAfterClockStep(step time.Duration) func(f *fleet) {
 	return func(f *fleet) {
-		f.keepList()
+		f.useCurrentListAtStart()
 		f.clockStep = step
 		killGateways(f)
 	}
 }
 
-// upgradeGateways has second processes take over during the slow start.
+// upgradeGateways makes successors take over from all gateways during the slow start.
 func upgradeGateways(f *fleet) {
 	f.replaceBackends()
 	f.runFor(time.Second)
 	f.upgradeGateways()
 }
 
-// connectLate has no connection to the starting backends come up for a while.
-func connectLate(f *fleet) {
+// delayConnections makes dials to the starting backends hang for a part of the slow start.
+func delayConnections(f *fleet) {
 	f.replaceBackends()
 	f.runFor(time.Second)
-	f.setModes(f.starting(), backendUnreachable)
+	f.setModes(f.startingBackends(), backendUnreachable)
 	f.runFor(2900 * time.Millisecond)
-	f.setModes(f.starting(), backendServes)
+	f.setModes(f.startingBackends(), backendServes)
 }
 
-// hangThenRestart has warm backends restart for which attempts wait.
-func hangThenRestart(f *fleet) {
-	f.setModes(f.starting(), backendUnreachable)
+// restartDuringDials restarts backends while dials to them hang and attempts wait for these dials.
+func restartDuringDials(f *fleet) {
+	f.setModes(f.startingBackends(), backendUnreachable)
 	f.runFor(2900 * time.Millisecond)
 	f.restartBackends()
 }
 
-// exhaustDescriptors has no gateway open another descriptor for a while. No backend may be blamed for it.
+// exhaustDescriptors prevents all gateways from opening descriptors for a part of the slow start. It checks
+// that no backend is ejected because of that.
 func exhaustDescriptors(f *fleet) {
 	f.replaceBackends()
 	f.runFor(time.Second)
@@ -203,71 +207,77 @@
 	}
 	f.runFor(time.Second)
 	if n := f.countLogged("own_shortage"); n == 0 {
-		f.tb.Error("no dial failed for a shortage")
+		f.tb.Error("no dial failed because of the limit on descriptors")
 	}
 	if n := f.countLogged(" ejected: "); n != before {
-		f.tb.Errorf("%d ejections, %d before the shortage", n, before)
+		f.tb.Errorf("%d ejections after the limit on descriptors was lowered, want %d as before", n, before)
 	}
 }
 
-// fragileAndSlowDials is both.
-func fragileAndSlowDials(s *fleetSettings) {
-	fragile(s)
+// fragileBackendsAndSlowDials combines fragileBackends and slowDials.
+func fragileBackendsAndSlowDials(s *fleetSettings) {
+	fragileBackends(s)
 	slowDials(s)
 }
 
-// fleetPlaces bounds how many fleets run at a time: their processes share the machine's cores.
-var fleetPlaces = make(chan struct{}, 2)
+// fleetSlots is a semaphore that limits the number of fleets that run at the same time, because their
+// processes share the machine's cores.
+var fleetSlots = make(chan struct{}, 2)
 
-// playAll plays runs, two at a time.
-func playAll(t *testing.T, runs []slowStartRun) {
+// runSlowStartTests runs the given runs as subtests, two at a time.
+func runSlowStartTests(t *testing.T, runs []slowStartRun) {
 	t.Helper()
 	for _, r := range runs {
 		t.Run(r.name, func(t *testing.T) {
 			t.Parallel()
-			fleetPlaces <- struct{}{}
-			defer func() { <-fleetPlaces }()
-			r.play(t)
+			fleetSlots <- struct{}{}
+			defer func() { <-fleetSlots }()
+			r.run(t)
 		})
 	}
 }
 
-// Through all gateways together, as real processes, a starting backend gets no more than it bears.
-func TestSlowStartBudgetHoldsOnRealProcesses(t *testing.T) {
+// Guards against gateways that together overload a starting backend although each of them limits what it
+// sends.
+func TestFleetKeepsSlowStartBudgetDuringFaults(t *testing.T) {
 	t.Parallel()
-	playAll(t, []slowStartRun{
-		{name: "no fault", fault: withClockStep(0)},
-		{name: "no fault, fragile", settings: fragile, fault: withClockStep(0)},
-		{name: "gateways stop and go on", settings: fragile, fault: stopAndContinue},
-		{name: "gateways are killed", settings: fragile, fault: killGateways},
-		{name: "gateways are upgraded", settings: fragile, fault: upgradeGateways},
-		{name: "gateways run out of descriptors", settings: fragile, fault: exhaustDescriptors},
-		{name: "connections come up late", settings: fragileAndSlowDials, fault: connectLate},
-		{name: "start amid dials", settings: fragileAndSlowDials, fault: hangThenRestart},
+	runSlowStartTests(t, []slowStartRun{
+		{name: "no fault", fault: replaceWithClockStep(0)},
+		{name: "no fault, fragile backends", settings: fragileBackends, fault: replaceWithClockStep(0)},
+		{name: "gateways are suspended", settings: fragileBackends, fault: suspendGateways},
+		{name: "gateways are killed", settings: fragileBackends, fault: killGateways},
+		{name: "gateways are upgraded", settings: fragileBackends, fault: upgradeGateways},
+		{name: "gateways run out of descriptors", settings: fragileBackends, fault: exhaustDescriptors},
+		{name: "dials hang for a time", settings: fragileBackendsAndSlowDials, fault: delayConnections},
+		{name: "restart during dials", settings: fragileBackendsAndSlowDials, fault: restartDuringDials},
 	})
 }
 
-// Attempts that warm backends reject or fail at once, and their retries, are no measure of what a backend
-// serves.
-func TestSlowStartBudgetHoldsWhileWarmBackendsReject(t *testing.T) {
+// Guards against a policy that derives a backend's capacity from attempts that warm backends reject or fail
+// immediately, and from the retries of these attempts.
+func TestFleetKeepsSlowStartBudgetWhileWarmBackendsFail(t *testing.T) {
 	t.Parallel()
-	playAll(t, []slowStartRun{
+	runSlowStartTests(t, []slowStartRun{
 		{name: "reject", fault: withWarmBackends(backendRejects)},
-		{name: "reject, overload", settings: pressed, fault: withWarmBackends(backendRejects)},
-		{name: "fail, overload", settings: pressed, fault: withWarmBackends(backendFails)},
+		{name: "reject, excess load", settings: excessLoad, fault: withWarmBackends(backendRejects)},
+		{name: "fail, excess load", settings: excessLoad, fault: withWarmBackends(backendFails)},
 		{name: "refuse connections", fault: withWarmBackends(backendRefuses)},
 		{name: "hang", fault: withWarmBackends(backendHangs)},
 	})
 }
 
-// A start that was seen to happen is timed by the monotonic clock, whatever the wall clocks say.
-func TestSlowStartBudgetHoldsAfterSteppedClock(t *testing.T) {
+// Guards against a backend's age that is derived from wall clocks although the gateway has observed the
+// start: it must be measured with the monotonic clock.
+func TestFleetKeepsSlowStartBudgetAfterClockStep(t *testing.T) {
 	t.Parallel()
-	playAll(t, []slowStartRun{
-		{name: "hour back", settings: fragile, fault: withClockStep(-time.Hour)},
-		{name: "8 s back", settings: fragile, fault: withClockStep(-8 * time.Second)},
-		{name: "5 s ahead", settings: fragile, fault: withClockStep(5 * time.Second)},
-		{name: "hour back, gateways are killed", settings: fragile, fault: killWithClockStep(-time.Hour)},
-		{name: "hour ahead", settings: fragile, fault: withClockStep(time.Hour)},
+	runSlowStartTests(t, []slowStartRun{
+		{name: "1 h behind", settings: fragileBackends, fault: replaceWithClockStep(-time.Hour)},
+		{name: "8 s behind", settings: fragileBackends, fault: replaceWithClockStep(-8 * time.Second)},
+		{name: "5 s ahead", settings: fragileBackends, fault: replaceWithClockStep(5 * time.Second)},
+		{
+			name: "1 h behind, gateways are killed", settings: fragileBackends,
+			fault: killGatewaysAfterClockStep(-time.Hour),
+		},
+		{name: "1 h ahead", settings: fragileBackends, fault: replaceWithClockStep(time.Hour)},
 	})
 }
