--- a/scale/internal/model/experiment.go
+++ b/scale/internal/model/experiment.go
@@ -46,10 +46,10 @@
 	TargetSize   float64 `toml:"target"`
 	Repeats      int     `toml:"repeats"`
 	RealGateways int     `toml:"real"` // gateways that run as processes
-	// TierSize is the number of gateways in the settings; those beyond the running gateways are unresponsive.
-	// If 0, the settings list the running gateways only.
-	TierSize int   `toml:"tier"`
-	Base     Point `toml:"base"` // the sizes on all other axes
+	// ConfiguredTierSize is the number of gateways in the settings; those beyond the running gateways are
+	// unresponsive. If 0, the settings list the running gateways only.
+	ConfiguredTierSize int   `toml:"tier"`
+	Base               Point `toml:"base"` // the sizes on all other axes
 
 	LastKnownList string `toml:"known"`   // LastKnownComplete or LastKnownEmpty
 	ReplicaCounts []int  `toml:"spreads"` // sizes of replica sets, one for each kind of customer
@@ -59,9 +59,9 @@
 	MaxSimulatedDelay time.Duration `toml:"hollow_late"`
 	ServiceTime       time.Duration `toml:"service"`   // of a backend
 	MemoryMB          int           `toml:"memory_mb"` // the memory limit in the gateways' configuration
-	IdleDuration      time.Duration `toml:"idle"`      // the phase without changes and requests
-	ControlDuration   time.Duration `toml:"control"`   // the phase with changes only
-	LoadDuration      time.Duration `toml:"load"`      // the phase with changes and requests
+	IdlePhase         time.Duration `toml:"idle"`      // the phase without changes and requests
+	ControlPhase      time.Duration `toml:"control"`   // the phase with changes only
+	LoadPhase         time.Duration `toml:"load"`      // the phase with changes and requests
 	// TimedChanges is the number of backends whose removal and return are timed until all gateways know
 	// of them.
 	TimedChanges int `toml:"steps"`
@@ -122,7 +122,7 @@
 		SimulatedRequestsPerSecond: defaultSimulatedRequestsPerSecond,
 		MaxSimulatedDelay:          quotaRequestTimeout,
 		ServiceTime:                defaultServiceTime, MemoryMB: defaultMemoryMB,
-		IdleDuration: defaultIdle, ControlDuration: defaultControl, LoadDuration: defaultLoad,
+		IdlePhase: defaultIdle, ControlPhase: defaultControl, LoadPhase: defaultLoad,
 		TimedChanges: defaultTimedChanges,
 		Base:         defaultBase,
 	}
@@ -203,16 +203,16 @@
 // checkPhases checks the lengths of the phases and the delay that is allowed in them.
 func (e *Experiment) checkPhases() error {
 	return cmp.Or(
-		checkPositive("idle", e.IdleDuration, maxPhase),
-		checkPositive("control", e.ControlDuration, maxPhase),
-		checkPositive("load", e.LoadDuration, maxPhase),
+		checkPositive("idle", e.IdlePhase, maxPhase),
+		checkPositive("control", e.ControlPhase, maxPhase),
+		checkPositive("load", e.LoadPhase, maxPhase),
 		checkPositive("hollow_late", e.MaxSimulatedDelay, maxPhase),
 	)
 }
 
 // checkPoint checks the sizes of one run.
 func (e *Experiment) checkPoint(p Point) error {
-	tier := e.TierSizeAt(p)
+	tier := e.TierSize(p)
 	if err := cmp.Or(
 		CheckRange("backends", p.Backends, minBackends, maxBackends),
 		e.checkGateways(p, tier),
@@ -248,10 +248,10 @@
 		fmt.Sprintf("above 0 and up to half of %d backends", p.Backends))
 }
 
-// TierSizeAt returns how many gateways the settings name at a point.
-func (e *Experiment) TierSizeAt(p Point) int {
-	if e.TierSize > 0 {
-		return e.TierSize
+// TierSize returns how many gateways the settings name at a point.
+func (e *Experiment) TierSize(p Point) int {
+	if e.ConfiguredTierSize > 0 {
+		return e.ConfiguredTierSize
 	}
 	return p.Gateways
 }
--- a/scale/internal/report/columns.go
+++ b/scale/internal/report/columns.go
@@ -54,9 +54,9 @@
 }
 
 // idlePhase and the functions below are the sections of a result, and values in them.
-func idlePhase(r *results.Result) *results.PhaseUsage    { return r.Idle }
-func controlPhase(r *results.Result) *results.PhaseUsage { return r.Control }
-func loadPhase(r *results.Result) *results.PhaseUsage    { return r.Load }
+func idlePhase(r *results.Result) *results.PhaseUsage    { return r.IdlePhase }
+func controlPhase(r *results.Result) *results.PhaseUsage { return r.ControlPhase }
+func loadPhase(r *results.Result) *results.PhaseUsage    { return r.LoadPhase }
 
 func medianCPU(u *results.PhaseUsage) float64 { return u.CPUPercent.Median }
 func maxPeak(u *results.PhaseUsage) float64   { return u.PeakMB.Max }
@@ -95,16 +95,16 @@
 	return func(r *results.Result) (float64, bool) { return value(r), value(r) > 0 }
 }
 
-func delayUnderLoad(r *results.Result) float64 { return r.Load.MaxSimulatedDelay() }
+func delayUnderLoad(r *results.Result) float64 { return r.LoadPhase.LongestSimulatedDelay() }
 
 // cpuPerRequest measures the gateways' processor time for a request, in microseconds: what the phase with
 // requests used beyond the one without.
 func cpuPerRequest(r *results.Result) (float64, bool) {
-	if r.Load == nil || r.Control == nil || r.Answers.Sent == 0 {
+	if r.LoadPhase == nil || r.ControlPhase == nil || r.Answers.Sent == 0 {
 		return 0, false
 	}
-	percent := r.Load.CPUPercent.Median - r.Control.CPUPercent.Median
-	us := percent / 100 * r.Load.Seconds * 1e6 * float64(r.RealGateways) / float64(r.Answers.Sent)
+	percent := r.LoadPhase.CPUPercent.Median - r.ControlPhase.CPUPercent.Median
+	us := percent / 100 * r.LoadPhase.Seconds * 1e6 * float64(r.RealGateways) / float64(r.Answers.Sent)
 	return us, percent > 0
 }
 
--- a/scale/internal/results/result.go
+++ b/scale/internal/results/result.go
@@ -33,9 +33,9 @@
 
 	ReadyMS         float64       `json:"ready_ms,omitempty"`      // from the first start on, of all
 	StartPeakMB     []float64     `json:"start_peak_mb,omitempty"` // of each real gateway
-	Idle            *PhaseUsage   `json:"idle,omitempty"`
-	Control         *PhaseUsage   `json:"control,omitempty"`
-	Load            *PhaseUsage   `json:"load,omitempty"`
+	IdlePhase       *PhaseUsage   `json:"idle,omitempty"`
+	ControlPhase    *PhaseUsage   `json:"control,omitempty"`
+	LoadPhase       *PhaseUsage   `json:"load,omitempty"`
 	BackendsChanged int           `json:"members_changed"`
 	Baseline        *AddedLatency `json:"bare,omitempty"` // of the stand-ins, without a gateway
 	Added           *AddedLatency `json:"added,omitempty"`
@@ -54,24 +54,25 @@
 
 // PhaseUsage is what the real gateways used during a phase.
 type PhaseUsage struct {
-	Seconds              float64 `json:"seconds"`
-	CPUPercent           Summary `json:"cpu_percent"`
-	ResidentMB           Summary `json:"held_mb"` // at the end of the phase
-	PeakMB               Summary `json:"peak_mb"`
-	InKBPerSecond        Summary `json:"in_kb_per_s"` // control traffic, as the three below
-	InMessagesPerSecond  Summary `json:"in_messages_per_s"`
-	OutKBPerSecond       Summary `json:"out_kb_per_s"`
-	OutMessagesPerSecond Summary `json:"out_messages_per_s"`
-	MaxSimulatedDelayMS  float64 `json:"hollow_late_ms,omitempty"` // the largest of a simulated gateway
-	MachinePercent       float64 `json:"machine_percent"`          // of all cores, used by all processes
+	Seconds                 float64 `json:"seconds"`
+	CPUPercent              Summary `json:"cpu_percent"`
+	ResidentMB              Summary `json:"held_mb"` // at the end of the phase
+	PeakMB                  Summary `json:"peak_mb"`
+	InKBPerSecond           Summary `json:"in_kb_per_s"` // control traffic, as the three below
+	InMessagesPerSecond     Summary `json:"in_messages_per_s"`
+	OutKBPerSecond          Summary `json:"out_kb_per_s"`
+	OutMessagesPerSecond    Summary `json:"out_messages_per_s"`
+	LongestSimulatedDelayMS float64 `json:"hollow_late_ms,omitempty"` // the largest of a simulated gateway
+	MachinePercent          float64 `json:"machine_percent"`          // of all cores, used by all processes
 }
 
-// MaxSimulatedDelay returns by how many milliseconds simulated gateways were late at most, 0 for no phase.
-func (u *PhaseUsage) MaxSimulatedDelay() float64 {
+// LongestSimulatedDelay returns the longest delay of a simulated gateway, in milliseconds. It is 0 if the phase
+// was not measured.
+func (u *PhaseUsage) LongestSimulatedDelay() float64 {
 	if u == nil {
 		return 0
 	}
-	return u.MaxSimulatedDelayMS
+	return u.LongestSimulatedDelayMS
 }
 
 // AddedLatency is the time that clients waited beyond the backends' service time.
--- a/scale/internal/runner/phases.go
+++ b/scale/internal/runner/phases.go
@@ -16,28 +16,28 @@
 // changes and a reload.
 func (s *testbed) runPhases(ctx context.Context, result *results.Result) error {
 	var err error
-	idle := func(ctx context.Context) { load.Sleep(ctx, s.Experiment.IdleDuration) }
-	if result.Idle, err = s.measurePhase(ctx, idle); err != nil {
+	idle := func(ctx context.Context) { load.Sleep(ctx, s.Experiment.IdlePhase) }
+	if result.IdlePhase, err = s.measurePhase(ctx, idle); err != nil {
 		return err
 	}
 	if s.simulated != nil {
 		s.simulated.SetDemand(s.Experiment.SimulatedRequestsPerSecond)
 	}
 	changes := func(ctx context.Context) {
-		result.BackendsChanged += s.changeBackends(ctx, s.Experiment.ControlDuration)
+		result.BackendsChanged += s.changeBackends(ctx, s.Experiment.ControlPhase)
 	}
-	if result.Control, err = s.measurePhase(ctx, changes); err != nil {
+	if result.ControlPhase, err = s.measurePhase(ctx, changes); err != nil {
 		return err
 	}
 	changesAndRequests := func(ctx context.Context) {
 		var running sync.WaitGroup
-		running.Go(func() { result.BackendsChanged += s.changeBackends(ctx, s.Experiment.LoadDuration) })
+		running.Go(func() { result.BackendsChanged += s.changeBackends(ctx, s.Experiment.LoadPhase) })
 		for _, c := range s.clients {
-			running.Go(func() { c.Run(ctx, s.point.RequestsPerSecond, s.Experiment.LoadDuration) })
+			running.Go(func() { c.Run(ctx, s.point.RequestsPerSecond, s.Experiment.LoadPhase) })
 		}
 		running.Wait()
 	}
-	if result.Load, err = s.measurePhase(ctx, changesAndRequests); err != nil {
+	if result.LoadPhase, err = s.measurePhase(ctx, changesAndRequests); err != nil {
 		return err
 	}
 	if err := s.timeChanges(ctx, result); err != nil {
@@ -84,7 +84,7 @@
 	machine := (machineAfter - machineBefore).Seconds()
 	usage.MachinePercent = 100 * machine / seconds / float64(runtime.NumCPU())
 	if s.simulated != nil {
-		usage.MaxSimulatedDelayMS = results.Milliseconds(s.simulated.ResetMaxDelay())
+		usage.LongestSimulatedDelayMS = results.Milliseconds(s.simulated.ResetMaxDelay())
 	}
 	return usage, nil
 }
--- a/scale/internal/runner/runner.go
+++ b/scale/internal/runner/runner.go
@@ -56,7 +56,9 @@
 		err = runOnTestbed(ctx, newTestbed(r, point, sizeIndex, repeat), result)
 	}
 	delay := max(
-		result.Idle.MaxSimulatedDelay(), result.Control.MaxSimulatedDelay(), result.Load.MaxSimulatedDelay(),
+		result.IdlePhase.LongestSimulatedDelay(),
+		result.ControlPhase.LongestSimulatedDelay(),
+		result.LoadPhase.LongestSimulatedDelay(),
 	)
 	switch {
 	case err != nil:
@@ -77,7 +79,7 @@
 		TargetSize: e.TargetSize, Repeat: repeat, Repeats: e.Repeats, Status: results.StatusRun,
 		Revision: programRevision(), Started: time.Now().UTC().Format(time.RFC3339),
 		Point: point, RealGateways: e.RealGateways, SimulatedGateways: point.Gateways - e.RealGateways,
-		TierSize: e.TierSizeAt(point), MemoryMB: e.MemoryMB, LastKnownList: e.LastKnownList,
+		TierSize: e.TierSize(point), MemoryMB: e.MemoryMB, LastKnownList: e.LastKnownList,
 		ServiceTimeMS: results.Milliseconds(e.ServiceTime), NotChecked: notChecked,
 	}
 }
--- a/scale/internal/runner/testbed.go
+++ b/scale/internal/runner/testbed.go
@@ -46,7 +46,7 @@
 // newTestbed returns a stage without anything on it, with a fixed seed for each repeat and size.
 func newTestbed(r *Runner, point model.Point, sizeIndex, repeat int) *testbed {
 	return &testbed{
-		Runner: r, point: point, tierSize: r.Experiment.TierSizeAt(point), audit: standin.NewCeilingAudit(),
+		Runner: r, point: point, tierSize: r.Experiment.TierSize(point), audit: standin.NewCeilingAudit(),
 		rand: newRand(uint64(repeat), uint64(sizeIndex)),
 	}
 }
--- a/scale/scale_test.go
+++ b/scale/scale_test.go
@@ -49,7 +49,7 @@
 			r.SimulatedGateways, r.SimulatedRequests)
 	}
 	// Simulated gateways send gossip about their customers: more messages arrive than without them.
-	few, many := all[0].Control.InMessagesPerSecond.Min, all[1].Control.InMessagesPerSecond.Min
+	few, many := all[0].ControlPhase.InMessagesPerSecond.Min, all[1].ControlPhase.InMessagesPerSecond.Min
 	if many <= few {
 		t.Errorf("%g messages per second with simulated gateways, %g without", many, few)
 	}
@@ -112,13 +112,15 @@
 		t.Errorf("size %g: latency added %+v, without a gateway %+v, %d served",
 			r.Size, r.Added, r.Baseline, r.Answers.Served)
 	}
-	phases := map[string]*results.PhaseUsage{"idle": r.Idle, "control": r.Control, "load": r.Load}
+	phases := map[string]*results.PhaseUsage{
+		"idle": r.IdlePhase, "control": r.ControlPhase, "load": r.LoadPhase,
+	}
 	for name, usage := range phases {
 		if usage.CPUPercent.Min <= 0 || usage.ResidentMB.Min <= 0 || usage.PeakMB.Min < usage.ResidentMB.Min {
 			t.Errorf("size %g: %s: %+v", r.Size, name, usage)
 		}
 	}
-	if c := r.Control; c.InKBPerSecond.Min <= 0 || c.OutKBPerSecond.Min <= 0 ||
+	if c := r.ControlPhase; c.InKBPerSecond.Min <= 0 || c.OutKBPerSecond.Min <= 0 ||
 		c.OutMessagesPerSecond.Min <= 0 {
 		t.Errorf("size %g: no control traffic was counted: %+v", r.Size, c)
 	}
