--- a/scale/internal/model/catalog.go
+++ b/scale/internal/model/catalog.go
@@ -11,10 +11,10 @@
 	"sparspread/policy"
 )
 
-// Phase is what discovery says of a backend.
+// Phase is the state of a backend in discovery.
 type Phase string
 
-// The phases of a backend, as discovery writes them.
+// The phases of a backend, as discovery encodes them.
 const (
 	PhaseReady       Phase = "Ready"
 	PhaseTerminating Phase = "Terminating"
@@ -24,31 +24,31 @@
 const (
 	zones          = 10 // five in each of two regions
 	zonesPerRegion = 5
-	cellSize       = 8 // backends of one cell
+	cellSize       = 8 // backends per cell
 )
 
-// Catalog is the list of backends that discovery holds. Backends are named by their index. It is safe for
-// concurrent use.
+// Catalog is discovery's list of backends. Backends are identified by their index. It is safe for concurrent
+// use.
 type Catalog struct {
 	port int
 
-	mu                   sync.Mutex    // guards all below
+	mu                   sync.Mutex    // guards the fields below
 	phases               []Phase       // by backend
-	lastChange           []uint64      // by backend: the revision of its last change
+	lastChange           []uint64      // by backend, the revision of its last change
 	changedAt            []time.Time   // by revision
-	changeLog            []phaseChange // every change, in the order of revisions
-	nextChange           chan struct{} // closed with the next change
-	completeList         []byte        // as of completeListRevision
+	changeLog            []phaseChange // all changes, in order of revision
+	nextChange           chan struct{} // closed on the next change
+	completeList         []byte        // the encoded list at completeListRevision
 	completeListRevision uint64
 }
 
-// phaseChange is one backend's change.
+// phaseChange records that a backend's phase changed.
 type phaseChange struct {
 	revision uint64
 	backend  int
 }
 
-// NewCatalog returns a list of ready backends that all listen on one port. It begins with revision 1.
+// NewCatalog returns a catalog of ready backends that all listen on the given port. Its first revision is 1.
 func NewCatalog(backends, port int) *Catalog {
 	c := &Catalog{
 		port: port, phases: make([]Phase, backends), lastChange: make([]uint64, backends),
@@ -60,40 +60,41 @@
 	return c
 }
 
-// BackendAddress returns the loopback address of a backend, which no other backend has.
+// BackendAddress returns the loopback address of a backend. Each backend has its own.
 func BackendAddress(backend int) string {
 	low := uint16(backend)
 	return fmt.Sprintf("127.%d.%d.%d", firstAddressByte+backend>>lowBits, low>>byteBits, byte(low))
 }
 
-// BackendAt returns the backend with an address of four bytes.
+// BackendAt returns the backend with the given IPv4 address of four bytes.
 func BackendAt(ip []byte) int {
 	return int(ip[1]-firstAddressByte)<<lowBits | int(binary.BigEndian.Uint16(ip[2:]))
 }
 
 const (
-	// firstAddressByte is the second byte of the first backend's address: those below are for gateways.
+	// firstAddressByte is the second byte of the first backend's address. Lower values are reserved for
+	// gateways.
 	firstAddressByte = 16
-	// lowBits is how many bits of a backend's index are in the last two bytes of its address.
+	// lowBits is the number of low bits of a backend's index that the last two bytes of its address hold.
 	lowBits  = 16
 	byteBits = 8
 )
 
-// zoneName is the name of a zone in discovery's list and in the settings.
+// zoneName returns the name of a zone in discovery's list and in the settings.
 func zoneName(zone int) string {
 	return fmt.Sprintf("r%d-z%d", zone/zonesPerRegion+1, zone%zonesPerRegion+1)
 }
 
-// zoneOf is the number of a backend's zone.
+// zoneOf returns the number of a backend's zone.
 func zoneOf(backend int) int { return backend % zones }
 
-// cellOf is the number of a backend's cell, all of which is in one zone.
+// cellOf returns the number of a backend's cell. All backends of a cell are in one zone.
 func cellOf(backend int) int { return zoneOf(backend) + zones*(backend/(cellSize*zones)) }
 
 // revision returns the newest revision. The caller holds mu.
 func (c *Catalog) revision() uint64 { return uint64(len(c.changedAt) - 1) }
 
-// SetPhase gives backends another phase from now on.
+// SetPhase sets the phase of the given backends in a new revision.
 func (c *Catalog) SetPhase(backends []int, phase Phase) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -106,7 +107,7 @@
 	c.nextChange = make(chan struct{})
 }
 
-// CompleteList returns the complete list as discovery sends it. The caller must not change it.
+// CompleteList returns the complete list in discovery's encoding. The caller must not modify it.
 func (c *Catalog) CompleteList() []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -122,15 +123,15 @@
 	return c.completeList
 }
 
-// ChangesAfter returns what changed after a revision as discovery sends it and, where nothing did, a channel
-// that is closed with the next change.
+// ChangesAfter returns the changes after a revision in discovery's encoding. If there are none, it also
+// returns a channel that is closed on the next change; otherwise the channel is nil.
 func (c *Catalog) ChangesAfter(revision uint64) (body []byte, changed <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	first := sort.Search(len(c.changeLog), func(i int) bool { return c.changeLog[i].revision > revision })
 	list := newListWriter(c.revision(), false)
 	for _, entry := range c.changeLog[first:] {
-		if c.lastChange[entry.backend] == entry.revision { // else it has changed again since
+		if c.lastChange[entry.backend] == entry.revision { // otherwise a later entry supersedes this one
 			c.appendEntry(list, entry.backend)
 		}
 	}
@@ -140,7 +141,8 @@
 	return list.finish(), changed
 }
 
-// NotReadyDuration returns how long a backend has not been ready, 0 for a ready one.
+// NotReadyDuration returns the time since the last phase change of a backend that is not ready. It is 0 if
+// the backend is ready, and positive otherwise.
 func (c *Catalog) NotReadyDuration(backend int, now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -150,7 +152,7 @@
 	return max(1, now.Sub(c.changedAt[c.lastChange[backend]]))
 }
 
-// Endpoints returns the backends, all ready, as package policy takes them.
+// Endpoints returns all backends as ready endpoints of package policy, whatever their phase.
 func (c *Catalog) Endpoints() []policy.Endpoint {
 	list := make([]policy.Endpoint, len(c.phases))
 	for i := range list {
@@ -159,14 +161,14 @@
 	return list
 }
 
-// Endpoint returns a ready backend as package policy takes it.
+// Endpoint returns a backend as a ready endpoint of package policy.
 func Endpoint(backend int) policy.Endpoint {
 	return policy.Endpoint{
 		ID: uint32(backend), Zone: zoneOf(backend), Cell: cellOf(backend), CapacityHint: 1,
 	}
 }
 
-// State returns the phase as package policy takes it.
+// State returns the endpoint state of package policy that corresponds to the phase.
 func (p Phase) State() policy.EndpointState {
 	switch p {
 	case PhaseTerminating:
@@ -178,7 +180,7 @@
 	return policy.EndpointReady
 }
 
-// appendEntry appends a backend's entry to a list. The caller holds mu.
+// appendEntry appends a backend's entry to the list. The caller holds mu.
 func (c *Catalog) appendEntry(list *listWriter, backend int) {
 	list.beginEntry()
 	const format = `{"id":"s-%08x","host_port":"%s:%d","locality":"%s","flavor":"m2",` +
@@ -187,20 +189,20 @@
 		cellOf(backend), c.phases[backend])
 }
 
-// listWriter writes a list in discovery's form.
+// listWriter encodes a list of backends as discovery does.
 type listWriter struct {
 	body  bytes.Buffer
 	empty bool
 }
 
-// newListWriter begins a list.
+// newListWriter returns a writer that has written the head of a list.
 func newListWriter(revision uint64, complete bool) *listWriter {
 	list := &listWriter{empty: true}
 	fmt.Fprintf(&list.body, `{"revision":%d,"complete":%t,"members":[`, revision, complete)
 	return list
 }
 
-// beginEntry begins an entry.
+// beginEntry writes the separator before an entry, except before the first one.
 func (l *listWriter) beginEntry() {
 	if !l.empty {
 		l.body.WriteByte(',')
@@ -208,7 +210,7 @@
 	l.empty = false
 }
 
-// finish ends the list and returns it.
+// finish writes the end of the list and returns the encoded list.
 func (l *listWriter) finish() []byte {
 	l.body.WriteString("]}")
 	return l.body.Bytes()
--- a/scale/internal/model/customers.go
+++ b/scale/internal/model/customers.go
@@ -2,16 +2,16 @@
 
 import "math/rand/v2"
 
-// Plan is what customers of one kind have bought, in units and units per second.
+// Plan is a customer plan. Rates are in units per second, bursts and slack in units.
 type Plan struct {
 	Name                                    string
 	Rate, Burst                             float64
 	CeilingRate, CeilingBurst, CeilingSlack float64
 }
 
-// The plans. Most customers ask for far less than their plan allows, those of the capped plan for more. The
-// capped plan's buckets are so large that an even share of them still holds a request where some gateways of
-// a replica set are silent.
+// The plans. Customers of the team plan send far less than their plan allows, those of the capped plan more.
+// The capped plan's buckets are large enough that an even share of one still holds a request if some gateways
+// of a replica set are unresponsive.
 var (
 	TeamPlan   = Plan{Name: "team", Rate: teamRate, Burst: teamBurst}
 	CappedPlan = Plan{
@@ -20,7 +20,7 @@
 	}
 )
 
-// What the plans grant, in units and units per second.
+// The rates of the plans in units per second, and their bursts in units.
 const (
 	teamRate          = 60
 	teamBurst         = 97
@@ -30,14 +30,15 @@
 )
 
 const (
-	// cappedShare is the part of the requests that customers of the capped plan send.
+	// cappedShare is the fraction of requests sent by customers of the capped plan.
 	cappedShare = 0.2
-	// customersPerGateway is how many customers have the same first gateway: 390,000 customers in a tier of
-	// 6,500.
+	// customersPerGateway is the number of customers with the same first gateway: a tier of 6,500 gateways
+	// has 390,000 customers.
 	customersPerGateway = 60
 )
 
-// Customer is who sends a request. Its replica set is a row of gateways.
+// Customer is the sender of a request. Its replica set consists of consecutive gateways, the first of which
+// is FirstReplica.
 type Customer struct {
 	ID                     uint64
 	FirstReplica, Replicas int
@@ -52,17 +53,17 @@
 	return TeamPlan
 }
 
-// Demand draws the senders of the requests that reach one gateway: customers whose replica sets hold it, each
-// of which is as likely to call at any gateway of its set. It is not safe for concurrent use.
+// Demand draws the senders of the requests at one gateway from the customers whose replica sets contain it. A
+// customer is equally likely to use any gateway of its replica set. Demand is not safe for concurrent use.
 type Demand struct {
 	Gateway       int   // the gateway's number in the tier
-	TierSize      int   // gateways in the tier
-	ReplicaCounts []int // one for each kind of customer
+	TierSize      int   // the number of gateways in the tier
+	ReplicaCounts []int // the sizes of replica sets, one for each kind of customer
 	Rand          *rand.Rand
 }
 
-// Draw returns the sender of the next request. The first few of the customers with the same first gateway,
-// one for each replica count, are on the capped plan.
+// Draw returns the sender of the next request. Among the customers with the same first gateway, the first
+// ones, one for each replica count, are on the capped plan.
 func (d *Demand) Draw() Customer {
 	kinds := len(d.ReplicaCounts)
 	index := kinds + d.Rand.IntN(customersPerGateway-kinds)
@@ -77,7 +78,7 @@
 	}
 }
 
-// IsCapped reports whether the customer with an ID is on the capped plan.
+// IsCapped reports whether the customer with the given ID is on the capped plan.
 func IsCapped(id uint64, replicaCounts []int) bool {
 	return id%customersPerGateway < uint64(len(replicaCounts))
 }
--- a/scale/internal/model/errors.go
+++ b/scale/internal/model/errors.go
@@ -6,25 +6,25 @@
 	"fmt"
 )
 
-// What is wrong with a key that has no value to state.
+// Errors of keys that have no value to report.
 var (
 	errMissing    = errors.New("missing")
-	errUnknownKey = errors.New("no such key")
+	errUnknownKey = errors.New("unknown key")
 )
 
-// KeyError says what is wrong with one key of an experiment, or of the command line that runs it.
+// KeyError reports the invalid value of a key in an experiment file, or of a flag of the command line.
 type KeyError struct {
 	Key      string
-	Value    string // as it is written, or what it comes to
-	Expected string // what would be right
+	Value    string // as written in the file, or computed from it
+	Expected string // the values that are allowed
 }
 
-// Error names the key, its value and what is wanted.
+// Error returns the key, its value and the values that are allowed.
 func (e *KeyError) Error() string {
-	return fmt.Sprintf("%s: %s, %s wanted", e.Key, e.Value, e.Expected)
+	return fmt.Sprintf("%s: %s: expected %s", e.Key, e.Value, e.Expected)
 }
 
-// CheckRange returns a *KeyError unless a value is from lowest to highest.
+// CheckRange returns a *KeyError unless lowest <= value <= highest.
 func CheckRange[T cmp.Ordered](key string, value, lowest, highest T) error {
 	if value >= lowest && value <= highest {
 		return nil
@@ -32,16 +32,16 @@
 	return keyError(key, value, fmt.Sprintf("%v to %v", lowest, highest))
 }
 
-// checkPositive returns a *KeyError unless a value is above 0 and up to highest.
+// checkPositive returns a *KeyError unless 0 < value <= highest.
 func checkPositive[T cmp.Ordered](key string, value, highest T) error {
 	var zero T
 	if value > zero && value <= highest {
 		return nil
 	}
-	return keyError(key, value, fmt.Sprintf("above 0 and up to %v", highest))
+	return keyError(key, value, fmt.Sprintf("above 0 and at most %v", highest))
 }
 
-// keyError is the error of a key whose value is a number or a time.
+// keyError returns a *KeyError with the formatted value.
 func keyError(key string, value any, wanted string) error {
 	return &KeyError{Key: key, Value: fmt.Sprint(value), Expected: wanted}
 }
--- a/scale/internal/model/experiment.go
+++ b/scale/internal/model/experiment.go
@@ -11,21 +11,21 @@
 	"github.com/BurntSushi/toml"
 )
 
-// The axes: what grows from size to size while all else stays as it is.
+// The axes of experiments. The runs of an experiment differ in the size on one axis only.
 const (
 	AxisBackends = "backends" // backends in discovery's list
-	AxisGateways = "gateways" // live gateways in the tier, simulated ones included
-	AxisChanges  = "changes"  // backends whose phase changes, per second
+	AxisGateways = "gateways" // running gateways, including the simulated ones
+	AxisChanges  = "changes"  // phase changes of backends, per second
 	AxisRequests = "requests" // requests per second at each real gateway
 )
 
-// What the configuration of a gateway holds as the last known list.
+// The last known list of backends in a gateway's configuration.
 const (
-	LastKnownComplete = "list"  // all backends
-	LastKnownEmpty    = "empty" // none
+	LastKnownComplete = "list"  // the complete list
+	LastKnownEmpty    = "empty" // no backends
 )
 
-// Point is the size of everything in one run.
+// Point holds the sizes on all axes in one run.
 type Point struct {
 	Backends          int     `toml:"backends" json:"backends"`
 	Gateways          int     `toml:"gateways" json:"gateways"`
@@ -67,12 +67,12 @@
 	TimedChanges int `toml:"steps"`
 }
 
-// The bounds of an experiment, which shares its machine with others.
+// The limits of an experiment, because it shares its machine with other work.
 const (
 	maxSizes             = 10
 	maxRepeats           = 10
 	maxRealGateways      = 24
-	maxGateways          = 8_000 // each simulated one holds a socket
+	maxGateways          = 8_000 // each simulated gateway uses a socket
 	minBackends          = 2
 	maxBackends          = 120_000
 	maxRequestsPerSecond = 2_000.0
@@ -81,14 +81,14 @@
 	maxTimedChanges      = 20
 	maxReplicaCounts     = 10
 
-	minBackendsPerChange = 2 // at least, for a change a second
+	minBackendsPerChange = 2 // backends for a rate of one change per second
 )
 
-// What an experiment has where its file does not state it.
+// The defaults for keys that an experiment file omits.
 const (
 	defaultRepeats                    = 1
 	defaultRealGateways               = 4
-	defaultSimulatedRequestsPerSecond = 1 // a second
+	defaultSimulatedRequestsPerSecond = 1
 	defaultServiceTime                = 10 * time.Millisecond
 	defaultMemoryMB                   = 256
 	defaultTimedChanges               = 3
@@ -97,24 +97,25 @@
 	defaultLoad                       = 5 * time.Second
 
 	defaultBackends          = 46
-	defaultChangesPerSecond  = 1  // a second
-	defaultRequestsPerSecond = 86 // a second, at each real gateway
+	defaultChangesPerSecond  = 1
+	defaultRequestsPerSecond = 86 // at each real gateway
 )
 
-// defaultReplicaCounts are the sizes of replica sets where an experiment states none.
+// defaultReplicaCounts are the sizes of replica sets if an experiment file omits them.
 var defaultReplicaCounts = []int{2, 3, 4}
 
-// defaultBase is the tier of today: what an experiment does not state of its base.
+// defaultBase holds the sizes of the present tier. They apply to the keys of the base that an
+// experiment file omits.
 var defaultBase = Point{
 	Backends: defaultBackends, Gateways: defaultRealGateways,
 	ChangesPerSecond: defaultChangesPerSecond, RequestsPerSecond: defaultRequestsPerSecond,
 }
 
-// quotaRequestTimeout is how long a real gateway waits for a coordinator's answer under the settings:
-// simulated gateways that are later than that no longer stand for real ones.
+// quotaRequestTimeout is the time for which a real gateway waits for a coordinator's answer under the
+// settings. Simulated gateways with a longer delay do not behave like real ones.
 const quotaRequestTimeout = 100 * time.Millisecond
 
-// ReadExperiment reads and checks an experiment file. Its errors name the key that is wrong.
+// ReadExperiment reads and validates an experiment file. An error names the key that is invalid.
 func ReadExperiment(path string) (*Experiment, error) {
 	e := &Experiment{
 		Repeats: defaultRepeats, RealGateways: defaultRealGateways, LastKnownList: LastKnownComplete,
@@ -139,7 +140,7 @@
 	return e, nil
 }
 
-// check returns a *KeyError for the first key with which nothing can be run.
+// check returns an error for the first invalid key, or nil.
 func (e *Experiment) check() error {
 	if err := cmp.Or(e.checkSeries(), e.checkParameters(), e.checkPhases()); err != nil {
 		return err
@@ -156,7 +157,7 @@
 	return nil
 }
 
-// checkSeries checks what the runs are.
+// checkSeries checks the name, the sizes, their labels and the number of repeats.
 func (e *Experiment) checkSeries() error {
 	if e.Name == "" {
 		return fmt.Errorf("name: %w", errMissing)
@@ -166,12 +167,12 @@
 	}
 	if len(e.Labels) > 0 && len(e.Labels) != len(e.Sizes) {
 		value := fmt.Sprintf("%d for %d sizes", len(e.Labels), len(e.Sizes))
-		return keyError("labels", value, "one for each or none")
+		return keyError("labels", value, "one for each size, or none")
 	}
 	return CheckRange("repeats", e.Repeats, 1, maxRepeats)
 }
 
-// checkParameters checks what all runs have in common.
+// checkParameters checks the parameters that all runs share.
 func (e *Experiment) checkParameters() error {
 	return cmp.Or(
 		CheckRange("real", e.RealGateways, 1, maxRealGateways),
@@ -184,7 +185,7 @@
 	)
 }
 
-// checkLastKnownList checks the word for the last known list.
+// checkLastKnownList checks the kind of last known list.
 func (e *Experiment) checkLastKnownList() error {
 	if e.LastKnownList == LastKnownComplete || e.LastKnownList == LastKnownEmpty {
 		return nil
@@ -192,7 +193,8 @@
 	return keyError("known", strconv.Quote(e.LastKnownList), LastKnownComplete+" or "+LastKnownEmpty)
 }
 
-// checkMemory checks the memory limit. The machine bounds it, which the run watches.
+// checkMemory checks the memory limit. It has no maximum here because the run monitors the memory of the
+// machine.
 func (e *Experiment) checkMemory() error {
 	if e.MemoryMB >= 1 {
 		return nil
@@ -200,7 +202,7 @@
 	return keyError("memory_mb", e.MemoryMB, "above 0")
 }
 
-// checkPhases checks the lengths of the phases and the delay that is allowed in them.
+// checkPhases checks the lengths of the phases and the longest delay allowed in them.
 func (e *Experiment) checkPhases() error {
 	return cmp.Or(
 		checkPositive("idle", e.IdlePhase, maxPhase),
@@ -223,32 +225,32 @@
 	}
 	for _, count := range e.ReplicaCounts {
 		if count < 1 || count > tier {
-			return keyError("spreads", count, fmt.Sprintf("1 to the tier's %d", tier))
+			return keyError("spreads", count, fmt.Sprintf("1 to %d, the size of the tier", tier))
 		}
 	}
 	return nil
 }
 
-// checkGateways checks the number of live gateways, the real ones among them.
+// checkGateways checks the number of running gateways, which includes the real ones.
 func (e *Experiment) checkGateways(p Point, tier int) error {
 	if p.Gateways >= e.RealGateways && p.Gateways <= maxGateways && p.Gateways <= tier {
 		return nil
 	}
-	wanted := fmt.Sprintf("at least the real %d and up to the tier's %d and %d",
+	expected := fmt.Sprintf("at least %d (real gateways), at most %d (size of the tier) and at most %d",
 		e.RealGateways, tier, maxGateways)
-	return keyError("gateways", p.Gateways, wanted)
+	return keyError("gateways", p.Gateways, expected)
 }
 
-// checkChanges checks the rate of changes: the backends that change at a time have to be ready before.
+// checkChanges checks the rate of phase changes: there must be enough ready backends to drain at a time.
 func checkChanges(p Point) error {
 	if p.ChangesPerSecond > 0 && p.ChangesPerSecond <= float64(p.Backends)/minBackendsPerChange {
 		return nil
 	}
 	return keyError("changes", p.ChangesPerSecond,
-		fmt.Sprintf("above 0 and up to half of %d backends", p.Backends))
+		fmt.Sprintf("above 0 and at most half of %d backends", p.Backends))
 }
 
-// TierSize returns how many gateways the settings name at a point.
+// TierSize returns the number of gateways in the settings at a point.
 func (e *Experiment) TierSize(p Point) int {
 	if e.ConfiguredTierSize > 0 {
 		return e.ConfiguredTierSize
@@ -256,7 +258,7 @@
 	return p.Gateways
 }
 
-// PointAt returns the sizes of everything in the run with the given index of Sizes.
+// PointAt returns the sizes on all axes in the run with the given index into Sizes.
 func (e *Experiment) PointAt(i int) (Point, error) {
 	p, size := e.Base, e.Sizes[i]
 	isWhole := size == math.Trunc(size)
@@ -273,13 +275,13 @@
 	case AxisRequests:
 		p.RequestsPerSecond = size
 	default:
-		wanted := fmt.Sprintf("%s, %s, %s or %s", AxisBackends, AxisGateways, AxisChanges, AxisRequests)
-		return p, keyError("axis", strconv.Quote(e.Axis), wanted)
+		expected := fmt.Sprintf("%s, %s, %s or %s", AxisBackends, AxisGateways, AxisChanges, AxisRequests)
+		return p, keyError("axis", strconv.Quote(e.Axis), expected)
 	}
 	return p, nil
 }
 
-// Label returns the label of the size with the given index, empty where there is none.
+// Label returns the label of the size with the given index. It is empty if the size has none.
 func (e *Experiment) Label(i int) string {
 	if len(e.Labels) > 0 {
 		return e.Labels[i]
--- a/scale/internal/model/model.go
+++ b/scale/internal/model/model.go
@@ -1,3 +1,3 @@
-// Package model describes what is run at full scale: experiments and the sizes of their runs, discovery's
+// Package model defines the inputs of the load bench: experiments and the sizes of their runs, discovery's
 // list of backends, customers and their plans, and the settings of gateways.
 package model
--- a/scale/internal/model/settings.go
+++ b/scale/internal/model/settings.go
@@ -10,13 +10,14 @@
 )
 
 const (
-	// ClientTimeout is how long clients wait for an answer.
+	// ClientTimeout is the time for which clients wait for an answer.
 	ClientTimeout = 4 * time.Second
-	// DrainGrace is how long a backend may still be sent requests after it began to drain.
+	// DrainGrace is the time for which gateways may still send requests to a backend after it started to
+	// drain.
 	DrainGrace = 500 * time.Millisecond
 )
 
-// The settings of the tier, beside the above.
+// Other settings of the tier.
 const (
 	minEventInterval = 2 * time.Millisecond
 
@@ -26,10 +27,10 @@
 	dialTimeout     = 250 * time.Millisecond
 	idleClose       = 15 * time.Second
 
-	gossipPerSecond = 40 // messages
+	gossipPerSecond = 40 // messages per second
 	maxCost         = 8  // units
 
-	slowStartFloor = 0.27 // of a backend's capacity, at its start
+	slowStartFloor = 0.27 // the share of its capacity that a backend starts with
 	slowStartTime  = 16 * time.Second
 	overloadFactor = 2.5
 	overloadWindow = 3 * time.Second
@@ -43,10 +44,10 @@
 	orderWeight      = 5
 )
 
-// settingsGroup is an object of the settings, by the keys of a real site.
+// settingsGroup is a JSON object of the settings, with the keys that real sites use.
 type settingsGroup map[string]any
 
-// SettingsJSON returns the settings of one gateway of a tier.
+// SettingsJSON returns the settings of one gateway of a tier as JSON.
 func SettingsJSON(tier, gateway int) json.RawMessage {
 	zoneNames := make([]string, zones)
 	for i := range zoneNames {
@@ -80,12 +81,12 @@
 		"tariffs": []settingsGroup{TeamPlan.settings(), CappedPlan.settings()},
 	})
 	if err != nil {
-		panic(fmt.Sprintf("settings: %v", err)) // plain values: none can fail
+		panic(fmt.Sprintf("settings: %v", err)) // unreachable: all values can be encoded
 	}
 	return body
 }
 
-// Settings returns the settings of one gateway of a tier as package policy takes them.
+// Settings returns the settings of one gateway of a tier, parsed for package policy.
 func Settings(tier, gateway int) (policy.Settings, error) {
 	parsed, _, err := settings.ParseJSON(SettingsJSON(tier, gateway))
 	if err != nil {
@@ -94,7 +95,7 @@
 	return parsed, nil
 }
 
-// classSettings are the settings of a class of requests.
+// classSettings returns the settings of a class of requests.
 func classSettings(name, idempotency string, priorityWeight float64) settingsGroup {
 	return settingsGroup{
 		"name": name, "promise-us": latencyObjective.Microseconds(),
@@ -103,7 +104,7 @@
 	}
 }
 
-// settings are the settings of a plan.
+// settings returns the settings of the plan.
 func (p Plan) settings() settingsGroup {
 	return settingsGroup{
 		"name": p.Name, "rate": p.Rate, "burst": p.Burst, "max-out": 0, "value-factor": 1,
--- a/scale/internal/results/result.go
+++ b/scale/internal/results/result.go
@@ -66,8 +66,8 @@
 	MachinePercent          float64 `json:"machine_percent"`          // of all cores, used by all processes
 }
 
-// LongestSimulatedDelay returns the longest delay of a simulated gateway, in milliseconds. It is 0 if the phase
-// was not measured.
+// LongestSimulatedDelay returns the longest delay of a simulated gateway, in milliseconds. It is 0 if the
+// phase was not measured.
 func (u *PhaseUsage) LongestSimulatedDelay() float64 {
 	if u == nil {
 		return 0
--- a/scale/internal/simulated/gateway.go
+++ b/scale/internal/simulated/gateway.go
@@ -11,11 +11,11 @@
 	"sparspread/scale/internal/standin"
 )
 
-// gateway is one simulated gateway. It implements policy.Actions for its controller. All but conn belongs to
-// the worker's goroutine.
+// gateway is one simulated gateway. It implements policy.Actions for its controller. Only the worker's
+// goroutine may use the fields other than conn.
 type gateway struct {
 	worker        *worker
-	conn          *net.UDPConn // for gossip
+	conn          *net.UDPConn // sends and receives gossip
 	controller    *policy.Controller
 	demand        model.Demand
 	openRequests  map[uint64]*request
@@ -24,19 +24,19 @@
 
 var _ policy.Actions = (*gateway)(nil)
 
-// request is one that the gateway received.
+// request is a request that the gateway received and has not completed.
 type request struct {
 	customer         model.Customer
-	attemptsSent     int // made
-	attemptsInFlight int // of them
+	attemptsSent     int
+	attemptsInFlight int
 }
 
-// receiveRequest has a client's request arrive.
+// receiveRequest passes a new request of a randomly drawn customer to the controller.
 func (g *gateway) receiveRequest(now policy.Time) {
 	customer := g.demand.Draw()
 	g.lastRequestID++
 	g.openRequests[g.lastRequestID] = &request{customer: customer}
-	planIndex := 0 // in the settings: the team plan, then the capped one
+	planIndex := 0 // index in the settings: 0 is the team plan, 1 the capped plan
 	if customer.Capped {
 		planIndex = 1
 	}
@@ -48,8 +48,8 @@
 	})
 }
 
-// receiveGossip passes gossip on to the worker until the socket is closed. A full queue drops messages, as a
-// network does.
+// receiveGossip passes gossip messages to the worker until the socket is closed or the context is cancelled.
+// Messages are dropped if the worker's queue is full, as a network drops them under overload.
 func (g *gateway) receiveGossip(ctx context.Context) {
 	tier := g.worker.tier
 	buf := make([]byte, standin.MaxGossipSize+1)
@@ -77,7 +77,7 @@
 	}
 }
 
-// Send has an attempt answered after the service time.
+// Send schedules a successful answer to the attempt after the service time.
 func (g *gateway) Send(id uint64, backend uint32, _ policy.Time) (waiting bool) {
 	r, tier := g.openRequests[id], g.worker.tier
 	attempt := r.attemptsSent
@@ -97,46 +97,46 @@
 	return false
 }
 
-// removeIfIdle removes a request that is answered once none of its attempts is in flight.
+// removeIfIdle removes a request if none of its attempts is in flight.
 func (g *gateway) removeIfIdle(id uint64, r *request) {
 	if r.attemptsInFlight == 0 {
 		delete(g.openRequests, id)
 	}
 }
 
-// Reject ends a request.
+// Reject removes a rejected request if none of its attempts is in flight.
 func (g *gateway) Reject(id uint64, _ policy.Time) { g.Fail(id) }
 
-// Fail ends a request.
+// Fail removes a failed request if none of its attempts is in flight.
 func (g *gateway) Fail(id uint64) {
 	if r := g.openRequests[id]; r != nil {
 		g.removeIfIdle(id, r)
 	}
 }
 
-// SetTimer has the controller called at a time.
+// SetTimer schedules a call of the controller's TimerFired at the given time.
 func (g *gateway) SetTimer(at policy.Time, token uint32) {
 	g.worker.schedule(at, func() { g.controller.TimerFired(g.worker.tier.now(), token) })
 }
 
-// SendGossip sends a message to a peer.
+// SendGossip sends a gossip message to a peer: through its relay if the peer is a real gateway.
 func (g *gateway) SendGossip(peer int, message []byte) {
 	network := g.worker.tier.gossip
 	if relay := network.Relay(peer); relay != nil {
 		relay.Deliver(g.conn, message)
 		return
 	}
-	_, _ = g.conn.WriteToUDPAddrPort(message, network.Peers()[peer]) // gossip may be lost
+	_, _ = g.conn.WriteToUDPAddrPort(message, network.Peers()[peer]) // gossip tolerates lost messages
 }
 
-// HealthCheck does nothing: the settings do not allow health checks.
+// HealthCheck does nothing because the settings disable health checks.
 func (g *gateway) HealthCheck(uint32) {}
 
-// IncrementCounter does nothing: the settings do not allow the shared counter.
+// IncrementCounter does nothing because the settings disable the shared counter.
 func (g *gateway) IncrementCounter(uint64, float64, policy.Time) {}
 
-// WatchEndpoints does nothing: changes come through Tier.UpdateEndpoints unasked.
+// WatchEndpoints does nothing because Tier.UpdateEndpoints pushes all changes.
 func (g *gateway) WatchEndpoints() {}
 
-// Log drops the event: nobody is on call for a simulated gateway.
+// Log discards the event: the logs of simulated gateways have no reader.
 func (g *gateway) Log(string, ...slog.Attr) {}
--- a/scale/internal/simulated/tier.go
+++ b/scale/internal/simulated/tier.go
@@ -1,5 +1,5 @@
-// Package simulated runs gateways that consist of a policy.Controller and a socket for gossip, thousands in
-// one process. Their requests come from a random process and their attempts are answered after a fixed time.
+// Package simulated runs thousands of simulated gateways in one process. Each consists of a policy.Controller
+// and a gossip socket. Requests arrive as a Poisson process and attempts are answered after a fixed time.
 package simulated
 
 import (
@@ -16,15 +16,15 @@
 	"sparspread/scale/internal/standin"
 )
 
-// StartTime is the time over which the gateways start: started at one moment, all would send gossip at the
-// same moments from then on, as those of no tier do.
+// StartTime is the period over which the starts of the gateways are spread. Gateways that all started at once
+// would send gossip in lockstep from then on, which does not happen in a real tier.
 const StartTime = time.Second
 
-// maxWorkers is how many goroutines make the calls to the controllers, at most.
+// maxWorkers is the maximum number of goroutines that call the controllers.
 const maxWorkers = 6
 
-// Tier is a number of simulated gateways. Each belongs to a worker, whose goroutine makes all calls to its
-// controller.
+// Tier is a set of simulated gateways. Each belongs to a worker, whose goroutine makes all calls to the
+// gateway's controller.
 type Tier struct {
 	workers []*worker
 	gossip  *standin.GossipNetwork
@@ -34,25 +34,26 @@
 	gatewayByAddress map[netip.AddrPort]int
 
 	started     time.Time
-	startedUnix policy.Time // the same moment in microseconds
+	startedUnix policy.Time // started as Unix time in microseconds
 
-	requests      atomic.Int64 // that arrived at all gateways
-	gossipDropped atomic.Int64 // messages that found a worker's queue full
-	maxDelay      atomic.Int64 // microseconds by which a timer or a message was late
+	requests      atomic.Int64 // received by all gateways together
+	gossipDropped atomic.Int64 // messages dropped because a worker's queue was full
+	maxDelay      atomic.Int64 // microseconds by which a timer or message was handled late, at most
 }
 
-// Config says what a tier consists of.
+// Config is the configuration of a Tier.
 type Config struct {
-	GatewayNumbers []int // of the simulated gateways
+	GatewayNumbers []int // the tier-wide numbers of the simulated gateways
 	Endpoints      []policy.Endpoint
 	Settings       func(gateway int) (policy.Settings, error)
 	ServiceTime    time.Duration
 	ReplicaCounts  []int
-	Gossip         *standin.GossipNetwork // which gets the gateways' addresses
+	Gossip         *standin.GossipNetwork // New registers the gateways' addresses in it
 	Audit          *standin.CeilingAudit
 }
 
-// New returns a tier whose gateways wait for Run. Close is called in any case where there is no error.
+// New returns a tier whose gateways start when Run is called. The caller must call Close unless New returns
+// an error.
 func New(c Config) (*Tier, error) {
 	t := &Tier{
 		gossip: c.Gossip, audit: c.Audit, gatewayByAddress: map[netip.AddrPort]int{},
@@ -77,7 +78,7 @@
 	return t, nil
 }
 
-// addGateway makes a gateway that belongs to a worker.
+// addGateway creates a gateway and assigns it to a worker.
 func (t *Tier) addGateway(c Config, w *worker, number int) error {
 	conn, err := loopback.ListenUDP(loopback.GatewayHost(loopback.SimulatedBlock, number).String())
 	if err != nil {
@@ -101,16 +102,17 @@
 	return err
 }
 
-// now returns the time as controllers take it.
+// now returns the current Unix time in microseconds, from a monotonic clock.
 func (t *Tier) now() policy.Time { return t.startedUnix + time.Since(t.started).Microseconds() }
 
-// Run starts all gateways, which work until the context ends and then are waited for.
+// Run starts all gateways, which run until the context is cancelled. The returned function waits until all
+// workers have stopped.
 func (t *Tier) Run(ctx context.Context) (wait func()) {
 	var workers sync.WaitGroup
 	for _, w := range t.workers {
 		workers.Go(func() { w.run(ctx) })
 		for _, g := range w.gateways {
-			go g.receiveGossip(ctx) // until Close
+			go g.receiveGossip(ctx) // ends when Close closes the socket
 		}
 	}
 	return workers.Wait
@@ -125,14 +127,14 @@
 	}
 }
 
-// SetDemand sets how many requests per second arrive at each gateway from now on.
+// SetDemand sets the mean rate of requests at each gateway, in requests per second.
 func (t *Tier) SetDemand(perGateway float64) {
 	for _, w := range t.workers {
 		w.milliRequestsPerSecond.Store(int64(perGateway * milliPerUnit * float64(len(w.gateways))))
 	}
 }
 
-// UpdateEndpoints gives all gateways the entries of the list that changed.
+// UpdateEndpoints sends the changed endpoints to all gateways as an incremental update.
 func (t *Tier) UpdateEndpoints(changed []policy.Endpoint) {
 	for _, w := range t.workers {
 		w.queue <- func() {
@@ -143,18 +145,18 @@
 	}
 }
 
-// Requests returns how many requests arrived at all gateways.
+// Requests returns the number of requests that all gateways together have received.
 func (t *Tier) Requests() int64 { return t.requests.Load() }
 
-// GossipDropped returns how many messages found a worker's queue full.
+// GossipDropped returns the number of gossip messages dropped because a worker's queue was full.
 func (t *Tier) GossipDropped() int64 { return t.gossipDropped.Load() }
 
-// ResetMaxDelay returns by how much a timer or a message was late at most since the last call.
+// ResetMaxDelay returns the longest delay of a timer or message since the last call, and resets it to 0.
 func (t *Tier) ResetMaxDelay() time.Duration {
 	return time.Duration(t.maxDelay.Swap(0)) * time.Microsecond
 }
 
-// recordDelay records by how much something was late.
+// recordDelay raises the maximum delay to the given delay, in microseconds, if that is longer.
 func (t *Tier) recordDelay(delay policy.Time) {
 	for {
 		highest := t.maxDelay.Load()
--- a/scale/internal/simulated/worker.go
+++ b/scale/internal/simulated/worker.go
@@ -12,25 +12,26 @@
 
 const (
 	queueLength           = 1 << 14
-	maxCallsPerTimer      = 64     // calls from the queue between two timers
-	demandPollInterval    = 10_000 // microseconds between two looks for demand where there is none
-	microsecondsPerSecond = 1e6    // in a second
-	milliPerUnit          = 1000   // thousandths in one
+	maxCallsPerTimer      = 64     // queued calls made after each timer
+	demandPollInterval    = 10_000 // microseconds between checks for demand while the request rate is 0
+	microsecondsPerSecond = 1e6
+	milliPerUnit          = 1000
 )
 
-// worker owns some of the gateways. All but its queue and its rate belongs to the goroutine of run.
+// worker owns some of the gateways. Only the goroutine of run may use the fields other than queue and
+// milliRequestsPerSecond.
 type worker struct {
 	tier        *Tier
 	gateways    []*gateway
-	queue       chan func() // calls that others make
+	queue       chan func() // calls submitted by other goroutines
 	timers      timerHeap
 	serviceTime policy.Time
 	rand        *rand.Rand
 
-	milliRequestsPerSecond atomic.Int64 // at all of its gateways together
+	milliRequestsPerSecond atomic.Int64 // mean rate at all of its gateways together
 }
 
-// newWorker returns a worker without gateways, with a fixed seed.
+// newWorker returns a worker without gateways. The index seeds its random source.
 func newWorker(t *Tier, index int, serviceTime time.Duration) *worker {
 	return &worker{
 		tier: t, queue: make(chan func(), queueLength), serviceTime: serviceTime.Microseconds(),
@@ -38,7 +39,8 @@
 	}
 }
 
-// scheduleStart gives each gateway the list, at moments spread over StartTime, and then begins the requests.
+// scheduleStart schedules the first endpoint update of each gateway, spread evenly over StartTime, and the
+// start of requests after it.
 func (w *worker) scheduleStart(endpoints []policy.Endpoint) {
 	now := w.tier.now()
 	count := policy.Time(len(w.gateways))
@@ -50,12 +52,13 @@
 	w.schedule(now+StartTime.Microseconds(), w.generateRequest)
 }
 
-// schedule has a function called at a time.
+// schedule schedules a call at the given time.
 func (w *worker) schedule(when policy.Time, call func()) {
 	w.timers.add(timer{when: when, call: call})
 }
 
-// generateRequest has a request arrive at one of the gateways and draws the time of the next.
+// generateRequest sends a request to a random gateway of the worker and schedules the next one after an
+// exponentially distributed interval.
 func (w *worker) generateRequest() {
 	now, rate := w.tier.now(), float64(w.milliRequestsPerSecond.Load())/milliPerUnit
 	if rate == 0 {
@@ -66,7 +69,7 @@
 	w.schedule(now+policy.Time(w.rand.ExpFloat64()/rate*microsecondsPerSecond), w.generateRequest)
 }
 
-// run makes the calls of timers and of the queue until the context ends.
+// run makes the scheduled and queued calls until the context is cancelled.
 func (w *worker) run(ctx context.Context) {
 	wake := time.NewTimer(time.Hour)
 	defer wake.Stop()
@@ -78,7 +81,7 @@
 			}
 			w.tier.recordDelay(w.tier.now() - expired.when)
 			expired.call()
-			w.runQueued() // so that neither keeps the other waiting for long
+			w.runQueued() // interleaved so that timers and queue do not starve each other
 			if ctx.Err() != nil {
 				return
 			}
@@ -96,7 +99,7 @@
 	}
 }
 
-// runQueued makes the calls that wait in the queue, up to a bound.
+// runQueued makes up to maxCallsPerTimer queued calls.
 func (w *worker) runQueued() {
 	for range maxCallsPerTimer {
 		select {
@@ -108,7 +111,7 @@
 	}
 }
 
-// timer is a call to be made at a time.
+// timer is a call scheduled for a time.
 type timer struct {
 	when policy.Time
 	call func()
@@ -122,10 +125,10 @@
 func (h timerHeap) Less(i, j int) bool { return h[i].when < h[j].when }
 func (h timerHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
-// add adds a timer.
+// add inserts a timer into the heap.
 func (h *timerHeap) add(t timer) { heap.Push(h, t) }
 
-// popExpired removes the earliest timer if its time has come.
+// popExpired removes and returns the earliest timer if it is due.
 func (h *timerHeap) popExpired(now policy.Time) (timer, bool) {
 	if len(*h) == 0 || (*h)[0].when > now {
 		return timer{}, false
@@ -135,14 +138,14 @@
 	return earliest, true
 }
 
-// Push appends a timer, for package heap alone.
+// Push appends a timer. It is called by package heap only.
 func (h *timerHeap) Push(x any) {
 	if t, ok := x.(timer); ok { // add pushes nothing else
 		*h = append(*h, t)
 	}
 }
 
-// Pop removes the last timer, for package heap alone.
+// Pop removes the last timer. It is called by package heap only.
 func (h *timerHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
