--- a/scale/internal/model/experiment.go
+++ b/scale/internal/model/experiment.go
@@ -236,7 +236,7 @@
 	if p.Gateways >= e.RealGateways && p.Gateways <= maxGateways && p.Gateways <= tier {
 		return nil
 	}
-	expected := fmt.Sprintf("at least %d (real gateways), at most %d (size of the tier) and at most %d",
+	expected := fmt.Sprintf("at least %d (real gateways), at most %d (tier size) and %d",
 		e.RealGateways, tier, maxGateways)
 	return keyError("gateways", p.Gateways, expected)
 }
--- a/scale/internal/model/experiment_test.go
+++ b/scale/internal/model/experiment_test.go
@@ -24,8 +24,7 @@
 		{"no sizes", "sizes = [2, 6]", "sizes = []", "sizes: 0: expected 1 to 10"},
 		{
 			"fewer gateways than real", "sizes = [2, 6]", "sizes = [1, 6]",
-			"sizes[0]: gateways: 1: expected at least 2 (real gateways), " +
-				"at most 1 (size of the tier) and at most 8000",
+			"sizes[0]: gateways: 1: expected at least 2 (real gateways), at most 1 (tier size) and 8000",
 		},
 		{
 			"fractional number of gateways", "sizes = [2, 6]", "sizes = [2.5, 6]",
--- a/scale/internal/report/columns.go
+++ b/scale/internal/report/columns.go
@@ -2,15 +2,16 @@
 
 import "sparspread/scale/internal/results"
 
-// measurement is a cost that may grow with the size. The tables have a row for each.
+// measurement is a row of the tables: a cost that may grow with the size. The value function returns false if
+// the result does not contain the value.
 type measurement struct {
 	name  string
 	value func(*results.Result) (value float64, ok bool)
 }
 
-// measurements are printed in this order: of the gateways the median processor time and traffic and the
-// maximum of memory, of the changes the slowest. The names are those of the pages that quote the tables, and
-// call simulated gateways hollow.
+// measurements are the rows in the order of printing. Processor time and traffic are medians over the
+// gateways, memory is the maximum over the gateways, and the latency of changes is that of the slowest. The
+// names are fixed because documents quote the tables; they call simulated gateways "hollow".
 var measurements = []measurement{
 	sectionMeasurement("idle CPU %", idlePhase, medianCPU),
 	sectionMeasurement("control CPU %", controlPhase, medianCPU),
@@ -40,7 +41,8 @@
 	{"list bytes", ifPositive(func(r *results.Result) float64 { return float64(r.ListBytes) })},
 }
 
-// sectionMeasurement measures a section of a result, where the run got that far.
+// sectionMeasurement returns a measurement of a section of a result. It has no value if the run ended before
+// the section was measured.
 func sectionMeasurement[Section any](
 	name string, section func(*results.Result) *Section, value func(*Section) float64,
 ) measurement {
@@ -53,7 +55,7 @@
 	}}
 }
 
-// idlePhase and the functions below are the sections of a result, and values in them.
+// idlePhase and the functions below return sections of a result, or values of these sections.
 func idlePhase(r *results.Result) *results.PhaseUsage    { return r.IdlePhase }
 func controlPhase(r *results.Result) *results.PhaseUsage { return r.ControlPhase }
 func loadPhase(r *results.Result) *results.PhaseUsage    { return r.LoadPhase }
@@ -73,7 +75,8 @@
 func p50(l *results.AddedLatency) float64 { return l.P50MS }
 func p99(l *results.AddedLatency) float64 { return l.P99MS }
 
-// reloadMeasurement measures the reload. What it did not get to is 0.
+// reloadMeasurement returns a measurement of the reload. It has no value if the result has no reload or the
+// value is 0, which means that it was not measured.
 func reloadMeasurement(name string, value func(*results.ReloadResult) float64) measurement {
 	return measurement{name, ifPositive(func(r *results.Result) float64 {
 		if r.Reload == nil {
@@ -83,22 +86,22 @@
 	})}
 }
 
-// maxOf measures the maximum of values, where there are any.
+// maxOf returns a function for the maximum of the values. It has no value if there are none.
 func maxOf(values func(*results.Result) []float64) func(*results.Result) (float64, bool) {
 	return func(r *results.Result) (float64, bool) {
 		return results.Summarize(values(r)).Max, len(values(r)) > 0
 	}
 }
 
-// ifPositive measures a value that is 0 where it was not measured.
+// ifPositive returns a function that has no value if the given one returns 0, which means not measured.
 func ifPositive(value func(*results.Result) float64) func(*results.Result) (float64, bool) {
 	return func(r *results.Result) (float64, bool) { return value(r), value(r) > 0 }
 }
 
 func delayUnderLoad(r *results.Result) float64 { return r.LoadPhase.LongestSimulatedDelay() }
 
-// cpuPerRequest measures the gateways' processor time for a request, in microseconds: what the phase with
-// requests used beyond the one without.
+// cpuPerRequest returns the gateways' processor time per request, in microseconds: the usage of the load
+// phase beyond that of the control phase, which has no requests.
 func cpuPerRequest(r *results.Result) (float64, bool) {
 	if r.LoadPhase == nil || r.ControlPhase == nil || r.Answers.Sent == 0 {
 		return 0, false
@@ -108,13 +111,13 @@
 	return us, percent > 0
 }
 
-// countRow is a row with the sum of a count over the repeats.
+// countRow is a row of the tables with the sum of a count over the repeats.
 type countRow struct {
 	name  string
 	count func(*results.Result) int64
 }
 
-// countRows are printed in this order.
+// countRows are the rows of counts in the order of printing.
 var countRows = []countRow{
 	{"requests sent", func(r *results.Result) int64 { return int64(r.Answers.Sent) }},
 	{"served", func(r *results.Result) int64 { return int64(r.Answers.Served) }},
--- a/scale/internal/report/report.go
+++ b/scale/internal/report/report.go
@@ -1,4 +1,4 @@
-// Package report prints results as tables in Markdown, with the slopes of what grows.
+// Package report prints results as Markdown tables, with the slopes of power laws fitted to the measurements.
 package report
 
 import (
@@ -12,11 +12,11 @@
 )
 
 const (
-	slopeColumns       = 2   // the slope over all sizes, and that of the largest two
-	minThreeDigitValue = 100 // from which on a value has three digits before the point
+	slopeColumns       = 2   // the slope over all sizes, and over the two largest
+	minThreeDigitValue = 100 // values from here on have three digits before the decimal point
 )
 
-// Print prints a table for each experiment of the results, in the order in which they first come.
+// Print prints a table for each experiment in the results, in the order of their first results.
 func Print(out io.Writer, all []*results.Result) error {
 	var names []string
 	byName := map[string][]*results.Result{}
@@ -31,7 +31,7 @@
 		newTable(byName[name]).write(&b)
 	}
 	if _, err := io.WriteString(out, b.String()); err != nil {
-		return fmt.Errorf("writing the report: %w", err)
+		return fmt.Errorf("write report: %w", err)
 	}
 	return nil
 }
@@ -39,14 +39,14 @@
 // table is the report of one experiment.
 type table struct {
 	results []*results.Result
-	sizes   []float64 // from the smallest
+	sizes   []float64 // in ascending order
 	bySize  map[float64][]*results.Result
-	// extrapolate says that a column is worked out for the target, which did not run.
+	// extrapolate is true if the target size has no valid result, so that its column is extrapolated.
 	extrapolate bool
 	target      float64
 }
 
-// newTable sorts the results of one experiment by size.
+// newTable groups the results of one experiment by size.
 func newTable(all []*results.Result) *table {
 	t := &table{results: all, bySize: map[float64][]*results.Result{}, target: all[0].TargetSize}
 	for _, r := range all {
@@ -75,7 +75,7 @@
 	fmt.Fprintf(b, "Not checked: %s.\n\n", strings.Join(t.results[0].NotChecked, ", "))
 }
 
-// writeIntroduction writes what was run.
+// writeIntroduction writes the title and the parameters of the experiment.
 func (t *table) writeIntroduction(b *strings.Builder) {
 	first := t.results[0]
 	fmt.Fprintf(b, "## %s\n\nAxis: %s. %d real gateways, %s in the settings, known: %s, service %g ms. ",
@@ -86,7 +86,7 @@
 		strings.Join(t.revisions(), ", "))
 }
 
-// writeHeader writes the head of the table and how many repeats were run.
+// writeHeader writes the header of the table and the row with the numbers of valid repeats.
 func (t *table) writeHeader(b *strings.Builder) {
 	b.WriteString("| figure |")
 	for _, size := range t.sizes {
@@ -109,7 +109,7 @@
 	b.WriteString(" | |\n")
 }
 
-// tierSizes returns how many gateways the settings name.
+// tierSizes returns the number of gateways in the settings, as a range if it differs between results.
 func (t *table) tierSizes() string {
 	smallest, largest := t.results[0].TierSize, t.results[0].TierSize
 	for _, r := range t.results {
@@ -121,7 +121,7 @@
 	return fmt.Sprintf("%d to %d", smallest, largest)
 }
 
-// revisions are those of the programs that were run.
+// revisions returns the distinct revisions of the program in the results.
 func (t *table) revisions() []string {
 	var all []string
 	for _, r := range t.results {
@@ -132,7 +132,7 @@
 	return all
 }
 
-// columnHeading is the head of a size's column.
+// columnHeading returns the heading of a size's column.
 func columnHeading(ofSize []*results.Result, size float64) string {
 	if label := ofSize[0].Label; label != "" {
 		return fmt.Sprintf("%g (%s)", size, label)
@@ -140,7 +140,7 @@
 	return fmt.Sprintf("%g", size)
 }
 
-// countValid counts the valid results.
+// countValid returns the number of valid results.
 func countValid(ofSize []*results.Result) (n int) {
 	for _, r := range ofSize {
 		if r.Status == results.StatusRun {
@@ -150,8 +150,8 @@
 	return n
 }
 
-// writeMeasurement writes a measurement at each size. What a size gave before it was stopped, or while
-// simulated gateways were late, is marked with a star and counts for no slope.
+// writeMeasurement writes the row of a measurement. Values from runs that were stopped, or whose simulated
+// gateways were late, are marked with an asterisk and excluded from the slopes.
 func (t *table) writeMeasurement(b *strings.Builder, m measurement) {
 	var sizes, values []float64 // of the valid results
 	fmt.Fprintf(b, "| %s |", m.name)
@@ -179,7 +179,7 @@
 	}))
 }
 
-// measureSize measures the results of a size: those that are valid, and the others.
+// measureSize returns the values of a measurement in the valid results of a size, and in the others.
 func measureSize(m measurement, ofSize []*results.Result) (valid, other []float64) {
 	for _, r := range ofSize {
 		value, ok := m.value(r)
@@ -194,10 +194,10 @@
 	return valid, other
 }
 
-// notMeasured stands for a value that there is none of.
+// notMeasured is printed in place of a missing value.
 const notMeasured = "-"
 
-// formatIfMeasured returns a text, or the sign for what was not measured.
+// formatIfMeasured returns the result of text, or notMeasured if the value is missing.
 func formatIfMeasured(measured bool, text func() string) string {
 	if !measured {
 		return notMeasured
@@ -205,7 +205,8 @@
 	return text()
 }
 
-// formatSummary writes the minimum, the median and the maximum, or one value where all are the same.
+// formatSummary returns the minimum, median and maximum of the values, or one value if all are the same,
+// followed by the mark.
 func formatSummary(values []float64, mark string) string {
 	if len(values) == 0 {
 		return notMeasured
@@ -217,7 +218,7 @@
 	return fmt.Sprintf("%s / %s / %s%s", formatValue(s.Min), formatValue(s.Median), formatValue(s.Max), mark)
 }
 
-// formatValue writes a value with three significant digits, or to the unit.
+// formatValue formats a value with three significant digits, or as a whole number from 100 on.
 func formatValue(v float64) string {
 	if v >= minThreeDigitValue {
 		return fmt.Sprintf("%.0f", v)
@@ -225,7 +226,7 @@
 	return fmt.Sprintf("%.3g", v)
 }
 
-// writeCount writes the sum of a count at each size.
+// writeCount writes the row of a count, summed over the results of each size.
 func (t *table) writeCount(b *strings.Builder, row countRow) {
 	fmt.Fprintf(b, "| %s, sum |", row.name)
 	for _, size := range t.sizes {
@@ -241,7 +242,7 @@
 	b.WriteString(" | |\n")
 }
 
-// writeInvalidResults lists the results that are not valid, and why.
+// writeInvalidResults lists the results that are not valid, with the reasons.
 func (t *table) writeInvalidResults(b *strings.Builder) {
 	stopped := false
 	for _, r := range t.results {
--- a/scale/internal/report/slope.go
+++ b/scale/internal/report/slope.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	regressionParameters = 2 // of a line: its intercept and its exponent
-	extrapolationSizes   = 2 // from which a slope is extrapolated: the largest two
+	regressionParameters = 2 // intercept and exponent of a line
+	extrapolationSizes   = 2 // extrapolation uses the two largest sizes
 )
 
-// slope is how a measurement grows: as the size to the power of exponent, with exp(intercept) at size 1.
+// slope is a power law fitted to a measurement: exp(intercept) * size^exponent. In logarithms it is a line.
 type slope struct {
 	intercept, exponent float64
-	standardError       float64 // of the exponent; NaN where fewer than three points were fitted
+	standardError       float64 // of the exponent; NaN if fewer than three points were fitted
 	points              int
 }
 
-// valueAt returns the measurement that the slope gives for a size.
+// valueAt returns the value of the power law at a size.
 func (s slope) valueAt(size float64) float64 {
 	return math.Exp(s.intercept + s.exponent*math.Log(size))
 }
 
-// String returns the exponent as the tables have it.
+// String formats the exponent and its standard error for the tables.
 func (s slope) String() string {
 	if math.IsNaN(s.standardError) {
 		return fmt.Sprintf("%.2f (%d points)", s.exponent, s.points)
@@ -36,7 +36,8 @@
 	return fmt.Sprintf("%.2f ± %.2f (%d points)", s.exponent, s.standardError, s.points)
 }
 
-// fitSlope fits a line through the logarithms of the positive values. It needs two sizes.
+// fitSlope fits a line to the logarithms of the positive values. It returns false if these have fewer than
+// two distinct sizes.
 func fitSlope(sizes, values []float64) (slope, bool) {
 	var xs, ys []float64
 	for i, value := range values {
--- a/scale/internal/results/file.go
+++ b/scale/internal/results/file.go
@@ -9,13 +9,13 @@
 	"os"
 )
 
-// maxLineSize bounds what a malformed file makes the reader hold.
-const maxLineSize = 4 << 20 // bytes of one result
+// maxLineSize is the maximum size of one result in bytes. It limits the memory that a malformed file can use.
+const maxLineSize = 4 << 20
 
-// errNoResults says that a file has no results.
-var errNoResults = errors.New("none")
+// errNoResults reports that a file contains no results.
+var errNoResults = errors.New("no results in file")
 
-// Append writes a result as a line.
+// Append writes a result as one line of JSON.
 func Append(out io.Writer, r *Result) error {
 	line, err := json.Marshal(r)
 	if err != nil {
@@ -27,13 +27,13 @@
 	return nil
 }
 
-// ReadFile reads the results of a file, which must hold one at least.
+// ReadFile reads the results in a file. It returns an error if there are none.
 func ReadFile(path string) ([]*Result, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("results: %w", err)
 	}
-	defer func() { _ = file.Close() }() // only read
+	defer func() { _ = file.Close() }() // safe to ignore: the file is only read
 	var all []*Result
 	lines := bufio.NewScanner(file)
 	lines.Buffer(nil, maxLineSize)
--- a/scale/internal/results/recorded_test.go
+++ b/scale/internal/results/recorded_test.go
@@ -10,8 +10,9 @@
 	"sparspread/internal/testfill"
 )
 
-// The line was recorded with every field set by the program of commit d086cf6: its results stay readable.
-func TestResultLineIsReadAndWrittenAsRecorded(t *testing.T) {
+// Guards against changes that make recorded results unreadable, such as a renamed key. The program of commit
+// d086cf6 recorded the line with every field set.
+func TestResultEncodingMatchesRecordedLine(t *testing.T) {
 	raw, err := os.ReadFile("testdata/result.jsonl")
 	if err != nil {
 		t.Fatal(err)
