--- a/scale/internal/model/errors.go
+++ b/scale/internal/model/errors.go
@@ -41,7 +41,7 @@
 	return keyError(key, value, fmt.Sprintf("above 0 and at most %v", highest))
 }
 
-// keyError returns a *KeyError with the formatted value.
+// keyError returns a *KeyError with the value in its default format.
 func keyError(key string, value any, wanted string) error {
 	return &KeyError{Key: key, Value: fmt.Sprint(value), Expected: wanted}
 }
--- a/scale/internal/model/experiment_test.go
+++ b/scale/internal/model/experiment_test.go
@@ -15,7 +15,7 @@
 		t.Fatal(err)
 	}
 	for _, c := range []struct{ name, old, new, want string }{
-		{"syntax error", `name = "small"`, `name = `, "expected value"},
+		{"syntax", `name = "small"`, `name = `, "expected value"},
 		{"unknown key", "repeats = 1", "repeats = 1\nrepeat = 2", "repeat: unknown key"},
 		{
 			"unknown axis", `axis = "gateways"`, `axis = "sideways"`,
--- a/scale/internal/results/file.go
+++ b/scale/internal/results/file.go
@@ -13,7 +13,7 @@
 const maxLineSize = 4 << 20
 
 // errNoResults reports that a file contains no results.
-var errNoResults = errors.New("no results in file")
+var errNoResults = errors.New("none")
 
 // Append writes a result as one line of JSON.
 func Append(out io.Writer, r *Result) error {
--- a/scale/internal/results/result.go
+++ b/scale/internal/results/result.go
@@ -31,7 +31,7 @@
 	ServiceTimeMS     float64     `json:"service_ms"`
 	ListBytes         int         `json:"list_bytes"`
 
-	ReadyMS         float64       `json:"ready_ms,omitempty"`      // from the first start until all were ready
+	ReadyMS         float64       `json:"ready_ms,omitempty"`      // until all real gateways were ready
 	StartPeakMB     []float64     `json:"start_peak_mb,omitempty"` // one for each real gateway
 	IdlePhase       *PhaseUsage   `json:"idle,omitempty"`
 	ControlPhase    *PhaseUsage   `json:"control,omitempty"`
@@ -105,7 +105,7 @@
 	Rejected     int `json:"refused"`
 	Failed       int `json:"failed"`
 	Disconnected int `json:"broken"`       // connection failed or closed before a complete answer
-	TimedOut     int `json:"unanswered"`   // no answer within the client's timeout plus the slack of the rules
+	TimedOut     int `json:"unanswered"`   // no answer within the client's timeout and the rules' slack
 	WrongValue   int `json:"foreign"`      // answered with a value that no backend returned for the request
 	ExtraBytes   int `json:"further"`      // connections that received bytes after an answer
 	NotSent      int `json:"not_sent"`     // not sent because the clients reached their connection limit
@@ -142,7 +142,7 @@
 // than their plan allows.
 type CeilingCounts struct {
 	Requests        int     `json:"taken"`          // sent to backends by all gateways
-	BeyondQuota     int     `json:"beyond_quota"`   // requests beyond the quota, which cost but violate no rule
-	BeyondCeiling   int     `json:"beyond_ceiling"` // requests beyond the ceiling, which violate a rule
+	BeyondQuota     int     `json:"beyond_quota"`   // beyond the quota, which costs but violates no rule
+	BeyondCeiling   int     `json:"beyond_ceiling"` // beyond the ceiling, which violates a rule
 	MinCeilingLevel float64 `json:"least_ceiling"`  // the lowest level of a ceiling's token bucket, in units
 }
--- a/scale/internal/runner/changes.go
+++ b/scale/internal/runner/changes.go
@@ -16,20 +16,21 @@
 	"sparspread/scale/internal/results"
 )
 
-// maxPropagation is how long a change may take to the last gateway. The rules allow it 5 s.
+// maxPropagation is the time after which the bench stops waiting for a change to reach the last gateway. The
+// rules allow 5 s.
 const maxPropagation = 8 * time.Second
 
-// firstChangeDivisor is the part of an interval, a half, after which the first change comes.
+// firstChangeDivisor delays the first change by half an interval.
 const firstChangeDivisor = 2
 
-// backendsMetric is a gateway's own count of the list that its decisions follow.
+// backendsMetric is the metric of a gateway that counts the entries of its list of backends.
 const backendsMetric = "registry_entries"
 
-// errNotAtEveryGateway reports that something did not come to hold at every gateway in time.
-var errNotAtEveryGateway = errors.New("not at every gateway")
+// errNotAtEveryGateway reports that a condition did not hold at every gateway in time.
+var errNotAtEveryGateway = errors.New("condition not met at every gateway")
 
-// changeBackends has backends drain and be ready again, in turn, at the point's rate, and returns how many
-// changed.
+// changeBackends lets backends drain and become ready again, in turns and at the point's rate of changes. It
+// returns the number of phase changes.
 func (s *testbed) changeBackends(ctx context.Context, length time.Duration) (changed int) {
 	perChange := max(1, int(math.Round(s.point.ChangesPerSecond)))
 	interval := time.Duration(max(1, 1/s.point.ChangesPerSecond) * float64(time.Second))
@@ -54,8 +55,8 @@
 	return changed
 }
 
-// setPhase gives backends another phase. Real gateways receive the change from their agents of discovery,
-// simulated ones from here.
+// setPhase sets the phase of the given backends. Real gateways receive the change from their discovery
+// agents, simulated gateways directly from setPhase.
 func (s *testbed) setPhase(backends []int, phase model.Phase) {
 	s.catalog.SetPhase(backends, phase)
 	if s.simulated == nil {
@@ -70,7 +71,7 @@
 	s.simulated.UpdateEndpoints(changed)
 }
 
-// timeChanges times how long single changes take to the last gateway.
+// timeChanges measures the time until single changes have reached the last real gateway.
 func (s *testbed) timeChanges(ctx context.Context, result *results.Result) error {
 	for i := range s.Experiment.TimedChanges {
 		backend := s.rand.IntN(s.point.Backends)
@@ -85,7 +86,8 @@
 	return nil
 }
 
-// timeChange removes a backend, or has it return, and returns how long the change took to the last gateway.
+// timeChange sets the phase of a backend to gone or ready and returns the time until the change has reached
+// the last real gateway.
 func (s *testbed) timeChange(ctx context.Context, backend int, phase model.Phase) (time.Duration, error) {
 	want := int64(s.point.Backends)
 	if phase == model.PhaseGone {
@@ -99,14 +101,14 @@
 	})
 }
 
-// waitForAll waits until a condition holds for every gateway, and returns how long that took from a moment
-// on.
+// waitForAll waits until the condition has held once for each real gateway, and returns the time from started
+// until then. It returns errNotAtEveryGateway if that takes longer than maxPropagation.
 func (s *testbed) waitForAll(
 	ctx context.Context, started time.Time, condition func(context.Context, *gatewayproc.Gateway) bool,
 ) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, maxPropagation)
 	defer cancel()
-	latencies := make([]time.Duration, len(s.gateways)) // 0: the condition did not hold
+	latencies := make([]time.Duration, len(s.gateways)) // 0 if the condition did not hold
 	var waiting sync.WaitGroup
 	for i, g := range s.gateways {
 		waiting.Go(func() {
--- a/scale/internal/runner/phases.go
+++ b/scale/internal/runner/phases.go
@@ -12,8 +12,8 @@
 	"sparspread/scale/internal/results"
 )
 
-// runPhases measures the gateways idle, with changes of the list, with changes and requests, then times
-// changes and a reload.
+// runPhases measures the gateways when idle, with changes of the list of backends, and with changes and
+// requests. It then times single changes and a reload.
 func (s *testbed) runPhases(ctx context.Context, result *results.Result) error {
 	var err error
 	idle := func(ctx context.Context) { load.Sleep(ctx, s.Experiment.IdlePhase) }
@@ -46,7 +46,7 @@
 	return s.reloadGateways(ctx, result)
 }
 
-// measurePhase measures what the real gateways use while an activity runs.
+// measurePhase measures the resource usage of the real gateways while an activity runs.
 func (s *testbed) measurePhase(
 	ctx context.Context, activity func(context.Context),
 ) (*results.PhaseUsage, error) {
@@ -61,7 +61,7 @@
 		}
 	}
 	if s.simulated != nil {
-		s.simulated.ResetMaxDelay() // of the time before
+		s.simulated.ResetMaxDelay() // discards delays before this phase
 	}
 	machineBefore, err := measure.MachineCPUTime()
 	if err != nil {
@@ -89,7 +89,7 @@
 	return usage, nil
 }
 
-// usageSample is what a gateway has used up to a moment.
+// usageSample is the cumulative resource usage of a gateway at one time.
 type usageSample struct {
 	cpuTime     time.Duration
 	inBytes     int64
@@ -98,7 +98,7 @@
 	outMessages int64
 }
 
-// sampleUsage reads what a gateway has used since its start.
+// sampleUsage returns the resource usage of a gateway since its start.
 func sampleUsage(g *gatewayproc.Gateway) (usageSample, error) {
 	cpuTime, err := measure.ProcessCPUTime(g.PID())
 	if err != nil {
@@ -112,7 +112,7 @@
 	}, nil
 }
 
-// summarizeUsage summarizes over the gateways what each has used since its sample, and what it holds now.
+// summarizeUsage summarizes over the gateways the usage of each since its sample, and its current memory.
 func (s *testbed) summarizeUsage(before []usageSample, seconds float64) (*results.PhaseUsage, error) {
 	var cpu, resident, peak, inKBs, inMessages, outKBs, outMessages []float64
 	for i, g := range s.gateways {
--- a/scale/internal/runner/reload.go
+++ b/scale/internal/runner/reload.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	minReloadTrafficTime = 2 * time.Second         // for which traffic is counted from SIGHUP on, at least
+	minReloadTrafficTime = 2 * time.Second         // minimum time from SIGHUP during which traffic is counted
 	oldAgentDrainTime    = 1500 * time.Millisecond // from SIGHUP until the old agent closes its connections
 
-	oldAgent = 0 // indices of a gateway's agents
+	oldAgent = 0 // indices into Gateway.Agents
 	newAgent = 1
 )
 
-// reloadGateways moves discovery to another address by SIGHUP, and times how the gateways follow it and a
-// change after it.
+// reloadGateways moves discovery to another address and reloads the gateways by SIGHUP. It times how they
+// follow discovery to the new address, and a change after the reload.
 func (s *testbed) reloadGateways(ctx context.Context, result *results.Result) error {
 	reload := &results.ReloadResult{}
 	result.Reload = reload
@@ -49,14 +49,16 @@
 	return s.timeChangeAfterReload(ctx, reload)
 }
 
-// timeReload times the first calls at the new address and the lists from there, and returns once the traffic
-// was counted for long enough. Where not every gateway applied a list, that time is left at 0.
+// timeReload measures the times until all gateways have called the new address and until all have applied a
+// list from there, and returns when the traffic has been counted for minReloadTrafficTime. The wait for a
+// gateway's list also ends when the gateway has rejected two lists. ListAppliedMS stays 0 if a gateway has
+// done neither in time.
 func (s *testbed) timeReload(ctx context.Context, started time.Time, reload *results.ReloadResult) error {
 	called, err := s.waitForAll(ctx, started, func(_ context.Context, g *gatewayproc.Gateway) bool {
 		return !g.Agents[newAgent].Activity().FirstCall.IsZero()
 	})
 	if err != nil {
-		return fmt.Errorf("SIGHUP: a call at the new address: %w", err)
+		return fmt.Errorf("SIGHUP: first call at the new discovery address: %w", err)
 	}
 	reload.FirstCallMS = results.Milliseconds(called)
 	listed, err := s.waitForAll(ctx, started, func(_ context.Context, g *gatewayproc.Gateway) bool {
@@ -73,7 +75,7 @@
 	return nil
 }
 
-// summarizeReloadTraffic summarizes the control traffic since the signal, and the lists that were rejected.
+// summarizeReloadTraffic summarizes the control traffic since SIGHUP and counts the rejected lists.
 func (s *testbed) summarizeReloadTraffic(bytesBefore []int64, seconds float64, reload *results.ReloadResult) {
 	var inKBs []float64
 	for i, g := range s.gateways {
@@ -84,8 +86,8 @@
 	reload.InKBPerSecond = results.Summarize(inKBs)
 }
 
-// timeChangeAfterReload times a change that only the new agents tell of. One that does not reach every
-// gateway is a result, not an error.
+// timeChangeAfterReload times a change that gateways can learn from the new agents only. If the change does
+// not reach every gateway, that is recorded in the result instead of returned as an error.
 func (s *testbed) timeChangeAfterReload(ctx context.Context, reload *results.ReloadResult) error {
 	latency, err := s.timeChange(ctx, s.rand.IntN(s.point.Backends), model.PhaseGone)
 	switch {
--- a/scale/internal/runner/revision.go
+++ b/scale/internal/runner/revision.go
@@ -13,8 +13,8 @@
 	dirtySuffix    = "-dirty"
 )
 
-// programRevision returns the revision that the program was built from or, where the build does not say, that
-// of the working tree when it is first asked for.
+// programRevision returns the version control revision of the build. If the build did not record one, it
+// returns that of the working tree at the first call.
 var programRevision = sync.OnceValue(func() string {
 	if revision, ok := buildRevision(); ok {
 		return revision
@@ -22,7 +22,7 @@
 	return workingTreeRevision()
 })
 
-// buildRevision is the revision that the build has recorded; false if it did not.
+// buildRevision returns the revision recorded in the build, or false if there is none.
 func buildRevision() (string, bool) {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -43,15 +43,15 @@
 	return revision, true
 }
 
-// workingTreeRevision asks git for the revision of the working tree.
+// workingTreeRevision returns the revision of the working tree according to git, or "unknown".
 func workingTreeRevision() string {
-	ctx := context.Background() // two calls that do not wait for anything
+	ctx := context.Background() // no cancellation: both git commands end quickly
 	out, err := exec.CommandContext(ctx, "git", "rev-parse", "--short", "HEAD").Output()
 	if err != nil {
 		return "unknown"
 	}
 	revision := strings.TrimSpace(string(out))
-	// Results that are being written do not change the program.
+	// Results are excluded because a run that writes them does not change the program.
 	diff := exec.CommandContext(
 		ctx, "git", "diff", "--quiet", "HEAD", "--", ":/", ":(top,exclude)scale/results",
 	)
--- a/scale/internal/runner/runner.go
+++ b/scale/internal/runner/runner.go
@@ -1,5 +1,5 @@
-// Package runner runs one size of an experiment: it starts the gateways and what stands in for their
-// surroundings, measures them phase by phase, and checks some of the rules.
+// Package runner runs experiments at one size at a time. It starts the gateways and the stand-ins for their
+// environment, measures the gateways phase by phase, and checks some of the rules.
 package runner
 
 import (
@@ -20,31 +20,31 @@
 )
 
 const (
-	maxRunTime          = 4 * time.Minute // of one size
+	maxRunTime          = 4 * time.Minute // for one size
 	memoryCheckInterval = 250 * time.Millisecond
-	memoryDivisor       = 2 // of the machine's memory a half, at most, for this process and the gateways
-	// simulatedStart is how long the simulated gateways have to start and to hear of each other.
+	memoryDivisor       = 2 // this process and the gateways may use half of the machine's memory
+	// simulatedStart is the time for the simulated gateways to start and to receive gossip from each other.
 	simulatedStart = 2 * simulated.StartTime
 )
 
-// What stops a run, apart from errors of its parts.
+// Limits that stop a run when they are exceeded.
 var (
-	errMemory  = errors.New("half of the machine's memory is in use")
-	errRunTime = fmt.Errorf("longer than %v", maxRunTime)
+	errMemory  = errors.New("memory: bench and gateways use more than half of the machine's memory")
+	errRunTime = fmt.Errorf("run time: exceeded %v", maxRunTime)
 )
 
-// notChecked are rules that no result says anything about.
+// notChecked lists the rules that no run checks.
 var notChecked = []string{"cold backends within budget"}
 
-// Runner runs the sizes of an experiment.
+// Runner runs an experiment.
 type Runner struct {
 	Experiment *model.Experiment
-	Program    string // path of the gateway's program
+	Program    string // path of the gateway's executable
 	Log        *slog.Logger
 }
 
-// Run runs the size with the given index once; repeat counts from 1. Whatever stops the run is in the
-// result's status.
+// Run runs the size with the given index once; repeat counts from 1. If the run stops early, the status of
+// the result gives the reason.
 func (r *Runner) Run(ctx context.Context, sizeIndex, repeat int) *results.Result {
 	e := r.Experiment
 	point, err := e.PointAt(sizeIndex)
@@ -71,7 +71,7 @@
 	return result
 }
 
-// newResult returns a result that says what is run, and nothing of what is measured.
+// newResult returns a result with the parameters of a run and without measurements.
 func (r *Runner) newResult(point model.Point, sizeIndex, repeat int) *results.Result {
 	e := r.Experiment
 	return &results.Result{
@@ -84,8 +84,8 @@
 	}
 }
 
-// runOnTestbed builds the stage, measures, and takes the stage down again. The result holds what was measured
-// also where an error ends the run.
+// runOnTestbed creates the testbed, runs the phases and closes the testbed. If it returns an error, the
+// result holds the measurements up to that point.
 func runOnTestbed(ctx context.Context, s *testbed, result *results.Result) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -93,18 +93,18 @@
 	defer cancelTimeout()
 	var err error
 	if s.dir, err = os.MkdirTemp("", "scale"); err != nil {
-		return fmt.Errorf("directory of the run: %w", err)
+		return fmt.Errorf("run directory: %w", err)
 	}
 	defer func() { _ = os.RemoveAll(s.dir) }()
 	var background sync.WaitGroup
 	defer background.Wait()
 	defer s.close()
-	defer cancel(nil) // before the stage is closed: nothing works meanwhile
+	defer cancel(nil) // runs before s.close, so that nothing uses the testbed while it closes
 	if err := s.createComponents(ctx, result); err != nil {
 		return err
 	}
 	background.Go(func() { s.watchMemory(ctx, cancel) })
-	go s.backends.Serve(s.catalog) // until closed
+	go s.backends.Serve(s.catalog) // returns when s.close closes the backends
 	s.gossip.Start()
 	if s.simulated != nil {
 		background.Go(s.simulated.Run(ctx))
@@ -123,7 +123,7 @@
 	return err
 }
 
-// watchMemory cancels the run when this process and the gateways hold too much memory.
+// watchMemory cancels the run if this process and the gateways together use too much memory.
 func (s *testbed) watchMemory(ctx context.Context, cancel context.CancelCauseFunc) {
 	machine, err := measure.MachineMemory()
 	if err != nil {
@@ -141,7 +141,7 @@
 			if g.PID() == 0 {
 				continue
 			}
-			if used, err := measure.ProcessMemory(g.PID()); err == nil { // else it has ended and holds none
+			if used, err := measure.ProcessMemory(g.PID()); err == nil { // an error means that it has exited
 				resident += used.Current
 			}
 		}
@@ -152,7 +152,7 @@
 	}
 }
 
-// collectCounts puts into the result what the clients and the stand-ins have counted.
+// collectCounts copies the counts of the clients, gateways and stand-ins into the result.
 func (s *testbed) collectCounts(result *results.Result) {
 	for _, c := range s.clients {
 		result.Answers.Add(c.Answers())
@@ -174,5 +174,5 @@
 	}
 }
 
-// newRand returns a random source with a fixed seed.
+// newRand returns a random source with the given seed.
 func newRand(seed1, seed2 uint64) *rand.Rand { return rand.New(rand.NewPCG(seed1, seed2)) }
--- a/scale/internal/runner/testbed.go
+++ b/scale/internal/runner/testbed.go
@@ -19,18 +19,18 @@
 )
 
 const (
-	baselineRate = 200.0       // requests per second without a gateway
-	settleTime   = time.Second // after the gateways' start, before they are measured
+	baselineRate = 200.0       // requests per second sent directly to a backend
+	settleTime   = time.Second // between the gateways' start and the first measurement
 )
 
-// emptyList is the last known list of a gateway that knows none.
+// emptyList is the last known list of a gateway that knows no backends.
 const emptyList = `{"revision":0,"complete":false,"members":[]}`
 
-// testbed is everything that takes part in a run.
+// testbed holds the gateways, clients and stand-ins of one run.
 type testbed struct {
 	*Runner
 	point         model.Point
-	tierSize      int // gateways that the settings name
+	tierSize      int // the number of gateways in the settings
 	dir           string
 	rand          *rand.Rand
 	lastKnownList json.RawMessage // the last known list in the gateways' configuration
@@ -39,11 +39,11 @@
 	audit         *standin.CeilingAudit
 	gossip        *standin.GossipNetwork
 	gateways      []*gatewayproc.Gateway
-	clients       []*load.Clients // by index of gateways
-	simulated     *simulated.Tier // nil: there are no simulated gateways
+	clients       []*load.Clients // by index in gateways
+	simulated     *simulated.Tier // nil if there are no simulated gateways
 }
 
-// newTestbed returns a stage without anything on it, with a fixed seed for each repeat and size.
+// newTestbed returns a testbed without components. Each combination of repeat and size has a fixed seed.
 func newTestbed(r *Runner, point model.Point, sizeIndex, repeat int) *testbed {
 	return &testbed{
 		Runner: r, point: point, tierSize: r.Experiment.TierSize(point), audit: standin.NewCeilingAudit(),
@@ -51,7 +51,8 @@
 	}
 }
 
-// createComponents makes everything; nothing moves yet. What was made before an error is left to close.
+// createComponents creates all components without starting them. If it returns an error, close releases those
+// created so far.
 func (s *testbed) createComponents(ctx context.Context, result *results.Result) error {
 	e := s.Experiment
 	var err error
@@ -72,7 +73,7 @@
 	return s.createSimulatedGateways()
 }
 
-// createRealGateways makes the real gateways, their clients and the gossip network.
+// createRealGateways creates the real gateways, their clients and the gossip network.
 func (s *testbed) createRealGateways(ctx context.Context) error {
 	endpoints := map[int]standin.GossipEndpoint{}
 	for i := range s.Experiment.RealGateways {
@@ -91,20 +92,21 @@
 	return err
 }
 
-// realGatewayNumber spreads the real gateways evenly among the live ones. Where there are no simulated ones
-// they are in a row, so that they are in the same replica sets.
+// realGatewayNumber returns the tier-wide number of the real gateway with index i. Real gateways are spread
+// evenly over the running ones. Without simulated gateways they are consecutive, so that they share replica
+// sets.
 func (s *testbed) realGatewayNumber(i int) int {
 	return i * s.point.Gateways / s.Experiment.RealGateways
 }
 
-// newDemand is the demand at one gateway.
+// newDemand returns the demand at one gateway.
 func (s *testbed) newDemand(gateway int, source *rand.Rand) model.Demand {
 	return model.Demand{
 		Gateway: gateway, TierSize: s.tierSize, ReplicaCounts: s.Experiment.ReplicaCounts, Rand: source,
 	}
 }
 
-// createSimulatedGateways makes the simulated gateways, which are all live ones but the real ones.
+// createSimulatedGateways creates the simulated gateways: all running gateways except the real ones.
 func (s *testbed) createSimulatedGateways() error {
 	isReal := map[int]bool{}
 	for _, g := range s.gateways {
@@ -131,7 +133,7 @@
 	return err
 }
 
-// close ends what build and startGateways have started.
+// close stops the gateways and closes all components that were created.
 func (s *testbed) close() {
 	var stopping sync.WaitGroup
 	for _, g := range s.gateways {
@@ -165,7 +167,8 @@
 	return nil
 }
 
-// startGateways starts the real gateways, waits until each is ready and lets them settle.
+// startGateways starts the real gateways, waits until all are ready, lets them settle and records their peak
+// memory.
 func (s *testbed) startGateways(ctx context.Context, result *results.Result) error {
 	if err := s.writeConfigurations(0); err != nil {
 		return err
@@ -195,7 +198,8 @@
 	return nil
 }
 
-// measureBaseline measures, while the gateways settle, the latency that the stand-ins add to each other.
+// measureBaseline measures the latency that clients and backends add without a gateway, while the gateways
+// settle.
 func (s *testbed) measureBaseline(ctx context.Context, result *results.Result) error {
 	address := fmt.Sprintf("%s:%d", model.BackendAddress(0), s.backends.Port())
 	demand := s.newDemand(s.gateways[0].Number, newRand(s.rand.Uint64(), 0))
