--- a/deploy/example/standins/send.go
+++ b/deploy/example/standins/send.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	timeout         = 30 * time.Second // for the gateway's start, and for all replies
+	sendTimeout     = 30 * time.Second // for the gateway's start, and for all replies
 	pollInterval    = 10 * time.Millisecond
 	requestTimeout  = 5 * time.Second
 	requestArgCount = 4
@@ -38,7 +38,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), timeout)
+	ctx, cancel := context.WithTimeout(context.Background(), sendTimeout)
 	defer cancel()
 	if err := awaitReady(ctx, cfg.Ops); err != nil {
 		return err
@@ -49,7 +49,7 @@
 		return fmt.Errorf("client: %w", err)
 	}
 	defer func() { _ = conn.Close() }()
-	if err := conn.SetDeadline(time.Now().Add(timeout)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(sendTimeout)); err != nil {
 		return fmt.Errorf("client: %w", err)
 	}
 	commands := [][]byte{resp.AppendBulk(resp.AppendArray(nil, 1), []byte("PING"))}
@@ -90,15 +90,15 @@
 }
 
 func isReady(ctx context.Context, opsAddress string) bool {
-	if _, err := get(ctx, opsAddress, "/ops/readiness"); err != nil {
+	if _, err := getOps(ctx, opsAddress, "/ops/readiness"); err != nil {
 		return false
 	}
-	stats, err := get(ctx, opsAddress, "/ops/stats")
+	stats, err := getOps(ctx, opsAddress, "/ops/stats")
 	return err == nil && !bytes.Contains(stats, []byte("edge_relay.registry_entries=0\n"))
 }
 
 // get calls the interface for operators and returns the body of an answer with status 200.
-func get(ctx context.Context, opsAddress, path string) ([]byte, error) {
+func getOps(ctx context.Context, opsAddress, path string) ([]byte, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+opsAddress+path, nil)
 	if err != nil {
 		return nil, fmt.Errorf("operators' call: %w", err)
--- a/deploy/example/standins/serve.go
+++ b/deploy/example/standins/serve.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	backendCount = 2
-	listRevision = 1           // the list never changes
-	maxWatch     = time.Minute // for which a call that waits for changes is left without an answer
-	clientIDArg  = 2           // in a command for a backend
-	valueCount   = 3           // in a backend's answer
+	backendCount     = 2
+	listRevision     = 1           // the list never changes
+	maxWatchDuration = time.Minute // for which a call that waits for changes is left without an answer
+	requestIDArg     = 2           // in a command for a backend
+	answerValueCount = 3           // in a backend's answer
 )
 
 // serveCommand is the discovery service and the backends that it lists.
@@ -42,11 +42,11 @@
 	if err != nil {
 		return fmt.Errorf("endpoint list: %w", err)
 	}
-	listener, err := listen(ctx, cfg.Discovery)
+	listener, err := listenTCP(ctx, cfg.Discovery)
 	if err != nil {
 		return err
 	}
-	server := &http.Server{Handler: discoveryHandler(body), ReadHeaderTimeout: maxWatch}
+	server := &http.Server{Handler: discoveryHandler(body), ReadHeaderTimeout: maxWatchDuration}
 	return fmt.Errorf("discovery service: %w", server.Serve(listener))
 }
 
@@ -58,7 +58,7 @@
 		return list, fmt.Errorf("discovery address: %w", err)
 	}
 	for i := range backendCount {
-		listener, err := listen(ctx, net.JoinHostPort(host, "0"))
+		listener, err := listenTCP(ctx, net.JoinHostPort(host, "0"))
 		if err != nil {
 			return list, err
 		}
@@ -71,7 +71,7 @@
 	return list, nil
 }
 
-func listen(ctx context.Context, address string) (net.Listener, error) {
+func listenTCP(ctx context.Context, address string) (net.Listener, error) {
 	var config net.ListenConfig
 	listener, err := config.Listen(ctx, "tcp", address)
 	if err != nil {
@@ -95,7 +95,7 @@
 			return
 		}
 		select {
-		case <-time.After(min(maxWatch, time.Duration(waitMS)*time.Millisecond)):
+		case <-time.After(min(maxWatchDuration, time.Duration(waitMS)*time.Millisecond)):
 			_, _ = fmt.Fprintf(w, `{"revision":%d,"complete":false,"members":[]}`, listRevision)
 		case <-r.Context().Done():
 		}
@@ -118,10 +118,10 @@
 	in := resp.NewReader(conn)
 	for {
 		args, err := in.ReadCommand()
-		if err != nil || len(args) <= clientIDArg {
+		if err != nil || len(args) <= requestIDArg {
 			return
 		}
-		if _, err := conn.Write(backendAnswer(args[clientIDArg], name)); err != nil {
+		if _, err := conn.Write(backendAnswer(args[requestIDArg], name)); err != nil {
 			return
 		}
 	}
@@ -130,6 +130,6 @@
 // backendAnswer is an answer with a value, without a report of the load and without a meter.
 func backendAnswer(requestID []byte, name string) []byte {
 	value := fmt.Appendf(nil, "request %s served by %s", requestID, name)
-	answer := resp.AppendBulk(resp.AppendArray(nil, valueCount), value)
+	answer := resp.AppendBulk(resp.AppendArray(nil, answerValueCount), value)
 	return append(answer, "$-1\r\n$-1\r\n"...)
 }
--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -23,9 +23,9 @@
 	// Connections is how many connections a client has at most. Each serves a part of the names.
 	Connections = 4
 
-	queueLength     = 64              // calls that wait for one connection
-	idleTimeout     = 4 * time.Second // of a connection
-	maxResponseBody = 256             // bytes
+	queueLength      = 64              // calls that wait for one connection
+	idleTimeout      = 4 * time.Second // of a connection
+	maxResponseBytes = 256             // bytes
 )
 
 // errNotFinite says that the counter answered with NaN or an infinity.
@@ -56,11 +56,11 @@
 // Client calls the counter. Calls for one name are made one after another, in the order of Increment,
 // since the policy takes their totals in that order. Increment and SetAddress have one caller at a time.
 type Client struct {
-	baseURL string // of the current address
-	timeout time.Duration
-	http    *http.Client
-	answer  func(Answer)
-	queues  [Connections]chan call
+	baseURL      string // of the current address
+	timeout      time.Duration
+	http         *http.Client
+	handleAnswer func(Answer)
+	queues       [Connections]chan call
 }
 
 // call is an increment on its way.
@@ -73,9 +73,9 @@
 // New returns a client that passes the answer of each call to answer, from a goroutine of its own.
 func New(config Config, answer func(Answer)) *Client {
 	c := &Client{
-		baseURL: baseURL(config.Address),
-		timeout: config.Timeout,
-		answer:  answer,
+		baseURL:      baseURL(config.Address),
+		timeout:      config.Timeout,
+		handleAnswer: answer,
 		http: httpclient.New(&http.Transport{
 			MaxConnsPerHost: Connections, MaxIdleConnsPerHost: Connections, IdleConnTimeout: idleTimeout,
 		}),
@@ -106,7 +106,7 @@
 			return
 		case call := <-queue:
 			total, result := c.post(ctx, call)
-			c.answer(Answer{Name: call.Name, Result: result, Total: total})
+			c.handleAnswer(Answer{Name: call.Name, Result: result, Total: total})
 		}
 	}
 }
@@ -149,7 +149,7 @@
 	if err != nil {
 		return 0, policy.ResultConnectFailed
 	}
-	status, body, err := c.do(request)
+	status, body, err := c.sendRequest(request)
 	switch {
 	case err != nil && !written.Load():
 		return 0, policy.ResultConnectFailed
@@ -172,13 +172,13 @@
 }
 
 // do sends a request and reads its response.
-func (c *Client) do(request *http.Request) (status int, body []byte, err error) {
+func (c *Client) sendRequest(request *http.Request) (status int, body []byte, err error) {
 	response, err := c.http.Do(request)
 	if err != nil {
 		return 0, nil, err
 	}
 	defer func() { _ = response.Body.Close() }() // it was read, or its error is known
-	body, err = io.ReadAll(io.LimitReader(response.Body, maxResponseBody))
+	body, err = io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	return response.StatusCode, body, err
 }
 
--- a/internal/counter/counter_test.go
+++ b/internal/counter/counter_test.go
@@ -17,13 +17,13 @@
 // newTestClient returns a client of a test server, which collects its answers.
 func newTestClient(server *httptest.Server) (*Client, <-chan Answer) {
 	answers := make(chan Answer, queueLength)
-	config := Config{Address: address(server), Timeout: waittest.Timeout}
+	config := Config{Address: serverAddress(server), Timeout: waittest.Timeout}
 	client := New(config, func(a Answer) { answers <- a })
 	return client, answers
 }
 
 // address is where a test server listens.
-func address(server *httptest.Server) string { return strings.TrimPrefix(server.URL, "http://") }
+func serverAddress(server *httptest.Server) string { return strings.TrimPrefix(server.URL, "http://") }
 
 // dropConnection ends a call's connection without a response.
 func dropConnection(w http.ResponseWriter) {
@@ -53,7 +53,7 @@
 }
 
 // A result tells "nothing was added" from "the amount may have been added".
-func TestResultTellsWhetherTheAmountMayHaveBeenAdded(t *testing.T) {
+func TestPostReturnsWhetherAmountMayHaveBeenAdded(t *testing.T) {
 	expired, release := make(expiringContext), make(chan struct{})
 	respond := func(body string) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprint(w, body) }
@@ -114,7 +114,7 @@
 	}
 }
 
-func TestCallThatWasNotSentAddedNothing(t *testing.T) {
+func TestPostReturnsConnectFailedIfRequestWasNotSent(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		t.Error("called after the deadline")
 	}))
@@ -133,7 +133,7 @@
 }
 
 // Calls for one name are made one after another, in the order of the increments.
-func TestCallsForOneNameKeepTheirOrder(t *testing.T) {
+func TestClientMakesCallsForSameNameInOrder(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = fmt.Fprint(w, r.URL.Query().Get("add"))
 	}))
@@ -163,7 +163,7 @@
 	}
 }
 
-func TestIncrementFailsWhenItsQueueIsFull(t *testing.T) {
+func TestIncrementReturnsFalseIfQueueIsFull(t *testing.T) {
 	server := httptest.NewServer(http.NotFoundHandler())
 	defer server.Close()
 	client, _ := newTestClient(server) // it does not run
--- a/internal/descriptors/budget.go
+++ b/internal/descriptors/budget.go
@@ -29,16 +29,16 @@
 	// rejected.
 	minRejectSlots = 4
 	// Of the descriptors that are not spare, clients get at most two fifths, and backends as many.
-	sideParts = 2
-	allParts  = 5
+	sideShareNumerator   = 2
+	sideShareDenominator = 5
 	// sides are the two that share what all other parts leave: clients and backends.
-	sides = 2
+	sideCount = 2
 	// rejectFraction is how many connections that are served go with one that is accepted to be rejected.
-	rejectFraction = 4
+	servedPerRejectSlot = 4
 	// minOperators is the least number of operators' connections; one for each operatorShare descriptors are
 	// allowed, up to ops.MaxConnections.
-	minOperators  = 2
-	operatorShare = 16
+	minOperatorConnections = 2
+	descriptorsPerOperator = 16
 )
 
 // Budget is how many descriptors each part may use.
@@ -52,18 +52,18 @@
 // more than all other parts leave: without a descriptor the gateway cannot even reject a connection, and
 // the one that lacks it may be that to the discovery service.
 func NewBudget(descriptors int, withCounter bool) Budget {
-	operators := min(ops.MaxConnections, max(minOperators, descriptors/operatorShare))
+	operators := min(ops.MaxConnections, max(minOperatorConnections, descriptors/descriptorsPerOperator))
 	others := runtimeDescriptors + ownDescriptors + discoveryDescriptors + opsDescriptors + operators
 	if withCounter {
 		others += counterDescriptors
 	}
 	perSide := min(
-		(descriptors-spareDescriptors)*sideParts/allParts,
-		(descriptors-others-minRejectSlots)/sides,
+		(descriptors-spareDescriptors)*sideShareNumerator/sideShareDenominator,
+		(descriptors-others-minRejectSlots)/sideCount,
 	)
 	return Budget{
 		PerSide:     perSide,
-		ClientSlots: perSide + max(minRejectSlots, perSide/rejectFraction),
+		ClientSlots: perSide + max(minRejectSlots, perSide/servedPerRejectSlot),
 		Operators:   operators,
 	}
 }
--- a/internal/descriptors/budget_test.go
+++ b/internal/descriptors/budget_test.go
@@ -8,7 +8,7 @@
 )
 
 // allDescriptors is the largest number of descriptors that can be open at once with a budget.
-func allDescriptors(b Budget, withCounter bool) int {
+func maxOpenDescriptors(b Budget, withCounter bool) int {
 	const (
 		streams, poller, controlGroup          = 3, 2, 2
 		listener, gossip, handover, config     = 1, 1, 2, 1
@@ -25,11 +25,11 @@
 
 // All that may be open at once fits, whatever the limit. Where descriptors are not scarce, clients and
 // backends get two fifths each.
-func TestBudgetFitsTheLimit(t *testing.T) {
+func TestNewBudgetFitsLimit(t *testing.T) {
 	for limit := config.MinSockets; limit <= 4096; limit++ {
 		for _, withCounter := range []bool{false, true} {
 			b := NewBudget(limit, withCounter)
-			sum := allDescriptors(b, withCounter)
+			sum := maxOpenDescriptors(b, withCounter)
 			if sum > limit || b.PerSide < 1 || b.Operators < 2 {
 				t.Fatalf("limit %d, counter %t: up to %d open, %+v", limit, withCounter, sum, b)
 			}
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestBudgetOfCommonLimits(t *testing.T) {
+func TestNewBudgetForCommonLimits(t *testing.T) {
 	for limit, want := range map[int]Budget{
 		32:   {PerSide: 3, ClientSlots: 7, Operators: 2},
 		64:   {PerSide: 16, ClientSlots: 20, Operators: 4},
--- a/internal/descriptors/limit.go
+++ b/internal/descriptors/limit.go
@@ -10,7 +10,7 @@
 )
 
 // errTooFewFiles says how many files a gateway has to be able to open.
-var errTooFewFiles = fmt.Errorf("at least %d wanted", config.MinSockets)
+var errLimitTooLow = fmt.Errorf("at least %d wanted", config.MinSockets)
 
 // ProcessLimit returns how many descriptors the process may open, and an error if those are too few for a
 // gateway. A limit that can't be read is none: the configuration's number holds.
@@ -20,7 +20,7 @@
 		return math.MaxInt32, nil
 	}
 	if limit < config.MinSockets {
-		return 0, fmt.Errorf("limit of open files: %d, %w", limit, errTooFewFiles)
+		return 0, fmt.Errorf("limit of open files: %d, %w", limit, errLimitTooLow)
 	}
 	return int(min(limit, math.MaxInt32)), nil
 }
--- a/internal/descriptors/limit_test.go
+++ b/internal/descriptors/limit_test.go
@@ -9,7 +9,7 @@
 	"sparspread/internal/config"
 )
 
-func TestUsableIsTheLowerLimit(t *testing.T) {
+func TestUsableReturnsLowerLimit(t *testing.T) {
 	for name, tt := range map[string]struct{ configured, process, want int }{
 		"unknown process limit": {64, 0, 64},
 		"higher process limit":  {64, 65, 64},
--- a/internal/discovery/backoff_test.go
+++ b/internal/discovery/backoff_test.go
@@ -10,14 +10,14 @@
 
 // An agent with a pushed list is silent while its own source is down. However long that lasted, it is
 // called again well within the grace of a drain.
-func TestAgentIsCalledAgainWithinTheDrainGrace(t *testing.T) {
+func TestBackoffWithAgentEndsWithinDrainGrace(t *testing.T) {
 	config := agentConfigWithGrace()
 	client, _ := newTestClient(config, nil)
 	limit := config.DrainGrace * 4 / 5
 	for _, failures := range []int{0, 1, 5, 60} {
 		for _, err := range []error{errRefused, io.ErrUnexpectedEOF} {
 			for range 100 {
-				if got := client.slack + client.backoff(failures, err); got > limit {
+				if got := client.responseTimeout + client.backoff(failures, err); got > limit {
 					t.Fatalf("after %d failures (%v): called again after %v, want within %v",
 						failures, err, got, limit)
 				}
@@ -29,10 +29,10 @@
 // The backoff after a refused call, the wait of the next one and its slack end within the delivery limit.
 // Gateways that are refused at one moment spread over that backoff and stay spread. No other delay is drawn
 // in between, as none is while a service refuses.
-func TestBackoffSpreadsTheFleet(t *testing.T) {
+func TestBackoffAfterRefusalSpreadsGateways(t *testing.T) {
 	const (
 		gateways = 80
-		longest  = deliveryLimit - watchWait - maxAnswerSlack
+		longest  = deliveryLimit - watchWait - maxResponseTimeout
 	)
 	clients, nextCall := make([]*Client, gateways), make([]time.Duration, gateways)
 	for i := range clients {
@@ -58,8 +58,8 @@
 }
 
 // A call that was not answered at all is soon made again.
-func TestBackoffAfterUnansweredCallsIsShort(t *testing.T) {
-	const limit = maxUnansweredDelay + time.Millisecond
+func TestBackoffAfterUnansweredCallIsLimited(t *testing.T) {
+	const limit = maxUnansweredBackoff + time.Millisecond
 	for gateway := range uint64(80) {
 		config := serviceConfig()
 		config.Seed = gateway<<32 + 7
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -22,30 +22,30 @@
 	watchWait = 2 * time.Second
 	// maxAnswerSlack is the time for an answer beyond the wait, and for each further part of an update.
 	// Under load the service itself fails a call earlier.
-	maxAnswerSlack = time.Second
+	maxResponseTimeout = time.Second
 	// deliveryLimit is the protocol's limit: what the service has to tell counts as delivered by then,
 	// whatever call failed.
 	deliveryLimit = 6 * time.Second
 	// minEmptyWatch keeps a watch that returns at once with nothing from becoming a busy loop.
-	minEmptyWatch = 50 * time.Millisecond
+	minEmptyWatchDuration = 50 * time.Millisecond
 )
 
 // With an agent the times of a call are fractions of the grace of a drain, so that a call and the backoff
 // after it end well within that grace.
 const (
-	slackFraction   = 2 // a half, at most, for an answer after the wait
-	backoffFraction = 5 // a fifth, at most, for the backoff
+	responseTimeoutDivisor = 2 // a half, at most, for an answer after the wait
+	backoffDivisor         = 5 // a fifth, at most, for the backoff
 )
 
 // listPath is the resource on the service that lists the endpoints.
 const listPath = "/catalog/members"
 
 // seedHalfBits is how far the seed of the configuration is shifted for the second seed of the random source.
-const seedHalfBits = 32
+const upperSeedShift = 32
 
 // memoryFraction is the part of the memory that the text of an update may have: what is kept of an update
 // takes three times its text.
-const memoryFraction = 8
+const updateMemoryDivisor = 8
 
 // Config is what a Client has to know of its deployment.
 type Config struct {
@@ -69,14 +69,14 @@
 
 // Client follows the endpoint list. Run does the work; the other methods may be called from any goroutine.
 type Client struct {
-	config     Config
-	log        *slog.Logger
-	notify     func(context.Context, Event)
-	http       *http.Client
-	random     *rand.Rand    // used by Run only
-	slack      time.Duration // for an answer after a call's wait is over
-	maxBackoff time.Duration // after a call that was refused or, with an agent, failed in any way
-	maxBytes   int64         // of the text of an update
+	config          Config
+	log             *slog.Logger
+	notify          func(context.Context, Event)
+	http            *http.Client
+	random          *rand.Rand    // used by Run only
+	responseTimeout time.Duration // for an answer after a call's wait is over
+	maxBackoff      time.Duration // after a call that was refused or, with an agent, failed in any way
+	maxBytes        int64         // of the text of an update
 
 	newAddress chan string   // holds the latest address that Run has not yet acted on
 	started    chan struct{} // closed by Watch
@@ -88,25 +88,25 @@
 func New(config Config, log *slog.Logger, notify func(context.Context, Event)) *Client {
 	c := &Client{
 		config: config, log: log, notify: notify,
-		random:     rand.New(rand.NewPCG(config.Seed, config.Seed>>seedHalfBits)),
-		slack:      maxAnswerSlack,
-		maxBackoff: baseBackoff,
-		maxBytes:   config.MemoryBytes / memoryFraction,
-		newAddress: make(chan string, 1),
-		started:    make(chan struct{}),
+		random:          rand.New(rand.NewPCG(config.Seed, config.Seed>>upperSeedShift)),
+		responseTimeout: maxResponseTimeout,
+		maxBackoff:      baseBackoff,
+		maxBytes:        config.MemoryBytes / updateMemoryDivisor,
+		newAddress:      make(chan string, 1),
+		started:         make(chan struct{}),
 	}
 	if config.Poll {
 		// The call after the backoff has its wait, and is over before the delivery limit of the refused one.
-		c.maxBackoff = deliveryLimit - watchWait - maxAnswerSlack - baseBackoff
+		c.maxBackoff = deliveryLimit - watchWait - maxResponseTimeout - baseBackoff
 	} else if grace := config.DrainGrace; grace > 0 {
 		// The agent answers at once or not at all, and what it has counts as delivered as soon as it has it.
-		c.slack = min(maxAnswerSlack, grace/slackFraction)
-		c.maxBackoff = min(baseBackoff, grace/backoffFraction)
+		c.responseTimeout = min(maxResponseTimeout, grace/responseTimeoutDivisor)
+		c.maxBackoff = min(baseBackoff, grace/backoffDivisor)
 	}
 	dial := config.DialContext
 	if dial == nil {
 		// A dial goes on after its call was cancelled, and would keep the next call waiting.
-		dial = (&net.Dialer{Timeout: c.slack}).DialContext
+		dial = (&net.Dialer{Timeout: c.responseTimeout}).DialContext
 	}
 	c.http = httpclient.New(&http.Transport{DialContext: dial, MaxConnsPerHost: 1, MaxIdleConns: 1})
 	if !config.Poll {
@@ -137,18 +137,18 @@
 	}
 	address, revision := c.config.Address, c.config.KnownRevision
 	for ctx.Err() == nil {
-		address = c.watchAt(ctx, address, revision)
+		address = c.watchAddress(ctx, address, revision)
 		revision = nil // it says nothing about the list at another address
 	}
 }
 
 // watchAt watches the list at one address until there is a new one, which it returns.
-func (c *Client) watchAt(ctx context.Context, address string, revision *uint64) string {
+func (c *Client) watchAddress(ctx context.Context, address string, revision *uint64) string {
 	watchCtx, cancel := context.WithCancel(ctx)
 	url, ended := "http://"+address+listPath, make(chan struct{})
 	go func() {
 		defer close(ended)
-		c.watch(watchCtx, ctx, url, revision)
+		c.watchURL(watchCtx, ctx, url, revision)
 	}()
 	select {
 	case address = <-c.newAddress:
@@ -163,7 +163,7 @@
 // watch follows the list at one URL until ctx ends. The first call does not wait for changes, because a
 // starting gateway waits for its answer. An update that was read is passed on even if ctx has ended, as
 // long as notifyCtx has not.
-func (c *Client) watch(ctx, notifyCtx context.Context, url string, revision *uint64) {
+func (c *Client) watchURL(ctx, notifyCtx context.Context, url string, revision *uint64) {
 	w := watcher{client: c, url: url, revision: revision}
 	for ctx.Err() == nil {
 		started := time.Now()
@@ -177,10 +177,10 @@
 		}
 		c.notify(notifyCtx, Event{Kind: update.kind(), Update: update})
 		finish()
-		if w.wait > 0 && len(update.Endpoints) == 0 && time.Since(started) < minEmptyWatch {
-			sleep(ctx, minEmptyWatch)
+		if w.wait > 0 && len(update.Endpoints) == 0 && time.Since(started) < minEmptyWatchDuration {
+			sleep(ctx, minEmptyWatchDuration)
 		}
-		w.succeeded(update.Revision)
+		w.handleSuccess(update.Revision)
 	}
 }
 
@@ -195,7 +195,7 @@
 }
 
 // succeeded records the revision of an update: the next call waits for what changes after it.
-func (w *watcher) succeeded(revision uint64) {
+func (w *watcher) handleSuccess(revision uint64) {
 	w.revision, w.wait = &revision, watchWait
 	w.failures, w.refusals = 0, 0
 }
--- a/internal/discovery/decode_test.go
+++ b/internal/discovery/decode_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestDecodeRejectsWhatIsNoUpdate(t *testing.T) {
+func TestDecodeRejectsInvalidUpdates(t *testing.T) {
 	for _, text := range []string{
 		`null`, `[]`, `7`, `{"members":7}`, `{"members":{}}`, `{"members":[7]}`, `{"revision":-1}`,
 		`{"members":[{}}]`,
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestDecodeNamesTheUnexpectedToken(t *testing.T) {
+func TestDecodeErrorNamesUnexpectedToken(t *testing.T) {
 	for text, want := range map[string]string{
 		`[]`:             "got [, want {",
 		`null`:           "got <nil>, want {",
--- a/internal/discovery/delivery_test.go
+++ b/internal/discovery/delivery_test.go
@@ -12,16 +12,16 @@
 )
 
 // faults are the ways in which calls fail.
-var faults = map[string]roundTrip{
-	"refused": refuse,
+var faults = map[string]roundTripFunc{
+	"refused": respondUnavailable,
 	"refused from a queue": func(r *http.Request) (*http.Response, error) {
 		time.Sleep(queueTimeout)
-		return refuse(r)
+		return respondUnavailable(r)
 	},
 	"reset":  func(*http.Request) (*http.Response, error) { return nil, io.ErrUnexpectedEOF },
-	"silent": hang,
+	"silent": waitForCancellation,
 	"hangs in the dial": func(*http.Request) (*http.Response, error) {
-		time.Sleep(maxAnswerSlack)
+		time.Sleep(maxResponseTimeout)
 		return nil, context.DeadlineExceeded
 	},
 	"list truncated": func(r *http.Request) (*http.Response, error) {
@@ -35,14 +35,14 @@
 		if r.URL.Query().Get("index") == "" {
 			return respond(r, http.StatusOK, strings.NewReader(`{"revision":6,"complete":true,"members":[]}`))
 		}
-		return hang(r)
+		return waitForCancellation(r)
 	},
 }
 
 // Whatever became of the calls before, and at whatever moment a change comes and the service can be
 // reached: the change is reported within the delivery limit, by one service and by an agent, also if the
 // address changes meanwhile.
-func TestChangeIsReportedWithinTheDeliveryLimitAfterAnyFault(t *testing.T) {
+func TestClientReportsChangeWithinDeliveryLimitAfterFault(t *testing.T) {
 	configs := map[string]Config{"service": serviceConfig(), "agent": agentConfigWithGrace()}
 	for name, fault := range faults {
 		for mode, config := range configs {
@@ -66,7 +66,7 @@
 // reportDelay is how long after the end of a fault a client reports a change. If moved, the client is
 // given another address at that moment, and the fault goes on at the old one.
 func reportDelay(
-	t *testing.T, config Config, fault roundTrip, faultDuration time.Duration, moved bool,
+	t *testing.T, config Config, fault roundTripFunc, faultDuration time.Duration, moved bool,
 ) time.Duration {
 	t.Helper()
 	config.Seed = uint64(faultDuration) << 20
@@ -77,7 +77,7 @@
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
-	reported := timeOfUpdate(ctx, config, addresses, roundTrip(func(r *http.Request) (*http.Response, error) {
+	reported := timeOfUpdate(ctx, config, addresses, roundTripFunc(func(r *http.Request) (*http.Response, error) {
 		if time.Now().Before(reachable) || moved && r.URL.Host == testAddress {
 			return fault(r)
 		}
@@ -92,7 +92,7 @@
 // The whole fleet was refused while the service was down. At its return each gateway has the change
 // within the delivery limit, if the service can serve as many calls as there are gateways in the time of
 // a backoff and of its queue; no second has most of the calls in it.
-func TestRefusedFleetIsServedWithinTheDeliveryLimit(t *testing.T) {
+func TestFleetGetsChangeWithinDeliveryLimitAfterOutage(t *testing.T) {
 	for _, gateways := range []int{3, 300, 6500} {
 		for _, secondsForAll := range []time.Duration{1, 2, 4} { // in which it serves a call of each gateway
 			if gateways > 300 && secondsForAll < 4 {
@@ -101,18 +101,18 @@
 			name := fmt.Sprintf("%d gateways, all served in %d s", gateways, secondsForAll)
 			t.Run(name, func(t *testing.T) {
 				workPerCall := secondsForAll * time.Second / time.Duration(gateways)
-				synctest.Test(t, func(t *testing.T) { testRefusedFleet(t, gateways, workPerCall) })
+				synctest.Test(t, func(t *testing.T) { testFleetAfterOutage(t, gateways, workPerCall) })
 			})
 		}
 	}
 }
 
 // testRefusedFleet checks that each gateway of a fleet has the list in time after an outage of the service.
-func testRefusedFleet(t *testing.T, gateways int, workPerCall time.Duration) {
+func testFleetAfterOutage(t *testing.T, gateways int, workPerCall time.Duration) {
 	t.Helper()
 	service := &queueingService{
 		workPerCall:    min(workPerCall, queueTimeout/4), // a few gateways could not fill its queue
-		upAt:           time.Now().Add(8 * time.Second),
+		availableAt:    time.Now().Add(8 * time.Second),
 		callsPerSecond: map[time.Duration]int{},
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
@@ -126,7 +126,7 @@
 	latest, late, never := time.Duration(0), 0, 0
 	for range gateways {
 		reported := <-reports
-		delay := reported.Sub(service.upAt)
+		delay := reported.Sub(service.availableAt)
 		latest = max(latest, delay)
 		switch {
 		case reported.IsZero():
--- a/internal/discovery/fake_test.go
+++ b/internal/discovery/fake_test.go
@@ -105,13 +105,13 @@
 }
 
 // roundTrip is a service as a function.
-type roundTrip func(*http.Request) (*http.Response, error)
+type roundTripFunc func(*http.Request) (*http.Response, error)
 
 // RoundTrip implements http.RoundTripper.
-func (f roundTrip) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
+func (f roundTripFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
 // respondWith is a service that answers every call with the body that a function returns.
-func respondWith(body func(*http.Request) io.Reader) roundTrip {
+func respondWith(body func(*http.Request) io.Reader) roundTripFunc {
 	return func(r *http.Request) (*http.Response, error) { return respond(r, http.StatusOK, body(r)) }
 }
 
@@ -123,12 +123,12 @@
 }
 
 // refuse answers that the service cannot serve the call now.
-func refuse(r *http.Request) (*http.Response, error) {
+func respondUnavailable(r *http.Request) (*http.Response, error) {
 	return respond(r, http.StatusServiceUnavailable, strings.NewReader(""))
 }
 
 // hang never answers.
-func hang(r *http.Request) (*http.Response, error) {
+func waitForCancellation(r *http.Request) (*http.Response, error) {
 	<-r.Context().Done()
 	return nil, r.Context().Err()
 }
@@ -139,7 +139,7 @@
 // Read implements io.Reader.
 func (b hangingBody) Read([]byte) (int, error) {
 	<-b
-	return 0, errCallerGone
+	return 0, errCallCancelled
 }
 
 // slowBody yields a part each interval until its call is cancelled.
@@ -157,7 +157,7 @@
 	select {
 	case <-time.After(b.interval):
 	case <-b.cancelled:
-		return 0, errCallerGone
+		return 0, errCallCancelled
 	}
 	n := copy(buffer, b.parts[0])
 	if b.parts[0] = b.parts[0][n:]; b.parts[0] == "" {
@@ -167,10 +167,10 @@
 }
 
 // callAtEOF is an empty body that calls a function when it is read.
-type callAtEOF func()
+type callbackAtEOF func()
 
 // Read implements io.Reader.
-func (f callAtEOF) Read([]byte) (int, error) {
+func (f callbackAtEOF) Read([]byte) (int, error) {
 	f()
 	return 0, io.EOF
 }
@@ -179,14 +179,14 @@
 const queueTimeout = 2 * time.Second
 
 // errCallerGone is the error of a call that its caller has cancelled.
-var errCallerGone = errors.New("the caller has gone")
+var errCallCancelled = errors.New("the caller has gone")
 
 // queueingService is one service for a whole fleet. It serves calls in order, at a limited rate, refuses
 // those that waited too long and works on them all the same, and is down at first. A watch that is held
 // open costs it nothing.
 type queueingService struct {
 	workPerCall time.Duration
-	upAt        time.Time // until then every call is refused
+	availableAt time.Time // until then every call is refused
 
 	mu             sync.Mutex // guards the fields below
 	busyUntil      time.Time
@@ -198,23 +198,23 @@
 // RoundTrip implements http.RoundTripper.
 func (s *queueingService) RoundTrip(r *http.Request) (*http.Response, error) {
 	if r.URL.Query().Get("index") == strconv.Itoa(testRevision) {
-		return hang(r)
+		return waitForCancellation(r)
 	}
 	now := time.Now()
-	if now.Before(s.upAt) {
-		return refuse(r)
+	if now.Before(s.availableAt) {
+		return respondUnavailable(r)
 	}
 	delay := s.enqueue(now)
 	select {
 	case <-time.After(min(delay, queueTimeout)):
 	case <-r.Context().Done():
-		return nil, errCallerGone
+		return nil, errCallCancelled
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if delay > queueTimeout {
 		s.refused++
-		return refuse(r)
+		return respondUnavailable(r)
 	}
 	s.served++
 	return respond(r, http.StatusOK, strings.NewReader(oneEndpoint))
@@ -224,7 +224,7 @@
 func (s *queueingService) enqueue(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.callsPerSecond[now.Sub(s.upAt).Truncate(time.Second)]++
+	s.callsPerSecond[now.Sub(s.availableAt).Truncate(time.Second)]++
 	if s.busyUntil.Before(now) {
 		s.busyUntil = now
 	}
--- a/internal/discovery/fetch.go
+++ b/internal/discovery/fetch.go
@@ -41,7 +41,7 @@
 		maxWait = watchWait // a busy service may queue the call as long
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	timeout := time.AfterFunc(maxWait+c.slack, cancel)
+	timeout := time.AfterFunc(maxWait+c.responseTimeout, cancel)
 	stop := func() {
 		timeout.Stop()
 		cancel()
@@ -74,7 +74,7 @@
 		return update, nil, err
 	}
 	return update, func() {
-		timeout.Reset(minEmptyWatch)
+		timeout.Reset(minEmptyWatchDuration)
 		// What may follow the update counts for nothing; it is read to have the connection reused.
 		_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxTrailingBytes))
 		_ = response.Body.Close()
@@ -114,7 +114,7 @@
 
 // extendTimeout gives the call time for the next part.
 func (b *updateBody) extendTimeout() {
-	b.timeout.Reset(min(maxAnswerSlack, time.Until(b.deadline)))
+	b.timeout.Reset(min(maxResponseTimeout, time.Until(b.deadline)))
 }
 
 // Read implements io.Reader.
--- a/internal/discovery/fetch_test.go
+++ b/internal/discovery/fetch_test.go
@@ -25,7 +25,7 @@
 
 // A long list may come slowly, over a busy network or to a busy gateway. It is read as long as it keeps
 // coming, within the delivery limit.
-func TestSlowUpdateIsReadUntilTheDeliveryLimit(t *testing.T) {
+func TestFetchReadsSlowUpdateUntilDeliveryLimit(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		parts int
@@ -38,7 +38,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				started := time.Now()
 				service := respondWith(func(r *http.Request) io.Reader {
-					body := &slowBody{cancelled: r.Context().Done(), interval: maxAnswerSlack * 9 / 10}
+					body := &slowBody{cancelled: r.Context().Done(), interval: maxResponseTimeout * 9 / 10}
 					for i := range test.parts {
 						from, to := i*len(oneEndpoint)/test.parts, (i+1)*len(oneEndpoint)/test.parts
 						body.parts = append(body.parts, oneEndpoint[from:to])
@@ -58,7 +58,7 @@
 }
 
 // An update longer than the memory allows is an error that says so, and is not read again and again.
-func TestUpdateSizeIsLimitedByTheMemory(t *testing.T) {
+func TestClientLimitsUpdateSizeByMemory(t *testing.T) {
 	text := string(listJSON(t, 12_000)) // somewhat over a megabyte
 	for _, test := range []struct {
 		name        string
@@ -96,7 +96,7 @@
 
 // The list of 83,000 endpoints, twelve megabytes, is read with the memory that goes with a fleet of that
 // size.
-func TestListOfTheLargestFleetIsRead(t *testing.T) {
+func TestFetchReadsListOfLargestFleet(t *testing.T) {
 	const endpoints = 83_000
 	config := agentConfig()
 	config.MemoryBytes = 256 << 20
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -17,7 +17,7 @@
 const MaxMessageBytes = 256
 
 // errNoUDPSocket says that the socket options of Config made another kind of socket.
-var errNoUDPSocket = errors.New("no UDP socket")
+var errNotUDPSocket = errors.New("no UDP socket")
 
 // Config is what a Transport has to know of its deployment.
 type Config struct {
@@ -59,7 +59,7 @@
 	udp, ok := conn.(*net.UDPConn)
 	if !ok {
 		_ = conn.Close() // it is not used
-		return fmt.Errorf("peer_listen: %w", errNoUDPSocket)
+		return fmt.Errorf("peer_listen: %w", errNotUDPSocket)
 	}
 	t.conn = udp
 	return nil
@@ -83,15 +83,15 @@
 func (t *Transport) Resume() {
 	if t.conn != nil {
 		_ = t.conn.SetReadDeadline(time.Time{}) // fails only on a closed socket, on which run ends
-		go t.run(t.conn)
+		go t.receiveMessages(t.conn)
 	}
 }
 
 // Pause ends the receiving; messages stay in the socket's buffer.
 func (t *Transport) Pause() {
 	if t.conn != nil {
-		longAgo := time.Unix(1, 0)
-		_ = t.conn.SetReadDeadline(longAgo) // fails only on a closed socket, on which run has ended
+		expired := time.Unix(1, 0)
+		_ = t.conn.SetReadDeadline(expired) // fails only on a closed socket, on which run has ended
 	}
 }
 
@@ -118,7 +118,7 @@
 
 // run receives until the socket is paused or closed. It drops what comes from no peer or is longer than
 // any message.
-func (t *Transport) run(conn *net.UDPConn) {
+func (t *Transport) receiveMessages(conn *net.UDPConn) {
 	buffer := make([]byte, MaxMessageBytes+1) // the last byte shows that a message is too long
 	for {
 		n, sender, err := conn.ReadFromUDPAddrPort(buffer)
--- a/internal/gossip/transport_test.go
+++ b/internal/gossip/transport_test.go
@@ -11,7 +11,7 @@
 )
 
 // received is a message that a transport has passed on.
-type received struct {
+type receivedMessage struct {
 	peer    int
 	message string
 }
@@ -31,25 +31,25 @@
 }
 
 // addrPort is the address of a socket.
-func addrPort(conn *net.UDPConn) netip.AddrPort {
+func localAddrPort(conn *net.UDPConn) netip.AddrPort {
 	return netip.MustParseAddrPort(conn.LocalAddr().String())
 }
 
 // newTestTransport returns a transport with number 0 beside a peer with number 1, and what it receives.
-func newTestTransport(listenAddress string, peer *net.UDPConn) (*Transport, <-chan received) {
-	messages := make(chan received, 8)
+func newTestTransport(listenAddress string, peer *net.UDPConn) (*Transport, <-chan receivedMessage) {
+	messages := make(chan receivedMessage, 8)
 	config := Config{
 		ListenAddress: listenAddress,
-		Peers:         []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1"), addrPort(peer)},
+		Peers:         []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1"), localAddrPort(peer)},
 	}
 	transport := New(config, slog.New(slog.DiscardHandler), func(peer int, message []byte) {
-		messages <- received{peer, string(message)}
+		messages <- receivedMessage{peer, string(message)}
 	})
 	return transport, messages
 }
 
 // listen opens a transport's socket, which the test's end closes.
-func listen(t *testing.T, transport *Transport) {
+func listenUntilTestEnd(t *testing.T, transport *Transport) {
 	t.Helper()
 	if err := transport.Listen(); err != nil {
 		t.Fatal(err)
@@ -58,7 +58,7 @@
 }
 
 // send sends a message past the transport under test.
-func send(t *testing.T, from *net.UDPConn, to netip.AddrPort, message []byte) {
+func sendMessage(t *testing.T, from *net.UDPConn, to netip.AddrPort, message []byte) {
 	t.Helper()
 	if _, err := from.WriteToUDPAddrPort(message, to); err != nil {
 		t.Fatal(err)
@@ -66,7 +66,7 @@
 }
 
 // expect waits for the next message and compares it.
-func expect(t *testing.T, messages <-chan received, want received) {
+func expectMessage(t *testing.T, messages <-chan receivedMessage, want receivedMessage) {
 	t.Helper()
 	if got := waittest.Receive(t, messages, "a message"); got != want {
 		t.Errorf("got %+v, want %+v", got, want)
@@ -74,10 +74,10 @@
 }
 
 // What is too long, to itself or to an unknown peer is not sent; what is too long or from no peer is dropped.
-func TestOnlyMessagesBetweenPeersWithinTheLimitPass(t *testing.T) {
-	peer, stranger := listenUDP(t), listenUDP(t)
+func TestTransportDropsOversizedAndForeignMessages(t *testing.T) {
+	peer, unknownSender := listenUDP(t), listenUDP(t)
 	transport, messages := newTestTransport("127.0.0.1:0", peer)
-	listen(t, transport)
+	listenUntilTestEnd(t, transport)
 	transport.Resume()
 
 	transport.Send(1, make([]byte, MaxMessageBytes+1))
@@ -90,26 +90,26 @@
 		t.Fatalf("got %q, %v, want %q", got, err, "to the peer")
 	}
 
-	send(t, stranger, sender, []byte("from nobody"))
-	send(t, peer, sender, make([]byte, MaxMessageBytes+1))
-	send(t, peer, sender, []byte("answer"))
-	expect(t, messages, received{1, "answer"})
+	sendMessage(t, unknownSender, sender, []byte("from nobody"))
+	sendMessage(t, peer, sender, make([]byte, MaxMessageBytes+1))
+	sendMessage(t, peer, sender, []byte("answer"))
+	expectMessage(t, messages, receivedMessage{1, "answer"})
 }
 
 // What comes during a pause is received after it.
-func TestPauseKeepsMessages(t *testing.T) {
+func TestResumeReceivesMessagesSentDuringPause(t *testing.T) {
 	peer := listenUDP(t)
 	transport, messages := newTestTransport("127.0.0.1:0", peer)
-	listen(t, transport)
+	listenUntilTestEnd(t, transport)
 	transport.Resume()
 	transport.Pause()
 	// A receiver that had not seen the pause yet would receive the message just as well.
-	send(t, peer, addrPort(transport.Conn()), []byte("meanwhile"))
+	sendMessage(t, peer, localAddrPort(transport.Conn()), []byte("meanwhile"))
 	transport.Resume()
-	expect(t, messages, received{1, "meanwhile"})
+	expectMessage(t, messages, receivedMessage{1, "meanwhile"})
 }
 
-func TestAdoptWantsTheConfiguredAddress(t *testing.T) {
+func TestAdoptRequiresConfiguredAddress(t *testing.T) {
 	peer, own, other := listenUDP(t), listenUDP(t), listenUDP(t)
 	transport, messages := newTestTransport(own.LocalAddr().String(), peer)
 	if transport.Adopt(other) {
@@ -125,8 +125,8 @@
 		t.Fatal("did not adopt the socket with its own address")
 	}
 	transport.Resume()
-	send(t, peer, addrPort(own), []byte("hello"))
-	expect(t, messages, received{1, "hello"})
+	sendMessage(t, peer, localAddrPort(own), []byte("hello"))
+	expectMessage(t, messages, receivedMessage{1, "hello"})
 	transport.Close()
 	if transport.Conn() != nil {
 		t.Error("it has a socket after Close")
--- a/internal/httpclient/httpclient.go
+++ b/internal/httpclient/httpclient.go
@@ -12,8 +12,8 @@
 func New(transport *http.Transport) *http.Client {
 	transport.DisableCompression = true
 	transport.MaxResponseHeaderBytes = maxHeaderBytes
-	return &http.Client{Transport: transport, CheckRedirect: rejectRedirect}
+	return &http.Client{Transport: transport, CheckRedirect: doNotFollowRedirect}
 }
 
 // rejectRedirect has a redirect returned like any other response.
-func rejectRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+func doNotFollowRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -7,7 +7,7 @@
 )
 
 // The page was recorded from the program of commit d086cf6: operators' tools read it by these names.
-func TestPageIsAsRecorded(t *testing.T) {
+func TestPageMatchesRecordedPage(t *testing.T) {
 	want, err := os.ReadFile("testdata/stats.txt")
 	if err != nil {
 		t.Fatal(err)
@@ -30,7 +30,7 @@
 }
 
 // A class that vanishes with a reload and comes back goes on from its old totals.
-func TestClassesKeepTheirTotals(t *testing.T) {
+func TestClassesKeepTotalsAcrossReloads(t *testing.T) {
 	var m Metrics
 	before := m.Classes([]string{"read", "once"})
 	m.Classes([]string{"strict"})
--- a/internal/ops/server_test.go
+++ b/internal/ops/server_test.go
@@ -37,7 +37,7 @@
 }
 
 // request makes one request on a connection of its own.
-func request(t *testing.T, s *Server, method, path string) (status int, body string) {
+func sendRequest(t *testing.T, s *Server, method, path string) (status int, body string) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, "http://"+s.Addr().String()+path, nil)
 	if err != nil {
@@ -55,7 +55,7 @@
 	return res.StatusCode, string(text)
 }
 
-func TestRequests(t *testing.T) {
+func TestServerStatusByMethodAndPath(t *testing.T) {
 	s := startServer(t)
 	s.SetReady(true)
 	for _, test := range []struct {
@@ -70,33 +70,33 @@
 		{"DELETE", "/ops/stats", http.StatusMethodNotAllowed},
 	} {
 		t.Run(test.method+" "+test.path, func(t *testing.T) {
-			if got, _ := request(t, s, test.method, test.path); got != test.want {
+			if got, _ := sendRequest(t, s, test.method, test.path); got != test.want {
 				t.Errorf("got status %d, want %d", got, test.want)
 			}
 		})
 	}
-	if _, got := request(t, s, "GET", "/ops/stats"); got != testStats {
+	if _, got := sendRequest(t, s, "GET", "/ops/stats"); got != testStats {
 		t.Errorf("got stats %q, want %q", got, testStats)
 	}
 }
 
-func TestReadinessIsWhatWasSet(t *testing.T) {
+func TestReadinessFollowsSetReady(t *testing.T) {
 	s := startServer(t)
-	if status, body := request(t, s, "GET", "/ops/readiness"); status != 503 || body != "no\n" {
+	if status, body := sendRequest(t, s, "GET", "/ops/readiness"); status != 503 || body != "no\n" {
 		t.Errorf("at first: got %d %q, want 503 %q", status, body, "no\n")
 	}
 	s.SetReady(true)
-	if status, body := request(t, s, "GET", "/ops/readiness"); status != 200 || body != "yes\n" {
+	if status, body := sendRequest(t, s, "GET", "/ops/readiness"); status != 200 || body != "yes\n" {
 		t.Errorf("when ready: got %d %q, want 200 %q", status, body, "yes\n")
 	}
 	s.SetReady(false)
-	if status, _ := request(t, s, "GET", "/ops/readiness"); status != 503 {
+	if status, _ := sendRequest(t, s, "GET", "/ops/readiness"); status != 503 {
 		t.Errorf("when no longer ready: got %d, want 503", status)
 	}
 }
 
 // Connections that finish no request lose their place to newer ones.
-func TestUnfinishedRequestsKeepNobodyOut(t *testing.T) {
+func TestServerClosesOldestConnectionBeyondLimit(t *testing.T) {
 	s := startServer(t)
 	var unfinished []net.Conn
 	var dialer net.Dialer
@@ -114,7 +114,7 @@
 		}
 		unfinished = append(unfinished, conn)
 	}
-	if status, body := request(t, s, "GET", "/ops/stats"); status != 200 || body != testStats {
+	if status, body := sendRequest(t, s, "GET", "/ops/stats"); status != 200 || body != testStats {
 		t.Errorf("got %d %q, want 200 %q", status, body, testStats)
 	}
 	for i, conn := range unfinished[:testMaxConnections] {
@@ -124,7 +124,7 @@
 	}
 }
 
-func TestNoAddressMeansNoInterface(t *testing.T) {
+func TestListenWithoutAddressDisablesServer(t *testing.T) {
 	s, err := Listen("", testMaxConnections, nil)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/porttest/porttest_test.go
+++ b/internal/porttest/porttest_test.go
@@ -20,7 +20,7 @@
 	return err
 }
 
-func TestReservedAddressRefusesConnectionsUntilTheTestListens(t *testing.T) {
+func TestReservedAddressRefusesConnectionsWithoutListener(t *testing.T) {
 	address := Reserve(t)
 	for range 3 {
 		if err := dial(t, address); !errors.Is(err, syscall.ECONNREFUSED) {
@@ -41,7 +41,7 @@
 
 // Sockets whose choice of a free port is limited to one port force what else happens by chance: the system
 // gives them no port that is reserved, neither to listen at nor to connect from.
-func TestReservedPortIsGivenToNoOtherSocket(t *testing.T) {
+func TestReservedPortIsNotAssignedToOtherSockets(t *testing.T) {
 	reserved := netip.MustParseAddrPort(Reserve(t)).Port()
 	onlyReservedPort := func(_, _ string, conn syscall.RawConn) error {
 		return limitToPort(conn, reserved)
--- a/internal/testfill/testfill.go
+++ b/internal/testfill/testfill.go
@@ -21,10 +21,10 @@
 }
 
 // Letters is the style with two letters in each string.
-var Letters = Style{Text: lettersOf}
+var Letters = Style{Text: letterText}
 
-// lettersOf returns a text that differs for neighbouring numbers.
-func lettersOf(n int) string {
+// letterText returns a text that differs for neighbouring numbers.
+func letterText(n int) string {
 	const letters = 26
 	return fmt.Sprintf("text-%c%c", 'a'+n%letters, 'a'+n/letters%letters)
 }
@@ -64,12 +64,12 @@
 		}
 	default:
 		f.number++
-		f.setPlain(v)
+		f.setScalar(v)
 	}
 }
 
 // setPlain sets a value that has no parts to the current number.
-func (f *filler) setPlain(v reflect.Value) {
+func (f *filler) setScalar(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Bool:
 		v.SetBool(true)
--- a/internal/testfill/testfill_test.go
+++ b/internal/testfill/testfill_test.go
@@ -21,7 +21,7 @@
 	Serial uint64
 }
 
-func TestNumberedGivesEachFieldItsNumber(t *testing.T) {
+func TestNumberedGivesEachFieldItsOwnValue(t *testing.T) {
 	want := tree{
 		Set: true, Rate: 2.5,
 		Leaves: []leaf{{Name: "text-da", Count: 4}, {Name: "text-fa", Count: 6}},
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestUnsignedNumbersFitTheirType(t *testing.T) {
+func TestNumberedWrapsUnsignedValues(t *testing.T) {
 	many := Numbered[[300]uint8](Letters)
 	if many[254] != 255 || many[255] != 0 || many[256] != 1 {
 		t.Errorf("after 254: %d, want 255, 0, 1", many[254:257])
--- a/internal/waittest/waittest_test.go
+++ b/internal/waittest/waittest_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestReceiveReturnsWhatComes(t *testing.T) {
+func TestReceiveReturnsNextValue(t *testing.T) {
 	values := make(chan int, 1)
 	values <- 7
 	if got := Receive(t, values, "a value"); got != 7 {
@@ -18,7 +18,7 @@
 	}
 }
 
-func TestReceiveWaitsForTheTimeout(t *testing.T) {
+func TestReceiveWithinWaitsForTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		values, started := make(chan int), time.Now()
 		if _, received := receiveWithin(values, Timeout); received {
