--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -90,7 +90,7 @@
 	case simproto.RequestCancelled:
 		controller.RequestCancelled(now, e.RequestID)
 	case simproto.TimerFired:
-		controller.TimerFired(now, e.Token)
+		controller.TimerFired(now, e.TimerID)
 	case simproto.HealthCheckEnded:
 		controller.HealthCheckEnded(now, e.Backend, e.Result, e.LoadReport)
 	case simproto.GossipReceived:
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -65,10 +65,10 @@
 	r := Request{Args: args}
 	customer, ok := parseHex64(args[CustomerArg])
 	if !ok || customer >= customerLimit {
-		return r, errBadCustomer
+		return r, errInvalidCustomer
 	}
 	if r.ClientID, ok = parseHex64(args[ClientIDArg]); !ok {
-		return r, errBadClientID
+		return r, errInvalidClientID
 	}
 	r.Details.Customer = customer
 	present, err := r.parseFields(cfg)
@@ -82,17 +82,17 @@
 func (r *Request) validate(cfg *config.Config, present fieldSet) error {
 	for field := range requiredFieldCount {
 		if !present.has(field) {
-			return fieldError(field, errMissing)
+			return newFieldError(field, errMissing)
 		}
 	}
 	class := r.Details.Class
 	if limit := cfg.Host.ClientTimeouts[class]; limit > 0 && r.Details.Timeout > limit+timeoutSlack {
 		// Longer than any client waits: it would keep its timers and its memory.
-		return fieldError(timeoutField, errTimeoutLimit)
+		return newFieldError(timeoutField, errTimeoutTooLong)
 	}
 	idempotency := cfg.Settings.Classes[class].Idempotency
 	if idempotency == policy.IdempotentWithKey && !present.has(keyField) {
-		return fieldError(keyField, errMissing)
+		return newFieldError(keyField, errMissing)
 	}
 	isRead := bytes.EqualFold(r.Args[NameArg], apiRead)
 	if isRead != (idempotency == policy.Idempotent) {
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -25,7 +25,7 @@
 }
 
 // arguments returns a command's arguments.
-func arguments(list ...string) (args [][]byte) {
+func commandArgs(list ...string) (args [][]byte) {
 	for _, arg := range list {
 		args = append(args, []byte(arg))
 	}
@@ -34,13 +34,13 @@
 
 const (
 	testCustomer = "0000000000000007"
-	testID       = "9b1f03aa5c7e2d41"
+	testClientID = "9b1f03aa5c7e2d41"
 )
 
 // A request's fields are parsed, and forwarded unchanged but for the timeout.
 func TestParseAndForward(t *testing.T) {
 	const sent = "c=lookup,t=team,d=480,units=2,spread=3,first=1"
-	args := arguments("api.read", testCustomer, testID, sent, "BODY")
+	args := commandArgs("api.read", testCustomer, testClientID, sent, "BODY")
 	got, err := Parse(testConfig(), args)
 	if err != nil {
 		t.Fatal(err)
@@ -52,15 +52,15 @@
 	const fields = "c=lookup,t=team,d=99,units=2,spread=3,first=1"
 	forwarded := string(Forwarded(got.Args, got.TimeoutSpan, 99_900, 0))
 	wantForwarded := "*5\r\n$8\r\napi.read\r\n$16\r\n" + testCustomer +
-		"\r\n$16\r\n" + testID + "\r\n$45\r\n" + fields + "\r\n$4\r\nBODY\r\n"
+		"\r\n$16\r\n" + testClientID + "\r\n$45\r\n" + fields + "\r\n$4\r\nBODY\r\n"
 	if forwarded != wantForwarded {
 		t.Errorf("forwarded %q, want %q", forwarded, wantForwarded)
 	}
 }
 
 // Of a large body only the head is forwarded. A timeout is a millisecond at least.
-func TestForwardedHeadOfALargeBody(t *testing.T) {
-	args := arguments("API.WRITE", testCustomer, testID, "d=480")
+func TestForwardedRequestEndsWithHeadOfLargeBody(t *testing.T) {
+	args := commandArgs("API.WRITE", testCustomer, testClientID, "d=480")
 	got := string(Forwarded(args, Span{Start: 2, End: 5}, 0, 70_000))
 	if want := "*5\r\n"; !strings.HasPrefix(got, want) {
 		t.Errorf("forwarded %q, want the prefix %q", got, want)
@@ -77,42 +77,51 @@
 	for _, c := range []struct {
 		name, customer, id, fields, want string
 	}{
-		{"customer", "7", testID, good, "customer: 16 hex digits below 2^33 wanted"},
+		{"customer", "7", testClientID, good, "customer: 16 hex digits below 2^33 wanted"},
 		{"id", testCustomer, "7", good, "id: 16 hex digits wanted"},
-		{"unknown field", testCustomer, testID, good + ",x=1", `field "x": unknown`},
-		{"field twice", testCustomer, testID, good + ",d=1", "fields: name=value wanted, each once"},
-		{"missing field", testCustomer, testID, replace("t=team,", ""), "field t: missing"},
-		{"bad value", testCustomer, testID, replace("units=2", "units=NaN"), `field units: bad value "NaN"`},
+		{"unknown field", testCustomer, testClientID, good + ",x=1", `field "x": unknown`},
+		{"field twice", testCustomer, testClientID, good + ",d=1", "fields: name=value wanted, each once"},
+		{"missing field", testCustomer, testClientID, replace("t=team,", ""), "field t: missing"},
 		{
-			"long timeout", testCustomer, testID, replace("480", "2001"),
+			"bad value", testCustomer, testClientID, replace("units=2", "units=NaN"),
+			`field units: bad value "NaN"`,
+		},
+		{
+			"long timeout", testCustomer, testClientID, replace("480", "2001"),
 			"field d: longer than the class allows",
 		},
 		{
-			"wrong command", testCustomer, testID, replace("lookup", "once"),
+			"wrong command", testCustomer, testClientID, replace("lookup", "once"),
 			"class once does not go by this command",
 		},
-		{"no key", testCustomer, testID, replace("lookup", "order"), "field k: missing"},
-		{"empty key", testCustomer, testID, good + ",k=", `field k: bad value ""`},
-		{"unknown class", testCustomer, testID, replace("lookup", "gone"), `field c: unknown class "gone"`},
-		{"unknown plan", testCustomer, testID, replace("team", "gone"), `field t: bad value "gone"`},
+		{"no key", testCustomer, testClientID, replace("lookup", "order"), "field k: missing"},
+		{"empty key", testCustomer, testClientID, good + ",k=", `field k: bad value ""`},
+		{
+			"unknown class", testCustomer, testClientID, replace("lookup", "gone"),
+			`field c: unknown class "gone"`,
+		},
+		{"unknown plan", testCustomer, testClientID, replace("team", "gone"), `field t: bad value "gone"`},
 		{
-			"too many replicas", testCustomer, testID, replace("spread=3", "spread=5"),
+			"too many replicas", testCustomer, testClientID, replace("spread=3", "spread=5"),
 			`field spread: bad value "5"`,
 		},
-		{"first replica", testCustomer, testID, replace("first=1", "first=4"), `field first: bad value "4"`},
-		{"no timeout", testCustomer, testID, replace("480", "0"), `field d: bad value "0"`},
-		{"retry flag", testCustomer, testID, good + ",r=2", `field r: bad value "2"`},
 		{
-			"long name", testCustomer, testID, good + "," + strings.Repeat("x", 40) + "=1",
+			"first replica", testCustomer, testClientID, replace("first=1", "first=4"),
+			`field first: bad value "4"`,
+		},
+		{"no timeout", testCustomer, testClientID, replace("480", "0"), `field d: bad value "0"`},
+		{"retry flag", testCustomer, testClientID, good + ",r=2", `field r: bad value "2"`},
+		{
+			"long name", testCustomer, testClientID, good + "," + strings.Repeat("x", 40) + "=1",
 			`field "` + strings.Repeat("x", 32) + `": unknown`,
 		},
 		{
-			"long value", testCustomer, testID, replace("team", strings.Repeat("y", 70)),
+			"long value", testCustomer, testClientID, replace("team", strings.Repeat("y", 70)),
 			`field t: bad value "` + strings.Repeat("y", 64) + `"`,
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := Parse(testConfig(), arguments("API.READ", c.customer, c.id, c.fields))
+			_, err := Parse(testConfig(), commandArgs("API.READ", c.customer, c.id, c.fields))
 			if err == nil || err.Error() != c.want {
 				t.Errorf("error %v, want %s", err, c.want)
 			}
@@ -120,21 +129,21 @@
 	}
 }
 
-func TestFieldErrorHasFieldAndValue(t *testing.T) {
-	_, err := Parse(testConfig(), arguments("API.READ", testCustomer, testID, "units=-1"))
+func TestParseReturnsFieldErrorWithFieldAndValue(t *testing.T) {
+	_, err := Parse(testConfig(), commandArgs("API.READ", testCustomer, testClientID, "units=-1"))
 	var fieldErr *FieldError
 	if !errors.As(err, &fieldErr) || fieldErr.Field != "units" || fieldErr.Value != "-1" {
 		t.Errorf("error %v, want one of field units with value -1", err)
 	}
-	if !errors.Is(err, errBadValue) {
-		t.Errorf("error %v, want %v", err, errBadValue)
+	if !errors.Is(err, errInvalidValue) {
+		t.Errorf("error %v, want %v", err, errInvalidValue)
 	}
 }
 
 // An unknown class can be told from other errors: a reload may have removed it.
-func TestParseUnknownClass(t *testing.T) {
+func TestParseReportsUnknownClass(t *testing.T) {
 	fields := "c=gone,t=team,d=480,units=2,spread=3,first=1"
-	_, err := Parse(testConfig(), arguments("API.READ", testCustomer, testID, fields))
+	_, err := Parse(testConfig(), commandArgs("API.READ", testCustomer, testClientID, fields))
 	if !errors.Is(err, ErrUnknownClass) {
 		t.Errorf("error %v, want %v", err, ErrUnknownClass)
 	}
--- a/internal/command/errors.go
+++ b/internal/command/errors.go
@@ -8,19 +8,19 @@
 	// it.
 	ErrUnknownClass = errors.New("unknown class")
 
-	errArgumentCount = errors.New("wrong number of arguments")
-	errBadCustomer   = errors.New("customer: 16 hex digits below 2^33 wanted")
-	errBadClientID   = errors.New("id: 16 hex digits wanted")
-	errFieldForm     = errors.New("fields: name=value wanted, each once")
-	errWrongCommand  = errors.New("does not go by this command")
+	errArgumentCount   = errors.New("wrong number of arguments")
+	errInvalidCustomer = errors.New("customer: 16 hex digits below 2^33 wanted")
+	errInvalidClientID = errors.New("id: 16 hex digits wanted")
+	errFieldSyntax     = errors.New("fields: name=value wanted, each once")
+	errWrongCommand    = errors.New("does not go by this command")
 )
 
 // What is wrong with a field.
 var (
-	errUnknownField = errors.New("unknown")
-	errMissing      = errors.New("missing")
-	errBadValue     = errors.New("bad value")
-	errTimeoutLimit = errors.New("longer than the class allows")
+	errUnknownField   = errors.New("unknown")
+	errMissing        = errors.New("missing")
+	errInvalidValue   = errors.New("bad value")
+	errTimeoutTooLong = errors.New("longer than the class allows")
 )
 
 // FieldError says what is wrong with one field of a request.
@@ -37,4 +37,6 @@
 func (e *FieldError) Unwrap() error { return e.Err }
 
 // fieldError is the error of a field of which the value is not what is wrong.
-func fieldError(field int, err error) error { return &FieldError{Field: fieldNames[field], Err: err} }
+func newFieldError(field int, err error) error {
+	return &FieldError{Field: fieldNames[field], Err: err}
+}
--- a/internal/command/fields.go
+++ b/internal/command/fields.go
@@ -62,7 +62,7 @@
 		case field < 0:
 			return present, &FieldError{Field: fmt.Sprintf("%.32q", name), Err: errUnknownField}
 		case !ok || present.has(field):
-			return present, errFieldForm
+			return present, errFieldSyntax
 		}
 		if err := r.parseField(cfg, field, string(value)); err != nil {
 			return present, err
@@ -78,7 +78,7 @@
 
 // parseField parses the value of one field.
 func (r *Request) parseField(cfg *config.Config, field int, value string) error {
-	ok, cause := false, errBadValue
+	ok, cause := false, errInvalidValue
 	switch field {
 	case classField:
 		r.Details.Class, ok = indexOfName(cfg.Host.Classes, value)
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -11,7 +11,7 @@
 
 // What is wanted of a value.
 var (
-	errNoName        = errors.New("has no name")
+	errEmptyName     = errors.New("has no name")
 	errSeedFormat    = errors.New("16 hex digits wanted")
 	errTooFewSockets = fmt.Errorf("at least %d wanted", MinSockets)
 )
@@ -105,17 +105,17 @@
 
 // checkNames demands names of classes and plans: clients and reloads go by them.
 func (c *Config) checkNames() error {
-	if err := checkNamed("class", c.Host.Classes); err != nil {
+	if err := checkNamesNotEmpty("class", c.Host.Classes); err != nil {
 		return err
 	}
-	return checkNamed("plan", c.Host.Plans)
+	return checkNamesNotEmpty("plan", c.Host.Plans)
 }
 
 // checkNamed demands a name of each class or plan.
-func checkNamed(kind string, names []string) error {
+func checkNamesNotEmpty(kind string, names []string) error {
 	for i, name := range names {
 		if name == "" {
-			return &settings.KeyError{Key: fmt.Sprintf("%s %d", kind, i), Err: errNoName}
+			return &settings.KeyError{Key: fmt.Sprintf("%s %d", kind, i), Err: errEmptyName}
 		}
 	}
 	return nil
--- a/internal/config/compare.go
+++ b/internal/config/compare.go
@@ -8,13 +8,13 @@
 )
 
 // knownKey is the key of the endpoint list as last known. It is no setting: a file may lack it.
-const knownKey = "known"
+const knownEndpointsKey = "known"
 
 // CheckKeys reports a key that the configuration in force has and another one lacks: what an operator left
 // out by mistake must not fall back to its default. The error is a *settings.KeyError.
 func (c *Config) CheckKeys(other *Config) error {
 	for key := range c.Keys {
-		if _, ok := other.Keys[key]; !ok && key != knownKey {
+		if _, ok := other.Keys[key]; !ok && key != knownEndpointsKey {
 			return fmt.Errorf("configuration: %w", settings.MissingKey(key))
 		}
 	}
@@ -27,17 +27,17 @@
 }
 
 // RetainFixed replaces what only a restart can change by the values of the configuration in force.
-func (c *Config) RetainFixed(inForce *Config) {
-	c.Name, c.Listen, c.Ops = inForce.Name, inForce.Listen, inForce.Ops
-	c.PeerListen, c.Peers = inForce.PeerListen, inForce.Peers
-	c.MemoryMB, c.Sockets, c.Seed = inForce.MemoryMB, inForce.Sockets, inForce.Seed
+func (c *Config) RetainFixed(current *Config) {
+	c.Name, c.Listen, c.Ops = current.Name, current.Listen, current.Ops
+	c.PeerListen, c.Peers = current.PeerListen, current.Peers
+	c.MemoryMB, c.Sockets, c.Seed = current.MemoryMB, current.Sockets, current.Seed
 
-	to, from := &c.Settings, &inForce.Settings
+	to, from := &c.Settings, &current.Settings
 	to.Self, to.Gateways, to.Zone = from.Self, from.Gateways, from.Zone
 	to.Gossip, to.SharedCounter = from.Gossip, from.SharedCounter
 	to.LoadReport = from.LoadReport
 
-	c.Host.ReportNames, c.Host.Zones = inForce.Host.ReportNames, inForce.Host.Zones
+	c.Host.ReportNames, c.Host.Zones = current.Host.ReportNames, current.Host.Zones
 }
 
 // ChangedFixed returns the sorted keys whose values differ in another configuration and only a restart can
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -18,7 +18,7 @@
 	defaultSockets  = 1024 // the usual soft limit of open files
 
 	defaultDialTimeout    policy.Time = 250_000
-	defaultIdleClose      policy.Time = 10_000_000
+	defaultIdleTimeout    policy.Time = 10_000_000
 	defaultCounterTimeout policy.Time = 50_000
 )
 
@@ -124,9 +124,9 @@
 }
 
 // positiveOr returns n, or a default where n is not above 0.
-func positiveOr[T ~int | ~int64](n, otherwise T) T {
+func positiveOr[T ~int | ~int64](n, fallback T) T {
 	if n <= 0 {
-		return otherwise
+		return fallback
 	}
 	return n
 }
@@ -156,6 +156,6 @@
 // setDefaultTimes replaces the times that are not stated.
 func (c *Config) setDefaultTimes() {
 	c.Host.DialTimeout = positiveOr(c.Host.DialTimeout, defaultDialTimeout)
-	c.Host.IdleClose = positiveOr(c.Host.IdleClose, defaultIdleClose)
+	c.Host.IdleTimeout = positiveOr(c.Host.IdleTimeout, defaultIdleTimeout)
 	c.Host.CounterTimeout = positiveOr(c.Host.CounterTimeout, defaultCounterTimeout)
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -12,7 +12,7 @@
 const minimalSettings = `{"self-index":0,"balancers":1,` +
 	`"request-classes":[{"name":"c","promise-us":1}],"tariffs":[{"name":"t"}]}`
 
-func TestParseNamesTheKeyThatIsWrong(t *testing.T) {
+func TestParseErrorsNameTheKey(t *testing.T) {
 	for name, tt := range map[string]struct {
 		raw, key, text string
 		missing        bool
@@ -58,20 +58,20 @@
 	if c.MemoryMB != 192 || c.Sockets != 1024 {
 		t.Errorf("%d MB and %d sockets, want 192 and 1024", c.MemoryMB, c.Sockets)
 	}
-	if c.Host.DialTimeout != 250_000 || c.Host.IdleClose != 10_000_000 || c.Host.CounterTimeout != 50_000 {
+	if c.Host.DialTimeout != 250_000 || c.Host.IdleTimeout != 10_000_000 || c.Host.CounterTimeout != 50_000 {
 		t.Errorf("dial timeout %d, idle close %d, counter timeout %d µs, want 250000, 10000000 and 50000",
-			c.Host.DialTimeout, c.Host.IdleClose, c.Host.CounterTimeout)
+			c.Host.DialTimeout, c.Host.IdleTimeout, c.Host.CounterTimeout)
 	}
 }
 
-func TestReloadKeepsWhatNeedsARestart(t *testing.T) {
-	inForce := Config{Name: "a", Listen: "a:1", Sockets: 64, Seed: 1}
+func TestReloadKeepsRestartOnlySettings(t *testing.T) {
+	current := Config{Name: "a", Listen: "a:1", Sockets: 64, Seed: 1}
 	changed := Config{Name: "b", Listen: "a:2", Sockets: 65, Seed: 2, Discovery: "b:1"}
-	if got := fmt.Sprint(inForce.ChangedFixed(&changed)); got != "[limits listen name]" {
+	if got := fmt.Sprint(current.ChangedFixed(&changed)); got != "[limits listen name]" {
 		t.Errorf("changed %s, want [limits listen name]", got)
 	}
-	changed.RetainFixed(&inForce)
-	if left := inForce.ChangedFixed(&changed); len(left) > 0 || changed.Seed != 1 {
+	changed.RetainFixed(&current)
+	if left := current.ChangedFixed(&changed); len(left) > 0 || changed.Seed != 1 {
 		t.Errorf("still changed %v, seed %d", left, changed.Seed)
 	}
 	if changed.Discovery != "b:1" {
@@ -79,22 +79,22 @@
 	}
 }
 
-func TestCheckKeysNamesTheAbsentKey(t *testing.T) {
-	inForce := Config{Keys: map[string]Present{"counter": {}, knownKey: {}}}
-	inForce.Host.Keys = map[string]bool{"az": true}
-	withoutCounter, withoutZone := inForce, inForce
+func TestReloadRejectsRemovedKeys(t *testing.T) {
+	current := Config{Keys: map[string]Present{"counter": {}, knownEndpointsKey: {}}}
+	current.Host.Keys = map[string]bool{"az": true}
+	withoutCounter, withoutZone := current, current
 	withoutCounter.Keys = map[string]Present{}
 	withoutZone.Host.Keys = map[string]bool{}
 	for want, changed := range map[string]Config{
 		"configuration: counter: missing":      withoutCounter,
 		"configuration: settings: az: missing": withoutZone,
 	} {
-		err := inForce.CheckKeys(&changed)
+		err := current.CheckKeys(&changed)
 		if !errors.Is(err, settings.ErrMissing) || err.Error() != want {
 			t.Errorf("error %v, want %s", err, want)
 		}
 	}
-	if err := inForce.CheckKeys(&inForce); err != nil {
+	if err := current.CheckKeys(&current); err != nil {
 		t.Errorf("the same keys: error %v", err)
 	}
 }
--- a/internal/gateway/backend.go
+++ b/internal/gateway/backend.go
@@ -79,7 +79,7 @@
 	return &backends{
 		events: events, attempts: attempts,
 		byNumber: map[uint32]*backend{}, byID: map[string]*backend{}, limit: limit,
-		idleTimeout: idleTimeoutEstimate{upperLimit: cfg.Host.IdleClose / idleCloseDivisor},
+		idleTimeout: idleTimeoutEstimate{upperLimit: cfg.Host.IdleTimeout / idleCloseDivisor},
 		dialer:      net.Dialer{Timeout: dialTimeout, KeepAlive: -1},
 	}
 }
--- a/internal/gateway/capacity.go
+++ b/internal/gateway/capacity.go
@@ -49,7 +49,7 @@
 
 // overCapacity reports whether the open requests are too many, or hold too much memory.
 func (g *Gateway) isOverCapacity() bool {
-	maxOpen := g.config.Host.MaxOpen
+	maxOpen := g.config.Host.MaxOpenRequests
 	return maxOpen > 0 && g.requests.openCount > maxOpen ||
 		g.memory.retainedBytes >= g.config.MemoryMB*bytesPerMB/retainedMemoryDivisor
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -105,7 +105,7 @@
 
 func (sweepTimer) Handle(g *Gateway) {
 	g.clients.sweep(g)
-	g.backends.sweep(g.config.Host.IdleClose)
+	g.backends.sweep(g.config.Host.IdleTimeout)
 	g.metrics.UnavailableEndpoints.Store(int64(g.controller.UnavailableBackends()))
 	g.events.After(sweepInterval, sweepTimer{})
 }
--- a/internal/resp/command.go
+++ b/internal/resp/command.go
@@ -25,7 +25,7 @@
 			return nil, 0, err
 		}
 		if len(head) == 0 || head[0] != typeArray {
-			return nil, 0, malformed("expected an array")
+			return nil, 0, protocolError("expected an array")
 		}
 		count, err := parseLength(head[1:], 0, maxDiscardedArgs)
 		if err != nil {
@@ -99,7 +99,7 @@
 		return 0, err
 	}
 	if len(head) == 0 || head[0] != typeBulkString {
-		return 0, malformed("expected a bulk string")
+		return 0, protocolError("expected a bulk string")
 	}
 	return parseLength(head[1:], 0, maxSize)
 }
--- a/internal/resp/reader.go
+++ b/internal/resp/reader.go
@@ -44,11 +44,11 @@
 	b, err := r.in.ReadSlice('\n')
 	switch {
 	case errors.Is(err, bufio.ErrBufferFull):
-		return nil, malformed("line too long")
+		return nil, protocolError("line too long")
 	case err != nil:
 		return nil, err
 	case len(b) < 2 || b[len(b)-2] != '\r':
-		return nil, malformed("line does not end in CRLF")
+		return nil, protocolError("line does not end in CRLF")
 	}
 	return b[:len(b)-2], nil
 }
@@ -64,7 +64,7 @@
 		end[i] = c
 	}
 	if end != [2]byte{'\r', '\n'} {
-		return malformed("value does not end in CRLF")
+		return protocolError("value does not end in CRLF")
 	}
 	return nil
 }
@@ -88,7 +88,7 @@
 func parseLength(digits []byte, least, most int) (int, error) {
 	n, err := strconv.Atoi(string(digits))
 	if err != nil || n < least || n > most {
-		return 0, malformed("invalid length")
+		return 0, protocolError("invalid length")
 	}
 	return n, nil
 }
--- a/internal/resp/reply.go
+++ b/internal/resp/reply.go
@@ -40,7 +40,7 @@
 		return Reply{}, err
 	}
 	if len(head) == 0 {
-		return Reply{}, malformed("empty line")
+		return Reply{}, protocolError("empty line")
 	}
 	kind, rest := head[0], head[1:]
 	switch kind {
@@ -55,11 +55,11 @@
 	case typeArray:
 		count, err := parseLength(rest, -1, MaxArgs)
 		if err != nil || !topLevel {
-			return Reply{Kind: kind}, malformed("unexpected array")
+			return Reply{Kind: kind}, protocolError("unexpected array")
 		}
 		return r.readArrayReply(count)
 	}
-	return Reply{Kind: kind}, malformed("unknown kind of reply")
+	return Reply{Kind: kind}, protocolError("unknown kind of reply")
 }
 
 // readBulkReply reads a bulk string whose first line announced the given length. It leaves the value of one
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -30,7 +30,7 @@
 var ErrProtocol = errors.New("protocol error")
 
 // malformed is the error of input that breaks the protocol.
-func malformed(reason string) error { return fmt.Errorf("%w: %s", ErrProtocol, reason) }
+func protocolError(reason string) error { return fmt.Errorf("%w: %s", ErrProtocol, reason) }
 
 // The first bytes of messages, which name their type.
 const (
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -85,7 +85,7 @@
 }
 
 // Peers that announce much and send little must not cost what they announce.
-func TestAnnouncedLengthsAllocateLittle(t *testing.T) {
+func TestReadCommandAllocatesOnlyForReceivedBytes(t *testing.T) {
 	const (
 		commands           = 200
 		maxBytesPerCommand = 16 << 10
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -12,7 +12,7 @@
 var (
 	errNotPositive  = errors.New("a number above 0 wanted")
 	errUnknownValue = errors.New("unknown word")
-	errNoCount      = errors.New("is no count of items")
+	errInvalidCount = errors.New("is no count of items")
 )
 
 // KeyError says what is wrong with one key of a gateway's configuration or of the settings in it.
@@ -32,6 +32,6 @@
 func MissingKey(key string) error { return &KeyError{Key: key, Err: ErrMissing} }
 
 // badValue is the error of a setting whose value can't be used.
-func badValue(key, value string, err error) error {
+func valueError(key, value string, err error) error {
 	return &KeyError{Key: key, Value: value, Err: fmt.Errorf("value %q: %w", value, err)}
 }
--- a/internal/settings/fields.go
+++ b/internal/settings/fields.go
@@ -59,13 +59,13 @@
 }
 
 // enum sets the value that a word stands for.
-func enum[V any](meanings map[string]V, field func(*parser) *V) fieldSetter {
+func enum[V any](valuesByName map[string]V, field func(*parser) *V) fieldSetter {
 	return func(p *parser, value string) error {
-		meaning, ok := meanings[value]
+		enumValue, ok := valuesByName[value]
 		if !ok {
 			return errUnknownValue
 		}
-		*field(p) = meaning
+		*field(p) = enumValue
 		return nil
 	}
 }
--- a/internal/settings/flatten_test.go
+++ b/internal/settings/flatten_test.go
@@ -7,7 +7,7 @@
 )
 
 // The same settings in both forms.
-func TestParseJSONReadsWhatParseTextReads(t *testing.T) {
+func TestParseJSONMatchesParseText(t *testing.T) {
 	const nested = `{"balancers":3,"ceilings":{"peers":true,"max-open":20000},"localities":["a","b"],
 		"report":{"names":["busy_reqs","other"],"via":"pull"},
 		"prices":{"cross-zone":0.5},"not-known":[{"x":null}],
@@ -39,8 +39,8 @@
 			t.Errorf("%s %q, want %q", list.name, list.got, list.want)
 		}
 	}
-	if host.MaxOpen != 20000 || host.ReportVia != "pull" {
-		t.Errorf("max open %d, report via %q, want 20000 and pull", host.MaxOpen, host.ReportVia)
+	if host.MaxOpenRequests != 20000 || host.ReportVia != "pull" {
+		t.Errorf("max open %d, report via %q, want 20000 and pull", host.MaxOpenRequests, host.ReportVia)
 	}
 	badValue := strings.Replace(nested, `"balancers":3`, `"balancers":true`, 1)
 	if _, _, err := ParseJSON([]byte(badValue)); err == nil {
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -19,7 +19,7 @@
 var positiveKeys = map[string]bool{"hard-limit-us": true, "promise-us": true, "max-attempts": true}
 
 // idempotency lists the words for whether a request may run twice.
-var idempotency = map[string]policy.Idempotency{
+var repeatModes = map[string]policy.Idempotency{
 	"retryable": policy.Idempotent,
 	"dedup":     policy.IdempotentWithKey,
 	"fragile":   policy.NotIdempotent,
@@ -39,21 +39,21 @@
 }
 
 // pollsEndpoints are the words for how the endpoint list comes: pushed, or polled.
-var pollsEndpoints = map[string]bool{"pushed": false, "on_request": true}
+var membershipModes = map[string]bool{"pushed": false, "on_request": true}
 
 // hasCapacityHints are the words for the sizes in the endpoint list: unknown, or known in some way.
-var hasCapacityHints = map[string]bool{"silent": false, "nominal": true, "rough": true, "live": true}
+var weightModes = map[string]bool{"silent": false, "nominal": true, "rough": true, "live": true}
 
 // plainKeys are the settings that stand once. Times are in microseconds.
-var plainKeys = map[string]fieldSetter{
+var globalKeys = map[string]fieldSetter{
 	"self-index":      integer(func(p *parser) *int { return &p.Self }),
 	"balancers":       integer(func(p *parser) *int { return &p.Gateways }),
 	"az":              integer(func(p *parser) *int { return &p.Zone }),
 	"granularity-us":  integer(func(p *parser) *policy.Time { return &p.MinEventInterval }),
 	"localities":      setZones,
 	"report.via":      text(func(p *parser) *string { return &p.host.ReportVia }),
-	"membership-mode": enum(pollsEndpoints, func(p *parser) *bool { return &p.PollEndpoints }),
-	"weights":         enum(hasCapacityHints, func(p *parser) *bool { return &p.UseCapacityHints }),
+	"membership-mode": enum(membershipModes, func(p *parser) *bool { return &p.PollEndpoints }),
+	"weights":         enum(weightModes, func(p *parser) *bool { return &p.UseCapacityHints }),
 	"report.names":    setReportNames,
 
 	"ceilings.peers":              boolean(func(p *parser) *bool { return &p.Gossip }),
@@ -62,9 +62,9 @@
 	"ceilings.retry-after":        boolean(func(p *parser) *bool { return &p.RetryAfterAdvice }),
 	"ceilings.max-attempts":       integer(func(p *parser) *int { return &p.MaxAttempts }),
 	"ceilings.max-retry-after-us": integer(func(p *parser) *policy.Time { return &p.MaxRetryAfter }),
-	"ceilings.max-open":           integer(func(p *parser) *int { return &p.host.MaxOpen }),
+	"ceilings.max-open":           integer(func(p *parser) *int { return &p.host.MaxOpenRequests }),
 	"ceilings.dial-timeout-us":    integer(func(p *parser) *policy.Time { return &p.host.DialTimeout }),
-	"ceilings.idle-close-us":      integer(func(p *parser) *policy.Time { return &p.host.IdleClose }),
+	"ceilings.idle-close-us":      integer(func(p *parser) *policy.Time { return &p.host.IdleTimeout }),
 
 	"family-info.counter-timeout-us": integer(func(p *parser) *policy.Time { return &p.host.CounterTimeout }),
 	"family-info.counter":            boolean(func(p *parser) *bool { return &p.SharedCounter }),
@@ -91,7 +91,7 @@
 	"hard-limit-us": integer(func(p *parser) *policy.Time { return last(p.host.ClientTimeouts) }),
 	"window-us":     integer(func(p *parser) *policy.Time { return &class(p).DedupWindow }),
 	"worth":         float(func(p *parser) *float64 { return &class(p).PriorityWeight }),
-	"repeat":        enum(idempotency, func(p *parser) *policy.Idempotency { return &class(p).Idempotency }),
+	"repeat":        enum(repeatModes, func(p *parser) *policy.Idempotency { return &class(p).Idempotency }),
 	"group":         enum(dedupScopes, func(p *parser) *policy.DedupScope { return &class(p).DedupScope }),
 }
 
--- a/internal/settings/parser.go
+++ b/internal/settings/parser.go
@@ -17,7 +17,7 @@
 
 // parse sets every field whose key is present. The error is a *KeyError.
 func (p *parser) parse() error {
-	if err := p.parseTable("", plainKeys); err != nil {
+	if err := p.parseTable("", globalKeys); err != nil {
 		return err
 	}
 	if err := p.parseList(classList, classKeys, p.addClass); err != nil {
@@ -47,7 +47,7 @@
 			continue
 		}
 		if err := set(p, value); err != nil {
-			return badValue(prefix+key, value, err)
+			return valueError(prefix+key, value, err)
 		}
 	}
 	return nil
@@ -78,7 +78,7 @@
 	}
 	count, err := strconv.Atoi(value)
 	if err != nil || count < 0 || count > len(p.values) {
-		return 0, &KeyError{Key: key, Value: value, Err: fmt.Errorf("value %q %w", value, errNoCount)}
+		return 0, &KeyError{Key: key, Value: value, Err: fmt.Errorf("value %q %w", value, errInvalidCount)}
 	}
 	return count, nil
 }
@@ -100,7 +100,7 @@
 			continue
 		}
 		if n, err := strconv.ParseInt(value, 10, 64); err != nil || n <= 0 {
-			return badValue(key, value, errNotPositive)
+			return valueError(key, value, errNotPositive)
 		}
 	}
 	return nil
@@ -113,19 +113,19 @@
 	for key := range values {
 		keys[key] = true
 	}
-	generalizeItems(keys, values[countKey(classList)], classList, classKeys)
-	generalizeItems(keys, values[countKey(planList)], planList, planKeys)
+	collapseItemKeys(keys, values[countKey(classList)], classList, classKeys)
+	collapseItemKeys(keys, values[countKey(planList)], planList, planKeys)
 	return keys
 }
 
 // generalizeItems replaces the keys of a list's items by those that all items have.
-func generalizeItems(keys map[string]bool, countText, list string, table map[string]fieldSetter) {
+func collapseItemKeys(keys map[string]bool, countText, list string, table map[string]fieldSetter) {
 	count, err := strconv.Atoi(countText)
 	if err != nil {
 		count = 0 // the parser reports it
 	}
 	for field := range table {
-		if allItemsHave(keys, list, count, field) {
+		if allItemsHaveField(keys, list, count, field) {
 			keys[list+".*."+field] = true
 		}
 	}
@@ -138,7 +138,7 @@
 }
 
 // allItemsHave reports whether a list has items and each has the field.
-func allItemsHave(keys map[string]bool, list string, count int, field string) bool {
+func allItemsHaveField(keys map[string]bool, list string, count int, field string) bool {
 	for i := range count {
 		if !keys[itemKey(list, i, field)] {
 			return false
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -12,17 +12,17 @@
 // Host is the part of the settings that a gateway on real sockets needs and the decisions do not. The
 // simulator does these things itself. Lists by class or plan are in the order of the settings.
 type Host struct {
-	Classes, Plans []string        // names
-	ClientTimeouts []policy.Time   // of each class: how long a client waits at most; 0: unknown
-	Zones          []string        // names, by number
-	ReportNames    []string        // names of the values in a load report
-	ReportVia      string          // how load reports come: "piggyback", "pull" or "silent"
-	MaxOpen        int             // requests open at once; 0: no limit
-	DialTimeout    policy.Time     // for a connection to a backend
-	IdleClose      policy.Time     // backends close an idle connection by then
-	CounterTimeout policy.Time     // for a call of the shared counter
-	DrainGrace     policy.Time     // for attempts at a backend after it was announced as draining
-	Keys           map[string]bool // that the settings have; LIST.*.KEY where all items of a list have it
+	Classes, Plans  []string        // names
+	ClientTimeouts  []policy.Time   // of each class: how long a client waits at most; 0: unknown
+	Zones           []string        // names, by number
+	ReportNames     []string        // names of the values in a load report
+	ReportVia       string          // how load reports come: "piggyback", "pull" or "silent"
+	MaxOpenRequests int             // requests open at once; 0: no limit
+	DialTimeout     policy.Time     // for a connection to a backend
+	IdleTimeout     policy.Time     // backends close an idle connection by then
+	CounterTimeout  policy.Time     // for a call of the shared counter
+	DrainGrace      policy.Time     // for attempts at a backend after it was announced as draining
+	Keys            map[string]bool // that the settings have; LIST.*.KEY where all items of a list have it
 }
 
 // ParseText reads the simulator's form: a line KEY=VALUE for each setting. Unknown keys are skipped; a value
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -9,7 +9,7 @@
 )
 
 // profile is a deployment's settings in the simulator's form.
-const profile = `balancers=2
+const testSettings = `balancers=2
 self-index=1
 unknown.key=7
 report.names=served_ps,pending
@@ -25,7 +25,7 @@
 `
 
 func TestParseTextReadsSettings(t *testing.T) {
-	got, err := ParseText([]byte(profile))
+	got, err := ParseText([]byte(testSettings))
 	want := policy.Settings{
 		Self: 1, Gateways: 2, PollEndpoints: true, SlowStartFloor: 0.16,
 		LoadReport: []policy.LoadMetric{policy.UnusedMetric, policy.WaitingMetric},
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestErrorsNameTheKeyAndWhatIsWrong(t *testing.T) {
+func TestParseErrorsNameKeyAndProblem(t *testing.T) {
 	for _, tt := range []struct{ key, value, text string }{
 		{"balancers", "two", `value "two": strconv.ParseInt: parsing "two": invalid syntax`},
 		{"request-classes.0.repeat", "perhaps", `value "perhaps": unknown word`},
@@ -47,7 +47,7 @@
 		{"tariffs.0.rate", "", `value "": strconv.ParseFloat: parsing "": invalid syntax`},
 	} {
 		t.Run(tt.key, func(t *testing.T) {
-			_, err := ParseText([]byte(profile + tt.key + "=" + tt.value + "\n"))
+			_, err := ParseText([]byte(testSettings + tt.key + "=" + tt.value + "\n"))
 			var keyErr *KeyError
 			if !errors.As(err, &keyErr) || keyErr.Key != tt.key || keyErr.Value != tt.value {
 				t.Fatalf("error %v, want one of key %s with value %q", err, tt.key, tt.value)
--- a/internal/simproto/event.go
+++ b/internal/simproto/event.go
@@ -43,7 +43,7 @@
 type RequestCancelled struct{ RequestID uint64 }
 
 // TimerFired says that the time of a timer has come.
-type TimerFired struct{ Token uint32 }
+type TimerFired struct{ TimerID uint32 }
 
 // HealthCheckEnded is the outcome of a health check.
 type HealthCheckEnded struct {
@@ -86,7 +86,7 @@
 	codeResponseStarted:  (*recordReader).readResponseStarted,
 	codeAttemptEnded:     (*recordReader).readAttemptEnded,
 	codeRequestCancelled: func(r *recordReader) Event { return RequestCancelled{RequestID: r.uint64()} },
-	codeTimerFired:       func(r *recordReader) Event { return TimerFired{Token: r.uint32()} },
+	codeTimerFired:       func(r *recordReader) Event { return TimerFired{TimerID: r.uint32()} },
 	codeHealthCheckEnded: (*recordReader).readHealthCheckEnded,
 	codeGossipReceived:   (*recordReader).readGossipReceived,
 	codeCounterAnswered:  (*recordReader).readCounterAnswered,
@@ -95,7 +95,7 @@
 // readEvent reads the fields of an event whose code was read.
 func (r *recordReader) readEvent(code uint8) Event {
 	if int(code) >= len(eventReaders) || eventReaders[code] == nil {
-		r.fail(fmt.Errorf("%w: event %d", ErrUnknownCode, code))
+		r.setError(fmt.Errorf("%w: event %d", ErrUnknownCode, code))
 		return nil
 	}
 	return eventReaders[code](r)
@@ -116,7 +116,7 @@
 	r.uint64() // version of the list
 	count := int(r.uint32())
 	if count > r.remaining()/endpointSize {
-		r.fail(fmt.Errorf("%w list: %d endpoints in %d bytes", ErrTruncated, count, r.remaining()))
+		r.setError(fmt.Errorf("%w list: %d endpoints in %d bytes", ErrTruncated, count, r.remaining()))
 	}
 	for i := 0; i < count && r.err == nil; i++ {
 		e.Endpoints = append(e.Endpoints, r.readEndpoint())
@@ -166,12 +166,12 @@
 	outcome.RequestID = r.uint64()
 	outcome.Attempt = int(r.uint16())
 	outcome.Backend = r.uint32()
-	outcome.Result = r.result()
+	outcome.Result = r.readResult()
 	outcome.Latency = policy.Time(r.uint32())
 	outcome.ClientAnswered = r.uint8() != 0
 	outcome.MeterReading = int(r.uint16())
 	outcome.ActualCost = float64(r.uint16())
-	outcome.LoadReport = r.loadReport()
+	outcome.LoadReport = r.readLoadReport()
 	return AttemptEnded{Outcome: outcome}
 }
 
@@ -179,9 +179,9 @@
 func (r *recordReader) readHealthCheckEnded() Event {
 	var e HealthCheckEnded
 	e.Backend = r.uint32()
-	e.Result = r.result()
+	e.Result = r.readResult()
 	r.uint32() // latency: no decision depends on it
-	e.LoadReport = r.loadReport()
+	e.LoadReport = r.readLoadReport()
 	return e
 }
 
@@ -197,7 +197,7 @@
 func (r *recordReader) readCounterAnswered() Event {
 	var e CounterAnswered
 	e.Total = r.float32()
-	e.Result = r.result()
+	e.Result = r.readResult()
 	e.Name = r.uint64()
 	r.uint32() // latency: no decision depends on it
 	return e
--- a/internal/simproto/record.go
+++ b/internal/simproto/record.go
@@ -28,7 +28,7 @@
 func (r *recordReader) remaining() int { return len(r.data) - r.offset }
 
 // fail keeps the first error.
-func (r *recordReader) fail(err error) {
+func (r *recordReader) setError(err error) {
 	if r.err == nil {
 		r.err = err
 	}
@@ -40,7 +40,7 @@
 		return nil
 	}
 	if n < 0 || n > r.remaining() {
-		r.fail(fmt.Errorf("%w record at byte %d", ErrTruncated, r.offset))
+		r.setError(fmt.Errorf("%w record at byte %d", ErrTruncated, r.offset))
 		return nil
 	}
 	b := r.data[r.offset : r.offset+n]
@@ -81,7 +81,7 @@
 func (r *recordReader) float32() float64 { return float64(math.Float32frombits(r.uint32())) }
 
 // loadReport reads a list of numbers behind its length; nil is an empty one.
-func (r *recordReader) loadReport() []float32 {
+func (r *recordReader) readLoadReport() []float32 {
 	b := r.bytes(float32Size * int(r.uint8()))
 	if len(b) == 0 {
 		return nil
@@ -94,14 +94,14 @@
 }
 
 // result reads the code of an attempt's or a call's result.
-func (r *recordReader) result() policy.Result { return readCode(r, resultByCode, "result") }
+func (r *recordReader) readResult() policy.Result { return readCode(r, resultByCode, "result") }
 
 // readCode reads a code and returns what it stands for; name says what it is a code of, for the error.
 func readCode[V any](r *recordReader, byCode map[uint8]V, name string) V {
 	code := r.uint8()
 	value, ok := byCode[code]
 	if !ok {
-		r.fail(fmt.Errorf("%w: %s %d", ErrUnknownCode, name, code))
+		r.setError(fmt.Errorf("%w: %s %d", ErrUnknownCode, name, code))
 	}
 	return value
 }
--- a/internal/simproto/reply.go
+++ b/internal/simproto/reply.go
@@ -37,7 +37,7 @@
 }
 
 // appendHeader begins the record of an action.
-func (r *Reply) appendHeader(code uint8) {
+func (r *Reply) appendRecordHeader(code uint8) {
 	r.buf = append(r.buf, code)
 	r.appendUint16(r.instance)
 }
@@ -59,50 +59,50 @@
 }
 
 // Send appends an attempt at a backend, which the simulator sends at once.
-func (r *Reply) Send(id uint64, backend uint32, until policy.Time) (waiting bool) {
-	r.appendHeader(codeSend)
+func (r *Reply) Send(id uint64, backend uint32, deadline policy.Time) (waiting bool) {
+	r.appendRecordHeader(codeSend)
 	r.appendUint64(id)
-	r.appendUint64(uint64(until))
+	r.appendUint64(uint64(deadline))
 	r.appendUint32(backend)
 	return false
 }
 
 // Reject appends a rejection.
 func (r *Reply) Reject(id uint64, retryAfter policy.Time) {
-	r.appendHeader(codeReject)
+	r.appendRecordHeader(codeReject)
 	r.appendUint64(id)
 	r.appendDuration(retryAfter)
 }
 
 // Fail appends a failure.
 func (r *Reply) Fail(id uint64) {
-	r.appendHeader(codeFail)
+	r.appendRecordHeader(codeFail)
 	r.appendUint64(id)
 }
 
 // SetTimer appends a timer.
-func (r *Reply) SetTimer(at policy.Time, token uint32) {
-	r.appendHeader(codeSetTimer)
+func (r *Reply) SetTimer(at policy.Time, timerID uint32) {
+	r.appendRecordHeader(codeSetTimer)
 	r.appendUint64(uint64(at))
-	r.appendUint32(token)
+	r.appendUint32(timerID)
 }
 
 // HealthCheck appends a health check.
 func (r *Reply) HealthCheck(backend uint32) {
-	r.appendHeader(codeHealthCheck)
+	r.appendRecordHeader(codeHealthCheck)
 	r.appendUint32(backend)
 }
 
 // SendGossip appends a gossip message to a peer, cut to 256 bytes.
 func (r *Reply) SendGossip(peer int, message []byte) {
-	r.appendHeader(codeSendGossip)
+	r.appendRecordHeader(codeSendGossip)
 	r.appendUint16(uint16(peer))
 	r.appendString(string(message[:min(len(message), maxGossipSize)]))
 }
 
 // IncrementCounter appends a call to the shared counter.
 func (r *Reply) IncrementCounter(name uint64, amount float64, lifetime policy.Time) {
-	r.appendHeader(codeIncrementCounter)
+	r.appendRecordHeader(codeIncrementCounter)
 	r.appendUint64(name)
 	r.appendUint32(math.Float32bits(float32(amount)))
 	r.appendDuration(lifetime)
@@ -110,7 +110,7 @@
 
 // WatchEndpoints appends a subscription to discovery.
 func (r *Reply) WatchEndpoints() {
-	r.appendHeader(codeWatchEndpoints)
+	r.appendRecordHeader(codeWatchEndpoints)
 	r.buf = append(r.buf, 1)
 }
 
@@ -122,12 +122,12 @@
 		line.WriteByte(' ')
 		line.WriteString(attribute.String())
 	}
-	r.appendHeader(codeLog)
+	r.appendRecordHeader(codeLog)
 	r.appendString(line.String())
 }
 
 // InstanceFailed appends that the instance failed and is gone.
 func (r *Reply) InstanceFailed(reason string) {
-	r.appendHeader(codeInstanceFailed)
+	r.appendRecordHeader(codeInstanceFailed)
 	r.appendString(reason)
 }
--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/simproto_test.go
@@ -14,7 +14,7 @@
 )
 
 // fromHex decodes hexadecimal digits; blanks between them are ignored.
-func fromHex(tb testing.TB, digits string) []byte {
+func decodeHex(tb testing.TB, digits string) []byte {
 	tb.Helper()
 	b, err := hex.DecodeString(strings.Join(strings.Fields(digits), ""))
 	if err != nil {
@@ -24,7 +24,7 @@
 }
 
 // frame returns a batch as it is sent.
-func frame(index, count uint32, now uint64, body []byte) []byte {
+func encodeFrame(index, count uint32, now uint64, body []byte) []byte {
 	b := binary.LittleEndian.AppendUint32(nil, index)
 	b = binary.LittleEndian.AppendUint32(b, count)
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(body)))
@@ -51,7 +51,7 @@
 			Plan: 1, Replicas: 3, Class: 2, FirstReplica: 1, Customer: 0x91f03b7c55d20a64,
 		}},
 	},
-	{"timer fired", "04 0300 4d000000", 3, TimerFired{Token: 77}},
+	{"timer fired", "04 0300 4d000000", 3, TimerFired{TimerID: 77}},
 	{"request cancelled", "09 0500 192b6f0e23e80e00", 5, RequestCancelled{RequestID: 0x0ee8230e6f2b19}},
 	{
 		"attempt ended",
@@ -111,8 +111,8 @@
 func TestDecodeReadsEachKindOfEvent(t *testing.T) {
 	for _, c := range eventCases {
 		t.Run(c.name, func(t *testing.T) {
-			body := fromHex(t, c.record)
-			batch, err := ReadBatch(bytes.NewReader(frame(12, 1, 99, body)), nil)
+			body := decodeHex(t, c.record)
+			batch, err := ReadBatch(bytes.NewReader(encodeFrame(12, 1, 99, body)), nil)
 			if err != nil || batch.Index != 12 || batch.Now != 99 {
 				t.Fatalf("batch %+v: %v", batch, err)
 			}
@@ -139,9 +139,9 @@
 	}
 	for name, input := range map[string][]byte{
 		"header cut":           {1, 2, 3},
-		"body cut":             frame(1, 1, 1, []byte{4, 0, 0, 0})[:22],
-		"huge body announced":  append(fromHex(t, "01000000 01000000 ffffffff 0000000000000000"), 4),
-		"only the header came": frame(1, 1, 1, []byte{4, 0, 0, 0})[:batchHeaderSize],
+		"body cut":             encodeFrame(1, 1, 1, []byte{4, 0, 0, 0})[:22],
+		"huge body announced":  append(decodeHex(t, "01000000 01000000 ffffffff 0000000000000000"), 4),
+		"only the header came": encodeFrame(1, 1, 1, []byte{4, 0, 0, 0})[:batchHeaderSize],
 	} {
 		if _, err := ReadBatch(bytes.NewReader(input), nil); !errors.Is(err, ErrTruncated) {
 			t.Errorf("%s: error %v, want %v", name, err, ErrTruncated)
@@ -164,7 +164,7 @@
 		{"gossip longer than its batch", 1, "01 0200 0100 ffff 61", ErrTruncated},
 		{"fewer records than announced", 2, "06 0100", ErrTruncated},
 	} {
-		batch := Batch{Count: c.count, Body: fromHex(t, c.record)}
+		batch := Batch{Count: c.count, Body: decodeHex(t, c.record)}
 		if err := batch.Decode(func(uint16, Event) {}); !errors.Is(err, c.want) {
 			t.Errorf("%s: error %v, want %v", c.name, err, c.want)
 		}
@@ -173,9 +173,9 @@
 
 func TestReplyEncodesEachAction(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		act    func(*Reply)
-		record string // in hexadecimal
+		name         string
+		appendAction func(*Reply)
+		record       string // in hexadecimal
 	}{
 		{
 			"send", func(r *Reply) { r.Send(0x8257f5d3a91c4, 0x03124a07, 0x8194da) },
@@ -200,8 +200,8 @@
 		var reply Reply
 		reply.Reset(12)
 		reply.SetInstance(3)
-		c.act(&reply)
-		record := fromHex(t, c.record)
+		c.appendAction(&reply)
+		record := decodeHex(t, c.record)
 		want := append(binary.LittleEndian.AppendUint32([]byte{12, 0, 0, 0}, uint32(len(record))), record...)
 		if got := reply.Bytes(); !bytes.Equal(got, want) {
 			t.Errorf("%s: got %x, want %x", c.name, got, want)
@@ -210,9 +210,9 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(uint32(1), fromHex(f, "04 0300 4d000000"))
-	f.Add(uint32(1), fromHex(f, "08 0300 01 2900000000000000 ffffffff 0000"))
-	f.Add(uint32(2), fromHex(f, "01 0200 0100 0300 616263 06 0100"))
+	f.Add(uint32(1), decodeHex(f, "04 0300 4d000000"))
+	f.Add(uint32(1), decodeHex(f, "08 0300 01 2900000000000000 ffffffff 0000"))
+	f.Add(uint32(2), decodeHex(f, "01 0200 0100 0300 616263 06 0100"))
 	f.Fuzz(func(t *testing.T, count uint32, body []byte) {
 		batch := Batch{Count: count, Body: body}
 		decoded := 0
--- a/internal/sockwriter/writer.go
+++ b/internal/sockwriter/writer.go
@@ -12,7 +12,7 @@
 
 // stallChunk is how many bytes WriteBlocking writes under one deadline: the peer has to accept some of each
 // chunk within the stall timeout.
-const stallChunk = 4096
+const stallChunkSize = 4096
 
 // Writer writes to one connection. Its methods may be called from any goroutine, but WriteBlocking only while
 // nobody calls TryWrite, Send or CloseWrite.
@@ -20,18 +20,18 @@
 	conn *net.TCPConn
 	raw  syscall.RawConn // nil: the connection was closed when the writer was made
 
-	mu                sync.Mutex // guards the fields below
-	flushed           sync.Cond  // signalled when flushing ends
-	pending           []byte     // accepted by Send and not yet handed to the kernel
-	flushing          bool       // the flush goroutine runs
-	closeAfterPending bool       // the flush goroutine closes the sending side after the last byte
+	mu              sync.Mutex // guards the fields below
+	flushEnded      sync.Cond  // signalled when flushing ends
+	pending         []byte     // accepted by Send and not yet handed to the kernel
+	flushing        bool       // the flush goroutine runs
+	closeAfterFlush bool       // the flush goroutine closes the sending side after the last byte
 }
 
 // New makes a writer for a connection. Its owner closes the connection.
 func New(conn *net.TCPConn) *Writer {
 	raw, _ := conn.SyscallConn() // fails only for a closed connection, and then TryWrite fails too
 	w := &Writer{conn: conn, raw: raw}
-	w.flushed.L = &w.mu
+	w.flushEnded.L = &w.mu
 	return w
 }
 
@@ -100,8 +100,8 @@
 		w.pending = nil
 		if len(b) == 0 {
 			w.flushing = false
-			w.flushed.Broadcast()
-			if w.closeAfterPending {
+			w.flushEnded.Broadcast()
+			if w.closeAfterFlush {
 				_ = w.conn.CloseWrite() // fails only if the connection is gone
 			}
 			w.mu.Unlock()
@@ -116,11 +116,11 @@
 func (w *Writer) WriteBlocking(b []byte, stallTimeout time.Duration) error {
 	w.mu.Lock()
 	for w.flushing {
-		w.flushed.Wait()
+		w.flushEnded.Wait()
 	}
 	w.mu.Unlock()
 	for len(b) > 0 {
-		n := min(len(b), stallChunk)
+		n := min(len(b), stallChunkSize)
 		_ = w.conn.SetWriteDeadline(time.Now().Add(stallTimeout)) // Write reports a closed connection
 		if _, err := w.conn.Write(b[:n]); err != nil {
 			return err
@@ -135,7 +135,7 @@
 func (w *Writer) CloseWrite() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.closeAfterPending = true
+	w.closeAfterFlush = true
 	if !w.flushing {
 		_ = w.conn.CloseWrite() // fails only if the connection is gone
 	}
--- a/internal/sockwriter/writer_test.go
+++ b/internal/sockwriter/writer_test.go
@@ -14,7 +14,7 @@
 )
 
 // connect returns the two ends of a connection; the test's end closes them.
-func connect(t *testing.T) (near, far *net.TCPConn) {
+func newConnection(t *testing.T) (near, far *net.TCPConn) {
 	t.Helper()
 	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -36,7 +36,7 @@
 }
 
 // fill sends until the kernel accepts no more, and returns what was sent.
-func fill(t *testing.T, w *Writer) []byte {
+func fillSendBuffer(t *testing.T, w *Writer) []byte {
 	t.Helper()
 	var sent []byte
 	for i := 0; w.Idle(); i++ {
@@ -50,10 +50,10 @@
 }
 
 // What is sent while the peer does not read arrives in order, and before the end of the sending.
-func TestSendKeepsTheOrderUntilCloseWrite(t *testing.T) {
-	near, far := connect(t)
+func TestSendWritesInOrderBeforeCloseWrite(t *testing.T) {
+	near, far := newConnection(t)
 	w := New(near)
-	want := fill(t, w)
+	want := fillSendBuffer(t, w)
 	last := []byte("last")
 	if !w.Send(last, len(want)) {
 		t.Error("over the limit")
@@ -69,10 +69,10 @@
 }
 
 // Send reports when the peer leaves more than the limit unread.
-func TestSendReportsUnreadBytesOverTheLimit(t *testing.T) {
-	near, _ := connect(t)
+func TestSendReportsPendingBytesOverLimit(t *testing.T) {
+	near, _ := newConnection(t)
 	w := New(near)
-	fill(t, w)
+	fillSendBuffer(t, w)
 	const limit = 1 << 20
 	if w.Send(make([]byte, 2*limit), limit) {
 		t.Error("twice the limit is pending, and Send reports nothing")
@@ -80,8 +80,8 @@
 }
 
 // WriteBlocking gives up on a peer that reads nothing.
-func TestWriteBlockingFailsWhenThePeerStalls(t *testing.T) {
-	near, _ := connect(t)
+func TestWriteBlockingFailsIfPeerStalls(t *testing.T) {
+	near, _ := newConnection(t)
 	err := New(near).WriteBlocking(make([]byte, 64<<20), 50*time.Millisecond)
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("error %v, want %v", err, os.ErrDeadlineExceeded)
@@ -90,7 +90,7 @@
 
 // NoInput is false as soon as something can be read, and for a closed connection.
 func TestNoInput(t *testing.T) {
-	near, far := connect(t)
+	near, far := newConnection(t)
 	w := New(near)
 	if !w.NoInput() {
 		t.Error("input on a new connection")
