--- a/internal/gateway/capacity.go
+++ b/internal/gateway/capacity.go
@@ -51,7 +51,7 @@
 
 // isOverCapacity reports whether there are too many open requests, or they occupy too much memory.
 func (g *Gateway) isOverCapacity() bool {
-	maxOpen := g.config.Host.MaxOpen
+	maxOpen := g.config.Host.MaxOpenRequests
 	return maxOpen > 0 && g.requests.openCount > maxOpen ||
 		g.memory.retainedBytes >= g.config.MemoryMB*bytesPerMB/retainedMemoryDivisor
 }
