--- a/cmd/gateway/fleet_backends_test.go
+++ b/cmd/gateway/fleet_backends_test.go
@@ -48,14 +48,14 @@
 }
 
 // fleetBackend is a fake backend that several gateways share. After a restart it has a fraction of its
-// capacity, which grows as slow describes. It records the commands that it receives. It is safe for
+// capacity, which grows as slowStart describes. It records the commands that it receives. It is safe for
 // concurrent use.
 type fleetBackend struct {
-	tb      testing.TB
-	number  int
-	address string
-	slow    slowStart
-	cores   chan struct{} // semaphore of the commands in service
+	tb        testing.TB
+	number    int
+	address   string
+	slowStart slowStartProfile
+	cores     chan struct{} // semaphore of the commands in service
 
 	mu        sync.Mutex // guards the fields below
 	mode      backendMode
@@ -67,8 +67,8 @@
 	arrivals  []arrival // since the last restart
 }
 
-// slowStart describes how the capacity of a backend grows after its start, and which load overloads it.
-type slowStart struct {
+// slowStartProfile describes how the capacity of a backend grows after its start and which load overloads it.
+type slowStartProfile struct {
 	floor          float64       // fraction of the capacity that is available at the start
 	duration       time.Duration // time from the start until the whole capacity is available
 	overloadFactor float64       // load, as a multiple of the available capacity, that overloads the backend
@@ -76,15 +76,15 @@
 }
 
 // share returns the fraction of its capacity that a backend has at the given age.
-func (s slowStart) share(age time.Duration) float64 {
+func (s slowStartProfile) share(age time.Duration) float64 {
 	return min(1, s.floor+(1-s.floor)*age.Seconds()/s.duration.Seconds())
 }
 
 // newFleetBackend starts a warm backend that is closed when the test ends.
-func newFleetBackend(tb testing.TB, number int, slow slowStart) *fleetBackend {
+func newFleetBackend(tb testing.TB, number int, slowStart slowStartProfile) *fleetBackend {
 	tb.Helper()
 	b := &fleetBackend{
-		tb: tb, number: number, slow: slow, cores: make(chan struct{}, fleetBackendCores),
+		tb: tb, number: number, slowStart: slowStart, cores: make(chan struct{}, fleetBackendCores),
 		conns: map[*net.TCPConn]struct{}{}, address: porttest.Reserve(tb),
 	}
 	b.setMode(backendServes)
@@ -194,7 +194,7 @@
 	b.arrivals = append(b.arrivals, a)
 	mode, share := b.mode, 1.0
 	if !b.startedAt.IsZero() {
-		share = b.slow.share(a.at.Sub(b.startedAt))
+		share = b.slowStart.share(a.at.Sub(b.startedAt))
 	}
 	if mode == backendServes && b.waiting >= fleetBackendQueue {
 		mode = backendRejects
--- a/cmd/gateway/fleet_test.go
+++ b/cmd/gateway/fleet_test.go
@@ -37,7 +37,7 @@
 	gateways      int
 	backends      int
 	load          float64 // as a multiple of the total capacity of all backends
-	slow          slowStart
+	slowStart     slowStartProfile
 	dialTimeout   time.Duration
 	notIdempotent bool // the requests are not idempotent
 }
@@ -55,7 +55,7 @@
 	go func() { _ = server.Serve(listener) }() // returns when the server is closed
 	tb.Cleanup(func() { _ = server.Close() })
 	for i := range settings.backends {
-		f.backends = append(f.backends, newFleetBackend(tb, i+1, settings.slow))
+		f.backends = append(f.backends, newFleetBackend(tb, i+1, settings.slowStart))
 	}
 	f.publishBackends()
 	for range settings.gateways {
@@ -93,10 +93,10 @@
 			f.tb.Fatal(err)
 		}
 		settings["self-index"], settings["balancers"] = number, len(f.hosts)
-		slow := &f.settings.slow
+		slowStart := &f.settings.slowStart
 		settings["guarantees"] = map[string]any{
-			"cold-from": slow.floor, "cold-us": slow.duration.Microseconds(),
-			"tip-after-us": slow.window.Microseconds(), "overload-factor": slow.overloadFactor,
+			"cold-from": slowStart.floor, "cold-us": slowStart.duration.Microseconds(),
+			"tip-after-us": slowStart.window.Microseconds(), "overload-factor": slowStart.overloadFactor,
 			"drain-grace-us": 500000,
 		}
 		ceilings := mustBe[map[string]any](f.tb, settings["ceilings"])
--- a/cmd/gateway/slowstart_fleet_test.go
+++ b/cmd/gateway/slowstart_fleet_test.go
@@ -24,10 +24,10 @@
 
 // defaultSlowStart and fragileSlowStart describe backends of different deployments.
 var (
-	defaultSlowStart = slowStart{
+	defaultSlowStart = slowStartProfile{
 		floor: 0.27, duration: 16 * time.Second, overloadFactor: 2.5, window: time.Second,
 	}
-	fragileSlowStart = slowStart{
+	fragileSlowStart = slowStartProfile{
 		floor: 0.1, duration: 16 * time.Second, overloadFactor: 1.2, window: time.Second,
 	}
 )
@@ -35,7 +35,7 @@
 // overloadBudget returns the number of commands that a starting backend may receive in a window that begins
 // at the given age. It is the load that overloads the backend plus the allowance for random variation that
 // the rules define.
-func (s slowStart) overloadBudget(age time.Duration) float64 {
+func (s slowStartProfile) overloadBudget(age time.Duration) float64 {
 	const fewCommands = 30
 	capacity := s.overloadFactor * s.share(age) * fleetCapacity * s.window.Seconds()
 	if capacity < fewCommands {
@@ -61,12 +61,12 @@
 	defer b.mu.Unlock()
 	worst, end := overloadWindow{backend: b.number, budget: 1}, 0
 	for i, a := range b.arrivals {
-		for end < len(b.arrivals) && b.arrivals[end].at.Sub(a.at) <= b.slow.window {
+		for end < len(b.arrivals) && b.arrivals[end].at.Sub(a.at) <= b.slowStart.window {
 			end++
 		}
 		age := a.at.Sub(b.startedAt)
-		w := overloadWindow{b.number, age, end - i, b.slow.overloadBudget(age)}
-		if age < b.slow.duration && w.ratio() > worst.ratio() {
+		w := overloadWindow{b.number, age, end - i, b.slowStart.overloadBudget(age)}
+		if age < b.slowStart.duration && w.ratio() > worst.ratio() {
 			worst = w
 		}
 	}
@@ -77,7 +77,7 @@
 func (r *slowStartRun) run(t *testing.T) {
 	t.Helper()
 	settings := fleetSettings{
-		gateways: 24, backends: 10, load: 0.95, slow: defaultSlowStart, dialTimeout: time.Second / 4,
+		gateways: 24, backends: 10, load: 0.95, slowStart: defaultSlowStart, dialTimeout: time.Second / 4,
 	}
 	if r.settings != nil {
 		r.settings(&settings)
@@ -102,7 +102,7 @@
 		received += b.receivedCount()
 	}
 	t.Logf("worst window: backend %d got %d of %.0f commands in %v at age %v (%.2f); %d commands in total",
-		worst.backend, worst.received, worst.budget, f.settings.slow.window, worst.age, worst.ratio(),
+		worst.backend, worst.received, worst.budget, f.settings.slowStart.window, worst.age, worst.ratio(),
 		received)
 	t.Logf("requests: served %d, rejected %d, failed %d, lost %d",
 		f.answers.served.Load(), f.answers.rejected.Load(), f.answers.failed.Load(), f.answers.lost.Load())
@@ -119,12 +119,12 @@
 
 // fragileBackends selects backends that start with a small fraction of their capacity and are overloaded by a
 // small excess.
-func fragileBackends(s *fleetSettings) { s.slow = fragileSlowStart }
+func fragileBackends(s *fleetSettings) { s.slowStart = fragileSlowStart }
 
 // slowDials sets a long dial timeout. The requests are not idempotent, so that they are not abandoned early.
 func slowDials(s *fleetSettings) { s.dialTimeout, s.notIdempotent = 4*time.Second, true }
 
-// withWarmBackends changes the mode of the warm backends for 3 seconds after the other backends have started.
+// withWarmBackends replaces the starting backends and changes the mode of the warm ones for 3 seconds.
 func withWarmBackends(mode backendMode) func(f *fleet) {
 	return func(f *fleet) {
 		f.replaceBackends()
@@ -134,7 +134,7 @@
 	}
 }
 
-// replaceWithClockStep sets discovery's clock ahead of the gateways' clocks before the backends start.
+// replaceWithClockStep steps discovery's clock and then replaces the starting backends.
 func replaceWithClockStep(step time.Duration) func(f *fleet) {
 	return func(f *fleet) {
 		f.clockStep = step
@@ -158,8 +158,8 @@
 	f.replaceGateways()
 }
 
-// killGatewaysAfterClockStep sets discovery's clock ahead before the backends start, and kills all gateways
-// during the slow start. The last known list of the new gateway processes is from before the backends' start.
+// killGatewaysAfterClockStep steps discovery's clock, replaces the starting backends and kills all gateways
+// during the slow start. The last known list of the new gateway processes is from before the clock step.
 func killGatewaysAfterClockStep(step time.Duration) func(f *fleet) {
 	return func(f *fleet) {
 		f.useCurrentListAtStart()
