--- a/internal/gateway/backend_dial_test.go
+++ b/internal/gateway/backend_dial_test.go
@@ -11,7 +11,7 @@
 
 // A client disconnects, or its request is answered, while an attempt waits for a dial: the attempt ends at
 // once as not sent, and nothing is written to the connection.
-func TestWaitingAttemptEndsWithItsRequest(t *testing.T) {
+func TestWaitingAttemptEndsWhenRequestEnds(t *testing.T) {
 	for name, end := range map[string]func(*testing.T, *Gateway, *testClient){
 		"the client disconnects": func(t *testing.T, g *Gateway, c *testClient) {
 			t.Helper()
@@ -47,7 +47,7 @@
 }
 
 // The deduplication window ends while a retry waits for a connection: it is not written any more.
-func TestRetryIsNotSentAfterTheDedupWindow(t *testing.T) {
+func TestWaitingRetryIsNotSentAfterDedupWindow(t *testing.T) {
 	g, b := newGatewayWithBackend(t)
 	c := connectWithRequest(t, g, "c=order,k=5c0f6e1a2b3d4c59")
 	handleNextEvent(t, g, "the dial's end")
@@ -78,7 +78,7 @@
 
 // A backend restarts during a dial to it: the connection may lead to the process before, and another is
 // dialed.
-func TestDialOfARestartedBackendIsRepeated(t *testing.T) {
+func TestDialIsRepeatedWhenBackendRestarts(t *testing.T) {
 	g, b := newGatewayWithBackend(t)
 	dialing, unblock := blockDials(g)
 	a := startHealthCheck(g)
@@ -91,7 +91,7 @@
 
 // A backend restarts while an attempt waits for a connection to it: nothing is written that its slow start
 // does not allow.
-func TestWaitingAttemptIsHeldBackFromARestartedBackend(t *testing.T) {
+func TestWaitingAttemptIsNotSentToRestartedBackend(t *testing.T) {
 	g, b, dialing, unblock := newGatewayWithBlockedDials(t)
 	c := connectWithRequest(t, g, "c=once")
 	wait(t, dialing, "the dial")
--- a/internal/gateway/backend_drain_test.go
+++ b/internal/gateway/backend_drain_test.go
@@ -11,7 +11,7 @@
 
 // Nothing new is sent to a backend that drains. Ids are the identity: the same backend may get another
 // address.
-func TestDrainAndChangeOfAddressAreApplied(t *testing.T) {
+func TestDiscoveryUpdateAppliesAddressAndDrain(t *testing.T) {
 	r, old, d := startWithBackend(t, nil)
 	c := r.client(t)
 	c.sendLookup(1)
@@ -32,7 +32,7 @@
 
 // A drain that is reported during a dial holds for the waiting attempt too: nothing is written to the
 // connection.
-func TestDrainDuringDialSendsNothing(t *testing.T) {
+func TestDrainDuringDialPreventsSending(t *testing.T) {
 	g, b := newGatewayWithBackend(t)
 	startHealthCheck(g)
 	b.reportDrain(g)
--- a/internal/gateway/backend_pool_test.go
+++ b/internal/gateway/backend_pool_test.go
@@ -11,7 +11,7 @@
 
 // A connection that breaks under a request says nothing of the others: an idle one is used, unless it has
 // ended too.
-func TestBrokenConnectionLeavesIdleOnesInUse(t *testing.T) {
+func TestBrokenConnectionKeepsIdleConnections(t *testing.T) {
 	for name, alive := range map[string]bool{"idle one open": true, "idle one closed": false} {
 		t.Run(name, func(t *testing.T) {
 			r, b, _ := startWithBackend(t, nil)
@@ -75,7 +75,7 @@
 
 // An idle connection is closed before the backend closes it: a request that crossed the backend's close
 // would end as a reset.
-func TestIdleConnectionIsClosedBeforeItsBackendDoes(t *testing.T) {
+func TestIdleConnectionClosesBeforeBackendTimeout(t *testing.T) {
 	r, b, _ := startWithBackend(t, withSettings(t, `"idle-close-us":30000000`, `"idle-close-us":200000`))
 	c := r.client(t)
 	c.sendLookup(1)
@@ -87,7 +87,7 @@
 }
 
 // An attempt for which there is no file descriptor ends at once, and its request with it.
-func TestAttemptWithoutADescriptorIsRejectedAtOnce(t *testing.T) {
+func TestRequestIsRejectedWithoutFreeDescriptor(t *testing.T) {
 	r, b := startWithFourBackends(t, config.MinSockets) // 3 to backends
 	c := r.client(t)
 	for id := range 3 {
@@ -100,7 +100,7 @@
 
 // A duplicate reply may follow some milliseconds behind the first. The connection is not reused until the
 // quiescence period is over, neither by a new attempt nor by a waiting one.
-func TestConnectionIsNotReusedWithinTheQuiescencePeriod(t *testing.T) {
+func TestConnectionIsNotReusedDuringQuiescencePeriod(t *testing.T) {
 	for name, late := range map[string]bool{"nothing follows": false, "a second answer": true} {
 		t.Run(name, func(t *testing.T) {
 			g, b := newGatewayWithBackend(t)
--- a/internal/gateway/backend_reply_test.go
+++ b/internal/gateway/backend_reply_test.go
@@ -8,7 +8,7 @@
 )
 
 // Bytes behind a reply would be taken for the reply to the next request: the connection is not reused.
-func TestDuplicateReplyAnswersNoOtherRequest(t *testing.T) {
+func TestDuplicateReplyPreventsConnectionReuse(t *testing.T) {
 	const good = "+PONG\r\n"
 	for name, replies := range map[string][]string{
 		"at once": {good + good},
@@ -77,7 +77,7 @@
 }
 
 // A load report or usage that can't be parsed leaves the value valid.
-func TestMalformedReportLeavesTheValue(t *testing.T) {
+func TestMalformedReportKeepsValue(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
 	for id, tail := range []string{"$-1\r\n$3\r\n=,=\r\n", ":12\r\n$-1\r\n", "$x\r\n$-1\r\n", "*9\r\n", "?"} {
@@ -88,7 +88,7 @@
 }
 
 // A load report that is incomplete or holds impossible values is ignored.
-func TestIncompleteOrImpossibleLoadReportIsIgnored(t *testing.T) {
+func TestLoadReportIgnoresIncompleteAndInvalidReports(t *testing.T) {
 	cfg := newConfig(t, newFakeDiscovery(t), withSettings(t,
 		`"names":[],"via":"silent"`, `"names":["busy_reqs","pending"],"via":"piggyback"`))
 	got := loadReport(&cfg, "pending=2,busy_reqs=7,other=1")
--- a/internal/gateway/client_commands_test.go
+++ b/internal/gateway/client_commands_test.go
@@ -8,7 +8,7 @@
 
 // Input that loses the framing gets an error, and the connection is closed. The first of these made another
 // parser panic.
-func TestLostFramingClosesTheConnection(t *testing.T) {
+func TestLostFramingClosesConnection(t *testing.T) {
 	r, _, _ := startWithBackend(t, nil)
 	for _, input := range []struct{ name, text string }{
 		{"negative length", "*1\r\n$-2\r\nxx"},
@@ -29,7 +29,7 @@
 }
 
 // A connection without a complete command in time is closed; one with an open request is not.
-func TestConnectionWithoutACompleteCommandIsClosed(t *testing.T) {
+func TestIncompleteCommandTimesOut(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	good := r.client(t)
 	call := good.openLookup(b, 1)
@@ -48,7 +48,7 @@
 }
 
 // A value far over the limit gets an error before it is read.
-func TestValueOverTheLimitIsNotRead(t *testing.T) {
+func TestOversizedValueIsRejectedUnread(t *testing.T) {
 	r, _, _ := startWithBackend(t, nil)
 	c := r.client(t)
 	c.write("*5\r\n$9\r\nAPI.WRITE\r\n$62914560\r\n")
@@ -57,7 +57,7 @@
 }
 
 // Malformed commands in a row close the connection; between well-formed ones they do not.
-func TestConsecutiveErrorsCloseTheConnection(t *testing.T) {
+func TestConsecutiveErrorsCloseConnection(t *testing.T) {
 	r, _, _ := startWithBackend(t, nil)
 	c := r.client(t)
 	for range 2 * maxConsecutiveErrors {
@@ -79,7 +79,7 @@
 
 // A command that is dropped for lack of memory is rejected if it is a request, and answered if no decision is
 // due on it. Nothing of it stays counted.
-func TestCommandDroppedForLackOfMemoryIsAnswered(t *testing.T) {
+func TestCommandOverMemoryLimitIsAnswered(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
 	full := maxQueuedBytes(r.gateway.publishedConfig.Load())
--- a/internal/gateway/client_disconnect_rig_test.go
+++ b/internal/gateway/client_disconnect_rig_test.go
@@ -14,19 +14,19 @@
 
 // departures are the ways in which a client disconnects. After each of them no reply reaches it with
 // certainty.
-var departures = map[string]departure{
+var disconnectMethods = map[string]disconnectMethod{
 	"closes":           func(c *testClient) error { return c.conn.Close() },
 	"ends its sending": func(c *testClient) error { return c.conn.CloseWrite() },
 	"resets":           func(c *testClient) error { return errors.Join(c.conn.SetLinger(0), c.conn.Close()) },
 }
 
 // departure is a way in which a client disconnects.
-type departure func(*testClient) error
+type disconnectMethod func(*testClient) error
 
 // by has a client disconnect.
-func (d departure) by(c *testClient) {
+func (disconnect disconnectMethod) apply(c *testClient) {
 	c.t.Helper()
-	if err := d(c); err != nil {
+	if err := disconnect(c); err != nil {
 		c.t.Fatal(err)
 	}
 }
@@ -41,42 +41,42 @@
 // waitingRequest is a loop that the test runs itself. It has one backend, and one client with a request that
 // waits for a dial to that backend.
 type waitingRequest struct {
-	t         *testing.T
-	loop      *Gateway
-	backend   *fakeBackend
-	client    *testClient
-	departure departure
-	dialing   <-chan string // receives the address of each dial
-	unblock   chan struct{} // lets one dial go on with each value, and all once it is closed
+	t       *testing.T
+	gateway *Gateway
+	backend *fakeBackend
+	client  *testClient
+	method  disconnectMethod
+	dialing <-chan string // receives the address of each dial
+	unblock chan struct{} // lets one dial go on with each value, and all once it is closed
 }
 
 // forEachDeparture runs a test for each way in which the client of a waiting request may disconnect. The
 // fields of the request say its class.
-func forEachDeparture(t *testing.T, fields string, test func(*waitingRequest)) {
+func forEachDisconnectMethod(t *testing.T, fields string, test func(*waitingRequest)) {
 	t.Helper()
-	for name, departure := range departures {
-		t.Run(name, func(t *testing.T) { test(newWaitingRequest(t, fields, departure)) })
+	for name, method := range disconnectMethods {
+		t.Run(name, func(t *testing.T) { test(newWaitingRequest(t, fields, method)) })
 	}
 }
 
 // newWaitingRequest has the request sent, and handled up to its dial.
-func newWaitingRequest(t *testing.T, fields string, departure departure) *waitingRequest {
+func newWaitingRequest(t *testing.T, fields string, method disconnectMethod) *waitingRequest {
 	t.Helper()
 	g, b, dialing, unblock := newGatewayWithBlockedDials(t)
 	c := connectWithRequest(t, g, fields)
 	wait(t, dialing, "the dial")
 	return &waitingRequest{
-		t: t, loop: g, backend: b, client: c, departure: departure, dialing: dialing, unblock: unblock,
+		t: t, gateway: g, backend: b, client: c, method: method, dialing: dialing, unblock: unblock,
 	}
 }
 
 // onlyBackend returns the one backend as the loop sees it.
-func (w *waitingRequest) onlyBackend() *backend { return w.loop.backends.byNumber[1] }
+func (w *waitingRequest) onlyBackend() *backend { return w.gateway.backends.byNumber[1] }
 
 // onlyRequest returns the one request that the loop knows.
 func (w *waitingRequest) onlyRequest() *request {
 	w.t.Helper()
-	requests := slices.Collect(maps.Values(w.loop.requests.byID))
+	requests := slices.Collect(maps.Values(w.gateway.requests.byID))
 	if len(requests) != 1 {
 		w.t.Fatalf("%d requests, want 1", len(requests))
 	}
@@ -87,48 +87,50 @@
 func (w *waitingRequest) completeDial() {
 	w.t.Helper()
 	w.unblock <- struct{}{}
-	w.handleNext("the dial's end")
+	w.handleNextEvent("the dial's end")
 }
 
 // answerRequest has the backend answer the request that reached it, and its client read the answer.
 func (w *waitingRequest) answerRequest() {
 	w.t.Helper()
 	w.backend.nextCall(w.t).replyValue(w.t, "ok")
-	w.handleNext("the reply")
+	w.handleNextEvent("the reply")
 	w.client.wantValue("ok")
 }
 
 // handleNext handles the next event.
-func (w *waitingRequest) handleNext(what string) {
+func (w *waitingRequest) handleNextEvent(what string) {
 	w.t.Helper()
-	handleNextEvent(w.t, w.loop, what)
+	handleNextEvent(w.t, w.gateway, what)
 }
 
 // disconnect has the client disconnect. The loop has not handled that when it returns.
 func (w *waitingRequest) disconnect() {
 	w.t.Helper()
-	w.departure.by(w.client)
+	w.method.apply(w.client)
 }
 
 // disconnectInQueue has the client disconnect behind the one event that is queued, which the loop has not
 // handled when it returns either.
-func (w *waitingRequest) disconnectInQueue() {
+func (w *waitingRequest) queueDisconnect() {
 	w.t.Helper()
-	awaitQueued(w.loop, 1)
+	awaitQueued(w.gateway, 1)
 	w.disconnect()
-	awaitQueued(w.loop, 2)
+	awaitQueued(w.gateway, 2)
 }
 
 // handleDisconnect handles events up to the client's disconnect.
 func (w *waitingRequest) handleDisconnect() {
 	w.t.Helper()
-	handleUntil(w.t, w.loop, "the client's disconnect", func() bool { return len(w.loop.clients.conns) == 0 })
+	handleUntil(w.t, w.gateway, "the client's disconnect", func() bool {
+		return len(w.gateway.clients.conns) == 0
+	})
 }
 
 // wantNoOpenRequests checks that nothing of the requests is kept.
 func (w *waitingRequest) wantNoOpenRequests() {
 	w.t.Helper()
-	g := w.loop
+	g := w.gateway
 	if len(g.requests.byID) != 0 || g.requests.openCount != 0 || g.memory.retainedBytes != 0 {
 		w.t.Errorf("%d requests remain, %d open, %d bytes", len(g.requests.byID), g.requests.openCount,
 			g.memory.retainedBytes)
@@ -138,12 +140,12 @@
 // wantNothingSent checks that no attempt waits, and that nothing is written to a connection that comes up.
 func (w *waitingRequest) wantNothingSent() {
 	w.t.Helper()
-	wantNothingSent(w.t, w.loop, w.backend, w.unblock)
+	wantNothingSent(w.t, w.gateway, w.backend, w.unblock)
 }
 
 // newLoopWithStalledBackend makes a loop that the test runs itself, with one backend that accepts no
 // connection and reads nothing. The buffers between them are the smallest there are.
-func newLoopWithStalledBackend(t *testing.T) *Gateway {
+func newGatewayWithStalledBackend(t *testing.T) *Gateway {
 	t.Helper()
 	listening := net.ListenConfig{Control: withSmallestBuffer(syscall.SO_RCVBUF)}
 	stalled, err := listening.Listen(t.Context(), "tcp", "127.0.0.1:0")
--- a/internal/gateway/client_eviction_test.go
+++ b/internal/gateway/client_eviction_test.go
@@ -22,7 +22,7 @@
 }
 
 // Connections without a command are evicted first, then those with one.
-func TestConnectionsWithoutACommandAreEvictedFirst(t *testing.T) {
+func TestEvictPrefersConnectionsWithoutCommand(t *testing.T) {
 	d := newFakeDiscovery(t)
 	g := newTestGateway(t, d)
 	now := g.events.Now()
@@ -55,7 +55,7 @@
 }
 
 // Clients that keep their connection after a request keep no other client out.
-func TestIdleConnectionsAreEvictedForNewOnes(t *testing.T) {
+func TestIdleConnectionsAreEvictedForNewClients(t *testing.T) {
 	r, b := startWithFourBackends(t, 40) // 6 clients, and 4 that may be rejected
 	for id := range 30 {
 		c := r.client(t)
@@ -66,7 +66,7 @@
 
 // Too many connections without a complete command are evicted first: those without input, the oldest before
 // others. A connection amid its first command is evicted after idle ones.
-func TestUnfinishedConnectionsKeepToTheirPartOfTheLimit(t *testing.T) {
+func TestEvictLimitsConnectionsWithoutCommand(t *testing.T) {
 	g := newTestGateway(t, newFakeDiscovery(t))
 	g.clients.limit = 8 // six of them for those without a complete command
 	now := g.events.Now()
@@ -108,7 +108,7 @@
 
 // New connections without input fill the limit: none is closed, and clients with a request are served
 // beside them. Beyond the limit of those one is rejected.
-func TestSilentNewcomersKeepOutNoClientWithARequest(t *testing.T) {
+func TestNewConnectionsDoNotBlockClientsWithRequest(t *testing.T) {
 	g := newTestGateway(t, newFakeDiscovery(t))
 	g.clients.limit = 4
 	add := func(commands int, pipeline ...*request) *client {
@@ -132,7 +132,7 @@
 }
 
 // A client's disconnect is noticed while its request is open, which then no longer counts.
-func TestDisconnectFreesTheCapacityOfItsRequest(t *testing.T) {
+func TestDisconnectFreesCapacityOfOpenRequest(t *testing.T) {
 	r, b, _ := startWithBackend(t, withSettings(t, `"max-open":20000`, `"max-open":1`))
 	c := r.client(t)
 	c.sendLookupWithin(1, "80000000")
@@ -158,7 +158,7 @@
 }
 
 // Clients beyond the limit replace idle connections; where none is idle they are rejected at once.
-func TestClientsBeyondTheLimitAreRejected(t *testing.T) {
+func TestClientsOverLimitAreRejected(t *testing.T) {
 	r, b := startWithFourBackends(t, 40) // 6 clients
 	idle := r.client(t)
 	idle.send("PING")
--- a/internal/gateway/client_read_ahead_test.go
+++ b/internal/gateway/client_read_ahead_test.go
@@ -8,7 +8,7 @@
 )
 
 // Input that was read ahead keeps its order, and its memory is released.
-func TestReadAheadKeepsTheOrder(t *testing.T) {
+func TestReadAheadKeepsOrder(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
 	call := c.openLookup(b, 1)
--- a/internal/gateway/command_test.go
+++ b/internal/gateway/command_test.go
@@ -50,7 +50,7 @@
 }
 
 // A malformed command gets one error, reaches no backend and leaves the framing intact.
-func TestMalformedCommandGetsAnErrorAndReachesNoBackend(t *testing.T) {
+func TestMalformedCommandReturnsError(t *testing.T) {
 	r, b, _ := startWithBackend(t, withSettings(t, `"counter":false`, `"counter":false,"max-units":4`,
 		`"name":"lookup"`, `"name":"lookup","hard-limit-us":60000000`))
 	const id, customer = "0000000000000001", "0000000000000007"
--- a/internal/gateway/descriptors_test.go
+++ b/internal/gateway/descriptors_test.go
@@ -13,7 +13,7 @@
 
 // The lower one of the configured number and the process's limit is shared out, and one line of the log
 // says so.
-func TestLowerDescriptorLimitIsSharedOut(t *testing.T) {
+func TestDescriptorBudgetUsesLowerLimit(t *testing.T) {
 	for _, test := range []struct{ configured, process, want, logged int }{
 		{configured: 1024, process: 0, want: 1024},
 		{configured: 1024, process: 1024, want: 1024},
--- a/internal/gateway/dial_fault_test.go
+++ b/internal/gateway/dial_fault_test.go
@@ -33,7 +33,7 @@
 	{syscall.ECONNREFUSED, dialRefused},
 }
 
-func TestErrorsOfDialsAreClassified(t *testing.T) {
+func TestClassifyDial(t *testing.T) {
 	for _, c := range dialErrors {
 		err := fmt.Errorf("wrapped: %w", &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", c.err)})
 		if got := classifyDial(err); got != c.want {
@@ -43,28 +43,28 @@
 }
 
 // failDials has all dials to backends fail with an error until the returned function is called.
-func failDials(g *Gateway, err error) (recover func()) {
+func failDials(g *Gateway, err error) (restore func()) {
 	g.backends.dialer.Control = func(string, string, syscall.RawConn) error { return err }
 	return func() { g.backends.dialer.Control = nil }
 }
 
 // A shortage of this machine's own ends no attempt at once, ejects no backend and begins no slow start: the
 // request is served when the shortage ends.
-func TestShortageOfItsOwnIsHeldAgainstNoBackend(t *testing.T) {
+func TestOwnShortageDoesNotEjectBackend(t *testing.T) {
 	for _, c := range dialErrors {
 		if c.want != dialOwnShortage {
 			continue
 		}
 		t.Run(c.err.Error(), func(t *testing.T) {
 			g, b := newGatewayWithBackend(t)
-			recovered := failDials(g, c.err)
+			restore := failDials(g, c.err)
 			client := connectWithRequest(t, g, "c=once")
 			handleNextEvent(t, g, "the failed dial")
 			if n := g.controller.UnavailableBackends(); n != 0 || len(g.requests.byID) != 1 {
 				t.Fatalf("%d backends ejected, %d requests open: want none ejected, 1 open",
 					n, len(g.requests.byID))
 			}
-			recovered()
+			restore()
 			fakeClockOf(t, g).shown.Add(firstShortagePause)
 			g.events.RunTimers()
 			handleNextEvent(t, g, "the second dial")
@@ -76,7 +76,7 @@
 }
 
 // A shortage that lasts ends the attempt after some pauses: the client hears of it before its deadline.
-func TestLastingShortageRejectsTheRequest(t *testing.T) {
+func TestPersistentShortageRejectsRequest(t *testing.T) {
 	g, b := newGatewayWithBackend(t)
 	_ = failDials(g, syscall.EMFILE)
 	client := connectWithRequest(t, g, "c=once")
--- a/internal/gateway/handover_test.go
+++ b/internal/gateway/handover_test.go
@@ -65,7 +65,7 @@
 func waitForReadiness(t *testing.T, r *rig, want int) {
 	t.Helper()
 	for until := time.Now().Add(testTimeout); time.Now().Before(until); {
-		if got, _ := operate(t, r, "/ops/readiness"); got == want {
+		if got, _ := getOpsPage(t, r, "/ops/readiness"); got == want {
 			return
 		}
 	}
--- a/internal/gateway/idle_timeout_test.go
+++ b/internal/gateway/idle_timeout_test.go
@@ -7,7 +7,7 @@
 )
 
 // The estimate is lowered by reused connections that prove broken, and recovers with time.
-func TestIdleTimeoutIsLoweredAndRecovers(t *testing.T) {
+func TestIdleTimeoutEstimateFallsAndRecovers(t *testing.T) {
 	estimate := idleTimeoutEstimate{upperLimit: 15_000_000}
 	now := policy.Time(1e9)
 	want := func(trusted policy.Time) {
@@ -32,7 +32,7 @@
 
 // Connections that break after any idle time say nothing of the idle timeout: the estimate stays, or each
 // request would pay for a handshake.
-func TestIdleTimeoutIgnoresBreaksShorterThanAHealthyIdleTime(t *testing.T) {
+func TestIdleTimeoutEstimateIgnoresBreaksBelowHealthyIdleTime(t *testing.T) {
 	estimate := idleTimeoutEstimate{upperLimit: 15_000_000}
 	now := policy.Time(1e9)
 	estimate.recordHealthy(now, 500_000)
--- a/internal/gateway/ops_test.go
+++ b/internal/gateway/ops_test.go
@@ -14,7 +14,7 @@
 func withOps(f map[string]any) { f["ops"] = "127.0.0.1:0" }
 
 // operate makes a GET request as an operator, and returns the status and the body.
-func operate(tb testing.TB, r *rig, path string) (int, string) {
+func getOpsPage(tb testing.TB, r *rig, path string) (int, string) {
 	tb.Helper()
 	url := "http://" + r.gateway.ops.Addr().String() + path
 	req, err := http.NewRequestWithContext(tb.Context(), http.MethodGet, url, http.NoBody)
@@ -37,7 +37,7 @@
 func wantMetrics(tb testing.TB, r *rig, want ...string) {
 	tb.Helper()
 	r.sync(tb) // what a fake has seen already may be counted only after that
-	_, body := operate(tb, r, "/ops/stats")
+	_, body := getOpsPage(tb, r, "/ops/stats")
 	for _, line := range want {
 		if !strings.Contains("\n"+body, "\nedge_relay."+line+"\n") {
 			tb.Errorf("no %s in\n%s", line, body)
@@ -49,7 +49,7 @@
 func awaitMetric(tb testing.TB, r *rig, line string) {
 	tb.Helper()
 	for until := time.Now().Add(testTimeout); time.Now().Before(until); {
-		if _, body := operate(tb, r, "/ops/stats"); strings.Contains(body, "\nedge_relay."+line+"\n") {
+		if _, body := getOpsPage(tb, r, "/ops/stats"); strings.Contains(body, "\nedge_relay."+line+"\n") {
 			return
 		}
 	}
@@ -78,7 +78,7 @@
 }
 
 // Not ready before clients are accepted nor after a shutdown began, and told while the loop does not run.
-func TestReadinessNeedsNoLoop(t *testing.T) {
+func TestReadinessWithoutEventLoop(t *testing.T) {
 	g, err := newGateway(newConfig(t, newFakeDiscovery(t), withOps), discardLog(), eventloop.SystemClock())
 	if err != nil {
 		t.Fatal(err)
@@ -87,15 +87,15 @@
 	defer g.ops.Close()
 	go g.ops.Serve()
 	r := &rig{gateway: g} // its loop never runs
-	if got, _ := operate(t, r, "/ops/readiness"); got != 503 {
+	if got, _ := getOpsPage(t, r, "/ops/readiness"); got != 503 {
 		t.Errorf("before clients are accepted: got %d, want 503", got)
 	}
 	g.startAccepting()
-	if got, _ := operate(t, r, "/ops/readiness"); got != 200 {
+	if got, _ := getOpsPage(t, r, "/ops/readiness"); got != 200 {
 		t.Errorf("while clients are accepted: got %d, want 200", got)
 	}
 	shutdownRequested{}.Handle(g)
-	if got, _ := operate(t, r, "/ops/readiness"); got != 503 {
+	if got, _ := getOpsPage(t, r, "/ops/readiness"); got != 503 {
 		t.Errorf("after the shutdown began: got %d, want 503", got)
 	}
 }
--- a/internal/gateway/request_body_test.go
+++ b/internal/gateway/request_body_test.go
@@ -21,9 +21,9 @@
 
 // beginBody has a client write a request up to the first bytes of its large body, waits until the backend
 // reads that body, and returns the rest of the command.
-func (c *testClient) beginBody(b *fakeBackend, id int) (rest string) {
+func (c *testClient) startBody(b *fakeBackend, id int) (rest string) {
 	c.t.Helper()
-	_, body := largeHead()
+	_, body := largeReplyHead()
 	c.write(bodyHead(id, "team", len(body)) + body[:bodyPrefix])
 	if got := wait(c.t, b.bodySizes, "the body to begin"); got != len(body) {
 		c.t.Fatalf("a body of %d bytes, want %d", got, len(body))
@@ -32,12 +32,12 @@
 }
 
 // A large body goes to its backend while the client is still writing it.
-func TestLargeBodyIsForwardedAsItIsRead(t *testing.T) {
+func TestLargeBodyIsForwardedWhileRead(t *testing.T) {
 	r, b, _ := startWithBackend(t, withOps)
 	c := r.client(t)
-	_, body := largeHead()
+	_, body := largeReplyHead()
 	for id := range 2 {
-		rest := c.beginBody(b, id)
+		rest := c.startBody(b, id)
 		wantMetrics(t, r, fmt.Sprintf("relayed.once=%d", id))
 		c.write(rest)
 		call := b.nextCall(t)
@@ -51,10 +51,10 @@
 }
 
 // The large body of a rejected request is skipped, and the connection is read on.
-func TestLargeBodyOfARejectedRequestIsSkipped(t *testing.T) {
+func TestLargeBodyOfRejectedRequestIsSkipped(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
-	_, body := largeHead()
+	_, body := largeReplyHead()
 	c.sendOnce(1, "tiny")
 	c.wantServed(b, "ok")
 	c.write(bodyHead(2, "tiny", len(body)) + body + "\r\n")
@@ -70,10 +70,10 @@
 
 // A large body that its client does not complete reaches no backend completely, and other clients are
 // served.
-func TestIncompleteLargeBodyEndsOnlyItsOwnRequest(t *testing.T) {
+func TestIncompleteLargeBodyEndsOnlyItsRequest(t *testing.T) {
 	r, b, _ := startWithBackend(t, withOps)
 	c := r.client(t)
-	c.beginBody(b, 1)
+	c.startBody(b, 1)
 	_ = c.conn.Close()
 	if err := wait(t, b.closed, "the backend's connection to end"); err == nil {
 		t.Error("it ended without an error")
@@ -87,10 +87,10 @@
 
 // A backend that closes amid a large body has run nothing: the request is rejected, and the client's
 // connection stays in use.
-func TestBackendClosingAmidABodyRejectsTheRequest(t *testing.T) {
+func TestBackendCloseDuringBodyRejectsRequest(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
-	rest := c.beginBody(b, 1)
+	rest := c.startBody(b, 1)
 	b.closeConnections()
 	c.wantRejected()
 	c.write(rest)
@@ -100,7 +100,7 @@
 
 // A backend replies, fails or closes before the loop handles that the body was written: the request may
 // have run, and its reply does not deny it.
-func TestReplyHandledBeforeTheEndOfItsBodyIsPassedOn(t *testing.T) {
+func TestReplyBeforeBodyWrittenEventIsForwarded(t *testing.T) {
 	for name, c := range map[string]struct {
 		end  func(testing.TB, *backendCall)
 		want string
@@ -124,7 +124,7 @@
 			t.Cleanup(g.listening.pause)
 			client := dialClient(t, g.listening.listener.Addr().String())
 			handleNextEvent(t, g, "the connection")
-			_, body := largeHead()
+			_, body := largeReplyHead()
 			client.write(bodyHead(1, "team", len(body)) + body + "\r\n")
 			handleNextEvent(t, g, "the request")
 			handleNextEvent(t, g, "the dial's end")
@@ -146,10 +146,10 @@
 }
 
 // A large body without the line end behind it is an incomplete command, and the connection is closed.
-func TestBodyWithoutItsLineEndClosesTheConnection(t *testing.T) {
+func TestBodyWithoutLineEndClosesConnection(t *testing.T) {
 	r, _, _ := startWithBackend(t, nil)
 	c := r.client(t)
-	_, body := largeHead()
+	_, body := largeReplyHead()
 	c.write(bodyHead(1, "team", len(body)) + body)
 	_ = c.conn.SetReadDeadline(time.Now().Add(testTimeout))
 	if b, err := io.ReadAll(c.in); errors.Is(err, os.ErrDeadlineExceeded) {
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -18,7 +18,7 @@
 
 // A backend gets the client's command with the timeout that is left, and the client gets the backend's
 // value.
-func TestRequestIsForwardedUnchangedButForItsTimeout(t *testing.T) {
+func TestForwardedRequestChangesOnlyTimeout(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
 	c.send("API.WRITE", "0000000000000007", "9b1f03aa5c7e2d41",
@@ -38,7 +38,7 @@
 
 // Replies are written in the order of the commands even if backends reply in another, and further commands
 // are read while requests are open.
-func TestPipelinedRepliesKeepTheirOrder(t *testing.T) {
+func TestPipelinedRepliesKeepOrder(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
 	first := c.openLookup(b, 1)
@@ -55,7 +55,7 @@
 }
 
 // An idempotent request is retried after each outcome but a value.
-func TestRequestIsRetriedByTheOutcomeOfItsAttempt(t *testing.T) {
+func TestIdempotentRequestIsRetriedWithoutValue(t *testing.T) {
 	for _, c := range []struct {
 		name, reply string // empty: the connection ends
 		retried     bool
@@ -86,7 +86,7 @@
 
 // A request that is not idempotent and may have run is neither retried nor rejected: its failure does not
 // say whether it ran.
-func TestNonIdempotentRequestIsNotRetriedAfterItMayHaveRun(t *testing.T) {
+func TestNonIdempotentRequestIsNotRetriedIfItMayHaveRun(t *testing.T) {
 	for name, end := range map[string]func(*backendCall){
 		"reset": func(c *backendCall) { _ = c.conn.Close() },
 		"error": func(c *backendCall) { _, _ = c.conn.Write([]byte("-ERR failed\r\n")) },
@@ -122,7 +122,7 @@
 }
 
 // A backend that does not reply delays no request past its deadline, and its late reply reaches nobody.
-func TestRequestIsAnsweredByItsDeadline(t *testing.T) {
+func TestRequestIsRejectedAtDeadline(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
 	c.sendLookupWithin(1, "300")
@@ -135,7 +135,7 @@
 }
 
 // A rejection comes at once and says when to retry.
-func TestRejectionIsPromptWithRetryAfter(t *testing.T) {
+func TestRejectionIncludesRetryAfter(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
 	send := func(id int) {
@@ -150,7 +150,7 @@
 
 // With settlement the actual cost in the reply counts, not the estimate; costs that no request can have are
 // ignored.
-func TestActualCostOfTheReplyIsSettled(t *testing.T) {
+func TestActualCostIsSettled(t *testing.T) {
 	for usage, admitted := range map[string]bool{
 		"used=3,cost=1": false, "cost=0.25": true, "cost=NaN": true, "cost=9": true,
 	} {
@@ -203,7 +203,7 @@
 }
 
 // A body and a value of the largest size that is buffered pass unchanged.
-func TestLargestBufferedValuePassesBothWays(t *testing.T) {
+func TestLargestBufferedValueIsForwarded(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
 	large := strings.Repeat("v", resp.MaxValue)
@@ -218,7 +218,7 @@
 }
 
 // A request with the id of an open one of another client gets an error; the open one is served.
-func TestIDOfAnOpenRequestIsRejected(t *testing.T) {
+func TestDuplicateRequestIDIsRejected(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c, other := r.client(t), r.client(t)
 	call := c.openLookup(b, 1)
@@ -231,7 +231,7 @@
 }
 
 // A request that has ended keeps no timer and no memory until its deadline.
-func TestEndedRequestsLeaveNoTimers(t *testing.T) {
+func TestEndedRequestsReleaseTimersAndMemory(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
 	const many = 50
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -26,7 +26,7 @@
 // Gateway is the state that events act on. The goroutine of the event loop owns the policy's controller and
 // everything else that the fields refer to; other goroutines post events. Apart from what the type of a field
 // makes safe for them, other goroutines may use only log, clock, events.Post, events.PostUrgent,
-// memory.queued and publishedConfig.
+// memory.inputBytes and publishedConfig.
 type Gateway struct {
 	log             *slog.Logger
 	clock           eventloop.Clock // of the event loop; safe for any goroutine
--- a/internal/gateway/value_stream_test.go
+++ b/internal/gateway/value_stream_test.go
@@ -16,53 +16,53 @@
 const largeValueEnd = "\r\n$-1\r\n$-1\r\n"
 
 // largeHead returns the head of a reply with a large value, and the value.
-func largeHead() (head, value string) {
+func largeReplyHead() (head, value string) {
 	return fmt.Sprintf("*3\r\n$%d\r\n", largeSize), strings.Repeat("0123456789", largeSize/10+1)[:largeSize]
 }
 
 // replyLargeValue replies with a large value, and returns the value.
 func (c *backendCall) replyLargeValue(tb testing.TB) (value string) {
 	tb.Helper()
-	head, value := largeHead()
+	head, value := largeReplyHead()
 	c.reply(tb, head+value+largeValueEnd)
 	return value
 }
 
 // beginLargeValue writes a reply with a large value up to the first bytes that are forwarded, and returns the
 // whole value.
-func (c *backendCall) beginLargeValue(tb testing.TB) (value string) {
+func (c *backendCall) startLargeValue(tb testing.TB) (value string) {
 	tb.Helper()
-	head, value := largeHead()
+	head, value := largeReplyHead()
 	c.reply(tb, head+value[:minValuePrefix])
 	return value
 }
 
 // endLargeValue writes the rest of the reply that beginLargeValue has begun.
-func (c *backendCall) endLargeValue(tb testing.TB, value string) {
+func (c *backendCall) finishLargeValue(tb testing.TB, value string) {
 	tb.Helper()
 	c.reply(tb, value[minValuePrefix:]+largeValueEnd)
 }
 
 // wantLargeHead reads the announcement of a large value and checks its size.
-func (c *testClient) wantLargeHead() {
+func (c *testClient) wantLargeValueHead() {
 	c.t.Helper()
 	c.wantLine(fmt.Sprintf("$%d", largeSize))
 }
 
 // The client has the first bytes of a large value while its backend is still writing it, and both
 // connections stay in use.
-func TestLargeValueIsForwardedAsItIsRead(t *testing.T) {
+func TestLargeValueIsForwardedWhileRead(t *testing.T) {
 	r, b, _ := startWithBackend(t, withOps)
 	c := r.client(t)
 	c.sendOnce(1, "team")
 	call := b.nextCall(t)
-	value := call.beginLargeValue(t)
-	c.wantLargeHead()
+	value := call.startLargeValue(t)
+	c.wantLargeValueHead()
 	if got := c.read(minValuePrefix); got != value[:minValuePrefix] {
 		t.Error("the value begins otherwise")
 	}
 	wantMetrics(t, r, "open_requests=1", "fulfilled.once=0")
-	call.endLargeValue(t, value)
+	call.finishLargeValue(t, value)
 	if got := c.read(largeSize - minValuePrefix); got != value[minValuePrefix:] {
 		t.Error("the value goes on otherwise")
 	}
@@ -82,12 +82,12 @@
 
 // A large value that is not completed has failed: no other attempt is made, and the client's connection is
 // closed amid it.
-func TestIncompleteLargeValueFails(t *testing.T) {
+func TestIncompleteLargeValueClosesClient(t *testing.T) {
 	r, b, _ := startWithBackend(t, withOps)
 	c := r.client(t)
 	call := c.openLookup(b, 1)
-	call.beginLargeValue(t)
-	c.wantLargeHead()
+	call.startLargeValue(t)
+	c.wantLargeValueHead()
 	_ = call.conn.Close()
 	if rest, _ := io.ReadAll(c.in); len(rest) != minValuePrefix {
 		t.Errorf("%d bytes of the value", len(rest))
@@ -101,18 +101,18 @@
 
 // A length that announces a large value of which hardly anything arrives is corrupt: nothing goes to the
 // client, and the request is retried.
-func TestCorruptLengthOfALargeValueIsRetried(t *testing.T) {
+func TestLargeValueWithCorruptLengthIsRetried(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
 	call := c.openLookup(b, 1)
-	head, _ := largeHead()
+	head, _ := largeReplyHead()
 	call.reply(t, head+"short"+largeValueEnd)
 	_ = call.conn.Close()
 	c.wantServed(b, "ok")
 }
 
 // A large value waits for the replies before it, and is given up when the client disconnects.
-func TestLargeValueWaitsForItsTurn(t *testing.T) {
+func TestLargeValueWaitsForEarlierReplies(t *testing.T) {
 	r, b := startWithFourBackends(t, 1024)
 	c := r.client(t)
 	c.sendOnce(1, "team")
@@ -128,20 +128,20 @@
 	b.nextCall(t) // never answered
 	c.sendOnce(4, "team")
 	call := b.nextCall(t)
-	call.beginLargeValue(t)
+	call.startLargeValue(t)
 	_ = c.conn.Close()
 	for wait(t, b.closed, "the backend's connection to end") == nil {
 	}
 }
 
 // Neither the deadline nor a planned shutdown ends the transfer of a large value.
-func TestLargeValueOutlastsDeadlineAndShutdown(t *testing.T) {
+func TestLargeValueCompletesAfterDeadlineAndShutdown(t *testing.T) {
 	r, b := startWithFourBackends(t, 1024)
 	c, other := r.client(t), r.client(t)
 	c.sendLookupWithin(1, "400")
 	call := b.nextCall(t)
-	value := call.beginLargeValue(t)
-	c.wantLargeHead()
+	value := call.startLargeValue(t)
+	c.wantLargeValueHead()
 	other.sendLookupWithin(2, "500") // ends later than the deadline of the first
 	b.nextCall(t)
 	r.advanceClock(t, 500_000)
@@ -150,7 +150,7 @@
 	}
 	r.shutDownFor(t, acceptPeriod)
 	other.wantClosed()
-	call.endLargeValue(t, value)
+	call.finishLargeValue(t, value)
 	if got := c.read(largeSize); got != value {
 		t.Error("the value is another")
 	}
@@ -161,7 +161,7 @@
 }
 
 // The cost behind a large value is settled like any other.
-func TestLargeValueSettlesItsCost(t *testing.T) {
+func TestLargeValueSettlesCost(t *testing.T) {
 	r, b, _ := startWithBackend(t, func(f map[string]any) {
 		withOps(f)
 		f["settings"] = editSettings(t, `"settles":false`, `"settles":true,"max-units":8`,
@@ -169,7 +169,7 @@
 	})
 	c := r.client(t)
 	c.sendOnce(1, "tiny")
-	head, value := largeHead()
+	head, value := largeReplyHead()
 	b.nextCall(t).reply(t, head+value+"\r\n$14\r\nused=9,cost=4.\r\n$-1\r\n")
 	c.wantLargeValue(value)
 	awaitMetric(t, r, "fulfilled.once=1") // settled only after the client has the value
