--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// The exponential backoff after a call that a shared service did not answer.
+// The exponential backoff after a call that a shared service did not answer, and the jitter after a refusal.
 const (
-	baseBackoff          = 100 * time.Millisecond // at most after the first failure, doubled with each
-	maxUnansweredBackoff = 2 * time.Second        // to which the doubling goes
-	maxBackoffDoublings  = 16                     // keeps the shift from overflowing
-	refusedJitterDivisor = 10                     // of a delay, a tenth is random from the second refusal on
+	baseBackoff          = 100 * time.Millisecond // maximum after the first failure; doubles with each one
+	maxUnansweredBackoff = 2 * time.Second        // maximum after any number of failures
+	maxBackoffDoublings  = 16                     // prevents an overflow of the shift
+	refusedJitterDivisor = 10                     // from the second refusal on, 1/10 of the delay is random
 )
 
-// backoff draws the delay after a failed call; previous is how many calls in a row failed before it or,
-// for a refused call, were refused. It is random because what fails for one gateway fails for the whole
-// fleet at that moment.
+// backoff returns the delay between a failed call and the next one. previousFailures is the number of
+// consecutive failures before the failed call or, if the call was refused, of refusals. The delay is random
+// because an outage makes the calls of all gateways fail at the same moment.
 //
-// An unanswered call is soon made again, since what it had to deliver is due within seconds. A service
-// that has refused the whole fleet is called again by all gateways within the same period: the first
-// delays spread them over it, and the later ones are almost constant, so that they stay spread.
+// The delay after an unanswered call is short, because a missed update is due within seconds. If a service
+// refuses all gateways, they call again within the same period. Their first delays spread the calls over
+// the period, and their later delays are almost constant, so that the calls stay spread.
 func (c *Client) backoff(previousFailures int, err error) time.Duration {
 	shortest := time.Duration(0)
 	longest := min(baseBackoff<<min(previousFailures, maxBackoffDoublings), maxUnansweredBackoff)
 	switch {
 	case errors.Is(err, errUpdateTooLarge):
-		longest = watchWait // it will be as large next time: there is no sense in reading it again at once
+		longest = watchWait // the next update will be as large, so reading it immediately is of no use
 	case !c.config.Poll:
 		longest = c.maxBackoff
 	case errors.Is(err, errRefused):
--- a/internal/discovery/backoff_test.go
+++ b/internal/discovery/backoff_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// An agent with a pushed list is silent while its own source is down. However long that lasted, it is
-// called again well within the grace of a drain.
+// An agent with a pushed list does not respond while its own source is down. However long that lasts, it is
+// called again well within the drain grace.
 func TestBackoffWithAgentEndsWithinDrainGrace(t *testing.T) {
 	config := agentConfigWithGrace()
 	client, _ := newTestClient(config, nil)
@@ -26,9 +26,9 @@
 	}
 }
 
-// The backoff after a refused call, the wait of the next one and its slack end within the delivery limit.
-// Gateways that are refused at one moment spread over that backoff and stay spread. No other delay is drawn
-// in between, as none is while a service refuses.
+// The backoff after a refused call, plus the wait and the response timeout of the next call, does not exceed
+// the delivery limit. Gateways whose calls are refused at the same moment spread over the backoff and stay
+// spread. The clients draw no other delays in between, because they draw none while a service refuses calls.
 func TestBackoffAfterRefusalSpreadsGateways(t *testing.T) {
 	const (
 		gateways = 80
@@ -57,7 +57,7 @@
 	}
 }
 
-// A call that was not answered at all is soon made again.
+// Unanswered calls, unlike refused ones, are repeated within maxUnansweredBackoff.
 func TestBackoffAfterUnansweredCallIsLimited(t *testing.T) {
 	const limit = maxUnansweredBackoff + time.Millisecond
 	for gateway := range uint64(80) {
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -14,77 +14,79 @@
 	"sparspread/policy"
 )
 
-// The timing of the calls. A call of a watch lasts at most watchWait, its answer's slack and the time
-// that the update takes to arrive.
+// Timing of the calls. A watch call lasts at most watchWait, plus the response timeout, plus the time that
+// the update takes to arrive.
 const (
 	// watchWait is how long the service may hold a watch open. It is short because a watch that hangs
 	// hides all updates until it times out.
 	watchWait = 2 * time.Second
-	// maxAnswerSlack is the time for an answer beyond the wait, and for each further part of an update.
-	// Under load the service itself fails a call earlier.
+	// maxResponseTimeout limits the time until a response begins, beyond the wait, and the time between two
+	// parts of an update. Under load, the service itself fails a call earlier.
 	maxResponseTimeout = time.Second
-	// deliveryLimit is the protocol's limit: what the service has to tell counts as delivered by then,
-	// whatever call failed.
+	// deliveryLimit is the protocol's time limit for the delivery of an update: after it, the update counts
+	// as delivered, even if calls failed.
 	deliveryLimit = 6 * time.Second
-	// minEmptyWatch keeps a watch that returns at once with nothing from becoming a busy loop.
+	// minEmptyWatchDuration prevents a busy loop if watches return immediately without changes.
 	minEmptyWatchDuration = 50 * time.Millisecond
 )
 
-// With an agent the times of a call are fractions of the grace of a drain, so that a call and the backoff
-// after it end well within that grace.
+// With an agent, the response timeout and the backoff are at most these fractions of the drain grace, so
+// that a call and the backoff after it end well within the grace.
 const (
-	responseTimeoutDivisor = 2 // a half, at most, for an answer after the wait
-	backoffDivisor         = 5 // a fifth, at most, for the backoff
+	responseTimeoutDivisor = 2 // half of the grace
+	backoffDivisor         = 5 // a fifth of the grace
 )
 
-// listPath is the resource on the service that lists the endpoints.
+// listPath is the path of the service's endpoint list.
 const listPath = "/catalog/members"
 
-// seedHalfBits is how far the seed of the configuration is shifted for the second seed of the random source.
+// upperSeedShift is the shift of Config.Seed that gives the second seed of the random source.
 const upperSeedShift = 32
 
-// memoryFraction is the part of the memory that the text of an update may have: what is kept of an update
-// takes three times its text.
+// updateMemoryDivisor limits the JSON text of an update to this fraction of the memory. A decoded update
+// takes three times as much memory as its text.
 const updateMemoryDivisor = 8
 
-// Config is what a Client has to know of its deployment.
+// Config is the configuration of a Client.
 type Config struct {
 	Address string // host and port of the service
-	Seed    uint64 // of the random part of the backoff
-	// Poll is set where one service answers the whole fleet and tells only who asks. Otherwise the
-	// service is an agent beside the gateway to which the list is pushed.
-	Poll          bool
-	DrainGrace    time.Duration // for sends to an endpoint after its drain was announced; 0: no limit
-	MemoryBytes   int64         // memory limit of the process
-	KnownRevision *uint64       // revision of the list that the configuration contains; nil: none
-	// DialContext replaces the dialer; nil: the standard one, with a timeout.
+	Seed    uint64 // seed of the random backoff
+	// Poll is set if one service serves the whole fleet and only answers calls. Otherwise the service is
+	// an agent beside the gateway, to which the list is pushed.
+	Poll bool
+	// DrainGrace is how long requests may be sent to an endpoint after its drain is announced. If zero,
+	// there is no limit.
+	DrainGrace    time.Duration
+	MemoryBytes   int64   // memory limit of the process
+	KnownRevision *uint64 // revision of the list in the configuration; nil if it contains none
+	// DialContext replaces the dialer. If nil, a net.Dialer with a timeout is used.
 	DialContext func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Event reports an update or, with policy.UpdateUnavailable and no update, that a poll failed.
+// Event reports an update. With the kind policy.UpdateUnavailable it has no update and reports a failed poll.
 type Event struct {
 	Kind   policy.UpdateKind
 	Update Update
 }
 
-// Client follows the endpoint list. Run does the work; the other methods may be called from any goroutine.
+// Client watches the endpoint list while Run executes. The other methods may be called from any goroutine.
 type Client struct {
 	config          Config
 	log             *slog.Logger
 	notify          func(context.Context, Event)
 	http            *http.Client
 	random          *rand.Rand    // used by Run only
-	responseTimeout time.Duration // for an answer after a call's wait is over
-	maxBackoff      time.Duration // after a call that was refused or, with an agent, failed in any way
-	maxBytes        int64         // of the text of an update
+	responseTimeout time.Duration // until a response begins, beyond the wait of the call
+	maxBackoff      time.Duration // after a refused call or, with an agent, after any failed call
+	maxBytes        int64         // maximum size of the text of an update
 
-	newAddress chan string   // holds the latest address that Run has not yet acted on
+	newAddress chan string   // the latest address that Run has not read yet, if any
 	started    chan struct{} // closed by Watch
 	startOnce  sync.Once
 }
 
-// New returns a client that passes each event to notify, on the goroutine of Run and with its context.
-// With an agent it begins as soon as it runs, otherwise Watch has to be called first.
+// New returns a client. Run calls notify for each event, with its own context and never concurrently. With
+// an agent, Run starts to watch immediately; otherwise it waits for a call of Watch.
 func New(config Config, log *slog.Logger, notify func(context.Context, Event)) *Client {
 	c := &Client{
 		config: config, log: log, notify: notify,
@@ -96,16 +98,19 @@
 		started:         make(chan struct{}),
 	}
 	if config.Poll {
-		// The call after the backoff has its wait, and is over before the delivery limit of the refused one.
+		// The call after the backoff, with its wait and response timeout, has to end within deliveryLimit
+		// of the refused call.
 		c.maxBackoff = deliveryLimit - watchWait - maxResponseTimeout - baseBackoff
 	} else if grace := config.DrainGrace; grace > 0 {
-		// The agent answers at once or not at all, and what it has counts as delivered as soon as it has it.
+		// The agent answers immediately or not at all. An update counts as delivered as soon as the agent
+		// has it.
 		c.responseTimeout = min(maxResponseTimeout, grace/responseTimeoutDivisor)
 		c.maxBackoff = min(baseBackoff, grace/backoffDivisor)
 	}
 	dial := config.DialContext
 	if dial == nil {
-		// A dial goes on after its call was cancelled, and would keep the next call waiting.
+		// A dial continues after its call is cancelled, and the next call waits for it because only one
+		// connection is allowed.
 		dial = (&net.Dialer{Timeout: c.responseTimeout}).DialContext
 	}
 	c.http = httpclient.New(&http.Transport{DialContext: dial, MaxConnsPerHost: 1, MaxIdleConns: 1})
@@ -115,20 +120,20 @@
 	return c
 }
 
-// Watch lets Run begin to follow the list.
+// Watch allows Run to start watching the list. Further calls have no effect.
 func (c *Client) Watch() { c.startOnce.Do(func() { close(c.started) }) }
 
-// SetAddress lets Run follow the list at another address. It has one caller at a time.
+// SetAddress makes Run watch the list at another address. It must not be called concurrently with itself.
 func (c *Client) SetAddress(address string) {
 	select {
-	case <-c.newAddress: // replace an address that Run has not yet acted on
+	case <-c.newAddress: // discard an address that Run has not read yet
 	default:
 	}
 	c.newAddress <- address
 }
 
-// Run follows the list until the context ends. A new address ends the watch at the old one, whose events come
-// before any of the new one's.
+// Run watches the list until the context ends. A new address ends the watch at the old one. All events of
+// the old address precede those of the new one.
 func (c *Client) Run(ctx context.Context) {
 	select {
 	case <-c.started:
@@ -138,11 +143,12 @@
 	address, revision := c.config.Address, c.config.KnownRevision
 	for ctx.Err() == nil {
 		address = c.watchAddress(ctx, address, revision)
-		revision = nil // it says nothing about the list at another address
+		revision = nil // revisions of one address mean nothing at another one
 	}
 }
 
-// watchAt watches the list at one address until there is a new one, which it returns.
+// watchAddress watches the list at one address until SetAddress sets a new one, which it returns, or until
+// ctx ends.
 func (c *Client) watchAddress(ctx context.Context, address string, revision *uint64) string {
 	watchCtx, cancel := context.WithCancel(ctx)
 	url, ended := "http://"+address+listPath, make(chan struct{})
@@ -160,9 +166,9 @@
 	return address
 }
 
-// watch follows the list at one URL until ctx ends. The first call does not wait for changes, because a
-// starting gateway waits for its answer. An update that was read is passed on even if ctx has ended, as
-// long as notifyCtx has not.
+// watchURL watches the list at one URL until ctx ends. The first call does not wait for changes, because a
+// starting gateway waits for its response. An update that was read is reported even if ctx has ended, unless
+// notifyCtx has ended too.
 func (c *Client) watchURL(ctx, notifyCtx context.Context, url string, revision *uint64) {
 	w := watcher{client: c, url: url, revision: revision}
 	for ctx.Err() == nil {
@@ -184,29 +190,30 @@
 	}
 }
 
-// watcher is the progress of a watch at one URL.
+// watcher holds the state of the watch at one URL.
 type watcher struct {
 	client   *Client
 	url      string
-	revision *uint64       // of the last update; nil: the next call fetches the whole list
-	wait     time.Duration // for changes, at the next call
-	failures int           // calls that failed in a row
-	refusals int           // those of them that the service answered
+	revision *uint64       // revision of the last update; if nil, the next call fetches the whole list
+	wait     time.Duration // how long the next call waits for changes
+	failures int           // consecutive failed calls
+	refusals int           // the number of those calls that the service refused
 }
 
-// succeeded records the revision of an update: the next call waits for what changes after it.
+// handleSuccess records the revision of an update. The next call waits for changes since that revision.
 func (w *watcher) handleSuccess(revision uint64) {
 	w.revision, w.wait = &revision, watchWait
 	w.failures, w.refusals = 0, 0
 }
 
-// handleFailure backs off. The revision stays, so that the next call brings every change since, unless
-// the service does not know it.
+// handleFailure reports a failed call and backs off. The revision is kept, so that the next call returns all
+// changes since then, unless the service does not know the revision.
 func (w *watcher) handleFailure(ctx, notifyCtx context.Context, err error, duration time.Duration) {
 	if errors.Is(err, errUnknownRevision) {
 		w.revision = nil
 	}
-	// Of many failures in a row fewer and fewer are logged: the first, and where a power of two came before.
+	// Consecutive failures are logged ever more rarely: only if the number of previous ones is 0 or a power
+	// of two.
 	if w.failures&(w.failures-1) == 0 {
 		w.client.log.Warn("discovery call failed",
 			"error", err, "previous_failures", w.failures, "duration", duration)
@@ -214,7 +221,7 @@
 	if w.client.config.Poll {
 		w.client.notify(notifyCtx, Event{Kind: policy.UpdateUnavailable})
 	} else {
-		w.wait = 0 // an agent that was silent may have changes to tell at once
+		w.wait = 0 // an agent that was unresponsive may have changes already
 	}
 	if errors.Is(err, errRefused) {
 		sleep(ctx, w.client.backoff(w.refusals, err))
@@ -225,7 +232,7 @@
 	w.failures++
 }
 
-// sleep waits, or less if the context ends.
+// sleep waits for the duration or until the context ends.
 func sleep(ctx context.Context, duration time.Duration) {
 	select {
 	case <-time.After(duration):
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -13,8 +13,8 @@
 	"sparspread/internal/waittest"
 )
 
-// After a watch that the agent left unanswered, it is asked for what it has, without a wait, rather than
-// for what comes next.
+// An agent that left a watch unanswered may have changes already, so the next call does not wait for further
+// ones.
 func TestWatchCallsUnresponsiveAgentAgainWithoutWait(t *testing.T) {
 	config := agentConfigWithGrace()
 	synctest.Test(t, func(t *testing.T) {
@@ -45,7 +45,8 @@
 	})
 }
 
-// The address changes as the last byte of an update is read: it is reported all the same.
+// The watch is cancelled, as it is when the address changes, before an update is read. The update is reported
+// nevertheless.
 func TestWatchReportsUpdateReadBeforeCancellation(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	client, events := newTestClient(agentConfig(), respondWith(func(*http.Request) io.Reader {
@@ -77,5 +78,5 @@
 		close(responseEnd)
 		<-ended
 	}()
-	waittest.Receive(t, events, "the update, before its response ends")
+	waittest.Receive(t, events, "the update before the end of its response")
 }
--- a/internal/discovery/decode.go
+++ b/internal/discovery/decode.go
@@ -8,16 +8,16 @@
 	"strings"
 )
 
-// TokenError says that an update has another JSON token than its form has at that place.
+// TokenError reports an unexpected JSON token in an update.
 type TokenError struct {
-	Field string     // whose value it is; empty: the update itself, or the end of a list
-	Got   json.Token // nil: null
+	Field string     // the field of the update; empty if the token begins or ends the update, or ends a list
+	Got   json.Token // nil stands for null
 	Want  string
 }
 
-// Error names the field, where there is one, and both tokens.
+// Error returns the field, if any, and both tokens.
 func (e *TokenError) Error() string {
-	text := fmt.Sprintf("got %v, want %s", e.Got, e.Want)
+	text := fmt.Sprintf("got %v, expected %s", e.Got, e.Want)
 	if e.Field == "" {
 		return text
 	}
@@ -25,8 +25,7 @@
 }
 
 // Decode reads an update one endpoint at a time, so that the JSON text is never in memory as a whole. It
-// accepts what encoding/json would accept, except null for the update itself; a truncated update is an
-// error.
+// accepts the same texts as encoding/json, except null for the update itself. A truncated update is an error.
 func (u *Update) Decode(decoder *json.Decoder) error {
 	if err := expectDelim(decoder, '{'); err != nil {
 		return err
@@ -36,7 +35,7 @@
 		if err != nil {
 			return err
 		}
-		name, _ := key.(string) // the decoder lets only strings stand as keys
+		name, _ := key.(string) // the decoder accepts only strings as keys
 		if err := u.decodeField(decoder, name); err != nil {
 			return err
 		}
@@ -44,8 +43,8 @@
 	return expectDelim(decoder, '}')
 }
 
-// decodeField reads the value of one field. Names match without regard to case, as in encoding/json, and
-// unknown fields are skipped.
+// decodeField reads the value of one field. Names are matched case-insensitively, as in encoding/json.
+// Unknown fields are skipped.
 func (u *Update) decodeField(decoder *json.Decoder, name string) error {
 	switch {
 	case strings.EqualFold(name, "revision"):
@@ -58,13 +57,13 @@
 	return decoder.Decode(&skippedValue{})
 }
 
-// decodeEndpoints reads the list of endpoints.
+// decodeEndpoints reads the value of the field members.
 func (u *Update) decodeEndpoints(decoder *json.Decoder) error {
 	u.Endpoints = nil
 	switch token, err := decoder.Token(); {
 	case err != nil:
 		return err
-	case token == nil: // null stands for an empty list
+	case token == nil: // null counts as an empty list
 		return nil
 	case token != json.Delim('['):
 		return &TokenError{Field: "members", Got: token, Want: "a list"}
@@ -79,13 +78,13 @@
 	return expectDelim(decoder, ']')
 }
 
-// skippedValue reads any JSON value and keeps nothing of it.
+// skippedValue discards any JSON value.
 type skippedValue struct{}
 
-// UnmarshalJSON accepts any value.
+// UnmarshalJSON implements json.Unmarshaler.
 func (*skippedValue) UnmarshalJSON([]byte) error { return nil }
 
-// expectDelim reads one bracket or brace.
+// expectDelim reads one token and returns an error unless it is the given delimiter.
 func expectDelim(decoder *json.Decoder, want json.Delim) error {
 	switch token, err := decoder.Token(); {
 	case errors.Is(err, io.EOF):
--- a/internal/discovery/decode_test.go
+++ b/internal/discovery/decode_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// decode reads an update from its text.
+// decode decodes an update from its text.
 func decode(text string) (Update, error) {
 	var update Update
 	err := update.Decode(json.NewDecoder(strings.NewReader(text)))
@@ -61,10 +61,10 @@
 
 func TestDecodeErrorNamesUnexpectedToken(t *testing.T) {
 	for text, want := range map[string]string{
-		`[]`:             "got [, want {",
-		`null`:           "got <nil>, want {",
-		`{"members":7}`:  "members: got 7, want a list",
-		`{"members":{}}`: "members: got {, want a list",
+		`[]`:             "got [, expected {",
+		`null`:           "got <nil>, expected {",
+		`{"members":7}`:  "members: got 7, expected a list",
+		`{"members":{}}`: "members: got {, expected a list",
 	} {
 		_, err := decode(text)
 		var tokenErr *TokenError
@@ -74,7 +74,7 @@
 	}
 }
 
-// docs/CAPACITY.md uses the figures of this benchmark.
+// docs/CAPACITY.md quotes the results of this benchmark.
 func BenchmarkReadListByMembers(b *testing.B) {
 	for _, endpoints := range []int{46, 830, 8300, 83000} {
 		b.Run(strconv.Itoa(endpoints), func(b *testing.B) {
--- a/internal/discovery/delivery_test.go
+++ b/internal/discovery/delivery_test.go
@@ -11,16 +11,16 @@
 	"time"
 )
 
-// faults are the ways in which calls fail.
+// faults contains a service for each way in which calls fail.
 var faults = map[string]roundTripFunc{
 	"refused": respondUnavailable,
-	"refused from a queue": func(r *http.Request) (*http.Response, error) {
+	"refused after queueing": func(r *http.Request) (*http.Response, error) {
 		time.Sleep(queueTimeout)
 		return respondUnavailable(r)
 	},
-	"reset":  func(*http.Request) (*http.Response, error) { return nil, io.ErrUnexpectedEOF },
-	"silent": waitForCancellation,
-	"hangs in the dial": func(*http.Request) (*http.Response, error) {
+	"reset":       func(*http.Request) (*http.Response, error) { return nil, io.ErrUnexpectedEOF },
+	"no response": waitForCancellation,
+	"dial timeout": func(*http.Request) (*http.Response, error) {
 		time.Sleep(maxResponseTimeout)
 		return nil, context.DeadlineExceeded
 	},
@@ -31,7 +31,7 @@
 		body := io.MultiReader(strings.NewReader(oneEndpoint[:40]), hangingBody(r.Context().Done()))
 		return respond(r, http.StatusOK, body)
 	},
-	"watch silent": func(r *http.Request) (*http.Response, error) {
+	"no response to watch": func(r *http.Request) (*http.Response, error) {
 		if r.URL.Query().Get("index") == "" {
 			return respond(r, http.StatusOK, strings.NewReader(`{"revision":6,"complete":true,"members":[]}`))
 		}
@@ -39,9 +39,8 @@
 	},
 }
 
-// Whatever became of the calls before, and at whatever moment a change comes and the service can be
-// reached: the change is reported within the delivery limit, by one service and by an agent, also if the
-// address changes meanwhile.
+// When a fault ends, whatever its kind and duration, the client reports a change within the delivery limit,
+// both from a service for the fleet and from an agent, and also if the address changes at that moment.
 func TestClientReportsChangeWithinDeliveryLimitAfterFault(t *testing.T) {
 	configs := map[string]Config{"service": serviceConfig(), "agent": agentConfigWithGrace()}
 	for name, fault := range faults {
@@ -63,8 +62,8 @@
 	}
 }
 
-// reportDelay is how long after the end of a fault a client reports a change. If moved, the client is
-// given another address at that moment, and the fault goes on at the old one.
+// reportDelay returns the time from the end of a fault until the client reports a change. If moved is set,
+// the client gets another address when the fault ends there, and the fault continues at the old address.
 func reportDelay(
 	t *testing.T, config Config, fault roundTripFunc, faultDuration time.Duration, moved bool,
 ) time.Duration {
@@ -77,26 +76,27 @@
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
-	reported := timeOfUpdate(ctx, config, addresses, roundTripFunc(func(r *http.Request) (*http.Response, error) {
-		if time.Now().Before(reachable) || moved && r.URL.Host == testAddress {
-			return fault(r)
-		}
-		return respond(r, http.StatusOK, strings.NewReader(oneEndpoint))
-	}))
+	reported := timeOfUpdate(ctx, config, addresses,
+		roundTripFunc(func(r *http.Request) (*http.Response, error) {
+			if time.Now().Before(reachable) || moved && r.URL.Host == testAddress {
+				return fault(r)
+			}
+			return respond(r, http.StatusOK, strings.NewReader(oneEndpoint))
+		}))
 	if reported.IsZero() {
 		t.Fatalf("reachable after %v: never reported", faultDuration)
 	}
 	return reported.Sub(reachable)
 }
 
-// The whole fleet was refused while the service was down. At its return each gateway has the change
-// within the delivery limit, if the service can serve as many calls as there are gateways in the time of
-// a backoff and of its queue; no second has most of the calls in it.
+// An outage of the service refuses the calls of all gateways. After it, each gateway gets the change within
+// the delivery limit if the service can serve one call of each gateway within the time of a backoff and of
+// its queue. At most half of the gateways call within any one second.
 func TestFleetGetsChangeWithinDeliveryLimitAfterOutage(t *testing.T) {
 	for _, gateways := range []int{3, 300, 6500} {
-		for _, secondsForAll := range []time.Duration{1, 2, 4} { // in which it serves a call of each gateway
+		for _, secondsForAll := range []time.Duration{1, 2, 4} { // to serve one call of each gateway
 			if gateways > 300 && secondsForAll < 4 {
-				continue // only the hardest: this many take seconds and a gigabyte under the race detector
+				continue // only the hardest case: it takes seconds and a gigabyte under the race detector
 			}
 			name := fmt.Sprintf("%d gateways, all served in %d s", gateways, secondsForAll)
 			t.Run(name, func(t *testing.T) {
@@ -107,11 +107,12 @@
 	}
 }
 
-// testRefusedFleet checks that each gateway of a fleet has the list in time after an outage of the service.
+// testFleetAfterOutage checks that each gateway gets the list within the delivery limit after an outage of
+// the service.
 func testFleetAfterOutage(t *testing.T, gateways int, workPerCall time.Duration) {
 	t.Helper()
 	service := &queueingService{
-		workPerCall:    min(workPerCall, queueTimeout/4), // a few gateways could not fill its queue
+		workPerCall:    min(workPerCall, queueTimeout/4), // the calls of three gateways fit into its queue
 		availableAt:    time.Now().Add(8 * time.Second),
 		callsPerSecond: map[time.Duration]int{},
 	}
@@ -139,7 +140,7 @@
 	t.Logf("served %d, refused %d, latest after %v, %d over %v, %d never, at most %d calls in a second",
 		service.served, service.refused, latest, late, deliveryLimit, never, highest)
 	if never > 0 || late > 0 {
-		t.Errorf("%d gateways had the change after the delivery limit, %d never", late, never)
+		t.Errorf("%d gateways got the change after the delivery limit, %d never", late, never)
 	}
 	if gateways > 3 && highest > gateways/2 {
 		t.Errorf("%d calls within one second, want at most %d", highest, gateways/2)
--- a/internal/discovery/fake_test.go
+++ b/internal/discovery/fake_test.go
@@ -18,31 +18,31 @@
 const (
 	testAddress  = "127.0.0.1:1" // never dialed: tests replace the transport
 	testURL      = "http://" + testAddress + listPath
-	testRevision = 7 // of oneEndpoint and listJSON
+	testRevision = 7 // the revision of oneEndpoint and of listJSON
 
 	oneEndpoint = `{"revision":7,"complete":false,"members":[{"id":"s-00000001","phase":"Terminating"}]}`
 )
 
-// agentConfig is the configuration of a client beside an agent, without a grace for drains.
+// agentConfig returns the configuration of a client with an agent and without a drain grace.
 func agentConfig() Config {
 	return Config{Address: testAddress, Seed: 0x8c1f30d27a5be964, MemoryBytes: 192 << 20}
 }
 
-// agentConfigWithGrace adds the grace that a deployment with a pushed list has.
+// agentConfigWithGrace adds the drain grace of a deployment with a pushed list.
 func agentConfigWithGrace() Config {
 	config := agentConfig()
 	config.DrainGrace = 500 * time.Millisecond
 	return config
 }
 
-// serviceConfig is the configuration of a client that polls one service for the whole fleet.
+// serviceConfig returns the configuration of a client that polls one service for the whole fleet.
 func serviceConfig() Config {
 	config := agentConfig()
 	config.Poll = true
 	return config
 }
 
-// newTestClient returns a client that calls the given service, and its events.
+// newTestClient returns a client that calls the given service, and a channel with its events.
 func newTestClient(config Config, service http.RoundTripper) (*Client, <-chan Event) {
 	events := make(chan Event, 16)
 	client := New(config, slog.New(slog.DiscardHandler), func(ctx context.Context, event Event) {
@@ -55,8 +55,8 @@
 	return client, events
 }
 
-// timeOfUpdate runs a client until it reports testRevision and returns when that was; the zero time if
-// ctx ended before. Each address received meanwhile is given to the client.
+// timeOfUpdate runs a client until it reports testRevision, and returns the time of that report, or the zero
+// time if ctx ends first. It passes the received addresses to the client.
 func timeOfUpdate(
 	ctx context.Context, config Config, addresses <-chan string, service http.RoundTripper,
 ) time.Time {
@@ -86,7 +86,7 @@
 	}
 }
 
-// listJSON is a complete list with the given number of endpoints.
+// listJSON returns a complete list with the given number of endpoints.
 func listJSON(tb testing.TB, endpoints int) []byte {
 	tb.Helper()
 	list := Update{Revision: testRevision, Complete: true}
@@ -104,36 +104,36 @@
 	return text
 }
 
-// roundTrip is a service as a function.
+// roundTripFunc is a function that serves as an http.RoundTripper.
 type roundTripFunc func(*http.Request) (*http.Response, error)
 
 // RoundTrip implements http.RoundTripper.
 func (f roundTripFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// respondWith is a service that answers every call with the body that a function returns.
+// respondWith returns a service that answers each call with the body that the function returns.
 func respondWith(body func(*http.Request) io.Reader) roundTripFunc {
 	return func(r *http.Request) (*http.Response, error) { return respond(r, http.StatusOK, body(r)) }
 }
 
-// respond answers a call.
+// respond returns a response to a call.
 func respond(r *http.Request, status int, body io.Reader) (*http.Response, error) {
 	return &http.Response{
 		StatusCode: status, Status: strconv.Itoa(status), Request: r, Body: io.NopCloser(body),
 	}, nil
 }
 
-// refuse answers that the service cannot serve the call now.
+// respondUnavailable returns a response with status 503 and an empty body.
 func respondUnavailable(r *http.Request) (*http.Response, error) {
 	return respond(r, http.StatusServiceUnavailable, strings.NewReader(""))
 }
 
-// hang never answers.
+// waitForCancellation returns no response, and an error when the call is cancelled.
 func waitForCancellation(r *http.Request) (*http.Response, error) {
 	<-r.Context().Done()
 	return nil, r.Context().Err()
 }
 
-// hangingBody yields nothing until its call is cancelled, which closes the channel.
+// hangingBody is a body whose Read blocks until the call is cancelled, which closes the channel.
 type hangingBody <-chan struct{}
 
 // Read implements io.Reader.
@@ -142,7 +142,7 @@
 	return 0, errCallCancelled
 }
 
-// slowBody yields a part each interval until its call is cancelled.
+// slowBody is a body that returns one part per interval until its call is cancelled.
 type slowBody struct {
 	cancelled <-chan struct{}
 	interval  time.Duration
@@ -166,7 +166,7 @@
 	return n, nil
 }
 
-// callAtEOF is an empty body that calls a function when it is read.
+// callbackAtEOF is an empty body that calls a function when it is read.
 type callbackAtEOF func()
 
 // Read implements io.Reader.
@@ -175,24 +175,24 @@
 	return 0, io.EOF
 }
 
-// queueTimeout is how long a queueingService keeps a call before it refuses it.
+// queueTimeout is how long a call waits for a queueingService until it is refused.
 const queueTimeout = 2 * time.Second
 
-// errCallerGone is the error of a call that its caller has cancelled.
-var errCallCancelled = errors.New("the caller has gone")
+// errCallCancelled is the error of a call that its caller has cancelled.
+var errCallCancelled = errors.New("call cancelled")
 
-// queueingService is one service for a whole fleet. It serves calls in order, at a limited rate, refuses
-// those that waited too long and works on them all the same, and is down at first. A watch that is held
-// open costs it nothing.
+// queueingService is a service for a whole fleet. It serves calls in order, at a limited rate. It refuses
+// calls that wait for too long, but spends the same work on them. It is unavailable at first. Watches that
+// wait for changes need no work.
 type queueingService struct {
 	workPerCall time.Duration
-	availableAt time.Time // until then every call is refused
+	availableAt time.Time // all calls before are refused
 
 	mu             sync.Mutex // guards the fields below
 	busyUntil      time.Time
-	callsPerSecond map[time.Duration]int
+	callsPerSecond map[time.Duration]int // by the time since availableAt, in whole seconds
 	served         int
-	refused        int // since it is up
+	refused        int // after availableAt
 }
 
 // RoundTrip implements http.RoundTripper.
@@ -220,7 +220,7 @@
 	return respond(r, http.StatusOK, strings.NewReader(oneEndpoint))
 }
 
-// enqueue returns how long a call that comes now takes.
+// enqueue adds a call to the queue and returns how long the service takes until it has served it.
 func (s *queueingService) enqueue(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -232,7 +232,7 @@
 	return s.busyUntil.Sub(now)
 }
 
-// maxCallsPerSecond is the largest number of calls within a second since the service is up.
+// maxCallsPerSecond returns the largest number of calls within one second after availableAt.
 func (s *queueingService) maxCallsPerSecond() int {
 	highest := 0
 	for _, calls := range s.callsPerSecond {
--- a/internal/discovery/fetch.go
+++ b/internal/discovery/fetch.go
@@ -11,34 +11,33 @@
 )
 
 var (
-	// errRefused means that the service answered that it cannot serve the call now.
+	// errRefused means that the service answered with a status that says it cannot serve the call now.
 	errRefused = errors.New("discovery call: refused")
-	// errUnknownRevision means that the service cannot tell the changes since the revision that the
-	// client has.
+	// errUnknownRevision means that the service cannot list the changes since the client's revision.
 	errUnknownRevision = errors.New("discovery call: unknown revision")
-	// errUpdateTooLarge means that an update has more text than the memory allows.
+	// errUpdateTooLarge means that the text of an update exceeds Client.maxBytes.
 	errUpdateTooLarge = errors.New("longer than limits.memory_mb allows")
 )
 
-// maxTrailingBytes is how much of a response is read after its update, to have its connection reused.
+// maxTrailingBytes is how much of a response is read after its update, so that the connection can be reused.
 const maxTrailingBytes = 64
 
-// request is one call of the service.
+// request holds the parameters of one call.
 type request struct {
 	url      string
-	revision *uint64       // to tell the changes since; nil: to tell the whole list
-	wait     time.Duration // for changes
+	revision *uint64       // requests the changes since this revision; if nil, the whole list
+	wait     time.Duration // how long the service may wait for changes
 }
 
-// fetch makes one call. With an update comes a function that ends the call; it is called after the update
-// was passed on, so that a response that does not end delays nothing.
+// fetch makes one call. If it returns an update, the caller must call finish to end the call, but only after
+// it has reported the update, so that a response that does not end does not delay the report.
 func (c *Client) fetch(ctx context.Context, request request) (update Update, finish func(), err error) {
 	url, maxWait := request.url, request.wait
 	if request.revision != nil {
 		url += fmt.Sprintf("?index=%d&wait=%d", *request.revision, request.wait.Milliseconds())
 	}
 	if c.config.Poll {
-		maxWait = watchWait // a busy service may queue the call as long
+		maxWait = watchWait // a busy service may queue the call for that long, even if it has no wait
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	timeout := time.AfterFunc(maxWait+c.responseTimeout, cancel)
@@ -60,7 +59,7 @@
 			_ = response.Body.Close() // the call has failed already
 		}
 	}()
-	// A truncated or endless update must not pass for a short one.
+	// An update that is truncated or exceeds the size limit must be an error, not count as a shorter update.
 	body := &updateBody{
 		reader: response.Body, remaining: c.maxBytes,
 		timeout: timeout, deadline: time.Now().Add(deliveryLimit),
@@ -75,7 +74,7 @@
 	}
 	return update, func() {
 		timeout.Reset(minEmptyWatchDuration)
-		// What may follow the update counts for nothing; it is read to have the connection reused.
+		// Anything that follows the update is discarded. It is read so that the connection can be reused.
 		_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxTrailingBytes))
 		_ = response.Body.Close()
 		stop()
@@ -96,23 +95,23 @@
 	if status == http.StatusOK {
 		return response, nil
 	}
-	_ = response.Body.Close() // the status says all
+	_ = response.Body.Close() // only the status is of interest
 	if status >= http.StatusInternalServerError || status == http.StatusTooManyRequests {
 		return nil, fmt.Errorf("%w: status %s", errRefused, response.Status)
 	}
 	return nil, fmt.Errorf("%w: status %s", errUnknownRevision, response.Status)
 }
 
-// updateBody is the body of a response that may arrive slowly: the call may go on while data keeps
-// coming, up to a deadline.
+// updateBody is the body of a response that may arrive slowly. Each part that arrives extends the timeout of
+// the call, up to a deadline.
 type updateBody struct {
 	reader    io.Reader
 	remaining int64       // bytes that may still be read
 	timeout   *time.Timer // cancels the call
-	deadline  time.Time   // of the whole update
+	deadline  time.Time   // for the end of the update
 }
 
-// extendTimeout gives the call time for the next part.
+// extendTimeout allows maxResponseTimeout for the next part, but no time beyond the deadline.
 func (b *updateBody) extendTimeout() {
 	b.timeout.Reset(min(maxResponseTimeout, time.Until(b.deadline)))
 }
--- a/internal/discovery/fetch_test.go
+++ b/internal/discovery/fetch_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// fetchList makes one call for the whole list and ends it.
+// fetchList fetches the whole list with one call.
 func fetchList(t *testing.T, config Config, service http.RoundTripper) (Update, error) {
 	t.Helper()
 	client, _ := newTestClient(config, service)
@@ -23,8 +23,8 @@
 	return update, err
 }
 
-// A long list may come slowly, over a busy network or to a busy gateway. It is read as long as it keeps
-// coming, within the delivery limit.
+// On a busy network, or at a busy gateway, a long list may arrive slowly. It is read as long as data keeps
+// arriving, up to the delivery limit.
 func TestFetchReadsSlowUpdateUntilDeliveryLimit(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -57,7 +57,8 @@
 	}
 }
 
-// An update longer than the memory allows is an error that says so, and is not read again and again.
+// An update that is too long for the memory limit is reported as errUpdateTooLarge, and it is not fetched in
+// quick succession.
 func TestClientLimitsUpdateSizeByMemory(t *testing.T) {
 	text := string(listJSON(t, 12_000)) // somewhat over a megabyte
 	for _, test := range []struct {
@@ -83,7 +84,7 @@
 					t.Errorf("reported: got %t, want %t", got, test.want)
 				}
 				if calls > 15 {
-					t.Errorf("it was read %d times in 6 s, want at most 15", calls)
+					t.Errorf("the update was fetched %d times in 6 s, want at most 15", calls)
 				}
 				_, err := fetchList(t, config, service)
 				if !test.want && !errors.Is(err, errUpdateTooLarge) || test.want && err != nil {
@@ -94,8 +95,8 @@
 	}
 }
 
-// The list of 83,000 endpoints, twelve megabytes, is read with the memory that goes with a fleet of that
-// size.
+// A list of 83,000 endpoints, which takes twelve megabytes, is read with the memory limit of a gateway in a
+// fleet of that size.
 func TestFetchReadsListOfLargestFleet(t *testing.T) {
 	const endpoints = 83_000
 	config := agentConfig()
--- a/internal/discovery/update.go
+++ b/internal/discovery/update.go
@@ -1,5 +1,5 @@
-// Package discovery follows the endpoint list of the platform's discovery service. A Client long-polls the
-// service and passes on each update; what an update means for the gateway is its receiver's business.
+// Package discovery watches the endpoint list of the platform's discovery service. A Client long-polls the
+// service and reports each update to its user, who interprets it.
 package discovery
 
 import (
@@ -8,14 +8,14 @@
 	"sparspread/policy"
 )
 
-// Update is the endpoint list, or its changes, in the service's JSON form.
+// Update is the endpoint list, or changes to it. Its JSON encoding is that of the service.
 type Update struct {
 	Revision  uint64     `json:"revision"`
-	Complete  bool       `json:"complete"` // Endpoints is the whole list, not only the changes
+	Complete  bool       `json:"complete"` // whether Endpoints is the whole list rather than the changes
 	Endpoints []Endpoint `json:"members"`
 }
 
-// kind is the update's kind as the policy distinguishes them.
+// kind returns the kind of the update for the policy.
 func (u *Update) kind() policy.UpdateKind {
 	if u.Complete {
 		return policy.UpdateComplete
@@ -23,7 +23,7 @@
 	return policy.UpdateIncremental
 }
 
-// Endpoint is one backend as the service lists it. The JSON keys are those of the protocol page.
+// Endpoint is the service's entry for one backend. The JSON keys are defined by the protocol.
 type Endpoint struct {
 	ID           string  `json:"id"`
 	Address      string  `json:"host_port"`
@@ -31,17 +31,18 @@
 	Cell         int     `json:"cell"`
 	Phase        string  `json:"phase"`
 	CapacityHint float64 `json:"size"`
-	UpSinceMS    int64   `json:"up_since_ms"` // start of the backend, milliseconds since 1970; 0: long ago
+	// UpSinceMS is the start time of the backend in milliseconds since 1970, or zero if it is unknown.
+	UpSinceMS int64 `json:"up_since_ms"`
 }
 
-// The phases of the protocol page that State distinguishes.
+// The phases of the protocol that State distinguishes.
 const (
 	phaseReady = "Ready"
 	phaseGone  = "Gone"
 )
 
-// State maps the phase to the policy's states. An endpoint with an unknown phase, or without a valid address,
-// counts as draining: nothing new is sent to it.
+// State maps the phase to the policy's states. An endpoint with an unknown phase or an invalid address counts
+// as draining, so that it gets no new requests.
 func (e *Endpoint) State() policy.EndpointState {
 	switch e.Phase {
 	case phaseReady:
