--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -1,4 +1,4 @@
-// Package counter calls the central counter that all gateways share.
+// Package counter is a client of the central counter service that all gateways share.
 package counter
 
 import (
@@ -20,57 +20,60 @@
 )
 
 const (
-	// Connections is how many connections a client has at most. Each serves a part of the names.
+	// Connections is the maximum number of connections of a client, and the number of its queues. Each
+	// queue holds the calls for a part of the names.
 	Connections = 4
 
-	queueLength      = 64              // calls that wait for one connection
-	idleTimeout      = 4 * time.Second // of a connection
-	maxResponseBytes = 256             // bytes
+	queueLength      = 64              // maximum number of calls in one queue
+	idleTimeout      = 4 * time.Second // after which an idle connection is closed
+	maxResponseBytes = 256             // maximum size of a response body that is read
 )
 
-// errNotFinite says that the counter answered with NaN or an infinity.
-var errNotFinite = errors.New("is not finite")
+// errNotFinite means that the counter service answered with NaN or an infinity.
+var errNotFinite = errors.New("expected a finite number")
 
-// Config is what a Client has to know of its deployment.
+// Config is the configuration of a Client.
 type Config struct {
-	Address string        // host and port of the counter
-	Timeout time.Duration // of a call, from Increment on
+	Address string        // host and port of the counter service
+	Timeout time.Duration // of a call, from the call of Increment on
 }
 
-// Increment is a call that adds to a counter.
+// Increment describes a call that adds an amount to a counter.
 type Increment struct {
 	Name   uint64
 	Amount float64
-	TTL    policy.Time // microseconds after which the counter may be forgotten
+	TTL    policy.Time // microseconds after which the service may delete the counter
 }
 
-// Answer is the outcome of one call. With policy.ResultOverloaded and policy.ResultConnectFailed nothing
-// was added; with policy.ResultTimedOut and policy.ResultReset the amount may have been added, or may be
-// added later.
+// Answer is the result of one call. If Result is policy.ResultOverloaded or policy.ResultConnectFailed, the
+// amount was not added. If it is policy.ResultTimedOut or policy.ResultReset, the amount may have been added,
+// or may be added later.
 type Answer struct {
 	Name   uint64
 	Result policy.Result
-	Total  float64 // after the increment, where Result is policy.ResultOK
+	Total  float64 // after the increment; valid if Result is policy.ResultOK
 }
 
-// Client calls the counter. Calls for one name are made one after another, in the order of Increment,
-// since the policy takes their totals in that order. Increment and SetAddress have one caller at a time.
+// Client calls the counter service. Calls for the same name are made sequentially, in the order of the calls
+// of Increment, because the policy expects their totals in that order. Increment and SetAddress must not be
+// called concurrently.
 type Client struct {
-	baseURL      string // of the current address
+	baseURL      string // for the current address
 	timeout      time.Duration
 	http         *http.Client
 	handleAnswer func(Answer)
 	queues       [Connections]chan call
 }
 
-// call is an increment on its way.
+// call is an increment that is queued or being made.
 type call struct {
 	Increment
-	baseURL  string // of the address when Increment was called
+	baseURL  string // for the address that was set when Increment was called
 	deadline time.Time
 }
 
-// New returns a client that passes the answer of each call to answer, from a goroutine of its own.
+// New returns a client. It calls answer with the result of each call, concurrently for calls in different
+// queues.
 func New(config Config, answer func(Answer)) *Client {
 	c := &Client{
 		baseURL:      baseURL(config.Address),
@@ -86,10 +89,10 @@
 	return c
 }
 
-// baseURL is the resource of all counters at an address.
+// baseURL returns the URL prefix of all counters of the service at an address.
 func baseURL(address string) string { return "http://" + address + "/v1/count/" }
 
-// Run makes the calls until the context ends.
+// Run makes the queued calls until the context ends.
 func (c *Client) Run(ctx context.Context) {
 	var running sync.WaitGroup
 	for _, queue := range c.queues {
@@ -98,7 +101,7 @@
 	running.Wait()
 }
 
-// runQueue makes the calls of one queue, one after another, until the context ends.
+// runQueue makes the calls of one queue sequentially until the context ends.
 func (c *Client) runQueue(ctx context.Context, queue <-chan call) {
 	for {
 		select {
@@ -111,13 +114,13 @@
 	}
 }
 
-// SetAddress directs further calls to another address. Those already queued go to the old one.
+// SetAddress directs later calls to another address. Calls that are queued already go to the old address.
 func (c *Client) SetAddress(address string) {
 	c.baseURL = baseURL(address)
 	c.http.CloseIdleConnections()
 }
 
-// Increment queues a call and returns true; false if its queue is full and no call is made.
+// Increment queues a call. If the queue for its name is full, it returns false and the call is not made.
 func (c *Client) Increment(increment Increment) bool {
 	call := call{Increment: increment, baseURL: c.baseURL, deadline: time.Now().Add(c.timeout)}
 	select {
@@ -128,7 +131,7 @@
 	}
 }
 
-// url is the resource on the counter that the call posts to.
+// url returns the URL of the call.
 func (c *call) url() string {
 	name := strconv.FormatUint(c.Name, 16)
 	amount := strconv.FormatFloat(c.Amount, 'f', -1, 64)
@@ -141,7 +144,7 @@
 func (c *Client) post(ctx context.Context, call call) (total float64, result policy.Result) {
 	ctx, cancel := context.WithDeadline(ctx, call.deadline)
 	defer cancel()
-	var written atomic.Bool // the request was written whole; set by the transport's goroutine
+	var written atomic.Bool // the whole request was written; set by a goroutine of the transport
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		WroteRequest: func(info httptrace.WroteRequestInfo) { written.Store(info.Err == nil) },
 	})
@@ -164,32 +167,32 @@
 	}
 	total, err = parseTotal(body)
 	if err != nil {
-		// The amount was added, but nothing more that comes on this connection can be trusted.
+		// The amount was added, but the state of the connection is unknown, so it must not be reused.
 		c.http.CloseIdleConnections()
 		return 0, policy.ResultFailed
 	}
 	return total, policy.ResultOK
 }
 
-// do sends a request and reads its response.
+// sendRequest sends a request and reads its response.
 func (c *Client) sendRequest(request *http.Request) (status int, body []byte, err error) {
 	response, err := c.http.Do(request)
 	if err != nil {
 		return 0, nil, err
 	}
-	defer func() { _ = response.Body.Close() }() // it was read, or its error is known
+	defer func() { _ = response.Body.Close() }() // the body was read, or the error is known
 	body, err = io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	return response.StatusCode, body, err
 }
 
-// parseTotal reads the finite number that a response consists of.
+// parseTotal parses the body of a response, which must be a finite number.
 func parseTotal(body []byte) (float64, error) {
 	total, err := strconv.ParseFloat(strings.TrimSpace(string(body)), 64)
 	if err != nil {
 		return 0, err
 	}
 	if math.IsNaN(total) || math.IsInf(total, 0) {
-		return 0, fmt.Errorf("total %g %w", total, errNotFinite)
+		return 0, fmt.Errorf("total: %g: %w", total, errNotFinite)
 	}
 	return total, nil
 }
--- a/internal/counter/counter_test.go
+++ b/internal/counter/counter_test.go
@@ -14,7 +14,7 @@
 	"sparspread/policy"
 )
 
-// newTestClient returns a client of a test server, which collects its answers.
+// newTestClient returns a client of a test server, and a channel with the answers to its calls.
 func newTestClient(server *httptest.Server) (*Client, <-chan Answer) {
 	answers := make(chan Answer, queueLength)
 	config := Config{Address: serverAddress(server), Timeout: waittest.Timeout}
@@ -22,10 +22,10 @@
 	return client, answers
 }
 
-// address is where a test server listens.
+// serverAddress returns the host and port of a test server.
 func serverAddress(server *httptest.Server) string { return strings.TrimPrefix(server.URL, "http://") }
 
-// dropConnection ends a call's connection without a response.
+// dropConnection closes the connection of a request without a response.
 func dropConnection(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
@@ -34,10 +34,10 @@
 	_ = conn.Close()
 }
 
-// expiringContext is a context whose deadline passes when the test closes it.
+// expiringContext is a context whose deadline expires when the test closes the channel.
 type expiringContext chan struct{}
 
-// Deadline and the methods below implement context.Context.
+// Deadline implements context.Context, as do the methods below.
 func (c expiringContext) Deadline() (time.Time, bool) { return time.Time{}, false }
 func (c expiringContext) Done() <-chan struct{}       { return c }
 func (c expiringContext) Value(any) any               { return nil }
@@ -52,7 +52,7 @@
 	}
 }
 
-// A result tells "nothing was added" from "the amount may have been added".
+// The result distinguishes calls that added nothing from calls whose amount may have been added.
 func TestPostReturnsWhetherAmountMayHaveBeenAdded(t *testing.T) {
 	expired, release := make(expiringContext), make(chan struct{})
 	respond := func(body string) http.HandlerFunc {
@@ -132,7 +132,6 @@
 	}
 }
 
-// Calls for one name are made one after another, in the order of the increments.
 func TestClientMakesCallsForSameNameInOrder(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = fmt.Fprint(w, r.URL.Query().Get("add"))
@@ -166,7 +165,7 @@
 func TestIncrementReturnsFalseIfQueueIsFull(t *testing.T) {
 	server := httptest.NewServer(http.NotFoundHandler())
 	defer server.Close()
-	client, _ := newTestClient(server) // it does not run
+	client, _ := newTestClient(server) // its Run method is not called
 	for i := range queueLength {
 		if !client.Increment(Increment{Name: 1}) {
 			t.Fatalf("call %d was not queued", i)
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -1,5 +1,5 @@
-// Package gossip carries messages between gateways over UDP. What a message says, and when one is sent,
-// is up to the policy.
+// Package gossip sends and receives messages between gateways over UDP. The policy determines the contents of
+// the messages and when they are sent.
 package gossip
 
 import (
@@ -13,32 +13,32 @@
 	"time"
 )
 
-// MaxMessageBytes is the protocol's limit for a message.
+// MaxMessageBytes is the protocol's limit on the size of a message.
 const MaxMessageBytes = 256
 
-// errNoUDPSocket says that the socket options of Config made another kind of socket.
-var errNotUDPSocket = errors.New("no UDP socket")
+// errNotUDPSocket means that Config.ListenConfig opened a socket of another kind.
+var errNotUDPSocket = errors.New("not a UDP socket")
 
-// Config is what a Transport has to know of its deployment.
+// Config is the configuration of a Transport.
 type Config struct {
 	ListenAddress string
 	ListenConfig  net.ListenConfig // for socket options
-	Peers         []netip.AddrPort // by number, this gateway's own among them
-	Self          int              // this gateway's number
+	Peers         []netip.AddrPort // by number, including the address of this gateway
+	Self          int              // the number of this gateway
 }
 
-// Transport sends and receives messages through one socket. It has none, and then sends nothing, until
-// Listen or Adopt. Its methods have one caller at a time.
+// Transport sends and receives messages through one socket. Until Listen or Adopt gives it a socket, it sends
+// nothing. Its methods must not be called concurrently.
 type Transport struct {
 	config     Config
 	log        *slog.Logger
 	receive    func(peer int, message []byte)
 	peerNumber map[netip.AddrPort]int
-	conn       *net.UDPConn // nil: no socket
+	conn       *net.UDPConn // nil if there is no socket
 }
 
-// New returns a transport without a socket. It passes each message that it receives to receive, which may
-// keep it, on a goroutine of its own.
+// New returns a transport without a socket. The transport calls receive with each message that it receives,
+// on a goroutine of its own. receive may retain the message.
 func New(config Config, log *slog.Logger, receive func(peer int, message []byte)) *Transport {
 	t := &Transport{
 		config: config, log: log, receive: receive,
@@ -50,7 +50,7 @@
 	return t
 }
 
-// Listen opens a socket at the configured address. Nothing is received until Resume.
+// Listen opens a socket at the configured address. The transport receives no messages until Resume is called.
 func (t *Transport) Listen() error {
 	conn, err := t.config.ListenConfig.ListenPacket(context.Background(), "udp", t.config.ListenAddress)
 	if err != nil {
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// Adopt takes over a socket, such as one that another process has handed over, if it is bound to the
-// configured address; otherwise it closes it and returns false.
+// Adopt makes the transport use an open socket, such as one from another process, if the socket is bound to
+// the configured address. Otherwise it closes the socket and returns false.
 func (t *Transport) Adopt(conn *net.UDPConn) bool {
 	if conn.LocalAddr().String() != t.config.ListenAddress {
 		_ = conn.Close() // it is not used
@@ -76,35 +76,35 @@
 	return true
 }
 
-// Conn returns the socket, for another process to adopt; nil: there is none.
+// Conn returns the socket, which another process may adopt, or nil if there is none.
 func (t *Transport) Conn() *net.UDPConn { return t.conn }
 
-// Resume begins to receive, on a goroutine that ends with Pause or Close.
+// Resume starts receiving, on a goroutine that runs until Pause or Close.
 func (t *Transport) Resume() {
 	if t.conn != nil {
-		_ = t.conn.SetReadDeadline(time.Time{}) // fails only on a closed socket, on which run ends
+		_ = t.conn.SetReadDeadline(time.Time{}) // fails only on a closed socket; receiveMessages then returns
 		go t.receiveMessages(t.conn)
 	}
 }
 
-// Pause ends the receiving; messages stay in the socket's buffer.
+// Pause stops receiving. Messages that arrive are kept in the socket's buffer.
 func (t *Transport) Pause() {
 	if t.conn != nil {
 		expired := time.Unix(1, 0)
-		_ = t.conn.SetReadDeadline(expired) // fails only on a closed socket, on which run has ended
+		_ = t.conn.SetReadDeadline(expired) // fails only on a closed socket; receiveMessages then returns
 	}
 }
 
 // Close closes the socket.
 func (t *Transport) Close() {
 	if t.conn != nil {
-		_ = t.conn.Close() // no message is lost that could not be lost anyway
+		_ = t.conn.Close() // messages may be lost, as at any time with UDP
 		t.conn = nil
 	}
 }
 
-// Send sends a message to a peer, which may be lost. One over the limit, to this gateway itself or to an
-// unknown peer is not sent.
+// Send sends a message, which may be lost, to a peer. It does nothing if the message is longer than
+// MaxMessageBytes or if the peer is unknown or this gateway itself.
 func (t *Transport) Send(peer int, message []byte) {
 	if t.conn == nil || peer < 0 || peer >= len(t.config.Peers) || peer == t.config.Self {
 		return
@@ -113,19 +113,19 @@
 		t.log.Error("gossip message over the limit", "bytes", len(message))
 		return
 	}
-	_, _ = t.conn.WriteToUDPAddrPort(message, t.config.Peers[peer]) // gossip tolerates losses
+	_, _ = t.conn.WriteToUDPAddrPort(message, t.config.Peers[peer]) // gossip tolerates lost messages
 }
 
-// run receives until the socket is paused or closed. It drops what comes from no peer or is longer than
-// any message.
+// receiveMessages receives messages until the socket is paused or closed. It drops messages that are longer
+// than MaxMessageBytes or that do not come from a peer.
 func (t *Transport) receiveMessages(conn *net.UDPConn) {
-	buffer := make([]byte, MaxMessageBytes+1) // the last byte shows that a message is too long
+	buffer := make([]byte, MaxMessageBytes+1) // the additional byte shows that a message is too long
 	for {
 		n, sender, err := conn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded) {
 			return
 		}
-		// On a socket for both IP versions the sender of IPv4 has an address of IPv6.
+		// On a dual-stack socket, the address of an IPv4 sender is an IPv4-mapped IPv6 address.
 		peer, known := t.peerNumber[netip.AddrPortFrom(sender.Addr().Unmap(), sender.Port())]
 		if err != nil || !known || peer == t.config.Self || n > MaxMessageBytes {
 			continue
--- a/internal/gossip/transport_test.go
+++ b/internal/gossip/transport_test.go
@@ -10,13 +10,13 @@
 	"sparspread/internal/waittest"
 )
 
-// received is a message that a transport has passed on.
+// receivedMessage contains the arguments of one call of a transport's receive function.
 type receivedMessage struct {
 	peer    int
 	message string
 }
 
-// listenUDP opens a socket on loopback that the test's end closes.
+// listenUDP opens a socket on the loopback interface and closes it at the end of the test.
 func listenUDP(t *testing.T) *net.UDPConn {
 	t.Helper()
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -30,12 +30,13 @@
 	return conn
 }
 
-// addrPort is the address of a socket.
+// localAddrPort returns the local address of a socket.
 func localAddrPort(conn *net.UDPConn) netip.AddrPort {
 	return netip.MustParseAddrPort(conn.LocalAddr().String())
 }
 
-// newTestTransport returns a transport with number 0 beside a peer with number 1, and what it receives.
+// newTestTransport returns a transport with number 0 whose peer has number 1, and a channel with the messages
+// that it receives.
 func newTestTransport(listenAddress string, peer *net.UDPConn) (*Transport, <-chan receivedMessage) {
 	messages := make(chan receivedMessage, 8)
 	config := Config{
@@ -48,7 +49,7 @@
 	return transport, messages
 }
 
-// listen opens a transport's socket, which the test's end closes.
+// listenUntilTestEnd opens the socket of a transport and closes it at the end of the test.
 func listenUntilTestEnd(t *testing.T, transport *Transport) {
 	t.Helper()
 	if err := transport.Listen(); err != nil {
@@ -57,7 +58,7 @@
 	t.Cleanup(transport.Close)
 }
 
-// send sends a message past the transport under test.
+// sendMessage sends a message without the transport under test.
 func sendMessage(t *testing.T, from *net.UDPConn, to netip.AddrPort, message []byte) {
 	t.Helper()
 	if _, err := from.WriteToUDPAddrPort(message, to); err != nil {
@@ -65,7 +66,7 @@
 	}
 }
 
-// expect waits for the next message and compares it.
+// expectMessage waits for the next message and compares it with the expected one.
 func expectMessage(t *testing.T, messages <-chan receivedMessage, want receivedMessage) {
 	t.Helper()
 	if got := waittest.Receive(t, messages, "a message"); got != want {
@@ -73,7 +74,8 @@
 	}
 }
 
-// What is too long, to itself or to an unknown peer is not sent; what is too long or from no peer is dropped.
+// Messages that are too long are neither sent nor received, nor are messages to the gateway itself, or to or
+// from an unknown peer.
 func TestTransportDropsOversizedAndForeignMessages(t *testing.T) {
 	peer, unknownSender := listenUDP(t), listenUDP(t)
 	transport, messages := newTestTransport("127.0.0.1:0", peer)
@@ -82,7 +84,7 @@
 
 	transport.Send(1, make([]byte, MaxMessageBytes+1))
 	transport.Send(0, []byte("to itself"))
-	transport.Send(2, []byte("to nobody"))
+	transport.Send(2, []byte("to an unknown peer"))
 	transport.Send(1, []byte("to the peer"))
 	buffer := make([]byte, 1024)
 	n, sender, err := peer.ReadFromUDPAddrPort(buffer)
@@ -90,23 +92,22 @@
 		t.Fatalf("got %q, %v, want %q", got, err, "to the peer")
 	}
 
-	sendMessage(t, unknownSender, sender, []byte("from nobody"))
+	sendMessage(t, unknownSender, sender, []byte("from an unknown sender"))
 	sendMessage(t, peer, sender, make([]byte, MaxMessageBytes+1))
 	sendMessage(t, peer, sender, []byte("answer"))
 	expectMessage(t, messages, receivedMessage{1, "answer"})
 }
 
-// What comes during a pause is received after it.
 func TestResumeReceivesMessagesSentDuringPause(t *testing.T) {
 	peer := listenUDP(t)
 	transport, messages := newTestTransport("127.0.0.1:0", peer)
 	listenUntilTestEnd(t, transport)
 	transport.Resume()
 	transport.Pause()
-	// A receiver that had not seen the pause yet would receive the message just as well.
-	sendMessage(t, peer, localAddrPort(transport.Conn()), []byte("meanwhile"))
+	// The test also passes if the receiving goroutine has not ended yet and receives the message.
+	sendMessage(t, peer, localAddrPort(transport.Conn()), []byte("sent during the pause"))
 	transport.Resume()
-	expectMessage(t, messages, receivedMessage{1, "meanwhile"})
+	expectMessage(t, messages, receivedMessage{1, "sent during the pause"})
 }
 
 func TestAdoptRequiresConfiguredAddress(t *testing.T) {
@@ -119,7 +120,7 @@
 		t.Error("a socket that was not adopted is still open")
 	}
 	if transport.Conn() != nil {
-		t.Error("it has a socket that it did not adopt")
+		t.Error("transport has a socket that it did not adopt")
 	}
 	if !transport.Adopt(own) {
 		t.Fatal("did not adopt the socket with its own address")
@@ -129,7 +130,7 @@
 	expectMessage(t, messages, receivedMessage{1, "hello"})
 	transport.Close()
 	if transport.Conn() != nil {
-		t.Error("it has a socket after Close")
+		t.Error("transport has a socket after Close")
 	}
-	transport.Send(1, []byte("nowhere")) // must not fail
+	transport.Send(1, []byte("after Close")) // must not panic
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics counts what operators are shown. Each count is kept where it happens, so that reading
-// them never waits for the gateway's event loop.
+// Package metrics holds the counters and gauges that are shown to operators. They are atomic and updated
+// directly, so that reading them never waits for the gateway's event loop.
 package metrics
 
 import (
@@ -9,32 +9,34 @@
 	"sync/atomic"
 )
 
-// namePrefix begins each name on the page. Operators' tools know it.
+// namePrefix is the prefix of all metric names. Operators' tools depend on it.
 const namePrefix = "edge_relay."
 
-// Metrics is the gateway's counters and gauges. All methods and fields may be used from any goroutine.
+// Metrics holds the counters and gauges of a gateway. All methods and exported fields may be used from any
+// goroutine.
 type Metrics struct {
-	OpenRequests         atomic.Int64 // without a final reply
-	Endpoints            atomic.Int64 // in the discovery service's list
-	UnavailableEndpoints atomic.Int64 // those of them that get no requests: draining or ejected
+	OpenRequests         atomic.Int64 // requests without a final reply
+	Endpoints            atomic.Int64 // endpoints in the list of the discovery service
+	UnavailableEndpoints atomic.Int64 // endpoints in the list that get no requests: draining or ejected
 	ConfigsAccepted      atomic.Int64 // reloads that took effect
-	ConfigsRejected      atomic.Int64 // reloads that did not
+	ConfigsRejected      atomic.Int64 // reloads that were rejected
 
 	mu      sync.Mutex // guards classes
-	classes []*Class   // of every class that was ever in force, so that no total falls
+	classes []*Class   // includes former classes, so that no total decreases
 }
 
-// Class is the counters of one request class. Each request is counted once under Served, Throttled or Failed.
+// Class holds the counters of one request class. Each request is counted as one of Served, Throttled and
+// Failed.
 type Class struct {
 	name      string
 	Served    atomic.Int64
 	Throttled atomic.Int64
 	Failed    atomic.Int64
-	Attempts  atomic.Int64 // requests written to backends, retries among them
+	Attempts  atomic.Int64 // requests written to backends, including retries
 }
 
-// Classes returns the counters of the named classes in the order of the names. Those of a new class begin
-// at 0.
+// Classes returns the counters of the named classes, in the order of the names. The counters of a new class
+// start at 0.
 func (m *Metrics) Classes(names []string) []*Class {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -45,7 +47,7 @@
 	return classes
 }
 
-// class returns the counters of a class; m.mu is held.
+// class returns the counters of a class. The caller must hold m.mu.
 func (m *Metrics) class(name string) *Class {
 	for _, class := range m.classes {
 		if class.name == name {
@@ -57,7 +59,7 @@
 	return class
 }
 
-// Page is all metrics, one on a line. Its names and their order are known to operators' tools.
+// Page returns all metrics, one per line. Operators' tools depend on the names and their order.
 func (m *Metrics) Page() []byte {
 	m.mu.Lock()
 	classes := m.classes[:len(m.classes):len(m.classes)]
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The page was recorded from the program of commit d086cf6: operators' tools read it by these names.
+// The page was recorded with the program of commit d086cf6. Operators' tools depend on its names.
 func TestPageMatchesRecordedPage(t *testing.T) {
 	want, err := os.ReadFile("testdata/stats.txt")
 	if err != nil {
@@ -29,13 +29,13 @@
 	}
 }
 
-// A class that vanishes with a reload and comes back goes on from its old totals.
+// A class that one reload removes and a later one adds again continues from its old totals.
 func TestClassesKeepTotalsAcrossReloads(t *testing.T) {
 	var m Metrics
 	before := m.Classes([]string{"read", "once"})
 	m.Classes([]string{"strict"})
 	after := m.Classes([]string{"once", "read"})
 	if after[0] != before[1] || after[1] != before[0] {
-		t.Error("a class that came back got new counters")
+		t.Error("a class that was added again got new counters")
 	}
 }
--- a/internal/ops/server.go
+++ b/internal/ops/server.go
@@ -1,5 +1,5 @@
-// Package ops serves the operators' HTTP interface: readiness and metrics. It never asks the gateway's
-// event loop, so that operators get an answer however busy the gateway is.
+// Package ops serves the HTTP interface for operators: readiness and metrics. It never waits for the
+// gateway's event loop, so that it responds however busy the gateway is.
 package ops
 
 import (
@@ -14,7 +14,7 @@
 )
 
 const (
-	// MaxConnections is how many connections operators may have at once, where descriptors are not scarce.
+	// MaxConnections is the maximum number of concurrent connections if descriptors are not scarce.
 	MaxConnections = 12
 
 	readTimeout    = time.Second
@@ -25,18 +25,18 @@
 
 // Server serves the interface. Its methods may be called from any goroutine.
 type Server struct {
-	listener       net.Listener // nil: there is no interface
-	http           *http.Server
+	listener       net.Listener // nil if the interface is disabled
+	http           *http.Server // nil if the interface is disabled
 	stats          func() []byte
 	maxConnections int
-	ready          atomic.Bool // what readiness answers
+	ready          atomic.Bool // whether the gateway accepts clients
 
 	mu          sync.Mutex // guards connections
-	connections []net.Conn // open ones, oldest first
+	connections []net.Conn // open connections, oldest first
 }
 
-// Listen opens the interface at an address; an empty one gives a server that does nothing. The stats are
-// the page of metrics.
+// Listen returns a server that listens at an address. If the address is empty, the interface is disabled and
+// the server does nothing. stats returns the metrics page.
 func Listen(address string, maxConnections int, stats func() []byte) (*Server, error) {
 	s := &Server{stats: stats, maxConnections: maxConnections}
 	if address == "" {
@@ -59,7 +59,7 @@
 	return s, nil
 }
 
-// Addr is the address that the server listens at; nil: there is no interface.
+// Addr returns the address that the server listens at, or nil if the interface is disabled.
 func (s *Server) Addr() net.Addr {
 	if s.listener == nil {
 		return nil
@@ -67,27 +67,27 @@
 	return s.listener.Addr()
 }
 
-// SetReady sets whether the gateway accepts clients. At first it does not.
+// SetReady sets whether the gateway accepts clients, which is false at first.
 func (s *Server) SetReady(ready bool) { s.ready.Store(ready) }
 
-// Serve answers requests until Close.
+// Serve serves requests until Close is called.
 func (s *Server) Serve() {
 	if s.http != nil {
-		_ = s.http.Serve(s.listener) // the error of a closed server
+		_ = s.http.Serve(s.listener) // http.ErrServerClosed after Close
 	}
 }
 
-// Close ends Serve and all connections.
+// Close closes the listener and all connections. Serve then returns.
 func (s *Server) Close() {
 	if s.http != nil {
-		// The process ends: there is nobody to tell of an error. The listener is closed here in case
-		// Serve was not called.
+		// The process exits, so errors do not matter. http.Server.Close closes the listener only if Serve was
+		// called.
 		_ = s.http.Close()
 		_ = s.listener.Close()
 	}
 }
 
-// serveReadiness answers whether the gateway accepts clients, by status and text.
+// serveReadiness responds with status 200 if the gateway accepts clients, and with status 503 otherwise.
 func (s *Server) serveReadiness(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", contentType)
 	answer := "yes"
@@ -95,17 +95,17 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		answer = "no"
 	}
-	_, _ = fmt.Fprintln(w, answer) // fails only when the operator has gone
+	_, _ = fmt.Fprintln(w, answer) // fails only if the connection is closed
 }
 
-// serveStats answers with the page of metrics.
+// serveStats responds with the metrics page.
 func (s *Server) serveStats(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", contentType)
-	_, _ = w.Write(s.stats()) // fails only when the operator has gone
+	_, _ = w.Write(s.stats()) // fails only if the connection is closed
 }
 
-// trackConnection limits the connections: beyond the limit the oldest one is closed, so that connections
-// which send no request keep nobody out.
+// trackConnection limits the number of connections. Beyond the limit it closes the oldest connection, so that
+// connections that send no request do not lock out others.
 func (s *Server) trackConnection(conn net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,13 +113,13 @@
 	case http.StateNew:
 		s.connections = append(s.connections, conn)
 		if len(s.connections) > s.maxConnections {
-			_ = s.connections[0].Close() // its operator gets no answer either way
+			_ = s.connections[0].Close() // the operator gets no response, with or without an error
 			s.connections = s.connections[1:]
 		}
 	case http.StateClosed, http.StateHijacked:
 		if i := slices.Index(s.connections, conn); i >= 0 {
 			s.connections = slices.Delete(s.connections, i, i+1)
 		}
-	default: // a request has come or was answered: the connection stays open
+	default: // a request was received or answered; the connection stays open
 	}
 }
--- a/internal/ops/server_test.go
+++ b/internal/ops/server_test.go
@@ -17,7 +17,7 @@
 	testMaxConnections = 4
 )
 
-// startServer starts a server that ends with the test.
+// startServer starts a server and closes it at the end of the test.
 func startServer(t *testing.T) *Server {
 	t.Helper()
 	s, err := Listen("127.0.0.1:0", testMaxConnections, func() []byte { return []byte(testStats) })
@@ -36,7 +36,7 @@
 	return s
 }
 
-// request makes one request on a connection of its own.
+// sendRequest sends one request on its own connection.
 func sendRequest(t *testing.T, s *Server, method, path string) (status int, body string) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, "http://"+s.Addr().String()+path, nil)
@@ -87,15 +87,15 @@
 	}
 	s.SetReady(true)
 	if status, body := sendRequest(t, s, "GET", "/ops/readiness"); status != 200 || body != "yes\n" {
-		t.Errorf("when ready: got %d %q, want 200 %q", status, body, "yes\n")
+		t.Errorf("after SetReady(true): got %d %q, want 200 %q", status, body, "yes\n")
 	}
 	s.SetReady(false)
 	if status, _ := sendRequest(t, s, "GET", "/ops/readiness"); status != 503 {
-		t.Errorf("when no longer ready: got %d, want 503", status)
+		t.Errorf("after SetReady(false): got %d, want 503", status)
 	}
 }
 
-// Connections that finish no request lose their place to newer ones.
+// Connections with unfinished requests must not lock out newer connections.
 func TestServerClosesOldestConnectionBeyondLimit(t *testing.T) {
 	s := startServer(t)
 	var unfinished []net.Conn
