--- a/cmd/gateway/descriptors_test.go
+++ b/cmd/gateway/descriptors_test.go
@@ -269,7 +269,7 @@
 			t.Errorf("%d descriptors: exited with error %v, want exit code 1", descriptors, p.exitError)
 		}
 		log := p.logText()
-		if strings.Count(log, "\n") != 1 || !strings.Contains(log, "at least 32 wanted") {
+		if strings.Count(log, "\n") != 1 || !strings.Contains(log, ": expected at least 32") {
 			t.Errorf("%d descriptors: logged %q, want one line with the minimum limit", descriptors, log)
 		}
 	}
--- a/deploy/example/standins/main.go
+++ b/deploy/example/standins/main.go
@@ -1,5 +1,5 @@
-// Command standins tries a gateway on one machine: it stands in for what a gateway needs around it. "serve"
-// is the discovery service and two backends, "send" is a client. Both read the addresses from the gateway's
+// Command standins simulates the environment of a gateway, to try the gateway on one machine. "serve" runs
+// the discovery service and two backends; "send" runs a client. Both read the addresses from the gateway's
 // configuration.
 package main
 
@@ -22,7 +22,7 @@
 	call.FatalIfErrorf(call.Run())
 }
 
-// readConfig reads a gateway's configuration.
+// readConfig reads the configuration of a gateway.
 func readConfig(path string) (config.Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
--- a/deploy/example/standins/send.go
+++ b/deploy/example/standins/send.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	sendTimeout     = 30 * time.Second // for the gateway's start, and for all replies
+	sendTimeout     = 30 * time.Second // for the start of the gateway, and for all replies
 	pollInterval    = 10 * time.Millisecond
 	requestTimeout  = 5 * time.Second
 	requestArgCount = 4
 )
 
-var errNotReady = errors.New("the gateway is not ready")
+var errNotReady = errors.New("gateway not ready")
 
-// sendCommand is a client.
+// sendCommand is the command that runs a client.
 type sendCommand struct {
 	Config   string `arg:"" type:"existingfile" help:"The gateway's configuration."`
 	Plan     string `default:"small" help:"The customer's plan, by its name in the settings."`
@@ -75,7 +75,8 @@
 	return nil
 }
 
-// awaitReady waits until the gateway takes clients and knows backends, by its interface for operators.
+// awaitReady waits until the gateway accepts clients and has endpoints, according to its interface for
+// operators.
 func awaitReady(ctx context.Context, opsAddress string) error {
 	for {
 		if isReady(ctx, opsAddress) {
@@ -97,7 +98,8 @@
 	return err == nil && !bytes.Contains(stats, []byte("edge_relay.registry_entries=0\n"))
 }
 
-// get calls the interface for operators and returns the body of an answer with status 200.
+// getOps sends a request to the interface for operators. It returns the body of the response or, unless the
+// status is 200, an error.
 func getOps(ctx context.Context, opsAddress, path string) ([]byte, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+opsAddress+path, nil)
 	if err != nil {
@@ -118,7 +120,7 @@
 	return body, nil
 }
 
-// request returns a request of the first class.
+// request returns a command of the first request class in the configuration.
 func (c *sendCommand) request(cfg *config.Config, id uint64) []byte {
 	command := resp.AppendArray(nil, requestArgCount)
 	command = resp.AppendBulk(command, []byte("API.READ"))
--- a/deploy/example/standins/serve.go
+++ b/deploy/example/standins/serve.go
@@ -17,12 +17,12 @@
 const (
 	backendCount     = 2
 	listRevision     = 1           // the list never changes
-	maxWatchDuration = time.Minute // for which a call that waits for changes is left without an answer
-	requestIDArg     = 2           // in a command for a backend
-	answerValueCount = 3           // in a backend's answer
+	maxWatchDuration = time.Minute // how long a call that waits for changes is held open
+	requestIDArg     = 2           // index of the request's ID in a command for a backend
+	answerValueCount = 3           // values in an answer of a backend
 )
 
-// serveCommand is the discovery service and the backends that it lists.
+// serveCommand is the command that runs the discovery service and the backends that it lists.
 type serveCommand struct {
 	Config string `arg:"" type:"existingfile" help:"The gateway's configuration."`
 }
@@ -50,7 +50,7 @@
 	return fmt.Errorf("discovery service: %w", server.Serve(listener))
 }
 
-// startBackends starts the backends on free ports beside the discovery service and returns their list.
+// startBackends starts the backends, on free ports of the discovery service's host, and returns their list.
 func startBackends(ctx context.Context, cfg *config.Config) (discovery.Update, error) {
 	list := discovery.Update{Revision: listRevision, Complete: true}
 	host, _, err := net.SplitHostPort(cfg.Discovery)
@@ -75,23 +75,23 @@
 	var config net.ListenConfig
 	listener, err := config.Listen(ctx, "tcp", address)
 	if err != nil {
-		return nil, fmt.Errorf("listening: %w", err)
+		return nil, fmt.Errorf("open listener: %w", err)
 	}
 	return listener, nil
 }
 
-// discoveryHandler answers a call with the list, but leaves one that waits for changes unanswered for as long
-// as it waits, and says then that there are none.
+// discoveryHandler responds with the list. If the call waits for changes, it responds after that wait that
+// there are none.
 func discoveryHandler(list []byte) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		query := r.URL.Query()
 		if !query.Has("index") {
-			_, _ = w.Write(list) // the caller may have gone
+			_, _ = w.Write(list) // fails only if the connection is closed
 			return
 		}
 		waitMS, err := strconv.Atoi(query.Get("wait"))
 		if err != nil {
-			http.Error(w, "wait: milliseconds wanted", http.StatusBadRequest)
+			http.Error(w, "wait: expected milliseconds", http.StatusBadRequest)
 			return
 		}
 		select {
@@ -127,7 +127,7 @@
 	}
 }
 
-// backendAnswer is an answer with a value, without a report of the load and without a meter.
+// backendAnswer returns an answer with a value, but without a load report and a meter reading.
 func backendAnswer(requestID []byte, name string) []byte {
 	value := fmt.Appendf(nil, "request %s served by %s", requestID, name)
 	answer := resp.AppendBulk(resp.AppendArray(nil, answerValueCount), value)
--- a/internal/descriptors/budget.go
+++ b/internal/descriptors/budget.go
@@ -1,4 +1,4 @@
-// Package descriptors shares out the file descriptors that the process may open.
+// Package descriptors divides the file descriptors that the process may open among its parts.
 package descriptors
 
 import (
@@ -6,51 +6,53 @@
 	"sparspread/internal/ops"
 )
 
-// The largest numbers of descriptors that are used for neither clients nor backends.
+// The maximum numbers of descriptors that are used for neither clients nor backends.
 const (
-	// The standard streams (3), the runtime's poller and the event that wakes it (2), the control group's
-	// files that the runtime reads its CPU limit from (2).
+	// The standard streams (3), the runtime's poller and the event that wakes it (2), and the cgroup files
+	// from which the runtime reads the CPU limit (2).
 	runtimeDescriptors = 7
-	// The listener for clients, the gossip socket, the handover's socket and one connection on it, the
+	// The listener for clients, the gossip socket, the handover socket and one connection on it, and the
 	// configuration file while it is read.
 	ownDescriptors = 5
-	// One for each of two addresses: a dial to the former one may still be under way.
+	// One connection to each of two addresses, because a dial to the previous address may still be in
+	// progress.
 	discoveryDescriptors = 2
 	// All connections to each of two addresses, for the same reason.
 	counterDescriptors = 2 * counter.Connections
-	// The listener, and the connection that another one is closed for. Those within the limit come on top.
+	// The listener, and one connection beyond the limit, which is accepted before the oldest one is closed.
+	// Connections within the limit are counted separately.
 	opsDescriptors = 2
 )
 
 const (
-	// spareDescriptors are left over where there are many, against what the numbers above do not foresee.
+	// spareDescriptors is a reserve for unforeseen uses. It is kept only if descriptors are not scarce.
 	spareDescriptors = 24
-	// minRejectSlots is the least number of connections beyond the clients' share that are accepted to be
-	// rejected.
+	// minRejectSlots is the minimum number of client connections beyond Budget.PerSide that are accepted
+	// and then rejected.
 	minRejectSlots = 4
-	// Of the descriptors that are not spare, clients get at most two fifths, and backends as many.
+	// Clients get at most two fifths of the descriptors that are not spare, and backends the same number.
 	sideShareNumerator   = 2
 	sideShareDenominator = 5
-	// sides are the two that share what all other parts leave: clients and backends.
+	// sideCount is the number of sides, clients and backends, that share the remaining descriptors equally.
 	sideCount = 2
-	// rejectFraction is how many connections that are served go with one that is accepted to be rejected.
+	// One further connection is accepted, to be rejected, for each servedPerRejectSlot served connections.
 	servedPerRejectSlot = 4
-	// minOperators is the least number of operators' connections; one for each operatorShare descriptors are
-	// allowed, up to ops.MaxConnections.
+	// minOperatorConnections is the minimum number of operators' connections. One connection is allowed for
+	// each descriptorsPerOperator descriptors, up to ops.MaxConnections.
 	minOperatorConnections = 2
 	descriptorsPerOperator = 16
 )
 
-// Budget is how many descriptors each part may use.
+// Budget contains the number of descriptors that each part may use.
 type Budget struct {
-	PerSide     int // for connections of clients that are served, and as many for connections to backends
-	ClientSlots int // for all connections of clients, those that are accepted to be rejected among them
+	PerSide     int // for client connections that are served, and the same number for backend connections
+	ClientSlots int // for all client connections, including those that are accepted only to be rejected
 	Operators   int // for connections of operators
 }
 
-// NewBudget shares out a number of descriptors. Clients and backends get two fifths each, but together no
-// more than all other parts leave: without a descriptor the gateway cannot even reject a connection, and
-// the one that lacks it may be that to the discovery service.
+// NewBudget divides a number of descriptors. Clients and backends get two fifths each, but together at most
+// the descriptors that all other parts leave. If the process ran out of descriptors, the gateway could not
+// even reject a connection, and the connection that fails could be the one to the discovery service.
 func NewBudget(descriptors int, withCounter bool) Budget {
 	operators := min(ops.MaxConnections, max(minOperatorConnections, descriptors/descriptorsPerOperator))
 	others := runtimeDescriptors + ownDescriptors + discoveryDescriptors + opsDescriptors + operators
--- a/internal/descriptors/budget_test.go
+++ b/internal/descriptors/budget_test.go
@@ -7,7 +7,7 @@
 	"sparspread/internal/counter"
 )
 
-// allDescriptors is the largest number of descriptors that can be open at once with a budget.
+// maxOpenDescriptors returns the maximum number of descriptors that are open at the same time with a budget.
 func maxOpenDescriptors(b Budget, withCounter bool) int {
 	const (
 		streams, poller, controlGroup          = 3, 2, 2
@@ -23,7 +23,7 @@
 	return sum
 }
 
-// All that may be open at once fits, whatever the limit. Where descriptors are not scarce, clients and
+// The maximum number of open descriptors never exceeds the limit. If descriptors are not scarce, clients and
 // backends get two fifths each.
 func TestNewBudgetFitsLimit(t *testing.T) {
 	for limit := config.MinSockets; limit <= 4096; limit++ {
--- a/internal/descriptors/limit.go
+++ b/internal/descriptors/limit.go
@@ -9,31 +9,31 @@
 	"sparspread/internal/config"
 )
 
-// errTooFewFiles says how many files a gateway has to be able to open.
-var errLimitTooLow = fmt.Errorf("at least %d wanted", config.MinSockets)
+// errLimitTooLow means that the process may open fewer files than a gateway needs.
+var errLimitTooLow = fmt.Errorf("expected at least %d", config.MinSockets)
 
-// ProcessLimit returns how many descriptors the process may open, and an error if those are too few for a
-// gateway. A limit that can't be read is none: the configuration's number holds.
+// ProcessLimit returns how many descriptors the process may open, or an error if they are too few for a
+// gateway. If the limit cannot be read, it returns math.MaxInt32, so that only the configured number applies.
 func ProcessLimit() (int, error) {
 	limit, known := openFileLimit()
 	if !known {
 		return math.MaxInt32, nil
 	}
 	if limit < config.MinSockets {
-		return 0, fmt.Errorf("limit of open files: %d, %w", limit, errLimitTooLow)
+		return 0, fmt.Errorf("limit of open files: %d: %w", limit, errLimitTooLow)
 	}
 	return int(min(limit, math.MaxInt32)), nil
 }
 
-// openFileLimit reads the soft limit of open files.
+// openFileLimit returns the soft limit of open files.
 func openFileLimit() (limit uint64, known bool) {
 	var rlimit syscall.Rlimit
 	err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &rlimit)
 	return rlimit.Cur, err == nil
 }
 
-// Usable returns how many descriptors the configuration and the process's limit allow together, and logs
-// if the process may open fewer than configured.
+// Usable returns the lower of the configured number of descriptors and the limit of the process, if known. It
+// logs a warning if the process may open fewer descriptors than configured.
 func Usable(cfg *config.Config, log *slog.Logger) int {
 	if cfg.DescriptorLimit == 0 || cfg.DescriptorLimit >= cfg.Sockets {
 		return cfg.Sockets
--- a/internal/porttest/porttest.go
+++ b/internal/porttest/porttest.go
@@ -10,12 +10,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// Reserve returns an address "127.0.0.1:PORT" that belongs to the test until the test ends: no other socket
-// that asks the system for any free port gets this one. Connections to the address are refused while the test
-// itself does not listen there; it may do so repeatedly, as net.Listen does.
+// Reserve returns an address "127.0.0.1:PORT" that is reserved until the test ends: the kernel does not
+// assign its port to other sockets that request any free port. The test may listen at the address repeatedly,
+// with net.Listen. While it does not, connections to the address are refused.
 //
-// A test that closes a listener and goes on using its address has no such guarantee: the port may be given to
-// another socket at once.
+// The address of a listener that the test has closed is not reserved: its port may be assigned to another
+// socket immediately.
 func Reserve(tb testing.TB) (address string) {
 	tb.Helper()
 	socket, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -23,8 +23,8 @@
 		tb.Fatal(os.NewSyscallError("socket", err))
 	}
 	tb.Cleanup(func() { _ = unix.Close(socket) })
-	// A socket that is bound and does not listen keeps its port. SO_REUSEADDR, which net.Listen sets too,
-	// lets the test listen at the port beside it.
+	// A socket that is bound but does not listen keeps its port. SO_REUSEADDR, which net.Listen also sets,
+	// allows the test to listen at the same port.
 	loopback := netip.AddrFrom4([4]byte{127, 0, 0, 1})
 	err = errors.Join(
 		os.NewSyscallError("setsockopt", unix.SetsockoptInt(socket, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)),
@@ -39,7 +39,7 @@
 	}
 	inet, ok := bound.(*unix.SockaddrInet4)
 	if !ok {
-		tb.Fatalf("bound to a %T, want an IPv4 address", bound)
+		tb.Fatalf("socket is bound to an address of type %T, want IPv4", bound)
 	}
 	return netip.AddrPortFrom(loopback, uint16(inet.Port)).String()
 }
--- a/internal/porttest/porttest_test.go
+++ b/internal/porttest/porttest_test.go
@@ -10,7 +10,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// dial connects to an address once and returns the error.
+// dial connects to an address, closes the connection and returns the error of the dial.
 func dial(t *testing.T, address string) error {
 	t.Helper()
 	conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", address)
@@ -24,14 +24,14 @@
 	address := Reserve(t)
 	for range 3 {
 		if err := dial(t, address); !errors.Is(err, syscall.ECONNREFUSED) {
-			t.Fatalf("nobody listens: error %v, want %v", err, syscall.ECONNREFUSED)
+			t.Fatalf("without a listener: error %v, want %v", err, syscall.ECONNREFUSED)
 		}
 		listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", address)
 		if err != nil {
-			t.Fatal("the test can't listen at its own address: ", err)
+			t.Fatal("cannot listen at the reserved address: ", err)
 		}
 		if err := dial(t, address); err != nil {
-			t.Error("the test listens: ", err)
+			t.Error("with a listener: ", err)
 		}
 		if err := listener.Close(); err != nil {
 			t.Error(err)
@@ -39,8 +39,8 @@
 	}
 }
 
-// Sockets whose choice of a free port is limited to one port force what else happens by chance: the system
-// gives them no port that is reserved, neither to listen at nor to connect from.
+// The kernel assigns a reserved port neither to listeners nor to outgoing connections. As it would otherwise
+// choose that port only by chance, the test limits its choice to the reserved port.
 func TestReservedPortIsNotAssignedToOtherSockets(t *testing.T) {
 	reserved := netip.MustParseAddrPort(Reserve(t)).Port()
 	onlyReservedPort := func(_, _ string, conn syscall.RawConn) error {
@@ -48,7 +48,7 @@
 	}
 	listening := net.ListenConfig{Control: onlyReservedPort}
 	if listener, err := listening.Listen(t.Context(), "tcp", "127.0.0.1:0"); err == nil {
-		t.Errorf("a listener got the port: %v", listener.Addr())
+		t.Errorf("a listener got the reserved port: %v", listener.Addr())
 		_ = listener.Close()
 	} else if !errors.Is(err, syscall.EADDRINUSE) {
 		t.Errorf("listening: error %v, want %v", err, syscall.EADDRINUSE)
@@ -61,16 +61,17 @@
 	defer func() { _ = server.Close() }()
 	dialing := net.Dialer{Control: onlyReservedPort}
 	if conn, err := dialing.DialContext(t.Context(), "tcp", server.Addr().String()); err == nil {
-		t.Errorf("a connection got the port: %v", conn.LocalAddr())
+		t.Errorf("a connection got the reserved port: %v", conn.LocalAddr())
 		_ = conn.Close()
 	} else if !errors.Is(err, syscall.EADDRNOTAVAIL) {
 		t.Errorf("connecting: error %v, want %v", err, syscall.EADDRNOTAVAIL)
 	}
 }
 
-// limitToPort has the system choose this port, or fail, where a socket asks for any free one (Linux 6.3).
+// limitToPort makes the kernel choose the given port, or fail, when the socket requests any free port. It
+// needs Linux 6.3.
 func limitToPort(conn syscall.RawConn, port uint16) error {
-	onlyPort := int(port)<<16 | int(port) // the highest and the lowest to choose from
+	onlyPort := int(port)<<16 | int(port) // the upper and the lower end of the port range
 	var optionErr error
 	err := conn.Control(func(socket uintptr) {
 		optionErr = unix.SetsockoptInt(int(socket), unix.IPPROTO_IP, unix.IP_LOCAL_PORT_RANGE, onlyPort)
--- a/internal/testfill/testfill.go
+++ b/internal/testfill/testfill.go
@@ -1,5 +1,5 @@
-// Package testfill fills values for tests of recorded forms: every field gets a value of its own, so that one
-// that is not read or written shows.
+// Package testfill fills values for tests of encodings: it gives each field a distinct value, so that tests
+// detect fields that are not encoded or decoded. Only tests import it.
 package testfill
 
 import (
@@ -7,29 +7,29 @@
 	"reflect"
 )
 
-// fraction is what floating-point numbers have beyond theirs, so that a conversion to an integer shows.
+// fraction is added to floating-point values, so that tests detect a conversion to an integer.
 const fraction = 0.5
 
-// itemCount is how many items a filled slice has: enough to tell one item from the next.
+// itemCount is the length of a filled slice: enough to distinguish one item from the next.
 const itemCount = 2
 
-// Style is how the number of a field is turned into a value that is no signed number. A recorded file was
-// written in one style and is compared in the same one.
+// Style determines how the number of a field is converted to a string or an unsigned integer. A recorded file
+// must be compared with values of the style that it was recorded with.
 type Style struct {
-	Text    func(n int) string // the value of a string
-	Modulus uint64             // of unsigned numbers; 0: what their type can hold
+	Text    func(n int) string // returns the value of a string
+	Modulus uint64             // modulus of unsigned integers; if zero, they wrap at the size of their type
 }
 
-// Letters is the style with two letters in each string.
+// Letters is the style whose strings differ in two letters.
 var Letters = Style{Text: letterText}
 
-// letterText returns a text that differs for neighbouring numbers.
+// letterText returns a text that differs for consecutive numbers.
 func letterText(n int) string {
 	const letters = 26
 	return fmt.Sprintf("text-%c%c", 'a'+n%letters, 'a'+n/letters%letters)
 }
 
-// Numbered returns a value whose plain fields, however deep, are numbered in the order of their declaration.
+// Numbered returns a value whose scalar fields, at any depth, are numbered in the order of their declaration.
 func Numbered[T any](style Style) T {
 	var filled T
 	f := filler{style: style}
@@ -37,13 +37,13 @@
 	return filled
 }
 
-// filler numbers the plain values that it meets.
+// filler numbers the scalar values that it fills.
 type filler struct {
 	style  Style
-	number int // of the last value
+	number int // the number of the last value
 }
 
-// fill fills a value and all below it.
+// fill fills a value recursively.
 func (f *filler) fill(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Pointer:
@@ -68,7 +68,7 @@
 	}
 }
 
-// setPlain sets a value that has no parts to the current number.
+// setScalar sets a scalar value according to the current number.
 func (f *filler) setScalar(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Bool:
@@ -84,11 +84,11 @@
 	}
 }
 
-// unsigned is the current number as an unsigned one of some bits.
+// unsigned returns the current number as an unsigned integer of the given size.
 func (f *filler) unsigned(bits int) uint64 {
 	n := uint64(f.number)
 	if f.style.Modulus > 0 {
 		return n % f.style.Modulus
 	}
-	return n & (1<<bits - 1) // all ones for 64 bits, as the shift leaves 0
+	return n & (1<<bits - 1) // for 64 bits the mask has all bits set, as the shift yields 0
 }
--- a/internal/testfill/testfill_test.go
+++ b/internal/testfill/testfill_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-// leaf is a struct within another.
+// leaf is a struct that is nested in tree.
 type leaf struct {
 	Name  string
 	Count uint8
 }
 
-// tree has a field of each kind that is filled.
+// tree has a field of each kind that Numbered fills.
 type tree struct {
 	Set    bool
 	Rate   float64
--- a/internal/waittest/waittest.go
+++ b/internal/waittest/waittest.go
@@ -1,4 +1,4 @@
-// Package waittest has tests wait for what has to happen. Only tests import it.
+// Package waittest provides waiting with a timeout for tests. Only tests import it.
 package waittest
 
 import (
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// Timeout bounds every wait of a test. It is far longer than any takes: no test asserts a speed with it.
+// Timeout limits every wait of a test. It is far longer than any wait should take, because it is not meant to
+// check the speed of the program.
 const Timeout = 30 * time.Second
 
-// Receive returns the next value of a channel, or the zero value of one that is closed. It ends the test if
-// neither comes in time; what says what the test waits for.
+// Receive returns the next value of a channel, or the zero value if the channel is closed. If neither happens
+// within Timeout, the test fails immediately; what describes the event that the test waits for.
 func Receive[T any](tb testing.TB, from <-chan T, what string) T {
 	tb.Helper()
 	value, ok := receiveWithin(from, Timeout)
@@ -20,7 +21,8 @@
 	return value
 }
 
-// receiveWithin waits for a time at most, and reports whether it received or the channel is closed.
+// receiveWithin waits for at most the timeout. It reports whether it received a value or the channel is
+// closed.
 func receiveWithin[T any](from <-chan T, timeout time.Duration) (value T, received bool) {
 	select {
 	case value = <-from:
--- a/internal/waittest/waittest_test.go
+++ b/internal/waittest/waittest_test.go
@@ -14,7 +14,7 @@
 	}
 	close(values)
 	if got := Receive(t, values, "the end"); got != 0 {
-		t.Errorf("got %d of a closed channel, want 0", got)
+		t.Errorf("got %d from a closed channel, want 0", got)
 	}
 }
 
