--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,4 +1,4 @@
-// Package command parses the commands that clients send, and encodes them for backends.
+// Package command parses clients' commands and encodes them for backends.
 package command
 
 import (
@@ -10,14 +10,14 @@
 	"sparspread/policy"
 )
 
-// The names of the commands; any case is accepted.
+// The names of the commands. Their case is ignored.
 var (
 	apiRead  = []byte("API.READ")
 	apiWrite = []byte("API.WRITE")
 	ping     = []byte("PING")
 )
 
-// The arguments of a request by position. The body may be missing.
+// The positions of a request's arguments. The body is optional.
 const (
 	NameArg = iota
 	CustomerArg
@@ -29,35 +29,36 @@
 	minArgs = BodyArg
 )
 
-// IsRequest reports whether a command's name is that of a request to a backend.
+// IsRequest reports whether name is that of a command for a backend, API.READ or API.WRITE.
 func IsRequest(name []byte) bool {
 	return bytes.EqualFold(name, apiRead) || bytes.EqualFold(name, apiWrite)
 }
 
-// IsPing reports whether a command's name is PING.
+// IsPing reports whether name is PING.
 func IsPing(name []byte) bool { return bytes.EqualFold(name, ping) }
 
 const (
-	customerLimit = 1 << 33
-	// idDigits is the number of hexadecimal digits of a customer and of an id.
+	customerLimit = 1 << 33 // customer IDs are below it
+	// idDigits is the number of hexadecimal digits of a customer ID and of a client ID.
 	idDigits = 16
-	// timeoutSlack is by how much a timeout may exceed the limit of its class.
+	// timeoutSlack is the time by which a timeout may exceed the limit of its class.
 	timeoutSlack = 1000 * microsecondsPerMS
 )
 
-// Span is a range of bytes, its end excluded.
+// Span is the range of bytes from Start up to but not including End.
 type Span struct{ Start, End int }
 
 // Request is a parsed API.READ or API.WRITE.
 type Request struct {
 	Args        [][]byte
-	ClientID    uint64         // the id that the client gave
-	TimeoutSpan Span           // of the value of d in Args[FieldsArg]
-	Details     policy.Request // without its ID
+	ClientID    uint64         // the ID that the client chose for the request
+	TimeoutSpan Span           // the range of the timeout's value in Args[FieldsArg]
+	Details     policy.Request // the parsed request; its ID is not set
 }
 
-// Parse parses API.READ or API.WRITE. Every field must be known and valid: what is not understood reaches no
-// backend. The text of an error is sent to the client; one that concerns a field is a *FieldError.
+// Parse parses API.READ or API.WRITE. It returns an error if a field is unknown or invalid, so that no such
+// request reaches a backend. The error text is meant for the client. An error that concerns one field is a
+// *FieldError.
 func Parse(cfg *config.Config, args [][]byte) (Request, error) {
 	if len(args) < minArgs || len(args) > maxArgs {
 		return Request{}, errArgumentCount
@@ -78,7 +79,7 @@
 	return r, r.validate(cfg, present)
 }
 
-// validate checks the fields against each other and the class.
+// validate checks that the required fields are present and that the fields are allowed for the class.
 func (r *Request) validate(cfg *config.Config, present fieldSet) error {
 	for field := range requiredFieldCount {
 		if !present.has(field) {
@@ -87,7 +88,7 @@
 	}
 	class := r.Details.Class
 	if limit := cfg.Host.ClientTimeouts[class]; limit > 0 && r.Details.Timeout > limit+timeoutSlack {
-		// Longer than any client waits: it would keep its timers and its memory.
+		// No client waits this long, but the request would hold its timers and memory until the timeout.
 		return newFieldError(timeoutField, errTimeoutTooLong)
 	}
 	idempotency := cfg.Settings.Classes[class].Idempotency
@@ -96,12 +97,12 @@
 	}
 	isRead := bytes.EqualFold(r.Args[NameArg], apiRead)
 	if isRead != (idempotency == policy.Idempotent) {
-		return fmt.Errorf("class %s %w", cfg.Host.Classes[class], errWrongCommand)
+		return fmt.Errorf("class %s: %w", cfg.Host.Classes[class], errWrongCommand)
 	}
 	return nil
 }
 
-// parseHex64 parses a number of idDigits hexadecimal digits.
+// parseHex64 parses a number that is written with exactly idDigits hexadecimal digits.
 func parseHex64(b []byte) (n uint64, ok bool) {
 	n, err := strconv.ParseUint(string(b), 16, 64)
 	return n, err == nil && len(b) == idDigits
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -9,7 +9,7 @@
 	"sparspread/policy"
 )
 
-// testConfig has one class of each idempotency and one plan.
+// testConfig returns a configuration with one plan and with one class for each kind of idempotency.
 func testConfig() *config.Config {
 	cfg := &config.Config{}
 	cfg.Host.Classes = []string{"lookup", "order", "once"}
@@ -24,7 +24,7 @@
 	return cfg
 }
 
-// arguments returns a command's arguments.
+// commandArgs returns strings as the arguments of a command.
 func commandArgs(list ...string) (args [][]byte) {
 	for _, arg := range list {
 		args = append(args, []byte(arg))
@@ -37,7 +37,7 @@
 	testClientID = "9b1f03aa5c7e2d41"
 )
 
-// A request's fields are parsed, and forwarded unchanged but for the timeout.
+// A request is forwarded with the fields that were parsed; only the timeout is replaced.
 func TestParseAndForward(t *testing.T) {
 	const sent = "c=lookup,t=team,d=480,units=2,spread=3,first=1"
 	args := commandArgs("api.read", testCustomer, testClientID, sent, "BODY")
@@ -47,7 +47,7 @@
 	}
 	want := policy.Request{Customer: 7, Timeout: 480_000, Cost: 2, Replicas: 3, FirstReplica: 1}
 	if got.Details != want || got.ClientID != 0x9b1f03aa5c7e2d41 {
-		t.Errorf("request %+v of id %x, want %+v", got.Details, got.ClientID, want)
+		t.Errorf("request %+v with client ID %x, want %+v", got.Details, got.ClientID, want)
 	}
 	const fields = "c=lookup,t=team,d=99,units=2,spread=3,first=1"
 	forwarded := string(Forwarded(got.Args, got.TimeoutSpan, 99_900, 0))
@@ -58,7 +58,7 @@
 	}
 }
 
-// Of a large body only the head is forwarded. A timeout is a millisecond at least.
+// Only the head of a large body is encoded, and the timeout is at least 1 ms.
 func TestForwardedRequestEndsWithHeadOfLargeBody(t *testing.T) {
 	args := commandArgs("API.WRITE", testCustomer, testClientID, "d=480")
 	got := string(Forwarded(args, Span{Start: 2, End: 5}, 0, 70_000))
@@ -70,54 +70,63 @@
 	}
 }
 
-// What is missing, unknown or out of range gets an error in the words of the protocol.
+// Arguments and fields that are missing, unknown or out of range get errors with the protocol's texts.
 func TestParseErrors(t *testing.T) {
 	const good = "c=lookup,t=team,d=480,units=2,spread=3,first=1"
 	replace := func(part, by string) string { return strings.Replace(good, part, by, 1) }
 	for _, c := range []struct {
 		name, customer, id, fields, want string
 	}{
-		{"customer", "7", testClientID, good, "customer: 16 hex digits below 2^33 wanted"},
-		{"id", testCustomer, "7", good, "id: 16 hex digits wanted"},
+		{
+			"short customer", "7", testClientID, good,
+			"customer: expected 16 hexadecimal digits, and a value below 2^33",
+		},
+		{"short client ID", testCustomer, "7", good, "id: expected 16 hexadecimal digits"},
 		{"unknown field", testCustomer, testClientID, good + ",x=1", `field "x": unknown`},
-		{"field twice", testCustomer, testClientID, good + ",d=1", "fields: name=value wanted, each once"},
+		{
+			"repeated field", testCustomer, testClientID, good + ",d=1",
+			"fields: expected a list of name=value, with each name once",
+		},
 		{"missing field", testCustomer, testClientID, replace("t=team,", ""), "field t: missing"},
 		{
-			"bad value", testCustomer, testClientID, replace("units=2", "units=NaN"),
-			`field units: bad value "NaN"`,
+			"cost is not a number", testCustomer, testClientID, replace("units=2", "units=NaN"),
+			`field units: invalid value "NaN"`,
 		},
 		{
-			"long timeout", testCustomer, testClientID, replace("480", "2001"),
-			"field d: longer than the class allows",
+			"timeout over the limit of the class", testCustomer, testClientID, replace("480", "2001"),
+			"field d: longer than the limit of the class",
 		},
 		{
-			"wrong command", testCustomer, testClientID, replace("lookup", "once"),
-			"class once does not go by this command",
+			"wrong command for the class", testCustomer, testClientID, replace("lookup", "once"),
+			"class once: expected API.READ if it is idempotent, API.WRITE otherwise",
 		},
-		{"no key", testCustomer, testClientID, replace("lookup", "order"), "field k: missing"},
-		{"empty key", testCustomer, testClientID, good + ",k=", `field k: bad value ""`},
+		{"missing key", testCustomer, testClientID, replace("lookup", "order"), "field k: missing"},
+		{"empty key", testCustomer, testClientID, good + ",k=", `field k: invalid value ""`},
 		{
 			"unknown class", testCustomer, testClientID, replace("lookup", "gone"),
 			`field c: unknown class "gone"`,
 		},
-		{"unknown plan", testCustomer, testClientID, replace("team", "gone"), `field t: bad value "gone"`},
+		{
+			"unknown plan", testCustomer, testClientID, replace("team", "gone"),
+			`field t: invalid value "gone"`,
+		},
 		{
 			"too many replicas", testCustomer, testClientID, replace("spread=3", "spread=5"),
-			`field spread: bad value "5"`,
+			`field spread: invalid value "5"`,
 		},
 		{
-			"first replica", testCustomer, testClientID, replace("first=1", "first=4"),
-			`field first: bad value "4"`,
+			"first replica out of range", testCustomer, testClientID, replace("first=1", "first=4"),
+			`field first: invalid value "4"`,
 		},
-		{"no timeout", testCustomer, testClientID, replace("480", "0"), `field d: bad value "0"`},
-		{"retry flag", testCustomer, testClientID, good + ",r=2", `field r: bad value "2"`},
+		{"timeout of zero", testCustomer, testClientID, replace("480", "0"), `field d: invalid value "0"`},
+		{"invalid retry flag", testCustomer, testClientID, good + ",r=2", `field r: invalid value "2"`},
 		{
-			"long name", testCustomer, testClientID, good + "," + strings.Repeat("x", 40) + "=1",
+			"long unknown field", testCustomer, testClientID, good + "," + strings.Repeat("x", 40) + "=1",
 			`field "` + strings.Repeat("x", 32) + `": unknown`,
 		},
 		{
 			"long value", testCustomer, testClientID, replace("team", strings.Repeat("y", 70)),
-			`field t: bad value "` + strings.Repeat("y", 64) + `"`,
+			`field t: invalid value "` + strings.Repeat("y", 64) + `"`,
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -133,14 +142,14 @@
 	_, err := Parse(testConfig(), commandArgs("API.READ", testCustomer, testClientID, "units=-1"))
 	var fieldErr *FieldError
 	if !errors.As(err, &fieldErr) || fieldErr.Field != "units" || fieldErr.Value != "-1" {
-		t.Errorf("error %v, want one of field units with value -1", err)
+		t.Errorf("error %v, want a FieldError of field units with value -1", err)
 	}
 	if !errors.Is(err, errInvalidValue) {
 		t.Errorf("error %v, want %v", err, errInvalidValue)
 	}
 }
 
-// An unknown class can be told from other errors: a reload may have removed it.
+// A caller can distinguish an unknown class from other errors, since a reload may have removed the class.
 func TestParseReportsUnknownClass(t *testing.T) {
 	fields := "c=gone,t=team,d=480,units=2,spread=3,first=1"
 	_, err := Parse(testConfig(), commandArgs("API.READ", testCustomer, testClientID, fields))
--- a/internal/command/errors.go
+++ b/internal/command/errors.go
@@ -2,41 +2,41 @@
 
 import "errors"
 
-// The errors of Parse. Their texts are sent to clients and belong to the protocol.
+// Errors returned by Parse. Their texts are sent to clients as part of the protocol.
 var (
-	// ErrUnknownClass says that the settings in force have no class of that name: a reload may have removed
+	// ErrUnknownClass reports that the current settings have no class of that name. A reload may have removed
 	// it.
 	ErrUnknownClass = errors.New("unknown class")
 
 	errArgumentCount   = errors.New("wrong number of arguments")
-	errInvalidCustomer = errors.New("customer: 16 hex digits below 2^33 wanted")
-	errInvalidClientID = errors.New("id: 16 hex digits wanted")
-	errFieldSyntax     = errors.New("fields: name=value wanted, each once")
-	errWrongCommand    = errors.New("does not go by this command")
+	errInvalidCustomer = errors.New("customer: expected 16 hexadecimal digits, and a value below 2^33")
+	errInvalidClientID = errors.New("id: expected 16 hexadecimal digits")
+	errFieldSyntax     = errors.New("fields: expected a list of name=value, with each name once")
+	errWrongCommand    = errors.New("expected API.READ if it is idempotent, API.WRITE otherwise")
 )
 
-// What is wrong with a field.
+// The causes of a FieldError.
 var (
 	errUnknownField   = errors.New("unknown")
 	errMissing        = errors.New("missing")
-	errInvalidValue   = errors.New("bad value")
-	errTimeoutTooLong = errors.New("longer than the class allows")
+	errInvalidValue   = errors.New("invalid value")
+	errTimeoutTooLong = errors.New("longer than the limit of the class")
 )
 
-// FieldError says what is wrong with one field of a request.
+// FieldError reports that a field of a request is unknown, missing or invalid.
 type FieldError struct {
-	Field string // its name in the protocol; quoted where it is none of the protocol's
-	Value string // as received; empty where it is not what is wrong
-	Err   error  // what is wrong; its text states the value
+	Field string // the field's name in the protocol, or the quoted name of an unknown field
+	Value string // the invalid value as received; empty if the error does not concern the value
+	Err   error  // the cause; its text contains the invalid value
 }
 
-// Error names the field and what is wrong with it.
+// Error returns the field's name and the text of the cause.
 func (e *FieldError) Error() string { return "field " + e.Field + ": " + e.Err.Error() }
 
-// Unwrap returns what is wrong with the field.
+// Unwrap returns the cause.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// fieldError is the error of a field of which the value is not what is wrong.
+// newFieldError returns an error of a field that does not concern the field's value.
 func newFieldError(field int, err error) error {
 	return &FieldError{Field: fieldNames[field], Err: err}
 }
--- a/internal/command/fields.go
+++ b/internal/command/fields.go
@@ -10,7 +10,7 @@
 	"sparspread/policy"
 )
 
-// The fields in the list of names and values. Those before requiredFieldCount are in every request.
+// The fields of a request. The fields before requiredFieldCount are required.
 const (
 	classField = iota
 	planField
@@ -24,7 +24,7 @@
 	requiredFieldCount = keyField
 )
 
-// fieldNames are the fields' names in the protocol.
+// fieldNames lists the fields' names in the protocol.
 var fieldNames = [...]string{
 	classField:        "c",
 	planField:         "t",
@@ -37,18 +37,18 @@
 }
 
 const (
-	defaultMaxCost    = 1e6 // where the settings give none
+	defaultMaxCost    = 1e6 // units; used if the settings have no limit
 	microsecondsPerMS = 1000
-	maxTimeoutMS      = 24 * 3600 * 1000 // milliseconds
+	maxTimeoutMS      = 24 * 3600 * 1000
 )
 
-// fieldSet is a set of fields: a bit for each.
+// fieldSet is a set of fields, with one bit per field.
 type fieldSet uint
 
 // has reports whether a field is in the set.
 func (s fieldSet) has(field int) bool { return s&(1<<field) != 0 }
 
-// parseFields parses the list of names and values and returns the fields in it.
+// parseFields parses the list of name=value and returns the set of fields that are present.
 func (r *Request) parseFields(cfg *config.Config) (present fieldSet, err error) {
 	list := r.Args[FieldsArg]
 	for start := 0; start <= len(list); {
@@ -104,31 +104,31 @@
 	return nil
 }
 
-// indexOfName returns the place of a name in a list.
+// indexOfName returns the index of a name in a list, and whether the list contains it.
 func indexOfName(names []string, name string) (int, bool) {
 	i := slices.Index(names, name)
 	return i, i >= 0
 }
 
-// parseTimeout parses a number of milliseconds above 0.
+// parseTimeout parses a number of milliseconds from 1 to maxTimeoutMS.
 func parseTimeout(value string) (policy.Time, bool) {
 	ms, err := strconv.ParseInt(value, 10, 64)
 	return ms * microsecondsPerMS, err == nil && ms > 0 && ms <= maxTimeoutMS
 }
 
-// parseCost parses a number above 0 and up to highest.
+// parseCost parses a number that is above 0 and at most highest.
 func parseCost(value string, highest float64) (float64, bool) {
 	cost, err := strconv.ParseFloat(value, 64)
-	return cost, err == nil && cost > 0 && cost <= highest // false for NaN
+	return cost, err == nil && cost > 0 && cost <= highest // the comparisons are false for NaN
 }
 
-// parseInt parses a whole number from lowest to highest.
+// parseInt parses an integer from lowest to highest.
 func parseInt(value string, lowest, highest int) (int, bool) {
 	n, err := strconv.Atoi(value)
 	return n, err == nil && n >= lowest && n <= highest
 }
 
-// MaxCost is the most that a request may cost.
+// MaxCost returns the maximum cost of a request, in units.
 func MaxCost(cfg *config.Config) float64 {
 	if cfg.Settings.MaxCost > 0 {
 		return cfg.Settings.MaxCost
--- a/internal/command/forward.go
+++ b/internal/command/forward.go
@@ -8,15 +8,16 @@
 )
 
 const (
-	// forwardedOverhead is how many bytes a forwarded command takes at most beside those of its arguments.
+	// maxEncodingOverhead is the maximum number of bytes that the RESP encoding adds to the arguments.
 	maxEncodingOverhead = 72
-	// timeoutDigits is how many bytes a new timeout may take beside the old one.
+	// maxTimeoutGrowth is the maximum number of bytes by which the new timeout is longer than the old one.
 	maxTimeoutGrowth = 8
 	decimal          = 10
 )
 
-// Forwarded is a request as a backend gets it: as received, but with the timeout that is left. Of a large
-// body, whose size is given (0: none), it has only the head.
+// Forwarded encodes a request for a backend. It replaces the timeout by the given one, of at least 1 ms, and
+// keeps the other arguments as received. If bodySize is not 0, the request has a large body of that size, of
+// which only the head is encoded; the caller sends the body itself.
 func Forwarded(args [][]byte, timeoutSpan Span, timeout policy.Time, bodySize int) []byte {
 	fields := args[FieldsArg]
 	newFields := make([]byte, 0, len(fields)+maxTimeoutGrowth)
@@ -41,7 +42,7 @@
 	return b
 }
 
-// Size is the number of bytes that the arguments of a command hold.
+// Size returns the total number of bytes in the arguments of a command.
 func Size(args [][]byte) int {
 	n := 0
 	for _, arg := range args {
--- a/internal/resp/command.go
+++ b/internal/resp/command.go
@@ -1,23 +1,23 @@
 package resp
 
-// initialCommandSize is the capacity in bytes that the buffer of a command begins with.
+// initialCommandSize is the initial capacity of a command's buffer, in bytes.
 const initialCommandSize = 192
 
-// ReadCommand reads an array of bulk strings and returns their values, which the caller owns. Empty arrays
-// are skipped.
+// ReadCommand reads an array of bulk strings and returns their values, which the caller owns. It skips empty
+// arrays.
 func (r *Reader) ReadCommand() ([][]byte, error) {
 	args, _, err := r.readCommand(false)
 	return args, err
 }
 
-// ReadCommandHead reads a command like ReadCommand, except for a last value of more than MaxValue bytes:
-// streamedSize is that value's size, 0 where there is none, and the caller reads it with ReadValueBytes and
-// ReadValueEnd.
+// ReadCommandHead reads a command like ReadCommand, but does not read a last value of more than MaxValue
+// bytes. It returns that value's size as streamedSize, and the caller reads the value with ReadValueBytes and
+// ReadValueEnd. If there is no such value, streamedSize is 0.
 func (r *Reader) ReadCommandHead() (args [][]byte, streamedSize int, err error) {
 	return r.readCommand(true)
 }
 
-// readCommand reads a command, and with streamLast leaves a large last value to the caller.
+// readCommand reads a command. If streamLast is true, it leaves a large last value to the caller.
 func (r *Reader) readCommand(streamLast bool) ([][]byte, int, error) {
 	for {
 		head, err := r.readLine()
@@ -37,14 +37,14 @@
 	}
 }
 
-// argBuffer has the values of a command one behind the other.
+// argBuffer holds the concatenated values of a command.
 type argBuffer struct {
 	values   []byte
-	ends     [MaxArgs]int // of the values
-	tooLarge bool         // the command exceeds a limit: none of its values is kept
+	ends     [MaxArgs]int // the offset in values at which each value ends
+	tooLarge bool         // the command exceeds a limit, and its values are discarded
 }
 
-// readArgs reads the bulk strings of a command into one buffer, except for a large last one if streamLast.
+// readArgs reads the bulk strings of a command. If streamLast is true, it does not read a large last value.
 func (r *Reader) readArgs(count int, streamLast bool) (args [][]byte, streamedSize int, err error) {
 	b := argBuffer{values: make([]byte, 0, initialCommandSize), tooLarge: count > MaxArgs}
 	for i := range count {
@@ -66,8 +66,8 @@
 	return splitArgs(b.values, b.ends[:count]), 0, nil
 }
 
-// maxArgSize is the largest size that is read, which is more than what is kept: a command with a value over
-// MaxValue is discarded, or the value streamed.
+// maxArgSize returns the maximum size of a value. A larger one is a protocol error. It is above MaxValue
+// because values over MaxValue are discarded with their command, or streamed.
 func maxArgSize(mayStream bool) int {
 	if mayStream {
 		return MaxStreamedValue
@@ -75,8 +75,8 @@
 	return maxDiscardedValue
 }
 
-// readArg reads the value with the number i, and its line end, into the buffer, or discards it where the
-// command exceeds a limit.
+// readArg reads the value with index i and the line end after it. It appends the value to the buffer, or
+// discards it if the command exceeds a limit.
 func (r *Reader) readArg(b *argBuffer, i, size int) (err error) {
 	b.tooLarge = b.tooLarge || size > MaxValue || len(b.values)+size > MaxCommand
 	if b.tooLarge {
@@ -104,7 +104,7 @@
 	return parseLength(head[1:], 0, maxSize)
 }
 
-// splitArgs returns the values that end at the given places of buf.
+// splitArgs returns the values in buf, each of which ends at the given offset.
 func splitArgs(buf []byte, ends []int) [][]byte {
 	args := make([][]byte, len(ends))
 	start := 0
--- a/internal/resp/reader.go
+++ b/internal/resp/reader.go
@@ -10,7 +10,8 @@
 
 const (
 	readBufferSize = 2048
-	growthStep     = 4096 // bytes by which a value's buffer may be ahead of what has been received
+	// minGrowth is the minimum number of bytes by which the buffer of a value grows. A longer buffer doubles.
+	minGrowth = 4096
 )
 
 // Reader reads commands or replies from a connection. It is not safe for concurrent use.
@@ -18,28 +19,29 @@
 	in *bufio.Reader
 }
 
-// NewReader returns a reader of in.
+// NewReader returns a Reader that reads from in.
 func NewReader(in io.Reader) *Reader { return &Reader{bufio.NewReaderSize(in, readBufferSize)} }
 
-// Await waits for the first byte of the next message.
+// Await waits until the first byte of the next message has been received.
 func (r *Reader) Await() error {
 	_, err := r.in.Peek(1)
 	return err
 }
 
-// Buffered returns how many bytes were received behind the messages that were read.
+// Buffered returns the number of bytes that were received but not yet read as part of a message.
 func (r *Reader) Buffered() int { return r.in.Buffered() }
 
-// ReadValueBytes reads what has been received of a streamed value, at most len(b) bytes.
+// ReadValueBytes reads the next bytes of a streamed value, at most len(b). It returns as soon as some are
+// available.
 func (r *Reader) ReadValueBytes(b []byte) (int, error) {
 	n, err := r.in.Read(b)
 	return n, unexpectedEOF(err)
 }
 
-// ReadValueEnd reads the line end behind a streamed value.
+// ReadValueEnd reads the line end after a streamed value.
 func (r *Reader) ReadValueEnd() error { return unexpectedEOF(r.readLineEnd()) }
 
-// readLine reads a line and returns it without its end. It is valid until the next read.
+// readLine reads a line and returns it without its CRLF. The slice is valid until the next read.
 func (r *Reader) readLine() ([]byte, error) {
 	b, err := r.in.ReadSlice('\n')
 	switch {
@@ -53,7 +55,7 @@
 	return b[:len(b)-2], nil
 }
 
-// readLineEnd reads the CRLF behind a value.
+// readLineEnd reads the CRLF after a value.
 func (r *Reader) readLineEnd() error {
 	var end [2]byte
 	for i := range end {
@@ -69,11 +71,11 @@
 	return nil
 }
 
-// appendValue reads size bytes more and appends them to buf. The buffer grows as the bytes are received: many
-// peers that announce much and send little must not cost what they announce.
+// appendValue reads size bytes and appends them to buf. The buffer grows only as bytes are received, so that
+// peers that announce large values but send little do not make the reader allocate the announced sizes.
 func (r *Reader) appendValue(buf []byte, size int) ([]byte, error) {
 	for size > 0 {
-		n := min(size, max(growthStep, len(buf)))
+		n := min(size, max(minGrowth, len(buf)))
 		start := len(buf)
 		buf = slices.Grow(buf, n)[:start+n]
 		if _, err := io.ReadFull(r.in, buf[start:]); err != nil {
@@ -84,7 +86,7 @@
 	return buf, nil
 }
 
-// parseLength parses the length that follows a message's type.
+// parseLength parses the length after a message's type, and checks that it is from least to most.
 func parseLength(digits []byte, least, most int) (int, error) {
 	n, err := strconv.Atoi(string(digits))
 	if err != nil || n < least || n > most {
@@ -93,8 +95,8 @@
 	return n, nil
 }
 
-// unexpectedEOF returns io.ErrUnexpectedEOF for the end of the input, which came within a message here, and
-// any other error as it is.
+// unexpectedEOF converts io.EOF, which here means that the input ended within a message, to
+// io.ErrUnexpectedEOF. It returns other errors unchanged.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
--- a/internal/resp/reply.go
+++ b/internal/resp/reply.go
@@ -4,24 +4,24 @@
 
 // Reply is a server's answer to a command.
 type Reply struct {
-	Kind  byte    // '+', '-', ':', '$' or '*'
-	Null  bool    // a null string or array
-	Text  []byte  // the value, except of arrays
+	Kind  byte    // the type: '+', '-', ':', '$' or '*'
+	Null  bool    // whether it is a null string or a null array
+	Text  []byte  // the value, unless it is an array
 	Items []Reply // the values of an array
-	// StreamedSize is the size in bytes of the first value of an array where the caller has to read it: with
-	// ReadValueBytes until it is complete, then ReadValueEnd, then ReadRemainingItems. It is 0 where all was
-	// read.
+	// StreamedSize is the size in bytes of an array's first value if it is left to the caller, who reads it
+	// with ReadValueBytes until it is complete, and then calls ReadValueEnd and ReadRemainingItems. It is 0
+	// if the reply was read completely.
 	StreamedSize int
 
-	unreadItems int // values behind the one of size StreamedSize
+	unreadItems int // the number of values after the streamed one
 }
 
-// ReadReply reads one reply, which may be an array but no array of arrays. With an error it returns the
-// values of an array that were read before it. Where the first value of an array exceeds MaxValue it is left
-// to the caller.
+// ReadReply reads one reply, which may be an array but not an array of arrays. If it fails within an array,
+// it returns the values that it read before the error. If the first value of an array exceeds MaxValue,
+// ReadReply leaves it to the caller.
 func (r *Reader) ReadReply() (Reply, error) { return r.readReply(true) }
 
-// ReadRemainingItems reads the values of an array that follow a streamed one.
+// ReadRemainingItems reads the values of an array that follow its streamed value.
 func (r *Reader) ReadRemainingItems(reply Reply) (Reply, error) {
 	for range reply.unreadItems {
 		item, err := r.readReply(false)
@@ -33,7 +33,7 @@
 	return reply, nil
 }
 
-// readReply reads a reply where topLevel, else a value of an array.
+// readReply reads a reply if topLevel is true, otherwise a value of an array.
 func (r *Reader) readReply(topLevel bool) (Reply, error) {
 	head, err := r.readLine()
 	if err != nil {
@@ -49,7 +49,7 @@
 	case typeBulkString:
 		maxSize := MaxStreamedValue
 		if topLevel {
-			maxSize = MaxValue // only an array's value may be streamed
+			maxSize = MaxValue // only a value of an array may be streamed
 		}
 		return r.readBulkReply(rest, maxSize)
 	case typeArray:
@@ -59,11 +59,11 @@
 		}
 		return r.readArrayReply(count)
 	}
-	return Reply{Kind: kind}, protocolError("unknown kind of reply")
+	return Reply{Kind: kind}, protocolError("unknown reply type")
 }
 
-// readBulkReply reads a bulk string whose first line announced the given length. It leaves the value of one
-// that exceeds MaxValue.
+// readBulkReply reads the value of a bulk string whose first line contained the given length. If the value
+// exceeds MaxValue, readBulkReply does not read it and sets StreamedSize.
 func (r *Reader) readBulkReply(length []byte, maxSize int) (Reply, error) {
 	reply := Reply{Kind: typeBulkString}
 	size, err := parseLength(length, -1, maxSize)
@@ -84,7 +84,7 @@
 	return reply, unexpectedEOF(err)
 }
 
-// readArrayReply reads the values of an array; a negative count is that of a null array.
+// readArrayReply reads the values of an array. If count is negative, it is a null array.
 func (r *Reader) readArrayReply(count int) (Reply, error) {
 	reply := Reply{Kind: typeArray, Null: count < 0}
 	for i := range count {
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -1,8 +1,9 @@
-// Package resp reads and writes RESP2 with bounded memory: whatever its input, a Reader holds no more than a
-// few values of MaxValue bytes.
+// Package resp reads and writes RESP2 with bounded memory: a Reader holds at most a few values of MaxValue
+// bytes, even if its input is malicious.
 //
-// It stands in for the parsers of two libraries that lack what a gateway needs: redcon v1.6.4 panics on a
-// bulk length of -2 and lets a command grow without bound, redigo allocates whatever length is announced.
+// The package is used instead of existing libraries because their parsers don't bound memory: redcon v1.6.4
+// panics on a bulk length of -2 and does not limit the size of a command, and redigo allocates any announced
+// length.
 package resp
 
 import (
@@ -10,29 +11,31 @@
 	"fmt"
 )
 
-// Limits on what is read.
+// Limits of the input.
 const (
-	MaxValue         = 64 << 10        // bytes of one value that is kept
-	MaxStreamedValue = 4 << 20         // bytes of one value that is left to the caller to read in parts
+	MaxValue         = 64 << 10        // bytes of a value that is kept in memory
+	MaxStreamedValue = 4 << 20         // bytes of a value that the caller reads in parts
 	MaxCommand       = MaxValue + 4096 // bytes of all values of a command
-	MaxArgs          = 16              // values of one command or array that are kept
+	MaxArgs          = 16              // values of a command or an array
 
-	maxDiscardedArgs  = 1024    // values of one command that is discarded for its size
-	maxDiscardedValue = 1 << 20 // bytes of one value that is discarded
+	// A command over the limits above is read and discarded if it is within these limits. A larger one is a
+	// protocol error.
+	maxDiscardedArgs  = 1024    // values of a command
+	maxDiscardedValue = 1 << 20 // bytes of a value
 )
 
-// ErrTooLarge reports that a well-formed command was discarded because it exceeds a limit. The next command
-// can be read.
+// ErrTooLarge reports that a well-formed command was discarded because it exceeds a limit. The Reader can
+// read the next command.
 var ErrTooLarge = errors.New("command too large")
 
-// ErrProtocol reports that the input is malformed. Nothing more can be read, since the next message's start
-// is unknown.
+// ErrProtocol reports that the input is malformed. The Reader must not be used further, because it does not
+// know where the next message starts.
 var ErrProtocol = errors.New("protocol error")
 
-// malformed is the error of input that breaks the protocol.
+// protocolError returns an ErrProtocol with a reason.
 func protocolError(reason string) error { return fmt.Errorf("%w: %s", ErrProtocol, reason) }
 
-// The first bytes of messages, which name their type.
+// The types of messages. A message starts with its type.
 const (
 	typeSimpleString = '+'
 	typeError        = '-'
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -20,19 +20,19 @@
 		wantErr     error
 	}{
 		{"two values", "*2\r\n$4\r\nPING\r\n$0\r\n\r\n", []string{"PING", ""}, nil},
-		{"empty array first", "*0\r\n*1\r\n$1\r\na\r\n", []string{"a"}, nil},
+		{"empty array before a command", "*0\r\n*1\r\n$1\r\na\r\n", []string{"a"}, nil},
 		{"CRLF in a value", "*1\r\n$4\r\na\r\nb\r\n", []string{"a\r\nb"}, nil},
 		{"end of input", "", nil, io.EOF},
 		{"end within a command", "*2\r\n$1\r\na\r\n", nil, io.ErrUnexpectedEOF},
 		{"end within a value", "*1\r\n$5\r\na", nil, io.ErrUnexpectedEOF},
-		{"large value", largeCommand, nil, ErrTooLarge},
-		{"many values", "*17\r\n" + strings.Repeat("$0\r\n\r\n", 17), nil, ErrTooLarge},
-		{"no array", "PING\r\n", nil, ErrProtocol},
+		{"value over the limit", largeCommand, nil, ErrTooLarge},
+		{"too many values", "*17\r\n" + strings.Repeat("$0\r\n\r\n", 17), nil, ErrTooLarge},
+		{"not an array", "PING\r\n", nil, ErrProtocol},
 		{"negative length", "*1\r\n$-2\r\nxx", nil, ErrProtocol},
-		{"length is no number", "*x\r\n", nil, ErrProtocol},
+		{"length is not a number", "*x\r\n", nil, ErrProtocol},
 		{"bare LF", "*1\n", nil, ErrProtocol},
 		{"value without CRLF", "*1\r\n$1\r\nabc", nil, ErrProtocol},
-		{"no bulk string", "*1\r\n+OK\r\n", nil, ErrProtocol},
+		{"not a bulk string", "*1\r\n+OK\r\n", nil, ErrProtocol},
 		{"line too long", "*" + largeValue, nil, ErrProtocol},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -51,7 +51,7 @@
 		t.Errorf("large command: error %v, want %v", err, ErrTooLarge)
 	}
 	if args, err := r.ReadCommand(); err != nil || string(args[0]) != "next" {
-		t.Errorf("after a large command: %q, %v", args, err)
+		t.Errorf("command after a large command: got %q, error %v, want \"next\"", args, err)
 	}
 }
 
@@ -84,7 +84,8 @@
 	}
 }
 
-// Peers that announce much and send little must not cost what they announce.
+// Guards against allocating the announced size of a value before it is received: many peers that announce
+// large values but send little could exhaust the memory.
 func TestReadCommandAllocatesOnlyForReceivedBytes(t *testing.T) {
 	const (
 		commands           = 200
@@ -100,17 +101,17 @@
 	}
 	runtime.ReadMemStats(&after)
 	if got := (after.TotalAlloc - before.TotalAlloc) / commands; got > maxBytesPerCommand {
-		t.Errorf("%d bytes allocated for a command of which two were sent, want at most %d",
+		t.Errorf("allocated %d bytes for a command of which 2 bytes of values were sent, want at most %d",
 			got, maxBytesPerCommand)
 	}
 	value := "$65536\r\n" + strings.Repeat("x", MaxValue) + "\r\n"
 	_, err := NewReader(strings.NewReader("*2\r\n" + value + value)).ReadCommand()
 	if !errors.Is(err, ErrTooLarge) {
-		t.Errorf("values beyond the limit of a command: error %v, want %v", err, ErrTooLarge)
+		t.Errorf("values over the limit of a command: error %v, want %v", err, ErrTooLarge)
 	}
 }
 
-// Whatever the input, a reader neither panics nor returns more values than its limit.
+// A Reader neither panics nor returns an empty command or one of more than MaxArgs values, for any input.
 func FuzzReadCommand(f *testing.F) {
 	for _, seed := range []string{
 		"*1\r\n$4\r\nPING\r\n", "*1\r\n$-2\r\nxx", "*3\r\n$1\r\na\r\n", "*\r\n", "*1\r\n$\r\n",
@@ -128,7 +129,7 @@
 				return
 			}
 			if len(args) == 0 || len(args) > MaxArgs {
-				t.Fatalf("%d values", len(args))
+				t.Fatalf("got %d values, want at least 1 and at most MaxArgs", len(args))
 			}
 		}
 	})
--- a/internal/sockwriter/writer.go
+++ b/internal/sockwriter/writer.go
@@ -1,5 +1,6 @@
-// Package sockwriter writes to TCP connections without blocking the caller: what the kernel accepts at once
-// is written at once, the rest by a goroutine that ends with the last byte or with the connection.
+// Package sockwriter writes to TCP connections without blocking the caller. It writes as many bytes as the
+// kernel accepts immediately. A goroutine writes the rest and exits after the last byte, or when the
+// connection is closed.
 package sockwriter
 
 import (
@@ -10,36 +11,37 @@
 	"time"
 )
 
-// stallChunk is how many bytes WriteBlocking writes under one deadline: the peer has to accept some of each
-// chunk within the stall timeout.
+// stallChunkSize is the number of bytes that WriteBlocking writes under one deadline. The kernel has to
+// accept each chunk within the stall timeout.
 const stallChunkSize = 4096
 
-// Writer writes to one connection. Its methods may be called from any goroutine, but WriteBlocking only while
-// nobody calls TryWrite, Send or CloseWrite.
+// Writer writes to one connection. Its methods are safe for concurrent use, except that WriteBlocking must
+// not run concurrently with TryWrite, Send or CloseWrite.
 type Writer struct {
 	conn *net.TCPConn
-	raw  syscall.RawConn // nil: the connection was closed when the writer was made
+	raw  syscall.RawConn // nil if the connection was already closed when the Writer was created
 
 	mu              sync.Mutex // guards the fields below
-	flushEnded      sync.Cond  // signalled when flushing ends
-	pending         []byte     // accepted by Send and not yet handed to the kernel
-	flushing        bool       // the flush goroutine runs
-	closeAfterFlush bool       // the flush goroutine closes the sending side after the last byte
+	flushEnded      sync.Cond  // signalled when flushing becomes false
+	pending         []byte     // bytes accepted by Send that flush has not taken yet
+	flushing        bool       // whether the flush goroutine is running
+	closeAfterFlush bool       // whether flush closes the sending side after the last byte
 }
 
-// New makes a writer for a connection. Its owner closes the connection.
+// New returns a Writer for a connection. The caller remains responsible for closing the connection.
 func New(conn *net.TCPConn) *Writer {
-	raw, _ := conn.SyscallConn() // fails only for a closed connection, and then TryWrite fails too
+	raw, _ := conn.SyscallConn() // fails only if the connection is closed; then TryWrite fails too
 	w := &Writer{conn: conn, raw: raw}
 	w.flushEnded.L = &w.mu
 	return w
 }
 
-// RawConn is the connection's raw socket; nil if the connection was closed before New.
+// RawConn returns the connection's raw socket, or nil if the connection was already closed at the call of
+// New.
 func (w *Writer) RawConn() syscall.RawConn { return w.raw }
 
-// TryWrite writes what the kernel accepts at once and returns the number of bytes. A full send buffer is not
-// an error.
+// TryWrite writes as many bytes as the kernel accepts immediately and returns their number. A full send
+// buffer is not an error.
 func (w *Writer) TryWrite(b []byte) (n int, err error) {
 	if w.raw == nil {
 		return 0, net.ErrClosed
@@ -60,7 +62,7 @@
 	return n, err
 }
 
-// NoInput reports whether the connection is open and has no unread input.
+// NoInput reports whether the connection is open and the kernel holds no unread input of it.
 func (w *Writer) NoInput() bool {
 	if w.raw == nil {
 		return false
@@ -74,9 +76,9 @@
 	return err == nil && noInput
 }
 
-// Send writes b, which belongs to the writer from then on, without blocking. It returns false if more than
-// limit bytes are pending because the peer does not read. A broken connection is not reported here: the
-// goroutine that reads from it sees the error.
+// Send writes b without blocking. The caller must not use b afterwards. Send returns false if more than limit
+// bytes are pending because the peer does not read. It does not report a broken connection, because the
+// goroutine that reads from the connection gets the error.
 func (w *Writer) Send(b []byte, limit int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -92,7 +94,8 @@
 	return true
 }
 
-// flush writes what is pending until nothing is left. Closing the connection ends it.
+// flush writes the pending bytes until none are left. If the connection is closed, the writes fail
+// immediately.
 func (w *Writer) flush() {
 	for {
 		w.mu.Lock()
@@ -102,17 +105,18 @@
 			w.flushing = false
 			w.flushEnded.Broadcast()
 			if w.closeAfterFlush {
-				_ = w.conn.CloseWrite() // fails only if the connection is gone
+				_ = w.conn.CloseWrite() // fails only if the connection is closed or reset
 			}
 			w.mu.Unlock()
 			return
 		}
 		w.mu.Unlock()
-		_, _ = w.conn.Write(b) // the reading goroutine sees a broken connection
+		_, _ = w.conn.Write(b) // the reading goroutine gets the error of a broken connection
 	}
 }
 
-// WriteBlocking writes b after what was sent before. It fails if the peer accepts nothing for stallTimeout.
+// WriteBlocking writes b after all bytes passed to Send. It fails if the kernel does not accept a chunk of
+// stallChunkSize bytes within stallTimeout, because the peer does not read.
 func (w *Writer) WriteBlocking(b []byte, stallTimeout time.Duration) error {
 	w.mu.Lock()
 	for w.flushing {
@@ -130,18 +134,18 @@
 	return w.conn.SetWriteDeadline(time.Time{})
 }
 
-// CloseWrite closes the sending side once all that was sent is written. The connection can still be read, so
-// that closing does not reset it and destroy a reply on its way.
+// CloseWrite closes the sending side after all bytes passed to Send have been written. The connection can
+// still be read. Closing it with unread input would reset it, and the peer could lose a reply in transit.
 func (w *Writer) CloseWrite() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.closeAfterFlush = true
 	if !w.flushing {
-		_ = w.conn.CloseWrite() // fails only if the connection is gone
+		_ = w.conn.CloseWrite() // fails only if the connection is closed or reset
 	}
 }
 
-// Idle reports whether all that was sent is written.
+// Idle reports whether all bytes passed to Send have been written.
 func (w *Writer) Idle() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/sockwriter/writer_test.go
+++ b/internal/sockwriter/writer_test.go
@@ -13,7 +13,7 @@
 	"sparspread/internal/waittest"
 )
 
-// connect returns the two ends of a connection; the test's end closes them.
+// newConnection returns the two ends of a TCP connection. They are closed at the end of the test.
 func newConnection(t *testing.T) (near, far *net.TCPConn) {
 	t.Helper()
 	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -35,28 +35,28 @@
 	return near, far
 }
 
-// fill sends until the kernel accepts no more, and returns what was sent.
+// fillSendBuffer sends until the kernel accepts no more bytes, and returns the bytes passed to Send.
 func fillSendBuffer(t *testing.T, w *Writer) []byte {
 	t.Helper()
 	var sent []byte
 	for i := 0; w.Idle(); i++ {
 		part := bytes.Repeat([]byte{byte(i)}, 1<<16)
 		if !w.Send(part, len(part)) {
-			t.Fatal("over the limit with one part pending")
+			t.Fatal("Send reported more pending bytes than the limit, with at most one part pending")
 		}
 		sent = append(sent, part...)
 	}
 	return sent
 }
 
-// What is sent while the peer does not read arrives in order, and before the end of the sending.
+// Bytes sent while the peer does not read arrive in order, and before the end of the stream.
 func TestSendWritesInOrderBeforeCloseWrite(t *testing.T) {
 	near, far := newConnection(t)
 	w := New(near)
 	want := fillSendBuffer(t, w)
 	last := []byte("last")
 	if !w.Send(last, len(want)) {
-		t.Error("over the limit")
+		t.Error("Send reported more pending bytes than the limit")
 	}
 	w.CloseWrite()
 	got, err := io.ReadAll(far)
@@ -64,22 +64,22 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, append(want, last...)) {
-		t.Errorf("%d bytes arrived, or in another order; want %d", len(got), len(want)+len(last))
+		t.Errorf("got %d bytes, or bytes in another order; want %d", len(got), len(want)+len(last))
 	}
 }
 
-// Send reports when the peer leaves more than the limit unread.
+// Send returns false if more bytes than the limit are pending.
 func TestSendReportsPendingBytesOverLimit(t *testing.T) {
 	near, _ := newConnection(t)
 	w := New(near)
 	fillSendBuffer(t, w)
 	const limit = 1 << 20
 	if w.Send(make([]byte, 2*limit), limit) {
-		t.Error("twice the limit is pending, and Send reports nothing")
+		t.Error("Send returned true with twice the limit pending, want false")
 	}
 }
 
-// WriteBlocking gives up on a peer that reads nothing.
+// WriteBlocking fails if the peer reads nothing.
 func TestWriteBlockingFailsIfPeerStalls(t *testing.T) {
 	near, _ := newConnection(t)
 	err := New(near).WriteBlocking(make([]byte, 64<<20), 50*time.Millisecond)
@@ -88,23 +88,23 @@
 	}
 }
 
-// NoInput is false as soon as something can be read, and for a closed connection.
+// NoInput is false if input is available or the connection is closed.
 func TestNoInput(t *testing.T) {
 	near, far := newConnection(t)
 	w := New(near)
 	if !w.NoInput() {
-		t.Error("input on a new connection")
+		t.Error("NoInput is false on a new connection, want true")
 	}
 	if _, err := far.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
 	for deadline := time.Now().Add(waittest.Timeout); w.NoInput(); {
 		if time.Now().After(deadline) {
-			t.Fatal("input is not noticed")
+			t.Fatal("NoInput stays true after the peer has sent a byte, want false")
 		}
 	}
 	_ = near.Close()
 	if w.NoInput() {
-		t.Error("a closed connection counts as open")
+		t.Error("NoInput is true on a closed connection, want false")
 	}
 }
