--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -78,10 +78,10 @@
 		name, customer, id, fields, want string
 	}{
 		{
-			"short customer", "7", testClientID, good,
+			"customer", "7", testClientID, good,
 			"customer: expected 16 hexadecimal digits, and a value below 2^33",
 		},
-		{"short client ID", testCustomer, "7", good, "id: expected 16 hexadecimal digits"},
+		{"id", testCustomer, "7", good, "id: expected 16 hexadecimal digits"},
 		{"unknown field", testCustomer, testClientID, good + ",x=1", `field "x": unknown`},
 		{
 			"repeated field", testCustomer, testClientID, good + ",d=1",
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -9,26 +9,29 @@
 	"sparspread/internal/settings"
 )
 
-// What is wanted of a value.
+// The causes of a settings.KeyError for an invalid value.
 var (
-	errEmptyName     = errors.New("has no name")
-	errSeedFormat    = errors.New("16 hex digits wanted")
-	errTooFewSockets = fmt.Errorf("at least %d wanted", MinSockets)
+	errEmptyName     = errors.New("expected a name that is not empty")
+	errSeedFormat    = errors.New("expected up to 16 hexadecimal digits")
+	errTooFewSockets = fmt.Errorf("expected at least %d", MinSockets)
 )
 
-// PeerCountError says that the addresses for gossip do not fit the number of gateways.
+// PeerCountError reports that the number of gossip addresses is not the number of gateways, or that the
+// gateway's own gossip address is missing.
 type PeerCountError struct {
-	Addresses  int    // that the configuration lists
-	Gateways   int    // of the tier, each of which has one
-	PeerListen string // this gateway's own; empty: missing
+	Addresses  int    // the number of addresses in the configuration
+	Gateways   int    // the number of gateways, each of which needs one address
+	PeerListen string // this gateway's own address; empty if it is missing
 }
 
-// Error states the counts and the own address.
+// Error returns the counts, the gateway's own address and the expectation.
 func (e *PeerCountError) Error() string {
-	return fmt.Sprintf("%d addresses for %d gateways, peer_listen %q", e.Addresses, e.Gateways, e.PeerListen)
+	return fmt.Sprintf("%d addresses for %d gateways, peer_listen %q: expected one per gateway, and its own",
+		e.Addresses, e.Gateways, e.PeerListen)
 }
 
-// check reports the first key with which nothing can be served, as a *settings.KeyError.
+// check returns a *settings.KeyError for the first missing or invalid key without which the gateway can't
+// work.
 func (c *Config) check() error {
 	checks := []func() error{
 		c.checkPresence, c.checkSockets, c.checkPeers, c.checkCounter, c.checkAddresses, c.checkNames,
@@ -41,7 +44,8 @@
 	return nil
 }
 
-// checkPresence demands the addresses without which there is nothing to serve, and nobody to serve.
+// checkPresence checks that there is a listen address and a discovery address. Without them, the gateway
+// has no clients or no backends.
 func (c *Config) checkPresence() error {
 	if c.Listen == "" {
 		return settings.MissingKey("listen")
@@ -52,18 +56,18 @@
 	return nil
 }
 
-// checkSockets demands the descriptors that the smallest gateway needs.
+// checkSockets checks that the gateway may use at least MinSockets descriptors.
 func (c *Config) checkSockets() error {
 	if c.Sockets >= MinSockets {
 		return nil
 	}
 	return &settings.KeyError{
 		Key: "limits.sockets", Value: strconv.Itoa(c.Sockets),
-		Err: fmt.Errorf("%d, %w", c.Sockets, errTooFewSockets),
+		Err: fmt.Errorf("%d: %w", c.Sockets, errTooFewSockets),
 	}
 }
 
-// checkPeers demands an address for each gateway where they report to each other.
+// checkPeers checks that each gateway has a gossip address if the settings enable gossip.
 func (c *Config) checkPeers() error {
 	if !c.Settings.Gossip || c.PeerListen != "" && len(c.Peers) == c.Settings.Gateways {
 		return nil
@@ -76,7 +80,8 @@
 	}
 }
 
-// checkCounter demands the shared counter where nothing else tells gateways of each other's usage.
+// checkCounter checks that the address of the shared counter is set if the counter is the gateways' only
+// source of each other's usage.
 func (c *Config) checkCounter() error {
 	if c.Settings.SharedCounter && !c.Settings.Gossip && c.Counter == "" {
 		return settings.MissingKey("counter")
@@ -84,7 +89,7 @@
 	return nil
 }
 
-// checkAddresses demands host and port of each service.
+// checkAddresses checks that the address of each service has a host and a port.
 func (c *Config) checkAddresses() error {
 	if err := checkAddress("discovery", c.Discovery); err != nil {
 		return err
@@ -95,7 +100,7 @@
 	return checkAddress("counter", c.Counter)
 }
 
-// checkAddress demands host and port.
+// checkAddress checks that an address has a host and a port.
 func checkAddress(key, address string) error {
 	if _, _, err := net.SplitHostPort(address); err != nil {
 		return &settings.KeyError{Key: key, Value: address, Err: err}
@@ -103,7 +108,7 @@
 	return nil
 }
 
-// checkNames demands names of classes and plans: clients and reloads go by them.
+// checkNames checks that classes and plans have names, because clients and reloads identify them by name.
 func (c *Config) checkNames() error {
 	if err := checkNamesNotEmpty("class", c.Host.Classes); err != nil {
 		return err
@@ -111,7 +116,7 @@
 	return checkNamesNotEmpty("plan", c.Host.Plans)
 }
 
-// checkNamed demands a name of each class or plan.
+// checkNamesNotEmpty checks the names of the classes or plans.
 func checkNamesNotEmpty(kind string, names []string) error {
 	for i, name := range names {
 		if name == "" {
--- a/internal/config/compare.go
+++ b/internal/config/compare.go
@@ -7,11 +7,12 @@
 	"sparspread/internal/settings"
 )
 
-// knownKey is the key of the endpoint list as last known. It is no setting: a file may lack it.
+// knownEndpointsKey is the key of the last known endpoint list. A reload may remove the key, because it is
+// not a setting.
 const knownEndpointsKey = "known"
 
-// CheckKeys reports a key that the configuration in force has and another one lacks: what an operator left
-// out by mistake must not fall back to its default. The error is a *settings.KeyError.
+// CheckKeys returns a *settings.KeyError if a key of the current configuration c is missing in other. A
+// setting that an operator has omitted by mistake must not revert to its default.
 func (c *Config) CheckKeys(other *Config) error {
 	for key := range c.Keys {
 		if _, ok := other.Keys[key]; !ok && key != knownEndpointsKey {
@@ -26,7 +27,7 @@
 	return nil
 }
 
-// RetainFixed replaces what only a restart can change by the values of the configuration in force.
+// RetainFixed sets the fields that only a restart can change to their values in the current configuration.
 func (c *Config) RetainFixed(current *Config) {
 	c.Name, c.Listen, c.Ops = current.Name, current.Listen, current.Ops
 	c.PeerListen, c.Peers = current.PeerListen, current.Peers
@@ -40,8 +41,8 @@
 	c.Host.ReportNames, c.Host.Zones = current.Host.ReportNames, current.Host.Zones
 }
 
-// ChangedFixed returns the sorted keys whose values differ in another configuration and only a restart can
-// change.
+// ChangedFixed returns the top-level keys that only a restart can change and that differ in other, in sorted
+// order.
 func (c *Config) ChangedFixed(other *Config) []string {
 	var changed []string
 	for _, field := range []struct {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,5 @@
-// Package config reads a gateway's configuration, checks it, and compares it with the one in force.
+// Package config parses and checks a gateway's configuration, and compares it with the current one at a
+// reload.
 package config
 
 import (
@@ -12,46 +13,46 @@
 	"sparspread/policy"
 )
 
-// What is used where the configuration states nothing, or nothing above 0. Times are in microseconds.
+// Defaults for values that are missing or not above 0. Times are in microseconds.
 const (
-	defaultMemoryMB = 192  // below the platform's limit of 256 MB, at which it kills
-	defaultSockets  = 1024 // the usual soft limit of open files
+	defaultMemoryMB = 192  // below 256 MB, the limit at which the platform kills the process
+	defaultSockets  = 1024 // the usual soft limit on open files
 
 	defaultDialTimeout    policy.Time = 250_000
 	defaultIdleTimeout    policy.Time = 10_000_000
 	defaultCounterTimeout policy.Time = 50_000
 )
 
-// MinSockets is the smallest number of descriptors that a gateway can work with.
+// MinSockets is the minimum number of descriptors with which a gateway works.
 const MinSockets = 32
 
-// The form of the seed: a hexadecimal number.
+// The seed is a hexadecimal number of 64 bits.
 const (
 	seedBase = 16
 	seedBits = 64
 )
 
-// Config is a gateway's configuration. It is not changed once it is in force, so that any goroutine may read
-// it.
+// Config is a gateway's configuration. It must not be modified after the gateway has started to use it, so
+// that all goroutines can read it.
 type Config struct {
 	Name            string
-	Listen          string // address for clients
-	Discovery       string // address of the discovery service
-	Seed            uint64 // of the random numbers
+	Listen          string // the address for clients
+	Discovery       string // the address of the discovery service
+	Seed            uint64 // the seed of the random numbers
 	MemoryMB        int
-	Sockets         int    // descriptors that all parts together keep to
-	DescriptorLimit int    // descriptors that the process may open; 0: unknown
-	Ops             string // address for operators; empty: none
+	Sockets         int    // the configured limit on descriptors, for all parts together
+	DescriptorLimit int    // the limit of the process on open descriptors; zero if unknown
+	Ops             string // the address for operators; empty if there is none
 
-	PeerListen string           // address for gossip
-	Peers      []netip.AddrPort // of all gateways by number, this one included
-	Counter    string           // address of the shared counter; empty: none
-	Known      discovery.Update // the endpoint list as last known, to start with
+	PeerListen string           // this gateway's address for gossip
+	Peers      []netip.AddrPort // the addresses of all gateways for gossip, by number, including this one's
+	Counter    string           // the address of the shared counter; empty if there is none
+	Known      discovery.Update // the last known endpoint list, with which the gateway starts
 
 	Settings policy.Settings
 	Host     settings.Host
 
-	Keys map[string]Present // the top-level keys of the file
+	Keys map[string]Present // the top-level keys that are present in the file
 }
 
 // file is the JSON form of the configuration.
@@ -72,14 +73,14 @@
 	Settings   json.RawMessage  `json:"settings"`
 }
 
-// Present stands for a value of which only the key matters. The endpoint list in the file may be long, and a
-// copy of its text would be a quarter of what reading the file allocates.
+// Present replaces a value of which only the key is needed. The endpoint list in the file may be long, and
+// a copy of its text would be a quarter of the memory that parsing the file allocates.
 type Present struct{}
 
-// UnmarshalJSON accepts any value and keeps nothing of it.
+// UnmarshalJSON accepts any value and discards it.
 func (*Present) UnmarshalJSON([]byte) error { return nil }
 
-// Parse reads and checks a configuration. An error that concerns one key is a *settings.KeyError.
+// Parse parses and checks a configuration. An error that concerns one key is a *settings.KeyError.
 func Parse(raw []byte) (Config, error) {
 	c, err := parse(raw)
 	if err != nil {
@@ -88,7 +89,7 @@
 	return c, nil
 }
 
-// parse is Parse without the prefix of its errors.
+// parse is like Parse, but does not add a prefix to errors.
 func parse(raw []byte) (Config, error) {
 	var f file
 	if err := json.Unmarshal(raw, &f); err != nil {
@@ -123,7 +124,7 @@
 	return c, nil
 }
 
-// positiveOr returns n, or a default where n is not above 0.
+// positiveOr returns n if it is above 0, otherwise fallback.
 func positiveOr[T ~int | ~int64](n, fallback T) T {
 	if n <= 0 {
 		return fallback
@@ -131,7 +132,7 @@
 	return n
 }
 
-// parseSeed reads the seed of the random numbers.
+// parseSeed parses the seed of the random numbers.
 func parseSeed(text string) (uint64, error) {
 	seed, err := strconv.ParseUint(text, seedBase, seedBits)
 	if err != nil {
@@ -140,7 +141,7 @@
 	return seed, nil
 }
 
-// parsePeers reads the addresses of all gateways.
+// parsePeers parses the gossip addresses of all gateways.
 func parsePeers(addresses []string) ([]netip.AddrPort, error) {
 	var peers []netip.AddrPort
 	for i, text := range addresses {
@@ -153,7 +154,7 @@
 	return peers, nil
 }
 
-// setDefaultTimes replaces the times that are not stated.
+// setDefaultTimes sets the times that are not above 0 to their defaults.
 func (c *Config) setDefaultTimes() {
 	c.Host.DialTimeout = positiveOr(c.Host.DialTimeout, defaultDialTimeout)
 	c.Host.IdleTimeout = positiveOr(c.Host.IdleTimeout, defaultIdleTimeout)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -8,7 +8,7 @@
 	"sparspread/internal/settings"
 )
 
-// minimalSettings are the settings that have no key too many.
+// minimalSettings contains only the required keys of the settings.
 const minimalSettings = `{"self-index":0,"balancers":1,` +
 	`"request-classes":[{"name":"c","promise-us":1}],"tariffs":[{"name":"t"}]}`
 
@@ -17,21 +17,22 @@
 		raw, key, text string
 		missing        bool
 	}{
-		"no listen address": {
+		"missing listen address": {
 			`{"discovery":"a:1","seed":"01","settings":%s}`, "listen", "configuration: listen: missing", true,
 		},
-		"no discovery": {
+		"missing discovery address": {
 			`{"listen":"a:1","seed":"01","settings":%s}`,
 			"discovery", "configuration: discovery: missing", true,
 		},
-		"bad seed": {
-			`{"seed":"x","settings":%s}`, "seed", `configuration: seed: "x": 16 hex digits wanted`, false,
+		"invalid seed": {
+			`{"seed":"x","settings":%s}`, "seed",
+			`configuration: seed: "x": expected up to 16 hexadecimal digits`, false,
 		},
 		"too few sockets": {
 			`{"listen":"a:1","discovery":"a:1","seed":"01","limits":{"sockets":31},"settings":%s}`,
-			"limits.sockets", "configuration: limits.sockets: 31, at least 32 wanted", false,
+			"limits.sockets", "configuration: limits.sockets: 31: expected at least 32", false,
 		},
-		"bad counter": {
+		"counter address without port": {
 			`{"listen":"a:1","discovery":"a:1","counter":"b","seed":"01","settings":%s}`,
 			"counter", "configuration: counter: address b: missing port in address", false,
 		},
@@ -68,11 +69,11 @@
 	current := Config{Name: "a", Listen: "a:1", Sockets: 64, Seed: 1}
 	changed := Config{Name: "b", Listen: "a:2", Sockets: 65, Seed: 2, Discovery: "b:1"}
 	if got := fmt.Sprint(current.ChangedFixed(&changed)); got != "[limits listen name]" {
-		t.Errorf("changed %s, want [limits listen name]", got)
+		t.Errorf("changed keys %s, want [limits listen name]", got)
 	}
 	changed.RetainFixed(&current)
 	if left := current.ChangedFixed(&changed); len(left) > 0 || changed.Seed != 1 {
-		t.Errorf("still changed %v, seed %d", left, changed.Seed)
+		t.Errorf("after RetainFixed: changed keys %v, seed %d, want none and seed 1", left, changed.Seed)
 	}
 	if changed.Discovery != "b:1" {
 		t.Errorf("discovery %q, want the new address", changed.Discovery)
@@ -95,6 +96,6 @@
 		}
 	}
 	if err := current.CheckKeys(&current); err != nil {
-		t.Errorf("the same keys: error %v", err)
+		t.Errorf("unchanged keys: error %v", err)
 	}
 }
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -5,33 +5,33 @@
 	"fmt"
 )
 
-// ErrMissing is the cause where a key that is needed is absent.
+// ErrMissing is the cause of a KeyError for a required key that is absent.
 var ErrMissing = errors.New("missing")
 
-// What is wrong with a value.
+// The causes of a KeyError for an invalid value.
 var (
-	errNotPositive  = errors.New("a number above 0 wanted")
-	errUnknownValue = errors.New("unknown word")
-	errInvalidCount = errors.New("is no count of items")
+	errNotPositive  = errors.New("expected a number above 0")
+	errUnknownValue = errors.New("expected one of the allowed values")
+	errInvalidCount = errors.New("expected the number of list items")
 )
 
-// KeyError says what is wrong with one key of a gateway's configuration or of the settings in it.
+// KeyError reports that a key of a gateway's configuration, or of the settings in it, is missing or invalid.
 type KeyError struct {
-	Key   string // its path in the file
-	Value string // as it is written; empty if the key is absent
-	Err   error  // what is wanted, or why the value can't be read; its text states the value
+	Key   string // the path of the key in the file
+	Value string // the value as written; empty if the key is absent
+	Err   error  // the cause; its text contains the invalid value
 }
 
-// Error names the key and what is wrong with it.
+// Error returns the key and the text of the cause.
 func (e *KeyError) Error() string { return e.Key + ": " + e.Err.Error() }
 
-// Unwrap returns what is wrong with the value.
+// Unwrap returns the cause.
 func (e *KeyError) Unwrap() error { return e.Err }
 
-// MissingKey is the error of a key that is needed and absent.
+// MissingKey returns the error for a required key that is absent.
 func MissingKey(key string) error { return &KeyError{Key: key, Err: ErrMissing} }
 
-// badValue is the error of a setting whose value can't be used.
+// valueError returns the error for a setting with an invalid value.
 func valueError(key, value string, err error) error {
 	return &KeyError{Key: key, Value: value, Err: fmt.Errorf("value %q: %w", value, err)}
 }
--- a/internal/settings/fields.go
+++ b/internal/settings/fields.go
@@ -2,10 +2,10 @@
 
 import "strconv"
 
-// fieldSetter parses a value and sets the field that its key stands for.
+// fieldSetter parses a value and sets the field that corresponds to its key.
 type fieldSetter func(p *parser, value string) error
 
-// integer sets a number, or a time in microseconds.
+// integer returns a setter for an integer or for a time in microseconds.
 func integer[T ~int | ~int64](field func(*parser) *T) fieldSetter {
 	return func(p *parser, value string) error {
 		n, err := strconv.ParseInt(value, 10, 64)
@@ -17,7 +17,7 @@
 	}
 }
 
-// float sets a number that may have a fraction.
+// float returns a setter for a floating-point number.
 func float(field func(*parser) *float64) fieldSetter {
 	return func(p *parser, value string) error {
 		f, err := strconv.ParseFloat(value, 64)
@@ -29,7 +29,7 @@
 	}
 }
 
-// boolean sets a switch.
+// boolean returns a setter for a Boolean.
 func boolean(field func(*parser) *bool) fieldSetter {
 	return func(p *parser, value string) error {
 		b, err := strconv.ParseBool(value)
@@ -41,7 +41,7 @@
 	}
 }
 
-// text sets a value as it is written.
+// text returns a setter for a string, which it sets as written.
 func text(field func(*parser) *string) fieldSetter {
 	return func(p *parser, value string) error {
 		*field(p) = value
@@ -49,7 +49,7 @@
 	}
 }
 
-// name sets a name in the settings and in the host's list.
+// name returns a setter for a name, which is kept both in the policy's settings and in a list of the host.
 func name(fields func(*parser) (host, settings *string)) fieldSetter {
 	return func(p *parser, value string) error {
 		host, settings := fields(p)
@@ -58,7 +58,7 @@
 	}
 }
 
-// enum sets the value that a word stands for.
+// enum returns a setter for a value that is written as one of the given names.
 func enum[V any](valuesByName map[string]V, field func(*parser) *V) fieldSetter {
 	return func(p *parser, value string) error {
 		enumValue, ok := valuesByName[value]
--- a/internal/settings/flatten.go
+++ b/internal/settings/flatten.go
@@ -8,11 +8,11 @@
 	"strings"
 )
 
-// flatten converts nested JSON into the keys and values of the simulator's form, so that one table serves
-// both.
+// flatten converts nested JSON into the keys and values of the simulator's form, so that both forms share
+// the same table of keys.
 func flatten(raw []byte) (map[string]string, error) {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
-	decoder.UseNumber() // keeps a number as it is written
+	decoder.UseNumber() // keeps numbers as written
 	var tree map[string]any
 	if err := decoder.Decode(&tree); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -22,7 +22,7 @@
 	return values, nil
 }
 
-// flattenInto adds the values below one node, whose own key is path.
+// flattenInto adds the values of the node with the key path, and of all nodes below it.
 func flattenInto(values map[string]string, path string, node any) {
 	switch node := node.(type) {
 	case map[string]any:
@@ -36,8 +36,8 @@
 	}
 }
 
-// flattenList writes a list of plain values as one value, and any other as its items with their count. An
-// empty list can be either.
+// flattenList adds a list of scalars as one value, and a list of objects or lists as its items and their
+// count. It adds an empty list in both forms, because its key may stand for either.
 func flattenList(values map[string]string, path string, list []any) {
 	var scalars []string
 	for i, child := range list {
@@ -56,7 +56,7 @@
 	}
 }
 
-// joinPath returns the key of a child; the root's path is empty.
+// joinPath returns the key of a child. The path of the root is empty.
 func joinPath(path, key string) string {
 	if path == "" {
 		return key
@@ -64,7 +64,7 @@
 	return path + "." + key
 }
 
-// formatScalar writes a plain value as the simulator does; null is empty.
+// formatScalar formats a scalar as the simulator does, null as the empty string.
 func formatScalar(v any) string {
 	if v == nil {
 		return ""
--- a/internal/settings/flatten_test.go
+++ b/internal/settings/flatten_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The same settings in both forms.
+// ParseJSON and ParseText return the same settings for both forms of a deployment's settings.
 func TestParseJSONMatchesParseText(t *testing.T) {
 	const nested = `{"balancers":3,"ceilings":{"peers":true,"max-open":20000},"localities":["a","b"],
 		"report":{"names":["busy_reqs","other"],"via":"pull"},
@@ -44,6 +44,6 @@
 	}
 	badValue := strings.Replace(nested, `"balancers":3`, `"balancers":true`, 1)
 	if _, _, err := ParseJSON([]byte(badValue)); err == nil {
-		t.Error("a bad value was accepted")
+		t.Error("ParseJSON accepted a value of the wrong type")
 	}
 }
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -6,45 +6,47 @@
 	"sparspread/policy"
 )
 
-// The keys and words in this file are those of the deployment pages and of the configuration: they stay as
-// they are.
+// The keys and values in this file are part of the documented configuration format and must not change.
 
-// The names of the lists.
+// The keys of the lists.
 const (
 	classList = "request-classes"
 	planList  = "tariffs"
 )
 
-// positiveKeys are the settings that must be above 0 wherever they are present.
+// positiveKeys are the settings that must be above 0 if they are present.
 var positiveKeys = map[string]bool{"hard-limit-us": true, "promise-us": true, "max-attempts": true}
 
-// idempotency lists the words for whether a request may run twice.
+// repeatModes maps the values of the key repeat, which states whether a request may run more than once.
 var repeatModes = map[string]policy.Idempotency{
 	"retryable": policy.Idempotent,
 	"dedup":     policy.IdempotentWithKey,
 	"fragile":   policy.NotIdempotent,
 }
 
-// dedupScopes are the words for the backends that drop repeats of a request with an idempotency key.
+// dedupScopes maps the values of the key group, which states the backends that together drop repeats of a
+// request with an idempotency key.
 var dedupScopes = map[string]policy.DedupScope{
 	"all":  policy.DedupAll,
 	"zone": policy.DedupZone,
 	"cell": policy.DedupCell,
 }
 
-// loadMetrics are the values of a load report that are used; others are skipped.
+// loadMetrics are the known values of a load report, by their names. Other values are UnusedMetric.
 var loadMetrics = map[string]policy.LoadMetric{
 	"busy_reqs": policy.BusyMetric,
 	"pending":   policy.WaitingMetric,
 }
 
-// pollsEndpoints are the words for how the endpoint list comes: pushed, or polled.
+// membershipModes maps the values of the key membership-mode to whether the endpoint list is polled.
+// Otherwise service discovery pushes it.
 var membershipModes = map[string]bool{"pushed": false, "on_request": true}
 
-// hasCapacityHints are the words for the sizes in the endpoint list: unknown, or known in some way.
+// weightModes maps the values of the key weights to whether the capacity hints of the endpoint list can be
+// used.
 var weightModes = map[string]bool{"silent": false, "nominal": true, "rough": true, "live": true}
 
-// plainKeys are the settings that stand once. Times are in microseconds.
+// globalKeys are the settings that are not part of a class or a plan. Times are in microseconds.
 var globalKeys = map[string]fieldSetter{
 	"self-index":      integer(func(p *parser) *int { return &p.Self }),
 	"balancers":       integer(func(p *parser) *int { return &p.Gateways }),
@@ -84,7 +86,7 @@
 	"prices.cross-zone": float(func(p *parser) *float64 { return &p.CrossZonePrice }),
 }
 
-// classKeys are the settings of a class of requests.
+// classKeys are the settings of each class of requests.
 var classKeys = map[string]fieldSetter{
 	"name":          name(func(p *parser) (*string, *string) { return last(p.host.Classes), &class(p).Name }),
 	"promise-us":    integer(func(p *parser) *policy.Time { return &class(p).LatencyObjective }),
@@ -95,7 +97,7 @@
 	"group":         enum(dedupScopes, func(p *parser) *policy.DedupScope { return &class(p).DedupScope }),
 }
 
-// planKeys are the settings of a plan.
+// planKeys are the settings of each plan.
 var planKeys = map[string]fieldSetter{
 	"name":            name(func(p *parser) (*string, *string) { return last(p.host.Plans), &plan(p).Name }),
 	"rate":            float(func(p *parser) *float64 { return &plan(p).Rate }),
@@ -109,13 +111,13 @@
 	"beyond-costs":    float(func(p *parser) *float64 { return &plan(p).OverageCost }),
 }
 
-// setZones sets the names of the zones, whose numbers are their places in the list.
+// setZones sets the names of the zones. The number of a zone is its index in the list.
 func setZones(p *parser, value string) error {
 	p.host.Zones = strings.Split(value, ",")
 	return nil
 }
 
-// setReportNames sets the names of a load report's values and which of them are used.
+// setReportNames sets the names of the values in a load report, and the metric of each.
 func setReportNames(p *parser, value string) error {
 	p.LoadReport, p.host.ReportNames = nil, strings.Split(value, ",")
 	for _, metric := range p.host.ReportNames {
@@ -124,11 +126,11 @@
 	return nil
 }
 
-// The item of a list that is being parsed is its last one.
+// last returns the last item of a list, which is the one that is being parsed.
 func last[T any](items []T) *T { return &items[len(items)-1] }
 
-// class is the class that is being parsed.
+// class returns the class that is being parsed.
 func class(p *parser) *policy.Class { return last(p.Classes) }
 
-// plan is the plan that is being parsed.
+// plan returns the plan that is being parsed.
 func plan(p *parser) *policy.Plan { return last(p.Plans) }
--- a/internal/settings/parser.go
+++ b/internal/settings/parser.go
@@ -8,14 +8,14 @@
 	"sparspread/policy"
 )
 
-// parser fills the settings from values by their full key.
+// parser sets the settings from a map of full keys to values.
 type parser struct {
 	policy.Settings
 	host   Host
 	values map[string]string
 }
 
-// parse sets every field whose key is present. The error is a *KeyError.
+// parse sets each field whose key is present. It returns a *KeyError if a value is invalid.
 func (p *parser) parse() error {
 	if err := p.parseTable("", globalKeys); err != nil {
 		return err
@@ -26,20 +26,20 @@
 	return p.parseList(planList, planKeys, p.addPlan)
 }
 
-// addClass adds a class, which the setters of classKeys then fill.
+// addClass appends a class, whose fields are then set by the setters in classKeys.
 func (p *parser) addClass() {
 	p.Classes = append(p.Classes, policy.Class{})
 	p.host.Classes = append(p.host.Classes, "")
 	p.host.ClientTimeouts = append(p.host.ClientTimeouts, 0)
 }
 
-// addPlan adds a plan, which the setters of planKeys then fill.
+// addPlan appends a plan, whose fields are then set by the setters in planKeys.
 func (p *parser) addPlan() {
 	p.Plans = append(p.Plans, policy.Plan{ValueFactor: 1})
 	p.host.Plans = append(p.host.Plans, "")
 }
 
-// parseTable sets the fields of a table whose keys are present.
+// parseTable sets the fields of a table whose keys, after the prefix, are present.
 func (p *parser) parseTable(prefix string, table map[string]fieldSetter) error {
 	for key, set := range table {
 		value, ok := p.values[prefix+key]
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// parseList adds the items of a list and sets the fields of each.
+// parseList adds the items of a list and sets their fields.
 func (p *parser) parseList(list string, table map[string]fieldSetter, addItem func()) error {
 	count, err := p.countItems(list)
 	if err != nil {
@@ -68,8 +68,8 @@
 	return nil
 }
 
-// countItems reads the length of a list. Each item has at least one value, which bounds what is allocated for
-// a count that is wrong.
+// countItems parses the length of a list. It rejects a length above the number of values, because each item
+// has at least one value; this bounds the memory that is allocated for a wrong length.
 func (p *parser) countItems(list string) (int, error) {
 	key := countKey(list)
 	value, ok := p.values[key]
@@ -78,21 +78,22 @@
 	}
 	count, err := strconv.Atoi(value)
 	if err != nil || count < 0 || count > len(p.values) {
-		return 0, &KeyError{Key: key, Value: value, Err: fmt.Errorf("value %q %w", value, errInvalidCount)}
+		return 0, &KeyError{Key: key, Value: value, Err: fmt.Errorf("value %q: %w", value, errInvalidCount)}
 	}
 	return count, nil
 }
 
-// countKey is the key of a list's length.
+// countKey returns the key of a list's length.
 func countKey(list string) string { return list + ".count" }
 
-// itemKey is the key of a field of a list's item; without a field, the prefix of all its keys.
+// itemKey returns the key of a field of a list item. If field is empty, it returns the prefix of the item's
+// keys.
 func itemKey(list string, item int, field string) string {
 	return fmt.Sprintf("%s.%d.%s", list, item, field)
 }
 
-// checkPositive checks the values that must be above 0 where they are present: otherwise nothing can be
-// served.
+// checkPositive returns an error if a value of positiveKeys is not above 0, because no request could be
+// served with it.
 func checkPositive(values map[string]string) error {
 	for key, value := range values {
 		field := key[strings.LastIndexByte(key, '.')+1:]
@@ -106,8 +107,8 @@
 	return nil
 }
 
-// presentKeys returns the keys that are present. A key of a list's items stands in it once, as LIST.*.KEY,
-// and only if all items have it.
+// presentKeys returns the set of keys that are present. Instead of the keys of each list item, it contains
+// LIST.*.KEY for each KEY that all items of the list have.
 func presentKeys(values map[string]string) map[string]bool {
 	keys := map[string]bool{}
 	for key := range values {
@@ -118,11 +119,11 @@
 	return keys
 }
 
-// generalizeItems replaces the keys of a list's items by those that all items have.
+// collapseItemKeys replaces the keys of a list's items by one key for each field that all items have.
 func collapseItemKeys(keys map[string]bool, countText, list string, table map[string]fieldSetter) {
 	count, err := strconv.Atoi(countText)
 	if err != nil {
-		count = 0 // the parser reports it
+		count = 0 // parse reports the error
 	}
 	for field := range table {
 		if allItemsHaveField(keys, list, count, field) {
@@ -137,7 +138,7 @@
 	}
 }
 
-// allItemsHave reports whether a list has items and each has the field.
+// allItemsHaveField reports whether a list is not empty and each of its items has the field.
 func allItemsHaveField(keys map[string]bool, list string, count int, field string) bool {
 	for i := range count {
 		if !keys[itemKey(list, i, field)] {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings of a deployment, in the simulator's flat text and in the nested JSON of
-// a gateway's configuration. Every key and word of the settings stands in this package.
+// Package settings parses the settings of a deployment, both from the simulator's flat text and from the
+// nested JSON of a gateway's configuration. It defines all keys and named values of the settings.
 package settings
 
 import (
@@ -9,24 +9,25 @@
 	"sparspread/policy"
 )
 
-// Host is the part of the settings that a gateway on real sockets needs and the decisions do not. The
-// simulator does these things itself. Lists by class or plan are in the order of the settings.
+// Host holds the settings that a gateway needs for its network connections, and that the policy does not
+// use. The simulator does not need them, because it handles connections itself. Lists by class or plan are
+// in the order of the settings.
 type Host struct {
-	Classes, Plans  []string        // names
-	ClientTimeouts  []policy.Time   // of each class: how long a client waits at most; 0: unknown
-	Zones           []string        // names, by number
-	ReportNames     []string        // names of the values in a load report
-	ReportVia       string          // how load reports come: "piggyback", "pull" or "silent"
-	MaxOpenRequests int             // requests open at once; 0: no limit
-	DialTimeout     policy.Time     // for a connection to a backend
-	IdleTimeout     policy.Time     // backends close an idle connection by then
-	CounterTimeout  policy.Time     // for a call of the shared counter
-	DrainGrace      policy.Time     // for attempts at a backend after it was announced as draining
-	Keys            map[string]bool // that the settings have; LIST.*.KEY where all items of a list have it
+	Classes, Plans  []string        // the names of the classes and plans
+	ClientTimeouts  []policy.Time   // how long clients wait at most, by class; zero if unknown
+	Zones           []string        // the names of the zones, by number
+	ReportNames     []string        // the names of the values in a load report
+	ReportVia       string          // how load reports are transmitted: "piggyback", "pull" or "silent"
+	MaxOpenRequests int             // the maximum number of open requests; if zero, there is no limit
+	DialTimeout     policy.Time     // the timeout for connecting to a backend
+	IdleTimeout     policy.Time     // the time after which backends close an idle connection
+	CounterTimeout  policy.Time     // the timeout of a call of the shared counter
+	DrainGrace      policy.Time     // how long attempts may go to a backend after it was reported as draining
+	Keys            map[string]bool // the keys that are present; LIST.*.KEY if all items of a list have KEY
 }
 
-// ParseText reads the simulator's form: a line KEY=VALUE for each setting. Unknown keys are skipped; a value
-// that can't be read is a *KeyError.
+// ParseText parses the simulator's form, which has a line KEY=VALUE for each setting. It ignores unknown keys
+// and returns a *KeyError for an invalid value or a missing list.
 func ParseText(text []byte) (policy.Settings, error) {
 	values := map[string]string{}
 	for line := range strings.SplitSeq(string(text), "\n") {
@@ -40,8 +41,8 @@
 	return p.Settings, wrapKeyError(err)
 }
 
-// ParseJSON reads the form of a gateway's configuration: the same keys and units, as nested JSON. An error
-// that concerns one key is a *KeyError.
+// ParseJSON parses the form of a gateway's configuration, which has the same keys and units as nested JSON.
+// An error that concerns one key is a *KeyError.
 func ParseJSON(raw []byte) (policy.Settings, Host, error) {
 	values, err := flatten(raw)
 	if err != nil {
@@ -56,7 +57,7 @@
 	return p.Settings, p.host, wrapKeyError(err)
 }
 
-// wrapKeyError adds to a *KeyError what its key is a key of.
+// wrapKeyError adds to the text of a *KeyError that its key is a setting.
 func wrapKeyError(err error) error {
 	if err == nil {
 		return nil
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -8,7 +8,7 @@
 	"sparspread/policy"
 )
 
-// profile is a deployment's settings in the simulator's form.
+// testSettings are the settings of a deployment in the simulator's form.
 const testSettings = `balancers=2
 self-index=1
 unknown.key=7
@@ -42,15 +42,15 @@
 func TestParseErrorsNameKeyAndProblem(t *testing.T) {
 	for _, tt := range []struct{ key, value, text string }{
 		{"balancers", "two", `value "two": strconv.ParseInt: parsing "two": invalid syntax`},
-		{"request-classes.0.repeat", "perhaps", `value "perhaps": unknown word`},
-		{"request-classes.count", "1000000000", `value "1000000000" is no count of items`},
+		{"request-classes.0.repeat", "perhaps", `value "perhaps": expected one of the allowed values`},
+		{"request-classes.count", "1000000000", `value "1000000000": expected the number of list items`},
 		{"tariffs.0.rate", "", `value "": strconv.ParseFloat: parsing "": invalid syntax`},
 	} {
 		t.Run(tt.key, func(t *testing.T) {
 			_, err := ParseText([]byte(testSettings + tt.key + "=" + tt.value + "\n"))
 			var keyErr *KeyError
 			if !errors.As(err, &keyErr) || keyErr.Key != tt.key || keyErr.Value != tt.value {
-				t.Fatalf("error %v, want one of key %s with value %q", err, tt.key, tt.value)
+				t.Fatalf("error %v, want a KeyError of key %s with value %q", err, tt.key, tt.value)
 			}
 			if want := "setting " + tt.key + ": " + tt.text; err.Error() != want {
 				t.Errorf("error %q, want %q", err, want)
@@ -59,11 +59,11 @@
 	}
 	_, err := ParseText(nil)
 	if want := "setting request-classes.count: missing"; !errors.Is(err, ErrMissing) || err.Error() != want {
-		t.Errorf("no settings: error %v, want %s", err, want)
+		t.Errorf("empty settings: error %v, want %s", err, want)
 	}
 	_, _, err = ParseJSON([]byte(`{"ceilings":{"max-attempts":0}}`))
-	const want = `setting ceilings.max-attempts: value "0": a number above 0 wanted`
+	const want = `setting ceilings.max-attempts: value "0": expected a number above 0`
 	if !errors.Is(err, errNotPositive) || err.Error() != want {
-		t.Errorf("no attempts: error %v, want %s", err, want)
+		t.Errorf("maximum of 0 attempts: error %v, want %s", err, want)
 	}
 }
--- a/internal/simproto/batch.go
+++ b/internal/simproto/batch.go
@@ -11,21 +11,21 @@
 
 const (
 	batchHeaderSize = 20
-	// bodyChunkSize is how many bytes of a body are read at a time, so that a large announced length alone
-	// allocates little.
+	// bodyChunkSize is the number of bytes of a body that are read at a time, so that memory is only
+	// allocated for bytes that are received, and not for a large announced length.
 	bodyChunkSize = 1 << 20
 )
 
-// Batch is one frame of events that share a time.
+// Batch is one frame of events that happened at the same time.
 type Batch struct {
-	Index uint32 // repeated in the reply
-	Count uint32 // records in Body
+	Index uint32 // identifies the batch; the reply contains it
+	Count uint32 // the number of records in Body
 	Now   policy.Time
 	Body  []byte
 }
 
-// ReadBatch reads the next frame. It reuses the memory of buffer for the body, and returns io.EOF at the end
-// of the input between two frames.
+// ReadBatch reads the next frame. It uses the memory of buffer for the body. It returns io.EOF if the input
+// ends after a complete frame, and ErrTruncated if it ends within one.
 func ReadBatch(r io.Reader, buffer []byte) (Batch, error) {
 	var header [batchHeaderSize]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
@@ -47,7 +47,7 @@
 	return batch, nil
 }
 
-// readBody appends size bytes to the body.
+// readBody reads size bytes and appends them to the body.
 func (b *Batch) readBody(r io.Reader, size int) error {
 	for remaining := size; remaining > 0; {
 		n, start := min(remaining, bodyChunkSize), len(b.Body)
@@ -63,8 +63,9 @@
 	return nil
 }
 
-// Decode calls handle with each event of the batch, in order, and the instance that it happened to. The
-// events before a malformed record have been handled when Decode returns its error.
+// Decode calls handle for each event of the batch, in order, with the instance that the event is for. If a
+// record is malformed, Decode returns an error after it has called handle for the events before that
+// record.
 func (b *Batch) Decode(handle func(instance uint16, event Event)) error {
 	r := recordReader{data: b.Body}
 	for i := uint32(0); i < b.Count; i++ {
--- a/internal/simproto/codes.go
+++ b/internal/simproto/codes.go
@@ -1,8 +1,8 @@
-// Package simproto is the codec of the simulator's protocol: frames of events that the simulator sends, and
-// frames of actions that are returned for them. Integers are little-endian, times are in microseconds. The
-// package holds every code of the protocol; package settings holds the keys of its settings.
+// Package simproto is the codec of the simulator's protocol. The simulator sends frames of events, and for
+// each it gets a frame of actions in return. Integers are little-endian, and times are in microseconds. The
+// package defines all codes of the protocol; package settings defines the keys of its settings.
 //
-// No type of the package is safe for concurrent use.
+// The types of the package are not safe for concurrent use.
 package simproto
 
 import (
@@ -11,7 +11,7 @@
 	"sparspread/policy"
 )
 
-// Errors of a batch that breaks the protocol. No further batch can be read after one.
+// Errors for a batch that violates the protocol. No further batch can be read after such an error.
 var (
 	// ErrTruncated reports a frame, a record or a list that ends before its last field or entry.
 	ErrTruncated = errors.New("truncated")
@@ -21,7 +21,7 @@
 	ErrTrailingBytes = errors.New("trailing bytes")
 )
 
-// The codes of the events, each with its name in the protocol's specification.
+// The codes of the events. Each comment is the event's name in the protocol's specification.
 const (
 	codeGossipReceived   = 1  // heard
 	codeHealthCheckEnded = 2  // sampled
@@ -36,7 +36,7 @@
 	codeCounterAnswered  = 11 // ledger_reply
 )
 
-// The codes of the actions, each with its name in the protocol's specification.
+// The codes of the actions. Each comment is the action's name in the protocol's specification.
 const (
 	codeSend             = 65 // assign
 	codeReject           = 66 // push_back
@@ -51,11 +51,11 @@
 )
 
 const (
-	maxGossipSize = 256 // bytes of one gossip message
-	endpointSize  = 22  // bytes of one entry of an endpoint list
+	maxGossipSize = 256 // the maximum number of bytes of a gossip message
+	endpointSize  = 22  // the number of bytes of an entry of an endpoint list
 )
 
-// resultByCode are the results by their codes.
+// resultByCode maps the codes of results.
 var resultByCode = map[uint8]policy.Result{
 	1: policy.ResultOK,
 	2: policy.ResultFailed,
@@ -67,7 +67,7 @@
 	8: policy.ResultNotSent,
 }
 
-// updateKindByCode are the kinds of updates by the codes of list modes.
+// updateKindByCode maps the protocol's codes of list modes to the kinds of endpoint updates.
 var updateKindByCode = map[uint8]policy.UpdateKind{
 	0: policy.UpdateComplete,
 	1: policy.UpdateStale,
@@ -75,7 +75,7 @@
 	3: policy.UpdateUnavailable,
 }
 
-// endpointStateByCode are the states of endpoints by the codes of readiness.
+// endpointStateByCode maps the protocol's codes of readiness to the states of endpoints.
 var endpointStateByCode = map[uint8]policy.EndpointState{
 	0: policy.EndpointRemoved,
 	1: policy.EndpointReady,
--- a/internal/simproto/event.go
+++ b/internal/simproto/event.go
@@ -6,29 +6,29 @@
 	"sparspread/policy"
 )
 
-// Event is what happened to an instance: a value of one of the types below. What it holds of the batch's
-// memory is valid as long as the batch is.
+// Event is an event of an instance. Its type is one of the types below. Its byte slices refer to the memory
+// of the batch, and are valid as long as the batch.
 type Event interface{ event() }
 
-// InstanceStarted begins an instance, in place of any of the same number.
+// InstanceStarted starts an instance and replaces an existing instance of the same number.
 type InstanceStarted struct {
-	Seed     uint64 // of its random numbers
-	Settings []byte // lines of key=value, for settings.ParseText
+	Seed     uint64 // the seed of the instance's random numbers
+	Settings []byte // lines of key=value, to be parsed by settings.ParseText
 }
 
-// InstanceStopped ends an instance.
+// InstanceStopped stops an instance.
 type InstanceStopped struct{}
 
-// EndpointsUpdated is an update of the endpoint list.
+// EndpointsUpdated reports an update of the endpoint list.
 type EndpointsUpdated struct {
 	Kind      policy.UpdateKind
 	Endpoints []policy.Endpoint
 }
 
-// RequestReceived is a request of a client.
+// RequestReceived reports a client's request.
 type RequestReceived struct{ Request policy.Request }
 
-// ResponseStarted says that the answer to an attempt begins to arrive.
+// ResponseStarted reports that the first bytes of the response to an attempt have been received.
 type ResponseStarted struct {
 	RequestID uint64
 	Backend   uint32
@@ -36,29 +36,29 @@
 	Latency   policy.Time // since the attempt was sent
 }
 
-// AttemptEnded is the outcome of an attempt.
+// AttemptEnded reports the outcome of an attempt.
 type AttemptEnded struct{ Outcome policy.Outcome }
 
-// RequestCancelled says that a client no longer waits.
+// RequestCancelled reports that the client no longer waits for the response.
 type RequestCancelled struct{ RequestID uint64 }
 
-// TimerFired says that the time of a timer has come.
+// TimerFired reports that a timer has expired.
 type TimerFired struct{ TimerID uint32 }
 
-// HealthCheckEnded is the outcome of a health check.
+// HealthCheckEnded reports the outcome of a health check.
 type HealthCheckEnded struct {
 	Backend    uint32
 	Result     policy.Result
 	LoadReport []float32
 }
 
-// GossipReceived is a message of another gateway.
+// GossipReceived reports a gossip message from a peer.
 type GossipReceived struct {
-	Sender  int // its number
+	Sender  int // the index of the peer
 	Message []byte
 }
 
-// CounterAnswered is the answer to a call of the shared counter.
+// CounterAnswered reports the result of a call of the shared counter.
 type CounterAnswered struct {
 	Name   uint64
 	Result policy.Result
@@ -77,10 +77,10 @@
 func (GossipReceived) event()   {}
 func (CounterAnswered) event()  {}
 
-// eventReaders read the fields of an event, by its code.
+// eventReaders contains, by the code of an event, the function that reads the event's fields.
 var eventReaders = [...]func(r *recordReader) Event{
 	codeInstanceStarted:  (*recordReader).readInstanceStarted,
-	codeInstanceStopped:  func(*recordReader) Event { return InstanceStopped{} }, // has no fields
+	codeInstanceStopped:  func(*recordReader) Event { return InstanceStopped{} }, // no fields
 	codeEndpointsUpdated: (*recordReader).readEndpointsUpdated,
 	codeRequestReceived:  (*recordReader).readRequestReceived,
 	codeResponseStarted:  (*recordReader).readResponseStarted,
@@ -92,7 +92,7 @@
 	codeCounterAnswered:  (*recordReader).readCounterAnswered,
 }
 
-// readEvent reads the fields of an event whose code was read.
+// readEvent reads the fields of an event whose code has been read.
 func (r *recordReader) readEvent(code uint8) Event {
 	if int(code) >= len(eventReaders) || eventReaders[code] == nil {
 		r.setError(fmt.Errorf("%w: event %d", ErrUnknownCode, code))
@@ -101,7 +101,7 @@
 	return eventReaders[code](r)
 }
 
-// readInstanceStarted reads the start of an instance.
+// readInstanceStarted reads the seed and the settings of a new instance.
 func (r *recordReader) readInstanceStarted() Event {
 	var e InstanceStarted
 	e.Seed = r.uint64()
@@ -113,7 +113,7 @@
 func (r *recordReader) readEndpointsUpdated() Event {
 	var e EndpointsUpdated
 	e.Kind = readCode(r, updateKindByCode, "list mode")
-	r.uint64() // version of the list
+	r.uint64() // the version of the list, which is not used
 	count := int(r.uint32())
 	if count > r.remaining()/endpointSize {
 		r.setError(fmt.Errorf("%w list: %d endpoints in %d bytes", ErrTruncated, count, r.remaining()))
@@ -127,7 +127,7 @@
 // readEndpoint reads one entry of an endpoint list.
 func (r *recordReader) readEndpoint() policy.Endpoint {
 	endpoint := policy.Endpoint{ID: r.uint32(), Zone: int(r.uint16())}
-	r.uint8() // kind of machine: no decision depends on it
+	r.uint8() // the kind of machine, which the policy does not use
 	endpoint.Cell = int(r.uint16())
 	endpoint.State = readCode(r, endpointStateByCode, "readiness")
 	endpoint.CapacityHint = r.float32()
@@ -135,11 +135,11 @@
 	return endpoint
 }
 
-// readRequestReceived reads a request as it was received.
+// readRequestReceived reads a client's request.
 func (r *recordReader) readRequestReceived() Event {
 	var request policy.Request
 	request.ID = r.uint64()
-	r.uint8() // flags for a client's retry and for a write: no decision depends on them
+	r.uint8() // flags for a client's retry and for a write, which the policy does not use
 	request.Cost = r.float32()
 	request.Timeout = policy.Time(r.uint32())
 	request.Plan = int(r.uint16())
@@ -150,7 +150,7 @@
 	return RequestReceived{Request: request}
 }
 
-// readResponseStarted reads which attempt of a request is being answered.
+// readResponseStarted reads the attempt that is being answered and its latency.
 func (r *recordReader) readResponseStarted() Event {
 	var e ResponseStarted
 	e.RequestID = r.uint64()
@@ -180,12 +180,12 @@
 	var e HealthCheckEnded
 	e.Backend = r.uint32()
 	e.Result = r.readResult()
-	r.uint32() // latency: no decision depends on it
+	r.uint32() // the latency, which the policy does not use
 	e.LoadReport = r.readLoadReport()
 	return e
 }
 
-// readGossipReceived reads a message of another gateway.
+// readGossipReceived reads a gossip message from a peer.
 func (r *recordReader) readGossipReceived() Event {
 	var e GossipReceived
 	e.Sender = int(r.uint16())
@@ -193,12 +193,12 @@
 	return e
 }
 
-// readCounterAnswered reads the answer to a call of the shared counter.
+// readCounterAnswered reads the result of a call of the shared counter.
 func (r *recordReader) readCounterAnswered() Event {
 	var e CounterAnswered
 	e.Total = r.float32()
 	e.Result = r.readResult()
 	e.Name = r.uint64()
-	r.uint32() // latency: no decision depends on it
+	r.uint32() // the latency, which the policy does not use
 	return e
 }
--- a/internal/simproto/record.go
+++ b/internal/simproto/record.go
@@ -8,7 +8,7 @@
 	"sparspread/policy"
 )
 
-// The sizes of numbers in bytes.
+// The sizes of encoded numbers, in bytes.
 const (
 	uint16Size  = 2
 	uint32Size  = 4
@@ -16,25 +16,25 @@
 	float32Size = 4
 )
 
-// recordReader reads fields from the records of a batch. Its methods return zero values from the first error
-// on, which stays in err.
+// recordReader reads fields from the records of a batch. After the first error, which is kept in err, its
+// methods return zero values.
 type recordReader struct {
 	data   []byte
 	offset int
 	err    error
 }
 
-// remaining is how many bytes are left to read.
+// remaining returns the number of unread bytes.
 func (r *recordReader) remaining() int { return len(r.data) - r.offset }
 
-// fail keeps the first error.
+// setError sets err unless an earlier error is set.
 func (r *recordReader) setError(err error) {
 	if r.err == nil {
 		r.err = err
 	}
 }
 
-// bytes returns the next n bytes, which are shared with the batch, or nil where fewer are left.
+// bytes returns the next n bytes without copying them. It returns nil if fewer than n bytes are left.
 func (r *recordReader) bytes(n int) []byte {
 	if r.err != nil {
 		return nil
@@ -48,7 +48,7 @@
 	return b
 }
 
-// uint8 reads an integer, like the methods below.
+// uint8 reads an integer of one byte. The methods below read longer integers.
 func (r *recordReader) uint8() uint8 {
 	if b := r.bytes(1); b != nil {
 		return b[0]
@@ -77,10 +77,10 @@
 	return 0
 }
 
-// float32 reads a number of four bytes.
+// float32 reads a floating-point number of four bytes.
 func (r *recordReader) float32() float64 { return float64(math.Float32frombits(r.uint32())) }
 
-// loadReport reads a list of numbers behind its length; nil is an empty one.
+// readLoadReport reads a list of numbers that is preceded by its length. It returns nil for an empty list.
 func (r *recordReader) readLoadReport() []float32 {
 	b := r.bytes(float32Size * int(r.uint8()))
 	if len(b) == 0 {
@@ -93,10 +93,10 @@
 	return report
 }
 
-// result reads the code of an attempt's or a call's result.
+// readResult reads the result of an attempt, a health check or a call of the shared counter.
 func (r *recordReader) readResult() policy.Result { return readCode(r, resultByCode, "result") }
 
-// readCode reads a code and returns what it stands for; name says what it is a code of, for the error.
+// readCode reads a code and returns its value in byCode. The error for an unknown code contains name.
 func readCode[V any](r *recordReader, byCode map[uint8]V, name string) V {
 	code := r.uint8()
 	value, ok := byCode[code]
--- a/internal/simproto/reply.go
+++ b/internal/simproto/reply.go
@@ -9,11 +9,12 @@
 	"sparspread/policy"
 )
 
-// replyHeaderSize is the size of a frame's header.
-const replyHeaderSize = 8 // index of the batch, bytes of the actions
+// replyHeaderSize is the number of bytes of a frame's header, which consists of the index of the batch and
+// the size of the actions in bytes.
+const replyHeaderSize = 8
 
-// Reply collects the actions that answer one batch. It implements policy.Actions for the instance that
-// SetInstance named last.
+// Reply encodes the actions in reply to one batch. It implements policy.Actions for the instance that was
+// last passed to SetInstance.
 type Reply struct {
 	buf      []byte
 	instance uint16
@@ -21,22 +22,22 @@
 
 var _ policy.Actions = (*Reply)(nil)
 
-// Reset empties the reply and begins the one to the batch of the given index.
+// Reset discards the actions and starts the reply to the batch with the given index.
 func (r *Reply) Reset(index uint32) {
 	r.buf = binary.LittleEndian.AppendUint32(r.buf[:0], index)
 	r.buf = binary.LittleEndian.AppendUint32(r.buf, 0)
 }
 
-// SetInstance names the instance that takes the following actions.
+// SetInstance sets the instance to which the following actions belong.
 func (r *Reply) SetInstance(instance uint16) { r.instance = instance }
 
-// Bytes completes the frame and returns it. It is valid until the next Reset.
+// Bytes completes the frame and returns it. The slice is valid until the next call of Reset.
 func (r *Reply) Bytes() []byte {
 	binary.LittleEndian.PutUint32(r.buf[4:], uint32(len(r.buf)-replyHeaderSize))
 	return r.buf
 }
 
-// appendHeader begins the record of an action.
+// appendRecordHeader appends the code and the instance with which the record of an action starts.
 func (r *Reply) appendRecordHeader(code uint8) {
 	r.buf = append(r.buf, code)
 	r.appendUint16(r.instance)
@@ -46,19 +47,19 @@
 func (r *Reply) appendUint32(v uint32) { r.buf = binary.LittleEndian.AppendUint32(r.buf, v) }
 func (r *Reply) appendUint64(v uint64) { r.buf = binary.LittleEndian.AppendUint64(r.buf, v) }
 
-// appendDuration appends a length of time, limited to what four bytes hold.
+// appendDuration appends a duration, limited to the range of four bytes.
 func (r *Reply) appendDuration(d policy.Time) {
 	r.appendUint32(uint32(max(0, min(d, math.MaxUint32))))
 }
 
-// appendString appends a string behind its length, limited to what two bytes count.
+// appendString appends the length of a string and the string, truncated to the longest length of two bytes.
 func (r *Reply) appendString(s string) {
 	s = s[:min(len(s), math.MaxUint16)]
 	r.appendUint16(uint16(len(s)))
 	r.buf = append(r.buf, s...)
 }
 
-// Send appends an attempt at a backend, which the simulator sends at once.
+// Send appends an attempt. It returns false because the simulator sends attempts immediately.
 func (r *Reply) Send(id uint64, backend uint32, deadline policy.Time) (waiting bool) {
 	r.appendRecordHeader(codeSend)
 	r.appendUint64(id)
@@ -67,40 +68,40 @@
 	return false
 }
 
-// Reject appends a rejection.
+// Reject appends the rejection of a request.
 func (r *Reply) Reject(id uint64, retryAfter policy.Time) {
 	r.appendRecordHeader(codeReject)
 	r.appendUint64(id)
 	r.appendDuration(retryAfter)
 }
 
-// Fail appends a failure.
+// Fail appends the failure of a request.
 func (r *Reply) Fail(id uint64) {
 	r.appendRecordHeader(codeFail)
 	r.appendUint64(id)
 }
 
-// SetTimer appends a timer.
+// SetTimer appends a timer to be set.
 func (r *Reply) SetTimer(at policy.Time, timerID uint32) {
 	r.appendRecordHeader(codeSetTimer)
 	r.appendUint64(uint64(at))
 	r.appendUint32(timerID)
 }
 
-// HealthCheck appends a health check.
+// HealthCheck appends a health check of a backend.
 func (r *Reply) HealthCheck(backend uint32) {
 	r.appendRecordHeader(codeHealthCheck)
 	r.appendUint32(backend)
 }
 
-// SendGossip appends a gossip message to a peer, cut to 256 bytes.
+// SendGossip appends a gossip message to a peer, truncated to 256 bytes.
 func (r *Reply) SendGossip(peer int, message []byte) {
 	r.appendRecordHeader(codeSendGossip)
 	r.appendUint16(uint16(peer))
 	r.appendString(string(message[:min(len(message), maxGossipSize)]))
 }
 
-// IncrementCounter appends a call to the shared counter.
+// IncrementCounter appends a call of the shared counter.
 func (r *Reply) IncrementCounter(name uint64, amount float64, lifetime policy.Time) {
 	r.appendRecordHeader(codeIncrementCounter)
 	r.appendUint64(name)
@@ -108,13 +109,13 @@
 	r.appendDuration(lifetime)
 }
 
-// WatchEndpoints appends a subscription to discovery.
+// WatchEndpoints appends a watch of the endpoint list.
 func (r *Reply) WatchEndpoints() {
 	r.appendRecordHeader(codeWatchEndpoints)
 	r.buf = append(r.buf, 1)
 }
 
-// Log appends a log line: the message and the attributes as key=value.
+// Log appends a log line that consists of the message and the attributes as key=value.
 func (r *Reply) Log(message string, attributes ...slog.Attr) {
 	var line strings.Builder
 	line.WriteString(message)
@@ -126,7 +127,7 @@
 	r.appendString(line.String())
 }
 
-// InstanceFailed appends that the instance failed and is gone.
+// InstanceFailed appends a report that the instance has failed and no longer exists.
 func (r *Reply) InstanceFailed(reason string) {
 	r.appendRecordHeader(codeInstanceFailed)
 	r.appendString(reason)
--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/simproto_test.go
@@ -13,7 +13,7 @@
 	"sparspread/policy"
 )
 
-// fromHex decodes hexadecimal digits; blanks between them are ignored.
+// decodeHex decodes hexadecimal digits and ignores white space between them.
 func decodeHex(tb testing.TB, digits string) []byte {
 	tb.Helper()
 	b, err := hex.DecodeString(strings.Join(strings.Fields(digits), ""))
@@ -23,7 +23,7 @@
 	return b
 }
 
-// frame returns a batch as it is sent.
+// encodeFrame returns the encoded frame of a batch.
 func encodeFrame(index, count uint32, now uint64, body []byte) []byte {
 	b := binary.LittleEndian.AppendUint32(nil, index)
 	b = binary.LittleEndian.AppendUint32(b, count)
@@ -31,15 +31,15 @@
 	return append(binary.LittleEndian.AppendUint64(b, now), body...)
 }
 
-// eventCase is the record of one event and what it is decoded to.
+// eventCase is the record of an event, and the instance and the event that it is decoded to.
 type eventCase struct {
 	name     string
-	record   string // in hexadecimal
+	record   string // hexadecimal digits
 	instance uint16
 	want     Event
 }
 
-// eventCases has each kind of event.
+// eventCases contains a case for each kind of event.
 var eventCases = []eventCase{
 	{
 		"request received",
@@ -114,7 +114,7 @@
 			body := decodeHex(t, c.record)
 			batch, err := ReadBatch(bytes.NewReader(encodeFrame(12, 1, 99, body)), nil)
 			if err != nil || batch.Index != 12 || batch.Now != 99 {
-				t.Fatalf("batch %+v: %v", batch, err)
+				t.Fatalf("batch %+v, error %v", batch, err)
 			}
 			var instance uint16
 			var got Event
@@ -126,7 +126,7 @@
 			for size := range body {
 				short := Batch{Count: 1, Body: body[:size]}
 				if err := short.Decode(func(uint16, Event) {}); !errors.Is(err, ErrTruncated) {
-					t.Errorf("cut to %d bytes: error %v, want %v", size, err, ErrTruncated)
+					t.Errorf("record truncated to %d bytes: error %v, want %v", size, err, ErrTruncated)
 				}
 			}
 		})
@@ -135,13 +135,13 @@
 
 func TestReadBatchReportsIncompleteFrames(t *testing.T) {
 	if _, err := ReadBatch(strings.NewReader(""), nil); !errors.Is(err, io.EOF) {
-		t.Errorf("end of input: %v", err)
+		t.Errorf("end of input: error %v, want EOF", err)
 	}
 	for name, input := range map[string][]byte{
-		"header cut":           {1, 2, 3},
-		"body cut":             encodeFrame(1, 1, 1, []byte{4, 0, 0, 0})[:22],
-		"huge body announced":  append(decodeHex(t, "01000000 01000000 ffffffff 0000000000000000"), 4),
-		"only the header came": encodeFrame(1, 1, 1, []byte{4, 0, 0, 0})[:batchHeaderSize],
+		"truncated header":     {1, 2, 3},
+		"truncated body":       encodeFrame(1, 1, 1, []byte{4, 0, 0, 0})[:22],
+		"large announced body": append(decodeHex(t, "01000000 01000000 ffffffff 0000000000000000"), 4),
+		"missing body":         encodeFrame(1, 1, 1, []byte{4, 0, 0, 0})[:batchHeaderSize],
 	} {
 		if _, err := ReadBatch(bytes.NewReader(input), nil); !errors.Is(err, ErrTruncated) {
 			t.Errorf("%s: error %v, want %v", name, err, ErrTruncated)
@@ -153,14 +153,14 @@
 	for _, c := range []struct {
 		name   string
 		count  uint32
-		record string // in hexadecimal
+		record string // hexadecimal digits
 		want   error
 	}{
 		{"unknown event", 1, "63 0000", ErrUnknownCode},
-		{"kind 0", 1, "00 0000", ErrUnknownCode},
+		{"event 0", 1, "00 0000", ErrUnknownCode},
 		{"unknown result", 1, "02 0100 09000000 63 01000000 00", ErrUnknownCode},
 		{"bytes after the last record", 1, "06 0100 00", ErrTrailingBytes},
-		{"endpoint list too long", 1, "08 0300 01 2900000000000000 ffffffff 0000", ErrTruncated},
+		{"endpoint list longer than its batch", 1, "08 0300 01 2900000000000000 ffffffff 0000", ErrTruncated},
 		{"gossip longer than its batch", 1, "01 0200 0100 ffff 61", ErrTruncated},
 		{"fewer records than announced", 2, "06 0100", ErrTruncated},
 	} {
@@ -218,7 +218,7 @@
 		decoded := 0
 		err := batch.Decode(func(uint16, Event) { decoded++ })
 		if err == nil && uint32(decoded) != count {
-			t.Errorf("%d of %d records decoded without an error", decoded, count)
+			t.Errorf("decoded %d of %d records without an error", decoded, count)
 		}
 	})
 }
