--- a/internal/gateway/backend_dial_test.go
+++ b/internal/gateway/backend_dial_test.go
@@ -9,16 +9,16 @@
 	"sparspread/policy"
 )
 
-// A client disconnects, or its request is answered, while an attempt waits for a dial: the attempt ends at
-// once as not sent, and nothing is written to the connection.
+// If a client disconnects, or its request is answered, while an attempt waits for a dial, the attempt ends at
+// once and is not written to the new connection.
 func TestWaitingAttemptEndsWhenRequestEnds(t *testing.T) {
 	for name, end := range map[string]func(*testing.T, *Gateway, *testClient){
-		"the client disconnects": func(t *testing.T, g *Gateway, c *testClient) {
+		"client disconnects": func(t *testing.T, g *Gateway, c *testClient) {
 			t.Helper()
 			_ = c.conn.Close()
 			handleNextEvent(t, g, "the client's disconnect")
 		},
-		"it is answered": func(t *testing.T, g *Gateway, _ *testClient) {
+		"request is answered": func(t *testing.T, g *Gateway, _ *testClient) {
 			t.Helper()
 			shutdownAdapter{g}.failOpenRequests()
 			g.events.HandleDeferred()
@@ -31,7 +31,7 @@
 			wait(t, dialing, "the dial")
 			end(t, g, c)
 			if n := len(g.backends.byNumber[1].waiting); n != 0 || len(g.requests.byID) != 0 {
-				t.Errorf("%d attempts wait, %d requests remain", n, len(g.requests.byID))
+				t.Errorf("got %d waiting attempts, %d requests, want none", n, len(g.requests.byID))
 			}
 			close(unblock)
 			if e := eventAs[dialEnded](t, handleNextEvent(t, g, "the dial's end")); e.err != nil {
@@ -40,13 +40,14 @@
 			g.backends.closeIdleConns(g.backends.byNumber[1])
 			_ = wait(t, b.closed, "the connection's end")
 			if len(b.calls) > 0 {
-				t.Error("forwarded")
+				t.Error("the request was sent to the backend")
 			}
 		})
 	}
 }
 
-// The deduplication window ends while a retry waits for a connection: it is not written any more.
+// A retry whose deduplication window ends while it waits for a connection is not sent: the backend might
+// run it twice.
 func TestWaitingRetryIsNotSentAfterDedupWindow(t *testing.T) {
 	g, b := newGatewayWithBackend(t)
 	c := connectWithRequest(t, g, "c=order,k=5c0f6e1a2b3d4c59")
@@ -56,17 +57,17 @@
 	_ = call.conn.Close()
 	handleNextEvent(t, g, "the reset")
 	wait(t, dialing, "the second dial")
-	fakeClockOf(t, g).shown.Add(31_000_000) // the window is 30 s
+	fakeClockOf(t, g).shown.Add(31_000_000) // the deduplication window is 30 s
 	close(unblock)
 	handleNextEvent(t, g, "the second dial's end")
-	c.wantLine("-BUSY 2000") // all backends drop its repeats: the client may come again
+	c.wantLine("-BUSY 2000") // all backends are in the deduplication scope, so the client may retry
 	if len(b.calls) > 0 {
-		t.Error("repeated behind its window")
+		t.Error("the retry was sent after the deduplication window")
 	}
 }
 
-// restartDuringDial has the backend restart while a dial to it is blocked, and handles the ends of that
-// dial and of the one that repeats it.
+// restartDuringDial reports a restart of the backend while a dial to it is blocked. It handles the end of
+// that dial and of the dial that replaces it.
 func restartDuringDial(t *testing.T, g *Gateway, b *fakeBackend, unblock chan<- struct{}) {
 	t.Helper()
 	b.reportRestart(g)
@@ -76,8 +77,8 @@
 	handleNextEvent(t, g, "the second dial's end")
 }
 
-// A backend restarts during a dial to it: the connection may lead to the process before, and another is
-// dialed.
+// If a backend restarts during a dial, the connection may lead to its previous process, so the dial is
+// repeated.
 func TestDialIsRepeatedWhenBackendRestarts(t *testing.T) {
 	g, b := newGatewayWithBackend(t)
 	dialing, unblock := blockDials(g)
@@ -85,12 +86,12 @@
 	wait(t, dialing, "the dial")
 	restartDuringDial(t, g, b, unblock)
 	if b.nextCall(t); len(b.calls) > 0 || a.conn == nil {
-		t.Errorf("%d further commands, connection %v", len(b.calls), a.conn)
+		t.Errorf("got %d further commands and connection %v, want none and the new one", len(b.calls), a.conn)
 	}
 }
 
-// A backend restarts while an attempt waits for a connection to it: nothing is written that its slow start
-// does not allow.
+// If a backend restarts while an attempt waits for a connection, the attempt is sent only if the slow start
+// of the backend allows it.
 func TestWaitingAttemptIsNotSentToRestartedBackend(t *testing.T) {
 	g, b, dialing, unblock := newGatewayWithBlockedDials(t)
 	c := connectWithRequest(t, g, "c=once")
@@ -98,12 +99,12 @@
 	restartDuringDial(t, g, b, unblock)
 	c.wantLine("-BUSY 2000")
 	if len(b.calls) > 0 {
-		t.Error("written")
+		t.Error("the request was sent to the backend")
 	}
 }
 
-// A dial that is reset is repeated once before the attempt fails: nothing was sent, and something listens
-// there.
+// A dial that is reset is repeated once before the attempt fails: no part of the request was sent, and a
+// process listens on the address.
 func TestResetDialIsRepeatedOnce(t *testing.T) {
 	g, _ := newGatewayWithBackend(t)
 	a := startHealthCheck(g)
@@ -116,7 +117,7 @@
 		e.conn, e.err = nil, &net.OpError{Op: "dial", Err: syscall.ECONNRESET}
 		e.Handle(g)
 		if a.ended != want {
-			t.Fatalf("after %d resets the attempt has ended: %t", i+1, a.ended)
+			t.Fatalf("after %d resets: got attempt ended %t", i+1, a.ended)
 		}
 	}
 	want := []policy.Result{policy.ResultConnectFailed}
--- a/internal/gateway/backend_drain_test.go
+++ b/internal/gateway/backend_drain_test.go
@@ -9,8 +9,8 @@
 	"sparspread/policy"
 )
 
-// Nothing new is sent to a backend that drains. Ids are the identity: the same backend may get another
-// address.
+// Updates from discovery change the address of a backend, which is identified by its ID, and let it drain. A
+// draining backend gets no new requests.
 func TestDiscoveryUpdateAppliesAddressAndDrain(t *testing.T) {
 	r, old, d := startWithBackend(t, nil)
 	c := r.client(t)
@@ -26,11 +26,11 @@
 	c.sendLookup(3)
 	c.wantRejected()
 	if len(old.calls)+len(other.calls) > 0 {
-		t.Error("sent to a backend that drains")
+		t.Error("a request was sent to a draining backend or an old address")
 	}
 }
 
-// A drain that is reported during a dial holds for the waiting attempt too: nothing is written to the
+// A drain that is reported during a dial also applies to the waiting attempt: nothing is written to the new
 // connection.
 func TestDrainDuringDialPreventsSending(t *testing.T) {
 	g, b := newGatewayWithBackend(t)
@@ -42,15 +42,15 @@
 	}
 	dialed.Handle(g)
 	if got, want := endedResults(t, g), []policy.Result{policy.ResultNotSent}; !slices.Equal(got, want) {
-		t.Errorf("results %v, want %v", got, want)
+		t.Errorf("got results %v, want %v", got, want)
 	}
 	if err := wait(t, b.closed, "the connection's end"); !errors.Is(err, io.EOF) || len(b.calls) > 0 {
-		t.Errorf("the connection ended with %v after %d commands", err, len(b.calls))
+		t.Errorf("got connection end %v after %d commands, want EOF after none", err, len(b.calls))
 	}
 }
 
-// A backend drains while several attempts wait for connections to it: all end at once, so that they can go
-// to others.
+// If a backend drains while several attempts wait for connections to it, all of them end at once, so that
+// their requests can be sent to other backends.
 func TestDrainEndsAllWaitingAttempts(t *testing.T) {
 	g, b := newGatewayWithBackend(t)
 	_, unblock := blockDials(g)
--- a/internal/gateway/backend_pool_test.go
+++ b/internal/gateway/backend_pool_test.go
@@ -9,17 +9,17 @@
 	"sparspread/internal/config"
 )
 
-// A connection that breaks under a request says nothing of the others: an idle one is used, unless it has
-// ended too.
+// A new connection that breaks while it carries a request says nothing about other connections: the retry
+// uses an idle connection, unless that one has ended too.
 func TestBrokenConnectionKeepsIdleConnections(t *testing.T) {
-	for name, alive := range map[string]bool{"idle one open": true, "idle one closed": false} {
+	for name, alive := range map[string]bool{"idle connection open": true, "idle connection closed": false} {
 		t.Run(name, func(t *testing.T) {
 			r, b, _ := startWithBackend(t, nil)
 			c, other := r.client(t), r.client(t)
 			first := c.openLookup(b, 1)
 			second := other.openLookup(b, 2)
 			second.replyValue(t, "second")
-			other.wantValue("second") // its connection is idle by now
+			other.wantValue("second") // its connection is idle from here on
 			r.awaitQuiescence(t)
 			if !alive {
 				_ = second.conn.Close()
@@ -27,13 +27,14 @@
 			_ = first.conn.Close()
 			retry := c.wantServed(b, "first")
 			if (retry.conn == second.conn) != alive {
-				t.Errorf("the idle connection, open %t, was used %t", alive, !alive)
+				t.Errorf("idle connection open %t: got used %t", alive, !alive)
 			}
 		})
 	}
 }
 
-// A reused connection that proves broken has those that were idle for longer closed, without trying each.
+// When a reused connection is broken, connections that have been idle for longer are closed without being
+// tried.
 func TestBrokenReuseClosesConnectionsIdleForLonger(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c, other := r.client(t), r.client(t)
@@ -52,12 +53,12 @@
 	_ = reused.conn.Close()
 	retry := c.wantServed(b, "again")
 	if retry.conn == first.conn || retry.conn == second.conn {
-		t.Error("a connection idle for longer was used")
+		t.Error("a connection that was idle for longer was used")
 	}
 }
 
-// A restarted backend gets a new connection, though the old one was never closed, as when a machine
-// vanishes. Without slow start, which would hold the second request.
+// After a restart of a backend a new connection is used, even if the old one was never closed, as after the
+// failure of a machine. The slow start is disabled, because it would reject the second request.
 func TestRestartedBackendGetsNewConnections(t *testing.T) {
 	r, b, d := startWithBackend(t, withSettings(t, `"cold-us":16000000`, `"cold-us":0`))
 	c := r.client(t)
@@ -73,8 +74,8 @@
 	}
 }
 
-// An idle connection is closed before the backend closes it: a request that crossed the backend's close
-// would end as a reset.
+// An idle connection is closed before its backend closes it. Otherwise a request that is sent while the
+// backend closes it would end in a reset.
 func TestIdleConnectionClosesBeforeBackendTimeout(t *testing.T) {
 	r, b, _ := startWithBackend(t, withSettings(t, `"idle-close-us":30000000`, `"idle-close-us":200000`))
 	c := r.client(t)
@@ -86,9 +87,9 @@
 	}
 }
 
-// An attempt for which there is no file descriptor ends at once, and its request with it.
+// If no file descriptor is free for an attempt, the attempt and its request end at once.
 func TestRequestIsRejectedWithoutFreeDescriptor(t *testing.T) {
-	r, b := startWithFourBackends(t, config.MinSockets) // 3 to backends
+	r, b := startWithFourBackends(t, config.MinSockets) // 3 connections to backends
 	c := r.client(t)
 	for id := range 3 {
 		defer c.openLookup(b, id).replyValue(t, "ok")
@@ -98,10 +99,10 @@
 	other.wantRejected()
 }
 
-// A duplicate reply may follow some milliseconds behind the first. The connection is not reused until the
-// quiescence period is over, neither by a new attempt nor by a waiting one.
+// A duplicate of a reply may follow some milliseconds after it. Therefore neither a new nor a waiting attempt
+// uses the connection before the end of the quiescence period, nor after it if a duplicate has arrived.
 func TestConnectionIsNotReusedDuringQuiescencePeriod(t *testing.T) {
-	for name, late := range map[string]bool{"nothing follows": false, "a second answer": true} {
+	for name, late := range map[string]bool{"no further input": false, "duplicate reply": true} {
 		t.Run(name, func(t *testing.T) {
 			g, b := newGatewayWithBackend(t)
 			first, call := dialWithHealthCheck(t, g, b)
@@ -116,11 +117,11 @@
 			}
 			if late {
 				call.reply(t, "+PONG\r\n")
-				wait(t, g.events.Queue(), "the second answer").Handle(g)
+				wait(t, g.events.Queue(), "the duplicate reply").Handle(g)
 			}
 			advanceClock(t, g, quiescencePeriod)
 			if got := second.conn == used; got == late {
-				t.Errorf("the connection was used: %t", got)
+				t.Errorf("after the quiescence period: got connection reused %t", got)
 			}
 		})
 	}
--- a/internal/gateway/backend_reply_test.go
+++ b/internal/gateway/backend_reply_test.go
@@ -7,12 +7,12 @@
 	"testing"
 )
 
-// Bytes behind a reply would be taken for the reply to the next request: the connection is not reused.
+// Input behind a reply would be mistaken for the reply to the next request, so the connection is not reused.
 func TestDuplicateReplyPreventsConnectionReuse(t *testing.T) {
 	const good = "+PONG\r\n"
 	for name, replies := range map[string][]string{
-		"at once": {good + good},
-		"behind":  {good, good}, // read after the first was handled
+		"in one segment": {good + good},
+		"afterwards":     {good, good}, // read after the first reply was handled
 	} {
 		t.Run(name, func(t *testing.T) {
 			g, b := newGatewayWithBackend(t)
@@ -35,26 +35,27 @@
 				e.Handle(g)
 			}
 			if !first.ended || second.ended || second.conn == nil || second.conn == used {
-				t.Errorf("first attempt %+v, second %+v", first, second)
+				t.Errorf("got attempts %+v and %+v, want the second on a new connection", first, second)
 			}
 		})
 	}
 }
 
-// A malformed reply fails one attempt and closes one connection. The others to the backend stay in use.
+// A malformed reply fails the attempt and closes its connection. Other connections to the backend stay in
+// use.
 func TestMalformedReplyClosesOneConnection(t *testing.T) {
 	for name, reply := range map[string]string{
-		"unknown type":         "?\r\n",
-		"number":               ":5\r\n",
-		"simple string":        "+OK\r\n",
-		"bulk string":          "$2\r\nno\r\n",
-		"nested arrays":        "*3\r\n*3\r\n*3\r\n",
-		"negative length":      "*3\r\n$-7\r\n$-1\r\n$-1\r\n",
-		"huge array":           "*1000000000\r\n",
-		"longer than it says":  "*3\r\n$4\r\nabcdefgh\r\n$-1\r\n$-1\r\n",
-		"huge value":           "*3\r\n$3221225472\r\nxxxx",
-		"endless line":         strings.Repeat("x", 4096),
-		"shorter than it says": "*3\r\n$100\r\nends here",
+		"unknown type":    "?\r\n",
+		"integer":         ":5\r\n",
+		"simple string":   "+OK\r\n",
+		"bulk string":     "$2\r\nno\r\n",
+		"nested arrays":   "*3\r\n*3\r\n*3\r\n",
+		"negative length": "*3\r\n$-7\r\n$-1\r\n$-1\r\n",
+		"huge array":      "*1000000000\r\n",
+		"value too long":  "*3\r\n$4\r\nabcdefgh\r\n$-1\r\n$-1\r\n",
+		"huge value":      "*3\r\n$3221225472\r\nxxxx",
+		"endless line":    strings.Repeat("x", 4096),
+		"value too short": "*3\r\n$100\r\nends here",
 	} {
 		t.Run(name, func(t *testing.T) {
 			r, b, _ := startWithBackend(t, nil)
@@ -76,7 +77,7 @@
 	}
 }
 
-// A load report or usage that can't be parsed leaves the value valid.
+// If the load report or usage of a reply cannot be parsed, the client still gets the value.
 func TestMalformedReportKeepsValue(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
@@ -87,20 +88,19 @@
 	}
 }
 
-// A load report that is incomplete or holds impossible values is ignored.
 func TestLoadReportIgnoresIncompleteAndInvalidReports(t *testing.T) {
 	cfg := newConfig(t, newFakeDiscovery(t), withSettings(t,
 		`"names":[],"via":"silent"`, `"names":["busy_reqs","pending"],"via":"piggyback"`))
 	got := loadReport(&cfg, "pending=2,busy_reqs=7,other=1")
 	if len(got) != 2 || got[0] != 7 || got[1] != 2 {
-		t.Errorf("a good report: %v", got)
+		t.Errorf("valid report: got %v, want [7 2]", got)
 	}
 	for _, text := range []string{
 		"", "=,=", "busy_reqs=7", "busy_reqs=7,pending=", "busy_reqs=NaN,pending=1", "busy_reqs=-1,pending=1",
 		"busy_reqs=1,pending=+Inf", "busy_reqs=1,pending=1e99",
 	} {
 		if got := loadReport(&cfg, text); got != nil {
-			t.Errorf("%q: %v", text, got)
+			t.Errorf("%q: got %v, want nil", text, got)
 		}
 	}
 }
--- a/internal/gateway/client_commands_test.go
+++ b/internal/gateway/client_commands_test.go
@@ -6,17 +6,17 @@
 	"testing"
 )
 
-// Input that loses the framing gets an error, and the connection is closed. The first of these made another
-// parser panic.
+// Input that breaks the framing gets an error reply, and the connection is closed. A negative length made
+// another parser panic.
 func TestLostFramingClosesConnection(t *testing.T) {
 	r, _, _ := startWithBackend(t, nil)
 	for _, input := range []struct{ name, text string }{
 		{"negative length", "*1\r\n$-2\r\nxx"},
-		{"another protocol", "GET / HTTP/1.1\r\n"},
+		{"HTTP request", "GET / HTTP/1.1\r\n"},
 		{"huge length", "*1\r\n$99999999999999\r\n"},
 		{"negative count", "*-1\r\n"},
-		{"value of another type", "*1\r\n:1\r\n"},
-		{"no line end behind a value", "*1\r\n$1\r\nxyz"},
+		{"value of the wrong type", "*1\r\n:1\r\n"},
+		{"value without a line end", "*1\r\n$1\r\nxyz"},
 		{"endless line", strings.Repeat("*", 1<<16) + "\n"},
 	} {
 		t.Run(input.name, func(t *testing.T) {
@@ -28,7 +28,7 @@
 	}
 }
 
-// A connection without a complete command in time is closed; one with an open request is not.
+// A connection is closed if it does not complete a command in time. A connection with an open request is not.
 func TestIncompleteCommandTimesOut(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	good := r.client(t)
@@ -47,7 +47,7 @@
 	good.wantValue("ok")
 }
 
-// A value far over the limit gets an error before it is read.
+// A command that announces a value far over the limit gets an error before the value is read.
 func TestOversizedValueIsRejectedUnread(t *testing.T) {
 	r, _, _ := startWithBackend(t, nil)
 	c := r.client(t)
@@ -56,7 +56,8 @@
 	c.wantEnded()
 }
 
-// Malformed commands in a row close the connection; between well-formed ones they do not.
+// A connection is closed after maxConsecutiveErrors malformed commands, but not if well-formed commands
+// arrive between them.
 func TestConsecutiveErrorsCloseConnection(t *testing.T) {
 	r, _, _ := startWithBackend(t, nil)
 	c := r.client(t)
@@ -70,15 +71,15 @@
 	for range 300 {
 		flood.WriteString("*1\r\n$7\r\nNOTHING\r\n")
 	}
-	go func() { _, _ = io.WriteString(c.conn, flood.String()) }() // may be cut off before its end
+	go func() { _, _ = io.WriteString(c.conn, flood.String()) }() // fails once the connection is closed
 	for range maxConsecutiveErrors {
 		c.wantError()
 	}
 	c.wantEnded()
 }
 
-// A command that is dropped for lack of memory is rejected if it is a request, and answered if no decision is
-// due on it. Nothing of it stays counted.
+// A request that is dropped for lack of memory is rejected. A command that needs no decision of the policy is
+// answered. Neither leaves bytes counted.
 func TestCommandOverMemoryLimitIsAnswered(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
@@ -91,9 +92,9 @@
 	c.send("NONE")
 	c.wantLine(`-ERR unknown command "NONE"`)
 	if n := r.gateway.memory.inputBytes.Add(-full); n != 0 {
-		t.Errorf("%d bytes are counted", n)
+		t.Errorf("got %d bytes counted after all replies, want 0", n)
 	}
-	call := c.openLookup(b, 1) // the id is free again
+	call := c.openLookup(b, 1) // the ID is free again
 	call.replyValue(t, "ok")
 	c.wantValue("ok")
 }
--- a/internal/gateway/client_disconnect_rig_test.go
+++ b/internal/gateway/client_disconnect_rig_test.go
@@ -12,18 +12,18 @@
 	"sparspread/policy"
 )
 
-// departures are the ways in which a client disconnects. After each of them no reply reaches it with
-// certainty.
+// disconnectMethods lists the ways in which a client can disconnect. After each of them a reply may not
+// reach the client.
 var disconnectMethods = map[string]disconnectMethod{
-	"closes":           func(c *testClient) error { return c.conn.Close() },
-	"ends its sending": func(c *testClient) error { return c.conn.CloseWrite() },
-	"resets":           func(c *testClient) error { return errors.Join(c.conn.SetLinger(0), c.conn.Close()) },
+	"closes":         func(c *testClient) error { return c.conn.Close() },
+	"closes writing": func(c *testClient) error { return c.conn.CloseWrite() },
+	"resets":         func(c *testClient) error { return errors.Join(c.conn.SetLinger(0), c.conn.Close()) },
 }
 
-// departure is a way in which a client disconnects.
+// disconnectMethod disconnects a client in one way.
 type disconnectMethod func(*testClient) error
 
-// by has a client disconnect.
+// apply disconnects a client.
 func (disconnect disconnectMethod) apply(c *testClient) {
 	c.t.Helper()
 	if err := disconnect(c); err != nil {
@@ -31,15 +31,15 @@
 	}
 }
 
-// The classes of the requests that clients send before they disconnect, as fields of a command.
+// Requests that clients send before they disconnect.
 const (
-	notRetryable    = "c=once"
-	retryableByKey  = "c=order,k=5c0f6e1a2b3d4c59"
-	secondRequestID = 2 // the first one's is that of connectWithRequest
+	notRetryable    = "c=once"                     // field of a request that is not idempotent
+	retryableByKey  = "c=order,k=5c0f6e1a2b3d4c59" // fields of a request with an idempotency key
+	secondRequestID = 2                            // the first request is that of connectWithRequest
 )
 
-// waitingRequest is a loop that the test runs itself. It has one backend, and one client with a request that
-// waits for a dial to that backend.
+// waitingRequest is a gateway whose event loop the test runs itself. It has one backend, and one client
+// with a request that waits for a dial to that backend.
 type waitingRequest struct {
 	t       *testing.T
 	gateway *Gateway
@@ -47,11 +47,11 @@
 	client  *testClient
 	method  disconnectMethod
 	dialing <-chan string // receives the address of each dial
-	unblock chan struct{} // lets one dial go on with each value, and all once it is closed
+	unblock chan struct{} // each value lets one dial continue; closing it, all
 }
 
-// forEachDeparture runs a test for each way in which the client of a waiting request may disconnect. The
-// fields of the request say its class.
+// forEachDisconnectMethod runs a test for each way in which the client of a waiting request can disconnect.
+// The fields of the request name its class.
 func forEachDisconnectMethod(t *testing.T, fields string, test func(*waitingRequest)) {
 	t.Helper()
 	for name, method := range disconnectMethods {
@@ -59,7 +59,7 @@
 	}
 }
 
-// newWaitingRequest has the request sent, and handled up to its dial.
+// newWaitingRequest sends the request and handles events up to its dial.
 func newWaitingRequest(t *testing.T, fields string, method disconnectMethod) *waitingRequest {
 	t.Helper()
 	g, b, dialing, unblock := newGatewayWithBlockedDials(t)
@@ -70,27 +70,27 @@
 	}
 }
 
-// onlyBackend returns the one backend as the loop sees it.
+// onlyBackend returns the gateway's state of the backend.
 func (w *waitingRequest) onlyBackend() *backend { return w.gateway.backends.byNumber[1] }
 
-// onlyRequest returns the one request that the loop knows.
+// onlyRequest returns the only request in the request table.
 func (w *waitingRequest) onlyRequest() *request {
 	w.t.Helper()
 	requests := slices.Collect(maps.Values(w.gateway.requests.byID))
 	if len(requests) != 1 {
-		w.t.Fatalf("%d requests, want 1", len(requests))
+		w.t.Fatalf("got %d requests, want 1", len(requests))
 	}
 	return requests[0]
 }
 
-// completeDial lets the blocked dial go on, and no later one.
+// completeDial lets the blocked dial continue. Later dials stay blocked.
 func (w *waitingRequest) completeDial() {
 	w.t.Helper()
 	w.unblock <- struct{}{}
 	w.handleNextEvent("the dial's end")
 }
 
-// answerRequest has the backend answer the request that reached it, and its client read the answer.
+// answerRequest makes the backend answer the request and checks the reply to the client.
 func (w *waitingRequest) answerRequest() {
 	w.t.Helper()
 	w.backend.nextCall(w.t).replyValue(w.t, "ok")
@@ -98,20 +98,20 @@
 	w.client.wantValue("ok")
 }
 
-// handleNext handles the next event.
+// handleNextEvent handles the next event.
 func (w *waitingRequest) handleNextEvent(what string) {
 	w.t.Helper()
 	handleNextEvent(w.t, w.gateway, what)
 }
 
-// disconnect has the client disconnect. The loop has not handled that when it returns.
+// disconnect disconnects the client. The event loop has not handled that when disconnect returns.
 func (w *waitingRequest) disconnect() {
 	w.t.Helper()
 	w.method.apply(w.client)
 }
 
-// disconnectInQueue has the client disconnect behind the one event that is queued, which the loop has not
-// handled when it returns either.
+// queueDisconnect waits until an event is queued, and disconnects the client. When it returns, the event
+// loop has handled neither that event nor the disconnect, which is queued behind it.
 func (w *waitingRequest) queueDisconnect() {
 	w.t.Helper()
 	awaitQueued(w.gateway, 1)
@@ -119,7 +119,7 @@
 	awaitQueued(w.gateway, 2)
 }
 
-// handleDisconnect handles events up to the client's disconnect.
+// handleDisconnect handles events up to the disconnect of the client.
 func (w *waitingRequest) handleDisconnect() {
 	w.t.Helper()
 	handleUntil(w.t, w.gateway, "the client's disconnect", func() bool {
@@ -127,24 +127,24 @@
 	})
 }
 
-// wantNoOpenRequests checks that nothing of the requests is kept.
+// wantNoOpenRequests checks that no request is in the table, open or counted in the memory use.
 func (w *waitingRequest) wantNoOpenRequests() {
 	w.t.Helper()
 	g := w.gateway
 	if len(g.requests.byID) != 0 || g.requests.openCount != 0 || g.memory.retainedBytes != 0 {
-		w.t.Errorf("%d requests remain, %d open, %d bytes", len(g.requests.byID), g.requests.openCount,
-			g.memory.retainedBytes)
+		w.t.Errorf("got %d requests, %d open, %d bytes; want none",
+			len(g.requests.byID), g.requests.openCount, g.memory.retainedBytes)
 	}
 }
 
-// wantNothingSent checks that no attempt waits, and that nothing is written to a connection that comes up.
+// wantNothingSent checks that no attempt waits, and that nothing is written to the connection of the dial.
 func (w *waitingRequest) wantNothingSent() {
 	w.t.Helper()
 	wantNothingSent(w.t, w.gateway, w.backend, w.unblock)
 }
 
-// newLoopWithStalledBackend makes a loop that the test runs itself, with one backend that accepts no
-// connection and reads nothing. The buffers between them are the smallest there are.
+// newGatewayWithStalledBackend returns a gateway whose event loop the test runs itself, with one backend that
+// accepts no connection and reads nothing. The socket buffers between them have the minimum size.
 func newGatewayWithStalledBackend(t *testing.T) *Gateway {
 	t.Helper()
 	listening := net.ListenConfig{Control: withSmallestBuffer(syscall.SO_RCVBUF)}
@@ -161,8 +161,8 @@
 	return g
 }
 
-// withSmallestBuffer sets the size of a socket's buffer, named by its option, to the least that the system
-// allows.
+// withSmallestBuffer returns a control function that sets a buffer of a socket, SO_RCVBUF or SO_SNDBUF, to
+// the minimum size that the system allows.
 func withSmallestBuffer(option int) func(network, address string, conn syscall.RawConn) error {
 	return func(_, _ string, conn syscall.RawConn) error {
 		var optionErr error
--- a/internal/gateway/client_disconnect_test.go
+++ b/internal/gateway/client_disconnect_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// A client disconnects behind a full pipeline and further commands that were not read.
+// A disconnect is detected when the pipeline is full and further commands have not been read.
 func TestDisconnectIsDetectedWithFullPipeline(t *testing.T) {
 	forEachDisconnectMethod(t, notRetryable, func(w *waitingRequest) {
 		w.client.write(strings.Repeat("*1\r\n$4\r\nPING\r\n", 2*maxPipelined))
@@ -21,7 +21,7 @@
 	})
 }
 
-// A client disconnects while a retry waits for a connection.
+// A client disconnects while a retry of its request waits for a connection.
 func TestDisconnectEndsWaitingRetry(t *testing.T) {
 	forEachDisconnectMethod(t, retryableByKey, func(w *waitingRequest) {
 		w.completeDial()
@@ -35,8 +35,8 @@
 	})
 }
 
-// A client disconnects between a failed attempt and its retry, and the loop handles both events in this
-// order.
+// A client disconnects while the event of a failed attempt is queued. No retry is made when the event loop
+// handles that event, although it handles the disconnect only afterwards.
 func TestQueuedDisconnectPreventsRetry(t *testing.T) {
 	forEachDisconnectMethod(t, retryableByKey, func(w *waitingRequest) {
 		defer close(w.unblock)
@@ -46,32 +46,33 @@
 		request := w.onlyRequest()
 		w.handleNextEvent("the reset")
 		if n := w.onlyBackend().activeDials; n != 0 || request.attempts != 1 {
-			w.t.Errorf("%d attempts, %d dials for a client that has gone", request.attempts, n)
+			w.t.Errorf("got %d attempts and %d dials, want 1 and none", request.attempts, n)
 		}
 		w.handleNextEvent("the client's disconnect")
 		w.wantNoOpenRequests()
 	})
 }
 
-// A dial ends while the client's disconnect is queued behind that event.
+// The event loop handles the end of a dial while the client's disconnect is queued behind it.
 func TestQueuedDisconnectPreventsSending(t *testing.T) {
 	forEachDisconnectMethod(t, notRetryable, func(w *waitingRequest) {
 		close(w.unblock)
 		w.queueDisconnect()
 		w.handleNextEvent("the dial's end")
 		if len(w.onlyBackend().idleConns) != 1 {
-			w.t.Fatal("forwarded")
+			w.t.Fatal("the connection is not idle: the request was sent")
 		}
 		w.handleNextEvent("the client's disconnect")
 		w.gateway.backends.closeIdleConns(w.onlyBackend())
 		_ = wait(w.t, w.backend.closed, "the connection's end")
 		if len(w.backend.calls) > 0 {
-			w.t.Error("forwarded")
+			w.t.Error("the request was sent to the backend")
 		}
 	})
 }
 
-// A request is queued with its client's disconnect behind it while a connection is idle.
+// The event loop handles a request while the client's disconnect is queued behind it. The request must not
+// be sent on the idle connection.
 func TestDisconnectQueuedAfterRequestPreventsSending(t *testing.T) {
 	forEachDisconnectMethod(t, notRetryable, func(w *waitingRequest) {
 		close(w.unblock)
@@ -82,14 +83,14 @@
 		w.queueDisconnect()
 		w.handleNextEvent("the second request")
 		if n := len(w.onlyBackend().idleConns); n != 1 {
-			w.t.Fatalf("forwarded: %d idle connections", n)
+			w.t.Fatalf("got %d idle connections, want 1: the request was sent", n)
 		}
 		w.handleNextEvent("the client's disconnect")
 		w.wantNoOpenRequests()
 	})
 }
 
-// A client disconnects while its request waits for a quiescing connection and for a dial.
+// A client disconnects while its request waits for a quiescing connection and a dial.
 func TestDisconnectEndsAttemptWaitingForQuiescence(t *testing.T) {
 	forEachDisconnectMethod(t, notRetryable, func(w *waitingRequest) {
 		w.completeDial()
@@ -101,18 +102,18 @@
 		w.handleDisconnect()
 		advanceClock(w.t, w.gateway, quiescencePeriod)
 		if idle := len(w.onlyBackend().idleConns); idle != 1 {
-			w.t.Errorf("%d idle connections, want the quiesced one", idle)
+			w.t.Errorf("got %d idle connections, want the quiesced one", idle)
 		}
 		w.wantNothingSent()
 	})
 }
 
-// A client disconnects amid a large body, or behind it, that waits for its connection: the request before
-// it is not sent either.
+// A client disconnects while it sends a large body, or after it, and the body waits for a connection.
+// Neither that request nor the one before it is sent.
 func TestDisconnectIsDetectedWithWaitingBody(t *testing.T) {
 	_, body := largeReplyHead()
 	for name, text := range map[string]string{
-		"amid the body": body[:bodyPrefix], "behind the body": body + "\r\n",
+		"during the body": body[:bodyPrefix], "after the body": body + "\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			forEachDisconnectMethod(t, notRetryable, func(w *waitingRequest) {
@@ -128,8 +129,8 @@
 	}
 }
 
-// A client disconnects behind a large body that its backend does not read: that is noticed before the body
-// is given up.
+// A client disconnects after a large body that its backend does not read. The disconnect is detected before
+// the transfer of the body fails.
 func TestDisconnectIsDetectedWithStalledBody(t *testing.T) {
 	for name, method := range disconnectMethods {
 		t.Run(name, func(t *testing.T) {
@@ -144,14 +145,14 @@
 			method.apply(c)
 			for len(g.clients.conns) > 0 {
 				if _, broken := handleNextEvent(t, g, "the client's disconnect").(bodyFailed); broken {
-					t.Fatal("the body was given up first")
+					t.Fatal("the transfer of the body failed before the disconnect was detected")
 				}
 			}
 		})
 	}
 }
 
-// A client disconnects behind a command after which nothing is read.
+// A client disconnects after it has sent input that breaks the framing, behind which no command is read.
 func TestDisconnectIsDetectedAfterLostFraming(t *testing.T) {
 	forEachDisconnectMethod(t, notRetryable, func(w *waitingRequest) {
 		w.client.write("invalid\r\n")
--- a/internal/gateway/client_eviction_test.go
+++ b/internal/gateway/client_eviction_test.go
@@ -8,7 +8,7 @@
 	"sparspread/policy"
 )
 
-// addClient adds a connection to a loop that the test runs itself.
+// addClient adds a connection to a gateway whose event loop the test runs itself.
 func addClient(t *testing.T, g *Gateway, commands int, lastCommandAt policy.Time) *client {
 	t.Helper()
 	conn := dialClient(t, g.listening.listener.Addr().String()).conn
@@ -21,7 +21,7 @@
 	return c
 }
 
-// Connections without a command are evicted first, then those with one.
+// Connections that have sent no command are evicted first, then those with a single one.
 func TestEvictPrefersConnectionsWithoutCommand(t *testing.T) {
 	d := newFakeDiscovery(t)
 	g := newTestGateway(t, d)
@@ -50,13 +50,13 @@
 		}
 	}
 	if busy.closed || newcomer.closed || len(g.clients.slots) != 2 {
-		t.Error("one with an open request, or a new one, was evicted")
+		t.Error("a connection with an open request, or a new one, was evicted")
 	}
 }
 
-// Clients that keep their connection after a request keep no other client out.
+// Idle connections of other clients do not prevent new clients from being served.
 func TestIdleConnectionsAreEvictedForNewClients(t *testing.T) {
-	r, b := startWithFourBackends(t, 40) // 6 clients, and 4 that may be rejected
+	r, b := startWithFourBackends(t, 40) // 6 clients are served, 4 further ones may be rejected
 	for id := range 30 {
 		c := r.client(t)
 		c.sendLookup(id)
@@ -64,11 +64,11 @@
 	}
 }
 
-// Too many connections without a complete command are evicted first: those without input, the oldest before
-// others. A connection amid its first command is evicted after idle ones.
+// If too many connections have sent no complete command, they are evicted first: those without input, the
+// oldest one first. Otherwise, a connection with an incomplete first command is evicted after idle ones.
 func TestEvictLimitsConnectionsWithoutCommand(t *testing.T) {
 	g := newTestGateway(t, newFakeDiscovery(t))
-	g.clients.limit = 8 // six of them for those without a complete command
+	g.clients.limit = 8 // at most six of them without a complete command
 	now := g.events.Now()
 	add := func(commands int, age, sinceInput policy.Time) *client {
 		t.Helper()
@@ -80,15 +80,15 @@
 	}
 	const noInput = -1
 	partial, once := add(0, 1.9e6, 0.1e6), add(1, 0.3e6, 0.3e6)
-	regular := add(5, 30e6, 0.1e6) // amid its next command
+	regular := add(5, 30e6, 0.1e6) // has sent part of its next command
 	step := func(what string, want *client) {
 		t.Helper()
 		evicted := g.clients.evict(g, nil)
 		if evicted != (want != nil) || want != nil && !want.closed {
-			t.Errorf("%s: evicted %t, or not the one expected", what, evicted)
+			t.Errorf("%s: got evicted %t, or another connection", what, evicted)
 		}
 	}
-	step("idle after its reply", once)
+	step("idle after a reply", once)
 	idle := add(0, 0.4e6, noInput)
 	step("without input", idle)
 	old := add(0, 0.2e6, noInput)
@@ -98,22 +98,22 @@
 	older := add(0, 0.25e6, noInput)
 	step("the oldest of too many without input", older)
 	add(0, 0.05e6, noInput)
-	step("and the next", old)
-	step("amid its first command, within the part", partial)
-	step("new ones, or amid a command", nil)
+	step("the next oldest without input", old)
+	step("first command incomplete, within the limit", partial)
+	step("new or within a command", nil)
 	if regular.closed {
-		t.Error("evicted amid a command")
+		t.Error("a connection with an incomplete later command was evicted")
 	}
 }
 
-// New connections without input fill the limit: none is closed, and clients with a request are served
-// beside them. Beyond the limit of those one is rejected.
+// New connections without input fill the limit. None of them is closed, and clients with a request are
+// served in addition, up to the limit. A further client with a request is rejected.
 func TestNewConnectionsDoNotBlockClientsWithRequest(t *testing.T) {
 	g := newTestGateway(t, newFakeDiscovery(t))
 	g.clients.limit = 4
 	add := func(commands int, pipeline ...*request) *client {
 		t.Helper()
-		c := addClient(t, g, commands, g.events.Now()+60*second) // it is still new when it is looked at
+		c := addClient(t, g, commands, g.events.Now()+60*second) // still new when it is checked
 		c.pipeline = pipeline
 		return c
 	}
@@ -123,15 +123,16 @@
 	for i := range 5 {
 		c := add(1, &request{})
 		if reply := g.capacityRejection(c, false); (reply != nil) != (i == 4) || c.overLimit != (i == 4) {
-			t.Errorf("client %d: reply %q, over the limit %t", i, reply, c.overLimit)
+			t.Errorf("client %d: got reply %q, over the limit %t", i, reply, c.overLimit)
 		}
 	}
 	if len(g.clients.conns) != 10 {
-		t.Errorf("%d connections, want 10", len(g.clients.conns))
+		t.Errorf("got %d connections, want 10", len(g.clients.conns))
 	}
 }
 
-// A client's disconnect is noticed while its request is open, which then no longer counts.
+// A disconnect is detected while the request of the client is open. The request then no longer counts as
+// open.
 func TestDisconnectFreesCapacityOfOpenRequest(t *testing.T) {
 	r, b, _ := startWithBackend(t, withSettings(t, `"max-open":20000`, `"max-open":1`))
 	c := r.client(t)
@@ -151,13 +152,13 @@
 			next.wantLine("ok")
 			break
 		} else if !strings.HasPrefix(line, "-BUSY") {
-			t.Fatalf("reply %q", line)
+			t.Fatalf("got reply %q, want -BUSY", line)
 		}
 	}
 	wait(t, served, "the second request")
 }
 
-// Clients beyond the limit replace idle connections; where none is idle they are rejected at once.
+// Clients over the limit replace idle connections. If no connection is idle, they are rejected at once.
 func TestClientsOverLimitAreRejected(t *testing.T) {
 	r, b := startWithFourBackends(t, 40) // 6 clients
 	idle := r.client(t)
@@ -172,7 +173,7 @@
 	surplus := r.client(t)
 	surplus.sendLookup(9)
 	if got := surplus.readLine(); !strings.HasPrefix(got, "-BUSY ") {
-		t.Errorf("reply %q", got)
+		t.Errorf("got reply %q, want -BUSY with an advice", got)
 	}
 	surplus.wantClosed()
 }
--- a/internal/gateway/client_read_ahead_test.go
+++ b/internal/gateway/client_read_ahead_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Input that was read ahead keeps its order, and its memory is released.
+// Input that was read ahead is processed in its order, and is no longer counted afterwards.
 func TestReadAheadKeepsOrder(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
@@ -18,7 +18,7 @@
 		fmt.Fprintf(&text, "*1\r\n$5\r\nX%04d\r\n*1\r\n$4\r\nPING\r\n", i)
 	}
 	c.write(text.String())
-	for r.gateway.memory.inputBytes.Load() < maxReadAhead/2 { // until much is read ahead
+	for r.gateway.memory.inputBytes.Load() < maxReadAhead/2 { // wait for the reading ahead
 		runtime.Gosched()
 	}
 	call.replyValue(t, "ok")
@@ -28,11 +28,11 @@
 		c.wantLine("+PONG")
 	}
 	if n := r.gateway.memory.inputBytes.Load(); n != 0 {
-		t.Errorf("%d bytes are counted when all is answered", n)
+		t.Errorf("got %d bytes counted after all replies, want 0", n)
 	}
 }
 
-// The memory of read-ahead input is bounded for each connection and for all.
+// The size of the input that is read ahead is limited for each connection and for all connections.
 func TestReadAheadIsBounded(t *testing.T) {
 	g := newTestGateway(t, newFakeDiscovery(t))
 	g.listening.resume()
@@ -45,24 +45,25 @@
 	g.memory.inputBytes.Store(limit)
 	c := &client{conn: near}
 	if c.readAhead(g, nil); len(c.readAheadInput) != 0 {
-		t.Errorf("%d bytes read where there is no memory", len(c.readAheadInput))
+		t.Errorf("without free memory: got %d bytes read, want 0", len(c.readAheadInput))
 	}
 	g.memory.inputBytes.Store(0)
 	c.readAhead(g, nil)
 	length, capacity, counted := len(c.readAheadInput), cap(c.readAheadInput), g.memory.inputBytes.Load()
 	if length != maxReadAhead || capacity > maxReadAhead+maxReadAhead/4 || counted != maxReadAhead {
-		t.Errorf("%d bytes in %d read, %d counted, want %d", length, capacity, counted, maxReadAhead)
+		t.Errorf("got %d bytes, buffer of %d, %d counted; want %d", length, capacity, counted, maxReadAhead)
 	}
 }
 
-// A connection is handed over with the input that was read ahead behind a full pipeline.
+// A connection is handed over with the input that was read ahead while the pipeline was full.
 func TestReadAheadIsHandedOver(t *testing.T) {
 	cfg, b := replaceableConfigWithBackend(t)
 	first := startGateway(t, cfg)
 	c := first.client(t)
 	c.sendOnce(1, "team")
 	open := b.nextCall(t)
-	// 16 bytes each: a reader's buffer may be empty between two of them with more read ahead.
+	// 16 bytes each, so that the buffer of the reader may be empty between two commands while further input
+	// is read ahead.
 	const ping = "*1\r\n$004\r\nPING\r\n"
 	c.write(strings.Repeat(ping, 2*maxPipelined))
 	c.sendOnce(2, "team")
--- a/internal/gateway/command_test.go
+++ b/internal/gateway/command_test.go
@@ -9,7 +9,7 @@
 	"sparspread/internal/config"
 )
 
-// BenchmarkParseConfig measures the reading of a configuration with a long list of known endpoints.
+// BenchmarkParseConfig measures the parsing of a configuration with a long list of known endpoints.
 func BenchmarkParseConfig(b *testing.B) {
 	var known []string
 	for i := range 20000 {
@@ -49,7 +49,7 @@
 	}
 }
 
-// A malformed command gets one error, reaches no backend and leaves the framing intact.
+// A malformed command gets one error reply, is not sent to a backend and leaves the framing intact.
 func TestMalformedCommandReturnsError(t *testing.T) {
 	r, b, _ := startWithBackend(t, withSettings(t, `"counter":false`, `"counter":false,"max-units":4`,
 		`"name":"lookup"`, `"name":"lookup","hard-limit-us":60000000`))
@@ -58,35 +58,35 @@
 	for name, args := range map[string][]string{
 		"unknown command":  {"GET", "x"},
 		"no fields":        {"API.READ", customer, id},
-		"too many":         {"API.READ", customer, id, good, "body", "more"},
-		"customer":         {"API.READ", "7", id, good},
-		"customer's range": {"API.READ", "0000000200000000", id, good},
-		"id":               {"API.READ", customer, "1", good},
-		"class":            {"API.READ", customer, id, strings.Replace(good, "lookup", "nothing", 1)},
-		"plan":             {"API.READ", customer, id, strings.Replace(good, "team", "nothing", 1)},
+		"too many values":  {"API.READ", customer, id, good, "body", "more"},
+		"short customer":   {"API.READ", "7", id, good},
+		"customer range":   {"API.READ", "0000000200000000", id, good},
+		"short ID":         {"API.READ", customer, "1", good},
+		"unknown class":    {"API.READ", customer, id, strings.Replace(good, "lookup", "nothing", 1)},
+		"unknown plan":     {"API.READ", customer, id, strings.Replace(good, "team", "nothing", 1)},
 		"missing field":    {"API.READ", customer, id, strings.Replace(good, ",d=60000", "", 1)},
 		"unknown field":    {"API.READ", customer, id, good + ",x=1"},
-		"field twice":      {"API.READ", customer, id, good + ",d=1"},
-		"no number":        {"API.READ", customer, id, strings.Replace(good, "60000", "soon", 1)},
+		"duplicate field":  {"API.READ", customer, id, good + ",d=1"},
+		"invalid timeout":  {"API.READ", customer, id, strings.Replace(good, "60000", "soon", 1)},
 		"units not finite": {"API.READ", customer, id, strings.Replace(good, "units=1", "units=NaN", 1)},
 		"too many units":   {"API.READ", customer, id, strings.Replace(good, "units=1", "units=5", 1)},
-		"set too large":    {"API.READ", customer, id, strings.Replace(good, "spread=1", "spread=2", 1)},
-		"no such gateway":  {"API.READ", customer, id, strings.Replace(good, "first=0", "first=1", 1)},
-		"waits for a day":  {"API.READ", customer, id, strings.Replace(good, "60000", "86400000", 1)},
+		"spread too large": {"API.READ", customer, id, strings.Replace(good, "spread=1", "spread=2", 1)},
+		"first gateway":    {"API.READ", customer, id, strings.Replace(good, "first=0", "first=1", 1)},
+		"timeout too long": {"API.READ", customer, id, strings.Replace(good, "60000", "86400000", 1)},
 		"wrong command":    {"API.WRITE", customer, id, good, "body"},
-		"key missing":      {"API.WRITE", customer, id, strings.Replace(good, "lookup", "order", 1), "body"},
-		"large field":      {"API.READ", customer, id, strings.Repeat("x", 64<<10+1), "body"},
-		"many values":      append([]string{"API.READ", customer, id, good}, make([]string, 40)...),
+		"missing key":      {"API.WRITE", customer, id, strings.Replace(good, "lookup", "order", 1), "body"},
+		"fields too large": {"API.READ", customer, id, strings.Repeat("x", 64<<10+1), "body"},
+		"over 16 values":   append([]string{"API.READ", customer, id, good}, make([]string, 40)...),
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := r.client(t)
 			c.send(args...)
 			c.wantError()
-			c.send("PING") // the framing holds
+			c.send("PING") // the framing is intact
 			c.wantLine("+PONG")
 		})
 	}
 	if len(b.calls) > 0 {
-		t.Error("a backend was reached")
+		t.Error("a malformed command was sent to a backend")
 	}
 }
--- a/internal/gateway/descriptors_test.go
+++ b/internal/gateway/descriptors_test.go
@@ -11,8 +11,8 @@
 	"sparspread/internal/eventloop"
 )
 
-// The lower one of the configured number and the process's limit is shared out, and one line of the log
-// says so.
+// The descriptor budget is computed from the lower one of the configured number and the limit of the
+// process. If the limit of the process is lower, one log message says so.
 func TestDescriptorBudgetUsesLowerLimit(t *testing.T) {
 	for _, test := range []struct{ configured, process, want, logged int }{
 		{configured: 1024, process: 0, want: 1024},
@@ -36,10 +36,10 @@
 				PerSide: g.clients.limit, ClientSlots: cap(g.clients.slots), Operators: want.Operators,
 			}
 			if got != want || g.backends.limit != want.PerSide {
-				t.Errorf("got %+v and %d to backends, want %+v", got, g.backends.limit, want)
+				t.Errorf("got %+v and %d connections to backends, want %+v", got, g.backends.limit, want)
 			}
 			if got := strings.Count(log.String(), "fewer descriptors than configured"); got != test.logged {
-				t.Errorf("got %d lines of the lower limit, want %d", got, test.logged)
+				t.Errorf("got %d log messages about the lower limit, want %d", got, test.logged)
 			}
 		})
 	}
--- a/internal/gateway/dial_fault_test.go
+++ b/internal/gateway/dial_fault_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// dialErrors are the errors with which Linux lets socket and connect fail, and what each says.
+// dialErrors lists the errors of socket and connect on Linux, and the cause that each indicates.
 var dialErrors = []struct {
 	err  error
 	want dialFault
@@ -37,19 +37,19 @@
 	for _, c := range dialErrors {
 		err := fmt.Errorf("wrapped: %w", &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", c.err)})
 		if got := classifyDial(err); got != c.want {
-			t.Errorf("%v: %v, want %v", c.err, got, c.want)
+			t.Errorf("%v: got %v, want %v", c.err, got, c.want)
 		}
 	}
 }
 
-// failDials has all dials to backends fail with an error until the returned function is called.
+// failDials makes all dials to backends fail with err until restore is called.
 func failDials(g *Gateway, err error) (restore func()) {
 	g.backends.dialer.Control = func(string, string, syscall.RawConn) error { return err }
 	return func() { g.backends.dialer.Control = nil }
 }
 
-// A shortage of this machine's own ends no attempt at once, ejects no backend and begins no slow start: the
-// request is served when the shortage ends.
+// After a dial that fails because of a shortage on this machine, the attempt waits for a further dial. No
+// backend is ejected or enters slow start, and the request is served when the shortage ends.
 func TestOwnShortageDoesNotEjectBackend(t *testing.T) {
 	for _, c := range dialErrors {
 		if c.want != dialOwnShortage {
@@ -61,7 +61,7 @@
 			client := connectWithRequest(t, g, "c=once")
 			handleNextEvent(t, g, "the failed dial")
 			if n := g.controller.UnavailableBackends(); n != 0 || len(g.requests.byID) != 1 {
-				t.Fatalf("%d backends ejected, %d requests open: want none ejected, 1 open",
+				t.Fatalf("got %d ejected backends and %d open requests, want none and 1",
 					n, len(g.requests.byID))
 			}
 			restore()
@@ -75,12 +75,13 @@
 	}
 }
 
-// A shortage that lasts ends the attempt after some pauses: the client hears of it before its deadline.
+// A persistent shortage ends the attempt after some pauses, so that the request is rejected before its
+// deadline.
 func TestPersistentShortageRejectsRequest(t *testing.T) {
 	g, b := newGatewayWithBackend(t)
 	_ = failDials(g, syscall.EMFILE)
 	client := connectWithRequest(t, g, "c=once")
-	for range 200 { // attempts, and pauses of each, at most
+	for range 200 { // an upper limit on the attempts and their pauses
 		if len(g.requests.byID) == 0 {
 			break
 		}
@@ -94,9 +95,9 @@
 	}
 	client.wantLine("-BUSY 2000")
 	if n := g.controller.UnavailableBackends(); n != 0 || len(b.calls) > 0 {
-		t.Errorf("%d backends ejected, %d calls", n, len(b.calls))
+		t.Errorf("got %d ejected backends and %d requests sent, want none", n, len(b.calls))
 	}
 	if got := g.backends.counts.dialsFailed[dialOwnShortage]; got <= maxShortagePauses {
-		t.Errorf("%d dials failed for a shortage, want more than %d", got, maxShortagePauses)
+		t.Errorf("got %d dials that failed because of a shortage, want more than %d", got, maxShortagePauses)
 	}
 }
--- a/internal/gateway/event_loop_rig_test.go
+++ b/internal/gateway/event_loop_rig_test.go
@@ -143,14 +143,14 @@
 func wantNothingSent(t *testing.T, g *Gateway, b *fakeBackend, unblock chan struct{}) {
 	t.Helper()
 	if n := len(g.backends.byNumber[1].waiting); n != 0 {
-		t.Errorf("%d attempts wait for a connection", n)
+		t.Errorf("got %d attempts that wait for a connection, want none", n)
 	}
 	close(unblock)
 	handleUntil(t, g, "the dial's end", func() bool { return g.backends.byNumber[1].activeDials == 0 })
 	g.backends.closeIdleConns(g.backends.byNumber[1])
 	_ = wait(t, b.closed, "the connection's end")
 	if len(b.calls) > 0 {
-		t.Error("forwarded")
+		t.Error("the request was sent to the backend")
 	}
 }
 
--- a/internal/gateway/idle_timeout_test.go
+++ b/internal/gateway/idle_timeout_test.go
@@ -6,18 +6,18 @@
 	"sparspread/policy"
 )
 
-// The estimate is lowered by reused connections that prove broken, and recovers with time.
+// Broken reused connections lower the estimate, which recovers with time.
 func TestIdleTimeoutEstimateFallsAndRecovers(t *testing.T) {
 	estimate := idleTimeoutEstimate{upperLimit: 15_000_000}
 	now := policy.Time(1e9)
 	want := func(trusted policy.Time) {
 		t.Helper()
 		if got := estimate.current(now); got != trusted {
-			t.Errorf("trusted for %d, want %d", got, trusted)
+			t.Errorf("got estimate %d, want %d", got, trusted)
 		}
 	}
 	estimate.recordBroken(now, 400_000)
-	want(15_000_000) // one is chance
+	want(15_000_000) // a single one has no effect
 	now += 100_000
 	estimate.recordBroken(now, 400_000)
 	want(200_000)
@@ -30,8 +30,8 @@
 	want(15_000_000)
 }
 
-// Connections that break after any idle time say nothing of the idle timeout: the estimate stays, or each
-// request would pay for a handshake.
+// If connections break that were idle for a shorter time than a healthy one, the idle time is not the
+// cause. The estimate must not fall then, because each request would need a new connection.
 func TestIdleTimeoutEstimateIgnoresBreaksBelowHealthyIdleTime(t *testing.T) {
 	estimate := idleTimeoutEstimate{upperLimit: 15_000_000}
 	now := policy.Time(1e9)
@@ -42,17 +42,17 @@
 		estimate.recordBroken(now, 400_000)
 	}
 	if got := estimate.current(now); got != 15_000_000 {
-		t.Errorf("trusted for %d after resets of connections idle for less than a healthy one", got)
+		t.Errorf("after breaks below the healthy idle time: got estimate %d, want 15000000", got)
 	}
 	for range 2 {
 		now += 100_000
 		estimate.recordBroken(now, 600_000)
 	}
 	if got := estimate.current(now); got != 300_000 {
-		t.Errorf("trusted for %d after two resets of longer idle ones, want half of their idling", got)
+		t.Errorf("after two breaks above the healthy idle time: got estimate %d, want half of it", got)
 	}
 	now += 2*idleTimeoutRecovery + 1
 	if !estimate.mayHaveExpired(now, 400_000) {
-		t.Error("a healthy connection of long ago still counts")
+		t.Error("a healthy reuse outside of idleTimeoutRecovery still counts")
 	}
 }
--- a/internal/gateway/ops_test.go
+++ b/internal/gateway/ops_test.go
@@ -10,10 +10,10 @@
 	"sparspread/internal/eventloop"
 )
 
-// withOps gives a configuration an address for operators.
+// withOps adds the address of the ops server to a configuration.
 func withOps(f map[string]any) { f["ops"] = "127.0.0.1:0" }
 
-// operate makes a GET request as an operator, and returns the status and the body.
+// getOpsPage requests a page from the ops server and returns the status and the body.
 func getOpsPage(tb testing.TB, r *rig, path string) (int, string) {
 	tb.Helper()
 	url := "http://" + r.gateway.ops.Addr().String() + path
@@ -33,19 +33,19 @@
 	return res.StatusCode, string(body)
 }
 
-// wantMetrics checks that each line is on the page of metrics.
+// wantMetrics checks that the metrics page contains each line.
 func wantMetrics(tb testing.TB, r *rig, want ...string) {
 	tb.Helper()
-	r.sync(tb) // what a fake has seen already may be counted only after that
+	r.sync(tb) // events that a fake has already seen may not be counted before
 	_, body := getOpsPage(tb, r, "/ops/stats")
 	for _, line := range want {
 		if !strings.Contains("\n"+body, "\nedge_relay."+line+"\n") {
-			tb.Errorf("no %s in\n%s", line, body)
+			tb.Errorf("metric %s not found in\n%s", line, body)
 		}
 	}
 }
 
-// awaitMetric waits until a line is on the page of metrics.
+// awaitMetric waits until the metrics page contains a line.
 func awaitMetric(tb testing.TB, r *rig, line string) {
 	tb.Helper()
 	for until := time.Now().Add(testTimeout); time.Now().Before(until); {
@@ -53,10 +53,11 @@
 			return
 		}
 	}
-	tb.Fatal("never reached: ", line)
+	tb.Fatal("metric not reached: ", line)
 }
 
-// Each request is counted under one outcome of its class, and every class is on the page from the start.
+// Each request is counted under one outcome of its class. The metrics of all classes are listed from the
+// start.
 func TestMetricsCountEachRequestOnce(t *testing.T) {
 	r, b, _ := startWithBackend(t, withOps)
 	wantMetrics(t, r, "fulfilled.lookup=0", "throttled.order=0", "faulted.once=0", "relayed.lookup=0",
@@ -77,7 +78,8 @@
 		"faulted.once=1", "relayed.once=1", "open_requests=0")
 }
 
-// Not ready before clients are accepted nor after a shutdown began, and told while the loop does not run.
+// The gateway is ready while it accepts clients and has not started to shut down. The ops server reports this
+// even if the event loop does not run.
 func TestReadinessWithoutEventLoop(t *testing.T) {
 	g, err := newGateway(newConfig(t, newFakeDiscovery(t), withOps), discardLog(), eventloop.SystemClock())
 	if err != nil {
@@ -86,7 +88,7 @@
 	defer func() { _ = g.listening.listener.Close() }()
 	defer g.ops.Close()
 	go g.ops.Serve()
-	r := &rig{gateway: g} // its loop never runs
+	r := &rig{gateway: g} // its event loop never runs
 	if got, _ := getOpsPage(t, r, "/ops/readiness"); got != 503 {
 		t.Errorf("before clients are accepted: got %d, want 503", got)
 	}
--- a/internal/gateway/request_body_test.go
+++ b/internal/gateway/request_body_test.go
@@ -9,29 +9,29 @@
 	"time"
 )
 
-// bodyHead is a command up to its large body.
+// bodyHead returns a command up to its large body.
 func bodyHead(id int, plan string, size int) string {
 	fields := "c=once,t=" + plan + ",d=86400000,units=1,spread=1,first=0"
 	return fmt.Sprintf("*5\r\n$9\r\nAPI.WRITE\r\n$16\r\n%016x\r\n$16\r\n%016x\r\n$%d\r\n%s\r\n$%d\r\n",
 		plan[1], id, len(fields), fields, size)
 }
 
-// bodyPrefix is how much of a large body beginBody writes, in bytes.
+// bodyPrefix is the number of bytes of a large body that startBody writes.
 const bodyPrefix = 5000
 
-// beginBody has a client write a request up to the first bytes of its large body, waits until the backend
-// reads that body, and returns the rest of the command.
+// startBody writes a request up to the first bytes of its large body, waits until the backend reads the
+// body, and returns the rest of the command.
 func (c *testClient) startBody(b *fakeBackend, id int) (rest string) {
 	c.t.Helper()
 	_, body := largeReplyHead()
 	c.write(bodyHead(id, "team", len(body)) + body[:bodyPrefix])
-	if got := wait(c.t, b.bodySizes, "the body to begin"); got != len(body) {
-		c.t.Fatalf("a body of %d bytes, want %d", got, len(body))
+	if got := wait(c.t, b.bodySizes, "the start of the body"); got != len(body) {
+		c.t.Fatalf("got a body of %d bytes, want %d", got, len(body))
 	}
 	return body[bodyPrefix:] + "\r\n"
 }
 
-// A large body goes to its backend while the client is still writing it.
+// A large body is forwarded to its backend while the client is still writing it.
 func TestLargeBodyIsForwardedWhileRead(t *testing.T) {
 	r, b, _ := startWithBackend(t, withOps)
 	c := r.client(t)
@@ -42,7 +42,7 @@
 		c.write(rest)
 		call := b.nextCall(t)
 		if len(call.args) != 5 || string(call.args[4]) != body {
-			t.Fatal("the body is another")
+			t.Fatal("the body differs")
 		}
 		call.replyValue(t, "ok")
 		c.wantValue("ok")
@@ -50,7 +50,7 @@
 	wantMetrics(t, r, "relayed.once=2", "fulfilled.once=2", "open_requests=0")
 }
 
-// The large body of a rejected request is skipped, and the connection is read on.
+// The large body of a rejected request is skipped, and further commands on the connection are read.
 func TestLargeBodyOfRejectedRequestIsSkipped(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
@@ -64,19 +64,19 @@
 	c.sendOnce(4, "team")
 	c.wantServed(b, "ok")
 	if len(b.bodySizes) > 0 {
-		t.Error("the body went to a backend")
+		t.Error("the body was sent to a backend")
 	}
 }
 
-// A large body that its client does not complete reaches no backend completely, and other clients are
-// served.
+// If a client does not complete a large body, the backend does not receive a complete command, and other
+// clients are served.
 func TestIncompleteLargeBodyEndsOnlyItsRequest(t *testing.T) {
 	r, b, _ := startWithBackend(t, withOps)
 	c := r.client(t)
 	c.startBody(b, 1)
 	_ = c.conn.Close()
 	if err := wait(t, b.closed, "the backend's connection to end"); err == nil {
-		t.Error("it ended without an error")
+		t.Error("got end of the connection without an error, want an incomplete command")
 	}
 	awaitMetric(t, r, "open_requests=0")
 	wantMetrics(t, r, "relayed.once=0")
@@ -85,8 +85,8 @@
 	next.wantServed(b, "ok")
 }
 
-// A backend that closes amid a large body has run nothing: the request is rejected, and the client's
-// connection stays in use.
+// A backend that closes its connection during a large body cannot have run the request. The request is
+// rejected, and the connection to the client stays open.
 func TestBackendCloseDuringBodyRejectsRequest(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
@@ -98,8 +98,8 @@
 	c.wantServed(b, "ok")
 }
 
-// A backend replies, fails or closes before the loop handles that the body was written: the request may
-// have run, and its reply does not deny it.
+// A backend may reply, fail or close its connection before the event loop handles bodyWritten. The request
+// may have run then, so its reply must not say that it has not.
 func TestReplyBeforeBodyWrittenEventIsForwarded(t *testing.T) {
 	for name, c := range map[string]struct {
 		end  func(testing.TB, *backendCall)
@@ -131,7 +131,7 @@
 			c.end(t, b.nextCall(t))
 			var written, reply event
 			for written == nil || reply == nil {
-				switch e := wait(t, g.events.Queue(), "the body's end and the answer").(type) {
+				switch e := wait(t, g.events.Queue(), "the end of the body and the reply").(type) {
 				case bodyWritten:
 					written = e
 				case replyReceived:
@@ -145,7 +145,7 @@
 	}
 }
 
-// A large body without the line end behind it is an incomplete command, and the connection is closed.
+// A large body without the line end behind it is an incomplete command: the connection is closed.
 func TestBodyWithoutLineEndClosesConnection(t *testing.T) {
 	r, _, _ := startWithBackend(t, nil)
 	c := r.client(t)
@@ -153,6 +153,6 @@
 	c.write(bodyHead(1, "team", len(body)) + body)
 	_ = c.conn.SetReadDeadline(time.Now().Add(testTimeout))
 	if b, err := io.ReadAll(c.in); errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("after %q it is still open", b)
+		t.Errorf("after reply %q: the connection is still open, want it closed", b)
 	}
 }
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -13,11 +13,11 @@
 	"sparspread/policy"
 )
 
-// onceFields are the fields of a request that is not idempotent.
+// onceFields has the fields of a request that is not idempotent.
 const onceFields = "c=once,t=team,d=60000,units=1,spread=1,first=0"
 
-// A backend gets the client's command with the timeout that is left, and the client gets the backend's
-// value.
+// A backend receives the command of the client with the remaining timeout, and the client receives the
+// value of the backend.
 func TestForwardedRequestChangesOnlyTimeout(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
@@ -26,27 +26,27 @@
 	call := b.nextCall(t)
 	if got := string(call.args[3]); !strings.HasPrefix(got, "c=order,t=team,d=59") ||
 		!strings.HasSuffix(got, ",k=5c0f6e1a2b3d4c59,units=2,spread=1,first=0") {
-		t.Errorf("fields %q", got)
+		t.Errorf("got fields %q, want only the timeout changed", got)
 	}
 	if string(call.args[0]) != "API.WRITE" || string(call.args[1]) != "0000000000000007" ||
 		string(call.args[2]) != "9b1f03aa5c7e2d41" || string(call.args[4]) != "BODY" {
-		t.Errorf("command %q", call.args)
+		t.Errorf("got command %q, want it unchanged", call.args)
 	}
 	call.replyValue(t, "value")
 	c.wantValue("value")
 }
 
-// Replies are written in the order of the commands even if backends reply in another, and further commands
-// are read while requests are open.
+// Replies are written in the order of the commands, even if backends reply in another order. Further
+// commands are read while requests are open.
 func TestPipelinedRepliesKeepOrder(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
 	first := c.openLookup(b, 1)
-	second := c.openLookup(b, 2) // read although the first has no answer
+	second := c.openLookup(b, 2) // read although the first request is open
 	c.send("PING")
 	second.replyValue(t, "second")
 	c.sendLookup(3)
-	b.nextCall(t).replyValue(t, "third") // by now the second is answered at the gateway
+	b.nextCall(t).replyValue(t, "third") // the gateway has received the second reply
 	first.replyValue(t, "first")
 	c.wantValue("first")
 	c.wantValue("second")
@@ -54,10 +54,10 @@
 	c.wantValue("third")
 }
 
-// An idempotent request is retried after each outcome but a value.
+// An idempotent request is retried after every outcome without a value.
 func TestIdempotentRequestIsRetriedWithoutValue(t *testing.T) {
 	for _, c := range []struct {
-		name, reply string // empty: the connection ends
+		name, reply string // the connection ends if reply is empty
 		retried     bool
 	}{
 		{"error", "-ERR failed\r\n", true},
@@ -84,8 +84,8 @@
 	}
 }
 
-// A request that is not idempotent and may have run is neither retried nor rejected: its failure does not
-// say whether it ran.
+// A request that is not idempotent and may have run is neither retried nor rejected. Its reply is an error
+// that does not say whether it has run.
 func TestNonIdempotentRequestIsNotRetriedIfItMayHaveRun(t *testing.T) {
 	for name, end := range map[string]func(*backendCall){
 		"reset": func(c *backendCall) { _ = c.conn.Close() },
@@ -98,13 +98,13 @@
 			end(b.nextCall(t))
 			c.wantLine("-ERR failed")
 			if len(b.calls) > 0 {
-				t.Error("sent again")
+				t.Error("the request was sent again")
 			}
 		})
 	}
 }
 
-// A request that the backend rejected as busy has not run, so it is retried even if it is not idempotent.
+// A request that a backend has rejected with BUSY has not run, so it is retried even if it is not idempotent.
 func TestNonIdempotentRequestIsRetriedAfterBusy(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
@@ -113,7 +113,7 @@
 	c.wantServed(b, "ok")
 }
 
-// A backend where nothing listens has run nothing.
+// A backend that refuses connections cannot have run the request, so the request is rejected.
 func TestRequestIsRejectedAfterConnectionRefused(t *testing.T) {
 	d := newFakeDiscovery(t, listEntry("s-00000001", porttest.Reserve(t), "Ready"))
 	c := startGateway(t, newConfig(t, d, nil)).client(t)
@@ -121,7 +121,7 @@
 	c.wantRejected()
 }
 
-// A backend that does not reply delays no request past its deadline, and its late reply reaches nobody.
+// If a backend does not reply, the request is rejected at its deadline. The late reply is dropped.
 func TestRequestIsRejectedAtDeadline(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
@@ -134,7 +134,7 @@
 	c.wantServed(b, "second")
 }
 
-// A rejection comes at once and says when to retry.
+// A request over the quota is rejected at once, with an advice when to retry.
 func TestRejectionIncludesRetryAfter(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
@@ -144,19 +144,19 @@
 	}
 	send(1)
 	c.wantServed(b, "ok")
-	send(2) // the token bucket holds 1 unit: a day's wait would outlast the test
+	send(2) // the token bucket holds 1 unit; to wait until the deadline would take a day
 	c.wantLine("-BUSY 2000")
 }
 
-// With settlement the actual cost in the reply counts, not the estimate; costs that no request can have are
-// ignored.
+// If costs are settled, the actual cost in the reply is charged instead of the estimate. Costs that no
+// request can have are ignored.
 func TestActualCostIsSettled(t *testing.T) {
 	for usage, admitted := range map[string]bool{
 		"used=3,cost=1": false, "cost=0.25": true, "cost=NaN": true, "cost=9": true,
 	} {
 		t.Run(usage, func(t *testing.T) {
 			r, b, _ := startWithBackend(t, withSettings(t, `"settles":false`, `"settles":true,"max-units":8`,
-				`"rate":0.1,`, `"rate":0.0001,`)) // so slow that no wait of the test refills the token bucket
+				`"rate":0.1,`, `"rate":0.0001,`)) // too slow to refill the token bucket during the test
 			c := r.client(t)
 			send := func(id int) {
 				const fields = "c=lookup,t=tiny,d=86400000,units=0.5,spread=1,first=0"
@@ -176,7 +176,7 @@
 	}
 }
 
-// Of several failed requests within the interval one is logged, by its id.
+// Only the first of several requests that fail within traceInterval is logged, with its ID.
 func TestTraceLogsOneOfSeveralFailedRequests(t *testing.T) {
 	b := newBackend(t)
 	d := newFakeDiscovery(t, b.listEntry("s-1", "Ready"))
@@ -194,15 +194,15 @@
 		r.attemptsInFlight = 2
 		attemptEnded{attempt: &attempt{request: r, backend: 5}, result: policy.ResultReset}.Handle(g)
 		policyActions{g}.Fail(r.id)
-		g.requests.nextTraceAt[traceFailed] += 3600e6 // however long the test takes
+		g.requests.nextTraceAt[traceFailed] += 3600e6 // longer than the test
 	}
 	if text := log.String(); strings.Count(text, "msg=trace") != 1 || !strings.Contains(text, "id=id-0") ||
 		!strings.Contains(text, "to 5 at") {
-		t.Errorf("log %q, want the trace of the first of two failed requests", text)
+		t.Errorf("got log %q, want only the first of two failed requests", text)
 	}
 }
 
-// A body and a value of the largest size that is buffered pass unchanged.
+// A body and a value of the maximum buffered size are forwarded unchanged.
 func TestLargestBufferedValueIsForwarded(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
@@ -211,13 +211,13 @@
 	c.send("API.READ", "0000000000000007", "0000000000000001", fields, large)
 	call := b.nextCall(t)
 	if string(call.args[4]) != large {
-		t.Error("the body changed")
+		t.Error("the body differs")
 	}
 	call.replyValue(t, large)
 	c.wantValue(large)
 }
 
-// A request with the id of an open one of another client gets an error; the open one is served.
+// A request with the ID of an open request of another client gets an error. The open request is served.
 func TestDuplicateRequestIDIsRejected(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c, other := r.client(t), r.client(t)
@@ -226,11 +226,11 @@
 	other.wantError()
 	call.replyValue(t, "ok")
 	c.wantValue("ok")
-	c.sendLookup(1) // it is open no more
+	c.sendLookup(1) // no longer open
 	c.wantServed(b, "again")
 }
 
-// A request that has ended keeps no timer and no memory until its deadline.
+// An ended request has no timer and occupies no memory until its deadline.
 func TestEndedRequestsReleaseTimersAndMemory(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
@@ -251,7 +251,7 @@
 		remaining <- fmt.Sprint(timers, len(g.requests.byID), len(g.requests.openByClientID),
 			g.memory.retainedBytes, g.requests.openCount)
 	}))
-	if got := wait(t, remaining, "the loop"); got != "0 0 0 0 0" {
-		t.Errorf("timers, requests, ids, bytes, open: %s", got)
+	if got := wait(t, remaining, "the event loop"); got != "0 0 0 0 0" {
+		t.Errorf("got timers, requests, IDs, bytes, open: %s, want zeros", got)
 	}
 }
--- a/internal/gateway/value_stream_test.go
+++ b/internal/gateway/value_stream_test.go
@@ -9,13 +9,13 @@
 	"sparspread/internal/resp"
 )
 
-// largeSize is the size of a value that is too large to be buffered whole, in bytes.
+// largeSize is the size in bytes of a value that is too large to be buffered completely.
 const largeSize = resp.MaxValue + 1000
 
-// largeValueEnd is what follows a value in a reply without a load report and usage.
+// largeValueEnd is the end of a reply without usage and load report, after the value.
 const largeValueEnd = "\r\n$-1\r\n$-1\r\n"
 
-// largeHead returns the head of a reply with a large value, and the value.
+// largeReplyHead returns the head of a reply with a large value, and the value.
 func largeReplyHead() (head, value string) {
 	return fmt.Sprintf("*3\r\n$%d\r\n", largeSize), strings.Repeat("0123456789", largeSize/10+1)[:largeSize]
 }
@@ -28,8 +28,8 @@
 	return value
 }
 
-// beginLargeValue writes a reply with a large value up to the first bytes that are forwarded, and returns the
-// whole value.
+// startLargeValue writes a reply with a large value up to the minimum prefix that is forwarded. It returns
+// the complete value.
 func (c *backendCall) startLargeValue(tb testing.TB) (value string) {
 	tb.Helper()
 	head, value := largeReplyHead()
@@ -37,20 +37,20 @@
 	return value
 }
 
-// endLargeValue writes the rest of the reply that beginLargeValue has begun.
+// finishLargeValue writes the rest of the reply that startLargeValue has started.
 func (c *backendCall) finishLargeValue(tb testing.TB, value string) {
 	tb.Helper()
 	c.reply(tb, value[minValuePrefix:]+largeValueEnd)
 }
 
-// wantLargeHead reads the announcement of a large value and checks its size.
+// wantLargeValueHead reads the head of a large value and checks the size.
 func (c *testClient) wantLargeValueHead() {
 	c.t.Helper()
 	c.wantLine(fmt.Sprintf("$%d", largeSize))
 }
 
-// The client has the first bytes of a large value while its backend is still writing it, and both
-// connections stay in use.
+// The client receives the first bytes of a large value while the backend is still writing it. Both
+// connections are reused afterwards.
 func TestLargeValueIsForwardedWhileRead(t *testing.T) {
 	r, b, _ := startWithBackend(t, withOps)
 	c := r.client(t)
@@ -59,12 +59,12 @@
 	value := call.startLargeValue(t)
 	c.wantLargeValueHead()
 	if got := c.read(minValuePrefix); got != value[:minValuePrefix] {
-		t.Error("the value begins otherwise")
+		t.Error("the start of the value differs")
 	}
 	wantMetrics(t, r, "open_requests=1", "fulfilled.once=0")
 	call.finishLargeValue(t, value)
 	if got := c.read(largeSize - minValuePrefix); got != value[minValuePrefix:] {
-		t.Error("the value goes on otherwise")
+		t.Error("the rest of the value differs")
 	}
 	c.wantLine("")
 	for id := 2; id < 4; id++ {
@@ -72,16 +72,16 @@
 		c.sendOnce(id, "team")
 		next := b.nextCall(t)
 		if next.conn != call.conn {
-			t.Error("the backend's connection was not reused")
+			t.Error("the connection to the backend was not reused")
 		}
 		c.wantLargeValue(next.replyLargeValue(t))
 	}
-	awaitMetric(t, r, "fulfilled.once=3") // counted after the client has the value
+	awaitMetric(t, r, "fulfilled.once=3") // counted after the client has received the value
 	wantMetrics(t, r, "open_requests=0", "fulfilled.once=3", "relayed.once=3")
 }
 
-// A large value that is not completed has failed: no other attempt is made, and the client's connection is
-// closed amid it.
+// If a backend does not complete a large value, the request fails: no other attempt is made, and the
+// connection to the client is closed before the end of the value.
 func TestIncompleteLargeValueClosesClient(t *testing.T) {
 	r, b, _ := startWithBackend(t, withOps)
 	c := r.client(t)
@@ -90,17 +90,17 @@
 	c.wantLargeValueHead()
 	_ = call.conn.Close()
 	if rest, _ := io.ReadAll(c.in); len(rest) != minValuePrefix {
-		t.Errorf("%d bytes of the value", len(rest))
+		t.Errorf("got %d bytes of the value, want the forwarded prefix", len(rest))
 	}
 	awaitMetric(t, r, "faulted.lookup=1")
 	wantMetrics(t, r, "open_requests=0", "fulfilled.lookup=0")
 	if len(b.calls) > 0 {
-		t.Error("another attempt was made amid the value")
+		t.Error("another attempt was made after the start of the value")
 	}
 }
 
-// A length that announces a large value of which hardly anything arrives is corrupt: nothing goes to the
-// client, and the request is retried.
+// If less than the minimum prefix of a large value arrives, its length is corrupt: nothing is forwarded to
+// the client, and the request is retried.
 func TestLargeValueWithCorruptLengthIsRetried(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
@@ -111,7 +111,8 @@
 	c.wantServed(b, "ok")
 }
 
-// A large value waits for the replies before it, and is given up when the client disconnects.
+// A large value waits for the replies to earlier requests. It is cancelled if the client disconnects
+// meanwhile.
 func TestLargeValueWaitsForEarlierReplies(t *testing.T) {
 	r, b := startWithFourBackends(t, 1024)
 	c := r.client(t)
@@ -142,25 +143,25 @@
 	call := b.nextCall(t)
 	value := call.startLargeValue(t)
 	c.wantLargeValueHead()
-	other.sendLookupWithin(2, "500") // ends later than the deadline of the first
+	other.sendLookupWithin(2, "500") // times out after the deadline of the first request
 	b.nextCall(t)
 	r.advanceClock(t, 500_000)
 	if got := other.readLine(); got[0] != '-' {
-		t.Fatalf("reply %q", got)
+		t.Fatalf("got reply %q, want an error", got)
 	}
 	r.shutDownFor(t, acceptPeriod)
 	other.wantClosed()
 	call.finishLargeValue(t, value)
 	if got := c.read(largeSize); got != value {
-		t.Error("the value is another")
+		t.Error("the value differs")
 	}
 	c.wantLine("")
 	c.wantClosed()
-	r.runClock() // its connections linger
+	r.runClock() // closed connections linger
 	wait(t, r.ended, "the gateway to end")
 }
 
-// The cost behind a large value is settled like any other.
+// The actual cost that follows a large value in a reply is settled.
 func TestLargeValueSettlesCost(t *testing.T) {
 	r, b, _ := startWithBackend(t, func(f map[string]any) {
 		withOps(f)
@@ -172,9 +173,9 @@
 	head, value := largeReplyHead()
 	b.nextCall(t).reply(t, head+value+"\r\n$14\r\nused=9,cost=4.\r\n$-1\r\n")
 	c.wantLargeValue(value)
-	awaitMetric(t, r, "fulfilled.once=1") // settled only after the client has the value
-	c.sendOnce(2, "tiny")                 // the token bucket held 4
+	awaitMetric(t, r, "fulfilled.once=1") // settled after the client has received the value
+	c.sendOnce(2, "tiny")                 // the token bucket held 4 units
 	if got := c.readLine(); !isBusyReply([]byte(got)) {
-		t.Errorf("reply %q: the estimate was 1, the actual cost 4", got)
+		t.Errorf("got reply %q, want a rejection: the estimated cost was 1, the actual cost 4", got)
 	}
 }
