--- a/internal/gateway/backend.go
+++ b/internal/gateway/backend.go
@@ -53,7 +53,7 @@
 
 // attemptSource has the operations of the gateway that backends need to send attempts.
 type attemptSource interface {
-	// isAttemptWanted reports whether an attempt that has waited for a connection is still wanted.
+	// isAttemptWanted reports whether to send an attempt that has waited for a connection.
 	isAttemptWanted(*attempt) bool
 	// attemptCommand returns the bytes to write for an attempt, without a large body.
 	attemptCommand(*attempt) []byte
--- a/internal/gateway/backend_pool.go
+++ b/internal/gateway/backend_pool.go
@@ -146,7 +146,7 @@
 	bs.addIdleConn(c)
 }
 
-// isAttemptWanted reports whether an attempt that has waited for a connection is still wanted.
+// isAttemptWanted reports whether to send an attempt that has waited for a connection.
 func (g *Gateway) isAttemptWanted(a *attempt) bool {
 	r := a.request
 	if r == nil {
@@ -203,7 +203,7 @@
 	bs.counts.closed[reason]++
 	close(c.done)
 	bs.openConns--
-	_ = c.conn.Close() // nothing is left to do about a failed close
+	_ = c.conn.Close() // a failed close needs no handling
 	if i := slices.Index(c.backend.idleConns, c); i >= 0 {
 		c.backend.idleConns = slices.Delete(c.backend.idleConns, i, i+1)
 	}
--- a/internal/gateway/capacity.go
+++ b/internal/gateway/capacity.go
@@ -11,8 +11,11 @@
 const (
 	overloadRetryAfter = 500 * millisecond // retry advice to a client rejected for lack of capacity
 
-	queuedMemoryDivisor   = 8 // input that waits for the event loop may take this part of the memory
-	retainedMemoryDivisor = 4 // open requests and unsent replies may take this part of the memory
+	// Input that waits for the event loop may take up to the configured memory divided by
+	// queuedMemoryDivisor, open requests and unsent replies up to the memory divided by
+	// retainedMemoryDivisor.
+	queuedMemoryDivisor   = 8
+	retainedMemoryDivisor = 4
 )
 
 // maxQueuedBytes returns the maximum number of bytes of input that may wait for the event loop.
@@ -26,8 +29,8 @@
 	cs := g.clients
 	for c.commandCount == 1 && len(cs.conns) > cs.limit {
 		if !cs.evict(g, c) {
-			// Connections that were accepted very recently are not closed, but they do not count against a
-			// client with a request either.
+			// Connections that were accepted very recently are not evicted. They do not count here, so that
+			// they cannot keep out a client with a request.
 			c.overLimit = cs.countWithOpenRequest() > cs.limit
 			break
 		}
--- a/internal/gateway/client.go
+++ b/internal/gateway/client.go
@@ -44,7 +44,7 @@
 	closeWhenAnswered     bool       // close when pipeline is empty
 	closeAfterNextCommand bool       // close after the reply to the next command
 	writeClosed           bool       // the sending side is closed; no further command is accepted
-	overLimit             bool       // exceeds the limit of connections: requests are rejected
+	overLimit             bool       // over the limit of connections: it is rejected and closed
 	commandCount          int        // number of well-formed commands
 	consecutiveErrors     int        // number of malformed commands since the last well-formed one
 	lastCommandAt         policy.Time
--- a/internal/gateway/client_commands.go
+++ b/internal/gateway/client_commands.go
@@ -97,8 +97,9 @@
 	return requestReceived{commandHead: h, request: request, config: cfg}
 }
 
-// dequeue ends the accounting of a command as queued input and reports whether to handle the command. A
-// command that arrived while its connection was being closed is not handled: the client sends it again.
+// dequeue releases the memory that a command takes as queued input, and reports whether to handle the
+// command. A command that arrived while its connection was being closed is not handled: the client sends it
+// again.
 func (h commandHead) dequeue(g *Gateway) bool {
 	c := h.client
 	g.memory.inputBytes.Add(-int64(h.size))
--- a/internal/gateway/client_eviction_test.go
+++ b/internal/gateway/client_eviction_test.go
@@ -173,7 +173,7 @@
 	surplus := r.client(t)
 	surplus.sendLookup(9)
 	if got := surplus.readLine(); !strings.HasPrefix(got, "-BUSY ") {
-		t.Errorf("got reply %q, want -BUSY with an advice", got)
+		t.Errorf("got reply %q, want -BUSY with a retry time", got)
 	}
 	surplus.wantClosed()
 }
--- a/internal/gateway/client_read_ahead.go
+++ b/internal/gateway/client_read_ahead.go
@@ -14,7 +14,8 @@
 	maxReadAhead  = 2 * resp.MaxValue // bytes that are read while the reader waits
 	readAheadStep = 4096              // minimum number of bytes by which the buffer grows
 
-	readAheadDivisor = 2 // reading ahead stops at this part of the memory for queued input
+	// Reading ahead stops when queued input takes its memory divided by readAheadDivisor.
+	readAheadDivisor = 2
 )
 
 // readAheadWhile calls wait, which may block, in the reader goroutine. Meanwhile another goroutine reads
--- a/internal/gateway/idle_timeout.go
+++ b/internal/gateway/idle_timeout.go
@@ -15,11 +15,17 @@
 }
 
 const (
-	staleReuseWindow    = 20 * millisecond // a connection broken before its reuse ends within this
-	minIdleTimeout      = 30 * millisecond // the lowest estimate
-	idleTimeoutRecovery = 2 * second       // the estimate doubles in it, and two breaks within it count
+	// A connection that was broken before it was reused ends within staleReuseWindow after the reuse.
+	staleReuseWindow = 20 * millisecond
+	minIdleTimeout   = 30 * millisecond // the lowest estimate
 
-	brokenIdleDivisor = 2 // the lowered estimate is the idle time of the broken connection divided by this
+	// The estimate doubles in each idleTimeoutRecovery without a broken reuse that lowers it. Two broken
+	// reuses lower it only if the time between them is shorter.
+	idleTimeoutRecovery = 2 * second
+
+	// A lowered estimate is at most the idle time of the broken connection divided by brokenIdleDivisor,
+	// unless that is below minIdleTimeout.
+	brokenIdleDivisor = 2
 )
 
 // current returns the estimate, the longest idle time after which a connection is reused.
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -134,7 +134,7 @@
 	c.wantServed(b, "second")
 }
 
-// A request over the quota is rejected at once, with an advice when to retry.
+// A request over the quota is rejected at once. The reply advises the client when to retry.
 func TestRejectionIncludesRetryAfter(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
