--- a/deploy/example/standins/send.go
+++ b/deploy/example/standins/send.go
@@ -54,7 +54,7 @@
 	}
 	commands := [][]byte{resp.AppendBulk(resp.AppendArray(nil, 1), []byte("PING"))}
 	for i := range c.Requests {
-		commands = append(commands, c.request(&cfg, uint64(i+1)))
+		commands = append(commands, c.requestCommand(&cfg, uint64(i+1)))
 	}
 	return printReplies(conn, commands)
 }
@@ -120,8 +120,8 @@
 	return body, nil
 }
 
-// request returns a command of the first request class in the configuration.
-func (c *sendCommand) request(cfg *config.Config, id uint64) []byte {
+// requestCommand returns a command of the first request class in the configuration.
+func (c *sendCommand) requestCommand(cfg *config.Config, id uint64) []byte {
 	command := resp.AppendArray(nil, requestArgCount)
 	command = resp.AppendBulk(command, []byte("API.READ"))
 	command = resp.AppendBulk(command, fmt.Appendf(nil, "%016x", c.Customer))
--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -72,13 +72,13 @@
 	deadline time.Time
 }
 
-// New returns a client. It calls answer with the result of each call, concurrently for calls in different
-// queues.
-func New(config Config, answer func(Answer)) *Client {
+// New returns a client. It calls handleAnswer with the result of each call, concurrently for calls in
+// different queues.
+func New(config Config, handleAnswer func(Answer)) *Client {
 	c := &Client{
 		baseURL:      baseURL(config.Address),
 		timeout:      config.Timeout,
-		handleAnswer: answer,
+		handleAnswer: handleAnswer,
 		http: httpclient.New(&http.Transport{
 			MaxConnsPerHost: Connections, MaxIdleConnsPerHost: Connections, IdleConnTimeout: idleTimeout,
 		}),
--- a/internal/counter/counter_test.go
+++ b/internal/counter/counter_test.go
@@ -124,9 +124,10 @@
 	if result != policy.ResultConnectFailed {
 		t.Errorf("after the deadline: got result %d, want %d", result, policy.ResultConnectFailed)
 	}
-	refused := New(Config{Address: porttest.Reserve(t), Timeout: waittest.Timeout}, func(Answer) {})
+	refusedClient := New(Config{Address: porttest.Reserve(t), Timeout: waittest.Timeout}, func(Answer) {})
 	deadline := time.Now().Add(waittest.Timeout)
-	_, result = refused.post(context.Background(), call{baseURL: refused.baseURL, deadline: deadline})
+	_, result = refusedClient.post(context.Background(),
+		call{baseURL: refusedClient.baseURL, deadline: deadline})
 	if result != policy.ResultConnectFailed {
 		t.Errorf("no listener: got result %d, want %d", result, policy.ResultConnectFailed)
 	}
--- a/internal/descriptors/budget.go
+++ b/internal/descriptors/budget.go
@@ -55,13 +55,13 @@
 // even reject a connection, and the connection that fails could be the one to the discovery service.
 func NewBudget(descriptors int, withCounter bool) Budget {
 	operators := min(ops.MaxConnections, max(minOperatorConnections, descriptors/descriptorsPerOperator))
-	others := runtimeDescriptors + ownDescriptors + discoveryDescriptors + opsDescriptors + operators
+	reserved := runtimeDescriptors + ownDescriptors + discoveryDescriptors + opsDescriptors + operators
 	if withCounter {
-		others += counterDescriptors
+		reserved += counterDescriptors
 	}
 	perSide := min(
 		(descriptors-spareDescriptors)*sideShareNumerator/sideShareDenominator,
-		(descriptors-others-minRejectSlots)/sideCount,
+		(descriptors-reserved-minRejectSlots)/sideCount,
 	)
 	return Budget{
 		PerSide:     perSide,
--- a/internal/discovery/delivery_test.go
+++ b/internal/discovery/delivery_test.go
@@ -45,12 +45,12 @@
 	configs := map[string]Config{"service": serviceConfig(), "agent": agentConfigWithGrace()}
 	for name, fault := range faults {
 		for mode, config := range configs {
-			for _, moved := range []bool{false, true} {
-				t.Run(fmt.Sprintf("%s, %s, moved %t", name, mode, moved), func(t *testing.T) {
+			for _, addressChanges := range []bool{false, true} {
+				t.Run(fmt.Sprintf("%s, %s, new address %t", name, mode, addressChanges), func(t *testing.T) {
 					longest := time.Duration(0)
-					for at := 100 * time.Millisecond; at < 20*time.Second; at += 370 * time.Millisecond {
+					for d := 100 * time.Millisecond; d < 20*time.Second; d += 370 * time.Millisecond {
 						synctest.Test(t, func(t *testing.T) {
-							longest = max(longest, reportDelay(t, config, fault, at, moved))
+							longest = max(longest, reportDelay(t, config, fault, d, addressChanges))
 						})
 					}
 					if longest > deliveryLimit {
@@ -62,23 +62,23 @@
 	}
 }
 
-// reportDelay returns the time from the end of a fault until the client reports a change. If moved is set,
-// the client gets another address when the fault ends there, and the fault continues at the old address.
+// reportDelay returns the time from the end of a fault until the client reports a change. If addressChanges
+// is set, the fault does not end at the old address, and the client gets another address at that time.
 func reportDelay(
-	t *testing.T, config Config, fault roundTripFunc, faultDuration time.Duration, moved bool,
+	t *testing.T, config Config, fault roundTripFunc, faultDuration time.Duration, addressChanges bool,
 ) time.Duration {
 	t.Helper()
 	config.Seed = uint64(faultDuration) << 20
-	reachable := time.Now().Add(faultDuration)
+	reachableAt := time.Now().Add(faultDuration)
 	addresses := make(chan string, 1)
-	if moved {
+	if addressChanges {
 		time.AfterFunc(faultDuration, func() { addresses <- "127.0.0.1:2" })
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
 	reported := timeOfUpdate(ctx, config, addresses,
 		roundTripFunc(func(r *http.Request) (*http.Response, error) {
-			if time.Now().Before(reachable) || moved && r.URL.Host == testAddress {
+			if time.Now().Before(reachableAt) || addressChanges && r.URL.Host == testAddress {
 				return fault(r)
 			}
 			return respond(r, http.StatusOK, strings.NewReader(oneEndpoint))
@@ -86,7 +86,7 @@
 	if reported.IsZero() {
 		t.Fatalf("reachable after %v: never reported", faultDuration)
 	}
-	return reported.Sub(reachable)
+	return reported.Sub(reachableAt)
 }
 
 // An outage of the service refuses the calls of all gateways. After it, each gateway gets the change within
@@ -124,25 +124,25 @@
 		config.Seed = uint64(i)<<32 + 7
 		go func() { reports <- timeOfUpdate(ctx, config, nil, service) }()
 	}
-	latest, late, never := time.Duration(0), 0, 0
+	maxDelay, lateReports, missingReports := time.Duration(0), 0, 0
 	for range gateways {
 		reported := <-reports
 		delay := reported.Sub(service.availableAt)
-		latest = max(latest, delay)
+		maxDelay = max(maxDelay, delay)
 		switch {
 		case reported.IsZero():
-			never++
+			missingReports++
 		case delay > deliveryLimit:
-			late++
+			lateReports++
 		}
 	}
-	highest := service.maxCallsPerSecond()
-	t.Logf("served %d, refused %d, latest after %v, %d over %v, %d never, at most %d calls in a second",
-		service.served, service.refused, latest, late, deliveryLimit, never, highest)
-	if never > 0 || late > 0 {
-		t.Errorf("%d gateways got the change after the delivery limit, %d never", late, never)
+	maxCalls := service.maxCallsPerSecond()
+	t.Logf("served %d, refused %d, last after %v, %d later than %v, %d missing, at most %d calls in a second",
+		service.served, service.refused, maxDelay, lateReports, deliveryLimit, missingReports, maxCalls)
+	if missingReports > 0 || lateReports > 0 {
+		t.Errorf("%d gateways got the change after the delivery limit, %d never", lateReports, missingReports)
 	}
-	if gateways > 3 && highest > gateways/2 {
-		t.Errorf("%d calls within one second, want at most %d", highest, gateways/2)
+	if gateways > 3 && maxCalls > gateways/2 {
+		t.Errorf("%d calls within one second, want at most %d", maxCalls, gateways/2)
 	}
 }
--- a/internal/discovery/fake_test.go
+++ b/internal/discovery/fake_test.go
@@ -234,9 +234,9 @@
 
 // maxCallsPerSecond returns the largest number of calls within one second after availableAt.
 func (s *queueingService) maxCallsPerSecond() int {
-	highest := 0
+	maxCalls := 0
 	for _, calls := range s.callsPerSecond {
-		highest = max(highest, calls)
+		maxCalls = max(maxCalls, calls)
 	}
-	return highest
+	return maxCalls
 }
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -58,7 +58,7 @@
 	}
 	udp, ok := conn.(*net.UDPConn)
 	if !ok {
-		_ = conn.Close() // it is not used
+		_ = conn.Close() // the socket is not used
 		return fmt.Errorf("peer_listen: %w", errNotUDPSocket)
 	}
 	t.conn = udp
@@ -69,7 +69,7 @@
 // the configured address. Otherwise it closes the socket and returns false.
 func (t *Transport) Adopt(conn *net.UDPConn) bool {
 	if conn.LocalAddr().String() != t.config.ListenAddress {
-		_ = conn.Close() // it is not used
+		_ = conn.Close() // the socket is not used
 		return false
 	}
 	t.conn = conn
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -65,19 +65,19 @@
 	classes := m.classes[:len(m.classes):len(m.classes)]
 	m.mu.Unlock()
 	var page bytes.Buffer
-	line := func(name string, value *atomic.Int64) {
+	writeLine := func(name string, value *atomic.Int64) {
 		fmt.Fprintf(&page, "%s%s=%d\n", namePrefix, name, value.Load())
 	}
 	for _, class := range classes {
-		line("fulfilled."+class.name, &class.Served)
-		line("throttled."+class.name, &class.Throttled)
-		line("faulted."+class.name, &class.Failed)
-		line("relayed."+class.name, &class.Attempts)
+		writeLine("fulfilled."+class.name, &class.Served)
+		writeLine("throttled."+class.name, &class.Throttled)
+		writeLine("faulted."+class.name, &class.Failed)
+		writeLine("relayed."+class.name, &class.Attempts)
 	}
-	line("open_requests", &m.OpenRequests)
-	line("registry_entries", &m.Endpoints)
-	line("out_of_rotation", &m.UnavailableEndpoints)
-	line("cfg_accepted", &m.ConfigsAccepted)
-	line("cfg_invalid", &m.ConfigsRejected)
+	writeLine("open_requests", &m.OpenRequests)
+	writeLine("registry_entries", &m.Endpoints)
+	writeLine("out_of_rotation", &m.UnavailableEndpoints)
+	writeLine("cfg_accepted", &m.ConfigsAccepted)
+	writeLine("cfg_invalid", &m.ConfigsRejected)
 	return page.Bytes()
 }
--- a/internal/porttest/porttest_test.go
+++ b/internal/porttest/porttest_test.go
@@ -71,10 +71,10 @@
 // limitToPort makes the kernel choose the given port, or fail, when the socket requests any free port. It
 // needs Linux 6.3.
 func limitToPort(conn syscall.RawConn, port uint16) error {
-	onlyPort := int(port)<<16 | int(port) // the upper and the lower end of the port range
+	portRange := int(port)<<16 | int(port) // the upper and the lower end of the port range
 	var optionErr error
 	err := conn.Control(func(socket uintptr) {
-		optionErr = unix.SetsockoptInt(int(socket), unix.IPPROTO_IP, unix.IP_LOCAL_PORT_RANGE, onlyPort)
+		optionErr = unix.SetsockoptInt(int(socket), unix.IPPROTO_IP, unix.IP_LOCAL_PORT_RANGE, portRange)
 	})
 	return errors.Join(err, optionErr)
 }
--- a/internal/testfill/testfill.go
+++ b/internal/testfill/testfill.go
@@ -20,7 +20,7 @@
 	Modulus uint64             // modulus of unsigned integers; if zero, they wrap at the size of their type
 }
 
-// Letters is the style whose strings differ in two letters.
+// Letters is the style whose strings end in two letters.
 var Letters = Style{Text: letterText}
 
 // letterText returns a text that differs for consecutive numbers.
--- a/internal/waittest/waittest.go
+++ b/internal/waittest/waittest.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Timeout limits every wait of a test. It is far longer than any wait should take, because it is not meant to
-// check the speed of the program.
+// Timeout limits every wait of a test. It is far longer than any wait takes. Tests must not use it to check
+// the speed of the program.
 const Timeout = 30 * time.Second
 
 // Receive returns the next value of a channel, or the zero value if the channel is closed. If neither happens
-// within Timeout, the test fails immediately; what describes the event that the test waits for.
-func Receive[T any](tb testing.TB, from <-chan T, what string) T {
+// within Timeout, the test fails and stops. The parameter event describes what the test waits for.
+func Receive[T any](tb testing.TB, from <-chan T, event string) T {
 	tb.Helper()
 	value, ok := receiveWithin(from, Timeout)
 	if !ok {
-		tb.Fatal("timed out waiting for ", what)
+		tb.Fatal("timed out waiting for ", event)
 	}
 	return value
 }
