--- a/deploy/example/standins/send.go
+++ b/deploy/example/standins/send.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	timeout         = 30 * time.Second // for the gateway's start, and for all replies
+	sendTimeout     = 30 * time.Second // for the start of the gateway, and for all replies
 	pollInterval    = 10 * time.Millisecond
 	requestTimeout  = 5 * time.Second
 	requestArgCount = 4
 )
 
-var errNotReady = errors.New("the gateway is not ready")
+var errNotReady = errors.New("gateway not ready")
 
-// sendCommand is a client.
+// sendCommand is the command that runs a client.
 type sendCommand struct {
 	Config   string `arg:"" type:"existingfile" help:"The gateway's configuration."`
 	Plan     string `default:"small" help:"The customer's plan, by its name in the settings."`
@@ -38,7 +38,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), timeout)
+	ctx, cancel := context.WithTimeout(context.Background(), sendTimeout)
 	defer cancel()
 	if err := awaitReady(ctx, cfg.Ops); err != nil {
 		return err
@@ -49,12 +49,12 @@
 		return fmt.Errorf("client: %w", err)
 	}
 	defer func() { _ = conn.Close() }()
-	if err := conn.SetDeadline(time.Now().Add(timeout)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(sendTimeout)); err != nil {
 		return fmt.Errorf("client: %w", err)
 	}
 	commands := [][]byte{resp.AppendBulk(resp.AppendArray(nil, 1), []byte("PING"))}
 	for i := range c.Requests {
-		commands = append(commands, c.request(&cfg, uint64(i+1)))
+		commands = append(commands, c.requestCommand(&cfg, uint64(i+1)))
 	}
 	return printReplies(conn, commands)
 }
@@ -75,7 +75,8 @@
 	return nil
 }
 
-// awaitReady waits until the gateway takes clients and knows backends, by its interface for operators.
+// awaitReady waits until the gateway accepts clients and has endpoints, according to its interface for
+// operators.
 func awaitReady(ctx context.Context, opsAddress string) error {
 	for {
 		if isReady(ctx, opsAddress) {
@@ -90,15 +91,16 @@
 }
 
 func isReady(ctx context.Context, opsAddress string) bool {
-	if _, err := get(ctx, opsAddress, "/ops/readiness"); err != nil {
+	if _, err := getOps(ctx, opsAddress, "/ops/readiness"); err != nil {
 		return false
 	}
-	stats, err := get(ctx, opsAddress, "/ops/stats")
+	stats, err := getOps(ctx, opsAddress, "/ops/stats")
 	return err == nil && !bytes.Contains(stats, []byte("edge_relay.registry_entries=0\n"))
 }
 
-// get calls the interface for operators and returns the body of an answer with status 200.
-func get(ctx context.Context, opsAddress, path string) ([]byte, error) {
+// getOps sends a request to the interface for operators. It returns the body of the response or, unless the
+// status is 200, an error.
+func getOps(ctx context.Context, opsAddress, path string) ([]byte, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+opsAddress+path, nil)
 	if err != nil {
 		return nil, fmt.Errorf("operators' call: %w", err)
@@ -118,8 +120,8 @@
 	return body, nil
 }
 
-// request returns a request of the first class.
-func (c *sendCommand) request(cfg *config.Config, id uint64) []byte {
+// requestCommand returns a command of the first request class in the configuration.
+func (c *sendCommand) requestCommand(cfg *config.Config, id uint64) []byte {
 	command := resp.AppendArray(nil, requestArgCount)
 	command = resp.AppendBulk(command, []byte("API.READ"))
 	command = resp.AppendBulk(command, fmt.Appendf(nil, "%016x", c.Customer))
--- a/internal/discovery/delivery_test.go
+++ b/internal/discovery/delivery_test.go
@@ -11,17 +11,17 @@
 	"time"
 )
 
-// faults are the ways in which calls fail.
-var faults = map[string]roundTrip{
-	"refused": refuse,
-	"refused from a queue": func(r *http.Request) (*http.Response, error) {
+// faults contains a service for each way in which calls fail.
+var faults = map[string]roundTripFunc{
+	"refused": respondUnavailable,
+	"refused after queueing": func(r *http.Request) (*http.Response, error) {
 		time.Sleep(queueTimeout)
-		return refuse(r)
+		return respondUnavailable(r)
 	},
 	"reset":  func(*http.Request) (*http.Response, error) { return nil, io.ErrUnexpectedEOF },
-	"silent": hang,
-	"hangs in the dial": func(*http.Request) (*http.Response, error) {
-		time.Sleep(maxAnswerSlack)
+	"silent": waitForCancellation,
+	"dial timeout": func(*http.Request) (*http.Response, error) {
+		time.Sleep(maxResponseTimeout)
 		return nil, context.DeadlineExceeded
 	},
 	"list truncated": func(r *http.Request) (*http.Response, error) {
@@ -31,27 +31,26 @@
 		body := io.MultiReader(strings.NewReader(oneEndpoint[:40]), hangingBody(r.Context().Done()))
 		return respond(r, http.StatusOK, body)
 	},
-	"watch silent": func(r *http.Request) (*http.Response, error) {
+	"no response to watch": func(r *http.Request) (*http.Response, error) {
 		if r.URL.Query().Get("index") == "" {
 			return respond(r, http.StatusOK, strings.NewReader(`{"revision":6,"complete":true,"members":[]}`))
 		}
-		return hang(r)
+		return waitForCancellation(r)
 	},
 }
 
-// Whatever became of the calls before, and at whatever moment a change comes and the service can be
-// reached: the change is reported within the delivery limit, by one service and by an agent, also if the
-// address changes meanwhile.
-func TestChangeIsReportedWithinTheDeliveryLimitAfterAnyFault(t *testing.T) {
+// When a fault ends, whatever its kind and duration, the client reports a change within the delivery limit,
+// both from a service for the fleet and from an agent, and also if the address changes at that moment.
+func TestClientReportsChangeWithinDeliveryLimitAfterFault(t *testing.T) {
 	configs := map[string]Config{"service": serviceConfig(), "agent": agentConfigWithGrace()}
 	for name, fault := range faults {
 		for mode, config := range configs {
-			for _, moved := range []bool{false, true} {
-				t.Run(fmt.Sprintf("%s, %s, moved %t", name, mode, moved), func(t *testing.T) {
+			for _, addressChanges := range []bool{false, true} {
+				t.Run(fmt.Sprintf("%s, %s, new address %t", name, mode, addressChanges), func(t *testing.T) {
 					longest := time.Duration(0)
-					for at := 100 * time.Millisecond; at < 20*time.Second; at += 370 * time.Millisecond {
+					for d := 100 * time.Millisecond; d < 20*time.Second; d += 370 * time.Millisecond {
 						synctest.Test(t, func(t *testing.T) {
-							longest = max(longest, reportDelay(t, config, fault, at, moved))
+							longest = max(longest, reportDelay(t, config, fault, d, addressChanges))
 						})
 					}
 					if longest > deliveryLimit {
@@ -63,56 +62,58 @@
 	}
 }
 
-// reportDelay is how long after the end of a fault a client reports a change. If moved, the client is
-// given another address at that moment, and the fault goes on at the old one.
+// reportDelay returns the time from the end of a fault until the client reports a change. If addressChanges
+// is set, the fault does not end at the old address, and the client gets another address at that time.
 func reportDelay(
-	t *testing.T, config Config, fault roundTrip, faultDuration time.Duration, moved bool,
+	t *testing.T, config Config, fault roundTripFunc, faultDuration time.Duration, addressChanges bool,
 ) time.Duration {
 	t.Helper()
 	config.Seed = uint64(faultDuration) << 20
-	reachable := time.Now().Add(faultDuration)
+	reachableAt := time.Now().Add(faultDuration)
 	addresses := make(chan string, 1)
-	if moved {
+	if addressChanges {
 		time.AfterFunc(faultDuration, func() { addresses <- "127.0.0.1:2" })
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
-	reported := timeOfUpdate(ctx, config, addresses, roundTrip(func(r *http.Request) (*http.Response, error) {
-		if time.Now().Before(reachable) || moved && r.URL.Host == testAddress {
-			return fault(r)
-		}
-		return respond(r, http.StatusOK, strings.NewReader(oneEndpoint))
-	}))
+	reported := timeOfUpdate(ctx, config, addresses,
+		roundTripFunc(func(r *http.Request) (*http.Response, error) {
+			if time.Now().Before(reachableAt) || addressChanges && r.URL.Host == testAddress {
+				return fault(r)
+			}
+			return respond(r, http.StatusOK, strings.NewReader(oneEndpoint))
+		}))
 	if reported.IsZero() {
 		t.Fatalf("reachable after %v: never reported", faultDuration)
 	}
-	return reported.Sub(reachable)
+	return reported.Sub(reachableAt)
 }
 
-// The whole fleet was refused while the service was down. At its return each gateway has the change
-// within the delivery limit, if the service can serve as many calls as there are gateways in the time of
-// a backoff and of its queue; no second has most of the calls in it.
-func TestRefusedFleetIsServedWithinTheDeliveryLimit(t *testing.T) {
+// An outage of the service refuses the calls of all gateways. After it, each gateway gets the change within
+// the delivery limit if the service can serve one call of each gateway within the time of a backoff and of
+// its queue. At most half of the gateways call within any one second.
+func TestFleetGetsChangeWithinDeliveryLimitAfterOutage(t *testing.T) {
 	for _, gateways := range []int{3, 300, 6500} {
-		for _, secondsForAll := range []time.Duration{1, 2, 4} { // in which it serves a call of each gateway
+		for _, secondsForAll := range []time.Duration{1, 2, 4} { // to serve one call of each gateway
 			if gateways > 300 && secondsForAll < 4 {
-				continue // only the hardest: this many take seconds and a gigabyte under the race detector
+				continue // only the hardest case: it takes seconds and a gigabyte under the race detector
 			}
 			name := fmt.Sprintf("%d gateways, all served in %d s", gateways, secondsForAll)
 			t.Run(name, func(t *testing.T) {
 				workPerCall := secondsForAll * time.Second / time.Duration(gateways)
-				synctest.Test(t, func(t *testing.T) { testRefusedFleet(t, gateways, workPerCall) })
+				synctest.Test(t, func(t *testing.T) { testFleetAfterOutage(t, gateways, workPerCall) })
 			})
 		}
 	}
 }
 
-// testRefusedFleet checks that each gateway of a fleet has the list in time after an outage of the service.
-func testRefusedFleet(t *testing.T, gateways int, workPerCall time.Duration) {
+// testFleetAfterOutage checks that each gateway gets the list within the delivery limit after an outage of
+// the service.
+func testFleetAfterOutage(t *testing.T, gateways int, workPerCall time.Duration) {
 	t.Helper()
 	service := &queueingService{
-		workPerCall:    min(workPerCall, queueTimeout/4), // a few gateways could not fill its queue
-		upAt:           time.Now().Add(8 * time.Second),
+		workPerCall:    min(workPerCall, queueTimeout/4), // the calls of three gateways fit into its queue
+		availableAt:    time.Now().Add(8 * time.Second),
 		callsPerSecond: map[time.Duration]int{},
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
@@ -123,25 +124,25 @@
 		config.Seed = uint64(i)<<32 + 7
 		go func() { reports <- timeOfUpdate(ctx, config, nil, service) }()
 	}
-	latest, late, never := time.Duration(0), 0, 0
+	maxDelay, lateReports, missingReports := time.Duration(0), 0, 0
 	for range gateways {
 		reported := <-reports
-		delay := reported.Sub(service.upAt)
-		latest = max(latest, delay)
+		delay := reported.Sub(service.availableAt)
+		maxDelay = max(maxDelay, delay)
 		switch {
 		case reported.IsZero():
-			never++
+			missingReports++
 		case delay > deliveryLimit:
-			late++
+			lateReports++
 		}
 	}
-	highest := service.maxCallsPerSecond()
-	t.Logf("served %d, refused %d, latest after %v, %d over %v, %d never, at most %d calls in a second",
-		service.served, service.refused, latest, late, deliveryLimit, never, highest)
-	if never > 0 || late > 0 {
-		t.Errorf("%d gateways had the change after the delivery limit, %d never", late, never)
+	maxCalls := service.maxCallsPerSecond()
+	t.Logf("served %d, refused %d, last after %v, %d later than %v, %d missing, at most %d calls in a second",
+		service.served, service.refused, maxDelay, lateReports, deliveryLimit, missingReports, maxCalls)
+	if missingReports > 0 || lateReports > 0 {
+		t.Errorf("%d gateways got the change after the delivery limit, %d never", lateReports, missingReports)
 	}
-	if gateways > 3 && highest > gateways/2 {
-		t.Errorf("%d calls within one second, want at most %d", highest, gateways/2)
+	if gateways > 3 && maxCalls > gateways/2 {
+		t.Errorf("%d calls within one second, want at most %d", maxCalls, gateways/2)
 	}
 }
--- a/internal/discovery/fetch_test.go
+++ b/internal/discovery/fetch_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// fetchList makes one call for the whole list and ends it.
+// fetchList fetches the whole list with one call.
 func fetchList(t *testing.T, config Config, service http.RoundTripper) (Update, error) {
 	t.Helper()
 	client, _ := newTestClient(config, service)
@@ -23,9 +23,9 @@
 	return update, err
 }
 
-// A long list may come slowly, over a busy network or to a busy gateway. It is read as long as it keeps
-// coming, within the delivery limit.
-func TestSlowUpdateIsReadUntilTheDeliveryLimit(t *testing.T) {
+// On a busy network, or at a busy gateway, a long list may arrive slowly. It is read as long as data keeps
+// arriving, up to the delivery limit.
+func TestFetchReadsSlowUpdateUntilDeliveryLimit(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		parts int
@@ -38,7 +38,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				started := time.Now()
 				service := respondWith(func(r *http.Request) io.Reader {
-					body := &slowBody{cancelled: r.Context().Done(), interval: maxAnswerSlack * 9 / 10}
+					body := &slowBody{cancelled: r.Context().Done(), interval: maxResponseTimeout * 9 / 10}
 					for i := range test.parts {
 						from, to := i*len(oneEndpoint)/test.parts, (i+1)*len(oneEndpoint)/test.parts
 						body.parts = append(body.parts, oneEndpoint[from:to])
@@ -57,8 +57,9 @@
 	}
 }
 
-// An update longer than the memory allows is an error that says so, and is not read again and again.
-func TestUpdateSizeIsLimitedByTheMemory(t *testing.T) {
+// An update that is too long for the memory limit is reported as errUpdateTooLarge, and it is not fetched in
+// quick succession.
+func TestClientLimitsUpdateSizeByMemory(t *testing.T) {
 	text := string(listJSON(t, 12_000)) // somewhat over a megabyte
 	for _, test := range []struct {
 		name        string
@@ -83,7 +84,7 @@
 					t.Errorf("reported: got %t, want %t", got, test.want)
 				}
 				if calls > 15 {
-					t.Errorf("it was read %d times in 6 s, want at most 15", calls)
+					t.Errorf("the update was fetched %d times in 6 s, want at most 15", calls)
 				}
 				_, err := fetchList(t, config, service)
 				if !test.want && !errors.Is(err, errUpdateTooLarge) || test.want && err != nil {
@@ -94,9 +95,9 @@
 	}
 }
 
-// The list of 83,000 endpoints, twelve megabytes, is read with the memory that goes with a fleet of that
-// size.
-func TestListOfTheLargestFleetIsRead(t *testing.T) {
+// A list of 83,000 endpoints, which takes twelve megabytes, is read with the memory limit of a gateway in a
+// fleet of that size.
+func TestFetchReadsListOfLargestFleet(t *testing.T) {
 	const endpoints = 83_000
 	config := agentConfig()
 	config.MemoryBytes = 256 << 20
--- a/internal/gateway/backend.go
+++ b/internal/gateway/backend.go
@@ -53,7 +53,7 @@
 
 // attemptSource has the operations of the gateway that backends need to send attempts.
 type attemptSource interface {
-	// isAttemptWanted reports whether an attempt that has waited for a connection is still wanted.
+	// isAttemptWanted reports whether to send an attempt that has waited for a connection.
 	isAttemptWanted(*attempt) bool
 	// attemptCommand returns the bytes to write for an attempt, without a large body.
 	attemptCommand(*attempt) []byte
@@ -80,7 +80,7 @@
 	return &backends{
 		events: events, attempts: attempts,
 		byNumber: map[uint32]*backend{}, byID: map[string]*backend{}, limit: limit,
-		idleTimeout: idleTimeoutEstimate{upperLimit: cfg.Host.IdleClose / idleCloseDivisor},
+		idleTimeout: idleTimeoutEstimate{upperLimit: cfg.Host.IdleTimeout / idleCloseDivisor},
 		dialer:      net.Dialer{Timeout: dialTimeout, KeepAlive: -1},
 	}
 }
--- a/internal/gossip/transport_test.go
+++ b/internal/gossip/transport_test.go
@@ -10,13 +10,13 @@
 	"sparspread/internal/waittest"
 )
 
-// received is a message that a transport has passed on.
-type received struct {
+// receivedMessage contains the arguments of one call of a transport's receive function.
+type receivedMessage struct {
 	peer    int
 	message string
 }
 
-// listenUDP opens a socket on loopback that the test's end closes.
+// listenUDP opens a socket on the loopback interface and closes it at the end of the test.
 func listenUDP(t *testing.T) *net.UDPConn {
 	t.Helper()
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -30,26 +30,27 @@
 	return conn
 }
 
-// addrPort is the address of a socket.
-func addrPort(conn *net.UDPConn) netip.AddrPort {
+// localAddrPort returns the local address of a socket.
+func localAddrPort(conn *net.UDPConn) netip.AddrPort {
 	return netip.MustParseAddrPort(conn.LocalAddr().String())
 }
 
-// newTestTransport returns a transport with number 0 beside a peer with number 1, and what it receives.
-func newTestTransport(listenAddress string, peer *net.UDPConn) (*Transport, <-chan received) {
-	messages := make(chan received, 8)
+// newTestTransport returns a transport with number 0 whose peer has number 1, and a channel with the messages
+// that it receives.
+func newTestTransport(listenAddress string, peer *net.UDPConn) (*Transport, <-chan receivedMessage) {
+	messages := make(chan receivedMessage, 8)
 	config := Config{
 		ListenAddress: listenAddress,
-		Peers:         []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1"), addrPort(peer)},
+		Peers:         []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1"), localAddrPort(peer)},
 	}
 	transport := New(config, slog.New(slog.DiscardHandler), func(peer int, message []byte) {
-		messages <- received{peer, string(message)}
+		messages <- receivedMessage{peer, string(message)}
 	})
 	return transport, messages
 }
 
-// listen opens a transport's socket, which the test's end closes.
-func listen(t *testing.T, transport *Transport) {
+// listenUntilTestEnd opens the socket of a transport and closes it at the end of the test.
+func listenUntilTestEnd(t *testing.T, transport *Transport) {
 	t.Helper()
 	if err := transport.Listen(); err != nil {
 		t.Fatal(err)
@@ -57,32 +58,33 @@
 	t.Cleanup(transport.Close)
 }
 
-// send sends a message past the transport under test.
-func send(t *testing.T, from *net.UDPConn, to netip.AddrPort, message []byte) {
+// sendMessage sends a message without the transport under test.
+func sendMessage(t *testing.T, from *net.UDPConn, to netip.AddrPort, message []byte) {
 	t.Helper()
 	if _, err := from.WriteToUDPAddrPort(message, to); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// expect waits for the next message and compares it.
-func expect(t *testing.T, messages <-chan received, want received) {
+// expectMessage waits for the next message and compares it with the expected one.
+func expectMessage(t *testing.T, messages <-chan receivedMessage, want receivedMessage) {
 	t.Helper()
 	if got := waittest.Receive(t, messages, "a message"); got != want {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
 
-// What is too long, to itself or to an unknown peer is not sent; what is too long or from no peer is dropped.
-func TestOnlyMessagesBetweenPeersWithinTheLimitPass(t *testing.T) {
-	peer, stranger := listenUDP(t), listenUDP(t)
+// Messages that are too long are neither sent nor received, nor are messages to the gateway itself, or to or
+// from an unknown peer.
+func TestTransportDropsOversizedAndForeignMessages(t *testing.T) {
+	peer, unknownSender := listenUDP(t), listenUDP(t)
 	transport, messages := newTestTransport("127.0.0.1:0", peer)
-	listen(t, transport)
+	listenUntilTestEnd(t, transport)
 	transport.Resume()
 
 	transport.Send(1, make([]byte, MaxMessageBytes+1))
 	transport.Send(0, []byte("to itself"))
-	transport.Send(2, []byte("to nobody"))
+	transport.Send(2, []byte("to an unknown peer"))
 	transport.Send(1, []byte("to the peer"))
 	buffer := make([]byte, 1024)
 	n, sender, err := peer.ReadFromUDPAddrPort(buffer)
@@ -90,26 +92,25 @@
 		t.Fatalf("got %q, %v, want %q", got, err, "to the peer")
 	}
 
-	send(t, stranger, sender, []byte("from nobody"))
-	send(t, peer, sender, make([]byte, MaxMessageBytes+1))
-	send(t, peer, sender, []byte("answer"))
-	expect(t, messages, received{1, "answer"})
+	sendMessage(t, unknownSender, sender, []byte("from an unknown sender"))
+	sendMessage(t, peer, sender, make([]byte, MaxMessageBytes+1))
+	sendMessage(t, peer, sender, []byte("answer"))
+	expectMessage(t, messages, receivedMessage{1, "answer"})
 }
 
-// What comes during a pause is received after it.
-func TestPauseKeepsMessages(t *testing.T) {
+func TestResumeReceivesMessagesSentDuringPause(t *testing.T) {
 	peer := listenUDP(t)
 	transport, messages := newTestTransport("127.0.0.1:0", peer)
-	listen(t, transport)
+	listenUntilTestEnd(t, transport)
 	transport.Resume()
 	transport.Pause()
-	// A receiver that had not seen the pause yet would receive the message just as well.
-	send(t, peer, addrPort(transport.Conn()), []byte("meanwhile"))
+	// The test also passes if the receiving goroutine has not ended yet and receives the message.
+	sendMessage(t, peer, localAddrPort(transport.Conn()), []byte("meanwhile"))
 	transport.Resume()
-	expect(t, messages, received{1, "meanwhile"})
+	expectMessage(t, messages, receivedMessage{1, "meanwhile"})
 }
 
-func TestAdoptWantsTheConfiguredAddress(t *testing.T) {
+func TestAdoptRequiresConfiguredAddress(t *testing.T) {
 	peer, own, other := listenUDP(t), listenUDP(t), listenUDP(t)
 	transport, messages := newTestTransport(own.LocalAddr().String(), peer)
 	if transport.Adopt(other) {
@@ -119,17 +120,17 @@
 		t.Error("a socket that was not adopted is still open")
 	}
 	if transport.Conn() != nil {
-		t.Error("it has a socket that it did not adopt")
+		t.Error("transport has a socket that it did not adopt")
 	}
 	if !transport.Adopt(own) {
 		t.Fatal("did not adopt the socket with its own address")
 	}
 	transport.Resume()
-	send(t, peer, addrPort(own), []byte("hello"))
-	expect(t, messages, received{1, "hello"})
+	sendMessage(t, peer, localAddrPort(own), []byte("hello"))
+	expectMessage(t, messages, receivedMessage{1, "hello"})
 	transport.Close()
 	if transport.Conn() != nil {
-		t.Error("it has a socket after Close")
+		t.Error("transport has a socket after Close")
 	}
-	transport.Send(1, []byte("nowhere")) // must not fail
+	transport.Send(1, []byte("nowhere")) // must not panic
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -8,8 +8,8 @@
 	"sparspread/policy"
 )
 
-// profile is a deployment's settings in the simulator's form.
-const profile = `balancers=2
+// testSettings are the settings of a deployment in the simulator's form.
+const testSettings = `balancers=2
 self-index=1
 unknown.key=7
 report.names=served_ps,pending
@@ -25,7 +25,7 @@
 `
 
 func TestParseTextReadsSettings(t *testing.T) {
-	got, err := ParseText([]byte(profile))
+	got, err := ParseText([]byte(testSettings))
 	want := policy.Settings{
 		Self: 1, Gateways: 2, PollEndpoints: true, SlowStartFloor: 0.16,
 		LoadReport: []policy.LoadMetric{policy.UnusedMetric, policy.WaitingMetric},
@@ -39,18 +39,18 @@
 	}
 }
 
-func TestErrorsNameTheKeyAndWhatIsWrong(t *testing.T) {
+func TestParseErrorsNameKeyAndProblem(t *testing.T) {
 	for _, tt := range []struct{ key, value, text string }{
 		{"balancers", "two", `value "two": strconv.ParseInt: parsing "two": invalid syntax`},
-		{"request-classes.0.repeat", "perhaps", `value "perhaps": unknown word`},
-		{"request-classes.count", "1000000000", `value "1000000000" is no count of items`},
+		{"request-classes.0.repeat", "perhaps", `value "perhaps": expected one of the allowed values`},
+		{"request-classes.count", "1000000000", `value "1000000000": expected the number of list items`},
 		{"tariffs.0.rate", "", `value "": strconv.ParseFloat: parsing "": invalid syntax`},
 	} {
 		t.Run(tt.key, func(t *testing.T) {
-			_, err := ParseText([]byte(profile + tt.key + "=" + tt.value + "\n"))
+			_, err := ParseText([]byte(testSettings + tt.key + "=" + tt.value + "\n"))
 			var keyErr *KeyError
 			if !errors.As(err, &keyErr) || keyErr.Key != tt.key || keyErr.Value != tt.value {
-				t.Fatalf("error %v, want one of key %s with value %q", err, tt.key, tt.value)
+				t.Fatalf("error %v, want a KeyError of key %s with value %q", err, tt.key, tt.value)
 			}
 			if want := "setting " + tt.key + ": " + tt.text; err.Error() != want {
 				t.Errorf("error %q, want %q", err, want)
@@ -59,11 +59,11 @@
 	}
 	_, err := ParseText(nil)
 	if want := "setting request-classes.count: missing"; !errors.Is(err, ErrMissing) || err.Error() != want {
-		t.Errorf("no settings: error %v, want %s", err, want)
+		t.Errorf("empty settings: error %v, want %s", err, want)
 	}
 	_, _, err = ParseJSON([]byte(`{"ceilings":{"max-attempts":0}}`))
-	const want = `setting ceilings.max-attempts: value "0": a number above 0 wanted`
+	const want = `setting ceilings.max-attempts: value "0": expected a number above 0`
 	if !errors.Is(err, errNotPositive) || err.Error() != want {
-		t.Errorf("no attempts: error %v, want %s", err, want)
+		t.Errorf("maximum of 0 attempts: error %v, want %s", err, want)
 	}
 }
