--- a/scale/internal/load/clients.go
+++ b/scale/internal/load/clients.go
@@ -1,4 +1,4 @@
-// Package load generates the clients' requests and measures their answers.
+// Package load generates the requests of clients and measures the answers.
 package load
 
 import (
@@ -20,28 +20,28 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds of the histograms of latency.
+// The range and precision of the latency histograms.
 const (
 	maxLatency        = int64(10e6) // microseconds
 	significantDigits = 3
 )
 
-// The bits of a request's ID: the number of the gateway, and below it random ones.
+// The layout of a request ID: the gateway's number in the high bits, random bits below.
 const (
 	idBits       = 64
 	randomIDBits = 48
 )
 
-// Clients send the requests of one gateway, or of a backend without one. All methods but Run are safe for
+// Clients sends requests to one gateway, or directly to a backend. Methods other than Run are safe for
 // concurrent use.
 type Clients struct {
 	demand model.Demand
-	direct bool // the address is a backend's
+	direct bool // requests are sent directly to a backend
 	pool   pool
 
-	mu           sync.Mutex // guards all below
+	mu           sync.Mutex // guards the fields below
 	answers      results.Answers
-	addedLatency *hdrhistogram.Histogram // microseconds that requests took beyond the backends' service time
+	addedLatency *hdrhistogram.Histogram // microseconds beyond the backends' service time
 }
 
 // NewClients returns clients of the gateway at an address.
@@ -52,7 +52,7 @@
 	}
 }
 
-// NewDirectClients returns clients that call the backend at an address without a gateway.
+// NewDirectClients returns clients that send requests directly to the backend at an address.
 func NewDirectClients(address string, demand model.Demand) *Clients {
 	c := NewClients(address, demand)
 	c.direct = true
@@ -66,10 +66,10 @@
 	return c.answers
 }
 
-// Run sends requests at a rate per second for a time, at moments that do not depend on the answers, and waits
-// until all have ended.
+// Run sends requests for the given time and waits until all have ended. Requests arrive as a Poisson process
+// with the given rate per second, independently of the answers (an open loop).
 func (c *Clients) Run(ctx context.Context, rate float64, length time.Duration) {
-	requestContext := context.WithoutCancel(ctx) // a request that has begun ends by its own timeout
+	requestContext := context.WithoutCancel(ctx) // started requests end by their own timeout
 	var running sync.WaitGroup
 	end := time.Now().Add(length)
 	for at := time.Now(); ; {
@@ -85,7 +85,7 @@
 	c.closeIdle()
 }
 
-// readCommand is the command of a customer's request.
+// readCommand returns the encoded API.READ command of a customer's request.
 func readCommand(customer model.Customer, requestID uint64) []byte {
 	fields := fmt.Sprintf("c=lookup,t=%s,d=%d,units=1,spread=%d,first=%d",
 		customer.Plan().Name, model.ClientTimeout.Milliseconds(), customer.Replicas, customer.FirstReplica)
@@ -99,7 +99,7 @@
 	return b
 }
 
-// sendRequest sends one request and counts how it ended.
+// sendRequest sends one request, waits for the answer and counts the outcome.
 func (c *Clients) sendRequest(ctx context.Context, id uint64, command []byte) {
 	conn, reused, err := c.pool.acquire(ctx)
 	if errors.Is(err, errPoolExhausted) {
@@ -134,19 +134,19 @@
 	}
 }
 
-// isConnectionClosed reports whether an error is how the other side's closing of a connection shows.
+// isConnectionClosed reports whether an error means that the peer closed the connection.
 func isConnectionClosed(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// updateCounts changes the counts.
+// updateCounts applies a change to the counts.
 func (c *Clients) updateCounts(change func(*results.Answers)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	change(&c.answers)
 }
 
-// countError counts a request that got no whole answer.
+// countError counts a request without a complete answer.
 func (c *Clients) countError(err error) {
 	c.updateCounts(func(a *results.Answers) {
 		if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -157,12 +157,12 @@
 	})
 }
 
-// countReply counts a request by its answer.
+// countReply counts a request by its reply.
 func (c *Clients) countReply(id uint64, reply resp.Reply, latency time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.direct && reply.Kind == '*' && len(reply.Items) > 0 {
-		reply = reply.Items[0] // a gateway passes the first value on alone
+		reply = reply.Items[0] // a gateway returns only the first value to the client
 	}
 	switch {
 	case reply.Kind == '-' && bytes.HasPrefix(reply.Text, []byte("BUSY")):
@@ -174,8 +174,8 @@
 	}
 }
 
-// countValue counts a value, which has to be the one that a backend made for the request: its ID and the
-// service time in nanoseconds. The caller holds mu.
+// countValue counts a returned value. It must be the one that a backend returns for the request: the request
+// ID and the service time in nanoseconds. The caller holds mu.
 func (c *Clients) countValue(id uint64, value []byte, latency time.Duration) {
 	requestID, serviceTime, _ := bytes.Cut(value, []byte(" "))
 	ns, err := strconv.ParseInt(string(serviceTime), 10, 64)
@@ -189,14 +189,14 @@
 	}
 }
 
-// closeIdle closes the idle connections. Whatever came on one since its last answer is a second answer.
+// closeIdle closes the idle connections. Bytes received on one since its last answer count as extra bytes.
 func (c *Clients) closeIdle() {
 	for range c.pool.closeIdle() {
 		c.updateCounts(func(a *results.Answers) { a.ExtraBytes++ })
 	}
 }
 
-// Sleep waits for a length of time. It returns early and reports false where the context ends before.
+// Sleep waits for the given time and returns true. It returns false early if the context ends before.
 func Sleep(ctx context.Context, length time.Duration) bool {
 	timer := time.NewTimer(length)
 	defer timer.Stop()
--- a/scale/internal/load/clients_test.go
+++ b/scale/internal/load/clients_test.go
@@ -10,8 +10,8 @@
 	"sparspread/scale/internal/results"
 )
 
-// answerOnce is a gateway that answers the first command on its first connection with the given text. It then
-// closes the connection, or waits for the client to do so.
+// answerOnce starts a server that answers the first command on its first connection with the given text. It
+// then closes the connection if closes is true, and otherwise waits until the client closes it.
 func answerOnce(t *testing.T, answer string, closes bool) (address string) {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -36,16 +36,17 @@
 	return listener.Addr().String()
 }
 
-// Each answer is counted as what it is, those of gateways that answer twice or make values up too.
-func TestAnswersAreCountedByKind(t *testing.T) {
+// Guards against faulty answers that are counted as served, such as a second answer or a value that no
+// backend returned.
+func TestClientsCountAnswersByKind(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
 		closes       bool
 		count        func(results.Answers) int
 	}{
 		{"two answers", "-BUSY\r\n-BUSY\r\n", false, func(a results.Answers) int { return a.ExtraBytes }},
-		{"answer cut off", "$18\r\n00000", true, func(a results.Answers) int { return a.Disconnected }},
-		{"value made up", "$5\r\nhello\r\n", false, func(a results.Answers) int { return a.WrongValue }},
+		{"truncated answer", "$18\r\n00000", true, func(a results.Answers) int { return a.Disconnected }},
+		{"unknown value", "$5\r\nhello\r\n", false, func(a results.Answers) int { return a.WrongValue }},
 		{
 			"value of another request", "$18\r\n0000000000000002 1\r\n", false,
 			func(a results.Answers) int { return a.WrongValue },
@@ -62,7 +63,7 @@
 			clients.sendRequest(t.Context(), 1, readCommand(model.Customer{ID: 7, Replicas: 1}, 1))
 			clients.closeIdle()
 			if got := clients.Answers(); c.count(got) != 1 || got.Sent != 1 {
-				t.Errorf("answers %+v", got)
+				t.Errorf("counts %+v, want 1 request sent and counted by its kind", got)
 			}
 		})
 	}
--- a/scale/internal/load/latency.go
+++ b/scale/internal/load/latency.go
@@ -8,14 +8,14 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The quantiles of a result, in percent.
+// The percentiles in a result.
 const (
 	medianPercent = 50
 	highPercent   = 99
 )
 
-// AddedLatency returns the latency that gateways added to the answers of the clients of each; nil where none
-// was served.
+// AddedLatency returns the latency that gateways added, over all clients and by gateway. It returns nil if no
+// request was served.
 func AddedLatency(clients []*Clients) *results.AddedLatency {
 	all := hdrhistogram.New(1, maxLatency, significantDigits)
 	var p50s, p99s []float64
@@ -34,7 +34,7 @@
 	}
 }
 
-// quantileMS returns a quantile, given in percent, of a histogram of microseconds.
+// quantileMS returns a percentile in milliseconds of a histogram of microseconds.
 func quantileMS(h *hdrhistogram.Histogram, percent float64) float64 {
 	return results.Milliseconds(time.Duration(h.ValueAtQuantile(percent)) * time.Microsecond)
 }
--- a/scale/internal/load/pool.go
+++ b/scale/internal/load/pool.go
@@ -13,31 +13,32 @@
 )
 
 const (
-	maxConnections    = 256 // to one gateway
+	maxConnections    = 256 // per address
 	dialTimeout       = time.Second
 	answerSlack       = 60 * time.Millisecond // that settings and rules allow beyond the client's timeout
-	extraBytesTimeout = time.Millisecond      // for which a connection is read before it is closed
+	extraBytesTimeout = time.Millisecond      // for a last read before an idle connection is closed
 )
 
-// errPoolExhausted says that as many connections are in use as there may be.
-var errPoolExhausted = errors.New("clients: too many connections")
+// errPoolExhausted reports that maxConnections connections are in use.
+var errPoolExhausted = errors.New("connection pool: all connections are in use")
 
-// pool holds the connections to one address. It is safe for concurrent use.
+// pool is a connection pool for one address. It is safe for concurrent use.
 type pool struct {
 	address string
 
-	mu              sync.Mutex // guards all below
+	mu              sync.Mutex // guards the fields below
 	idle            []*clientConn
-	openConnections int // connections, those in use included
+	openConnections int // both idle and in use
 }
 
-// clientConn is a connection that one request at a time uses.
+// clientConn is a connection that carries one request at a time.
 type clientConn struct {
 	conn net.Conn
 	in   *resp.Reader
 }
 
-// acquire returns an idle connection, or else a new one.
+// acquire returns an idle connection, or a new one if none is idle. It returns errPoolExhausted if
+// maxConnections are in use.
 func (p *pool) acquire(ctx context.Context) (conn *clientConn, reused bool, err error) {
 	p.mu.Lock()
 	if n := len(p.idle); n > 0 {
@@ -54,12 +55,12 @@
 	return conn, false, err
 }
 
-// dial opens a connection.
+// dial opens a new connection.
 func (p *pool) dial(ctx context.Context) (*clientConn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", p.address)
 	if err != nil {
-		return nil, fmt.Errorf("clients: %w", err)
+		return nil, fmt.Errorf("dial client connection: %w", err)
 	}
 	p.mu.Lock()
 	p.openConnections++
@@ -67,8 +68,8 @@
 	return &clientConn{conn: conn, in: resp.NewReader(conn)}, nil
 }
 
-// release keeps a connection for the next request. It discards one on which more came than the answer, and
-// reports whether that is all that came.
+// release returns a connection to the pool. If bytes beyond the answer were received, it discards the
+// connection and returns false.
 func (p *pool) release(conn *clientConn) bool {
 	if conn.in.Buffered() > 0 {
 		p.discard(conn)
@@ -80,7 +81,7 @@
 	return true
 }
 
-// discard closes a connection, which may be nil.
+// discard closes a connection and removes it from the pool. It does nothing if conn is nil.
 func (p *pool) discard(conn *clientConn) {
 	if conn == nil {
 		return
@@ -91,7 +92,7 @@
 	p.mu.Unlock()
 }
 
-// closeIdle closes the idle connections and returns how many of them had received something since their last
+// closeIdle closes the idle connections and returns the number of those that received bytes after their last
 // answer.
 func (p *pool) closeIdle() (withExtraBytes int) {
 	p.mu.Lock()
@@ -108,17 +109,18 @@
 	return withExtraBytes
 }
 
-// roundTrip sends a command and waits for its answer.
+// roundTrip sends a command and waits for its answer until the client's timeout and answerSlack have passed
+// since started.
 func (c *clientConn) roundTrip(command []byte, started time.Time) (resp.Reply, error) {
 	if err := c.conn.SetDeadline(started.Add(model.ClientTimeout + answerSlack)); err != nil {
-		return resp.Reply{}, fmt.Errorf("clients: %w", err)
+		return resp.Reply{}, fmt.Errorf("set deadline of client connection: %w", err)
 	}
 	if _, err := c.conn.Write(command); err != nil {
-		return resp.Reply{}, fmt.Errorf("clients: %w", err)
+		return resp.Reply{}, fmt.Errorf("send command: %w", err)
 	}
 	reply, err := c.in.ReadReply()
 	if err != nil {
-		return reply, fmt.Errorf("clients: %w", err)
+		return reply, fmt.Errorf("read reply: %w", err)
 	}
 	return reply, nil
 }
--- a/scale/internal/standin/audit.go
+++ b/scale/internal/standin/audit.go
@@ -8,15 +8,16 @@
 	"sparspread/scale/internal/results"
 )
 
-// ceilingSlackTime is the time for which the rules let a ceiling's rate run on beyond its slack on sockets.
+// ceilingSlackTime is the additional slack that the rules allow on sockets: what a ceiling's rate grants in
+// this time.
 const ceilingSlackTime = 150 * time.Millisecond
 
-// CeilingAudit keeps the true token buckets of the customers on the capped plan over all gateways, real and
-// simulated, by the first attempts of their requests. It is safe for concurrent use.
+// CeilingAudit holds reference token buckets of the customers on the capped plan, charged with the first
+// attempts of their requests at all gateways, real and simulated. It is safe for concurrent use.
 type CeilingAudit struct {
-	mu              sync.Mutex // guards all below
+	mu              sync.Mutex // guards the fields below
 	buckets         map[uint64]*customerBuckets
-	countedRequests map[string]bool // IDs of requests
+	countedRequests map[string]bool // by request ID
 	counts          results.CeilingCounts
 }
 
@@ -26,13 +27,13 @@
 	quota, ceiling float64
 }
 
-// NewCeilingAudit returns an audit that has counted nothing.
+// NewCeilingAudit returns an audit without counts.
 func NewCeilingAudit() *CeilingAudit {
 	return &CeilingAudit{buckets: map[uint64]*customerBuckets{}, countedRequests: map[string]bool{}}
 }
 
-// RecordAttempt takes a unit when a request first reaches a backend. The request's ID is empty where it
-// cannot reach one twice.
+// RecordAttempt charges one unit to the customer if this is the first attempt of the request to reach a
+// backend. The request ID may be empty if the caller records each request only once.
 func (a *CeilingAudit) RecordAttempt(customer uint64, requestID string, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -61,7 +62,8 @@
 	}
 }
 
-// refill adds what the plan grants for the time since the last refill. Times that go back add nothing.
+// refill adds the units that the plan grants for the time since the last refill. It adds nothing if now is
+// before the last refill.
 func (b *customerBuckets) refill(plan *model.Plan, now time.Time) {
 	seconds := max(0, now.Sub(b.refilledAt).Seconds())
 	b.refilledAt = b.refilledAt.Add(time.Duration(seconds * float64(time.Second)))
@@ -69,7 +71,7 @@
 	b.ceiling = min(plan.CeilingBurst, b.ceiling+plan.CeilingRate*seconds)
 }
 
-// Reset discards all counts and buckets, after requests that did not go through a gateway.
+// Reset discards all counts and buckets. It is used after requests that bypassed the gateways.
 func (a *CeilingAudit) Reset() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/scale/internal/standin/audit_test.go
+++ b/scale/internal/standin/audit_test.go
@@ -7,8 +7,9 @@
 	"sparspread/scale/internal/results"
 )
 
-// A customer's requests pass its ceiling at two gateways that know nothing of each other.
-func TestRequestsBeyondCeilingAreCounted(t *testing.T) {
+// Guards against an audit that misses requests beyond a ceiling when gateways that do not coordinate each
+// admit requests of the same customer.
+func TestCeilingAuditCountsRequestsBeyondQuotaAndCeiling(t *testing.T) {
 	const capped, withinQuota = 7, 8 // customers
 	audit, now := NewCeilingAudit(), time.Now()
 	for i, want := range []results.CeilingCounts{
@@ -21,7 +22,7 @@
 	} {
 		requestID := string(rune('a' + i))
 		audit.RecordAttempt(capped, requestID, now)
-		audit.RecordAttempt(capped, requestID, now) // a retry takes nothing
+		audit.RecordAttempt(capped, requestID, now) // a retry is not charged
 		if got := audit.Counts(); got != want {
 			t.Errorf("after %d requests: %+v, want %+v", i+1, got, want)
 		}
@@ -29,6 +30,6 @@
 	audit.RecordAttempt(withinQuota, "", now)
 	audit.RecordAttempt(withinQuota, "", now.Add(time.Minute))
 	if got := audit.Counts(); got.Requests != 8 || got.BeyondQuota != 2 || got.BeyondCeiling != 1 {
-		t.Errorf("after the requests of a customer that asks for little: %+v", got)
+		t.Errorf("after 2 requests within another customer's quota: %+v, want only Requests to grow", got)
 	}
 }
--- a/scale/internal/standin/backends.go
+++ b/scale/internal/standin/backends.go
@@ -13,39 +13,39 @@
 	"sparspread/scale/internal/results"
 )
 
-// socketSlack is by how much the rules widen every time limit on sockets.
+// socketSlack is the tolerance that the rules add to each time limit when measured on sockets.
 const socketSlack = 50 * time.Millisecond
 
 const (
-	// minCommandArgs is how many arguments a command for a backend has at least.
+	// minCommandArgs is the minimum number of arguments of a command for a backend.
 	minCommandArgs = 4
-	// answerValues is how many values the answer of a backend has; all but the first are null here.
+	// answerValues is the number of values in a backend's answer. Here all but the first are null.
 	answerValues = 3
 )
 
-// readinessTracker knows for how long a backend has not been ready, 0 for a ready one.
+// readinessTracker reports the time for which a backend has not been ready, or 0 if it is ready.
 type readinessTracker interface {
 	NotReadyDuration(backend int, now time.Time) time.Duration
 }
 
-// Backends stands in for all backends: one listener serves every loopback address, and the address that was
-// dialed says which backend is meant.
+// Backends is the stand-in for all backends. One listener serves every loopback address, and the local
+// address of a connection identifies the backend.
 type Backends struct {
 	listener      *net.TCPListener
-	readiness     readinessTracker // set before connections are served
+	readiness     readinessTracker // set by Serve before it accepts connections
 	serviceTime   time.Duration
 	audit         *CeilingAudit
-	replicaCounts []int // by which customers on the capped plan are known
+	replicaCounts []int // identify the customers on the capped plan
 
-	commands           atomic.Int64 // served
+	commands           atomic.Int64 // answered
 	connections        atomic.Int64 // accepted
-	malformed          atomic.Int64 // commands in a form that no client sent
-	drainingInGrace    atomic.Int64 // commands that reached a backend that was not ready, within the grace
-	drainingAfterGrace atomic.Int64 // and after it
-	maxAfterDrain      atomic.Int64 // microseconds from a drain until the last of these commands
+	malformed          atomic.Int64 // commands other than those of a gateway
+	drainingInGrace    atomic.Int64 // commands to a backend that was not ready, within the drain grace
+	drainingAfterGrace atomic.Int64 // the same after the drain grace
+	maxAfterDrain      atomic.Int64 // longest time from a drain's start to such a command, in microseconds
 }
 
-// NewBackends returns backends that answer after a service time. They serve nothing before Serve.
+// NewBackends returns backends that answer after the service time. They accept no connections before Serve.
 func NewBackends(
 	ctx context.Context, serviceTime time.Duration, replicaCounts []int, audit *CeilingAudit,
 ) (*Backends, error) {
@@ -58,13 +58,13 @@
 	}, nil
 }
 
-// Port returns the port of every backend.
+// Port returns the port that all backends share.
 func (b *Backends) Port() int { return int(loopback.AddrPort(b.listener.Addr()).Port()) }
 
-// Close ends Serve. Open connections end with the gateways.
+// Close closes the listener, which ends Serve. Open connections end when the gateways close them.
 func (b *Backends) Close() { _ = b.listener.Close() }
 
-// Serve answers commands until the backends are closed, and checks that none reaches a backend that drains.
+// Serve answers commands until the backends are closed, and counts those that reach a draining backend.
 func (b *Backends) Serve(readiness readinessTracker) {
 	b.readiness = readiness
 	for {
@@ -77,7 +77,7 @@
 	}
 }
 
-// serveConn answers the commands of a connection for the backend whose address was dialed.
+// serveConn answers the commands on a connection as the backend with the connection's local address.
 func (b *Backends) serveConn(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	address := loopback.AddrPort(conn.LocalAddr()).Addr().As4()
@@ -88,7 +88,7 @@
 		if err != nil {
 			return
 		}
-		received := time.Now() // the last byte's arrival: a command is one segment here
+		received := time.Now() // when the last byte arrived, because a command fits into one segment
 		if !isBackendCommand(args) {
 			b.malformed.Add(1)
 			if _, err := conn.Write([]byte("-SYNTAX\r\n")); err != nil {
@@ -106,7 +106,7 @@
 	}
 }
 
-// isBackendCommand reports whether a command has the form that gateways send.
+// isBackendCommand reports whether a command is one that gateways send to backends.
 func isBackendCommand(args [][]byte) bool {
 	if len(args) < minCommandArgs {
 		return false
@@ -115,8 +115,8 @@
 	return name == "API.READ" || name == "API.WRITE"
 }
 
-// commandAnswer returns an answer whose value is the request's ID and the time in nanoseconds that the
-// backend took, so that clients recognize it and know what the gateway added.
+// commandAnswer returns an answer whose value is the request ID and the backend's processing time in
+// nanoseconds, so that clients can match it to their request and compute the latency that the gateway added.
 func commandAnswer(requestID []byte, processingTime time.Duration) []byte {
 	value := append([]byte(nil), requestID...)
 	value = append(value, ' ')
@@ -125,7 +125,7 @@
 	return append(answer, "$-1\r\n$-1\r\n"...)
 }
 
-// auditCommand counts a command of a customer on the capped plan.
+// auditCommand records a command in the audit if its customer is on the capped plan.
 func (b *Backends) auditCommand(args [][]byte, received time.Time) {
 	customer, err := strconv.ParseUint(string(args[1]), 16, 64)
 	if err == nil && model.IsCapped(customer, b.replicaCounts) {
@@ -133,8 +133,8 @@
 	}
 }
 
-// checkDrain checks a command against the rule on drains, strictly: a change counts as known to the gateways
-// once the agents of discovery hold it.
+// checkDrain counts a command that reaches a backend that is not ready. It applies the rule on drains
+// strictly: a change counts as known to the gateways as soon as the discovery agents have it.
 func (b *Backends) checkDrain(backend int, now time.Time) {
 	age := b.readiness.NotReadyDuration(backend, now)
 	if age == 0 {
@@ -163,7 +163,7 @@
 	}
 }
 
-// Counts returns what the backends have counted.
+// Counts returns the counts so far.
 func (b *Backends) Counts() results.BackendCounts {
 	return results.BackendCounts{
 		Commands: b.commands.Load(), Connections: b.connections.Load(), Malformed: b.malformed.Load(),
--- a/scale/internal/standin/backends_test.go
+++ b/scale/internal/standin/backends_test.go
@@ -11,18 +11,18 @@
 	"sparspread/scale/internal/model"
 )
 
-// shiftedCatalog is a catalog that is asked for a time later than now, in place of waiting.
+// shiftedCatalog is a catalog whose clock can be shifted, so that tests do not have to wait.
 type shiftedCatalog struct {
 	*model.Catalog
 	shift atomic.Int64 // a time.Duration
 }
 
-// NotReadyDuration asks for the shifted time.
+// NotReadyDuration returns the duration at the shifted time.
 func (c *shiftedCatalog) NotReadyDuration(backend int, now time.Time) time.Duration {
 	return c.Catalog.NotReadyDuration(backend, now.Add(time.Duration(c.shift.Load())))
 }
 
-// testCommand returns a command as gateways send it.
+// testCommand returns a command in the form that gateways send.
 func testCommand() []byte {
 	args := []string{
 		"API.READ", "0000000000000007", "0000000000000001",
@@ -35,9 +35,9 @@
 	return command
 }
 
-// A check that never finds a violation proves nothing: commands that are sent to a draining backend are
-// counted, within the grace and after it.
-func TestCommandsToDrainingBackendsAreCounted(t *testing.T) {
+// Guards against a check on drains that never finds a violation: commands to a draining backend must be
+// counted, both within the grace and after it.
+func TestBackendsCountCommandsToDrainingBackend(t *testing.T) {
 	const drained = 299
 	b, err := NewBackends(t.Context(), time.Millisecond, []int{1}, NewCeilingAudit())
 	if err != nil {
--- a/scale/internal/standin/discovery.go
+++ b/scale/internal/standin/discovery.go
@@ -13,31 +13,33 @@
 )
 
 const (
-	maxWatchTime = time.Minute // for which a watch is left without an answer
+	maxWatchTime = time.Minute // maximum time for which a watch is held open without changes
 	catalogPath  = "/catalog/members"
 )
 
-// DiscoveryAgent is the agent of discovery beside one gateway, at one address.
+// DiscoveryAgent is the stand-in for the discovery agent of one gateway, at one address.
 type DiscoveryAgent struct {
 	catalog  *model.Catalog
 	traffic  *ControlTraffic
 	listener net.Listener
 	server   *http.Server
 
-	mu                 sync.Mutex // guards all below
+	mu                 sync.Mutex // guards the fields below
 	activity           AgentActivity
-	lastAnswerComplete bool // the last answer was a complete list
+	lastAnswerComplete bool // the last call was answered with a complete list
 }
 
-// AgentActivity is what an agent saw of its gateway.
+// AgentActivity records the calls that an agent received from its gateway.
 type AgentActivity struct {
-	FirstCall     time.Time // zero: none yet
-	ListApplied   time.Time // the first call that proves that a complete list was applied; zero: none yet
-	ListsRejected int       // complete lists after which the gateway asked for a complete list again
+	FirstCall time.Time // zero if there was none yet
+	// ListApplied is the time of the first call which shows that a complete list was applied. It is zero if
+	// there was none yet.
+	ListApplied   time.Time
+	ListsRejected int // complete lists after which the gateway requested a complete list again
 }
 
-// NewDiscoveryAgent returns an agent that serves a free port of a host until it is closed, and counts its
-// traffic.
+// NewDiscoveryAgent returns an agent that serves on a free port of the host until it is closed, and counts
+// its traffic.
 func NewDiscoveryAgent(
 	ctx context.Context, c *model.Catalog, traffic *ControlTraffic, host string,
 ) (*DiscoveryAgent, error) {
@@ -48,31 +50,31 @@
 	}
 	a := &DiscoveryAgent{catalog: c, traffic: traffic, listener: countingListener{listener, traffic}}
 	a.server = &http.Server{Handler: a, ReadHeaderTimeout: maxWatchTime}
-	go func() { _ = a.server.Serve(a.listener) }() // until closed
+	go func() { _ = a.server.Serve(a.listener) }() // returns when the server is closed
 	return a, nil
 }
 
-// Address returns the address that the agent serves.
+// Address returns the address on which the agent serves.
 func (a *DiscoveryAgent) Address() string { return a.listener.Addr().String() }
 
-// Close ends the agent and its connections.
+// Close stops the agent and closes its connections.
 func (a *DiscoveryAgent) Close() { _ = a.server.Close() }
 
-// Drain accepts no new connections from now on and closes the open ones after a while, as the protocol has it
-// for the address that discovery left.
+// Drain stops accepting connections at once and closes the open ones after the given time, as the protocol
+// specifies for an address that discovery has left.
 func (a *DiscoveryAgent) Drain(after time.Duration) {
 	_ = a.listener.Close()
 	time.AfterFunc(after, a.Close)
 }
 
-// Activity returns what the agent saw so far.
+// Activity returns the calls recorded so far.
 func (a *DiscoveryAgent) Activity() AgentActivity {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.activity
 }
 
-// ServeHTTP answers a call for the complete list or a watch.
+// ServeHTTP answers a request for the complete list, or a watch if the request has an index.
 func (a *DiscoveryAgent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	now := time.Now()
 	a.traffic.Out.Messages.Add(1)
@@ -95,8 +97,8 @@
 	a.serveWatch(w, r, revision, time.Duration(waitMS)*time.Millisecond)
 }
 
-// serveWatch answers with the changes after a revision as soon as there are any, and at the latest after the
-// given time.
+// serveWatch answers with the changes after a revision as soon as there are any, or with an empty list after
+// the given time.
 func (a *DiscoveryAgent) serveWatch(
 	w http.ResponseWriter, r *http.Request, revision uint64, wait time.Duration,
 ) {
@@ -119,7 +121,7 @@
 	}
 }
 
-// recordCall records what a call shows of the gateway.
+// recordCall records a call and whether it shows that the gateway applied or rejected a complete list.
 func (a *DiscoveryAgent) recordCall(now time.Time, watches bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -135,43 +137,43 @@
 	a.lastAnswerComplete = !watches
 }
 
-// sendList sends a list.
+// sendList sends an encoded list and counts it.
 func (a *DiscoveryAgent) sendList(w http.ResponseWriter, body []byte) {
 	a.traffic.In.Messages.Add(1)
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	_, _ = w.Write(body) // the gateway may have gone
+	_, _ = w.Write(body) // the gateway may have closed the connection
 }
 
-// countingListener counts the bytes of the connections that it accepts.
+// countingListener is a listener whose connections count their bytes.
 type countingListener struct {
 	net.Listener
 	traffic *ControlTraffic
 }
 
-// Accept waits for a connection.
+// Accept returns the next connection, wrapped in a countingConn.
 func (l countingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
-		return nil, err // unwrapped: the server looks for its own errors
+		return nil, err // unwrapped because http.Server compares errors
 	}
 	return countingConn{conn, l.traffic}, nil
 }
 
-// countingConn counts the bytes that it carries.
+// countingConn is a connection that counts its bytes.
 type countingConn struct {
 	net.Conn
 	traffic *ControlTraffic
 }
 
-// Read counts what the gateway sent.
+// Read reads from the connection and counts the bytes as sent by the gateway.
 func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.traffic.Out.Bytes.Add(int64(n))
 	return n, err
 }
 
-// Write counts what the gateway is sent.
+// Write writes to the connection and counts the bytes as received by the gateway.
 func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.traffic.In.Bytes.Add(int64(n))
--- a/scale/internal/standin/gossip.go
+++ b/scale/internal/standin/gossip.go
@@ -8,37 +8,37 @@
 	"sparspread/scale/internal/loopback"
 )
 
-// MaxGossipSize is how many bytes a gossip message has at most.
+// MaxGossipSize is the maximum size of a gossip message in bytes.
 const MaxGossipSize = 256
 
-// relayHost is the address of all relays of gossip.
+// relayHost is the address of all gossip relays. Each has its own port.
 const relayHost = "127.7.0.1"
 
-// GossipNetwork carries the gossip of a tier. Each gateway has an address in the settings' list of peers: a
-// real one's is a relay, so that all that it sends and receives is counted; a simulated one's is its own
-// socket; those of silent gateways lead to a sink.
+// GossipNetwork carries the gossip of a tier. Each gateway has an address in the list of peers in the
+// settings. The address of a real gateway is that of a relay, so that its traffic can be counted. The address
+// of a simulated gateway is that of its own socket. The addresses of unresponsive gateways lead to a sink.
 type GossipNetwork struct {
 	peers                []netip.AddrPort       // by the gateway's number
 	relays               map[int]*GossipRelay   // by the real gateway's number
-	realGatewayByAddress map[netip.AddrPort]int // number by the address that the gateway sends from
+	realGatewayByAddress map[netip.AddrPort]int // its number, by the address that it sends from
 	sink                 *net.UDPConn
 }
 
-// GossipRelay receives what is sent to one real gateway, and passes it on from the sender's address in the
+// GossipRelay receives the messages to one real gateway and forwards them from the sender's address in the
 // list of peers.
 type GossipRelay struct {
 	conn    *net.UDPConn
-	gateway netip.AddrPort // where the gateway receives, and sends from
+	gateway netip.AddrPort // the address that the gateway receives at and sends from
 	traffic *ControlTraffic
 }
 
-// GossipEndpoint is where a real gateway receives gossip, and the counters of its traffic.
+// GossipEndpoint is the gossip address of a real gateway, with the counters of its traffic.
 type GossipEndpoint struct {
 	Address netip.AddrPort
 	Traffic *ControlTraffic
 }
 
-// NewGossipNetwork returns the network of a tier with the given real gateways, by number.
+// NewGossipNetwork returns the network of a tier of the given size. The real gateways are given by number.
 func NewGossipNetwork(
 	ctx context.Context, tier int, realGateways map[int]GossipEndpoint,
 ) (*GossipNetwork, error) {
@@ -67,7 +67,7 @@
 	return n, nil
 }
 
-// Close ends the network.
+// Close closes the sockets of the network.
 func (n *GossipNetwork) Close() {
 	_ = n.sink.Close()
 	for _, relay := range n.relays {
@@ -75,20 +75,20 @@
 	}
 }
 
-// Peers returns the addresses of the tier's gateways by number. The caller must not change them.
+// Peers returns the addresses of the tier's gateways by number. The caller must not modify them.
 func (n *GossipNetwork) Peers() []netip.AddrPort { return n.peers }
 
-// SetPeer gives a simulated gateway its address. All are set before Start.
+// SetPeer sets the address of a simulated gateway. It must not be called after Start.
 func (n *GossipNetwork) SetPeer(gateway int, address netip.AddrPort) { n.peers[gateway] = address }
 
-// Relay returns the relay of a real gateway, and nil for any other.
+// Relay returns the relay of a real gateway, or nil if the gateway is not a real one.
 func (n *GossipNetwork) Relay(gateway int) *GossipRelay { return n.relays[gateway] }
 
 // RealGateways returns the numbers of the real gateways by the address that they send from. The caller must
-// not change the map.
+// not modify the map.
 func (n *GossipNetwork) RealGateways() map[netip.AddrPort]int { return n.realGatewayByAddress }
 
-// Start carries gossip until the network is closed.
+// Start starts forwarding gossip, which ends when the network is closed.
 func (n *GossipNetwork) Start() {
 	go n.drainSink()
 	for _, relay := range n.relays {
@@ -96,14 +96,14 @@
 	}
 }
 
-// CountSent counts a message if a real gateway sent it.
+// CountSent counts a message as sent if it comes from a real gateway.
 func (n *GossipNetwork) CountSent(from netip.AddrPort, bytes int) {
 	if gateway, ok := n.realGatewayByAddress[from]; ok {
 		n.relays[gateway].traffic.Out.countMessage(bytes)
 	}
 }
 
-// drainSink counts what real gateways send to silent ones.
+// drainSink receives and counts the messages that real gateways send to unresponsive ones.
 func (n *GossipNetwork) drainSink() {
 	buf := make([]byte, MaxGossipSize+1)
 	for {
@@ -115,7 +115,8 @@
 	}
 }
 
-// serveRelay passes on what real gateways send to one of them. Simulated ones use Deliver.
+// serveRelay forwards messages from real gateways to the relay's gateway. Simulated gateways call Deliver
+// directly.
 func (n *GossipNetwork) serveRelay(relay *GossipRelay) {
 	buf := make([]byte, MaxGossipSize+1)
 	for {
@@ -132,7 +133,7 @@
 	}
 }
 
-// Deliver sends a message to the real gateway from a peer's socket.
+// Deliver sends a message to the relay's gateway from the given socket of a peer and counts it.
 func (r *GossipRelay) Deliver(from *net.UDPConn, message []byte) {
 	if _, err := from.WriteToUDPAddrPort(message, r.gateway); err == nil {
 		r.traffic.In.countMessage(len(message))
