--- a/scale/commands.go
+++ b/scale/commands.go
@@ -15,14 +15,14 @@
 	"sparspread/scale/internal/runner"
 )
 
-// gcPercent is higher than the default: thousands of simulated gateways make a large heap of little garbage,
-// whose collection must not delay them.
+// gcPercent is higher than the default to collect garbage less often. Thousands of simulated gateways have a
+// large heap with little garbage, and collections must not delay them.
 const gcPercent = 200
 
-// resultsMode is the mode of a new file of results: all may read them.
+// resultsMode is the mode of a new results file, readable by all.
 const resultsMode = 0o644
 
-// runCommand runs an experiment.
+// runCommand is the subcommand that runs an experiment.
 type runCommand struct {
 	Experiment string `arg:"" type:"existingfile" help:"Experiment file (TOML)."`
 	Out        string `required:"" help:"File that the results are appended to, a JSON object a line."`
@@ -30,8 +30,8 @@
 	Gateway    string `default:"bin/gateway" help:"The gateway's program."`
 }
 
-// Run runs every size of an experiment, each repeat of all sizes in turn, so that what changes on the machine
-// in the meantime spreads over the sizes.
+// Run runs all sizes of an experiment, then repeats them all, so that changes on the machine over time affect
+// all sizes alike.
 func (c *runCommand) Run(log *slog.Logger) error {
 	experiment, err := model.ReadExperiment(c.Experiment)
 	if err != nil {
@@ -41,13 +41,13 @@
 		return err
 	}
 	if _, err := os.Stat(c.Gateway); err != nil {
-		return fmt.Errorf("the gateway's program: %w", err)
+		return fmt.Errorf("gateway executable: %w", err)
 	}
 	out, err := os.OpenFile(c.Out, os.O_APPEND|os.O_CREATE|os.O_WRONLY, resultsMode)
 	if err != nil {
-		return fmt.Errorf("results: %w", err)
+		return fmt.Errorf("results file: %w", err)
 	}
-	defer func() { _ = out.Close() }() // each result was written already, or its error returned
+	defer func() { _ = out.Close() }() // errors of writes were returned already
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	debug.SetGCPercent(gcPercent)
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// runSizes runs each size of the experiment once and appends the results.
+// runSizes runs each size of the experiment once and appends the results to out.
 func runSizes(ctx context.Context, r *runner.Runner, repeat int, out *os.File) error {
 	for i := range r.Experiment.Sizes {
 		if err := results.Append(out, r.Run(ctx, i, repeat)); err != nil {
@@ -76,12 +76,12 @@
 	return nil
 }
 
-// reportCommand prints results.
+// reportCommand is the subcommand that prints results.
 type reportCommand struct {
 	Results []string `arg:"" type:"existingfile" help:"Files of results."`
 }
 
-// Run prints tables and slopes, file by file.
+// Run prints the tables of each results file in turn.
 func (c *reportCommand) Run() error {
 	for _, path := range c.Results {
 		all, err := results.ReadFile(path)
--- a/scale/internal/gatewayproc/calls.go
+++ b/scale/internal/gatewayproc/calls.go
@@ -13,13 +13,13 @@
 	"time"
 )
 
-// metricPrefix begins each name at /ops/stats.
+// metricPrefix is the prefix of each metric name at /ops/stats.
 const metricPrefix = "edge_relay."
 
-// errNoMetric says that the gateway does not count what was asked for.
-var errNoMetric = errors.New("no such metric")
+// errNoMetric reports that a gateway does not export a metric.
+var errNoMetric = errors.New("unknown metric")
 
-// ping makes one call of PING on a connection of its own.
+// ping sends PING on a new connection and returns an error unless the gateway answers PONG.
 func (g *Gateway) ping(ctx context.Context) error {
 	dialer := net.Dialer{Timeout: callTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", g.ClientAddress)
@@ -35,12 +35,12 @@
 	}
 	line, err := bufio.NewReader(conn).ReadString('\n')
 	if err != nil || line != "+PONG\r\n" {
-		return fmt.Errorf("ping: answer %q: %w", line, errors.Join(err, errNotReady))
+		return fmt.Errorf("ping: answer %q, expected PONG: %w", line, errors.Join(err, errNotReady))
 	}
 	return nil
 }
 
-// Metric returns one of the metrics at /ops/stats.
+// Metric returns the value of a metric at /ops/stats. The name is given without metricPrefix.
 func (g *Gateway) Metric(ctx context.Context, name string) (int64, error) {
 	url := "http://" + g.opsAddress + "/ops/stats"
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
--- a/scale/internal/gatewayproc/gateway.go
+++ b/scale/internal/gatewayproc/gateway.go
@@ -1,5 +1,5 @@
-// Package gatewayproc runs real gateways: processes of the gateway's program, each with its configuration,
-// its agents of discovery and the counters of its control traffic.
+// Package gatewayproc runs real gateways. Each is a process of the gateway's executable with a configuration,
+// discovery agents and counters of its control traffic.
 package gatewayproc
 
 import (
@@ -26,47 +26,47 @@
 	startTimeout = 30 * time.Second
 	stopTimeout  = 6 * time.Second
 	callTimeout  = 2 * time.Second
-	// PollInterval is the time between two looks at a gateway.
+	// PollInterval is the interval at which the state of a gateway is polled.
 	PollInterval = 2 * time.Millisecond
 
 	dirMode     = 0o755
 	configMode  = 0o600
-	socketLimit = 1024 // in the configuration
+	socketLimit = 1024 // the limit of open sockets in the configuration
 	seedBase    = 0x9e3779b97f4a7c15
 	agentHost   = "127.7.0.1"
 )
 
-// Gateway is a gateway's process and what stands beside it. Its methods are called from one goroutine at a
-// time, except for PID, Metric and the fields, which are safe for concurrent use.
+// Gateway is a gateway's process with its stand-ins. Only PID, Metric and the exported fields are safe for
+// concurrent use.
 type Gateway struct {
 	Number        int
 	ClientAddress string
 	GossipAddress netip.AddrPort
 	Traffic       *standin.ControlTraffic
-	// Agents are the agent of discovery that the gateway begins with, and the one that it follows after a
+	// Agents are the discovery agent that the gateway uses from its start, and the one that it uses after a
 	// reload.
 	Agents [2]*standin.DiscoveryAgent
-	Exited chan struct{} // closed when the process has ended
+	Exited chan struct{} // closed when the process has exited
 
 	dir        string
 	opsAddress string
 	command    *exec.Cmd
-	pid        atomic.Int64 // 0: not started
+	pid        atomic.Int64 // 0 if the process has not started
 	logFile    *os.File
 	http       *http.Client
 }
 
-// Configuration is what a gateway's configuration holds besides its own addresses.
+// Configuration is the configuration of a gateway apart from its own addresses.
 type Configuration struct {
 	MemoryMB      int
 	Peers         []netip.AddrPort
 	Settings      json.RawMessage
 	LastKnownList json.RawMessage // the last known list
-	AgentIndex    int             // index of the agent of discovery
+	AgentIndex    int             // index into Gateway.Agents of the discovery agent to use
 }
 
-// New returns a gateway with free addresses and running agents, which keeps its files below dir. The process
-// is started with Start; Stop is called in any case.
+// New returns a gateway with free addresses and running discovery agents, which keeps its files below dir.
+// Start starts the process. The caller must call Stop in any case.
 func New(ctx context.Context, number int, dir string, catalog *model.Catalog) (*Gateway, error) {
 	g := &Gateway{
 		Number: number, Traffic: &standin.ControlTraffic{}, Exited: make(chan struct{}),
@@ -88,10 +88,10 @@
 	return g, nil
 }
 
-// wrapError adds to an error which gateway it concerns.
+// wrapError adds the number of the gateway to an error.
 func (g *Gateway) wrapError(err error) error { return fmt.Errorf("gateway %d: %w", g.Number, err) }
 
-// reserveAddresses chooses the ports that the process will listen at.
+// reserveAddresses chooses free addresses for the process to listen on.
 func (g *Gateway) reserveAddresses(ctx context.Context) (err error) {
 	host := loopback.GatewayHost(loopback.RealBlock, g.Number).String()
 	if g.ClientAddress, err = loopback.FreeAddress(ctx, "tcp", host); err != nil {
@@ -108,7 +108,7 @@
 	return err
 }
 
-// Configure writes the configuration.
+// Configure writes the configuration file.
 func (g *Gateway) Configure(c Configuration) error {
 	peers := make([]string, len(c.Peers))
 	for i, address := range c.Peers {
@@ -125,7 +125,7 @@
 	if err != nil {
 		return g.wrapError(err)
 	}
-	// Renamed into place, so that a gateway never reads half a file.
+	// The file is replaced by a rename, so that the gateway never reads a partly written file.
 	temporaryPath := g.configPath() + ".new"
 	if err := os.WriteFile(temporaryPath, body, configMode); err != nil {
 		return g.wrapError(err)
@@ -136,14 +136,14 @@
 	return nil
 }
 
-// configPath is where the process reads its configuration.
+// configPath returns the path of the configuration file.
 func (g *Gateway) configPath() string { return filepath.Join(g.dir, "config.json") }
 
-// logPath is where the output of the process goes.
+// logPath returns the path of the file with the output of the process.
 func (g *Gateway) logPath() string { return filepath.Join(g.dir, "log") }
 
-// Start starts the process with its configuration. Stop ends it, the end of the context does not; it also
-// ends with this process, even where that is killed.
+// Start starts the process with its configuration. Stop ends the process; the cancellation of ctx does not.
+// The process is also killed when this process ends, even if this process is killed.
 func (g *Gateway) Start(ctx context.Context, program string) error {
 	var err error
 	if g.logFile, err = os.Create(g.logPath()); err != nil {
@@ -159,15 +159,16 @@
 	g.pid.Store(int64(g.command.Process.Pid))
 	go func() {
 		defer close(g.Exited)
-		_ = g.command.Wait() // how it ended is in its log
+		_ = g.command.Wait() // the log contains the reason of the exit
 	}()
 	return nil
 }
 
-// PID returns the process's number, 0 before it was started.
+// PID returns the process ID, or 0 before Start.
 func (g *Gateway) PID() int { return int(g.pid.Load()) }
 
-// WaitReady waits until the gateway answers PING.
+// WaitReady waits until the gateway answers PING. It returns an error if the process exits or does not answer
+// within startTimeout.
 func (g *Gateway) WaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -177,7 +178,7 @@
 		}
 		select {
 		case <-g.Exited:
-			return g.wrapError(fmt.Errorf("%w: %s", errEndedAtStart, g.lastLogLine()))
+			return g.wrapError(fmt.Errorf("%w: %s", errExitedAtStart, g.lastLogLine()))
 		case <-ctx.Done():
 			return g.wrapError(fmt.Errorf("%w: %w", errNotReady, context.Cause(ctx)))
 		case <-time.After(PollInterval):
@@ -186,11 +187,11 @@
 }
 
 var (
-	errEndedAtStart = errors.New("ended at its start")
-	errNotReady     = errors.New("not ready")
+	errExitedAtStart = errors.New("exited before it was ready")
+	errNotReady      = errors.New("not ready")
 )
 
-// lastLogLine is the last line that the process has logged, which says why it ended.
+// lastLogLine returns the last line in the log of the process, which gives the reason of an exit.
 func (g *Gateway) lastLogLine() string {
 	log, err := os.ReadFile(g.logPath())
 	if err != nil {
@@ -200,7 +201,7 @@
 	return lines[len(lines)-1]
 }
 
-// HasExited reports whether the process has ended.
+// HasExited reports whether the process has exited.
 func (g *Gateway) HasExited() bool {
 	select {
 	case <-g.Exited:
@@ -210,10 +211,11 @@
 	}
 }
 
-// Stop ends the process, by SIGTERM and if need be by SIGKILL, and the agents of discovery.
+// Stop ends the process by SIGTERM, or by SIGKILL if it does not exit within stopTimeout, and closes the
+// discovery agents.
 func (g *Gateway) Stop() {
 	if g.PID() != 0 {
-		_ = g.command.Process.Signal(syscall.SIGTERM) // it may have ended already
+		_ = g.command.Process.Signal(syscall.SIGTERM) // it may have exited already
 		select {
 		case <-g.Exited:
 		case <-time.After(stopTimeout):
@@ -229,7 +231,7 @@
 	}
 }
 
-// Reload has the gateway read its configuration again.
+// Reload makes the gateway reload its configuration, by SIGHUP.
 func (g *Gateway) Reload() error {
 	if err := g.command.Process.Signal(syscall.SIGHUP); err != nil {
 		return g.wrapError(err)
--- a/scale/internal/measure/process.go
+++ b/scale/internal/measure/process.go
@@ -1,4 +1,4 @@
-// Package measure reads what processes and the machine use, from Linux's /proc and clocks.
+// Package measure reads the resource usage of processes and of the machine from Linux's /proc and clocks.
 package measure
 
 import (
@@ -11,13 +11,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// ProcessCPUTime returns the processor time that a process has used. Its clock counts nanoseconds, where
-// /proc/PID/stat counts in steps of 10 ms.
+// ProcessCPUTime returns the processor time that a process has used. It reads the process's CPU clock, which
+// has a resolution of nanoseconds, because /proc/PID/stat counts in steps of 10 ms.
 func ProcessCPUTime(pid int) (time.Duration, error) {
-	// As the kernel encodes a process's clock: the inverted PID above three bits that choose the clock.
+	// The kernel encodes the ID of a process's clock as the inverted PID above three bits that select the
+	// clock.
 	const (
 		clockBits  = 3
-		schedClock = 2 // CPUCLOCK_SCHED, the time that the scheduler accounts
+		schedClock = 2 // CPUCLOCK_SCHED: processor time as accounted by the scheduler
 	)
 	var t unix.Timespec
 	if err := unix.ClockGettime(int32(^pid<<clockBits|schedClock), &t); err != nil {
@@ -33,11 +34,11 @@
 // number of KiB.
 const minMemoryFields = 2
 
-// ProcessMemory returns the memory that a process holds.
+// ProcessMemory returns the resident memory of a process.
 func ProcessMemory(pid int) (Memory, error) {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
-		return Memory{}, fmt.Errorf("memory: %w", err)
+		return Memory{}, fmt.Errorf("read process memory: %w", err)
 	}
 	var m Memory
 	for line := range strings.Lines(string(status)) {
@@ -56,18 +57,18 @@
 		}
 		kibibytes, err := strconv.ParseInt(fields[1], 10, 64)
 		if err != nil {
-			return Memory{}, fmt.Errorf("memory: %w", err)
+			return Memory{}, fmt.Errorf("parse process memory: %w", err)
 		}
 		*target = kibibytes * kibibyte
 	}
 	return m, nil
 }
 
-// ResetPeakMemory has the peak of a process's memory count from now on.
+// ResetPeakMemory resets the peak of a process's resident memory to its current size.
 func ResetPeakMemory(pid int) error {
 	const resetPeak = "5" // see clear_refs in proc(5)
 	if err := os.WriteFile(fmt.Sprintf("/proc/%d/clear_refs", pid), []byte(resetPeak), 0); err != nil {
-		return fmt.Errorf("memory: %w", err)
+		return fmt.Errorf("reset peak memory: %w", err)
 	}
 	return nil
 }
--- a/scale/main.go
+++ b/scale/main.go
@@ -1,7 +1,7 @@
-// Command scale runs the size that the tier is meant for as far as one machine can: real gateways, each a
-// process of its own, beside simulated ones, and stand-ins for backends, clients, discovery and
-// configuration, all on loopback addresses. It measures what a gateway costs and checks some of the rules
-// while one size grows.
+// Command scale is a load bench that runs the tier at its intended size, as far as one machine can. It runs
+// real gateways, each as a process, together with simulated gateways and stand-ins for backends, clients,
+// discovery and configuration, all on loopback addresses. It measures the resources that a gateway uses and
+// checks some of the rules while the size on one axis grows.
 package main
 
 import (
@@ -20,7 +20,7 @@
 func main() {
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
 	call := kong.Parse(&commands, kong.Name("scale"), kong.Bind(log), kong.UsageOnError(),
-		kong.Description("Runs the tier's size on one machine, one axis at a time, "+
-			"and fits how its costs grow."))
+		kong.Description("Runs the tier at full size on one machine, grows one size at a time, "+
+			"and fits the growth of its costs."))
 	call.FatalIfErrorf(call.Run())
 }
--- a/scale/scale_test.go
+++ b/scale/scale_test.go
@@ -13,20 +13,20 @@
 	"sparspread/scale/internal/results"
 )
 
-// buildGateway builds the gateway's program and returns its path.
+// buildGateway builds the gateway's executable and returns its path.
 func buildGateway(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
 	build := exec.CommandContext(t.Context(), "go", "build", "-o", dir, "../cmd/gateway")
 	if out, err := build.CombinedOutput(); err != nil {
-		t.Fatalf("building the gateway: %v\n%s", err, out)
+		t.Fatalf("build gateway: %v\n%s", err, out)
 	}
 	return filepath.Join(dir, "gateway")
 }
 
-// A small experiment goes through every part and its results are read back. The test checks counts and rules,
-// never times.
-func TestSmallExperimentIsRunAndReported(t *testing.T) {
+// Runs all components of the bench with a small experiment and reads the results back. It checks counts and
+// rules but no times, which depend on the machine.
+func TestRunCommandRunsSmallExperiment(t *testing.T) {
 	out := filepath.Join(t.TempDir(), "results.jsonl")
 	command := runCommand{Experiment: "testdata/small.toml", Out: out, Gateway: buildGateway(t)}
 	if err := command.Run(slog.New(slog.DiscardHandler)); err != nil {
@@ -45,13 +45,13 @@
 		checkMeasurements(t, r)
 	}
 	if r := all[1]; r.SimulatedGateways != 4 || r.SimulatedRequests == 0 {
-		t.Errorf("%d simulated gateways with %d requests, want 4 with some",
+		t.Errorf("%d simulated gateways with %d requests, want 4 gateways with at least one request",
 			r.SimulatedGateways, r.SimulatedRequests)
 	}
-	// Simulated gateways send gossip about their customers: more messages arrive than without them.
+	// Simulated gateways send gossip about their customers, so more messages arrive than without them.
 	few, many := all[0].ControlPhase.InMessagesPerSecond.Min, all[1].ControlPhase.InMessagesPerSecond.Min
 	if many <= few {
-		t.Errorf("%g messages per second with simulated gateways, %g without", many, few)
+		t.Errorf("%g messages per second with simulated gateways, want more than the %g without", many, few)
 	}
 	var printed bytes.Buffer
 	if err := report.Print(&printed, all); err != nil {
@@ -62,38 +62,39 @@
 		"beyond the ceiling, sum | 0 | 0 |", "Not checked: cold",
 	} {
 		if !strings.Contains(printed.String(), want) {
-			t.Errorf("no %q in the report:\n%s", want, printed.String())
+			t.Errorf("report does not contain %q:\n%s", want, printed.String())
 		}
 	}
 }
 
-// checkAnswers checks that the run was complete, that every request ended once, and the rules on requests.
+// checkAnswers checks that the run was complete, that every request ended once, and that no rule on requests
+// was violated.
 func checkAnswers(t *testing.T, r *results.Result) {
 	t.Helper()
 	a, b := r.Answers, r.Backends
 	if r.Status != results.StatusRun {
-		t.Fatalf("size %g: %s", r.Size, r.Status)
+		t.Fatalf("size %g: status %s", r.Size, r.Status)
 	}
 	ended := a.Served + a.Rejected + a.Failed + a.Disconnected + a.TimedOut + a.WrongValue
 	if a.Sent == 0 || a.Sent != ended {
-		t.Errorf("size %g: %d requests sent, %d ended: %+v", r.Size, a.Sent, ended, a)
+		t.Errorf("size %g: %d requests sent, %d ended, want the same number: %+v", r.Size, a.Sent, ended, a)
 	}
 	if a.Disconnected+a.TimedOut+a.WrongValue+a.ExtraBytes+a.NotSent > 0 || a.Served == 0 {
-		t.Errorf("size %g: answers %+v", r.Size, a)
+		t.Errorf("size %g: answers %+v, want some served and none faulty", r.Size, a)
 	}
 	if b.Commands < int64(a.Served) || b.Malformed > 0 || b.DrainingAfterGrace > 0 {
-		t.Errorf("size %g: backends %+v for %d served", r.Size, b, a.Served)
+		t.Errorf("size %g: backend counts %+v with %d requests served", r.Size, b, a.Served)
 	}
 	if r.Capped.Requests == 0 || r.Capped.BeyondCeiling > 0 {
-		t.Errorf("size %g: customers on the capped plan %+v", r.Size, r.Capped)
+		t.Errorf("size %g: counts of customers on the capped plan %+v", r.Size, r.Capped)
 	}
 }
 
-// checkChanges checks that the gateways followed changes and a reload.
+// checkChanges checks that the gateways applied changes of the list of backends and a reload.
 func checkChanges(t *testing.T, r *results.Result) {
 	t.Helper()
 	if r.BackendsChanged < 4 || len(r.ChangeLatencyMS) != 2 {
-		t.Errorf("size %g: %d backends changed, %d changes timed",
+		t.Errorf("size %g: %d backends changed, %d changes timed, want at least 4 and exactly 2",
 			r.Size, r.BackendsChanged, len(r.ChangeLatencyMS))
 	}
 	if l := r.Reload; l == nil || l.FirstCallMS <= 0 || l.ListAppliedMS <= 0 ||
@@ -101,15 +102,15 @@
 		t.Errorf("size %g: reload %+v, lists rejected %d", r.Size, l, r.ListsRejected)
 	}
 	if r.GatewaysExited > 0 {
-		t.Errorf("size %g: %d gateways ended", r.Size, r.GatewaysExited)
+		t.Errorf("size %g: %d gateways exited, want none", r.Size, r.GatewaysExited)
 	}
 }
 
-// checkMeasurements checks that every measurement was made.
+// checkMeasurements checks that no measurement is missing.
 func checkMeasurements(t *testing.T, r *results.Result) {
 	t.Helper()
 	if r.Baseline == nil || r.Added == nil || r.Added.Samples != r.Answers.Served {
-		t.Errorf("size %g: latency added %+v, without a gateway %+v, %d served",
+		t.Errorf("size %g: added latency %+v, baseline %+v, %d requests served",
 			r.Size, r.Added, r.Baseline, r.Answers.Served)
 	}
 	phases := map[string]*results.PhaseUsage{
@@ -117,22 +118,23 @@
 	}
 	for name, usage := range phases {
 		if usage.CPUPercent.Min <= 0 || usage.ResidentMB.Min <= 0 || usage.PeakMB.Min < usage.ResidentMB.Min {
-			t.Errorf("size %g: %s: %+v", r.Size, name, usage)
+			t.Errorf("size %g: phase %s: usage %+v", r.Size, name, usage)
 		}
 	}
 	if c := r.ControlPhase; c.InKBPerSecond.Min <= 0 || c.OutKBPerSecond.Min <= 0 ||
 		c.OutMessagesPerSecond.Min <= 0 {
-		t.Errorf("size %g: no control traffic was counted: %+v", r.Size, c)
+		t.Errorf("size %g: control traffic is missing: %+v", r.Size, c)
 	}
 }
 
-// The program itself ends with one line that names the mistake and with a failure, and writes no results.
-func TestMalformedExperimentEndsProgram(t *testing.T) {
+// Guards against a program that reports an invalid experiment without naming the key, exits successfully or
+// leaves an empty results file.
+func TestProgramRejectsMalformedExperiment(t *testing.T) {
 	dir := t.TempDir()
 	program, out := filepath.Join(dir, "scale"), filepath.Join(dir, "out.jsonl")
 	build := exec.CommandContext(t.Context(), "go", "build", "-o", program, ".")
 	if text, err := build.CombinedOutput(); err != nil {
-		t.Fatalf("building: %v\n%s", err, text)
+		t.Fatalf("build scale: %v\n%s", err, text)
 	}
 	malformed := filepath.Join(dir, "bad.toml")
 	content := "name = \"x\"\naxis = \"sideways\"\nsizes = [2]\ntier = 9\n"
@@ -141,13 +143,13 @@
 	}
 	text, err := exec.CommandContext(t.Context(), program, "run", malformed, "--out", out).CombinedOutput()
 	if err == nil {
-		t.Fatalf("no failure: %s", text)
+		t.Fatalf("exited successfully, want a failure: %s", text)
 	}
 	lines := strings.Count(string(text), "\n")
 	if lines != 1 || !strings.Contains(string(text), `axis: "sideways"`) {
-		t.Errorf("%d lines, want one that names the axis:\n%s", lines, text)
+		t.Errorf("%d lines of output, want one that names the axis:\n%s", lines, text)
 	}
 	if _, err := os.Stat(out); err == nil {
-		t.Error("a malformed experiment left a file of results")
+		t.Error("a results file exists after a malformed experiment")
 	}
 }
