--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestReloadKeepsRestartOnlySettings(t *testing.T) {
+func TestRetainFixedKeepsRestartOnlySettings(t *testing.T) {
 	current := Config{Name: "a", Listen: "a:1", Sockets: 64, Seed: 1}
 	changed := Config{Name: "b", Listen: "a:2", Sockets: 65, Seed: 2, Discovery: "b:1"}
 	if got := fmt.Sprint(current.ChangedFixed(&changed)); got != "[limits listen name]" {
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestReloadRejectsRemovedKeys(t *testing.T) {
+func TestCheckKeysReportsRemovedKeys(t *testing.T) {
 	current := Config{Keys: map[string]Present{"counter": {}, knownEndpointsKey: {}}}
 	current.Host.Keys = map[string]bool{"az": true}
 	withoutCounter, withoutZone := current, current
--- a/internal/resp/reader.go
+++ b/internal/resp/reader.go
@@ -86,10 +86,10 @@
 	return buf, nil
 }
 
-// parseLength parses the length after a message's type, and checks that it is from least to most.
-func parseLength(digits []byte, least, most int) (int, error) {
+// parseLength parses the length after a message's type, and checks that it is from lowest to highest.
+func parseLength(digits []byte, lowest, highest int) (int, error) {
 	n, err := strconv.Atoi(string(digits))
-	if err != nil || n < least || n > most {
+	if err != nil || n < lowest || n > highest {
 		return 0, protocolError("invalid length")
 	}
 	return n, nil
--- a/internal/sockwriter/writer_test.go
+++ b/internal/sockwriter/writer_test.go
@@ -14,7 +14,7 @@
 )
 
 // newConnection returns the two ends of a TCP connection. They are closed at the end of the test.
-func newConnection(t *testing.T) (near, far *net.TCPConn) {
+func newConnection(t *testing.T) (local, peer *net.TCPConn) {
 	t.Helper()
 	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -22,17 +22,17 @@
 	}
 	defer func() { _ = listener.Close() }()
 	address := net.TCPAddrFromAddrPort(netip.MustParseAddrPort(listener.Addr().String()))
-	near, err = net.DialTCP("tcp", nil, address)
+	local, err = net.DialTCP("tcp", nil, address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	far, err = listener.AcceptTCP()
+	peer, err = listener.AcceptTCP()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _, _ = near.Close(), far.Close() })
-	_ = far.SetDeadline(time.Now().Add(waittest.Timeout))
-	return near, far
+	t.Cleanup(func() { _, _ = local.Close(), peer.Close() })
+	_ = peer.SetDeadline(time.Now().Add(waittest.Timeout))
+	return local, peer
 }
 
 // fillSendBuffer sends until the kernel accepts no more bytes, and returns the bytes passed to Send.
@@ -51,15 +51,15 @@
 
 // Bytes sent while the peer does not read arrive in order, and before the end of the stream.
 func TestSendWritesInOrderBeforeCloseWrite(t *testing.T) {
-	near, far := newConnection(t)
-	w := New(near)
+	local, peer := newConnection(t)
+	w := New(local)
 	want := fillSendBuffer(t, w)
 	last := []byte("last")
 	if !w.Send(last, len(want)) {
 		t.Error("Send reported more pending bytes than the limit")
 	}
 	w.CloseWrite()
-	got, err := io.ReadAll(far)
+	got, err := io.ReadAll(peer)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,8 +70,8 @@
 
 // Send returns false if more bytes than the limit are pending.
 func TestSendReportsPendingBytesOverLimit(t *testing.T) {
-	near, _ := newConnection(t)
-	w := New(near)
+	local, _ := newConnection(t)
+	w := New(local)
 	fillSendBuffer(t, w)
 	const limit = 1 << 20
 	if w.Send(make([]byte, 2*limit), limit) {
@@ -81,8 +81,8 @@
 
 // WriteBlocking fails if the peer reads nothing.
 func TestWriteBlockingFailsIfPeerStalls(t *testing.T) {
-	near, _ := newConnection(t)
-	err := New(near).WriteBlocking(make([]byte, 64<<20), 50*time.Millisecond)
+	local, _ := newConnection(t)
+	err := New(local).WriteBlocking(make([]byte, 64<<20), 50*time.Millisecond)
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("error %v, want %v", err, os.ErrDeadlineExceeded)
 	}
@@ -90,12 +90,12 @@
 
 // NoInput is false if input is available or the connection is closed.
 func TestNoInput(t *testing.T) {
-	near, far := newConnection(t)
-	w := New(near)
+	local, peer := newConnection(t)
+	w := New(local)
 	if !w.NoInput() {
 		t.Error("NoInput is false on a new connection, want true")
 	}
-	if _, err := far.Write([]byte("x")); err != nil {
+	if _, err := peer.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
 	for deadline := time.Now().Add(waittest.Timeout); w.NoInput(); {
@@ -103,7 +103,7 @@
 			t.Fatal("NoInput stays true after the peer has sent a byte, want false")
 		}
 	}
-	_ = near.Close()
+	_ = local.Close()
 	if w.NoInput() {
 		t.Error("NoInput is true on a closed connection, want false")
 	}
