--- a/deploy/example/standins/send.go
+++ b/deploy/example/standins/send.go
@@ -46,11 +46,11 @@
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(ctx, "tcp", cfg.Listen)
 	if err != nil {
-		return fmt.Errorf("client: %w", err)
+		return fmt.Errorf("client connection: %w", err)
 	}
 	defer func() { _ = conn.Close() }()
 	if err := conn.SetDeadline(time.Now().Add(sendTimeout)); err != nil {
-		return fmt.Errorf("client: %w", err)
+		return fmt.Errorf("client connection: %w", err)
 	}
 	commands := [][]byte{resp.AppendBulk(resp.AppendArray(nil, 1), []byte("PING"))}
 	for i := range c.Requests {
@@ -59,16 +59,16 @@
 	return printReplies(conn, commands)
 }
 
-// printReplies sends one command after another and prints the reply to each.
+// printReplies sends the commands sequentially and prints the reply to each.
 func printReplies(conn net.Conn, commands [][]byte) error {
 	in := resp.NewReader(conn)
 	for _, command := range commands {
 		if _, err := conn.Write(command); err != nil {
-			return fmt.Errorf("client: %w", err)
+			return fmt.Errorf("client connection: %w", err)
 		}
 		reply, err := in.ReadReply()
 		if err != nil {
-			return fmt.Errorf("client: %w", err)
+			return fmt.Errorf("client connection: %w", err)
 		}
 		_, _ = fmt.Fprintf(os.Stdout, "%s\n", reply.Text)
 	}
@@ -84,7 +84,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("waiting for the gateway: %w", context.Cause(ctx))
+			return fmt.Errorf("wait for the gateway: %w", context.Cause(ctx))
 		case <-time.After(pollInterval):
 		}
 	}
@@ -103,11 +103,11 @@
 func getOps(ctx context.Context, opsAddress, path string) ([]byte, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+opsAddress+path, nil)
 	if err != nil {
-		return nil, fmt.Errorf("operators' call: %w", err)
+		return nil, fmt.Errorf("ops request: %w", err)
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return nil, fmt.Errorf("operators' call: %w", err)
+		return nil, fmt.Errorf("ops request: %w", err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
@@ -115,7 +115,7 @@
 	}
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		return nil, fmt.Errorf("operators' call: %w", err)
+		return nil, fmt.Errorf("ops request: %w", err)
 	}
 	return body, nil
 }
--- a/internal/discovery/fake_test.go
+++ b/internal/discovery/fake_test.go
@@ -127,7 +127,7 @@
 	return respond(r, http.StatusServiceUnavailable, strings.NewReader(""))
 }
 
-// waitForCancellation returns no response, and an error when the call is cancelled.
+// waitForCancellation blocks until the call is cancelled, and returns no response.
 func waitForCancellation(r *http.Request) (*http.Response, error) {
 	<-r.Context().Done()
 	return nil, r.Context().Err()
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -37,8 +37,8 @@
 	conn       *net.UDPConn // nil if there is no socket
 }
 
-// New returns a transport without a socket. The transport calls receive with each message that it receives,
-// on a goroutine of its own. receive may retain the message.
+// New returns a transport without a socket. The transport calls receive, on its own goroutine, with each
+// message that arrives. receive may retain the message.
 func New(config Config, log *slog.Logger, receive func(peer int, message []byte)) *Transport {
 	t := &Transport{
 		config: config, log: log, receive: receive,
--- a/internal/gossip/transport_test.go
+++ b/internal/gossip/transport_test.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// expectMessage waits for the next message and compares it with the expected one.
+// expectMessage waits for the next message and compares it with want.
 func expectMessage(t *testing.T, messages <-chan receivedMessage, want receivedMessage) {
 	t.Helper()
 	if got := waittest.Receive(t, messages, "a message"); got != want {
--- a/internal/ops/server.go
+++ b/internal/ops/server.go
@@ -55,7 +55,7 @@
 		Handler: mux, ReadTimeout: readTimeout, WriteTimeout: writeTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ConnState: s.trackConnection,
 	}
-	s.http.SetKeepAlivesEnabled(false) // one request a connection
+	s.http.SetKeepAlivesEnabled(false) // one request per connection
 	return s, nil
 }
 
--- a/internal/ops/server_test.go
+++ b/internal/ops/server_test.go
@@ -130,7 +130,7 @@
 		t.Fatal(err)
 	}
 	s.SetReady(true)
-	s.Serve() // returns at once
+	s.Serve() // returns immediately
 	s.Close()
 	if got := s.Addr(); got != nil {
 		t.Errorf("got address %v, want none", got)
--- a/internal/waittest/waittest_test.go
+++ b/internal/waittest/waittest_test.go
@@ -22,7 +22,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		values, started := make(chan int), time.Now()
 		if _, received := receiveWithin(values, Timeout); received {
-			t.Error("received from a channel that nobody sends to")
+			t.Error("received from a channel without a sender")
 		}
 		if waited := time.Since(started); waited != Timeout {
 			t.Errorf("waited for %v, want %v", waited, Timeout)
