--- a/scale/internal/gatewayproc/gateway.go
+++ b/scale/internal/gatewayproc/gateway.go
@@ -61,7 +61,7 @@
 	MemoryMB      int
 	Peers         []netip.AddrPort
 	Settings      json.RawMessage
-	LastKnownList json.RawMessage // the last known list
+	LastKnownList json.RawMessage // in discovery's encoding
 	AgentIndex    int             // index into Gateway.Agents of the discovery agent to use
 }
 
@@ -159,7 +159,7 @@
 	g.pid.Store(int64(g.command.Process.Pid))
 	go func() {
 		defer close(g.Exited)
-		_ = g.command.Wait() // the log contains the reason of the exit
+		_ = g.command.Wait() // its log contains the reason for the exit
 	}()
 	return nil
 }
@@ -191,7 +191,7 @@
 	errNotReady      = errors.New("not ready")
 )
 
-// lastLogLine returns the last line in the log of the process, which gives the reason of an exit.
+// lastLogLine returns the last line in the log of the process, which gives the reason for an exit.
 func (g *Gateway) lastLogLine() string {
 	log, err := os.ReadFile(g.logPath())
 	if err != nil {
--- a/scale/internal/model/experiment.go
+++ b/scale/internal/model/experiment.go
@@ -59,9 +59,9 @@
 	MaxSimulatedDelay time.Duration `toml:"hollow_late"`
 	ServiceTime       time.Duration `toml:"service"`   // of a backend
 	MemoryMB          int           `toml:"memory_mb"` // the memory limit in the gateways' configuration
-	IdlePhase         time.Duration `toml:"idle"`      // the phase without changes and requests
-	ControlPhase      time.Duration `toml:"control"`   // the phase with changes only
-	LoadPhase         time.Duration `toml:"load"`      // the phase with changes and requests
+	IdlePhase         time.Duration `toml:"idle"`      // length of the phase without changes and requests
+	ControlPhase      time.Duration `toml:"control"`   // length of the phase with changes only
+	LoadPhase         time.Duration `toml:"load"`      // length of the phase with changes and requests
 	// TimedChanges is the number of backends whose removal and return are timed until all gateways know
 	// of them.
 	TimedChanges int `toml:"steps"`
@@ -77,7 +77,7 @@
 	maxBackends          = 120_000
 	maxRequestsPerSecond = 2_000.0
 	maxServiceTime       = time.Second
-	maxPhase             = time.Minute
+	maxPhaseLength       = time.Minute
 	maxTimedChanges      = 20
 	maxReplicaCounts     = 10
 
@@ -92,9 +92,9 @@
 	defaultServiceTime                = 10 * time.Millisecond
 	defaultMemoryMB                   = 256
 	defaultTimedChanges               = 3
-	defaultIdle                       = 3 * time.Second
-	defaultControl                    = 5 * time.Second
-	defaultLoad                       = 5 * time.Second
+	defaultIdlePhase                  = 3 * time.Second
+	defaultControlPhase               = 5 * time.Second
+	defaultLoadPhase                  = 5 * time.Second
 
 	defaultBackends          = 46
 	defaultChangesPerSecond  = 1
@@ -123,7 +123,7 @@
 		SimulatedRequestsPerSecond: defaultSimulatedRequestsPerSecond,
 		MaxSimulatedDelay:          quotaRequestTimeout,
 		ServiceTime:                defaultServiceTime, MemoryMB: defaultMemoryMB,
-		IdlePhase: defaultIdle, ControlPhase: defaultControl, LoadPhase: defaultLoad,
+		IdlePhase: defaultIdlePhase, ControlPhase: defaultControlPhase, LoadPhase: defaultLoadPhase,
 		TimedChanges: defaultTimedChanges,
 		Base:         defaultBase,
 	}
@@ -205,10 +205,10 @@
 // checkPhases checks the lengths of the phases and the longest delay allowed in them.
 func (e *Experiment) checkPhases() error {
 	return cmp.Or(
-		checkPositive("idle", e.IdlePhase, maxPhase),
-		checkPositive("control", e.ControlPhase, maxPhase),
-		checkPositive("load", e.LoadPhase, maxPhase),
-		checkPositive("hollow_late", e.MaxSimulatedDelay, maxPhase),
+		checkPositive("idle", e.IdlePhase, maxPhaseLength),
+		checkPositive("control", e.ControlPhase, maxPhaseLength),
+		checkPositive("load", e.LoadPhase, maxPhaseLength),
+		checkPositive("hollow_late", e.MaxSimulatedDelay, maxPhaseLength),
 	)
 }
 
--- a/scale/internal/report/columns.go
+++ b/scale/internal/report/columns.go
@@ -101,7 +101,7 @@
 func delayUnderLoad(r *results.Result) float64 { return r.LoadPhase.LongestSimulatedDelay() }
 
 // cpuPerRequest returns the gateways' processor time per request, in microseconds: the usage of the load
-// phase beyond that of the control phase, which has no requests.
+// phase beyond that of the control phase, in which real gateways receive no requests.
 func cpuPerRequest(r *results.Result) (float64, bool) {
 	if r.LoadPhase == nil || r.ControlPhase == nil || r.Answers.Sent == 0 {
 		return 0, false
--- a/scale/internal/report/report.go
+++ b/scale/internal/report/report.go
@@ -81,8 +81,8 @@
 	fmt.Fprintf(b, "## %s\n\nAxis: %s. %d real gateways, %s in the settings, known: %s, service %g ms. ",
 		first.Experiment, first.Axis, first.RealGateways, t.tierSizes(), first.LastKnownList,
 		first.ServiceTimeMS)
-	fmt.Fprintf(b, "Program %s. Least / median / most of the repeats, one figure where they are the same or "+
-		"there is one. What is worked out goes on from the two largest sizes that ran.\n\n",
+	fmt.Fprintf(b, "Program %s. Minimum / median / maximum of the repeats, or one value if all are equal. "+
+		"Worked-out values are extrapolated from the two largest sizes with valid runs.\n\n",
 		strings.Join(t.revisions(), ", "))
 }
 
--- a/scale/internal/runner/runner.go
+++ b/scale/internal/runner/runner.go
@@ -50,7 +50,7 @@
 	point, err := e.PointAt(sizeIndex)
 	result := r.newResult(point, sizeIndex, repeat)
 	log := r.Log.With("experiment", e.Name, "size", result.Size, "repeat", repeat)
-	log.Info("run starts", "real_gateways", result.RealGateways,
+	log.Info("run started", "real_gateways", result.RealGateways,
 		"simulated_gateways", result.SimulatedGateways, "backends", point.Backends)
 	if err == nil {
 		err = runOnTestbed(ctx, newTestbed(r, point, sizeIndex, repeat), result)
@@ -64,7 +64,7 @@
 	case err != nil:
 		result.Status = "stopped: " + err.Error()
 	case delay > results.Milliseconds(e.MaxSimulatedDelay):
-		result.Status = fmt.Sprintf("behind: hollow gateways were late by up to %.0f ms, %v at most",
+		result.Status = fmt.Sprintf("behind: simulated gateways were late by %.0f ms, expected at most %v",
 			delay, e.MaxSimulatedDelay)
 	}
 	log.Info("run ended", "status", result.Status)
--- a/scale/internal/runner/testbed.go
+++ b/scale/internal/runner/testbed.go
@@ -33,7 +33,7 @@
 	tierSize      int // the number of gateways in the settings
 	dir           string
 	rand          *rand.Rand
-	lastKnownList json.RawMessage // the last known list in the gateways' configuration
+	lastKnownList json.RawMessage // for the gateways' configuration, in discovery's encoding
 	catalog       *model.Catalog
 	backends      *standin.Backends
 	audit         *standin.CeilingAudit
