--- a/cmd/gateway/slowstart_fleet_test.go
+++ b/cmd/gateway/slowstart_fleet_test.go
@@ -196,7 +196,7 @@
 func exhaustDescriptors(f *fleet) {
 	f.replaceBackends()
 	f.runFor(time.Second)
-	before := f.countLogged(" ejected: ")
+	before := f.countLogged("backend ejected")
 	limit := unix.Rlimit{}
 	for _, p := range f.gateways {
 		limit = p.limitDescriptors(f.tb, unix.Rlimit{Cur: 3, Max: 1024})
@@ -209,7 +209,7 @@
 	if n := f.countLogged("own_shortage"); n == 0 {
 		f.tb.Error("no dial failed because of the limit on descriptors")
 	}
-	if n := f.countLogged(" ejected: "); n != before {
+	if n := f.countLogged("backend ejected"); n != before {
 		f.tb.Errorf("%d ejections after the limit on descriptors was lowered, want %d as before", n, before)
 	}
 }
