--- a/policy/admission.go
+++ b/policy/admission.go
@@ -25,7 +25,7 @@
 	customer := c.customerRecord(c.sharing.newAccount(req.Customer, req.Plan, req.FirstReplica, req.Replicas))
 	c.customers.recordDemand(c.clock.now, &c.sharing, customer, req.Cost)
 	request := &request{Request: req, deadline: now + req.Timeout, customer: customer}
-	if c.atCapacity(c.priority.openCapacityShare(c.settings.valueOf(&req), usualLatency)) {
+	if c.atCapacity(c.priority.recordPriority(c.settings.valueOf(&req), usualLatency)) {
 		c.reject(req.ID, rejectAtCapacity, c.shortestObjective/retryAfterDivisor)
 		return
 	}
--- a/policy/backendhealth.go
+++ b/policy/backendhealth.go
@@ -158,8 +158,8 @@
 // isProbeDue reports whether a health check is due.
 func (h *backendHealth) isProbeDue(now Time) bool { return h.isDown && now >= h.nextProbeAt }
 
-// startProbe records that a health check starts now.
-func (h *backendHealth) startProbe(now Time) { h.nextProbeAt = now + maxEjectionTime }
+// recordProbeStart records that a health check starts now.
+func (h *backendHealth) recordProbeStart(now Time) { h.nextProbeAt = now + maxEjectionTime }
 
 // recordFailedProbe extends the ejection after a failed health check.
 func (h *backendHealth) recordFailedProbe(now Time, connectFailed bool) {
--- a/policy/backendhealth_test.go
+++ b/policy/backendhealth_test.go
@@ -168,7 +168,7 @@
 	if health.isProbeDue(due-1) || !health.isProbeDue(due) {
 		t.Error("probe not due exactly at the end of the ejection")
 	}
-	if health.startProbe(due); health.isProbeDue(due) {
+	if health.recordProbeStart(due); health.isProbeDue(due) {
 		t.Error("second probe due while one is in progress")
 	}
 	health.recordFailedProbe(due, false)
--- a/policy/backendtable.go
+++ b/policy/backendtable.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-const departedRetention = 60 * second // how long the starts of a removed backend are retained
+const removedRetention = 60 * second // how long the starts of a removed backend are retained
 
 // backend is an endpoint with the state that this gateway has about it.
 type backend struct {
@@ -20,8 +20,8 @@
 	faults    faultReports
 }
 
-// ready reports whether service discovery lists the backend as ready.
-func (b *backend) ready() bool { return b.listed && b.State == EndpointReady }
+// isReady reports whether service discovery lists the backend as ready.
+func (b *backend) isReady() bool { return b.listed && b.State == EndpointReady }
 
 // acceptsAttempts reports whether the health of the backend allows another attempt.
 func (b *backend) acceptsAttempts(now Time, healthChecks bool) bool {
@@ -30,7 +30,7 @@
 
 // isWarm reports whether the backend counts towards the rate at which warm backends answer this gateway.
 func (b *backend) isWarm(now Time, healthChecks bool, parameters *slowStartParameters) bool {
-	return b.ready() && b.inSubset && b.acceptsAttempts(now, healthChecks) &&
+	return b.isReady() && b.inSubset && b.acceptsAttempts(now, healthChecks) &&
 		b.slowStart.capacityShare(now, parameters) == 1
 }
 
@@ -47,27 +47,27 @@
 	return true
 }
 
-// departedBackend is the state retained of a removed backend, in case a later list has it again.
-type departedBackend struct {
+// removedBackend is the state retained of a removed backend, in case a later list has it again.
+type removedBackend struct {
 	stamps    startStamps
 	startedAt Time
 	removedAt Time // when the backend was removed from the table
 }
 
 // backendTable holds the backends that are listed, have attempts in flight, or are in slow start. inOrder and
-// byID hold the same backends; departed holds the starts of recently removed ones, which are in neither.
+// byID hold the same backends; removed holds the starts of recently removed ones, which are in neither.
 type backendTable struct {
 	inOrder    []*backend // in the order in which they were added
 	byID       map[uint32]*backend
-	departed   map[uint32]departedBackend // by ID
-	healthy    int                        // ready backends that are not ejected, as of the last count
-	classCount int                        // the number of classes with fault reports
-	planCount  int                        // the number of plans with fault reports
+	removed    map[uint32]removedBackend // by ID
+	healthy    int                       // ready backends that are not ejected, as of the last count
+	classCount int                       // the number of classes with fault reports
+	planCount  int                       // the number of plans with fault reports
 }
 
 func newBackendTable(classes, plans int) backendTable {
 	return backendTable{
-		byID: map[uint32]*backend{}, departed: map[uint32]departedBackend{},
+		byID: map[uint32]*backend{}, removed: map[uint32]removedBackend{},
 		classCount: classes, planCount: plans,
 	}
 }
@@ -104,9 +104,9 @@
 	}
 	added := &backend{Endpoint: endpoint, faults: newFaultReports(t.classCount, t.planCount)}
 	added.slowStart.bucket = tokenBucket{level: random.Float64(), updatedAt: now}
-	if departed, ok := t.departed[endpoint.ID]; ok {
-		delete(t.departed, endpoint.ID)
-		added.slowStart.stamps, added.slowStart.startedAt = departed.stamps, departed.startedAt
+	if removed, ok := t.removed[endpoint.ID]; ok {
+		delete(t.removed, endpoint.ID)
+		added.slowStart.stamps, added.slowStart.startedAt = removed.stamps, removed.startedAt
 	}
 	t.byID[endpoint.ID] = added
 	t.inOrder = append(t.inOrder, added)
@@ -127,7 +127,7 @@
 			backend.slowStart.capacityShare(now, parameters) == 1
 		if isUnused {
 			delete(t.byID, backend.ID)
-			t.departed[backend.ID] = departedBackend{
+			t.removed[backend.ID] = removedBackend{
 				stamps: backend.slowStart.stamps, startedAt: backend.slowStart.startedAt, removedAt: now,
 			}
 		}
@@ -135,11 +135,11 @@
 	})
 }
 
-// sweepDeparted drops the starts of backends that were removed more than departedRetention ago.
-func (t *backendTable) sweepDeparted(now Time) {
-	for id, departed := range t.departed {
-		if now-departed.removedAt > departedRetention {
-			delete(t.departed, id)
+// sweepRemoved drops the starts of backends that were removed more than removedRetention ago.
+func (t *backendTable) sweepRemoved(now Time) {
+	for id, removed := range t.removed {
+		if now-removed.removedAt > removedRetention {
+			delete(t.removed, id)
 		}
 	}
 }
@@ -155,12 +155,12 @@
 	return ended
 }
 
-// startProbes returns the ready backends whose health check is due, and records that it starts now.
-func (t *backendTable) startProbes(now Time) []*backend {
+// takeDueProbes returns the ready backends whose health check is due, and records that it starts now.
+func (t *backendTable) takeDueProbes(now Time) []*backend {
 	var due []*backend
 	for _, backend := range t.inOrder {
-		if backend.health.isProbeDue(now) && backend.ready() {
-			backend.health.startProbe(now)
+		if backend.health.isProbeDue(now) && backend.isReady() {
+			backend.health.recordProbeStart(now)
 			due = append(due, backend)
 		}
 	}
@@ -191,11 +191,11 @@
 	return total
 }
 
-// countWarmingUp returns the number of ready backends in slow start.
-func (t *backendTable) countWarmingUp(now Time, parameters *slowStartParameters) int {
+// countInSlowStart returns the number of ready backends in slow start.
+func (t *backendTable) countInSlowStart(now Time, parameters *slowStartParameters) int {
 	count := 0
 	for _, backend := range t.inOrder {
-		if backend.ready() && backend.slowStart.capacityShare(now, parameters) < 1 {
+		if backend.isReady() && backend.slowStart.capacityShare(now, parameters) < 1 {
 			count++
 		}
 	}
@@ -204,9 +204,9 @@
 
 // renumberFaults moves the fault reports of all backends to new indices of classes and plans, as
 // faultReports.renumber does.
-func (t *backendTable) renumberFaults(oldClasses, newPlans []int, planCount int) {
-	t.classCount, t.planCount = len(oldClasses), planCount
+func (t *backendTable) renumberFaults(oldClassIndex, newPlanIndex []int, planCount int) {
+	t.classCount, t.planCount = len(oldClassIndex), planCount
 	for _, backend := range t.inOrder {
-		backend.faults.renumber(oldClasses, newPlans, planCount)
+		backend.faults.renumber(oldClassIndex, newPlanIndex, planCount)
 	}
 }
--- a/policy/backendtable_test.go
+++ b/policy/backendtable_test.go
@@ -63,9 +63,9 @@
 			table.byID[1].listed = false
 			c.change(table.byID[1])
 			table.prune(start, parameters)
-			_, departed := table.departed[1]
-			if got := table.byID[1] != nil; got != c.want || departed == c.want {
-				t.Errorf("kept %t, departed %t; want kept %t, and departed if not", got, departed, c.want)
+			_, removed := table.removed[1]
+			if got := table.byID[1] != nil; got != c.want || removed == c.want {
+				t.Errorf("kept %t, in removed %t; want kept %t, and in removed if not", got, removed, c.want)
 			}
 			if want := 1 + int(indicator(c.want)); len(table.inOrder) != want || len(table.byID) != want {
 				t.Errorf("%d in order, %d by ID, want %d", len(table.inOrder), len(table.byID), want)
@@ -74,16 +74,16 @@
 	}
 }
 
-func TestDepartedBackendKeepsStartForRetentionTime(t *testing.T) {
+func TestRemovedBackendKeepsStartForRetentionTime(t *testing.T) {
 	for _, c := range []struct {
 		after Time
 		want  bool // whether it has a new start when it is listed again
-	}{{departedRetention, false}, {departedRetention + 1, true}} {
+	}{{removedRetention, false}, {removedRetention + 1, true}} {
 		endpoint := Endpoint{ID: 1, StartedAt: 5}
 		table, random, parameters := testTable([]Endpoint{endpoint})
 		table.byID[1].listed, table.byID[1].slowStart.startedAt = false, 1
 		table.prune(start, parameters)
-		table.sweepDeparted(start + c.after)
+		table.sweepRemoved(start + c.after)
 		readded := table.findOrAdd(endpoint, start+c.after, random)
 		if got := readded.update(endpoint); got != c.want || readded.slowStart.startedAt == 1 == c.want {
 			t.Errorf("after %d: new start %t, started at %d", c.after, got, readded.slowStart.startedAt)
@@ -120,7 +120,7 @@
 	}
 }
 
-func TestCountUnavailableAndWarmingUpBackends(t *testing.T) {
+func TestCountBackendsUnavailableAndInSlowStart(t *testing.T) {
 	table, random, parameters := testTable(endpoints(4))
 	table.byID[1].update(Endpoint{ID: 1, State: EndpointDraining})
 	table.byID[2].health.isDown = true
@@ -129,7 +129,7 @@
 		t.Errorf("%d unavailable, want 2: the draining one and the one that is down", got)
 	}
 	table.byID[1].slowStart.startedAt, table.byID[3].slowStart.startedAt = start, start
-	if got := table.countWarmingUp(start, parameters); got != 1 {
+	if got := table.countInSlowStart(start, parameters); got != 1 {
 		t.Errorf("%d in slow start, want 1: the ready one", got)
 	}
 }
--- a/policy/clienttimeouts.go
+++ b/policy/clienttimeouts.go
@@ -31,21 +31,21 @@
 	return t[req.Plan][req.Class].value - float64(req.Timeout)
 }
 
-// renumberClasses moves the averages to new indices of classes. oldIndices has the old index of each class,
+// renumberClasses moves the averages to new indices of classes. oldClassIndex has the old index of each class,
 // or -1 for a new one.
-func (t clientTimeouts) renumberClasses(oldIndices []int) {
+func (t clientTimeouts) renumberClasses(oldClassIndex []int) {
 	for plan, row := range t {
-		t[plan] = make([]movingAverage, len(oldIndices))
-		copyByOldIndex(t[plan], row, oldIndices)
+		t[plan] = make([]movingAverage, len(oldClassIndex))
+		copyByOldIndex(t[plan], row, oldClassIndex)
 	}
 }
 
-// renumberPlans returns the averages at the indices of new plans. indices has the new index of each old plan,
+// renumberPlans returns the averages at the indices of new plans. newPlanIndex has the new index of each old plan,
 // or -1 if the plan was removed.
-func (t clientTimeouts) renumberPlans(plans, classes int, indices []int) clientTimeouts {
+func (t clientTimeouts) renumberPlans(plans, classes int, newPlanIndex []int) clientTimeouts {
 	renumbered := newClientTimeouts(plans, classes)
 	for plan := range renumbered {
-		if old := slices.Index(indices, plan); old >= 0 {
+		if old := slices.Index(newPlanIndex, plan); old >= 0 {
 			copy(renumbered[plan], t[old])
 		}
 	}
--- a/policy/controller.go
+++ b/policy/controller.go
@@ -94,7 +94,7 @@
 		c.watch.recordRequest(c.clock.now)
 		c.actions.WatchEndpoints()
 	}
-	c.gossip.start(now)
+	c.gossip.resetReceiveTimes(now)
 	for index := range c.sharing.gateways {
 		if c.sharing.announcesStartTo(index) {
 			c.actions.SendGossip(index, c.gossip.newMessage(c.loadView()))
@@ -126,13 +126,13 @@
 			}
 		}
 		c.sweepCustomers()
-		c.backends.sweepDeparted(c.clock.now)
+		c.backends.sweepRemoved(c.clock.now)
 	}
 	if !c.releasedOwnership {
 		c.runGossipRound()
 	}
 	if c.settings.HealthChecks {
-		for _, backend := range c.backends.startProbes(now) {
+		for _, backend := range c.backends.takeDueProbes(now) {
 			c.actions.HealthCheck(backend.ID)
 		}
 	}
--- a/policy/controller_attempts.go
+++ b/policy/controller_attempts.go
@@ -19,7 +19,7 @@
 	class, prices := &c.settings.Classes[request.Class], c.settings.loadPrices()
 	var best leastLoaded
 	for _, backend := range c.backends.inOrder {
-		if !backend.ready() {
+		if !backend.isReady() {
 			continue
 		}
 		if !c.slowStartAllows(backend) {
@@ -72,8 +72,8 @@
 		return false
 	}
 	others := slices.Delete(slices.Clone(request.attempts), attemptNumber, attemptNumber+1)
-	rule, class := c.settings.retryRule(request.Class, others, now), &c.settings.Classes[request.Class]
-	if !attempt.backend.ready() || !rule.allowed || !class.permits(rule.sameScopeAs, attempt.backend) {
+	rule, class := c.settings.retryRuleAfter(request.Class, others, now), &c.settings.Classes[request.Class]
+	if !attempt.backend.isReady() || !rule.allowed || !class.permits(rule.sameScopeAs, attempt.backend) {
 		return false
 	}
 	attempt.slowStart = attempt.backend.slowStart.release(attempt.slowStart, attempt.sentAt, false)
@@ -103,7 +103,7 @@
 	if request.hasPending() {
 		return
 	}
-	rule := c.settings.retryRule(request.Class, request.attempts, now)
+	rule := c.settings.retryRuleAfter(request.Class, request.attempts, now)
 	if !request.answered && c.retry(request, attempt, outcome.Result, rule, now) {
 		return
 	}
--- a/policy/controller_backends.go
+++ b/policy/controller_backends.go
@@ -88,7 +88,7 @@
 	ownInFlight := c.backends.effectiveInFlight(c.clock.now, c.limit.lateShare.value)
 	return c.limit.isReached(c.clock.activeTime, ownInFlight, part, backendCapacity{
 		healthy: c.backends.healthy, gateways: c.settings.Gateways,
-		allowedLatency: c.latency.allowed(c.settings.Classes, c.shortestObjective),
+		allowedLatency: c.latency.allowedLatency(c.settings.Classes, c.shortestObjective),
 	})
 }
 
@@ -105,7 +105,7 @@
 		share := backend.slowStart.capacityShare(c.clock.now, &c.slowStart)
 		logEjection(c.actions, backend.ID, backend.health.detectUnresponsive(
 			c.clock.now, c.clock.activeTime, backend.load.overdue, share, c.shortestObjective))
-		if backend.ready() && backend.acceptsAttempts(c.clock.now, c.settings.HealthChecks) {
+		if backend.isReady() && backend.acceptsAttempts(c.clock.now, c.settings.HealthChecks) {
 			c.backends.healthy++
 			warmBackends += int(indicator(backend.inSubset && share == 1))
 		}
--- a/policy/controller_gossip.go
+++ b/policy/controller_gossip.go
@@ -23,7 +23,7 @@
 	switch {
 	case !customer.reportIsDue(c.clock.now, &c.sharing):
 	case !c.sharing.gossip:
-		if units := customer.startCounterCall(); units > 0 {
+		if units := customer.recordCounterCall(); units > 0 {
 			c.actions.IncrementCounter(customer.id, units, counterLifetime)
 		}
 	case c.queueUsage(customer):
--- a/policy/customerreport.go
+++ b/policy/customerreport.go
@@ -30,9 +30,9 @@
 	c.grant.nextReportAt = now + sharing.receiveTime(c.replicas)
 }
 
-// startCounterCall returns the units to add to the shared counter, zero if there are none, and records the
+// recordCounterCall returns the units to add to the shared counter, zero if there are none, and records the
 // call that adds them.
-func (c *customer) startCounterCall() (units float64) {
+func (c *customer) recordCounterCall() (units float64) {
 	if units = c.usage.unreported(); units > 0 {
 		c.counter.recordCall(units)
 	}
--- a/policy/customerreport_test.go
+++ b/policy/customerreport_test.go
@@ -160,11 +160,11 @@
 	customer, _ := reportedCustomer()
 	customer.usage.consumed = 3
 	customer.usage.scheduleReports()
-	assertNear(t, "units for the counter", customer.startCounterCall(), 3)
+	assertNear(t, "units for the counter", customer.recordCounterCall(), 3)
 	if customer.counter.isIdle() || customer.usage.reportsLeft != 0 {
 		t.Error("no call is pending, or the usage is to be reported again")
 	}
-	if units := customer.startCounterCall(); units > 0 {
+	if units := customer.recordCounterCall(); units > 0 {
 		t.Errorf("%g units for the counter a second time, want none", units)
 	}
 	if n := len(customer.counter.pendingCalls); n != 1 {
--- a/policy/faultreports.go
+++ b/policy/faultreports.go
@@ -36,12 +36,12 @@
 	return r.byClass[class].value(now, faultDecay) + r.byPlan[plan].value(now, faultDecay)
 }
 
-// renumber moves the reports to new indices of classes and plans. oldClasses has the old index of each new
-// class, or -1 for a new one; newPlans has the new index of each old plan, or -1 if the plan was removed.
-func (r *faultReports) renumber(oldClasses, newPlans []int, planCount int) {
-	renumbered := newFaultReports(len(oldClasses), planCount)
-	copyByOldIndex(renumbered.byClass, r.byClass, oldClasses)
-	for old, plan := range newPlans {
+// renumber moves the reports to new indices of classes and plans. oldClassIndex has the old index of each new
+// class, or -1 for a new one; newPlanIndex has the new index of each old plan, or -1 if the plan was removed.
+func (r *faultReports) renumber(oldClassIndex, newPlanIndex []int, planCount int) {
+	renumbered := newFaultReports(len(oldClassIndex), planCount)
+	copyByOldIndex(renumbered.byClass, r.byClass, oldClassIndex)
+	for old, plan := range newPlanIndex {
 		if plan >= 0 {
 			renumbered.byPlan[plan] = r.byPlan[old]
 		}
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -35,9 +35,9 @@
 	return gossipState{incarnation: incarnation, peers: make([]peer, gateways)}
 }
 
-// start sets the receive time of all peers to this gateway's start, from which their first messages are
+// resetReceiveTimes sets the receive time of all peers to this gateway's start, from which their first messages are
 // weighted.
-func (g *gossipState) start(now Time) {
+func (g *gossipState) resetReceiveTimes(now Time) {
 	for i := range g.peers {
 		g.peers[i].lastReceivedAt = now
 	}
--- a/policy/gossipstate_test.go
+++ b/policy/gossipstate_test.go
@@ -115,7 +115,7 @@
 		},
 	}
 	gossip := newGossipState(7, 3)
-	gossip.start(0)
+	gossip.resetReceiveTimes(0)
 	for _, step := range steps {
 		if got := gossip.receive(1, step.at, &step.message); got != step.want {
 			t.Errorf("%s: got %+v, want %+v", step.name, got, step.want)
@@ -126,7 +126,7 @@
 func TestAllActiveRequiresRecentMessageOfEachReplica(t *testing.T) {
 	sharing := newQuotaSharing(&Settings{Gateways: 4, Gossip: true})
 	set, gossip := &account{id: 9, replicas: 3}, newGossipState(7, 4)
-	gossip.start(second)
+	gossip.resetReceiveTimes(second)
 	if gossip.allActive(&sharing, set, second) {
 		t.Error("peers that have sent nothing since the start are active")
 	}
--- a/policy/latencyestimate.go
+++ b/policy/latencyestimate.go
@@ -34,10 +34,10 @@
 	return float64(fallback)
 }
 
-// allowed returns the average latency over all classes at which each class still meets its objective, given
+// allowedLatency returns the average latency over all classes at which each class still meets its objective, given
 // that load increases the latency of all classes in proportion. If no latency is known, it returns the
 // shortest objective.
-func (e *latencyEstimate) allowed(classes []Class, shortestObjective Time) float64 {
+func (e *latencyEstimate) allowedLatency(classes []Class, shortestObjective Time) float64 {
 	allowed := math.Inf(1)
 	for class, latency := range e.byClass {
 		if latency.value > 0 {
@@ -51,10 +51,10 @@
 	return allowed
 }
 
-// renumber moves the averages to new indices of classes. oldClasses has the old index of each class, or -1
+// renumber moves the averages to new indices of classes. oldClassIndex has the old index of each class, or -1
 // for a new one.
-func (e *latencyEstimate) renumber(oldClasses []int) {
-	byClass := make([]movingAverage, len(oldClasses))
-	copyByOldIndex(byClass, e.byClass, oldClasses)
+func (e *latencyEstimate) renumber(oldClassIndex []int) {
+	byClass := make([]movingAverage, len(oldClassIndex))
+	copyByOldIndex(byClass, e.byClass, oldClassIndex)
 	e.byClass = byClass
 }
--- a/policy/latencyestimate_test.go
+++ b/policy/latencyestimate_test.go
@@ -16,11 +16,11 @@
 func TestAllowedLatencyIsLimitedByTightestClass(t *testing.T) {
 	classes := []Class{{LatencyObjective: 1000}, {LatencyObjective: 3000}}
 	estimate := newLatencyEstimate(2)
-	assertNear(t, "unknown", estimate.allowed(classes, 1000), 1000)
+	assertNear(t, "unknown", estimate.allowedLatency(classes, 1000), 1000)
 	estimate.record(1, 300, 1)
-	assertNear(t, "with one class", estimate.allowed(classes, 1000), 3000)
+	assertNear(t, "with one class", estimate.allowedLatency(classes, 1000), 3000)
 	estimate.record(0, 100, 1) // the average of both classes is now 200
-	assertNear(t, "with two classes, the first one tighter", estimate.allowed(classes, 1000), 2000)
+	assertNear(t, "with two classes, the first one tighter", estimate.allowedLatency(classes, 1000), 2000)
 }
 
 func TestLatencyEstimateFollowsRenumberedClasses(t *testing.T) {
--- a/policy/priority.go
+++ b/policy/priority.go
@@ -17,10 +17,10 @@
 	return s.Classes[req.Class].PriorityWeight * s.Plans[req.Plan].ValueFactor * req.Cost
 }
 
-// openCapacityShare returns the share of the capacity that is open to a request with the given value and
+// recordPriority returns the share of the capacity that is open to a request with the given value and
 // usual latency, and adds its priority to the average. The share grows with the priority in relation to the
 // average. It is 1 if the latency is unknown (0).
-func (p *priorityAverage) openCapacityShare(value, latency float64) float64 {
+func (p *priorityAverage) recordPriority(value, latency float64) float64 {
 	if latency == 0 {
 		return 1
 	}
--- a/policy/priority_test.go
+++ b/policy/priority_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-func TestOpenCapacityShareGrowsWithPriority(t *testing.T) {
+func TestRecordPriorityOpensCapacityByPriority(t *testing.T) {
 	var average priorityAverage
 	for range 1000 {
-		average.openCapacityShare(20, 10)
+		average.recordPriority(20, 10)
 	}
 	cases := []struct {
 		name           string
@@ -19,7 +19,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			copied := average
-			got := copied.openCapacityShare(10*c.priority, 10)
+			got := copied.recordPriority(10*c.priority, 10)
 			if difference := got - c.want; difference < -0.02 || difference > 0.02 {
 				t.Errorf("open share %g, want about %g", got, c.want)
 			}
@@ -29,7 +29,7 @@
 
 func TestFirstPrioritySetsAverage(t *testing.T) {
 	var average priorityAverage
-	assertNear(t, "open share", average.openCapacityShare(3, 1), 1)
-	assertNear(t, "open share with unknown latency", average.openCapacityShare(1, 0), 1)
-	assertNear(t, "open share, no priority", new(priorityAverage).openCapacityShare(0, 1), baseCapacityShare)
+	assertNear(t, "open share", average.recordPriority(3, 1), 1)
+	assertNear(t, "open share with unknown latency", average.recordPriority(1, 0), 1)
+	assertNear(t, "open share, no priority", new(priorityAverage).recordPriority(0, 1), baseCapacityShare)
 }
--- a/policy/reload.go
+++ b/policy/reload.go
@@ -9,7 +9,7 @@
 		return err
 	}
 	c.advanceClock(now)
-	settings.retainFixed(&c.settings)
+	settings.retainRestartOnly(&c.settings)
 	change := matchSettings(&c.settings, &settings, c.requests.hasClass, c.customers.hasPlan)
 	if err := settings.validate(); err != nil {
 		return err // too many classes and plans with those that are kept
@@ -24,7 +24,7 @@
 	c.sharedBucket.updateRate(now)
 	c.sharedBucket.limitToCapacity()
 	for _, customer := range c.customers.inOrder {
-		customer.setPlan(&c.sharing, change.plans[customer.plan])
+		customer.setPlan(&c.sharing, change.newPlanIndex[customer.plan])
 	}
 	return nil
 }
@@ -33,12 +33,12 @@
 // class stay with the class of the same name, even if its settings have changed.
 func (c *Controller) renumber(settings *Settings, change *settingsChange) {
 	classCount, planCount := len(settings.Classes), len(settings.Plans)
-	c.latency.renumber(change.oldClasses)
-	c.clientTimeouts.renumberClasses(change.oldClasses)
-	c.clientTimeouts = c.clientTimeouts.renumberPlans(planCount, classCount, change.plans)
-	c.backends.renumberFaults(change.oldClasses, change.plans, planCount)
-	c.requests.renumber(change.classes, change.plans, classCount)
-	c.sharedBucket.renumberPlans(c.settings.Plans, settings.Plans, change.plans)
+	c.latency.renumber(change.oldClassIndex)
+	c.clientTimeouts.renumberClasses(change.oldClassIndex)
+	c.clientTimeouts = c.clientTimeouts.renumberPlans(planCount, classCount, change.newPlanIndex)
+	c.backends.renumberFaults(change.oldClassIndex, change.newPlanIndex, planCount)
+	c.requests.renumber(change.newClassIndex, change.newPlanIndex, classCount)
+	c.sharedBucket.renumberPlans(c.settings.Plans, settings.Plans, change.newPlanIndex)
 	c.gossip.dropFaults() // they refer to classes by their old indices
 }
 
--- a/policy/report.go
+++ b/policy/report.go
@@ -11,7 +11,7 @@
 		healthy: c.backends.healthy, backends: len(c.backends.inOrder),
 	}
 	slowStarts := slowStartMetrics{
-		backends: c.backends.countWarmingUp(now, &c.slowStart), warmBackends: c.pace.warmBackends,
+		backends: c.backends.countInSlowStart(now, &c.slowStart), warmBackends: c.pace.warmBackends,
 		warmAnswerRate: c.pace.answersPerSecond(now),
 	}
 	c.actions.Log(messageCounters, c.counters.flush(now, load, slowStarts)...)
--- a/policy/requesttable.go
+++ b/policy/requesttable.go
@@ -104,13 +104,13 @@
 
 // renumber changes the indices of classes and plans to those of new settings with classCount classes. Classes
 // and plans are given as new indices by old index, -1 for one that no request uses.
-func (t *requestTable) renumber(classes, plans []int, classCount int) {
+func (t *requestTable) renumber(newClassIndex, newPlanIndex []int, classCount int) {
 	t.each(func(request *request) {
-		request.Class, request.Plan = classes[request.Class], plans[request.Plan]
+		request.Class, request.Plan = newClassIndex[request.Class], newPlanIndex[request.Plan]
 	})
 	withinObjective := make([][]*attempt, classCount)
 	for i, attempts := range t.withinObjective {
-		if class := classes[i]; class >= 0 {
+		if class := newClassIndex[i]; class >= 0 {
 			withinObjective[class] = append(withinObjective[class], attempts...)
 			slices.SortStableFunc(withinObjective[class], bySendTime)
 		}
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -66,9 +66,9 @@
 	}
 }
 
-// retryRule derives the rule from the idempotency of the class and the attempts that a request has had. If
+// retryRuleAfter derives the rule from the idempotency of the class and the attempts that a request has had. If
 // hedging is set, an attempt may be made while another one is pending.
-func (c *Class) retryRule(attempts []*attempt, hedging bool, now, dedupMargin Time) retryRule {
+func (c *Class) retryRuleAfter(attempts []*attempt, hedging bool, now, dedupMargin Time) retryRule {
 	rule := retryRule{allowed: true, rejectable: true}
 	for _, attempt := range attempts {
 		if attempt.pending && !hedging {
@@ -89,8 +89,8 @@
 	return rule
 }
 
-// retryRule derives the rule for the given attempts of a request from the class with the given index.
-func (s *Settings) retryRule(class int, attempts []*attempt, now Time) retryRule {
+// retryRuleAfter derives the rule for the given attempts of a request from the class with the given index.
+func (s *Settings) retryRuleAfter(class int, attempts []*attempt, now Time) retryRule {
 	margin := dedupMarginEvents * s.MinEventInterval
-	return s.Classes[class].retryRule(attempts, s.Hedging, now, margin)
+	return s.Classes[class].retryRuleAfter(attempts, s.Hedging, now, margin)
 }
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -53,7 +53,7 @@
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := c.class.retryRule(c.attempts, c.hedging, start+c.after, 1000); got != c.want {
+			if got := c.class.retryRuleAfter(c.attempts, c.hedging, start+c.after, 1000); got != c.want {
 				t.Errorf("got %+v, want %+v", got, c.want)
 			}
 		})
--- a/policy/settingschange.go
+++ b/policy/settingschange.go
@@ -5,8 +5,8 @@
 // settingsChange maps the indices of classes and plans before a reload to those after it. Every class and
 // plan that is still needed has a new index.
 type settingsChange struct {
-	classes, plans []int // the new index of each old one; -1 if it is no longer needed
-	oldClasses     []int // the old index of each new class; -1 if there was none of that name
+	newClassIndex, newPlanIndex []int // the new index of each old one; -1 if it is no longer needed
+	oldClassIndex               []int // the old index of each new class; -1 if there was none of that name
 }
 
 // matchSettings matches the classes and plans of new settings with the current ones, by name. It appends to
@@ -15,9 +15,9 @@
 func matchSettings(current, settings *Settings, needsClass, needsPlan func(index int) bool) settingsChange {
 	classes := matchClasses(current, settings, needsClass)
 	return settingsChange{
-		classes:    classes,
-		plans:      matchPlans(current, settings, needsPlan),
-		oldClasses: oldClassIndices(current.Classes, settings.Classes, classes),
+		newClassIndex: classes,
+		newPlanIndex:  matchPlans(current, settings, needsPlan),
+		oldClassIndex: oldClassIndices(current.Classes, settings.Classes, classes),
 	}
 }
 
@@ -83,9 +83,9 @@
 func className(class *Class) string { return class.Name }
 func planName(plan *Plan) string    { return plan.Name }
 
-// retainFixed copies the settings that only a restart can change from the current settings. It also clones
+// retainRestartOnly copies the settings that only a restart can change from the current settings. It also clones
 // the lists of classes and plans, because matchSettings appends to them.
-func (s *Settings) retainFixed(current *Settings) {
+func (s *Settings) retainRestartOnly(current *Settings) {
 	s.Self, s.Gateways, s.Zone = current.Self, current.Gateways, current.Zone
 	s.PollEndpoints, s.LoadReport = current.PollEndpoints, current.LoadReport
 	s.Gossip, s.SharedCounter = current.Gossip, current.SharedCounter
--- a/policy/settingschange_test.go
+++ b/policy/settingschange_test.go
@@ -29,21 +29,21 @@
 			changed.Classes, changed.Plans = slices.Clone(settings.Classes), slices.Clone(settings.Plans)
 			isNeeded := func(int) bool { return c.needed }
 			got := matchSettings(&current, &changed, isNeeded, isNeeded)
-			if !slices.Equal(got.classes, c.classes) || !slices.Equal(got.plans, c.plans) {
-				t.Errorf("got classes %v, plans %v; want %v, %v", got.classes, got.plans, c.classes, c.plans)
+			if !slices.Equal(got.newClassIndex, c.classes) || !slices.Equal(got.newPlanIndex, c.plans) {
+				t.Errorf("got classes %v, plans %v; want %v, %v", got.newClassIndex, got.newPlanIndex, c.classes, c.plans)
 			}
-			if !slices.Equal(got.oldClasses, c.oldClasses) || len(changed.Classes) != len(c.oldClasses) {
+			if !slices.Equal(got.oldClassIndex, c.oldClasses) || len(changed.Classes) != len(c.oldClasses) {
 				t.Errorf("got old classes %v of %d, want %v",
-					got.oldClasses, len(changed.Classes), c.oldClasses)
+					got.oldClassIndex, len(changed.Classes), c.oldClasses)
 			}
 		})
 	}
 }
 
-func TestRetainFixedKeepsSettingsThatNeedRestart(t *testing.T) {
+func TestRetainRestartOnlyKeepsSettingsThatNeedRestart(t *testing.T) {
 	current, changed := namedSettings(), namedSettings()
 	changed.Gateways, changed.Zone, changed.Gossip, changed.MaxAttempts = 9, 1, false, 7
-	changed.retainFixed(&current)
+	changed.retainRestartOnly(&current)
 	if changed.Gateways != current.Gateways || changed.Zone != current.Zone || !changed.Gossip {
 		t.Errorf("got %d gateways, zone %d, gossip %t; want the current ones",
 			changed.Gateways, changed.Zone, changed.Gossip)
--- a/policy/sharedbucket.go
+++ b/policy/sharedbucket.go
@@ -59,9 +59,9 @@
 
 // renumberPlans moves the overflow of each plan to its new index, and scales it with the plan's rate. The new
 // index of a removed plan is -1.
-func (b *sharedBucket) renumberPlans(oldPlans, newPlans []Plan, newIndices []int) {
+func (b *sharedBucket) renumberPlans(oldPlans, newPlans []Plan, newPlanIndex []int) {
 	overflow := make([]float64, len(newPlans))
-	for old, plan := range newIndices {
+	for old, plan := range newPlanIndex {
 		if oldRate := oldPlans[old].Rate; plan >= 0 && oldRate > 0 {
 			overflow[plan] += b.idleOverflow[old] * newPlans[plan].Rate / oldRate
 		}
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -47,7 +47,7 @@
 	bucket          tokenBucket // the attempts that may be sent now
 	reserved        int         // the number of attempts that wait for a connection
 	chargedAttempts int         // the attempts charged since the slow start began
-	warmingUp       bool        // the slow start was logged, and endIfWarm has not ended it yet
+	inProgress      bool        // the slow start was logged, and endIfWarm has not ended it yet
 }
 
 // capacityShare returns the minimum share of its capacity that the backend has now. It is 1 if it is warm.
@@ -68,7 +68,7 @@
 	s.startedAt, s.bucket = startedAt, tokenBucket{level: level, updatedAt: now}
 	s.chargedAttempts = 0
 	share = s.capacityShare(now, parameters)
-	s.warmingUp = s.warmingUp || share < 1
+	s.inProgress = s.inProgress || share < 1
 	return share
 }
 
@@ -84,10 +84,10 @@
 
 // endIfWarm ends the slow start if the backend is warm, and reports whether it did.
 func (s *slowStart) endIfWarm(now Time, parameters *slowStartParameters) bool {
-	if !s.warmingUp || s.capacityShare(now, parameters) < 1 {
+	if !s.inProgress || s.capacityShare(now, parameters) < 1 {
 		return false
 	}
-	s.warmingUp = false
+	s.inProgress = false
 	return true
 }
 
--- a/policy/snapshot_codec.go
+++ b/policy/snapshot_codec.go
@@ -155,11 +155,11 @@
 	return movingAverage{value: state[0], samples: state[1]}
 }
 
-func encodeUsage(usage customerUsage) [3]float64 {
+func encodeCustomerUsage(usage customerUsage) [3]float64 {
 	return [3]float64{usage.consumed, usage.requested, usage.requestedReported}
 }
 
-func decodeUsageState(state [3]float64) customerUsage {
+func decodeCustomerUsage(state [3]float64) customerUsage {
 	return customerUsage{consumed: state[0], requested: state[1], requestedReported: state[2]}
 }
 
@@ -208,7 +208,7 @@
 		Use: encodeSum(customer.demand.own), Others: encodeSum(customer.demand.peers),
 		Metered: encodeSum(customer.meter.demand),
 		Heard:   convertAll(customer.usage.peers, encodePeerUsage),
-		Tallies: convertAll(customer.usage.byCoordinator, encodeUsage),
+		Tallies: convertAll(customer.usage.byCoordinator, encodeCustomerUsage),
 		GrantAt: customer.grant.nextAdvertisementAt, TellAt: customer.grant.nextReportAt,
 		Asks: customer.grant.lastRequestNumber,
 	}
@@ -238,7 +238,7 @@
 			consumed: state.Taken, requested: state.Asked, requestedReported: state.AskedTold,
 		},
 		consumedReported: state.Told,
-		byCoordinator:    convertAll(state.Tallies, decodeUsageState),
+		byCoordinator:    convertAll(state.Tallies, decodeCustomerUsage),
 		peers:            convertAll(state.Heard, decodePeerUsage),
 	}
 	if state.Tallies == nil {
--- a/policy/stepped_clock_test.go
+++ b/policy/stepped_clock_test.go
@@ -118,10 +118,10 @@
 		}
 	}
 	h.UpdateEndpoints(h.at, UpdateComplete, endpoints(3))
-	h.at += departedRetention + second
+	h.at += removedRetention + second
 	h.TimerFired(h.at, gossipTimer)
-	if n := len(h.backends.departed); n != 0 {
-		t.Errorf("%d departed backends remembered after departedRetention", n)
+	if n := len(h.backends.removed); n != 0 {
+		t.Errorf("%d removed backends retained after removedRetention", n)
 	}
 }
 
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -14,7 +14,7 @@
 	zones := map[int][]*backend{}
 	for _, backend := range t.inOrder {
 		backend.inSubset = handshakePrice <= 0
-		if backend.ready() {
+		if backend.isReady() {
 			zones[backend.Zone] = append(zones[backend.Zone], backend)
 		}
 	}
