--- a/docs/deploy_test.go
+++ b/docs/deploy_test.go
@@ -33,7 +33,7 @@
 }
 
 // A package that moves or is added is listed.
-func TestDeployFileListsTheGatewaysPackages(t *testing.T) {
+func TestDeployFileListsGatewayPackages(t *testing.T) {
 	command := exec.CommandContext(t.Context(), "go", "list", "-deps", "./cmd/gateway")
 	command.Dir = ".."
 	command.Stderr = os.Stderr
@@ -42,9 +42,9 @@
 		t.Fatal(err)
 	}
 	var want []string
-	for name := range strings.FieldsSeq(string(output)) {
-		if name, ok := strings.CutPrefix(name, modulePrefix); ok && name != "policy" {
-			want = append(want, name)
+	for importPath := range strings.FieldsSeq(string(output)) {
+		if folder, ok := strings.CutPrefix(importPath, modulePrefix); ok && folder != "policy" {
+			want = append(want, folder)
 		}
 	}
 	slices.Sort(want)
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestDeployFileListsFilesThatExist(t *testing.T) {
+func TestDeployFileListsExistingPolicyFiles(t *testing.T) {
 	listed := readDeployment(t).Policy
 	if len(listed) == 0 {
 		t.Errorf("%s lists no files that decide", deployFile)
--- a/docs/logkeys_test.go
+++ b/docs/logkeys_test.go
@@ -17,8 +17,8 @@
 const (
 	countersMessage = "decision counters"
 	countersHeading = "## Decision counters"
-	keyColumn       = "| key |"
-	decisionFolder  = "../policy"
+	keyColumnHeader = "| key |"
+	policyFolder    = "../policy"
 )
 
 // The functions of slog that make an attribute of one value, and of a group of attributes.
@@ -30,57 +30,57 @@
 )
 
 var (
-	errNoAttribute    = errors.New("no attribute that can be read")
+	errNotAttribute   = errors.New("no attribute that can be read")
 	errKeyNotConstant = errors.New("the key is no constant")
 )
 
 // Each key of the event of counters is in the tables of its section, and the tables have no other keys.
-func TestOperationsPageListsTheKeysOfTheCounters(t *testing.T) {
-	logged := decisionEvents(t)[countersMessage]
+func TestOperationsPageListsCounterKeys(t *testing.T) {
+	logged := policyEventKeys(t)[countersMessage]
 	if len(logged) == 0 {
 		t.Fatalf("%q: no keys in the program", countersMessage)
 	}
-	listed := firstColumn(t, sectionOf(t, logPage, countersHeading), keyColumn)
+	listed := firstColumnCodeSpans(t, pageSection(t, operationsPage, countersHeading), keyColumnHeader)
 	for _, key := range logged {
 		if !slices.Contains(listed, key) {
-			t.Errorf("%s: the section %q does not list %s", logPage, countersHeading, key)
+			t.Errorf("%s: the section %q does not list %s", operationsPage, countersHeading, key)
 		}
 	}
 	for _, key := range listed {
 		if !slices.Contains(logged, key) {
-			t.Errorf("%s: the section %q lists %s, which is not logged", logPage, countersHeading, key)
+			t.Errorf("%s: the section %q lists %s, which is not logged", operationsPage, countersHeading, key)
 		}
 	}
 	if len(slices.Compact(slices.Sorted(slices.Values(listed)))) != len(listed) {
-		t.Errorf("%s: the section %q lists a key twice: %q", logPage, countersHeading, listed)
+		t.Errorf("%s: the section %q lists a key twice: %q", operationsPage, countersHeading, listed)
 	}
 }
 
 // Each key of the other events of the decisions is named in the row of its event.
-func TestOperationsPageNamesTheKeysOfDecisionEvents(t *testing.T) {
-	events := decisionEvents(t)
+func TestOperationsPageNamesPolicyEventKeys(t *testing.T) {
+	events := policyEventKeys(t)
 	if len(events) < 2 {
 		t.Fatalf("events %q, want several", slices.Collect(maps.Keys(events)))
 	}
-	page := readPage(t, logPage)
+	page := readPage(t, operationsPage)
 	for message, keys := range events {
 		if message == countersMessage {
 			continue
 		}
 		_, row, found := strings.Cut(page, "\n| `"+message+"`")
 		if !found {
-			t.Errorf("%s: no row for %q", logPage, message)
+			t.Errorf("%s: no row for %q", operationsPage, message)
 		}
 		row, _, _ = strings.Cut(row, "\n")
 		for _, key := range keys {
 			if !strings.Contains(row, "`"+key+"`") {
-				t.Errorf("%s: the row of %q does not name %s", logPage, message, key)
+				t.Errorf("%s: the row of %q does not name %s", operationsPage, message, key)
 			}
 		}
 	}
 }
 
-func TestAttributeKeysAreFound(t *testing.T) {
+func TestAttributeKeysResolvesGroupsAndFunctions(t *testing.T) {
 	const program = `package p
 const plainKey = "plain"
 func (c *Controller) log(i int) {
@@ -106,7 +106,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	source := newSource()
+	source := newSourceIndex()
 	source.addFile(".", file)
 	want := map[string][]string{
 		"grouped": {
@@ -116,24 +116,24 @@
 		"single": {"plain", "text"},
 	}
 	for _, call := range source.logCalls {
-		message, _ := textOf(call.message)
+		message, _ := stringValue(call.message)
 		keys, err := source.attributeKeys(call)
 		if !slices.Equal(keys, want[message]) {
 			t.Errorf("%s: keys %q, want %q", message, keys, want[message])
 		}
-		if isUnknown := message == "unknown"; (err != nil) != isUnknown {
+		if wantError := message == "unknown"; (err != nil) != wantError {
 			t.Errorf("%s: error %v", message, err)
 		}
 	}
 }
 
 // decisionEvents returns the keys of each event that the decisions log, by its message.
-func decisionEvents(t *testing.T) map[string][]string {
+func policyEventKeys(t *testing.T) map[string][]string {
 	t.Helper()
-	source := sourceIn(t, []string{decisionFolder})
+	source := indexSource(t, []string{policyFolder})
 	events := map[string][]string{}
 	for _, call := range source.logCalls {
-		message, ok := source.messageOf(call)
+		message, ok := source.constantMessage(call)
 		if !ok {
 			continue // not a call that logs
 		}
@@ -147,14 +147,14 @@
 }
 
 // attributeKeys returns the keys of a log call's attributes, in order.
-func (s *source) attributeKeys(call logCall) ([]string, error) {
+func (s *sourceIndex) attributeKeys(call logCall) ([]string, error) {
 	var keys []string
 	for _, attribute := range call.attributes {
-		more, err := s.keysOf(call.folder, attribute, nil)
+		attributeKeys, err := s.expressionKeys(call.folder, attribute, nil)
 		if err != nil {
 			return nil, err
 		}
-		keys = append(keys, more...)
+		keys = append(keys, attributeKeys...)
 	}
 	return keys, nil
 }
@@ -162,39 +162,43 @@
 // keysOf returns the keys of an attribute, or of a list of them: a call of slog, or of a function that
 // returns what is made by such calls. Parameters have the texts of the parameters of the function that it
 // stands in.
-func (s *source) keysOf(folder string, expression ast.Expr, parameters map[string]string) ([]string, error) {
+func (s *sourceIndex) expressionKeys(
+	folder string, expression ast.Expr, parameters map[string]string,
+) ([]string, error) {
 	switch expression := expression.(type) {
 	case *ast.CompositeLit:
-		return s.keysOfAll(folder, expression.Elts, parameters)
+		return s.expressionListKeys(folder, expression.Elts, parameters)
 	case *ast.CallExpr:
-		name, inSlog := calledName(expression)
+		name, inSlog := calleeName(expression)
 		if inSlog {
-			return s.keysOfSlog(folder, name, expression.Args, parameters)
+			return s.slogCallKeys(folder, name, expression.Args, parameters)
 		}
-		if function := s.functions[folder+"."+name]; function != nil {
-			return s.keysOfFunction(folder, function, expression.Args, parameters)
+		if function := s.attributeFunctions[folder+"."+name]; function != nil {
+			return s.functionKeys(folder, function, expression.Args, parameters)
 		}
 	}
-	return nil, fmt.Errorf("%w: %T", errNoAttribute, expression)
+	return nil, fmt.Errorf("%w: %T", errNotAttribute, expression)
 }
 
-func (s *source) keysOfAll(folder string, list []ast.Expr, parameters map[string]string) ([]string, error) {
+func (s *sourceIndex) expressionListKeys(
+	folder string, expressions []ast.Expr, parameters map[string]string,
+) ([]string, error) {
 	var keys []string
-	for _, expression := range list {
-		more, err := s.keysOf(folder, expression, parameters)
+	for _, expression := range expressions {
+		expressionKeys, err := s.expressionKeys(folder, expression, parameters)
 		if err != nil {
 			return nil, err
 		}
-		keys = append(keys, more...)
+		keys = append(keys, expressionKeys...)
 	}
 	return keys, nil
 }
 
 // keysOfSlog returns the key of an attribute that slog makes, or the keys of the attributes of a group.
-func (s *source) keysOfSlog(
+func (s *sourceIndex) slogCallKeys(
 	folder, constructor string, arguments []ast.Expr, parameters map[string]string,
 ) ([]string, error) {
-	key, ok := s.constantText(folder, arguments[0], parameters)
+	key, ok := s.constantString(folder, arguments[0], parameters)
 	if !ok {
 		return nil, fmt.Errorf("slog.%s: %w", constructor, errKeyNotConstant)
 	}
@@ -202,9 +206,9 @@
 		return []string{key}, nil
 	}
 	if !slices.Contains(groupConstructors, constructor) {
-		return nil, fmt.Errorf("%w: slog.%s", errNoAttribute, constructor)
+		return nil, fmt.Errorf("%w: slog.%s", errNotAttribute, constructor)
 	}
-	keys, err := s.keysOfAll(folder, arguments[1:], parameters)
+	keys, err := s.expressionListKeys(folder, arguments[1:], parameters)
 	for i := range keys {
 		keys[i] = key + "." + keys[i]
 	}
@@ -213,15 +217,15 @@
 
 // keysOfFunction returns the keys of the attributes that a function makes: those of the first attribute or
 // list of attributes in its body.
-func (s *source) keysOfFunction(
+func (s *sourceIndex) functionKeys(
 	folder string, function *ast.FuncDecl, arguments []ast.Expr, parameters map[string]string,
 ) ([]string, error) {
-	texts := map[string]string{}
+	parameterValues := map[string]string{}
 	position := 0
 	for _, field := range function.Type.Params.List {
 		for _, name := range field.Names {
-			if text, ok := s.constantText(folder, arguments[position], parameters); ok {
-				texts[name.Name] = text
+			if text, ok := s.constantString(folder, arguments[position], parameters); ok {
+				parameterValues[name.Name] = text
 			}
 			position++
 		}
@@ -237,20 +241,20 @@
 		if len(values) != 1 {
 			continue
 		}
-		if keys, err := s.keysOf(folder, values[0], texts); err == nil {
+		if keys, err := s.expressionKeys(folder, values[0], parameterValues); err == nil {
 			return keys, nil
 		}
 	}
-	return nil, fmt.Errorf("%s: %w", function.Name.Name, errNoAttribute)
+	return nil, fmt.Errorf("%s: %w", function.Name.Name, errNotAttribute)
 }
 
 // constantText is the text of a literal, a constant or a parameter.
-func (s *source) constantText(
+func (s *sourceIndex) constantString(
 	folder string, expression ast.Expr, parameters map[string]string,
 ) (string, bool) {
 	name, isName := expression.(*ast.Ident)
 	if !isName {
-		return textOf(expression)
+		return stringValue(expression)
 	}
 	if text, ok := parameters[name.Name]; ok {
 		return text, true
@@ -266,27 +270,27 @@
 		return false
 	}
 	result := results.List[0].Type
-	if list, isList := result.(*ast.ArrayType); isList {
-		result = list.Elt
+	if slice, isSlice := result.(*ast.ArrayType); isSlice {
+		result = slice.Elt
 	}
 	attribute, ok := result.(*ast.SelectorExpr)
 	return ok && attribute.Sel.Name == "Attr"
 }
 
 // calledName is the name of the function or method that is called, and whether it is one of package slog.
-func calledName(call *ast.CallExpr) (name string, inSlog bool) {
+func calleeName(call *ast.CallExpr) (name string, inSlog bool) {
 	switch function := call.Fun.(type) {
 	case *ast.Ident:
 		return function.Name, false
 	case *ast.SelectorExpr:
-		of, isName := function.X.(*ast.Ident)
-		return function.Sel.Name, isName && of.Name == "slog"
+		qualifier, isName := function.X.(*ast.Ident)
+		return function.Sel.Name, isName && qualifier.Name == "slog"
 	}
 	return "", false
 }
 
 // sectionOf returns the part of a page below a heading.
-func sectionOf(t *testing.T, page, heading string) string {
+func pageSection(t *testing.T, page, heading string) string {
 	t.Helper()
 	_, section, found := strings.Cut(readPage(t, page), "\n"+heading+"\n")
 	if !found {
--- a/docs/loglines_test.go
+++ b/docs/loglines_test.go
@@ -17,70 +17,70 @@
 
 // logPage is the page that lists the log's lines, in the first column of its tables under logColumn.
 const (
-	logPage   = "operations.md"
-	logColumn = "| log line |"
+	operationsPage      = "operations.md"
+	messageColumnHeader = "| log line |"
 )
 
 // loggingFolders are where the programs of the deployment log.
 var loggingFolders = []string{"../cmd", "../internal", "../policy"}
 
 // messageArgument is the position of the message among a log method's arguments.
-var messageArgument = map[string]int{
+var messageArgumentIndex = map[string]int{
 	"Debug": 0, "Info": 0, "Warn": 0, "Error": 0, "Log": 0, // Log is that of policy.Actions
 	"LogAttrs": 2,
 }
 
 var (
-	firstQuoted = regexp.MustCompile("^\\| `([^`]+)`")
-	snakeCase   = regexp.MustCompile(`^[a-z]+(?:_[a-z]+)+$`)
-	jsonTag     = regexp.MustCompile(`json:"(\w+)`)
+	leadingCodeSpan = regexp.MustCompile("^\\| `([^`]+)`")
+	snakeCaseName   = regexp.MustCompile(`^[a-z]+(?:_[a-z]+)+$`)
+	jsonTag         = regexp.MustCompile(`json:"(\w+)`)
 	// phrase is quoted text of several plain words, as log messages are.
-	phrase = regexp.MustCompile(`^[a-z][a-z:,]*(?: [a-z:,]+)+$`)
+	lowercasePhrase = regexp.MustCompile(`^[a-z][a-z:,]*(?: [a-z:,]+)+$`)
 	// notLogged are phrases on the page that the process prints as it exits.
-	notLogged = []string{"limit of open files", "too many open files"}
+	exitMessages = []string{"limit of open files", "too many open files"}
 )
 
 // Each line of the log that the page lists is logged, word by word, and the page lists each that is logged.
-func TestOperationsPageListsTheLogLines(t *testing.T) {
-	logged := sourceIn(t, loggingFolders).messages()
-	listed := firstColumn(t, readPage(t, logPage), logColumn)
+func TestOperationsPageListsLogMessages(t *testing.T) {
+	logged := indexSource(t, loggingFolders).messages()
+	listed := firstColumnCodeSpans(t, readPage(t, operationsPage), messageColumnHeader)
 	for _, message := range listed {
 		if !slices.Contains(logged, message) {
-			t.Errorf("%s: %q is not logged", logPage, message)
+			t.Errorf("%s: %q is not logged", operationsPage, message)
 		}
 	}
 	for _, message := range logged {
 		if !slices.Contains(listed, message) {
-			t.Errorf("%s: does not list %q", logPage, message)
+			t.Errorf("%s: does not list %q", operationsPage, message)
 		}
 	}
-	for _, quoted := range quotedOn(t, logPage) {
-		isPhrase := phrase.MatchString(quoted) && !slices.Contains(notLogged, quoted)
-		if isPhrase && !slices.Contains(logged, quoted) {
-			t.Errorf("%s: %q is not logged", logPage, quoted)
+	for _, span := range codeSpans(t, operationsPage) {
+		isPhrase := lowercasePhrase.MatchString(span) && !slices.Contains(exitMessages, span)
+		if isPhrase && !slices.Contains(logged, span) {
+			t.Errorf("%s: %q is not logged", operationsPage, span)
 		}
 	}
 }
 
 // The keys of the log, the metrics and the configuration that the page names are in the programs.
-func TestOperationsPageNamesOnlyKeysThatExist(t *testing.T) {
-	source := sourceIn(t, loggingFolders)
+func TestOperationsPageNamesOnlyExistingKeys(t *testing.T) {
+	source := indexSource(t, loggingFolders)
 	checked := 0
-	for _, quoted := range quotedOn(t, logPage) {
-		if !snakeCase.MatchString(quoted) {
+	for _, span := range codeSpans(t, operationsPage) {
+		if !snakeCaseName.MatchString(span) {
 			continue
 		}
 		checked++
-		if !source.hasKey(quoted) {
-			t.Errorf("%s: no key %s in the programs", logPage, quoted)
+		if !source.hasKey(span) {
+			t.Errorf("%s: no key %s in the programs", operationsPage, span)
 		}
 	}
 	if checked == 0 {
-		t.Errorf("%s: no keys", logPage)
+		t.Errorf("%s: no keys", operationsPage)
 	}
 }
 
-func TestLoggedMessagesAreFound(t *testing.T) {
+func TestSourceIndexFindsMessagesAndKeys(t *testing.T) {
 	const program = `package p
 const message = "of a constant"
 func f(log *slog.Logger, actions Actions, line string) {
@@ -96,7 +96,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	source := newSource()
+	source := newSourceIndex()
 	source.addFile(".", file)
 	want := []string{"of a constant", "plain", "with attributes"}
 	if got := source.messages(); !slices.Equal(got, want) {
@@ -112,11 +112,11 @@
 }
 
 // source is what programs log and which texts they contain.
-type source struct {
-	constants map[string]string        // by folder and name
-	functions map[string]*ast.FuncDecl // the same, methods too: those that return attributes
-	literals  map[string]bool          // all texts, and the JSON names of fields
-	logCalls  []logCall
+type sourceIndex struct {
+	constants          map[string]string        // by folder and name
+	attributeFunctions map[string]*ast.FuncDecl // the same, methods too: those that return attributes
+	stringLiterals     map[string]bool          // all texts, and the JSON names of fields
+	logCalls           []logCall
 }
 
 // logCall is a call of a log method.
@@ -126,16 +126,18 @@
 	attributes []ast.Expr // what follows the message
 }
 
-func newSource() *source {
-	return &source{
-		constants: map[string]string{}, functions: map[string]*ast.FuncDecl{}, literals: map[string]bool{},
+func newSourceIndex() *sourceIndex {
+	return &sourceIndex{
+		constants:          map[string]string{},
+		attributeFunctions: map[string]*ast.FuncDecl{},
+		stringLiterals:     map[string]bool{},
 	}
 }
 
 // sourceIn parses the programs' files below some folders.
-func sourceIn(t *testing.T, folders []string) *source {
+func indexSource(t *testing.T, folders []string) *sourceIndex {
 	t.Helper()
-	s := newSource()
+	s := newSourceIndex()
 	for _, folder := range folders {
 		err := filepath.WalkDir(folder, func(path string, _ fs.DirEntry, err error) error {
 			if err != nil || filepath.Ext(path) != ".go" || strings.HasSuffix(path, "_test.go") {
@@ -155,14 +157,14 @@
 	return s
 }
 
-func (s *source) addFile(folder string, file *ast.File) {
+func (s *sourceIndex) addFile(folder string, file *ast.File) {
 	ast.Inspect(file, func(node ast.Node) bool {
 		switch node := node.(type) {
 		case *ast.ValueSpec:
 			s.addConstants(folder, node)
 		case *ast.FuncDecl:
 			if returnsAttributes(node) {
-				s.functions[folder+"."+node.Name.Name] = node
+				s.attributeFunctions[folder+"."+node.Name.Name] = node
 			}
 		case *ast.CallExpr:
 			s.addCall(folder, node)
@@ -173,37 +175,37 @@
 	})
 }
 
-func (s *source) addConstants(folder string, spec *ast.ValueSpec) {
+func (s *sourceIndex) addConstants(folder string, spec *ast.ValueSpec) {
 	for i, value := range spec.Values {
-		if text, ok := textOf(value); ok && i < len(spec.Names) {
+		if text, ok := stringValue(value); ok && i < len(spec.Names) {
 			s.constants[folder+"."+spec.Names[i].Name] = text
 		}
 	}
 }
 
-func (s *source) addCall(folder string, call *ast.CallExpr) {
+func (s *sourceIndex) addCall(folder string, call *ast.CallExpr) {
 	selector, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok {
 		return
 	}
-	if i, ok := messageArgument[selector.Sel.Name]; ok && i < len(call.Args) {
+	if i, ok := messageArgumentIndex[selector.Sel.Name]; ok && i < len(call.Args) {
 		s.logCalls = append(s.logCalls, logCall{folder, call.Args[i], call.Args[i+1:]})
 	}
 }
 
-func (s *source) addLiteral(literal *ast.BasicLit) {
-	text, ok := textOf(literal)
+func (s *sourceIndex) addLiteral(literal *ast.BasicLit) {
+	text, ok := stringValue(literal)
 	if !ok {
 		return
 	}
-	s.literals[text] = true
+	s.stringLiterals[text] = true
 	if tag := jsonTag.FindStringSubmatch(text); tag != nil {
-		s.literals[tag[1]] = true
+		s.stringLiterals[tag[1]] = true
 	}
 }
 
 // textOf returns the value of a text literal.
-func textOf(expression ast.Expr) (string, bool) {
+func stringValue(expression ast.Expr) (string, bool) {
 	literal, ok := expression.(*ast.BasicLit)
 	if !ok || literal.Kind != token.STRING {
 		return "", false
@@ -214,10 +216,10 @@
 
 // messages returns the constant messages of the log calls, sorted. A call whose message is no constant passes
 // on the message of another call.
-func (s *source) messages() []string {
+func (s *sourceIndex) messages() []string {
 	var messages []string
 	for _, call := range s.logCalls {
-		if text, ok := s.messageOf(call); ok {
+		if text, ok := s.constantMessage(call); ok {
 			messages = append(messages, text)
 		}
 	}
@@ -226,17 +228,17 @@
 }
 
 // messageOf returns the message of a log call if it is constant.
-func (s *source) messageOf(call logCall) (string, bool) {
-	return s.constantText(call.folder, call.message, nil)
+func (s *sourceIndex) constantMessage(call logCall) (string, bool) {
+	return s.constantString(call.folder, call.message, nil)
 }
 
 // hasKey reports whether a key is in the programs, whole or as a prefix that ends in "_" and the rest.
-func (s *source) hasKey(key string) bool {
-	if s.literals[key] {
+func (s *sourceIndex) hasKey(key string) bool {
+	if s.stringLiterals[key] {
 		return true
 	}
 	for i, letter := range key {
-		if letter == '_' && s.literals[key[:i+1]] && s.literals[key[i+1:]] {
+		if letter == '_' && s.stringLiterals[key[:i+1]] && s.stringLiterals[key[i+1:]] {
 			return true
 		}
 	}
@@ -245,9 +247,9 @@
 
 // firstColumn returns the quoted texts in the first column of those tables whose header begins with a text.
 // Each row has one at least, with which it begins.
-func firstColumn(t *testing.T, page, header string) []string {
+func firstColumnCodeSpans(t *testing.T, page, header string) []string {
 	t.Helper()
-	var lines []string
+	var spans []string
 	inTable := false
 	for line := range strings.SplitSeq(page, "\n") {
 		switch {
@@ -256,27 +258,27 @@
 		case !strings.HasPrefix(line, "|"):
 			inTable = false
 		case inTable && !strings.HasPrefix(line, "| ---"):
-			if !firstQuoted.MatchString(line) {
-				t.Errorf("%s: the first column has no quoted text: %s", logPage, line)
+			if !leadingCodeSpan.MatchString(line) {
+				t.Errorf("%s: the first column has no quoted text: %s", operationsPage, line)
 				continue
 			}
 			cell, _, _ := strings.Cut(strings.TrimPrefix(line, "|"), "|")
-			for _, match := range quoted.FindAllStringSubmatch(cell, -1) {
-				lines = append(lines, match[1])
+			for _, match := range codeSpan.FindAllStringSubmatch(cell, -1) {
+				spans = append(spans, match[1])
 			}
 		}
 	}
-	return lines
+	return spans
 }
 
 // quotedOn returns the quoted texts of a page.
-func quotedOn(t *testing.T, page string) []string {
+func codeSpans(t *testing.T, page string) []string {
 	t.Helper()
-	var texts []string
-	for _, match := range quoted.FindAllStringSubmatch(readPage(t, page), -1) {
-		texts = append(texts, match[1])
+	var spans []string
+	for _, match := range codeSpan.FindAllStringSubmatch(readPage(t, page), -1) {
+		spans = append(spans, match[1])
 	}
-	return texts
+	return spans
 }
 
 func readPage(t *testing.T, page string) string {
--- a/docs/names_test.go
+++ b/docs/names_test.go
@@ -23,7 +23,7 @@
 
 // declarations holds what the packages of the module declare.
 type declarations struct {
-	names       map[string]bool // "package.Name" and "package.Type.Member"
+	qualified   map[string]bool // "package.Name" and "package.Type.Member"
 	unqualified map[string]bool // the same without package and type
 	packages    map[string]bool
 	tests       map[string]bool // tests and benchmarks, by name
@@ -32,22 +32,22 @@
 
 func newDeclarations() declarations {
 	return declarations{
-		names: map[string]bool{}, unqualified: map[string]bool{},
+		qualified: map[string]bool{}, unqualified: map[string]bool{},
 		packages: map[string]bool{}, tests: map[string]bool{}, logKeys: map[string]bool{},
 	}
 }
 
 var (
-	qualifiedName = regexp.MustCompile(`\b([a-z]\w*)\.([A-Za-z]\w*)(?:\.([A-Za-z]\w*))?`)
-	camelCase     = regexp.MustCompile(`^[a-z]+[A-Z]\w*$`)
-	testName      = regexp.MustCompile(`\b(?:Test|Benchmark)[A-Z]\w+`)
-	quoted        = regexp.MustCompile("`([^`\n]+)`")
-	repoPath      = regexp.MustCompile(`^\.?[\w-]+(/[\w.-]+)+/?$|^[\w-]+\.(go|md|toml)$`)
+	qualifiedName  = regexp.MustCompile(`\b([a-z]\w*)\.([A-Za-z]\w*)(?:\.([A-Za-z]\w*))?`)
+	camelCaseName  = regexp.MustCompile(`^[a-z]+[A-Z]\w*$`)
+	testName       = regexp.MustCompile(`\b(?:Test|Benchmark)[A-Z]\w+`)
+	codeSpan       = regexp.MustCompile("`([^`\n]+)`")
+	repositoryPath = regexp.MustCompile(`^\.?[\w-]+(/[\w.-]+)+/?$|^[\w-]+\.(go|md|toml)$`)
 )
 
-func TestPagesNameOnlyWhatExists(t *testing.T) {
-	declared := declaredIn(t, "..")
-	for _, keys := range decisionEvents(t) {
+func TestPagesNameOnlyExistingCode(t *testing.T) {
+	declared := parseDeclarations(t, "..")
+	for _, keys := range policyEventKeys(t) {
 		declared.addLogKeys(keys)
 	}
 	for _, page := range checkedPages {
@@ -57,7 +57,7 @@
 				t.Fatal(err)
 			}
 			for i, line := range strings.Split(string(raw), "\n") {
-				for _, missing := range declared.missingIn(line) {
+				for _, missing := range declared.missingReferences(line) {
 					t.Errorf("%s:%d: %s does not exist", page, i+1, missing)
 				}
 			}
@@ -65,10 +65,10 @@
 	}
 }
 
-func TestMissingNamesAreFound(t *testing.T) {
+func TestMissingReferencesFindsUnknownNames(t *testing.T) {
 	declared := newDeclarations()
 	declared.packages["policy"] = true
-	declared.add("policy", "Controller", "Reload")
+	declared.addDeclaration("policy", "Controller", "Reload")
 	declared.tests["TestHere"] = true
 	declared.addLogKeys([]string{"policy.key"})
 	line := "`policy.Controller.Reload`, policy.Gone, policy.Controller.Gone, limits.sockets, " +
@@ -78,29 +78,29 @@
 		"policy.Gone", "policy.Controller.Gone", "policy.gone_key", "gone/file.go", "bin/gone",
 		"goneFunction", "TestGone",
 	}
-	if got := declared.missingIn(line); !slices.Equal(got, want) {
+	if got := declared.missingReferences(line); !slices.Equal(got, want) {
 		t.Errorf("missing %q, want %q", got, want)
 	}
 }
 
 // missingIn returns the names of code and the paths in a line that do not exist.
-func (d declarations) missingIn(line string) []string {
+func (d declarations) missingReferences(line string) []string {
 	var missing []string
 	for _, match := range qualifiedName.FindAllStringSubmatch(line, -1) {
 		pkg, name, member := match[1], match[2], match[3]
 		if !d.packages[pkg] || isFileExtension(name) {
 			continue
 		}
-		full := pkg + "." + name
+		fullName := pkg + "." + name
 		if member != "" {
-			full += "." + member
+			fullName += "." + member
 		}
-		if !d.names[full] && !d.logKeys[full] {
-			missing = append(missing, full)
+		if !d.qualified[fullName] && !d.logKeys[fullName] {
+			missing = append(missing, fullName)
 		}
 	}
-	for _, match := range quoted.FindAllStringSubmatch(line, -1) {
-		if d.isMissing(match[1]) {
+	for _, match := range codeSpan.FindAllStringSubmatch(line, -1) {
+		if d.isMissingReference(match[1]) {
 			missing = append(missing, match[1])
 		}
 	}
@@ -113,11 +113,11 @@
 }
 
 // isMissing reports whether a quoted text is a path or a name in camel case that does not exist.
-func (d declarations) isMissing(quoted string) bool {
-	if repoPath.MatchString(quoted) {
-		return !pathExists(quoted)
+func (d declarations) isMissingReference(span string) bool {
+	if repositoryPath.MatchString(span) {
+		return !pathExists(span)
 	}
-	return camelCase.MatchString(quoted) && !d.unqualified[quoted]
+	return camelCaseName.MatchString(span) && !d.unqualified[span]
 }
 
 // isFileExtension reports whether a dot separates a file's name from its extension.
@@ -146,7 +146,7 @@
 }
 
 // declaredIn parses the files below a folder.
-func declaredIn(t *testing.T, root string) declarations {
+func parseDeclarations(t *testing.T, root string) declarations {
 	t.Helper()
 	d := newDeclarations()
 	err := filepath.WalkDir(root, func(path string, _ fs.DirEntry, err error) error {
@@ -171,10 +171,10 @@
 }
 
 // add adds a name of a package, and members of it where it is a type.
-func (d declarations) add(pkg, name string, members ...string) {
-	d.names[pkg+"."+name], d.unqualified[name] = true, true
+func (d declarations) addDeclaration(pkg, name string, members ...string) {
+	d.qualified[pkg+"."+name], d.unqualified[name] = true, true
 	for _, member := range members {
-		d.names[pkg+"."+name+"."+member], d.unqualified[member] = true, true
+		d.qualified[pkg+"."+name+"."+member], d.unqualified[member] = true, true
 	}
 }
 
@@ -202,9 +202,9 @@
 		switch declaration := declaration.(type) {
 		case *ast.FuncDecl:
 			if declaration.Recv == nil {
-				d.add(pkg, declaration.Name.Name)
+				d.addDeclaration(pkg, declaration.Name.Name)
 			} else {
-				d.add(pkg, receiverType(declaration.Recv.List[0].Type), declaration.Name.Name)
+				d.addDeclaration(pkg, receiverTypeName(declaration.Recv.List[0].Type), declaration.Name.Name)
 			}
 		case *ast.GenDecl:
 			for _, spec := range declaration.Specs {
@@ -218,15 +218,15 @@
 	switch spec := spec.(type) {
 	case *ast.ValueSpec:
 		for _, name := range spec.Names {
-			d.add(pkg, name.Name)
+			d.addDeclaration(pkg, name.Name)
 		}
 	case *ast.TypeSpec:
-		d.add(pkg, spec.Name.Name, membersOf(spec.Type)...)
+		d.addDeclaration(pkg, spec.Name.Name, memberNames(spec.Type)...)
 	}
 }
 
 // membersOf returns the names of a struct's fields or an interface's methods.
-func membersOf(expression ast.Expr) []string {
+func memberNames(expression ast.Expr) []string {
 	var list *ast.FieldList
 	switch expression := expression.(type) {
 	case *ast.StructType:
@@ -246,12 +246,12 @@
 }
 
 // receiverType returns the name of a method's receiver type.
-func receiverType(expression ast.Expr) string {
+func receiverTypeName(expression ast.Expr) string {
 	switch expression := expression.(type) {
 	case *ast.StarExpr:
-		return receiverType(expression.X)
+		return receiverTypeName(expression.X)
 	case *ast.IndexExpr:
-		return receiverType(expression.X)
+		return receiverTypeName(expression.X)
 	case *ast.Ident:
 		return expression.Name
 	}
--- a/docs/quickstart_test.go
+++ b/docs/quickstart_test.go
@@ -33,27 +33,27 @@
 )
 
 // repoFile finds the files of the repository that a command names. What is below bin/ is built.
-var repoFile = regexp.MustCompile(
+var repositoryFile = regexp.MustCompile(
 	`(?:^|[\s=])(?:\./)?((?:\.ci|cmd|deploy|docs|scale|tools|policy|internal)/[\w./-]+)`,
 )
 
 // The quick start does what the page says when it is pasted into a shell: the stand-ins and the gateway
 // start, the burst of the customer's plan is served and what is beyond it is rejected.
-func TestQuickStartWorksWhenPasted(t *testing.T) {
+func TestQuickStartServesBurstAndRejectsExcess(t *testing.T) {
 	commands := strings.Join(indentedCommands(t, quickStartHeading), "\n")
 	dir := t.TempDir()
 	config, host := writeExampleConfig(t, dir)
-	replaced := replaceAll(t, commands, exampleConfig, config)
-	replaced = replaceAll(t, replaced, exampleHost, host)
-	replaced = replaceAll(t, replaced, "bin/", filepath.Join(dir, "bin")+"/")
-	replaced = replaceAll(t, replaced, "mkdir -p bin ", "mkdir -p "+filepath.Join(dir, "bin")+" ")
+	script := mustReplaceAll(t, commands, exampleConfig, config)
+	script = mustReplaceAll(t, script, exampleHost, host)
+	script = mustReplaceAll(t, script, "bin/", filepath.Join(dir, "bin")+"/")
+	script = mustReplaceAll(t, script, "mkdir -p bin ", "mkdir -p "+filepath.Join(dir, "bin")+" ")
 
-	output := runInShell(t, dir, replaced)
+	output := runInShell(t, dir, script)
 	lines := strings.Split(output, "\n")
 	if !slices.Contains(lines, "PONG") {
 		t.Errorf("no answer to PING in:\n%s", output)
 	}
-	served, rejected := countPrefix(lines, "request "), countPrefix(lines, "BUSY ")
+	served, rejected := countLinesWithPrefix(lines, "request "), countLinesWithPrefix(lines, "BUSY ")
 	if served != planBurst || rejected != quickStartRequests-planBurst {
 		t.Errorf("%d requests served and %d rejected, want %d and %d:\n%s",
 			served, rejected, planBurst, quickStartRequests-planBurst, output)
@@ -68,8 +68,8 @@
 			t.Errorf("no %q in:\n%s", metric, output)
 		}
 	}
-	for _, shown := range shownOutput(t, quickStartHeading) {
-		if !isPrinted(shown, host, lines) {
+	for _, shown := range documentedOutput(t, quickStartHeading) {
+		if !isInOutput(shown, host, lines) {
 			t.Errorf("README.md shows %q, which is not printed:\n%s", shown, output)
 		}
 	}
@@ -77,12 +77,12 @@
 
 // mayDiffer are the lines of the output that README.md shows but a run may lack: the gateway logs the first
 // only if it starts before the discovery service.
-var mayDiffer = []string{`msg="discovery call failed"`}
+var optionalOutput = []string{`msg="discovery call failed"`}
 
 // isPrinted reports whether a line that README.md shows is in the output: each of its words, in order, as a
 // log line is shown without some attributes. Which backend answers may differ.
-func isPrinted(shown, host string, lines []string) bool {
-	for _, text := range mayDiffer {
+func isInOutput(shown, host string, lines []string) bool {
+	for _, text := range optionalOutput {
 		if strings.Contains(shown, text) {
 			return true
 		}
@@ -101,7 +101,7 @@
 	})
 }
 
-func TestShownOutputIsComparedWordByWord(t *testing.T) {
+func TestIsInOutputMatchesWordsInOrder(t *testing.T) {
 	lines := []string{
 		"time=1 level=INFO msg=ready gateway=a listen=127.1.1.1:1 backends=2", "request 1 by backend 1",
 	}
@@ -110,20 +110,20 @@
 		"msg=ready level=INFO": false, "msg=ready backends=3": false, "request 2 by backend 1": false,
 		`level=WARN msg="discovery call failed"`: true,
 	} {
-		if got := isPrinted(shown, "127.1.1.1", lines); got != want {
+		if got := isInOutput(shown, "127.1.1.1", lines); got != want {
 			t.Errorf("%q: printed %t, want %t", shown, got, want)
 		}
 	}
 }
 
 // Every file that a command of README.md names exists.
-func TestCommandsNameFilesThatExist(t *testing.T) {
+func TestReadmeCommandsNameExistingFiles(t *testing.T) {
 	commands := indentedCommands(t, "")
 	if len(commands) == 0 {
 		t.Fatal("README.md has no commands")
 	}
 	for _, command := range commands {
-		for _, match := range repoFile.FindAllStringSubmatch(command, -1) {
+		for _, match := range repositoryFile.FindAllStringSubmatch(command, -1) {
 			path := strings.TrimSuffix(match[1], "/...")
 			if _, err := os.Stat(filepath.Join("..", path)); err != nil {
 				t.Errorf("%s: %v", command, err)
@@ -133,7 +133,7 @@
 }
 
 // The build of the quick start is that of the deployment, with the example's stand-ins beside it.
-func TestQuickStartBuildsAsTheDeploymentDoes(t *testing.T) {
+func TestQuickStartUsesDeploymentBuildCommand(t *testing.T) {
 	build := readDeployment(t).Build
 	if build == "" || !slices.Contains(indentedCommands(t, quickStartHeading), build) {
 		t.Errorf("no command %q in the quick start", build)
@@ -149,12 +149,12 @@
 		t.Fatal(err)
 	}
 	var commands []string
-	within := heading == ""
+	inSection := heading == ""
 	for line := range strings.SplitSeq(string(raw), "\n") {
 		if strings.HasPrefix(line, "## ") && heading != "" {
-			within = line == heading
+			inSection = line == heading
 		}
-		if command, ok := strings.CutPrefix(line, "    "); ok && within {
+		if command, ok := strings.CutPrefix(line, "    "); ok && inSection {
 			command, _, _ = strings.Cut(command, "  #")
 			commands = append(commands, strings.TrimRight(command, " "))
 		}
@@ -166,12 +166,12 @@
 }
 
 // shownOutput returns the lines of README.md's fenced blocks below a heading and up to the next one.
-func shownOutput(t *testing.T, heading string) []string {
+func documentedOutput(t *testing.T, heading string) []string {
 	t.Helper()
 	const fence = "```"
 	var lines []string
 	fenced := false
-	for line := range strings.SplitSeq(sectionOf(t, readmePath, heading), "\n") {
+	for line := range strings.SplitSeq(pageSection(t, readmePath, heading), "\n") {
 		if strings.HasPrefix(line, fence) {
 			fenced = !fenced
 		} else if fenced {
@@ -185,7 +185,7 @@
 }
 
 // replaceAll replaces a text that has to be there.
-func replaceAll(t *testing.T, text, from, to string) string {
+func mustReplaceAll(t *testing.T, text, from, to string) string {
 	t.Helper()
 	if !strings.Contains(text, from) {
 		t.Fatalf("no %q in the quick start:\n%s", from, text)
@@ -233,7 +233,7 @@
 	return string(output)
 }
 
-func countPrefix(lines []string, prefix string) int {
+func countLinesWithPrefix(lines []string, prefix string) int {
 	count := 0
 	for _, line := range lines {
 		if strings.HasPrefix(line, prefix) {
