--- a/docs/deploy_test.go
+++ b/docs/deploy_test.go
@@ -16,11 +16,11 @@
 	modulePrefix = "sparspread/"
 )
 
-// deployment is what the tests read of the deploy file.
+// deployment holds the settings of the deploy file that the tests check.
 type deployment struct {
 	Build  string   `toml:"build"`
-	Policy []string `toml:"policy"` // the files that decide
-	Node   []string `toml:"node"`   // the packages of the gateway, except for the decisions
+	Policy []string `toml:"policy"` // files that implement the policy
+	Node   []string `toml:"node"`   // packages of the gateway, except package policy
 }
 
 func readDeployment(t *testing.T) deployment {
@@ -32,7 +32,7 @@
 	return d
 }
 
-// A package that moves or is added is listed.
+// Guards against a package that is added or moved without a change of the deploy file.
 func TestDeployFileListsGatewayPackages(t *testing.T) {
 	command := exec.CommandContext(t.Context(), "go", "list", "-deps", "./cmd/gateway")
 	command.Dir = ".."
@@ -50,18 +50,18 @@
 	slices.Sort(want)
 	listed := slices.Sorted(slices.Values(readDeployment(t).Node))
 	if !slices.Equal(listed, want) {
-		t.Errorf("%s lists as node\n%q, the gateway is made of\n%q", deployFile, listed, want)
+		t.Errorf("%s: node:\n%q, want the packages of the gateway:\n%q", deployFile, listed, want)
 	}
 }
 
 func TestDeployFileListsExistingPolicyFiles(t *testing.T) {
 	listed := readDeployment(t).Policy
 	if len(listed) == 0 {
-		t.Errorf("%s lists no files that decide", deployFile)
+		t.Errorf("%s: policy: no files, want at least one", deployFile)
 	}
 	for _, path := range listed {
 		if _, err := os.Stat(filepath.Join("..", path)); err != nil {
-			t.Errorf("%s: %v", deployFile, err)
+			t.Errorf("%s: policy: %v", deployFile, err)
 		}
 	}
 }
--- a/docs/logkeys_test.go
+++ b/docs/logkeys_test.go
@@ -12,8 +12,8 @@
 	"testing"
 )
 
-// The event of counters has a section of its own, whose tables list its keys under keyColumn as they are
-// logged: those of a group as GROUP.KEY.
+// The page documents the event countersMessage in a separate section. The tables of the section whose header
+// begins with keyColumnHeader list the keys of the event; a key in a group is listed as GROUP.KEY.
 const (
 	countersMessage = "decision counters"
 	countersHeading = "## Decision counters"
@@ -21,7 +21,7 @@
 	policyFolder    = "../policy"
 )
 
-// The functions of slog that make an attribute of one value, and of a group of attributes.
+// The functions of package slog that return an attribute with a single value or with a group of attributes.
 var (
 	valueConstructors = []string{
 		"Any", "Bool", "Duration", "Float64", "Int", "Int64", "String", "Time", "Uint64",
@@ -30,37 +30,37 @@
 )
 
 var (
-	errNotAttribute   = errors.New("no attribute that can be read")
-	errKeyNotConstant = errors.New("the key is no constant")
+	errNotAttribute   = errors.New("expected an slog attribute or a list of them")
+	errKeyNotConstant = errors.New("expected a constant key")
 )
 
-// Each key of the event of counters is in the tables of its section, and the tables have no other keys.
+// The tables of the counters section list every key of the event once, and no other key.
 func TestOperationsPageListsCounterKeys(t *testing.T) {
 	logged := policyEventKeys(t)[countersMessage]
 	if len(logged) == 0 {
-		t.Fatalf("%q: no keys in the program", countersMessage)
+		t.Fatalf("%q: no keys in %s", countersMessage, policyFolder)
 	}
 	listed := firstColumnCodeSpans(t, pageSection(t, operationsPage, countersHeading), keyColumnHeader)
 	for _, key := range logged {
 		if !slices.Contains(listed, key) {
-			t.Errorf("%s: the section %q does not list %s", operationsPage, countersHeading, key)
+			t.Errorf("%s: section %q does not list key %s", operationsPage, countersHeading, key)
 		}
 	}
 	for _, key := range listed {
 		if !slices.Contains(logged, key) {
-			t.Errorf("%s: the section %q lists %s, which is not logged", operationsPage, countersHeading, key)
+			t.Errorf("%s: section %q lists key %s, which is not logged", operationsPage, countersHeading, key)
 		}
 	}
 	if len(slices.Compact(slices.Sorted(slices.Values(listed)))) != len(listed) {
-		t.Errorf("%s: the section %q lists a key twice: %q", operationsPage, countersHeading, listed)
+		t.Errorf("%s: section %q lists a key more than once: %q", operationsPage, countersHeading, listed)
 	}
 }
 
-// Each key of the other events of the decisions is named in the row of its event.
+// For each other event that package policy logs, the row of the event names all its keys.
 func TestOperationsPageNamesPolicyEventKeys(t *testing.T) {
 	events := policyEventKeys(t)
 	if len(events) < 2 {
-		t.Fatalf("events %q, want several", slices.Collect(maps.Keys(events)))
+		t.Fatalf("events %q, want at least two", slices.Collect(maps.Keys(events)))
 	}
 	page := readPage(t, operationsPage)
 	for message, keys := range events {
@@ -69,12 +69,12 @@
 		}
 		_, row, found := strings.Cut(page, "\n| `"+message+"`")
 		if !found {
-			t.Errorf("%s: no row for %q", operationsPage, message)
+			t.Errorf("%s: no row for event %q", operationsPage, message)
 		}
 		row, _, _ = strings.Cut(row, "\n")
 		for _, key := range keys {
 			if !strings.Contains(row, "`"+key+"`") {
-				t.Errorf("%s: the row of %q does not name %s", operationsPage, message, key)
+				t.Errorf("%s: the row of event %q does not name key %s", operationsPage, message, key)
 			}
 		}
 	}
@@ -84,12 +84,12 @@
 	const program = `package p
 const plainKey = "plain"
 func (c *Controller) log(i int) {
-	c.actions.Log("grouped", c.counters.take(i)...)
+	c.actions.Log("grouped", c.counters.flush(i)...)
 	c.actions.Log("single", plainAttr(i), slog.String("text", "value"))
 	c.actions.Log("unknown", attributes...)
 	c.actions.Log("unknown", slog.Other("key", 1))
 }
-func (n *counters) take(i int) []slog.Attr {
+func (n *counters) flush(i int) []slog.Attr {
 	attributes := []slog.Attr{slog.Int("total", i), groupAttr("first", i), groupAttr("second", i)}
 	return attributes
 }
@@ -97,10 +97,11 @@
 	if key == "first" {
 		i++
 	}
-	return slog.GroupAttrs(key, slog.Int("inner", i), plainAttr(i), slog.Group("of", slog.Bool("bool", true)))
+	return slog.GroupAttrs(key, slog.Int("inner", i), plainAttr(i),
+		slog.Group("nested", slog.Bool("bool", true)))
 }
 func plainAttr(i int) slog.Attr { return slog.Int(plainKey, i) }
-func (g *grants) take(i int) []*request { return nil }
+func (g *grants) flush(i int) []*request { return nil }
 `
 	file, err := parser.ParseFile(token.NewFileSet(), "p.go", program, parser.SkipObjectResolution)
 	if err != nil {
@@ -110,8 +111,8 @@
 	source.addFile(".", file)
 	want := map[string][]string{
 		"grouped": {
-			"total", "first.inner", "first.plain", "first.of.bool",
-			"second.inner", "second.plain", "second.of.bool",
+			"total", "first.inner", "first.plain", "first.nested.bool",
+			"second.inner", "second.plain", "second.nested.bool",
 		},
 		"single": {"plain", "text"},
 	}
@@ -122,12 +123,13 @@
 			t.Errorf("%s: keys %q, want %q", message, keys, want[message])
 		}
 		if wantError := message == "unknown"; (err != nil) != wantError {
-			t.Errorf("%s: error %v", message, err)
+			t.Errorf("%s: error %v, want an error: %t", message, err, wantError)
 		}
 	}
 }
 
-// decisionEvents returns the keys of each event that the decisions log, by its message.
+// policyEventKeys returns the attribute keys of each event that package policy logs, by the message of the
+// event.
 func policyEventKeys(t *testing.T) map[string][]string {
 	t.Helper()
 	source := indexSource(t, []string{policyFolder})
@@ -135,7 +137,7 @@
 	for _, call := range source.logCalls {
 		message, ok := source.constantMessage(call)
 		if !ok {
-			continue // not a call that logs
+			continue // a wrapper that passes a message on, or a method that does not log
 		}
 		keys, err := source.attributeKeys(call)
 		if err != nil {
@@ -146,7 +148,7 @@
 	return events
 }
 
-// attributeKeys returns the keys of a log call's attributes, in order.
+// attributeKeys returns the keys of the attributes of a log call, in order.
 func (s *sourceIndex) attributeKeys(call logCall) ([]string, error) {
 	var keys []string
 	for _, attribute := range call.attributes {
@@ -159,9 +161,9 @@
 	return keys, nil
 }
 
-// keysOf returns the keys of an attribute, or of a list of them: a call of slog, or of a function that
-// returns what is made by such calls. Parameters have the texts of the parameters of the function that it
-// stands in.
+// expressionKeys returns the keys of an expression that is an attribute or a list of attributes: a call of
+// package slog, a call of a function that returns attributes, or a composite literal. The map parameters
+// holds the constant arguments of the enclosing function by parameter name.
 func (s *sourceIndex) expressionKeys(
 	folder string, expression ast.Expr, parameters map[string]string,
 ) ([]string, error) {
@@ -177,7 +179,7 @@
 			return s.functionKeys(folder, function, expression.Args, parameters)
 		}
 	}
-	return nil, fmt.Errorf("%w: %T", errNotAttribute, expression)
+	return nil, fmt.Errorf("%T: %w", expression, errNotAttribute)
 }
 
 func (s *sourceIndex) expressionListKeys(
@@ -194,7 +196,8 @@
 	return keys, nil
 }
 
-// keysOfSlog returns the key of an attribute that slog makes, or the keys of the attributes of a group.
+// slogCallKeys returns the key of the attribute that a function of package slog returns. For a group it
+// returns the keys of the attributes in the group, as GROUP.KEY.
 func (s *sourceIndex) slogCallKeys(
 	folder, constructor string, arguments []ast.Expr, parameters map[string]string,
 ) ([]string, error) {
@@ -206,7 +209,7 @@
 		return []string{key}, nil
 	}
 	if !slices.Contains(groupConstructors, constructor) {
-		return nil, fmt.Errorf("%w: slog.%s", errNotAttribute, constructor)
+		return nil, fmt.Errorf("slog.%s: %w", constructor, errNotAttribute)
 	}
 	keys, err := s.expressionListKeys(folder, arguments[1:], parameters)
 	for i := range keys {
@@ -215,8 +218,8 @@
 	return keys, err
 }
 
-// keysOfFunction returns the keys of the attributes that a function makes: those of the first attribute or
-// list of attributes in its body.
+// functionKeys returns the keys of the attributes that a function returns. They are taken from the first
+// assignment or return statement of its body whose value is an attribute or a list of attributes.
 func (s *sourceIndex) functionKeys(
 	folder string, function *ast.FuncDecl, arguments []ast.Expr, parameters map[string]string,
 ) ([]string, error) {
@@ -248,7 +251,8 @@
 	return nil, fmt.Errorf("%s: %w", function.Name.Name, errNotAttribute)
 }
 
-// constantText is the text of a literal, a constant or a parameter.
+// constantString returns the value of a string literal, of a constant, or of a parameter in the map. It
+// returns false if the expression is none of these.
 func (s *sourceIndex) constantString(
 	folder string, expression ast.Expr, parameters map[string]string,
 ) (string, bool) {
@@ -263,7 +267,7 @@
 	return text, ok
 }
 
-// returnsAttributes reports whether a function returns one attribute or a list of them.
+// returnsAttributes reports whether the only result of a function is an attribute or a list of attributes.
 func returnsAttributes(function *ast.FuncDecl) bool {
 	results := function.Type.Results
 	if results == nil || len(results.List) != 1 {
@@ -277,7 +281,7 @@
 	return ok && attribute.Sel.Name == "Attr"
 }
 
-// calledName is the name of the function or method that is called, and whether it is one of package slog.
+// calleeName returns the name of the called function or method, and whether it belongs to package slog.
 func calleeName(call *ast.CallExpr) (name string, inSlog bool) {
 	switch function := call.Fun.(type) {
 	case *ast.Ident:
@@ -289,7 +293,7 @@
 	return "", false
 }
 
-// sectionOf returns the part of a page below a heading.
+// pageSection returns the part of a page from a heading to the next heading of level 2.
 func pageSection(t *testing.T, page, heading string) string {
 	t.Helper()
 	_, section, found := strings.Cut(readPage(t, page), "\n"+heading+"\n")
--- a/docs/loglines_test.go
+++ b/docs/loglines_test.go
@@ -15,18 +15,19 @@
 	"testing"
 )
 
-// logPage is the page that lists the log's lines, in the first column of its tables under logColumn.
+// operationsPage is the page that lists the log messages: they are in the first column of the tables whose
+// header begins with messageColumnHeader.
 const (
 	operationsPage      = "operations.md"
 	messageColumnHeader = "| log line |"
 )
 
-// loggingFolders are where the programs of the deployment log.
+// loggingFolders contain the packages of the deployed programs, whose log messages the page lists.
 var loggingFolders = []string{"../cmd", "../internal", "../policy"}
 
-// messageArgument is the position of the message among a log method's arguments.
+// messageArgumentIndex maps the name of a log method to the index of the message among its arguments.
 var messageArgumentIndex = map[string]int{
-	"Debug": 0, "Info": 0, "Warn": 0, "Error": 0, "Log": 0, // Log is that of policy.Actions
+	"Debug": 0, "Info": 0, "Warn": 0, "Error": 0, "Log": 0, // Log is a method of policy.Actions
 	"LogAttrs": 2,
 }
 
@@ -34,19 +35,20 @@
 	leadingCodeSpan = regexp.MustCompile("^\\| `([^`]+)`")
 	snakeCaseName   = regexp.MustCompile(`^[a-z]+(?:_[a-z]+)+$`)
 	jsonTag         = regexp.MustCompile(`json:"(\w+)`)
-	// phrase is quoted text of several plain words, as log messages are.
+	// lowercasePhrase matches code spans of several lower-case words, which are log messages.
 	lowercasePhrase = regexp.MustCompile(`^[a-z][a-z:,]*(?: [a-z:,]+)+$`)
-	// notLogged are phrases on the page that the process prints as it exits.
+	// exitMessages are phrases on the page that the process prints when it exits, and does not log.
 	exitMessages = []string{"limit of open files", "too many open files"}
 )
 
-// Each line of the log that the page lists is logged, word by word, and the page lists each that is logged.
+// Every log message that the page lists or mentions is logged with the same words, and the page lists every
+// message that is logged.
 func TestOperationsPageListsLogMessages(t *testing.T) {
 	logged := indexSource(t, loggingFolders).messages()
 	listed := firstColumnCodeSpans(t, readPage(t, operationsPage), messageColumnHeader)
 	for _, message := range listed {
 		if !slices.Contains(logged, message) {
-			t.Errorf("%s: %q is not logged", operationsPage, message)
+			t.Errorf("%s: lists %q, which is not logged", operationsPage, message)
 		}
 	}
 	for _, message := range logged {
@@ -57,12 +59,12 @@
 	for _, span := range codeSpans(t, operationsPage) {
 		isPhrase := lowercasePhrase.MatchString(span) && !slices.Contains(exitMessages, span)
 		if isPhrase && !slices.Contains(logged, span) {
-			t.Errorf("%s: %q is not logged", operationsPage, span)
+			t.Errorf("%s: mentions %q, which is not logged", operationsPage, span)
 		}
 	}
 }
 
-// The keys of the log, the metrics and the configuration that the page names are in the programs.
+// Every key of the log, the metrics and the configuration that the page names exists in the source code.
 func TestOperationsPageNamesOnlyExistingKeys(t *testing.T) {
 	source := indexSource(t, loggingFolders)
 	checked := 0
@@ -72,17 +74,17 @@
 		}
 		checked++
 		if !source.hasKey(span) {
-			t.Errorf("%s: no key %s in the programs", operationsPage, span)
+			t.Errorf("%s: key %s is not in the source code", operationsPage, span)
 		}
 	}
 	if checked == 0 {
-		t.Errorf("%s: no keys", operationsPage)
+		t.Errorf("%s: names no keys, want at least one", operationsPage)
 	}
 }
 
 func TestSourceIndexFindsMessagesAndKeys(t *testing.T) {
 	const program = `package p
-const message = "of a constant"
+const message = "message constant"
 func f(log *slog.Logger, actions Actions, line string) {
 	log.With("key", 1).Info("plain", "peer_key", 2)
 	log.LogAttrs(ctx, slog.LevelInfo, "with attributes")
@@ -98,7 +100,7 @@
 	}
 	source := newSourceIndex()
 	source.addFile(".", file)
-	want := []string{"of a constant", "plain", "with attributes"}
+	want := []string{"message constant", "plain", "with attributes"}
 	if got := source.messages(); !slices.Equal(got, want) {
 		t.Errorf("messages %q, want %q", got, want)
 	}
@@ -111,11 +113,12 @@
 	}
 }
 
-// source is what programs log and which texts they contain.
+// sourceIndex holds the log calls of the parsed packages, the declarations that resolve their arguments, and
+// all string literals.
 type sourceIndex struct {
-	constants          map[string]string        // by folder and name
-	attributeFunctions map[string]*ast.FuncDecl // the same, methods too: those that return attributes
-	stringLiterals     map[string]bool          // all texts, and the JSON names of fields
+	constants          map[string]string        // string values, by FOLDER.NAME
+	attributeFunctions map[string]*ast.FuncDecl // functions and methods returning attributes, by FOLDER.NAME
+	stringLiterals     map[string]bool          // including the names in JSON tags
 	logCalls           []logCall
 }
 
@@ -123,7 +126,7 @@
 type logCall struct {
 	folder     string
 	message    ast.Expr
-	attributes []ast.Expr // what follows the message
+	attributes []ast.Expr // arguments after the message
 }
 
 func newSourceIndex() *sourceIndex {
@@ -134,7 +137,7 @@
 	}
 }
 
-// sourceIn parses the programs' files below some folders.
+// indexSource parses the Go files below the folders, except tests.
 func indexSource(t *testing.T, folders []string) *sourceIndex {
 	t.Helper()
 	s := newSourceIndex()
@@ -204,7 +207,7 @@
 	}
 }
 
-// textOf returns the value of a text literal.
+// stringValue returns the value of a string literal. It returns false for any other expression.
 func stringValue(expression ast.Expr) (string, bool) {
 	literal, ok := expression.(*ast.BasicLit)
 	if !ok || literal.Kind != token.STRING {
@@ -214,8 +217,8 @@
 	return text, err == nil
 }
 
-// messages returns the constant messages of the log calls, sorted. A call whose message is no constant passes
-// on the message of another call.
+// messages returns the constant messages of the log calls, sorted and without duplicates. A call whose
+// message is not constant is in a wrapper, whose callers pass the constant.
 func (s *sourceIndex) messages() []string {
 	var messages []string
 	for _, call := range s.logCalls {
@@ -227,12 +230,13 @@
 	return slices.Compact(messages)
 }
 
-// messageOf returns the message of a log call if it is constant.
+// constantMessage returns the message of a log call. It returns false if the message is not constant.
 func (s *sourceIndex) constantMessage(call logCall) (string, bool) {
 	return s.constantString(call.folder, call.message, nil)
 }
 
-// hasKey reports whether a key is in the programs, whole or as a prefix that ends in "_" and the rest.
+// hasKey reports whether a key is a string literal of the source code, or the concatenation of two: a prefix
+// that ends in "_", and the rest.
 func (s *sourceIndex) hasKey(key string) bool {
 	if s.stringLiterals[key] {
 		return true
@@ -245,8 +249,8 @@
 	return false
 }
 
-// firstColumn returns the quoted texts in the first column of those tables whose header begins with a text.
-// Each row has one at least, with which it begins.
+// firstColumnCodeSpans returns the code spans in the first column of the tables whose header line begins with
+// header. The first cell of each row must begin with a code span.
 func firstColumnCodeSpans(t *testing.T, page, header string) []string {
 	t.Helper()
 	var spans []string
@@ -259,7 +263,7 @@
 			inTable = false
 		case inTable && !strings.HasPrefix(line, "| ---"):
 			if !leadingCodeSpan.MatchString(line) {
-				t.Errorf("%s: the first column has no quoted text: %s", operationsPage, line)
+				t.Errorf("%s: row %q: expected a code span at the start", operationsPage, line)
 				continue
 			}
 			cell, _, _ := strings.Cut(strings.TrimPrefix(line, "|"), "|")
@@ -271,7 +275,7 @@
 	return spans
 }
 
-// quotedOn returns the quoted texts of a page.
+// codeSpans returns the texts of all code spans on a page.
 func codeSpans(t *testing.T, page string) []string {
 	t.Helper()
 	var spans []string
--- a/docs/names_test.go
+++ b/docs/names_test.go
@@ -15,19 +15,19 @@
 	"testing"
 )
 
-// checkedPages are the pages in which every name of code has to exist.
+// checkedPages are the pages on which every identifier and path must exist in the repository.
 var checkedPages = []string{
 	"../README.md", "../CONTRIBUTING.md",
 	"ARCHITECTURE.md", "design.md", "CAPACITY.md", "operations.md", "open-points.md",
 }
 
-// declarations holds what the packages of the module declare.
+// declarations holds the names that the packages of the module declare, and the log keys that pages may name.
 type declarations struct {
 	qualified   map[string]bool // "package.Name" and "package.Type.Member"
-	unqualified map[string]bool // the same without package and type
+	unqualified map[string]bool // "Name" and "Member"
 	packages    map[string]bool
-	tests       map[string]bool // tests and benchmarks, by name
-	logKeys     map[string]bool // keys of the decisions' log events, those of a group as GROUP.KEY
+	tests       map[string]bool // names of tests and benchmarks
+	logKeys     map[string]bool // attribute keys that package policy logs; a key in a group as GROUP.KEY
 }
 
 func newDeclarations() declarations {
@@ -58,7 +58,7 @@
 			}
 			for i, line := range strings.Split(string(raw), "\n") {
 				for _, missing := range declared.missingReferences(line) {
-					t.Errorf("%s:%d: %s does not exist", page, i+1, missing)
+					t.Errorf("%s:%d: %s does not exist in the repository", page, i+1, missing)
 				}
 			}
 		})
@@ -83,7 +83,7 @@
 	}
 }
 
-// missingIn returns the names of code and the paths in a line that do not exist.
+// missingReferences returns the identifiers and paths in a line of a page that do not exist.
 func (d declarations) missingReferences(line string) []string {
 	var missing []string
 	for _, match := range qualifiedName.FindAllStringSubmatch(line, -1) {
@@ -112,7 +112,7 @@
 	return missing
 }
 
-// isMissing reports whether a quoted text is a path or a name in camel case that does not exist.
+// isMissingReference reports whether a code span is a path or a camel-case identifier that does not exist.
 func (d declarations) isMissingReference(span string) bool {
 	if repositoryPath.MatchString(span) {
 		return !pathExists(span)
@@ -120,13 +120,14 @@
 	return camelCaseName.MatchString(span) && !d.unqualified[span]
 }
 
-// isFileExtension reports whether a dot separates a file's name from its extension.
+// isFileExtension reports whether a name after a dot is a file extension, and so not an identifier.
 func isFileExtension(name string) bool {
 	return slices.Contains([]string{"go", "json", "md", "toml"}, name)
 }
 
-// pathExists reports whether a path, from the module's root or a file name alone, is in the repository. That
-// of a program that the build puts into bin is, if the program's source is.
+// pathExists reports whether a path exists in the repository. The path is relative to the root of the module;
+// a file name alone may be in any folder. For a program in bin/, which the build creates, the source code of
+// the program must exist.
 func pathExists(path string) bool {
 	if program, isBuilt := strings.CutPrefix(path, "bin/"); isBuilt {
 		return pathExists("cmd/"+program) || pathExists("deploy/example/"+program)
@@ -145,7 +146,7 @@
 	return found
 }
 
-// declaredIn parses the files below a folder.
+// parseDeclarations parses the Go files below a folder.
 func parseDeclarations(t *testing.T, root string) declarations {
 	t.Helper()
 	d := newDeclarations()
@@ -170,7 +171,7 @@
 	return d
 }
 
-// add adds a name of a package, and members of it where it is a type.
+// addDeclaration adds a name that a package declares. If it is a type, members are its fields and methods.
 func (d declarations) addDeclaration(pkg, name string, members ...string) {
 	d.qualified[pkg+"."+name], d.unqualified[name] = true, true
 	for _, member := range members {
@@ -178,14 +179,13 @@
 	}
 }
 
-// addLogKeys adds keys of a log event.
 func (d declarations) addLogKeys(keys []string) {
 	for _, key := range keys {
 		d.logKeys[key] = true
 	}
 }
 
-// addTests adds the tests and benchmarks of a file.
+// addTests adds the names of the tests and benchmarks in a file.
 func (d declarations) addTests(file *ast.File) {
 	for _, declaration := range file.Decls {
 		function, ok := declaration.(*ast.FuncDecl)
@@ -225,7 +225,7 @@
 	}
 }
 
-// membersOf returns the names of a struct's fields or an interface's methods.
+// memberNames returns the names of the fields of a struct type or of the methods of an interface type.
 func memberNames(expression ast.Expr) []string {
 	var list *ast.FieldList
 	switch expression := expression.(type) {
@@ -245,7 +245,7 @@
 	return names
 }
 
-// receiverType returns the name of a method's receiver type.
+// receiverTypeName returns the name of the type of a method's receiver.
 func receiverTypeName(expression ast.Expr) string {
 	switch expression := expression.(type) {
 	case *ast.StarExpr:
--- a/docs/quickstart_test.go
+++ b/docs/quickstart_test.go
@@ -23,22 +23,24 @@
 	exampleConfig     = "deploy/example/config.json"
 	exampleHost       = "127.0.0.1"
 
-	// quickStartTimeout bounds the run of the commands; no test asserts how fast it is.
+	// quickStartTimeout limits the run of all commands. It is not a requirement on their speed.
 	quickStartTimeout = 3 * time.Minute
-	// outputTimeout bounds the wait for the output of programs that a failed command leaves behind.
+	// outputTimeout limits the wait for the output of programs that still run after a command has failed.
 	outputTimeout = 5 * time.Second
-	// planBurst is the burst of the example's smaller plan, which gets another request in ten seconds, and
-	// quickStartRequests is how many requests the quick start sends at once.
+	// planBurst is the burst of the smaller plan of the example, whose token bucket refills by one request in
+	// ten seconds. quickStartRequests is the number of requests that the quick start sends without a pause.
 	planBurst, quickStartRequests = 5, 8
 )
 
-// repoFile finds the files of the repository that a command names. What is below bin/ is built.
+// repositoryFile matches the paths in a command that must exist in the repository. Paths below bin/ are not
+// matched, because the build creates them.
 var repositoryFile = regexp.MustCompile(
 	`(?:^|[\s=])(?:\./)?((?:\.ci|cmd|deploy|docs|scale|tools|policy|internal)/[\w./-]+)`,
 )
 
-// The quick start does what the page says when it is pasted into a shell: the stand-ins and the gateway
-// start, the burst of the customer's plan is served and what is beyond it is rejected.
+// Runs the commands of the quick start in a shell, with the paths and addresses replaced. The simulated
+// environment and the gateway start, the gateway serves the burst of the customer's plan and rejects the
+// requests beyond it, and the output that README.md shows is printed.
 func TestQuickStartServesBurstAndRejectsExcess(t *testing.T) {
 	commands := strings.Join(indentedCommands(t, quickStartHeading), "\n")
 	dir := t.TempDir()
@@ -51,7 +53,7 @@
 	output := runInShell(t, dir, script)
 	lines := strings.Split(output, "\n")
 	if !slices.Contains(lines, "PONG") {
-		t.Errorf("no answer to PING in:\n%s", output)
+		t.Errorf("no reply to PING in the output:\n%s", output)
 	}
 	served, rejected := countLinesWithPrefix(lines, "request "), countLinesWithPrefix(lines, "BUSY ")
 	if served != planBurst || rejected != quickStartRequests-planBurst {
@@ -60,27 +62,28 @@
 	}
 	for _, line := range []string{"msg=ready", "msg=stopping"} {
 		if !strings.Contains(output, line) {
-			t.Errorf("no %q in:\n%s", line, output)
+			t.Errorf("no %q in the output:\n%s", line, output)
 		}
 	}
 	for _, metric := range []string{"edge_relay.fulfilled.read=5", "edge_relay.throttled.read=3"} {
 		if !slices.Contains(lines, metric) {
-			t.Errorf("no %q in:\n%s", metric, output)
+			t.Errorf("no line %q in the output:\n%s", metric, output)
 		}
 	}
 	for _, shown := range documentedOutput(t, quickStartHeading) {
 		if !isInOutput(shown, host, lines) {
-			t.Errorf("README.md shows %q, which is not printed:\n%s", shown, output)
+			t.Errorf("README.md shows %q, which is not in the output:\n%s", shown, output)
 		}
 	}
 }
 
-// mayDiffer are the lines of the output that README.md shows but a run may lack: the gateway logs the first
-// only if it starts before the discovery service.
+// optionalOutput are parts of lines that README.md shows and that may be missing from the output of a run.
+// The gateway logs a failed discovery call only if it starts before the discovery service.
 var optionalOutput = []string{`msg="discovery call failed"`}
 
-// isPrinted reports whether a line that README.md shows is in the output: each of its words, in order, as a
-// log line is shown without some attributes. Which backend answers may differ.
+// isInOutput reports whether a line of the output contains the words of a line that README.md shows, in the
+// same order. The output may have words in between, because README.md omits some attributes of log lines. The
+// backend that serves a request is not compared, because it may differ from run to run.
 func isInOutput(shown, host string, lines []string) bool {
 	for _, text := range optionalOutput {
 		if strings.Contains(shown, text) {
@@ -111,37 +114,37 @@
 		`level=WARN msg="discovery call failed"`: true,
 	} {
 		if got := isInOutput(shown, "127.1.1.1", lines); got != want {
-			t.Errorf("%q: printed %t, want %t", shown, got, want)
+			t.Errorf("%q: in the output: %t, want %t", shown, got, want)
 		}
 	}
 }
 
-// Every file that a command of README.md names exists.
 func TestReadmeCommandsNameExistingFiles(t *testing.T) {
 	commands := indentedCommands(t, "")
 	if len(commands) == 0 {
-		t.Fatal("README.md has no commands")
+		t.Fatal("README.md: no commands, want at least one")
 	}
 	for _, command := range commands {
 		for _, match := range repositoryFile.FindAllStringSubmatch(command, -1) {
 			path := strings.TrimSuffix(match[1], "/...")
 			if _, err := os.Stat(filepath.Join("..", path)); err != nil {
-				t.Errorf("%s: %v", command, err)
+				t.Errorf("README.md: command %q: %v", command, err)
 			}
 		}
 	}
 }
 
-// The build of the quick start is that of the deployment, with the example's stand-ins beside it.
+// The quick start has the build command of the deploy file. It may have others, which build the simulated
+// environment.
 func TestQuickStartUsesDeploymentBuildCommand(t *testing.T) {
 	build := readDeployment(t).Build
 	if build == "" || !slices.Contains(indentedCommands(t, quickStartHeading), build) {
-		t.Errorf("no command %q in the quick start", build)
+		t.Errorf("quick start: no command %q, which is the build command of %s", build, deployFile)
 	}
 }
 
-// indentedCommands returns the lines of README.md's indented blocks, without their comments, below a heading
-// and up to the next one; or all of them where no heading is given.
+// indentedCommands returns the lines of the indented blocks of README.md, without their comments, from a
+// heading to the next heading of level 2. If heading is empty, it returns those of the whole page.
 func indentedCommands(t *testing.T, heading string) []string {
 	t.Helper()
 	raw, err := os.ReadFile(readmePath)
@@ -160,12 +163,12 @@
 		}
 	}
 	if len(commands) == 0 {
-		t.Fatalf("README.md has no commands below %q", heading)
+		t.Fatalf("README.md: no commands in section %q", heading)
 	}
 	return commands
 }
 
-// shownOutput returns the lines of README.md's fenced blocks below a heading and up to the next one.
+// documentedOutput returns the lines of the fenced blocks of README.md in the section with a heading.
 func documentedOutput(t *testing.T, heading string) []string {
 	t.Helper()
 	const fence = "```"
@@ -179,22 +182,22 @@
 		}
 	}
 	if len(lines) == 0 {
-		t.Fatalf("README.md shows no output below %q", heading)
+		t.Fatalf("README.md: no output in section %q", heading)
 	}
 	return lines
 }
 
-// replaceAll replaces a text that has to be there.
+// mustReplaceAll replaces all occurrences of a text, and fails the test if there are none.
 func mustReplaceAll(t *testing.T, text, from, to string) string {
 	t.Helper()
 	if !strings.Contains(text, from) {
-		t.Fatalf("no %q in the quick start:\n%s", from, text)
+		t.Fatalf("quick start: no %q in the commands:\n%s", from, text)
 	}
 	return strings.ReplaceAll(text, from, to)
 }
 
-// writeExampleConfig writes the example's configuration with a loopback address of the test's own, as its
-// ports may be in use at the usual one. It returns the file's path and the address.
+// writeExampleConfig writes the configuration of the example with a random loopback address, because the
+// ports may be in use at the usual address. It returns the path of the file and the address.
 func writeExampleConfig(t *testing.T, dir string) (path, host string) {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("..", exampleConfig))
@@ -210,8 +213,8 @@
 	return path, host
 }
 
-// runInShell runs commands in the repository's root and returns what they and the programs that they start
-// print. A command that fails fails the test, and so does a program that is left running.
+// runInShell runs commands in the root of the repository and returns their output and that of the programs
+// that they start. The test fails if a command fails, or if a program still runs at the timeout.
 func runInShell(t *testing.T, dir, commands string) string {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), quickStartTimeout)
@@ -219,16 +222,16 @@
 	shell := exec.CommandContext(ctx, "bash", "-c", "set -e\n"+commands+"\nwait")
 	shell.Dir = ".."
 	shell.Env = append(os.Environ(), "TMPDIR="+dir)
-	// A group of its own, so that what the shell has started ends with it.
+	// The shell is in a new process group, so that the programs that it starts can be killed with it.
 	shell.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	shell.Cancel = func() error { return syscall.Kill(-shell.Process.Pid, syscall.SIGKILL) }
 	shell.WaitDelay = outputTimeout
 	output, err := shell.CombinedOutput()
 	if shell.Process != nil {
-		_ = syscall.Kill(-shell.Process.Pid, syscall.SIGKILL) // nothing is left where all went well
+		_ = syscall.Kill(-shell.Process.Pid, syscall.SIGKILL) // no effect if all processes have exited
 	}
 	if err != nil {
-		t.Errorf("the quick start: %v", cmp.Or(ctx.Err(), err))
+		t.Errorf("quick start: %v", cmp.Or(ctx.Err(), err))
 	}
 	return string(output)
 }
