--- a/docs/logkeys_test.go
+++ b/docs/logkeys_test.go
@@ -38,7 +38,7 @@
 func TestOperationsPageListsCounterKeys(t *testing.T) {
 	logged := policyEventKeys(t)[countersMessage]
 	if len(logged) == 0 {
-		t.Fatalf("%q: no keys in %s", countersMessage, policyFolder)
+		t.Fatalf("%q: package policy logs no keys, want at least one", countersMessage)
 	}
 	listed := firstColumnCodeSpans(t, pageSection(t, operationsPage, countersHeading), keyColumnHeader)
 	for _, key := range logged {
@@ -123,7 +123,7 @@
 			t.Errorf("%s: keys %q, want %q", message, keys, want[message])
 		}
 		if wantError := message == "unknown"; (err != nil) != wantError {
-			t.Errorf("%s: error %v, want an error: %t", message, err, wantError)
+			t.Errorf("%s: error %v, want one only if an attribute is unknown", message, err)
 		}
 	}
 }
@@ -179,7 +179,7 @@
 			return s.functionKeys(folder, function, expression.Args, parameters)
 		}
 	}
-	return nil, fmt.Errorf("%T: %w", expression, errNotAttribute)
+	return nil, fmt.Errorf("%w, got %T", errNotAttribute, expression)
 }
 
 func (s *sourceIndex) expressionListKeys(
@@ -209,7 +209,7 @@
 		return []string{key}, nil
 	}
 	if !slices.Contains(groupConstructors, constructor) {
-		return nil, fmt.Errorf("slog.%s: %w", constructor, errNotAttribute)
+		return nil, fmt.Errorf("%w, got slog.%s", errNotAttribute, constructor)
 	}
 	keys, err := s.expressionListKeys(folder, arguments[1:], parameters)
 	for i := range keys {
--- a/docs/loglines_test.go
+++ b/docs/loglines_test.go
@@ -116,7 +116,7 @@
 // sourceIndex holds the log calls of the parsed packages, the declarations that resolve their arguments, and
 // all string literals.
 type sourceIndex struct {
-	constants          map[string]string        // string values, by FOLDER.NAME
+	constants          map[string]string        // values of string constants, by FOLDER.NAME
 	attributeFunctions map[string]*ast.FuncDecl // functions and methods returning attributes, by FOLDER.NAME
 	stringLiterals     map[string]bool          // including the names in JSON tags
 	logCalls           []logCall
@@ -263,7 +263,7 @@
 			inTable = false
 		case inTable && !strings.HasPrefix(line, "| ---"):
 			if !leadingCodeSpan.MatchString(line) {
-				t.Errorf("%s: row %q: expected a code span at the start", operationsPage, line)
+				t.Errorf("%s: row does not begin with a code span: %s", operationsPage, line)
 				continue
 			}
 			cell, _, _ := strings.Cut(strings.TrimPrefix(line, "|"), "|")
--- a/docs/quickstart_test.go
+++ b/docs/quickstart_test.go
@@ -128,7 +128,7 @@
 		for _, match := range repositoryFile.FindAllStringSubmatch(command, -1) {
 			path := strings.TrimSuffix(match[1], "/...")
 			if _, err := os.Stat(filepath.Join("..", path)); err != nil {
-				t.Errorf("README.md: command %q: %v", command, err)
+				t.Errorf("README.md: %s: %v", command, err)
 			}
 		}
 	}
@@ -139,7 +139,7 @@
 func TestQuickStartUsesDeploymentBuildCommand(t *testing.T) {
 	build := readDeployment(t).Build
 	if build == "" || !slices.Contains(indentedCommands(t, quickStartHeading), build) {
-		t.Errorf("quick start: no command %q, which is the build command of %s", build, deployFile)
+		t.Errorf("quick start: no command %q, which is the build command of the deploy file", build)
 	}
 }
 
