--- a/cmd/gateway/fakes_test.go
+++ b/cmd/gateway/fakes_test.go
@@ -68,7 +68,7 @@
 		case d.watches <- r.URL.RawQuery:
 		default:
 		}
-		if isWatchFromRevision2(r.URL.RawQuery) {
+		if isWatchAfterRevision2(r.URL.RawQuery) {
 			<-r.Context().Done()
 			return
 		}
@@ -85,7 +85,7 @@
 	for end := time.After(waitTimeout); ; {
 		select {
 		case query := <-d.watches:
-			if isWatchFromRevision2(query) {
+			if isWatchAfterRevision2(query) {
 				return
 			}
 		case <-end:
@@ -94,8 +94,8 @@
 	}
 }
 
-// isWatchFromRevision2 reports whether a query string is that of a watch for revisions after 2.
-func isWatchFromRevision2(query string) bool { return strings.HasPrefix(query, "index=2&") }
+// isWatchAfterRevision2 reports whether a query string requests a watch for revisions after 2.
+func isWatchAfterRevision2(query string) bool { return strings.HasPrefix(query, "index=2&") }
 
 // endpointList returns a complete list of endpoints in the format of discovery.
 func endpointList(revision int, entries []string) json.RawMessage {
--- a/internal/gateway/client_commands.go
+++ b/internal/gateway/client_commands.go
@@ -225,7 +225,7 @@
 // tryReject rejects a request that the gateway cannot serve, and reports whether it did. It counts the
 // request as a command of its connection.
 func (g *Gateway) tryReject(r *request, overMemory bool) (rejected bool) {
-	if g.requests.openByClientID[r.clientID] != nil {
+	if g.requests.openByClientRequestID[r.clientID] != nil {
 		// Backends cannot distinguish two open requests with the same ID.
 		r.client.countCommand(true, false)
 		g.answer(r, errorReply(errIDIsOpen))
@@ -261,7 +261,7 @@
 	now := g.events.Now()
 	g.requests.lastID++
 	r.id = g.requests.lastID
-	g.requests.byID[r.id], g.requests.openByClientID[r.clientID] = r, r
+	g.requests.byID[r.id], g.requests.openByClientRequestID[r.clientID] = r, r
 	g.memory.retainedBytes += command.Size(r.args)
 	r.customer, r.estimatedCost = details.Customer, details.Cost
 	margin := min(deadlineMargin, details.Timeout/maxMarginDivisor)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -74,7 +74,7 @@
 	g.takeover = newTakeover(predecessor, takeoverAdapter{g}, log)
 	g.gossip = newGossip(&cfg, log, g.events.Post)
 	if predecessor != nil {
-		g.listening.listener = predecessor.Clients
+		g.listening.listener = predecessor.ClientListener
 		return g, nil
 	}
 	if cfg.Settings.Gossip {
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -248,7 +248,7 @@
 				timers++
 			}
 		}
-		remaining <- fmt.Sprint(timers, len(g.requests.byID), len(g.requests.openByClientID),
+		remaining <- fmt.Sprint(timers, len(g.requests.byID), len(g.requests.openByClientRequestID),
 			g.memory.retainedBytes, g.requests.openCount)
 	}))
 	if got := wait(t, remaining, "the event loop"); got != "0 0 0 0 0" {
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -74,8 +74,8 @@
 	r.deadlineTimer = nil
 	r.body.discard()
 	g.backends.cancelWaiting(r.waitingAttempt)
-	if g.requests.openByClientID[r.clientID] == r {
-		delete(g.requests.openByClientID, r.clientID)
+	if g.requests.openByClientRequestID[r.clientID] == r {
+		delete(g.requests.openByClientRequestID, r.clientID)
 	}
 }
 
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -58,15 +58,15 @@
 
 // requestTable holds the open requests. It belongs to the event loop.
 type requestTable struct {
-	byID           map[uint64]*request // requests that are not answered yet or have an attempt in flight
-	openByClientID map[uint64]*request // requests without a final reply, by the ID that the client sent
-	lastID         uint64              // the highest ID assigned so far
-	openCount      int                 // requests without a final reply, including those not in byID
-	nextTraceAt    traceSchedule
+	byID                  map[uint64]*request // requests that are not answered yet or have an attempt in flight
+	openByClientRequestID map[uint64]*request // requests without a final reply, by the ID that the client sent
+	lastID                uint64              // the highest ID assigned so far
+	openCount             int                 // requests without a final reply, including those not in byID
+	nextTraceAt           traceSchedule
 }
 
 func newRequestTable() requestTable {
-	return requestTable{byID: map[uint64]*request{}, openByClientID: map[uint64]*request{}}
+	return requestTable{byID: map[uint64]*request{}, openByClientRequestID: map[uint64]*request{}}
 }
 
 // memoryUse counts the bytes of memory that clients occupy.
--- a/internal/gateway/takeover.go
+++ b/internal/gateway/takeover.go
@@ -68,7 +68,7 @@
 	first := takeoverNone
 	t := &takeover{gateway: gateway}
 	if from != nil {
-		first, t.link, t.gossip = takeoverPending, from, from.Gossip
+		first, t.link, t.gossip = takeoverPending, from, from.GossipConn
 	}
 	t.phase = phase.New("takeover", first, takeoverTransitions, reportIllegalTransition(log))
 	return t
--- a/internal/handover/successor.go
+++ b/internal/handover/successor.go
@@ -50,11 +50,11 @@
 
 // Takeover is the successor's side of a handover.
 type Takeover struct {
-	// Clients listens for clients. The caller of Dial owns and closes it.
-	Clients *net.TCPListener
-	// Gossip is the socket for messages between gateways, or nil if the predecessor has none. The caller of
+	// ClientListener is the listening socket for clients. The caller of Dial owns and closes it.
+	ClientListener *net.TCPListener
+	// GossipConn is the socket for messages between gateways, or nil if the predecessor has none. The caller of
 	// Dial owns and closes it.
-	Gossip *net.UDPConn
+	GossipConn *net.UDPConn
 
 	path      string
 	log       *slog.Logger
@@ -114,22 +114,22 @@
 	if message.kind != kindSockets || len(message.files) == 0 {
 		return errNoSockets
 	}
-	if t.Clients, err = tcpListener(message.files[0]); err != nil {
+	if t.ClientListener, err = tcpListener(message.files[0]); err != nil {
 		return err
 	}
 	if len(message.files) > 1 {
-		t.Gossip, err = udpConn(message.files[1])
+		t.GossipConn, err = udpConn(message.files[1])
 	}
 	return err
 }
 
 // closeSockets closes the received sockets, for a takeover that does not use them.
 func (t *Takeover) closeSockets() {
-	if t.Clients != nil {
-		_ = t.Clients.Close()
+	if t.ClientListener != nil {
+		_ = t.ClientListener.Close()
 	}
-	if t.Gossip != nil {
-		_ = t.Gossip.Close()
+	if t.GossipConn != nil {
+		_ = t.GossipConn.Close()
 	}
 }
 
