--- a/docs/logkeys_test.go
+++ b/docs/logkeys_test.go
@@ -97,7 +97,7 @@
 	if key == "first" {
 		i++
 	}
-	return slog.GroupAttrs(key, slog.Int("int", i), plainAttr(i), slog.Group("nested", slog.Bool("bool", true)))
+	return slog.GroupAttrs(key, slog.Int("inner", i), plainAttr(i), slog.Group("of", slog.Bool("bool", true)))
 }
 func plainAttr(i int) slog.Attr { return slog.Int(plainKey, i) }
 func (g *grants) flush(i int) []*request { return nil }
@@ -110,8 +110,8 @@
 	source.addFile(".", file)
 	want := map[string][]string{
 		"grouped": {
-			"total", "first.int", "first.plain", "first.nested.bool",
-			"second.int", "second.plain", "second.nested.bool",
+			"total", "first.inner", "first.plain", "first.of.bool",
+			"second.inner", "second.plain", "second.of.bool",
 		},
 		"single": {"plain", "text"},
 	}
