--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -38,7 +38,7 @@
 )
 
 // A request is forwarded with the fields that were parsed; only the timeout is replaced.
-func TestParseAndForward(t *testing.T) {
+func TestParseAndEncodeForBackend(t *testing.T) {
 	const sent = "c=lookup,t=team,d=480,units=2,spread=3,first=1"
 	args := commandArgs("api.read", testCustomer, testClientID, sent, "BODY")
 	got, err := Parse(testConfig(), args)
@@ -50,7 +50,7 @@
 		t.Errorf("request %+v with client ID %x, want %+v", got.Details, got.ClientID, want)
 	}
 	const fields = "c=lookup,t=team,d=99,units=2,spread=3,first=1"
-	forwarded := string(Forwarded(got.Args, got.TimeoutSpan, 99_900, 0))
+	forwarded := string(EncodeForBackend(got.Args, got.TimeoutSpan, 99_900, 0))
 	wantForwarded := "*5\r\n$8\r\napi.read\r\n$16\r\n" + testCustomer +
 		"\r\n$16\r\n" + testClientID + "\r\n$45\r\n" + fields + "\r\n$4\r\nBODY\r\n"
 	if forwarded != wantForwarded {
@@ -59,9 +59,9 @@
 }
 
 // Only the head of a large body is encoded, and the timeout is at least 1 ms.
-func TestForwardedRequestEndsWithHeadOfLargeBody(t *testing.T) {
+func TestEncodeForBackendEndsWithHeadOfLargeBody(t *testing.T) {
 	args := commandArgs("API.WRITE", testCustomer, testClientID, "d=480")
-	got := string(Forwarded(args, Span{Start: 2, End: 5}, 0, 70_000))
+	got := string(EncodeForBackend(args, Span{Start: 2, End: 5}, 0, 70_000))
 	if want := "*5\r\n"; !strings.HasPrefix(got, want) {
 		t.Errorf("forwarded %q, want the prefix %q", got, want)
 	}
--- a/internal/config/compare.go
+++ b/internal/config/compare.go
@@ -11,9 +11,9 @@
 // not a setting.
 const knownEndpointsKey = "known"
 
-// CheckKeys returns a *settings.KeyError if a key of the current configuration c is missing in other. A
-// setting that an operator has omitted by mistake must not revert to its default.
-func (c *Config) CheckKeys(other *Config) error {
+// CheckRemovedKeys returns a *settings.KeyError if a key of the current configuration c is missing in
+// other. A setting that an operator has omitted by mistake must not revert to its default.
+func (c *Config) CheckRemovedKeys(other *Config) error {
 	for key := range c.Keys {
 		if _, ok := other.Keys[key]; !ok && key != knownEndpointsKey {
 			return fmt.Errorf("configuration: %w", settings.MissingKey(key))
@@ -27,8 +27,9 @@
 	return nil
 }
 
-// RetainFixed sets the fields that only a restart can change to their values in the current configuration.
-func (c *Config) RetainFixed(current *Config) {
+// RetainRestartOnly sets the fields that only a restart can change to their values in the current
+// configuration.
+func (c *Config) RetainRestartOnly(current *Config) {
 	c.Name, c.Listen, c.Ops = current.Name, current.Listen, current.Ops
 	c.PeerListen, c.Peers = current.PeerListen, current.Peers
 	c.MemoryMB, c.Sockets, c.Seed = current.MemoryMB, current.Sockets, current.Seed
@@ -41,9 +42,9 @@
 	c.Host.ReportNames, c.Host.Zones = current.Host.ReportNames, current.Host.Zones
 }
 
-// ChangedFixed returns the top-level keys that only a restart can change and that differ in other, in sorted
-// order.
-func (c *Config) ChangedFixed(other *Config) []string {
+// ChangedRestartOnly returns the top-level keys that only a restart can change and that differ in other, in
+// sorted order.
+func (c *Config) ChangedRestartOnly(other *Config) []string {
 	var changed []string
 	for _, field := range []struct {
 		key     string
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -65,22 +65,22 @@
 	}
 }
 
-func TestRetainFixedKeepsRestartOnlySettings(t *testing.T) {
+func TestRetainRestartOnlyKeepsCurrentSettings(t *testing.T) {
 	current := Config{Name: "a", Listen: "a:1", Sockets: 64, Seed: 1}
 	changed := Config{Name: "b", Listen: "a:2", Sockets: 65, Seed: 2, Discovery: "b:1"}
-	if got := fmt.Sprint(current.ChangedFixed(&changed)); got != "[limits listen name]" {
+	if got := fmt.Sprint(current.ChangedRestartOnly(&changed)); got != "[limits listen name]" {
 		t.Errorf("changed keys %s, want [limits listen name]", got)
 	}
-	changed.RetainFixed(&current)
-	if left := current.ChangedFixed(&changed); len(left) > 0 || changed.Seed != 1 {
-		t.Errorf("after RetainFixed: changed keys %v, seed %d, want none and seed 1", left, changed.Seed)
+	changed.RetainRestartOnly(&current)
+	if left := current.ChangedRestartOnly(&changed); len(left) > 0 || changed.Seed != 1 {
+		t.Errorf("RetainRestartOnly left changed keys %v, seed %d, want none, seed 1", left, changed.Seed)
 	}
 	if changed.Discovery != "b:1" {
 		t.Errorf("discovery %q, want the new address", changed.Discovery)
 	}
 }
 
-func TestCheckKeysReportsRemovedKeys(t *testing.T) {
+func TestCheckRemovedKeysReportsRemovedKey(t *testing.T) {
 	current := Config{Keys: map[string]Present{"counter": {}, knownEndpointsKey: {}}}
 	current.Host.Keys = map[string]bool{"az": true}
 	withoutCounter, withoutZone := current, current
@@ -90,12 +90,12 @@
 		"configuration: counter: missing":      withoutCounter,
 		"configuration: settings: az: missing": withoutZone,
 	} {
-		err := current.CheckKeys(&changed)
+		err := current.CheckRemovedKeys(&changed)
 		if !errors.Is(err, settings.ErrMissing) || err.Error() != want {
 			t.Errorf("error %v, want %s", err, want)
 		}
 	}
-	if err := current.CheckKeys(&current); err != nil {
+	if err := current.CheckRemovedKeys(&current); err != nil {
 		t.Errorf("unchanged keys: error %v", err)
 	}
 }
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -96,7 +96,7 @@
 		if result != policy.ResultOverloaded {
 			result = policy.ResultNotSent // the backend never had the complete request
 		}
-	} else if a.request != nil && a.conn != nil && !a.fullyWritten && a.conn.writer.Idle() {
+	} else if a.request != nil && a.conn != nil && !a.fullyWritten && a.conn.writer.Flushed() {
 		a.markFullyWritten() // the writer has written the rest in the meantime
 	}
 	bs.events.Cancel(a.timeout)
--- a/internal/gateway/backend_pool.go
+++ b/internal/gateway/backend_pool.go
@@ -104,7 +104,7 @@
 // connection that has carried a reply can be used after its quiescence period.
 func (bs *backends) releaseConn(c *backendConn) {
 	b := c.backend
-	if !c.writer.Idle() {
+	if !c.writer.Flushed() {
 		// The reply came before the whole request was written. The next request on this connection would be
 		// read as the rest of that request.
 		bs.close(c, closeIncomplete)
--- a/internal/gateway/backend_read.go
+++ b/internal/gateway/backend_read.go
@@ -35,7 +35,7 @@
 	in := resp.NewReader(c)
 	for {
 		e := replyReceived{conn: c}
-		if e.err = in.Await(); e.err == nil {
+		if e.err = in.AwaitMessage(); e.err == nil {
 			c.readTimeout = replyTimeout
 			e.reply, e.err = in.ReadReply()
 			if e.err == nil && e.reply.StreamedSize > 0 && !c.streamValue(events, in, &e) {
--- a/internal/gateway/backend_write.go
+++ b/internal/gateway/backend_write.go
@@ -66,5 +66,5 @@
 	if r.body != nil {
 		bodySize = r.body.size
 	}
-	return command.Forwarded(r.args, r.timeoutSpan, timeout, bodySize)
+	return command.EncodeForBackend(r.args, r.timeoutSpan, timeout, bodySize)
 }
--- a/internal/gateway/client_close.go
+++ b/internal/gateway/client_close.go
@@ -41,7 +41,7 @@
 }
 
 func (t lingerTimer) Handle(g *Gateway) {
-	if !t.client.writer.Idle() && t.extensions < maxLingers {
+	if !t.client.writer.Flushed() && t.extensions < maxLingers {
 		g.events.After(lingerTime, lingerTimer{client: t.client, extensions: t.extensions + 1})
 		return
 	}
--- a/internal/gateway/client_read.go
+++ b/internal/gateway/client_read.go
@@ -85,7 +85,7 @@
 	if c.handingOver.Load() && in.Buffered() == 0 && len(c.inheritedInput)+len(c.readAheadInput) == 0 {
 		return errHandingOver
 	}
-	if err := in.Await(); err != nil {
+	if err := in.AwaitMessage(); err != nil {
 		if c.handingOver.Load() && errors.Is(err, os.ErrDeadlineExceeded) {
 			return errHandingOver
 		}
--- a/internal/gateway/handover_clients.go
+++ b/internal/gateway/handover_clients.go
@@ -45,7 +45,7 @@
 // canBeHandedOver reports whether nothing is open on the connection and there is a successor to send it to.
 func (c *client) canBeHandedOver(g *Gateway) bool {
 	return c.readerStopped && !c.closed && !c.closeWhenAnswered && len(c.pipeline) == 0 &&
-		g.handover.hasReleasedOwnership() && g.handover.canSend() && c.writer.Idle()
+		g.handover.hasReleasedOwnership() && g.handover.canSend() && c.writer.Flushed()
 }
 
 // handOver sends the connection to the successor, with the input that was read but not processed. It has no
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -74,7 +74,7 @@
 type reloadAdapter struct{ *Gateway }
 
 func (a reloadAdapter) applySettings(cfg *config.Config) error {
-	if err := a.config.CheckKeys(cfg); err != nil {
+	if err := a.config.CheckRemovedKeys(cfg); err != nil {
 		return err
 	}
 	return a.controller.Reload(a.events.Now(), cfg.Settings)
@@ -85,10 +85,10 @@
 func (a reloadAdapter) applyReload(cfg config.Config) {
 	a.metrics.ConfigsAccepted.Add(1)
 	a.log.Info("reload", "discovery", cfg.Discovery, "counter", cfg.Counter, "classes", cfg.Host.Classes)
-	if fixed := a.config.ChangedFixed(&cfg); len(fixed) > 0 {
+	if fixed := a.config.ChangedRestartOnly(&cfg); len(fixed) > 0 {
 		a.log.Warn("reload: settings that need a restart are unchanged", "settings", fixed)
 	}
-	cfg.RetainFixed(a.config)
+	cfg.RetainRestartOnly(a.config)
 	a.applyConfig(&cfg)
 	a.discovery.SetAddress(cfg.Discovery)
 	if a.counter != nil && cfg.Counter != "" {
--- a/internal/resp/reader.go
+++ b/internal/resp/reader.go
@@ -22,8 +22,8 @@
 // NewReader returns a Reader that reads from in.
 func NewReader(in io.Reader) *Reader { return &Reader{bufio.NewReaderSize(in, readBufferSize)} }
 
-// Await waits until the first byte of the next message has been received.
-func (r *Reader) Await() error {
+// AwaitMessage waits until the first byte of the next message has been received.
+func (r *Reader) AwaitMessage() error {
 	_, err := r.in.Peek(1)
 	return err
 }
--- a/internal/sockwriter/writer.go
+++ b/internal/sockwriter/writer.go
@@ -145,8 +145,8 @@
 	}
 }
 
-// Idle reports whether all bytes passed to Send have been written.
-func (w *Writer) Idle() bool {
+// Flushed reports whether all bytes passed to Send have been written.
+func (w *Writer) Flushed() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return !w.flushing
--- a/internal/sockwriter/writer_test.go
+++ b/internal/sockwriter/writer_test.go
@@ -39,7 +39,7 @@
 func fillSendBuffer(t *testing.T, w *Writer) []byte {
 	t.Helper()
 	var sent []byte
-	for i := 0; w.Idle(); i++ {
+	for i := 0; w.Flushed(); i++ {
 		part := bytes.Repeat([]byte{byte(i)}, 1<<16)
 		if !w.Send(part, len(part)) {
 			t.Fatal("Send reported more pending bytes than the limit, with at most one part pending")
--- a/scale/internal/load/pool.go
+++ b/scale/internal/load/pool.go
@@ -101,7 +101,7 @@
 	p.mu.Unlock()
 	for _, conn := range idle {
 		_ = conn.conn.SetReadDeadline(time.Now().Add(extraBytesTimeout))
-		if conn.in.Await() == nil {
+		if conn.in.AwaitMessage() == nil {
 			withExtraBytes++
 		}
 		p.discard(conn)
