--- a/policy/admission.go
+++ b/policy/admission.go
@@ -44,8 +44,8 @@
 		request.customer.localUnitSource(c.clock.now, c.clock.startedAt, &c.sharing, request.Cost))
 }
 
-// admit sends a request to a backend if its quota, or else the shared bucket, covers its cost and
-// its ceiling allows it. Otherwise it rejects the request.
+// admit sends a request to a backend if the customer's quota, or else the shared bucket, covers the cost and
+// this gateway's share of the ceiling allows it. Otherwise it rejects the request.
 func (c *Controller) admit(request *request, source unitSource) {
 	customer, plan := request.customer, &c.settings.Plans[request.Plan]
 	mustBorrow := source == unitsUnavailable
--- a/policy/backendhealth.go
+++ b/policy/backendhealth.go
@@ -3,12 +3,12 @@
 import "math"
 
 const (
-	ejectionErrorRate      = 0.25       // the error rate at which a backend is ejected
-	connectionFailureDecay = second     // the time constant of the count of recent connection failures
-	maxConnectionFailures  = 2.5        // the count of recent resets at which a backend is ejected
-	unresponsiveObjectives = 1.0        // the time without an answer until ejection, in shortest objectives
-	minEjectionTime        = second / 2 // of the first ejection; each consecutive one takes twice as long
-	maxEjectionTime        = 4 * second
+	ejectionErrorRate      = 0.25       // a backend is ejected at this error rate
+	connectionFailureDecay = second     // the count of connection failures decays with this time constant
+	maxConnectionFailures  = 2.5        // a backend that may still run is ejected at this count of failures
+	unresponsiveObjectives = 1.0        // ejection follows this many shortest objectives without an answer
+	minEjectionTime        = second / 2 // the first ejection lasts this long; a consecutive one twice as long
+	maxEjectionTime        = 4 * second // no ejection lasts longer
 )
 
 // backendHealth is the outlier detection for one backend. A backend that is ejected because it is
@@ -31,8 +31,8 @@
 func (h *backendHealth) isFailing() bool { return h.isDown || h.errorRate >= ejectionErrorRate }
 
 // acceptsAttempts reports whether the backend, with the given number of attempts in flight, may get another
-// one. If health checks are allowed, a backend that is down gets none before a check succeeds. A failing
-// backend otherwise gets one attempt at a time after its ejection.
+// one. If health checks are enabled, a backend that is down gets none before a check succeeds. Any other
+// failing backend gets one attempt at a time once its ejection has ended.
 func (h *backendHealth) acceptsAttempts(now Time, inFlight int, healthChecks bool) bool {
 	if h.isDown && healthChecks {
 		return false
@@ -65,7 +65,8 @@
 	case ResultFailed:
 		return h.recordError(now)
 	case ResultConnectFailed, ResultReset:
-		// If other attempts were answered meanwhile, an unanswered dial is late but no sign of a restart.
+		// An answer on another connection since the dial shows that the backend is running, so an unanswered
+		// dial does not mean a restart.
 		isLate := outcome.DialUnanswered && h.lastAnswerAt > sentAt
 		isDown, ejected := h.recordConnectionFailure(now, isLate || outcome.Result == ResultReset)
 		if !isDown {
@@ -158,7 +159,8 @@
 // isProbeDue reports whether a health check is due.
 func (h *backendHealth) isProbeDue(now Time) bool { return h.isDown && now >= h.nextProbeAt }
 
-// recordProbeStart records that a health check starts now.
+// recordProbeStart records that a health check starts now. No other check is due while this one is pending,
+// unless it takes longer than maxEjectionTime.
 func (h *backendHealth) recordProbeStart(now Time) { h.nextProbeAt = now + maxEjectionTime }
 
 // recordFailedProbe extends the ejection after a failed health check.
--- a/policy/backendhealth_test.go
+++ b/policy/backendhealth_test.go
@@ -100,13 +100,16 @@
 		want    ejectionReason
 	}{
 		{name: "no attempt overdue", silence: 99 * second, share: 1},
-		{name: "for the objective", silence: testObjective, overdue: 2, share: 1},
-		{name: "for longer", silence: testObjective + 1, overdue: 2, share: 1, want: ejectedUnresponsive},
-		{name: "one attempt, twice the objective", silence: 2 * testObjective, overdue: 1, share: 1},
+		{name: "silent for the objective", silence: testObjective, overdue: 2, share: 1},
 		{
-			name: "one attempt, longer than that", silence: 2*testObjective + 2, overdue: 1, share: 1,
+			name: "silent for more than the objective", silence: testObjective + 1, overdue: 2, share: 1,
 			want: ejectedUnresponsive,
 		},
+		{name: "one attempt, twice the objective", silence: 2 * testObjective, overdue: 1, share: 1},
+		{
+			name: "one attempt, more than twice the objective", silence: 2*testObjective + 2, overdue: 1,
+			share: 1, want: ejectedUnresponsive,
+		},
 		{name: "in slow start", silence: 2 * testObjective, overdue: 5, share: 0.5},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/policy/backendtable.go
+++ b/policy/backendtable.go
@@ -6,13 +6,13 @@
 	"slices"
 )
 
-const removedRetention = 60 * second // how long the starts of a removed backend are retained
+const removedRetention = 60 * second // the starts of a removed backend are retained for this long
 
 // backend is an endpoint with the state that this gateway has about it.
 type backend struct {
 	Endpoint
 	listed    bool // whether it is in the current endpoint list
-	inSubset  bool // whether this gateway prefers it
+	inSubset  bool // whether it is in the subset of backends that this gateway prefers
 	load      backendLoad
 	health    backendHealth
 	latency   latencyRatio
@@ -28,14 +28,17 @@
 	return b.health.acceptsAttempts(now, b.load.inFlight, healthChecks)
 }
 
-// isWarm reports whether the backend counts towards the rate at which warm backends answer this gateway.
+// isWarm reports whether the backend is ready, healthy, in the subset and not in slow start. Only the
+// answers of such backends count towards the rate from which the attempts at backends in slow start are
+// derived.
 func (b *backend) isWarm(now Time, healthChecks bool, parameters *slowStartParameters) bool {
 	return b.isReady() && b.inSubset && b.acceptsAttempts(now, healthChecks) &&
 		b.slowStart.capacityShare(now, parameters) == 1
 }
 
-// update applies an entry of the endpoint list. It reports whether the entry has a new start. If so, it
-// resets the error rate and the latency, which are those of the previous process.
+// update applies an entry of the endpoint list. It reports whether the entry shows a start of the backend
+// that was not known yet. If so, it resets the error rate and the latency, which are those of the previous
+// process.
 func (b *backend) update(endpoint Endpoint) (started bool) {
 	b.Endpoint, b.listed = endpoint, endpoint.State != EndpointRemoved
 	if !b.slowStart.stamps.isNewStart(endpoint.StartedAt) {
@@ -80,8 +83,9 @@
 	}
 }
 
-// knowsMostStarts reports whether at least half of the starts in a list are known. If so, the others happened
-// after the list that the table was built from; otherwise the table is too old to tell.
+// knowsMostStarts reports whether the table has any backends and knows the starts of at least half of the
+// entries of a list. If so, the unknown starts happened after the list that the table was built from.
+// Otherwise the table may be so old that the unknown starts are not recent.
 func (t *backendTable) knowsMostStarts(list []Endpoint) bool {
 	unknown := 0
 	for _, endpoint := range list {
@@ -155,7 +159,8 @@
 	return ended
 }
 
-// takeDueProbes returns the ready backends whose health check is due, and records that it starts now.
+// takeDueProbes returns the ready backends whose health check is due, for the caller to start the checks,
+// and records that the checks start now.
 func (t *backendTable) takeDueProbes(now Time) []*backend {
 	var due []*backend
 	for _, backend := range t.inOrder {
@@ -179,8 +184,9 @@
 	return count
 }
 
-// effectiveInFlight returns the number of this gateway's attempts that load the backends, given the share of
-// late answers. Attempts at a backend that is down don't count; attempts at a slow backend count less.
+// effectiveInFlight returns how many of this gateway's attempts count as load on the backends. The share of
+// late answers is the weight of overdue attempts. Attempts at a backend that is down do not count, and
+// attempts at a backend that is more than twice as slow as usual count less.
 func (t *backendTable) effectiveInFlight(now Time, lateShare float64) float64 {
 	total := 0.0
 	for _, backend := range t.inOrder {
@@ -202,8 +208,9 @@
 	return count
 }
 
-// renumberFaults moves the fault reports of all backends to new indices of classes and plans, as
-// faultReports.renumber does.
+// renumberFaults moves the fault reports of all backends to new indices of classes and plans. oldClassIndex
+// has the old index of each new class, and newPlanIndex the new index of each old plan; see
+// faultReports.renumber.
 func (t *backendTable) renumberFaults(oldClassIndex, newPlanIndex []int, planCount int) {
 	t.classCount, t.planCount = len(oldClassIndex), planCount
 	for _, backend := range t.inOrder {
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -57,7 +57,7 @@
 			controller.UpdateEndpoints(start, UpdateStale, endpoints(c.backends))
 			b.ReportAllocs()
 			now := start
-			for id := uint64(1); b.Loop(); id++ { // not from 0: this gateway coordinates customer 0
+			for id := uint64(1); b.Loop(); id++ { // customer 0, coordinated by this gateway, is not the first
 				now += 5000
 				controller.RequestReceived(now, Request{
 					ID: id, Plan: 1, Customer: id % 200, Cost: 1, Timeout: second, Replicas: c.replicas,
--- a/policy/clienttimeouts.go
+++ b/policy/clienttimeouts.go
@@ -31,8 +31,8 @@
 	return t[req.Plan][req.Class].value - float64(req.Timeout)
 }
 
-// renumberClasses moves the averages to new indices of classes. oldClassIndex has the old index of each class,
-// or -1 for a new one.
+// renumberClasses moves the averages to new indices of classes. oldClassIndex has the old index of each new
+// class, or -1 if there was no class of that name.
 func (t clientTimeouts) renumberClasses(oldClassIndex []int) {
 	for plan, row := range t {
 		t[plan] = make([]movingAverage, len(oldClassIndex))
@@ -40,8 +40,8 @@
 	}
 }
 
-// renumberPlans returns the averages at the indices of new plans. newPlanIndex has the new index of each old plan,
-// or -1 if the plan was removed.
+// renumberPlans returns the averages at the indices of new plans. newPlanIndex has the new index of each old
+// plan, or -1 if the plan was removed.
 func (t clientTimeouts) renumberPlans(plans, classes int, newPlanIndex []int) clientTimeouts {
 	renumbered := newClientTimeouts(plans, classes)
 	for plan := range renumbered {
--- a/policy/clock.go
+++ b/policy/clock.go
@@ -1,6 +1,8 @@
 package policy
 
-const stallEventIntervals = 8 // a timer delayed by more minimum event intervals than this indicates a stall
+// The process is assumed to have stalled if the gossip timer is late by more than this many minimum event
+// intervals.
+const stallEventIntervals = 8
 
 // clock holds the time of the current event and the stalls detected so far. During a stall the process did
 // not run and could not observe answers. Neither now nor activeTime ever decreases.
@@ -46,11 +48,12 @@
 	return c.timerDue
 }
 
-// isResuming reports whether the current event is the first after a stall, or has the same time. It may
-// report something that happened early in the stall.
+// isResuming reports whether the current event is the first after a stall, or has the same time. What such
+// an event reports may have happened early in the stall.
 func (c *clock) isResuming() bool { return c.now <= c.resumedAt }
 
-// resetStart sets the start time to now, because the owner's state is as outdated as after a restart.
+// resetStart sets the start time to now. It is called when the controller's state has become as outdated as
+// after a restart.
 func (c *clock) resetStart() { c.startedAt = c.now }
 
 // importState continues with the start time and the stalls of the process that wrote a snapshot.
--- a/policy/concurrencylimit.go
+++ b/policy/concurrencylimit.go
@@ -3,12 +3,15 @@
 import "math"
 
 const (
-	fullLatencyShare         = 0.35 // the average latency of backends at capacity, in allowed latencies
-	minInFlight              = 4.0  // the minimum capacity of a backend in attempts: one per core
-	minInFlightWhenLate      = 1.0  // the minimum if all answers are late, so that backends drain
-	minOwnInFlight           = 2.0  // attempts that a gateway may have in flight in addition to maxOwnShare
-	maxOwnShare              = 2.0  // in even shares of the capacity; above 1 because arrivals are uneven
-	halfPeerWeightAnswerRate = 8.0  // own answers per second at which the figures of peers count half
+	fullLatencyShare         = 0.35 // backends at capacity have this part of the allowed latency on average
+	minInFlight              = 4.0  // a backend has capacity for at least this many attempts: one per core
+	minInFlightWhenLate      = 1.0  // the minimum falls to this if all answers are late, so backends drain
+	halfPeerWeightAnswerRate = 8.0  // the figures of peers count half at this many own answers per second
+
+	// One gateway may have minOwnInFlight attempts in flight plus maxOwnShare even shares of the limit.
+	// maxOwnShare is above 1 because arrivals are uneven.
+	minOwnInFlight = 2.0
+	maxOwnShare    = 2.0
 )
 
 // concurrencyLimit limits the attempts in flight by the load on the backends that this gateway and its peers
@@ -20,7 +23,7 @@
 	peers, peersInFlight, peersOnTime decayingSum   // peers that reported, and totals of their reports
 }
 
-// loadView is the load on the backends by this gateway and the peers that reported theirs.
+// loadView is the load that this gateway and the peers that sent their load views put on the backends.
 type loadView struct {
 	inFlight   float64 // attempts in flight
 	onTimeRate float64 // answers per second within their objective
@@ -52,7 +55,7 @@
 }
 
 // recordPeerView adds the load view of a peer to those of the other peers. The weight is below 1 if the peer
-// sent another one shortly before.
+// sent another view less than a second before.
 func (l *concurrencyLimit) recordPeerView(activeTime Time, weight, inFlight, onTimeRate float64) {
 	l.peers.add(activeTime, second, weight)
 	l.peersInFlight.add(activeTime, second, weight*inFlight)
@@ -64,7 +67,8 @@
 	return halfPeerWeightAnswerRate / (halfPeerWeightAnswerRate + l.onTime.value(activeTime, second))
 }
 
-// view returns the load by this gateway, given its attempts in flight, and by its peers.
+// view returns the load that this gateway, with the given attempts in flight, and its peers put on the
+// backends.
 func (l *concurrencyLimit) view(activeTime Time, ownInFlight float64) loadView {
 	weight := l.peerWeight(activeTime)
 	return loadView{
--- a/policy/controller.go
+++ b/policy/controller.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	halfSeedBits  = 32 // the size of each half of a seed
-	loadViewPeers = 6  // the random peers that receive this gateway's load view at each sweep
+	halfSeedBits  = 32 // each half of a seed has this many bits
+	loadViewPeers = 6  // each sweep sends this gateway's load view to this many random peers
 )
 
 // Controller makes the decisions of one gateway. It is not safe for concurrent use; the package
--- a/policy/controller_backends.go
+++ b/policy/controller_backends.go
@@ -12,7 +12,9 @@
 	}
 	hadCurrentList := c.watch.recordUpdate(kind)
 	c.backends.beginUpdate(kind)
-	// Until the first current list, the known backends come from the configuration or from the predecessor.
+	// Starts that are new in this list are recent if an earlier list was current. Before the first current
+	// list, the known backends come from the configuration or from the predecessor, so this list must repeat
+	// most of their starts.
 	isAnnounced := hadCurrentList || kind != UpdateStale && c.backends.knowsMostStarts(list)
 	for _, endpoint := range list {
 		backend := c.backends.findOrAdd(endpoint, c.clock.now, c.random)
@@ -41,7 +43,7 @@
 // in proportion to its capacity share and to the rate at which a warm backend answers this gateway.
 func (c *Controller) slowStartAllows(backend *backend) bool {
 	share := backend.slowStart.capacityShare(c.clock.now, &c.slowStart)
-	if share == 1 || c.releasedOwnership { // the bucket belongs to the successor
+	if share == 1 || c.releasedOwnership { // after a handover, only the successor uses backends in slow start
 		return share == 1
 	}
 	rate := 0.0 // outside the subset the minimum rate applies, as other gateways prefer the backend
@@ -52,7 +54,8 @@
 	return backend.slowStart.allowsAttempt(c.clock.now, share, rate, &c.slowStart)
 }
 
-// chargeSlowStart charges an attempt to the slow start of its backend, if the backend is in one.
+// chargeSlowStart charges an attempt to the slow start of its backend, if the backend is in one. An attempt
+// that is waiting for a connection is only reserved, and charged when it is written.
 func (c *Controller) chargeSlowStart(attempt *attempt, waiting bool) {
 	slowStart := &attempt.backend.slowStart
 	if slowStart.capacityShare(c.clock.now, &c.slowStart) == 1 {
@@ -76,13 +79,14 @@
 	}
 }
 
-// loadView returns the load by this gateway and its peers.
+// loadView returns the load that this gateway and its peers put on the backends, as far as it is known.
 func (c *Controller) loadView() loadView {
 	ownInFlight := c.backends.effectiveInFlight(c.clock.now, c.limit.lateShare.value)
 	return c.limit.view(c.clock.activeTime, ownInFlight)
 }
 
-// atCapacity reports whether the given part of the backends' capacity is in use.
+// atCapacity reports whether the given part of the backends' capacity is in use. Before it does, it marks
+// overdue attempts, and ejects and logs unresponsive backends.
 func (c *Controller) atCapacity(part float64) bool {
 	c.refreshBackendHealth()
 	ownInFlight := c.backends.effectiveInFlight(c.clock.now, c.limit.lateShare.value)
@@ -93,7 +97,7 @@
 }
 
 // refreshBackendHealth marks overdue attempts, ejects unresponsive backends, and counts the healthy and the
-// warm ones.
+// warm backends.
 func (c *Controller) refreshBackendHealth() {
 	for class := range c.settings.Classes {
 		objective := c.settings.Classes[class].LatencyObjective
--- a/policy/controller_capacity_test.go
+++ b/policy/controller_capacity_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Guards against lost attempts that use up the capacity (issue i62622c).
+// Guards against lost attempts that use up the capacity.
 func TestOverdueAttemptsUseNoCapacity(t *testing.T) {
 	h := newHarness(t, testSettings())
 	sentCount := 0
@@ -24,7 +24,7 @@
 }
 
 // Guards against unresponsive backends whose overdue attempts block all other backends, and against
-// overloaded backends whose load does not fall although all answers are late (issues i62622c, i191102).
+// overloaded backends whose load does not fall although all answers are late.
 func TestOverdueAttemptsCountInProportionToLateAnswers(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.TimerFired(h.at, gossipTimer)
@@ -41,8 +41,7 @@
 	assertNear(t, "effective in flight, all answers late", h.effectiveInFlight(), 4)
 }
 
-// Guards against overloaded backends that never drain because the minimum capacity keeps them full (issue
-// i678c40).
+// Guards against overloaded backends that never drain because the minimum capacity keeps them full.
 func TestMinimumCapacityFallsWithLateAnswers(t *testing.T) {
 	capacity := func(late float64) int {
 		h := newHarness(t, testSettings())
--- a/policy/controller_outcomes_test.go
+++ b/policy/controller_outcomes_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// Guards against backends that stay in rotation although they hang or are cut off (issue i62622c).
+// Guards against backends that stay in rotation although they hang or are cut off.
 func TestUnresponsiveBackendIsEjected(t *testing.T) {
 	h := newHarness(t, testSettings())
 	stuck, _ := h.request(0, 1, 9, 1)
@@ -144,8 +144,8 @@
 	for _, c := range []struct {
 		name                  string
 		result                Result
-		avoidClass, avoidPlan int // requests that avoid the backend
-		otherClass, otherPlan int // requests that do not
+		avoidClass, avoidPlan int // the class and plan of requests that avoid the backend
+		otherClass, otherPlan int // the class and plan of requests that do not avoid it
 	}{
 		{name: "class", result: ResultTimedOut, avoidClass: 0, avoidPlan: 1, otherClass: 1, otherPlan: 1},
 		{name: "plan", result: ResultOverloaded, avoidClass: 0, avoidPlan: 1, otherClass: 0, otherPlan: 0},
--- a/policy/controller_slowstart_test.go
+++ b/policy/controller_slowstart_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// serveFor has customers send 100 requests per second for the given time, each answered after a tenth of a
-// second. It returns the number of attempts by backend.
+// serveFor passes 100 requests of different customers per second to the gateway for the given time, and
+// answers each after a tenth of a second. It returns the number of attempts by backend.
 func (h *harness) serveFor(seconds int) map[uint32]int {
 	h.t.Helper()
 	attempts := map[uint32]int{}
@@ -38,7 +38,7 @@
 	if starting := float64(got[4]); starting > 0.6*warm || starting == 0 {
 		t.Errorf("backend in slow start got %g attempts, warm backends %g on average", starting, warm)
 	}
-	// The limit also applies if all backends start at once.
+	// Slow start also limits the attempts if all backends start at once.
 	list := endpoints(4)
 	for i := range list {
 		list[i].StartedAt = h.at
@@ -51,7 +51,7 @@
 }
 
 // Guards against backends that get no attempts until they are warm, because each of many gateways has too
-// little traffic to accumulate one attempt for them (issue i47ec98).
+// little traffic to accumulate one attempt for them.
 func TestBackendInSlowStartIsUsedByGatewaysWithLittleTraffic(t *testing.T) {
 	sent := 0
 	for seed := range uint64(60) {
@@ -71,7 +71,9 @@
 			}
 		}
 	}
-	// A warm backend gets a quarter of the 720 attempts; the starting one gets a fifth to two thirds of that.
+	// A warm backend would get a quarter of the 720 attempts, which is 180. The capacity share of the
+	// starting one rises from a fifth to two thirds, so it should get between 36 and 120; the bounds allow
+	// for chance.
 	if sent < 20 || sent > 130 {
 		t.Errorf("%d attempts at the starting backend by 60 gateways, want 20 to 130", sent)
 	}
@@ -99,7 +101,7 @@
 	h.serveFor(8)
 	h.UpdateEndpoints(h.at, UpdateIncremental, []Endpoint{{ID: 4, Cell: 1, StartedAt: h.at}})
 	h.noConnection = 4
-	var open []uint64 // at the warm backends, which are so slow that the starting one is preferred
+	var open []uint64 // requests at the warm backends, which are so slow that the starting one is preferred
 	for range 400 {
 		h.at += second / 100
 		h.TimerFired(h.at, gossipTimer)
@@ -118,7 +120,7 @@
 		written += indicator(h.ConfirmSend(h.at, id, len(h.requests.byID[id].attempts)-1))
 	}
 	h.noConnection = 0
-	for range 20 { // at the same time
+	for range 20 { // further requests at the same time
 		id, sent := h.request(0, 1, 1, 1)
 		if sent && h.lastAttempt(id).backend.ID == 4 {
 			written++
@@ -149,7 +151,8 @@
 	}
 }
 
-// Guards against an attempt that was not written but still uses up the slow start of its backend.
+// Guards against an attempt that was not written but still counts against the slow start limit of its
+// backend.
 func TestUnsentAttemptReleasesItsSlowStartCharge(t *testing.T) {
 	for _, noConnection := range []uint32{0, 1} {
 		h := newHarness(t, slowStartSettings())
@@ -169,8 +172,8 @@
 	}
 }
 
-// Guards against starting backends that are idle while the few warm ones are overloaded, and against gateways
-// whose accumulated attempts together overload a starting backend.
+// Guards against starting backends that stay idle while the few warm backends are overloaded, and against a
+// starting backend that is overloaded because many gateways use their accumulated attempts at the same time.
 func TestBackendsInSlowStartGetAttemptsWithinBudgetOfFleet(t *testing.T) {
 	const gateways, backends, warm, perSecond, window = 60, 20, 8, 8, 3
 	settings := testSettings()
@@ -216,13 +219,13 @@
 		average += got[starting.ID] / (backends - warm) / window
 	}
 	if average < settings.SlowStartFloor*warmRate {
-		t.Errorf("starting backend got %.1f attempts/s, a warm one got %.1f before: want at least its share",
+		t.Errorf("starting backends got %.1f attempts/s on average, want at least the floor's share of %.1f",
 			average, warmRate)
 	}
 }
 
-// Guards against an answer rate that counts the answers of all backends outside the subset as those of a
-// single warm backend.
+// Guards against an answer rate that is too high while the subset has no warm backend: the answers of all
+// backends outside the subset must not count as those of one warm backend.
 func TestAnswerRateIsConstantWithoutWarmBackendInSubset(t *testing.T) {
 	settings := testSettings()
 	settings.Gateways, settings.HandshakePrice = 80, 0.08
--- a/policy/coordinator_test.go
+++ b/policy/coordinator_test.go
@@ -54,8 +54,9 @@
 	return true
 }
 
-// Guards against usage beyond the quota through many gateways, each of which sees only little of it.
-// Quota requests limit a small quota. Grants limit a large one, which would need too many quota requests.
+// Guards against usage beyond the quota through many gateways, each of which receives few of the requests. A
+// small quota is kept by a quota request for each request, and a large one, which would need too many of
+// them, by an advertised fraction.
 func TestWideReplicaSetKeepsQuota(t *testing.T) {
 	for _, c := range []struct {
 		name      string
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -6,29 +6,32 @@
 )
 
 const (
-	evenCeilingShare    = 0.5  // share of a ceiling that is split evenly; the rest follows demand
-	gossipDelayPeriods  = 2    // gossip periods until units that a peer consumes are known here
+	evenCeilingShare    = 0.5  // this part of a ceiling is split evenly; the rest follows demand
+	gossipDelayPeriods  = 2    // units that a peer consumes are known here after this many gossip periods
 	initialSlackDivisor = 2    // a new record starts with the ceiling's slack divided by this
-	coordinatorReserve  = 0.75 // share of a burst that a coordinator reserves for variation in demand
+	coordinatorReserve  = 0.75 // a coordinator reserves this part of a burst for variation in demand
 )
 
 // customer is this gateway's record of one customer. It decides which of the customer's requests are within
 // the quota, as of the last refill: callers refill the buckets first.
 type customer struct {
 	account
-	inFlight int         // number of attempts in flight
-	bucket   tokenBucket // the whole quota as far as it is known; this gateway's share if usage is not shared
-	ceiling  tokenBucket // this gateway's share of the ceiling
-	demand   customerDemand
-	usage    usageLedger
-	grant    quotaGrant    // used in wide replica sets
-	counter  sharedCounter // used if gateways share a counter
-	meter    usageMeter    // used if backends report a meter
-}
-
-// newCustomer returns the record of a customer at a gateway that started at startedAt. The quota bucket is
-// full, because peers report buckets that are not. The ceiling starts with half of its slack, because the
-// rest may have been used before a restart.
+	inFlight int // number of attempts in flight
+	// bucket holds the whole quota as far as it is known. Without shared usage it holds this gateway's share,
+	// and at a coordinator that decides on quota requests the coordinator's part.
+	bucket  tokenBucket
+	ceiling tokenBucket // this gateway's share of the ceiling
+	demand  customerDemand
+	usage   usageLedger
+	grant   quotaGrant    // used in wide replica sets
+	counter sharedCounter // used if gateways share a counter
+	meter   usageMeter    // used if backends report a meter
+}
+
+// newCustomer returns the record of a customer at a gateway that started at startedAt. The quota bucket
+// starts with the full burst, because peers report the units already used. Without shared usage, or at a
+// coordinator that decides on quota requests, it starts with an even part of the burst. The ceiling starts
+// with half of its slack, because the rest may have been used before a restart.
 func newCustomer(now, startedAt Time, sharing *quotaSharing, account account) *customer {
 	plan, replicas := sharing.plan(&account), float64(account.replicas)
 	customer := &customer{
@@ -86,7 +89,7 @@
 		c.bucket.resize(share*plan.Rate, share*plan.Burst)
 		share = 1
 	case sharing.grantsQuota(&c.account):
-		// The coordinators share the whole ceiling, because every gateway asks them for units.
+		// Every gateway asks the coordinators for units, so they split the whole quota and ceiling.
 		ceilingShare = 1 / float64(sharing.coordinatorCount(&c.account))
 		c.bucket.resize(ceilingShare*plan.Rate, ceilingShare*plan.Burst)
 	case sharing.isParticipant(&c.account) && sharing.requiresGrant(&c.account):
@@ -97,7 +100,7 @@
 	return share * c.bucket.refill(now)
 }
 
-// availableUnits returns the units that this gateway may grant now: its share of the bucket as of the last
+// availableUnits returns the units that this gateway may admit now: its share of the bucket as of the last
 // gossip round less its own usage since then or, if more, the units that peers are not expected to use before
 // their next report. The second term is needed because a share of a small burst may be less than one request.
 // Soon after a start the result is limited to an even share, because earlier usage may not be known yet.
@@ -105,7 +108,8 @@
 	switch {
 	case sharing.isParticipant(&c.account) && c.grant.isLimited(): // a coordinator's grant is the limit
 		return c.grant.units
-	case !sharing.sharesUsage || sharing.isWide(&c.account): // the bucket holds only this gateway's share
+	case !sharing.sharesUsage || sharing.isWide(&c.account):
+		// Nothing is reserved for peers: they have buckets of their own, or their grants limit them.
 		return c.bucket.level
 	}
 	unreported := c.usage.unreported()
@@ -113,7 +117,7 @@
 	expected := c.demand.peerDemand(now) * delay / float64(c.demand.window)
 	share := c.quotaShare(now, sharing)*(c.bucket.level+unreported) - unreported
 	available := math.Max(share, c.bucket.level-expected)
-	if sharing.isSettling(now - startedAt) { // an even share, so that a restart does not grant a second burst
+	if sharing.isSettling(now - startedAt) { // an even share, so that a restart does not admit a second burst
 		available = math.Min(available, c.bucket.capacity/float64(c.replicas)-c.usage.consumed)
 	}
 	return available
@@ -125,10 +129,10 @@
 const (
 	unitsUnavailable unitSource = iota // no quota covers the request
 	unitsFromShare                     // this gateway's share of the quota
-	unitsFromGrant                     // a coordinator's grant, which is within the ceiling too
+	unitsFromGrant                     // a coordinator's grant, which covers the ceiling too
 )
 
-// localUnitSource returns the source of a request's units if no coordinator was asked.
+// localUnitSource returns the source of a request's units if no coordinator has decided on the request.
 func (c *customer) localUnitSource(now, startedAt Time, sharing *quotaSharing, units float64) unitSource {
 	if c.withinQuota(now, startedAt, sharing, units) {
 		return unitsFromShare
@@ -136,7 +140,7 @@
 	return unitsUnavailable
 }
 
-// timeUntilAvailable returns the time until this gateway may grant the units under a plan with the given
+// timeUntilAvailable returns the time until this gateway may admit the units under a plan with the given
 // rate, if demand does not change.
 func (c *customer) timeUntilAvailable(now, startedAt Time, sharing *quotaSharing, rate, units float64) Time {
 	return timeUntil(c.availableUnits(now, startedAt, sharing), c.quotaShare(now, sharing)*rate, units)
@@ -154,8 +158,9 @@
 	return plan.Rate == 0 || c.availableUnits(now, startedAt, sharing) >= units
 }
 
-// recordDemand counts the units of a request before it is decided on. Under a grant, each request adds the
-// granted fraction of its units to the units that this gateway may admit.
+// recordDemand counts the units of a request before it is decided on. If coordinators advertise a fraction
+// in advance, each request adds that fraction of its units to the units that this gateway may admit. If they
+// approve each request instead, their answer decides.
 func (c *customer) recordDemand(now Time, sharing *quotaSharing, units float64) {
 	c.demand.addOwn(now, units)
 	c.meter.recordDemand(now, sharing.meterPeriod, units)
@@ -171,7 +176,8 @@
 	c.meter.applyReading(now, sharing.meterPeriod, sharing.plan(&c.account).Rate, reading)
 }
 
-// consume charges units that the coordinator with the given index granted. The index is 0 for other units.
+// consume charges units to the customer, and counts them for the coordinator with the given index. The index
+// is 0 unless a coordinator was asked for the units.
 func (c *customer) consume(sharing *quotaSharing, coordinator int, units float64) {
 	c.usage.consume(coordinator, units)
 	if !sharing.needsRemoteGrant(&c.account, coordinator) {
@@ -217,8 +223,8 @@
 	c.demand.window = sharing.demandWindow(&c.account)
 }
 
-// fitToPlan applies the plan's limits to a record from another process, which may have had other settings. A
-// bucket that holds a share of the quota is resized by the next refill.
+// fitToPlan applies the plan's limits to a record from another process, which may have had other settings.
+// Without shared usage, the next refill resizes the bucket.
 func (c *customer) fitToPlan(sharing *quotaSharing) {
 	c.demand.window = sharing.demandWindow(&c.account)
 	if plan := sharing.plan(&c.account); sharing.sharesUsage {
--- a/policy/customerreport.go
+++ b/policy/customerreport.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-const maxUsageIncrease = math.MaxUint16 / 2 // a larger step of a wrapping usage count is a decrease
+const maxUsageIncrease = math.MaxUint16 / 2 // a 16-bit count that grew by more has in fact decreased
 
 // usageEntry returns the entry that reports the given usage of the customer to peers.
 func (c *customer) usageEntry(sharing *quotaSharing, usage customerUsage) usageEntry {
@@ -18,8 +18,9 @@
 	}
 }
 
-// reportIsDue reports whether a gossip round at the given time includes the customer's usage. A participant
-// under a grant reports no more often than its coordinator can receive reports.
+// reportIsDue reports whether a gossip round at the given time includes the customer's usage. A participant,
+// which is a gateway of a wide replica set that is not a coordinator, reports no more often than its
+// coordinator can receive reports while a grant limits it.
 func (c *customer) reportIsDue(now Time, sharing *quotaSharing) bool {
 	return now >= c.grant.nextReportAt || !c.grant.isLimited() || !sharing.isParticipant(&c.account)
 }
@@ -30,8 +31,8 @@
 	c.grant.nextReportAt = now + sharing.receiveTime(c.replicas)
 }
 
-// recordCounterCall returns the units to add to the shared counter, zero if there are none, and records the
-// call that adds them.
+// recordCounterCall returns the unreported units, which the caller adds to the shared counter, and records
+// that call. If there are none, it returns zero and records no call.
 func (c *customer) recordCounterCall() (units float64) {
 	if units = c.usage.unreported(); units > 0 {
 		c.counter.recordCall(units)
@@ -58,7 +59,7 @@
 	return true
 }
 
-// usageSender identifies the peer that sent a usage entry.
+// usageSender describes the sender of a usage entry, and whether the entry is current.
 type usageSender struct {
 	gateway     int
 	incarnation uint32
@@ -71,9 +72,11 @@
 }
 
 // applyFirstUsage applies the first entry of a peer's incarnation. There is no earlier count to subtract, so
-// the peer's view of the remaining quota limits the level.
+// the remaining quota that the peer reports limits the level of the bucket.
 func (c *customer) applyFirstUsage(now Time, isWide bool, entry *usageEntry) {
 	remaining := entry.remaining*c.bucket.capacity - c.usage.unreported()
+	// In a wide set the peer reports its granted fraction. A fraction of 1, which means no limit, says
+	// nothing about the quota, so the units that the peer may have used since its last report are charged.
 	if isWide && entry.remaining == 1 {
 		remaining = c.bucket.level - unpackUnits(min(entry.consumed, entry.newlyRequested))
 	}
@@ -88,6 +91,8 @@
 ) bool {
 	consumed, requested := entry.consumed-last.consumed, entry.requested-last.requested
 	returned := consumed > maxUsageIncrease
+	// An entry with a lower count is out of order. The exceptions are consumed units that were returned, as
+	// reported by a quota request or, in a small set, by the newest message.
 	if requested > maxUsageIncrease || returned && entry.wantedHalves == 0 && (isWide || !newest) {
 		return false
 	}
@@ -99,8 +104,8 @@
 	return true
 }
 
-// quotaRequest returns the entry that asks a request's coordinator for its units. The demand of a
-// request is counted once, even if it asks again.
+// quotaRequest returns the entry that asks the coordinator of a request for the request's units. The demand
+// is counted once, even if the request asks a second coordinator.
 func (c *customer) quotaRequest(sharing *quotaSharing, request *request, isRepeated bool) usageEntry {
 	usage := c.usage.forCoordinator(request.coordinator)
 	if !isRepeated {
--- a/policy/customertable.go
+++ b/policy/customertable.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-const sweepInterval = second // time between two searches for idle customers
+const sweepInterval = second // idle customers are searched for at this interval
 
 // customerTable holds the records of the recently active customers. byID and inOrder hold the same records.
 // reportQueue holds each customer that has reports left, once.
@@ -41,8 +41,8 @@
 	t.scheduleReport(sharing, customer)
 }
 
-// consume charges a customer units that the coordinator with the given index granted. The index is 0 for
-// other units.
+// consume charges units to a customer, and counts them for the coordinator with the given index. The index is
+// 0 unless a coordinator was asked for the units.
 func (t *customerTable) consume(sharing *quotaSharing, customer *customer, coordinator int, units float64) {
 	customer.consume(sharing, coordinator, units)
 	t.scheduleReport(sharing, customer)
--- a/policy/demand.go
+++ b/policy/demand.go
@@ -1,6 +1,6 @@
 package policy
 
-const minDemand = 1e-9 // units; keeps ratios of demands finite
+const minDemand = 1e-9 // in units; a demand counts as at least this, which keeps ratios finite
 
 // customerDemand counts the units recently requested for a customer, at this gateway and at the other
 // gateways of its replica set. The window is the time constant of both sums.
--- a/policy/discoverywatch.go
+++ b/policy/discoverywatch.go
@@ -13,8 +13,8 @@
 // recordFailure records that service discovery is unavailable.
 func (w *discoveryWatch) recordFailure() { w.active = false }
 
-// recordUpdate records an update. It reports whether an earlier update was not stale, so that the new starts
-// in this one have happened since.
+// recordUpdate records an update. It reports whether an earlier update was not stale. If so, the starts that
+// are new in this update happened after the earlier one.
 func (w *discoveryWatch) recordUpdate(kind UpdateKind) (hadCurrentList bool) {
 	hadCurrentList = w.receivedCurrentList
 	w.active = w.active || kind != UpdateStale
--- a/policy/faultreports.go
+++ b/policy/faultreports.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-const faultDecay = 8 * second // the time constant of the decay of a fault report
+const faultDecay = 8 * second // fault reports decay with this time constant
 
 // faultSubject is the class or the plan for which a backend has a fault, as encoded in gossip messages.
 // Classes count up from 0 and plans count down from the largest byte, because the number of classes may
@@ -37,7 +37,8 @@
 }
 
 // renumber moves the reports to new indices of classes and plans. oldClassIndex has the old index of each new
-// class, or -1 for a new one; newPlanIndex has the new index of each old plan, or -1 if the plan was removed.
+// class, or -1 if there was no class of that name. newPlanIndex has the new index of each old plan, or -1 if
+// the plan was removed.
 func (r *faultReports) renumber(oldClassIndex, newPlanIndex []int, planCount int) {
 	renumbered := newFaultReports(len(oldClassIndex), planCount)
 	copyByOldIndex(renumbered.byClass, r.byClass, oldClassIndex)
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -3,16 +3,19 @@
 import "math"
 
 const (
-	faultRepeats   = 8          // the number of messages that carry each fault report
-	replicaTimeout = second / 2 // a replica that sent nothing for longer is inactive: its demand is unknown
+	faultRepeats = 8 // this many messages carry each fault report
+
+	// A replica, which is a gateway of a customer's replica set, counts as inactive if no message of it was
+	// received for this time. Its demand is then unknown.
+	replicaTimeout = second / 2
 )
 
 // gossipState is this gateway's state of the gossip between gateways: the messages in preparation, and the
 // last sequence number of each peer, by which messages that arrive out of order are detected. A message gets
-// the next sequence number when it is started, not when it is sent.
+// the next sequence number when it is created, not when it is sent.
 type gossipState struct {
 	incarnation uint32               // distinguishes this start of the gateway from earlier ones
-	sequence    byte                 // of the last message started; wraps around and skips 0
+	sequence    byte                 // of the last message created; wraps around and skips 0
 	faults      []pendingFaultReport // pending, oldest first
 	peers       []peer               // by gateway index; the entry of this gateway is unused
 }
@@ -35,8 +38,8 @@
 	return gossipState{incarnation: incarnation, peers: make([]peer, gateways)}
 }
 
-// resetReceiveTimes sets the receive time of all peers to this gateway's start, from which their first messages are
-// weighted.
+// resetReceiveTimes sets the time of the last message of each peer to this gateway's start. The weight of a
+// peer's first message then depends on the time since that start.
 func (g *gossipState) resetReceiveTimes(now Time) {
 	for i := range g.peers {
 		g.peers[i].lastReceivedAt = now
@@ -57,8 +60,8 @@
 	}
 }
 
-// newMessage starts a message with this gateway's load view, the next sequence number and the pending fault
-// reports.
+// newMessage returns a message that contains this gateway's load view, the next sequence number and the
+// pending fault reports. Other items may be appended.
 func (g *gossipState) newMessage(view loadView) []byte {
 	g.sequence = max(1, g.sequence+1)
 	message := messageHeader(g.incarnation, view.inFlight/view.gateways, view.onTimeRate/view.gateways)
@@ -82,7 +85,7 @@
 	return len(g.peers[peer].message)+size <= maxMessageSize
 }
 
-// startMessage starts the message for a peer that has none in preparation.
+// startMessage makes a new message the message in preparation for a peer, which must have none.
 func (g *gossipState) startMessage(peer int, view loadView) {
 	g.peers[peer].message = g.newMessage(view)
 }
@@ -117,11 +120,13 @@
 // dropFaults drops all pending fault reports, because their class and plan indices are outdated.
 func (g *gossipState) dropFaults() { g.faults = nil }
 
-// receiveResult is what a received message shows about its sender.
+// receiveResult describes a received message in relation to the earlier ones of its sender.
 type receiveResult struct {
-	newest    bool    // the message has the highest sequence number of the peer so far
-	restarted bool    // the peer's incarnation differs from that of its previous message
-	weight    float64 // of its load view: smaller after a recent message, so that all peers count alike
+	newest    bool // the message has the highest sequence number of the peer so far
+	restarted bool // the peer's incarnation differs from that of its previous message
+	// weight is the weight of the message's load view: the seconds since the peer's previous message, at most
+	// 1, so that peers that send more often do not count more.
+	weight float64
 }
 
 // receive records a peer's message that was received at the given active time.
@@ -138,7 +143,7 @@
 // acceptSequence reports whether a message is the newest of the peer so far, and if so records its sequence
 // number.
 func (p *peer) acceptSequence(message *gossipMessage) bool {
-	const maxAhead = math.MaxInt8 // a larger increase of the wrapping number means an older message
+	const maxAhead = math.MaxInt8 // a message whose wrapping number increased by more is an older one
 	if message.sequence == 0 || p.sequence != 0 && p.incarnation == message.incarnation &&
 		message.sequence-p.sequence-1 >= maxAhead {
 		return false
--- a/policy/gossip_codec.go
+++ b/policy/gossip_codec.go
@@ -64,7 +64,7 @@
 	consumed, requested    uint16  // wrapping counts of 1/8 unit since the sender's start
 	newlyRequested         uint16  // the increase of requested since the last report; sent as at most 255
 	wantedHalves           byte    // half units that a quota request asks for
-	quotaRequest           byte    // the number of the quota request; zero if there is none
+	quotaRequest           byte    // the sequence number of the quota request; zero if there is none
 	remaining              float64 // bucket level as a fraction of the burst; granted fraction in wide sets
 }
 
@@ -72,7 +72,7 @@
 type grant struct {
 	customer     uint64
 	fraction     float64 // the part of the requested units that the receiver may admit
-	quotaRequest byte    // the number of the quota request that this answers; zero if none
+	quotaRequest byte    // the sequence number of the quota request that this answers; zero if none
 	approved     bool    // whether that quota request is granted
 }
 
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -222,8 +222,8 @@
 	return h
 }
 
-// request has a customer with two replicas send a request to the gateway. It returns the request's ID
-// and whether the request was sent to a backend at once.
+// request passes the gateway a request of a customer with two replicas. It returns the request's ID and
+// whether the request was sent to a backend at once.
 func (h *harness) request(class, plan int, customer uint64, cost float64) (id uint64, sent bool) {
 	return h.receiveRequest(Request{
 		Class: class, Plan: plan, Customer: customer, Cost: cost, Timeout: 2 * second, Replicas: 2,
--- a/policy/latencyestimate.go
+++ b/policy/latencyestimate.go
@@ -6,7 +6,7 @@
 type latencyEstimate struct {
 	all       movingAverage   // of warm backends
 	slowStart movingAverage   // of backends in slow start, scaled to their full capacity
-	byClass   []movingAverage // of the answers in all, by class
+	byClass   []movingAverage // of warm backends, by class
 }
 
 func newLatencyEstimate(classes int) latencyEstimate {
@@ -34,8 +34,8 @@
 	return float64(fallback)
 }
 
-// allowedLatency returns the average latency over all classes at which each class still meets its objective, given
-// that load increases the latency of all classes in proportion. If no latency is known, it returns the
+// allowedLatency returns the average latency over all classes at which each class still meets its objective,
+// given that load increases the latency of all classes in proportion. If no latency is known, it returns the
 // shortest objective.
 func (e *latencyEstimate) allowedLatency(classes []Class, shortestObjective Time) float64 {
 	allowed := math.Inf(1)
@@ -51,8 +51,8 @@
 	return allowed
 }
 
-// renumber moves the averages to new indices of classes. oldClassIndex has the old index of each class, or -1
-// for a new one.
+// renumber moves the averages to new indices of classes. oldClassIndex has the old index of each new class,
+// or -1 if there was no class of that name.
 func (e *latencyEstimate) renumber(oldClassIndex []int) {
 	byClass := make([]movingAverage, len(oldClassIndex))
 	copyByOldIndex(byClass, e.byClass, oldClassIndex)
--- a/policy/latencyratio.go
+++ b/policy/latencyratio.go
@@ -3,8 +3,8 @@
 import "math"
 
 const (
-	slownessHalfLife = 4 * second // the time in which the distance of a latency ratio from 1 halves
-	maxLatencyRatio  = 20.0       // the upper limit of the ratio of a single answer
+	slownessHalfLife = 4 * second // a latency ratio halves its distance from 1 in this time
+	maxLatencyRatio  = 20.0       // the ratio of a single answer counts as at most this
 )
 
 // latencyRatio is the average latency of one backend's answers in relation to the usual latency.
--- a/policy/leastloaded.go
+++ b/policy/leastloaded.go
@@ -2,7 +2,7 @@
 
 import "math/rand/v2"
 
-const priceWeight = 5.0 // converts the price of crossing zones, or of a handshake, into load
+const priceWeight = 5.0 // a price raises the score of a backend by the price times this factor
 
 // candidate is the state of a backend that is compared when a backend is chosen for an attempt. Load reports
 // are not part of it: they are older than the duration of a request, and all gateways would react to the same
@@ -17,9 +17,9 @@
 	faults        float64 // weighted fault reports for the class and plan of the request
 }
 
-// loadPrices convert the costs of an attempt other than its time into load.
+// loadPrices has the settings that the score of a backend depends on besides its load.
 type loadPrices struct {
-	crossZone, handshake float64
+	crossZone, handshake float64 // the prices of an attempt in another zone, and outside the subset
 	useCapacityHints     bool
 }
 
@@ -29,9 +29,9 @@
 	}
 }
 
-// score estimates how long an attempt would wait at a backend: the lower, the better.
+// score returns the cost of sending an attempt to a backend: the lower, the better.
 func (p *loadPrices) score(candidate *candidate) float64 {
-	// The share lowers the score of a backend in slow start, as its bucket already limits its attempts.
+	// The share lowers the score of a backend in slow start, because its token bucket limits its attempts.
 	score := float64(candidate.inFlight+1) * candidate.slowness * candidate.capacityShare
 	if candidate.isOtherZone {
 		score *= 1 + p.crossZone*priceWeight
@@ -53,7 +53,8 @@
 	tiedBackends int // the number of backends with the lowest score
 }
 
-// considerBackend compares another backend. It draws a random number unless the score exceeds the lowest.
+// considerBackend keeps the backend in place of the one held if its score is lower, or at random if the
+// scores are equal. It draws a random number unless the score exceeds the lowest one.
 func (l *leastLoaded) considerBackend(backend *backend, score float64, random *rand.Rand) {
 	if l.tiedBackends > 0 && score > l.score {
 		return
--- a/policy/logevent.go
+++ b/policy/logevent.go
@@ -23,9 +23,9 @@
 
 const (
 	notEjected               ejectionReason = iota // the backend stays in rotation
-	ejectedUnresponsive                            // it left its overdue attempts unanswered for too long
-	ejectedErrors                                  // its error rate was too high
-	ejectedConnectionsFailed                       // connections to it failed or were reset
+	ejectedUnresponsive                            // overdue attempts were left unanswered for too long
+	ejectedErrors                                  // the error rate was too high
+	ejectedConnectionsFailed                       // connections to the backend failed or were reset
 )
 
 // String returns the reason as it is logged.
@@ -47,8 +47,8 @@
 
 const (
 	startAnnounced    slowStartReason = iota // an endpoint update announced the start
-	startListed                              // it is in the endpoint list of this gateway's own start
-	connectionsFailed                        // connections to it failed, so it may have restarted
+	startListed                              // the list that this gateway got at its own start has the start
+	connectionsFailed                        // connections to the backend failed, so it may have restarted
 )
 
 // String returns the reason as it is logged.
--- a/policy/ownership.go
+++ b/policy/ownership.go
@@ -15,9 +15,9 @@
 	}
 }
 
-// ResumeOwnership returns the ownership of the buckets to a controller that gave it up, after the
-// other process has exited. What that process admitted is unknown, so each bucket is limited to its
-// level after a restart.
+// ResumeOwnership returns the ownership of the buckets to a controller that released it, after the
+// other process has exited. The units that the other process admitted are unknown, so each bucket is
+// limited to its level after a restart.
 func (c *Controller) ResumeOwnership(now Time) {
 	c.advanceClock(now)
 	c.clock.resetStart()
--- a/policy/quotagrant.go
+++ b/policy/quotagrant.go
@@ -6,24 +6,26 @@
 )
 
 const (
-	grantChangeFactor  = 1.25 // factor by which a grant must change to be advertised to the replica set
-	minGrantFraction   = 0.01 // lowest fraction that is granted, so that no customer is locked out
-	grantTolerance     = 0.1  // relative error of a participant's fraction above which it is corrected
-	grantsPerWindow    = 4    // highest number of advertisements of a grant in a demand window
-	maxGrantedRequests = 2.0  // limit of the units saved up under a grant, in requests
+	grantChangeFactor  = 1.25 // a grant is advertised again once it has changed by more than this factor
+	minGrantFraction   = 0.01 // no lower fraction is granted, so that no customer is locked out
+	grantTolerance     = 0.1  // a participant's fraction is corrected if its relative error is larger
+	grantsPerWindow    = 4    // a grant is advertised at most this many times in a demand window
+	maxGrantedRequests = 2.0  // a participant saves up units for at most this many requests
 )
 
 // quotaGrant limits how much of a customer's demand the gateways of a wide replica set admit. A coordinator
-// sets the fraction and advertises it; a participant receives it and saves up units under it. A fraction of
-// 1 means no limit.
+// sets the fraction and advertises it. A participant, which is any other gateway of the set, receives the
+// fraction, and each request adds this part of its units to those that the participant may admit. If the
+// quota is so small that a coordinator has to approve each request, the fraction only applies to requests
+// whose quota request was not answered. A fraction of 1 means no limit.
 type quotaGrant struct {
-	fraction float64 // share of the requested units that may be granted, above 0
+	fraction float64 // part of the requested units that may be admitted, above 0
 
 	// Used at a participant.
 	units             float64 // units that may be admitted while the fraction is below 1
 	lastRequestCost   float64
-	nextReportAt      Time // earliest time of the next report under a grant
-	lastRequestNumber byte // number of the last quota request; wraps
+	nextReportAt      Time // earliest time of the next usage report while the fraction is below 1
+	lastRequestNumber byte // sequence number of the last quota request; wraps around
 
 	// Used at a coordinator.
 	advertisedFraction  float64 // fraction last sent to the replica set
@@ -32,7 +34,7 @@
 
 func newQuotaGrant() quotaGrant { return quotaGrant{fraction: 1, advertisedFraction: 1} }
 
-// isLimited reports whether less than the requested units may be admitted.
+// isLimited reports whether only a part of the requested units may be admitted.
 func (g *quotaGrant) isLimited() bool { return g.fraction < 1 }
 
 // isDefault reports whether the grant equals that of a new customer.
@@ -55,7 +57,7 @@
 	g.fraction = fraction
 }
 
-// nextRequestNumber returns the number of the next quota request, which is never 0.
+// nextRequestNumber returns the sequence number of the next quota request, which is never 0.
 func (g *quotaGrant) nextRequestNumber() byte {
 	g.lastRequestNumber++
 	return max(1, g.lastRequestNumber)
--- a/policy/quotarequests.go
+++ b/policy/quotarequests.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	quotaRequestTimeoutShare = 0.1    // timeout as a share of the shortest latency objective
-	maxWaitDivisor           = 2      // the timeout is at most the client's timeout divided by this
-	unresponsiveTime         = second // time for which a coordinator that did not answer is avoided
+	quotaRequestTimeoutShare = 0.1    // a quota request may take this part of the shortest latency objective
+	maxWaitDivisor           = 2      // it may take at most the client's timeout divided by this
+	unresponsiveTime         = second // a coordinator that did not answer is avoided for this time
 )
 
 // quotaRequests holds the requests of this gateway that wait for a coordinator's answer to a quota request,
--- a/policy/quotasharing.go
+++ b/policy/quotasharing.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	gossipReceiveShare   = 0.5         // share of a receiver's message limit that gossip may use
-	minGossipPeriod      = second / 30 // shortest time between two gossip rounds
-	demandWindowFraction = 0.5         // demand window as a fraction of the time that a burst takes to refill
-	maxFullMeshSize      = 4           // largest replica set whose gateways all report to one another
-	quotaRequestShare    = 1.0         // share of a receiver's gossip that quota requests may use
-	coordinatorLoadShare = 0.4         // share above which quota requests are split over more coordinators
-	settlePeriods        = 4           // gossip periods until a new gateway has received all levels
-	maxSettleTime        = second / 2  // longest time that a new gateway waits for all levels
-	minRequestsPerBurst  = 2           // largest requests that a coordinator's part of a burst must hold
+	gossipReceiveShare   = 0.5         // gossip may use this part of the messages that a gateway can receive
+	minGossipPeriod      = second / 30 // gossip rounds are at least this far apart
+	demandWindowFraction = 0.5         // demand is measured over this part of the refill time of a burst
+	maxFullMeshSize      = 4           // in replica sets up to this size, all gateways report to one another
+	quotaRequestShare    = 1.0         // quota requests may use this part of the gossip a gateway can receive
+	coordinatorLoadShare = 0.4         // more quota requests than this part are split over more coordinators
+	settlePeriods        = 4           // a new gateway has received all bucket levels after this many periods
+	maxSettleTime        = second / 2  // a new gateway waits no longer than this for the bucket levels
+	minRequestsPerBurst  = 2           // a coordinator's part of a burst holds this many largest requests
 )
 
 // account identifies a customer, its plan, and its replica set: the gateways that receive its requests and
@@ -30,8 +30,9 @@
 // replaces it.
 //
 // A wide replica set is too large for every gateway to report to every other one. Its gateways report to
-// coordinators, which hold equal parts of the quota. If the quota is so small that a gateway's share cannot
-// hold one request, the gateways ask a coordinator before they admit a request.
+// coordinators, which hold equal parts of the quota. The other gateways of the set are participants. If the
+// quota is so small that a gateway's share cannot hold one request, the gateways ask a coordinator before
+// they admit a request.
 type quotaSharing struct {
 	self, gateways  int
 	gossip          bool    // gateways exchange gossip messages
@@ -169,8 +170,8 @@
 	return s.requiresGrant(account) && !s.isParticipant(account)
 }
 
-// needsRemoteGrant reports whether another gateway has to grant a request's units: the account's coordinator
-// with the given index.
+// needsRemoteGrant reports whether a request's units have to be granted by the account's coordinator with the
+// given index, and that coordinator is another gateway.
 func (s *quotaSharing) needsRemoteGrant(account *account, coordinator int) bool {
 	return s.requiresGrant(account) && s.coordinator(account, coordinator) != s.self
 }
--- a/policy/request.go
+++ b/policy/request.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// request is a request that was admitted or waits for a coordinator's grant.
+// request is the controller's record of a Request that was admitted or waits for a coordinator's grant.
 type request struct {
 	Request
 	customer *customer
@@ -12,12 +12,12 @@
 	coordinator       int // the index, among the customer's coordinators, of the last one asked
 	quotaRequestsSent int
 	grantDeadline     Time // the time at which the request is decided on if no grant has arrived
-	quotaRequest      byte // the number of its last quota request; zero if there is none
+	quotaRequest      byte // the sequence number of the last quota request; zero if there is none
 
 	answered              bool // the answer to the client is complete or has started
 	mayHaveReachedBackend bool // whether an attempt may have reached a backend
-	borrowed              bool // its units were borrowed from the shared bucket
-	chargedCeiling        bool // its units were charged to the ceiling of this gateway
+	borrowed              bool // the units were borrowed from the shared bucket
+	chargedCeiling        bool // the units were charged to this gateway's share of the ceiling
 }
 
 // attempt is one attempt of a request. A pending attempt counts towards the load of its backend and its
@@ -61,8 +61,9 @@
 	return slices.ContainsFunc(r.attempts, func(attempt *attempt) bool { return attempt.backend == backend })
 }
 
-// faultOf returns the class or plan of the request for which the result shows a fault of the attempt's
-// backend, and whether it shows one. A single gateway sees such faults too rarely to learn from its own.
+// faultOf reports whether a result shows a fault of the attempt's backend, and whether the fault concerns
+// the class or the plan of the request. Gateways report such faults to each other, because a single one sees
+// too few to learn from.
 func (r *request) faultOf(attempt *attempt, result Result) (subject faultSubject, isFault bool) {
 	switch {
 	case result == ResultOverloaded:
--- a/policy/requesttable.go
+++ b/policy/requesttable.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// renumber changes the indices of classes and plans to those of new settings with classCount classes. Classes
-// and plans are given as new indices by old index, -1 for one that no request uses.
+// renumber changes the indices of classes and plans to those of new settings with classCount classes.
+// newClassIndex and newPlanIndex have the new index of each old class and plan, or -1 if no request uses it.
 func (t *requestTable) renumber(newClassIndex, newPlanIndex []int, classCount int) {
 	t.each(func(request *request) {
 		request.Class, request.Plan = newClassIndex[request.Class], newPlanIndex[request.Plan]
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -3,19 +3,21 @@
 import "math"
 
 const (
-	retryRatio           = 0.2  // the retry budget that one admitted request earns
-	maxRetryBudget       = 10.0 // the upper limit of the retry budget
+	retryRatio           = 0.2  // each admitted request adds this much to the retry budget
+	maxRetryBudget       = 10.0 // the retry budget never exceeds this
 	ranRetryCost         = 1.0  // the cost of a retry after an attempt that may have run
-	notRunRetryCost      = 0.1  // the cost after one that did not run and has hardly used the backend
-	attemptTimeoutFactor = 10   // average latencies after which an attempt is abandoned for another
-	minRetryTimeDivisor  = 10   // a retry needs at least 1/n of the latency objective
-	dedupMarginEvents    = 4    // minimum event intervals by which a deduplication window ends early
+	notRunRetryCost      = 0.1  // the cost if the attempt did not run, so that it hardly used the backend
+	attemptTimeoutFactor = 10   // an attempt times out after this many average latencies of its class
+	minRetryTimeDivisor  = 10   // a retry needs at least 1/minRetryTimeDivisor of the latency objective
+
+	// A retry must be sent this many minimum event intervals before its deduplication window ends.
+	dedupMarginEvents = 4
 )
 
 // retryBudget limits retries to a ratio of the admitted requests. It never exceeds maxRetryBudget.
 type retryBudget float64
 
-// deposit adds the part that an admitted request earns.
+// deposit adds retryRatio for an admitted request.
 func (b *retryBudget) deposit() {
 	*b = retryBudget(math.Min(maxRetryBudget, float64(*b)+retryRatio))
 }
@@ -41,15 +43,15 @@
 	}
 }
 
-// retryRule describes what may follow the attempts that a request has had.
+// retryRule says whether and at which backends a request may be retried, and whether it may be rejected.
 type retryRule struct {
 	allowed     bool     // whether another attempt may be made
-	sameScopeAs *attempt // if not nil, another attempt must stay in the deduplication scope of this one
-	rejectable  bool     // the request may be rejected, as it did not run or may run again
+	sameScopeAs *attempt // if not nil, a retry must stay in the deduplication scope of this attempt
+	rejectable  bool     // whether the request may be rejected, because it did not run or may run again
 }
 
-// permits reports whether an attempt at the backend stays in the deduplication scope of an earlier attempt.
-// If that is nil, any backend is permitted.
+// permits reports whether an attempt at the backend stays in the deduplication scope of the attempt
+// sameScopeAs. If sameScopeAs is nil, any backend is permitted.
 func (c *Class) permits(sameScopeAs *attempt, backend *backend) bool {
 	return sameScopeAs == nil || c.sameDedupScope(sameScopeAs.backend, backend)
 }
@@ -66,8 +68,10 @@
 	}
 }
 
-// retryRuleAfter derives the rule from the idempotency of the class and the attempts that a request has had. If
-// hedging is set, an attempt may be made while another one is pending.
+// retryRuleAfter returns the rule for a request of the class that has had the given attempts. Unless the
+// class is idempotent, the first attempt that may have run decides: without an idempotency key, the request
+// may be neither retried nor rejected; with one, it may be retried in the scope of that attempt while its
+// deduplication window lasts. If hedging is set, an attempt may be made while another one is pending.
 func (c *Class) retryRuleAfter(attempts []*attempt, hedging bool, now, dedupMargin Time) retryRule {
 	rule := retryRule{allowed: true, rejectable: true}
 	for _, attempt := range attempts {
@@ -89,7 +93,8 @@
 	return rule
 }
 
-// retryRuleAfter derives the rule for the given attempts of a request from the class with the given index.
+// retryRuleAfter returns the rule for a request of the class with the given index that has had the given
+// attempts.
 func (s *Settings) retryRuleAfter(class int, attempts []*attempt, now Time) retryRule {
 	margin := dedupMarginEvents * s.MinEventInterval
 	return s.Classes[class].retryRuleAfter(attempts, s.Hedging, now, margin)
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -46,7 +46,7 @@
 	case s.Self < 0 || s.Self >= s.Gateways:
 		return settingsError("self", "%d: expected an index of one of %d gateways", s.Self, s.Gateways)
 	case len(s.Classes) == 0:
-		return settingsError("classes", "none")
+		return settingsError("classes", "0: expected at least 1")
 	case len(s.Plans) == 0 || len(s.Classes)+len(s.Plans) > maxSubjects:
 		return settingsError("plans", "%d: expected at least 1, and at most %d together with the classes",
 			len(s.Plans), maxSubjects)
--- a/policy/settingschange.go
+++ b/policy/settingschange.go
@@ -5,7 +5,7 @@
 // settingsChange maps the indices of classes and plans before a reload to those after it. Every class and
 // plan that is still needed has a new index.
 type settingsChange struct {
-	newClassIndex, newPlanIndex []int // the new index of each old one; -1 if it is no longer needed
+	newClassIndex, newPlanIndex []int // the new index of each old class and plan; -1 if no longer needed
 	oldClassIndex               []int // the old index of each new class; -1 if there was none of that name
 }
 
@@ -83,8 +83,8 @@
 func className(class *Class) string { return class.Name }
 func planName(plan *Plan) string    { return plan.Name }
 
-// retainRestartOnly copies the settings that only a restart can change from the current settings. It also clones
-// the lists of classes and plans, because matchSettings appends to them.
+// retainRestartOnly copies the settings that only a restart can change from the current settings. It also
+// clones the lists of classes and plans, because matchSettings appends to them.
 func (s *Settings) retainRestartOnly(current *Settings) {
 	s.Self, s.Gateways, s.Zone = current.Self, current.Gateways, current.Zone
 	s.PollEndpoints, s.LoadReport = current.PollEndpoints, current.LoadReport
@@ -93,7 +93,7 @@
 	s.Classes, s.Plans = slices.Clone(s.Classes), slices.Clone(s.Plans)
 }
 
-// shortestObjective is the shortest latency objective of all classes.
+// shortestObjective returns the shortest latency objective of all classes.
 func (s *Settings) shortestObjective() Time {
 	shortest := s.Classes[0].LatencyObjective
 	for i := range s.Classes {
--- a/policy/settingschange_test.go
+++ b/policy/settingschange_test.go
@@ -30,7 +30,8 @@
 			isNeeded := func(int) bool { return c.needed }
 			got := matchSettings(&current, &changed, isNeeded, isNeeded)
 			if !slices.Equal(got.newClassIndex, c.classes) || !slices.Equal(got.newPlanIndex, c.plans) {
-				t.Errorf("got classes %v, plans %v; want %v, %v", got.newClassIndex, got.newPlanIndex, c.classes, c.plans)
+				t.Errorf("got classes %v, plans %v; want %v, %v",
+					got.newClassIndex, got.newPlanIndex, c.classes, c.plans)
 			}
 			if !slices.Equal(got.oldClassIndex, c.oldClasses) || len(changed.Classes) != len(c.oldClasses) {
 				t.Errorf("got old classes %v of %d, want %v",
--- a/policy/sharedbucket.go
+++ b/policy/sharedbucket.go
@@ -57,8 +57,8 @@
 // limitToCapacity removes the units that exceed the capacity.
 func (b *sharedBucket) limitToCapacity() { b.level = math.Min(b.level, b.capacity) }
 
-// renumberPlans moves the overflow of each plan to its new index, and scales it with the plan's rate. The new
-// index of a removed plan is -1.
+// renumberPlans moves the overflow of each plan to its new index, and scales it with the plan's rate.
+// newPlanIndex has the new index of each old plan, or -1 if the plan was removed.
 func (b *sharedBucket) renumberPlans(oldPlans, newPlans []Plan, newPlanIndex []int) {
 	overflow := make([]float64, len(newPlans))
 	for old, plan := range newPlanIndex {
@@ -70,7 +70,8 @@
 }
 
 // importState sets the bucket and the overflow by plan to those of another process, limited to the capacity
-// and the plans of this one. indices holds the index here of each plan of that process, -1 if there is none.
+// and the plans of this one. indices has the index in this process of each plan of the other one, or -1 if
+// there is none.
 func (b *sharedBucket) importState(bucket tokenBucket, idleOverflow []float64, indices []int) {
 	capacity := b.capacity
 	b.tokenBucket = bucket
--- a/policy/simulation_actors_test.go
+++ b/policy/simulation_actors_test.go
@@ -70,7 +70,8 @@
 	deadlines  map[uint64]Time
 }
 
-// schedule schedules an event of the gateway. It is dropped if the process has ended by then.
+// schedule schedules an event of the gateway. It is dropped if the process has ended before the event is
+// due.
 func (n *simulatedGateway) schedule(at Time, do func()) {
 	n.simulation.schedule(at, func() {
 		if n.simulation.gateways[n.self] == n {
--- a/policy/simulation_test.go
+++ b/policy/simulation_test.go
@@ -25,7 +25,7 @@
 	backends       int     // the number of backends; zero derives it from the number of gateways
 	starting       float64 // the fraction of the backends that start at simulatedStart
 	uneven         bool    // a fifth of the gateways gets half of the traffic
-	shift          bool    // that traffic moves to other gateways two seconds after the start
+	shift          bool    // the traffic of these gateways moves to others two seconds after the start
 	lateFraction   float64 // the fraction of the gateways that receive updates late
 	lateBy         Time    // the additional delay of late updates
 	clockStep      Time    // how far the gateways' clocks are ahead of the clock of service discovery
@@ -186,7 +186,8 @@
 	s.updateAll()
 }
 
-// cutOff schedules a period in which requests to the starting backends are lost, in seconds from now.
+// cutOff schedules a period in which requests to the starting backends are lost. The period is given in
+// seconds from now.
 func (s *simulation) cutOff(from, to Time) {
 	set := func(cutOff bool) func() {
 		return func() {
@@ -235,7 +236,7 @@
 	return gateway
 }
 
-// receive has a gateway receive a request, and checks that the gateway decides on it immediately.
+// receive passes a request to a gateway, and checks that the gateway decides on the request immediately.
 func (s *simulation) receive(n *simulatedGateway, id uint64) {
 	s.requests++
 	n.decided, n.deadlines[id] = false, s.now+2*second
@@ -301,11 +302,11 @@
 	}
 }
 
-// windowLoad is what a starting backend received in one overload window.
+// windowLoad is the load that a starting backend received in one overload window.
 type windowLoad struct {
 	total    float64 // requests
-	informed float64 // the part of total that informed gateways sent
-	budget   float64 // its capacity in requests, including the allowance for random variation
+	informed float64 // the part of total that was sent by gateways that knew of the start
+	budget   float64 // the capacity of the backend in requests, with an allowance for random variation
 }
 
 func (w windowLoad) ratio() float64 { return w.total / w.budget }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-const overloadMargin = 0.6 // the part of OverloadFactor up to which a starting backend is loaded
+const overloadMargin = 0.6 // a starting backend is loaded up to this part of OverloadFactor
 
 // slowStartParameters are the parameters of slow start for all backends, derived from the settings alone.
 type slowStartParameters struct {
@@ -21,7 +21,7 @@
 		window: float64(s.OverloadWindow) / float64(second), margin: 1,
 		gateways: s.Gateways, preferringGateways: s.Gateways,
 	}
-	if s.OverloadFactor > 0 { // the margin may be below 1, as the bucket adds up to half a window
+	if s.OverloadFactor > 0 { // the margin may be below 1, as the bucket can hold half a window in addition
 		parameters.margin = overloadMargin * s.OverloadFactor
 	}
 	if s.HandshakePrice > 0 {
@@ -31,8 +31,8 @@
 }
 
 // minRate returns the minimum rate, in attempts per second, at which this gateway sends attempts to a backend
-// with the given capacity share. By all gateways together, a backend with a share of 1 is sent one attempt in
-// each window, or one per second if the window is shorter.
+// with the given capacity share. At this rate, all gateways together send a backend with a share of 1 one
+// attempt in each window, or one per second if the window is shorter than a second.
 func (p *slowStartParameters) minRate(share float64) float64 {
 	return share / math.Max(p.window, 1) / float64(p.gateways)
 }
@@ -50,7 +50,8 @@
 	inProgress      bool        // the slow start was logged, and endIfWarm has not ended it yet
 }
 
-// capacityShare returns the minimum share of its capacity that the backend has now. It is 1 if it is warm.
+// capacityShare returns the minimum share of its capacity that the backend has now. The share is 1 if the
+// backend is warm.
 func (s *slowStart) capacityShare(now Time, parameters *slowStartParameters) float64 {
 	if s.startedAt == 0 || parameters.duration == 0 {
 		return 1
--- a/policy/slowstartpace.go
+++ b/policy/slowstartpace.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-const answerRateDecay = 4 * second // the time constant of the answer rate of warm backends
+const answerRateDecay = 4 * second // the answer rate of warm backends decays with this time constant
 
 // slowStartPace measures the rate at which warm backends answer this gateway, from which it derives the rate
 // of attempts to backends in slow start. The rate stays constant while there is no warm backend to measure.
--- a/policy/snapshot_clock.go
+++ b/policy/snapshot_clock.go
@@ -4,8 +4,9 @@
 // start, and the wall clock may have been stepped between the two starts. Durations are the same by both
 // clocks.
 
-// writtenAt is when the snapshot was written, by the writer's clock. Older versions do not state it, but they
-// refill all buckets when they write a snapshot, so the newest update time of a bucket stands for it.
+// writtenAt returns the time at which the snapshot was written, by the writer's clock. Snapshots of older
+// versions lack it. Such a version refills all buckets when it writes a snapshot, so the newest update time
+// of a bucket is used instead.
 func (s *Snapshot) writtenAt() Time {
 	if s.Now != 0 {
 		return s.Now
--- a/policy/snapshot_codec.go
+++ b/policy/snapshot_codec.go
@@ -4,19 +4,19 @@
 
 // A snapshot passes from a process of one version to a process of another by gob, which matches
 // fields by name. The names of types and fields, the order of fields and the positions in arrays are
-// therefore frozen: a renamed field compiles, but its value is silently lost. That is why the names
-// differ from those in the rest of the package; each comment says what the field is called there or
-// what it holds. A field that was added later is zero in the snapshot of an older version.
+// therefore frozen: a renamed field compiles, but its value is silently lost. They are the names of an
+// earlier version, so they differ from those in the rest of the package; each comment says what the
+// field holds. A field that was added later is zero in the snapshot of an older version.
 
 // Snapshot is the state of a controller as plain data, which a process hands over to its successor.
 // It refers to classes and plans by their indices in the lists Classes and Plans.
 type Snapshot struct {
 	Classes, Plans []string // their names, by index
 
-	Born    Time     // clock.startedAt
-	Still   Time     // clock.stalledTime
-	Woke    Time     // clock.resumedAt
-	Swept   Time     // customerTable.sweptAt
+	Born    Time     // when the gateway started
+	Still   Time     // the total duration of its stalls
+	Woke    Time     // when its last stall ended
+	Swept   Time     // when it last searched for idle customers
 	Boot    uint32   // the gateway's incarnation
 	Turn    byte     // the sequence number of its last gossip message
 	Boots   []uint32 // the incarnation of each peer
@@ -33,11 +33,11 @@
 	Peers       [2]float64     // decaying sum: peers that reported their load
 	PeersHeld   [2]float64     // decaying sum: the peers' attempts in flight
 	PeersInTime [2]float64     // decaying sum: the peers' rates of answers within the objective
-	Pace        [2]float64     // decaying sum: answers per warm backend; attempts in old snapshots
+	Pace        [2]float64     // decaying sum: answers (in old snapshots, attempts) per warm backend
 	Mean        [2]float64     // moving average: the latency of all backends
 	ColdMean    [2]float64     // moving average: the latency of backends in slow start
 	Late        [2]float64     // moving average: the share of late answers
-	Worth       [2]float64     // moving average: the priorities of requests, relative to their work
+	Worth       [2]float64     // moving average: the priorities of requests
 	Base        [][2]float64   // moving averages: the latency, by class
 	Grace       [][][2]float64 // moving averages: how long clients wait, by plan and class
 	Again       float64        // the retry budget
@@ -60,10 +60,10 @@
 	AskedTold float64      // the part of Asked that was reported
 	LastAsk   float64      // the cost of the last request
 	Grant     float64      // the granted fraction of requested units
-	Slice     float64      // units saved up under the grant
+	Slice     float64      // units that the grant allows to be admitted now
 	Granted   float64      // the fraction that was last advertised
-	Total     float64      // the shared counter's total
-	Part      float64      // the quota share by the meter
+	Total     float64      // the shared counter's total by its last answer
+	Part      float64      // the quota share by the last meter reading; zero if there is none
 	Use       [2]float64   // decaying sum: the demand at this gateway
 	Others    [2]float64   // decaying sum: the demand at peers
 	Metered   [2]float64   // decaying sum: the demand over the meter period
@@ -71,12 +71,12 @@
 	Tallies   [][3]float64 // usage by coordinator; nil in old snapshots, which had one coordinator
 	GrantAt   Time         // when the grant may next be advertised
 	TellAt    Time         // when usage may next be reported
-	Asks      byte         // the number of the last quota request
+	Asks      byte         // the sequence number of the last quota request
 }
 
 // HeardState is the usage of a customer that another gateway last reported.
 type HeardState struct {
-	Known bool   // whether it has reported any usage
+	Known bool   // whether the gateway has reported any usage
 	Boot  uint32 // the incarnation of the gateway
 	Taken uint16 // the wrapping count of units consumed
 	Asked uint16 // the wrapping count of units requested
@@ -86,7 +86,7 @@
 type BackendState struct {
 	Backend uint32       // the ID of the backend
 	Started Time         // when it started, as announced or inferred
-	Quiet   Time         // the active time since which it has answered nothing
+	Quiet   Time         // the active time since which attempts are in flight without an answer
 	SlowAt  Time         // when the latency ratio was last updated
 	Left    Time         // when it was last ejected
 	Wait    Time         // the duration of that ejection
@@ -100,8 +100,8 @@
 	Cold    [4]float64   // the slow start bucket
 }
 
-// OpenState is a request with pending attempts. The process that sent the attempts completes it; its
-// successor only counts them as load.
+// OpenState is a request with pending attempts. The predecessor, which sent the attempts, completes the
+// request; the successor only counts its attempts as load.
 type OpenState struct {
 	ID       uint64
 	Customer uint64
@@ -121,7 +121,7 @@
 	MayRun  bool // whether the request may have run
 }
 
-// Only the following functions know the positions in the arrays.
+// Only the following functions depend on the positions of values in the arrays.
 
 // The positions of the update times in the arrays.
 const (
@@ -214,8 +214,8 @@
 	}
 }
 
-// decodeCustomer converts a customer's state, except for the fields that are derived from the plan, which has
-// the given index in this process.
+// decodeCustomer converts a customer's state, except for the fields that are derived from the plan. The
+// index of the plan in this process is given, because it may differ from the one in the snapshot.
 func decodeCustomer(state *CustomerState, plan int) *customer {
 	return &customer{
 		account: account{id: state.ID, plan: plan, firstReplica: state.First, replicas: state.Spread},
--- a/policy/startstamps.go
+++ b/policy/startstamps.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-const maxKnownStamps = 4 // the start timestamps retained for one backend
+const maxKnownStamps = 4 // this many start timestamps are retained for each backend
 
 // startStamps holds the timestamps of the last starts of a backend, by the clock of service discovery. That
 // clock differs from the clock of this gateway, and either may be stepped by seconds or hours, so a stamp
--- a/policy/stepped_clock_test.go
+++ b/policy/stepped_clock_test.go
@@ -50,7 +50,7 @@
 }
 
 // The age of a backend in the first endpoint list is known only from its stamp. A stamp in the future counts
-// as a start now, so that the slow start ends after its usual duration, not after the stamp is past as well.
+// as a start now, so that the slow start ends after its usual duration, not that long after the stamp.
 func TestFutureStampBeginsSlowStartNowWithSteppedClock(t *testing.T) {
 	settings := slowStartSettings()
 	h := newUnstartedHarness(t, settings, 1, steppedStart)
@@ -65,9 +65,10 @@
 	assertNear(t, "share at the end", h.slowStartShare(h.backends.byID[1]), 1)
 }
 
-// A gateway that restarts begins with its last known endpoint list. A stamp that is not in that list is of a
-// start since then and counts as a start now, whatever the clocks say. If most stamps are not in the list, it
-// is too old to tell, and the age follows from the stamps.
+// A gateway that restarts begins with its last known endpoint list. A stamp that is not in that list belongs
+// to a later start, which counts as a start now, whatever the clocks say. If most stamps are not in the
+// list, the list is so old that the starts may not be recent; the ages of the backends then follow from the
+// stamps.
 func TestStampMissingFromKnownListBeginsSlowStartNowWithSteppedClock(t *testing.T) {
 	forEachStep(t, func(t *testing.T, step Time) {
 		t.Helper()
@@ -179,7 +180,7 @@
 			settings := slowStartSettings()
 			h := newSteppedHarness(t, settings, steppedStart)
 			h.UpdateEndpoints(h.at, UpdateIncremental, []Endpoint{{ID: 4, Cell: 1, StartedAt: h.at + step}})
-			h.serve(0, 7, 1) // the bucket of a customer gives an older snapshot its time
+			h.serve(0, 7, 1) // the time of an older snapshot is the update time of a customer's bucket
 			h.at += settings.SlowStartTime / 4
 			h.TimerFired(h.at, gossipTimer)
 			h.failConnection(h.backends.byID[1], false)
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-const gatewaysPerBackend = 24 // the gateways that prefer a given backend if handshakes have a price
+const gatewaysPerBackend = 24 // if handshakes have a price, this many gateways prefer each backend
 
 // selectSubset selects the backends that this gateway prefers. If handshakes have a price, the subset is an
 // arc of the backends of each zone, in an order that is the same at all gateways, so that each backend is
--- a/policy/usageledger.go
+++ b/policy/usageledger.go
@@ -1,6 +1,6 @@
 package policy
 
-const usageReportRounds = 2 // gossip rounds that report a change; one is enough unless a message is lost
+const usageReportRounds = 2 // this many gossip rounds report a change, in case a message is lost
 
 // customerUsage counts a customer's units at this gateway.
 type customerUsage struct {
@@ -47,7 +47,8 @@
 	return &l.peers[position]
 }
 
-// consume counts units that the coordinator with the given index granted. The index is 0 for other units.
+// consume counts units for the coordinator with the given index. The index is 0 unless a coordinator was
+// asked for the units.
 func (l *usageLedger) consume(coordinator int, units float64) {
 	l.forCoordinator(coordinator).consumed += units
 	l.consumed += units
@@ -78,5 +79,5 @@
 	}
 }
 
-// markCounted records that the shared counter has all consumed units, or does not need them.
+// markCounted records that the shared counter has all consumed units, or that they need no report.
 func (l *usageLedger) markCounted() { l.consumedReported = l.consumed }
