--- a/policy/activitycounters.go
+++ b/policy/activitycounters.go
@@ -3,7 +3,7 @@
 import "log/slog"
 
 const (
-	counterLogInterval = 5 * second // the minimum time between two log events with counters
+	counterLogInterval = 5 * second // log events with counters are at least this far apart
 	halfFullDivisor    = 2          // a bucket with 1/halfFullDivisor of its capacity is half full
 )
 
@@ -11,12 +11,12 @@
 type rejectReason int
 
 const (
-	rejectExpired     rejectReason = iota // it arrived during a stall, too long ago to meet its objective
+	rejectExpired     rejectReason = iota // it arrived so early in a stall that it would miss its objective
 	rejectAtCapacity                      // the backends are at capacity
 	rejectOverQuota                       // neither the quota nor the shared bucket covers the cost
 	rejectOverCeiling                     // this gateway's share of the ceiling does not cover the cost
 	rejectNoBackend                       // no backend is ready
-	rejectNeverRan                        // all its attempts ended, and the client may send it again
+	rejectNeverRan                        // all attempts ended, and the client may send the request again
 	rejectReasonCount
 )
 
@@ -29,7 +29,7 @@
 	lastBackend             *backend
 	rejected                [rejectReasonCount]int
 	overQuotaByShare        int // rejected requests whose units the customer's whole bucket held
-	bucketHalfFull          int // those of overQuotaByShare whose bucket was at least half full
+	bucketHalfFull          int // the part of overQuotaByShare rejected with the bucket at least half full
 	quotaRequests           int
 	quotaRequestsUnanswered int // quota requests that timed out
 	results                 [ResultNotSent + 1]int
--- a/policy/backendhealth.go
+++ b/policy/backendhealth.go
@@ -15,13 +15,13 @@
 // unresponsive or its connections fail is down until a health check or an attempt succeeds. An ejection for
 // errors ends after its ejection time. Methods that may eject the backend return the reason.
 type backendHealth struct {
-	errorRate          float64     // the moving average of errors among its answers
+	errorRate          float64     // the moving average of errors among the ended attempts
 	connectionFailures decayingSum // over connectionFailureDecay
 	unansweredSince    Time        // the active time since which attempts are in flight without an answer
 	lastAnswerAt       Time        // the time of the last answer, successful or not; zero if there was none
 
 	isDown       bool // ejected until a health check or an attempt succeeds
-	unresponsive bool // down only for missing answers or resets, so its process may still be running
+	unresponsive bool // down only for missing answers or resets, so the process may still be running
 	ejectedAt    Time // the time of the last ejection
 	ejectionTime Time // the duration of the last ejection
 	nextProbeAt  Time // the earliest time of the next health check or trial attempt
--- a/policy/clienttimeouts.go
+++ b/policy/clienttimeouts.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// clientTimeouts holds the average timeouts of clients in microseconds, by plan and class. It is updated by
-// the requests that were received without the delay of a stall.
+// clientTimeouts holds the average timeouts of clients in microseconds, by plan and class. Each request that
+// was received without the delay of a stall updates the average of its plan and class.
 type clientTimeouts [][]movingAverage
 
 func newClientTimeouts(plans, classes int) clientTimeouts {
--- a/policy/concurrencylimit.go
+++ b/policy/concurrencylimit.go
@@ -62,7 +62,8 @@
 	l.peersOnTime.add(activeTime, second, weight*onTimeRate)
 }
 
-// peerWeight returns the weight of the figures of peers. It falls as this gateway gets more answers itself.
+// peerWeight returns the weight of the figures of peers. The weight falls as this gateway gets more answers
+// itself, because its own figures are more recent.
 func (l *concurrencyLimit) peerWeight(activeTime Time) float64 {
 	return halfPeerWeightAnswerRate / (halfPeerWeightAnswerRate + l.onTime.value(activeTime, second))
 }
--- a/policy/controller_attempts.go
+++ b/policy/controller_attempts.go
@@ -61,9 +61,10 @@
 	return attempt
 }
 
-// ConfirmSend reports whether an attempt that waited for a connection may be written now. It may if its
-// request is open, its backend is ready, the retry rule of its class allows it given the other attempts, and
-// the slow start of its backend, if it is in one, allows an attempt, which is then charged.
+// ConfirmSend reports whether an attempt that waited for a connection may be written now. The request must be
+// open, the backend ready, and the retry rule of the class must allow the attempt, given the other attempts
+// of the request. If the backend is in slow start, that must allow the attempt too; the attempt is then
+// charged to it.
 func (c *Controller) ConfirmSend(now Time, id uint64, attemptNumber int) bool {
 	c.advanceClock(now)
 	request := c.requests.byID[id]
@@ -140,8 +141,8 @@
 }
 
 // attemptDeadline returns the time at which the newest attempt of a request is abandoned in favour of another
-// one. It is zero if the class, the retry budget, the number of attempts, the capacity or the time does not
-// allow another attempt.
+// one. The deadline is zero if the class, the retry budget, the number of attempts, the capacity or the time
+// does not allow another attempt.
 func (c *Controller) attemptDeadline(request *request) Time {
 	class, latency := &c.settings.Classes[request.Class], Time(c.latency.ofClass(request.Class))
 	deadline := c.clock.now + attemptTimeoutFactor*latency
--- a/policy/controller_backends.go
+++ b/policy/controller_backends.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// HealthCheckEnded handles the result of a health check. Its load report is unused.
+// HealthCheckEnded handles the result of a health check. The load report is not used.
 func (c *Controller) HealthCheckEnded(now Time, id uint32, result Result, _ []float32) {
 	c.advanceClock(now)
 	backend := c.backends.byID[id]
--- a/policy/controller_quota.go
+++ b/policy/controller_quota.go
@@ -34,7 +34,8 @@
 	c.sharedBucket.updateRate(c.clock.now)
 }
 
-// updateGrant recomputes a customer's grant at its coordinator, and sends a changed one to the replica set.
+// updateGrant recomputes a customer's grant if this gateway is a coordinator, and sends the grant to the
+// replica set if it has to be advertised.
 func (c *Controller) updateGrant(customer *customer) {
 	if !customer.updateGrant(c.clock.now, &c.sharing) {
 		return
@@ -46,7 +47,7 @@
 	}
 }
 
-// refund returns a request's units to the buckets if it never reached a backend.
+// refund returns a request's units to the buckets if the request never reached a backend.
 func (c *Controller) refund(request *request) {
 	if request.mayHaveReachedBackend {
 		return
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -23,7 +23,7 @@
 	ceiling tokenBucket // this gateway's share of the ceiling
 	demand  customerDemand
 	usage   usageLedger
-	grant   quotaGrant    // used in wide replica sets
+	grant   quotaGrant    // used in wide replica sets, which quotaSharing describes
 	counter sharedCounter // used if gateways share a counter
 	meter   usageMeter    // used if backends report a meter
 }
--- a/policy/leastloaded.go
+++ b/policy/leastloaded.go
@@ -9,8 +9,8 @@
 // report.
 type candidate struct {
 	inFlight      int     // attempts of this gateway
-	slowness      float64 // the latency of its answers in relation to the usual latency
-	capacityShare float64 // the share of its capacity that the backend has, below 1 in slow start
+	slowness      float64 // the latency of the backend in relation to the usual latency
+	capacityShare float64 // the share of the full capacity, below 1 in slow start
 	isOtherZone   bool
 	inSubset      bool
 	capacityHint  float64 // zero if there is none
--- a/policy/reload.go
+++ b/policy/reload.go
@@ -1,8 +1,8 @@
 package policy
 
 // Reload replaces the settings. Classes and plans are matched by name, because their indices may
-// change. A removed or changed class is kept, unchanged and after the new classes, if requests of it
-// are open. A removed plan is kept after the new plans if customers have it. The settings of the
+// change. If requests of a removed or changed class are open, the old class is kept after the new
+// classes. A removed plan is kept after the new plans if customers have it. The settings of the
 // gateways and of how they communicate, which only a restart can change, keep their values.
 func (c *Controller) Reload(now Time, settings Settings) error {
 	if err := settings.validate(); err != nil {
--- a/policy/requesttable.go
+++ b/policy/requesttable.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// requestTable holds the open requests, and those of their attempts that may still meet their objectives. A
+// requestTable holds the open requests, and the attempts that may still meet their latency objectives. A
 // request is in at most one of byID and predecessorRequests.
 type requestTable struct {
 	byID                map[uint64]*request // requests that have pending attempts or wait for a grant
--- a/policy/settingschange.go
+++ b/policy/settingschange.go
@@ -65,8 +65,8 @@
 	return indices
 }
 
-// copyByOldIndex sets each item of to from the item of from at its old index. Items whose old index is -1
-// stay as they are.
+// copyByOldIndex copies items of from into to: oldIndices has the index in from of each item of to. Items of
+// to whose old index is -1 stay as they are.
 func copyByOldIndex[T any](to, from []T, oldIndices []int) {
 	for i, old := range oldIndices {
 		if old >= 0 {
--- a/policy/simulation_actors_test.go
+++ b/policy/simulation_actors_test.go
@@ -20,7 +20,7 @@
 
 type receivedRequest struct {
 	at       Time
-	informed bool // whether its gateway knew of the start
+	informed bool // whether the gateway that sent the request knew of the start
 }
 
 // serve returns the result and the end time of a request that arrives now.
--- a/policy/simulation_test.go
+++ b/policy/simulation_test.go
@@ -12,10 +12,10 @@
 const (
 	simulatedCores       = 2
 	simulatedServiceTime = second / 10
-	simulatedQueue       = 16 // the length of the queue; further requests are rejected as overloaded
+	simulatedQueue       = 16 // a backend queues this many requests and rejects further ones as overloaded
 	simulatedCapacity    = simulatedCores * float64(second) / float64(simulatedServiceTime)
-	simulatedDelay       = second / 500 // the delay of the network
-	simulatedStart       = 8 * second   // the time at which backends start, after a period without starts
+	simulatedDelay       = second / 500 // the network delays a message by this much
+	simulatedStart       = 8 * second   // backends start at this time, after a period without starts
 	simulatedEnd         = 18 * second
 )
 
@@ -142,7 +142,7 @@
 	}
 }
 
-// updateAll sends all gateways the endpoint list, to some of them late.
+// updateAll sends all gateways the endpoint list, which some of them receive late.
 func (s *simulation) updateAll() {
 	for i := range s.gateways {
 		at := s.now + Time(s.random.IntN(20))*second/1000
@@ -201,7 +201,7 @@
 }
 
 // distributeTraffic sets the weights of the gateways. If the traffic is uneven, the offset selects the
-// gateways that get most of it.
+// gateways that get most of the traffic.
 func (s *simulation) distributeTraffic(offset int) {
 	n := len(s.gateways)
 	for i := range s.weights {
@@ -312,9 +312,9 @@
 func (w windowLoad) ratio() float64 { return w.total / w.budget }
 
 // worstWindow returns the window with the highest load of a starting backend in relation to its budget. A
-// window of which at least a third came from uninformed gateways is ignored. If strict is set, the budget is
-// that of the minimum capacity; otherwise the capacity rises linearly, which is the slowest that the protocol
-// allows.
+// window is ignored if at least a third of its requests came from uninformed gateways. If strict is set, the
+// budget follows from the minimum capacity; otherwise from a capacity that rises linearly, which is the
+// slowest that the protocol allows.
 func (s *simulation) worstWindow(strict bool) windowLoad {
 	worst := windowLoad{budget: 1}
 	for _, b := range s.backends {
--- a/policy/snapshot_codec.go
+++ b/policy/snapshot_codec.go
@@ -34,7 +34,7 @@
 	PeersHeld   [2]float64     // decaying sum: the peers' attempts in flight
 	PeersInTime [2]float64     // decaying sum: the peers' rates of answers within the objective
 	Pace        [2]float64     // decaying sum: answers (in old snapshots, attempts) per warm backend
-	Mean        [2]float64     // moving average: the latency of all backends
+	Mean        [2]float64     // moving average: the latency of warm backends
 	ColdMean    [2]float64     // moving average: the latency of backends in slow start
 	Late        [2]float64     // moving average: the share of late answers
 	Worth       [2]float64     // moving average: the priorities of requests
@@ -85,7 +85,7 @@
 // BackendState is the state of one backend.
 type BackendState struct {
 	Backend uint32       // the ID of the backend
-	Started Time         // when it started, as announced or inferred
+	Started Time         // when the backend started, as announced or inferred
 	Quiet   Time         // the active time since which attempts are in flight without an answer
 	SlowAt  Time         // when the latency ratio was last updated
 	Left    Time         // when it was last ejected
--- a/policy/stats.go
+++ b/policy/stats.go
@@ -8,7 +8,7 @@
 )
 
 // decayingSum is a sum whose terms decay exponentially with age. Each call passes the time constant, which
-// must be the same in all of them.
+// must be the same in all calls.
 type decayingSum struct {
 	sum       float64
 	updatedAt Time
