--- a/internal/gateway/backend.go
+++ b/internal/gateway/backend.go
@@ -112,7 +112,7 @@
 }
 
 // applyList applies a complete list from discovery, or changes of it. It returns the entries in the form of
-// the policy. The policy must process them before cleanUpUnready is called.
+// the policy. The policy must process them before cleanUpAndCountListed is called.
 func (bs *backends) applyList(
 	kind policy.UpdateKind, list []discovery.Endpoint, zoneNumber func(name string) int,
 ) []policy.Endpoint {
@@ -132,9 +132,9 @@
 	return endpoints
 }
 
-// cleanUpUnready closes the unused connections of backends that are not ready. It returns the number of
+// cleanUpAndCountListed closes the unused connections of backends that are not ready. It returns the number of
 // listed backends.
-func (bs *backends) cleanUpUnready() (listed int64) {
+func (bs *backends) cleanUpAndCountListed() (listed int64) {
 	for id, b := range bs.byID {
 		if b.state != policy.EndpointRemoved {
 			listed++
--- a/internal/gateway/client_commands.go
+++ b/internal/gateway/client_commands.go
@@ -92,7 +92,7 @@
 		malformed := !errors.Is(err, command.ErrUnknownClass)
 		return commandAnswered{commandHead: h, reply: errorReply(err), malformed: malformed}
 	case h.args == nil:
-		return requestDropped{commandHead: h, clientID: request.ClientID}
+		return requestDropped{commandHead: h, clientRequestID: request.ClientID}
 	}
 	return requestReceived{commandHead: h, request: request, config: cfg}
 }
@@ -129,7 +129,7 @@
 	}
 	r := &request{
 		client: c, body: h.body,
-		args: parsed.Args, timeoutSpan: parsed.TimeoutSpan, clientID: parsed.ClientID,
+		args: parsed.Args, timeoutSpan: parsed.TimeoutSpan, clientRequestID: parsed.ClientID,
 	}
 	if h.body != nil {
 		h.body.request = r
@@ -173,12 +173,12 @@
 // requestDropped is a request whose arguments were dropped for lack of memory.
 type requestDropped struct {
 	commandHead
-	clientID uint64
+	clientRequestID uint64
 }
 
 func (e requestDropped) Handle(g *Gateway) {
 	if e.dequeue(g) {
-		r := e.appendRequest(g, command.Request{ClientID: e.clientID})
+		r := e.appendRequest(g, command.Request{ClientID: e.clientRequestID})
 		g.tryReject(r, true)
 	}
 }
@@ -225,7 +225,7 @@
 // tryReject rejects a request that the gateway cannot serve, and reports whether it did. It counts the
 // request as a command of its connection.
 func (g *Gateway) tryReject(r *request, overMemory bool) (rejected bool) {
-	if g.requests.openByClientRequestID[r.clientID] != nil {
+	if g.requests.openByClientRequestID[r.clientRequestID] != nil {
 		// Backends cannot distinguish two open requests with the same ID.
 		r.client.countCommand(true, false)
 		g.answer(r, errorReply(errIDIsOpen))
@@ -261,7 +261,7 @@
 	now := g.events.Now()
 	g.requests.lastID++
 	r.id = g.requests.lastID
-	g.requests.byID[r.id], g.requests.openByClientRequestID[r.clientID] = r, r
+	g.requests.byID[r.id], g.requests.openByClientRequestID[r.clientRequestID] = r, r
 	g.memory.retainedBytes += command.Size(r.args)
 	r.customer, r.estimatedCost = details.Customer, details.Cost
 	margin := min(deadlineMargin, details.Timeout/maxMarginDivisor)
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -119,7 +119,7 @@
 func (a endpointAdapter) updateEndpoints(kind policy.UpdateKind, list []discovery.Endpoint) {
 	endpoints := a.backends.applyList(kind, list, a.endpoints.zoneNumber)
 	a.controller.UpdateEndpoints(a.events.Now(), kind, endpoints)
-	a.metrics.Endpoints.Store(a.backends.cleanUpUnready())
+	a.metrics.Endpoints.Store(a.backends.cleanUpAndCountListed())
 	a.metrics.UnavailableEndpoints.Store(int64(a.controller.UnavailableBackends()))
 }
 
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -18,17 +18,17 @@
 // once, it is in the request table until it is answered and none of its attempts is in flight. It belongs
 // to the event loop.
 type request struct {
-	id            uint64 // assigned by the gateway; zero if the request was not passed to the policy
-	clientID      uint64 // ID that the client has sent
-	client        *client
-	args          [][]byte     // of the command; nil if it is not forwarded to a backend
-	timeoutSpan   command.Span // position of the timeout in args[command.FieldsArg]
-	customer      uint64
-	estimatedCost float64
-	metrics       *metrics.Class // of its class; nil if args is nil
-	receivedAt    policy.Time    // when the last byte of the command was read
-	deadline      policy.Time
-	deadlineTimer *timer // schedules deadlineTimeout
+	id              uint64 // assigned by the gateway; zero if the request was not passed to the policy
+	clientRequestID uint64 // ID that the client has sent
+	client          *client
+	args            [][]byte     // of the command; nil if it is not forwarded to a backend
+	timeoutSpan     command.Span // position of the timeout in args[command.FieldsArg]
+	customer        uint64
+	estimatedCost   float64
+	metrics         *metrics.Class // of its class; nil if args is nil
+	receivedAt      policy.Time    // when the last byte of the command was read
+	deadline        policy.Time
+	deadlineTimer   *timer // schedules deadlineTimeout
 
 	attempts         int            // number of attempts so far
 	attemptsInFlight int            // number of attempts without an outcome
@@ -74,8 +74,8 @@
 	r.deadlineTimer = nil
 	r.body.discard()
 	g.backends.cancelWaiting(r.waitingAttempt)
-	if g.requests.openByClientRequestID[r.clientID] == r {
-		delete(g.requests.openByClientRequestID, r.clientID)
+	if g.requests.openByClientRequestID[r.clientRequestID] == r {
+		delete(g.requests.openByClientRequestID, r.clientRequestID)
 	}
 }
 
