--- a/cmd/gateway/descriptors_test.go
+++ b/cmd/gateway/descriptors_test.go
@@ -172,7 +172,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	_, _ = io.WriteString(conn, text) // the gateway may have closed it
+	_, _ = io.WriteString(conn, text) // fails if the gateway has already closed the connection
 }
 
 // Every part of the gateway opens as many descriptors as it may at the same time: clients, backends,
--- a/cmd/gateway/fakes_test.go
+++ b/cmd/gateway/fakes_test.go
@@ -18,20 +18,20 @@
 type discoveryServer struct {
 	tb       testing.TB
 	address  string
-	watches  chan string      // query strings of the received calls
+	watches  chan string      // query strings of the requests received; dropped if the channel is full
 	listener *net.TCPListener // set by acceptWithoutAnswer
 
 	mu      sync.Mutex // guards waiting
-	waiting []net.Conn // connections that are not answered
+	waiting []net.Conn // connections on which requests are not answered
 }
 
-// newDiscoveryServer returns the discovery service of the gateway at a host.
+// newDiscoveryServer returns a fake discovery service with an address on the given host.
 func newDiscoveryServer(tb testing.TB, host string) *discoveryServer {
 	tb.Helper()
 	return &discoveryServer{tb: tb, address: host + discoveryPort, watches: make(chan string, 1024)}
 }
 
-// acceptWithoutAnswer accepts connections and does not answer the calls on them.
+// acceptWithoutAnswer accepts connections and does not answer the requests on them.
 func (d *discoveryServer) acceptWithoutAnswer() {
 	d.tb.Helper()
 	d.tb.Cleanup(d.closeWaiting) // runs after the listener is closed
@@ -43,7 +43,7 @@
 	})
 }
 
-// closeWaiting closes the connections that are not answered.
+// closeWaiting closes the connections on which requests are not answered.
 func (d *discoveryServer) closeWaiting() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -53,8 +53,8 @@
 	d.waiting = nil
 }
 
-// serve starts to answer calls with the given entries as revision 2. Watches for later revisions are not
-// answered.
+// serve starts to answer requests with a list of the given entries as revision 2. Watches for later revisions
+// are not answered.
 func (d *discoveryServer) serve(entries ...string) {
 	d.tb.Helper()
 	if d.listener != nil {
@@ -79,7 +79,8 @@
 	go func() { _ = server.Serve(listener) }() // returns when the server is closed
 }
 
-// waitForWatch waits until the gateway watches for revisions after 2: it has then applied the list of serve.
+// waitForWatch waits until the gateway watches for revisions after 2. The gateway has then applied the list
+// that was passed to serve.
 func (d *discoveryServer) waitForWatch() {
 	d.tb.Helper()
 	for end := time.After(waitTimeout); ; {
--- a/cmd/gateway/fleet_backends_test.go
+++ b/cmd/gateway/fleet_backends_test.go
@@ -27,8 +27,10 @@
 const (
 	fleetBackendCores = 2
 	fleetServiceTime  = 20 * time.Millisecond
-	fleetCapacity     = float64(fleetBackendCores) / 0.020 // in commands per second
-	fleetBackendQueue = 40                                 // waiting commands at which others are rejected
+	fleetCapacity     = float64(fleetBackendCores) / 0.020 // maximum rate in commands per second
+
+	// A command is rejected if fleetBackendQueue commands already wait.
+	fleetBackendQueue = 40
 )
 
 // minBackendArgs is the minimum number of arguments of a command for a backend. The third is the request ID.
@@ -43,7 +45,7 @@
 
 // arrival describes a command that a backend has received.
 type arrival struct {
-	at      time.Time // when its last byte was read
+	at      time.Time // when the last byte of the command was read
 	gateway string    // the part of the request ID that names the gateway
 }
 
--- a/cmd/gateway/fleet_catalog_test.go
+++ b/cmd/gateway/fleet_catalog_test.go
@@ -27,7 +27,7 @@
 	c.changed = make(chan struct{})
 }
 
-// ServeHTTP answers with the complete list. A watch, which is a call with an index, is answered when the
+// ServeHTTP answers with the complete list. A watch, which is a request with an index, is answered when the
 // revision exceeds the index or when the requested wait time has passed.
 func (c *fleetCatalog) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	index, err := strconv.Atoi(r.URL.Query().Get("index"))
--- a/cmd/gateway/fleet_test.go
+++ b/cmd/gateway/fleet_test.go
@@ -18,8 +18,8 @@
 	tb       testing.TB
 	settings fleetSettings
 	catalog  *fleetCatalog
-	address  string // of discovery
-	hosts    []string
+	address  string   // address of discovery
+	hosts    []string // loopback address of each gateway
 	gateways []*gatewayProcess
 	backends []*fleetBackend
 	// clockStep is the difference between discovery's wall clock and that of the gateways. It is positive if
@@ -36,7 +36,7 @@
 type fleetSettings struct {
 	gateways      int
 	backends      int
-	load          float64 // as a multiple of the total capacity of all backends
+	load          float64 // rate of requests, as a multiple of the total capacity of all backends
 	slowStart     slowStartProfile
 	dialTimeout   time.Duration
 	notIdempotent bool // the requests are not idempotent
@@ -110,7 +110,7 @@
 	}
 }
 
-// mustBe returns a value of decoded JSON as a T. It ends the test if the value has another type.
+// mustBe returns a value of decoded JSON as a T. It fails the test if the value has another type.
 func mustBe[T any](tb testing.TB, value any) T {
 	tb.Helper()
 	typed, ok := value.(T)
--- a/cmd/gateway/start_test.go
+++ b/cmd/gateway/start_test.go
@@ -9,7 +9,7 @@
 const readyWithin = 10 * time.Second
 
 // Guards against gateways that start too slowly if several of them start at the same time with long lists of
-// endpoints while discovery refuses connections, does not answer calls or can't be dialed.
+// endpoints while discovery refuses connections, does not answer requests or does not respond to dials.
 func TestGatewaysStartingTogetherAreReadyInTime(t *testing.T) {
 	const (
 		gateways  = 12
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -9,12 +9,12 @@
 // length and two line ends.
 const bulkOverhead = 16
 
-// attempt is one attempt to run a request on a backend or, if request is nil, a health check. It belongs to
-// the event loop.
+// attempt is one attempt to run a request on a backend or, if request is nil, a health check. It is used only
+// by the event loop's goroutine.
 type attempt struct {
-	request        *request // nil for a health check
-	number         int      // among the attempts of the request, from 0
-	backend        uint32
+	request        *request     // nil for a health check
+	number         int          // index of the attempt among those of the request, from 0
+	backend        uint32       // number of the backend
 	sentAt         policy.Time  // when the policy decided to send it
 	expiresAt      policy.Time  // when it times out
 	conn           *backendConn // nil while it waits for a connection and after it has ended
@@ -66,7 +66,7 @@
 		return
 	}
 	if a.request != nil && a.request.valueConn != nil && a.request.valueConn == a.conn {
-		a.request.valueConn = nil // it was still waiting for the replies to earlier requests
+		a.request.valueConn = nil // the value was still waiting for the replies to earlier requests
 	}
 	if a.conn == nil {
 		g.backends.cancelWaiting(a)
--- a/internal/gateway/backend.go
+++ b/internal/gateway/backend.go
@@ -15,13 +15,14 @@
 	"sparspread/policy"
 )
 
-// backend is an endpoint that discovery has listed, with its connections. It belongs to the event loop.
+// backend is an endpoint that discovery has listed, with its connections. It is used only by the event loop's
+// goroutine.
 type backend struct {
-	number          uint32 // identifies it in the policy and in gossip
+	number          uint32 // identifies the backend in the policy and in gossip
 	address         string
 	startedAtMS     int64 // start time reported by discovery, in milliseconds since 1970
 	state           policy.EndpointState
-	endpoint        discovery.Endpoint // as last listed
+	endpoint        discovery.Endpoint // the entry in the last list that contained the backend
 	idleConns       []*backendConn     // ordered by the time of their last use, most recent last
 	waiting         []*attempt         // attempts that wait for a connection, oldest first
 	activeDials     int                // dials in progress
@@ -40,14 +41,14 @@
 	done             chan struct{}           // closed by the event loop when it closes the connection
 	valueDestination chan *sockwriter.Writer // of a large value; sent by the event loop to the reader
 
-	// Owned by the event loop.
+	// Used only by the event loop's goroutine.
 	backend       *backend
 	attempt       *attempt // nil if the connection is idle
 	closed        bool
 	idleSince     policy.Time
 	bytesConsumed int64 // the part of bytesRead that belongs to handled replies
 
-	// Owned by the reader goroutine.
+	// Used only by the reader goroutine.
 	readTimeout time.Duration // for further input of an incomplete reply; zero for no limit
 }
 
@@ -60,7 +61,7 @@
 }
 
 // backends holds all backends and the connections to them, and ends attempts: each gets one attemptEnded. It
-// belongs to the event loop, except for dialer, which is safe for any goroutine.
+// is used only by the event loop's goroutine, except for dialer, which is safe for any goroutine.
 type backends struct {
 	events      *eventLoop
 	attempts    attemptSource
@@ -132,8 +133,8 @@
 	return endpoints
 }
 
-// cleanUpAndCountListed closes the unused connections of backends that are not ready. It returns the number of
-// listed backends.
+// cleanUpAndCountListed closes the unused connections of backends that are not ready. It returns the number
+// of listed backends.
 func (bs *backends) cleanUpAndCountListed() (listed int64) {
 	for id, b := range bs.byID {
 		if b.state != policy.EndpointRemoved {
--- a/internal/gateway/backend_dial.go
+++ b/internal/gateway/backend_dial.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// A dial that failed because of a resource shortage on this machine is repeated after a pause, which
-	// doubles each time. After maxShortagePauses consecutive pauses the waiting attempts end, since an
-	// attempt on another backend may succeed.
+	// A dial that failed because of a resource shortage on this machine is repeated after firstShortagePause.
+	// The pause doubles each time. After maxShortagePauses consecutive pauses the waiting attempts end, since
+	// an attempt on another backend may succeed.
 	firstShortagePause = 5 * millisecond
 	maxShortagePauses  = 4
 )
@@ -21,7 +21,7 @@
 func (bs *backends) dialForWaiting(b *backend) {
 	for b.activeDials < len(b.waiting) && !b.dialPaused {
 		if bs.openConns >= bs.limit && !bs.evictIdleConn() {
-			// A lack of file descriptors says nothing about the backend: the attempt was not sent.
+			// A lack of file descriptors says nothing about the backend, so the attempt ends as not sent.
 			last := len(b.waiting) - 1
 			a := b.waiting[last]
 			b.waiting = b.waiting[:last]
--- a/internal/gateway/backend_pool.go
+++ b/internal/gateway/backend_pool.go
@@ -176,7 +176,8 @@
 	return true
 }
 
-// sweep closes connections that have been idle for too long. Backends close them after idleClose.
+// sweep closes connections that have been idle for idleClose/idleCloseDivisor. idleClose is the time after
+// which backends close idle connections.
 func (bs *backends) sweep(idleClose policy.Time) {
 	oldest := bs.events.Now() - idleClose/idleCloseDivisor
 	for _, b := range bs.byNumber {
--- a/internal/gateway/backend_pool_test.go
+++ b/internal/gateway/backend_pool_test.go
@@ -19,7 +19,7 @@
 			first := c.openLookup(b, 1)
 			second := other.openLookup(b, 2)
 			second.replyValue(t, "second")
-			other.wantValue("second") // its connection is idle from here on
+			other.wantValue("second") // the connection to the backend is idle from here on
 			r.awaitQuiescence(t)
 			if !alive {
 				_ = second.conn.Close()
@@ -89,7 +89,7 @@
 
 // If no file descriptor is free for an attempt, the attempt and its request end at once.
 func TestRequestIsRejectedWithoutFreeDescriptor(t *testing.T) {
-	r, b := startWithFourBackends(t, config.MinSockets) // 3 connections to backends
+	r, b := startWithFourBackends(t, config.MinSockets) // allows 3 connections to backends
 	c := r.client(t)
 	for id := range 3 {
 		defer c.openLookup(b, id).replyValue(t, "ok")
--- a/internal/gateway/backend_read.go
+++ b/internal/gateway/backend_read.go
@@ -10,7 +10,7 @@
 )
 
 // replyTimeout is the maximum time between two parts of a reply. A reply with a corrupt length may announce
-// more bytes than ever arrive.
+// more bytes than ever arrive, and is treated as malformed after this time.
 const replyTimeout = time.Second
 
 // Read implements io.Reader for the reader goroutine. It sets a read deadline while a reply is incomplete,
--- a/internal/gateway/backend_report.go
+++ b/internal/gateway/backend_report.go
@@ -6,15 +6,15 @@
 type closeReason int
 
 const (
-	closeEnded            closeReason = iota // it ended, or input arrived that no attempt waited for
+	closeEnded            closeReason = iota // the peer ended it, or input arrived that no attempt waited for
 	closeTimedOut                            // the attempt timed out
 	closeCancelled                           // the result of the attempt is no longer needed
 	closeIncomplete                          // the request or the reply was incomplete
 	closeMalformed                           // the reply was malformed, or followed by further input
 	closeUnsolicitedInput                    // input had arrived before an attempt was written
 	closeWriteFailed                         // writing an attempt failed
-	closeIdleExpired                         // it was idle for too long to be reused
-	closeEvicted                             // it was closed to make room for another connection
+	closeIdleExpired                         // the connection was idle for too long to be reused
+	closeEvicted                             // the connection was closed to make room for another one
 	closeNotReady                            // the backend is not ready, or has moved or restarted
 	closeReasonCount
 )
--- a/internal/gateway/capacity.go
+++ b/internal/gateway/capacity.go
@@ -9,11 +9,11 @@
 // them.
 
 const (
-	overloadRetryAfter = 500 * millisecond // retry advice to a client rejected for lack of capacity
+	// A client whose request is rejected for lack of capacity is advised to retry after overloadRetryAfter.
+	overloadRetryAfter = 500 * millisecond
 
-	// Input that waits for the event loop may take up to the configured memory divided by
-	// queuedMemoryDivisor, open requests and unsent replies up to the memory divided by
-	// retainedMemoryDivisor.
+	// Input that waits for the event loop may take up to 1/queuedMemoryDivisor of the configured memory, and
+	// open requests and unsent replies up to 1/retainedMemoryDivisor of it.
 	queuedMemoryDivisor   = 8
 	retainedMemoryDivisor = 4
 )
@@ -23,8 +23,8 @@
 	return int64(cfg.MemoryMB) * bytesPerMB / queuedMemoryDivisor
 }
 
-// capacityRejection returns the reply to a request for which the gateway itself has no capacity. It returns
-// nil if there is capacity for the request.
+// capacityRejection returns the reply that rejects a request for which the gateway itself has no capacity. It
+// returns nil if there is capacity for the request, unless overMemory is set.
 func (g *Gateway) capacityRejection(c *client, overMemory bool) []byte {
 	cs := g.clients
 	for c.commandCount == 1 && len(cs.conns) > cs.limit {
--- a/internal/gateway/client.go
+++ b/internal/gateway/client.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	maxPipelined   = 256               // commands of one connection that wait for a reply
-	maxUnreadReply = 2 * resp.MaxValue // bytes of replies that the client has not read
+	maxPipelined   = 256               // maximum number of commands of one connection that wait for a reply
+	maxUnreadReply = 2 * resp.MaxValue // number of unread bytes of replies above which a connection is closed
 
 	// A connection is closed if it has sent no request for maxIdleTime, or for maxIdleTimeAfterSingle if it
 	// has sent a single request so far.
@@ -30,28 +30,28 @@
 	clock         eventloop.Clock // of the event loop
 	pipelineSlots chan struct{}   // one per request: acquired by the reader, released by the event loop
 	done          chan struct{}   // closed by the event loop when it closes the connection
-	queuedBytes   *atomic.Int64   // memoryUse.inputBytes
+	queuedBytes   *atomic.Int64   // points to memoryUse.inputBytes
 
 	// Shared by the event loop and the reader goroutine.
 	ignoreInput  atomic.Bool  // set by the event loop: further input is not parsed
-	disconnected atomic.Bool  // set by the reader: the peer has closed; its event may be queued
+	disconnected atomic.Bool  // set by the reader: the peer has closed; clientDisconnected may be queued
 	lastInputAt  atomic.Int64 // set by the reader: when input last arrived; zero if none has
-	handingOver  atomic.Bool  // set by the event loop: hand over once nothing is open
+	handingOver  atomic.Bool  // set by the event loop: the reader is to stop before the next command
 
-	// Owned by the event loop.
+	// Used only by the event loop's goroutine.
 	pipeline              []*request // requests without a written reply, in the order of their commands
 	closed                bool       // nothing can be written any more
 	closeWhenAnswered     bool       // close when pipeline is empty
 	closeAfterNextCommand bool       // close after the reply to the next command
 	writeClosed           bool       // the sending side is closed; no further command is accepted
-	overLimit             bool       // over the limit of connections: it is rejected and closed
+	overLimit             bool       // too many connections are open: its request is rejected, it is closed
 	commandCount          int        // number of well-formed commands
 	consecutiveErrors     int        // number of malformed commands since the last well-formed one
 	lastCommandAt         policy.Time
 	readerStopped         bool   // the reader has stopped for a handover
 	handoverInput         []byte // input that was read and is for the successor to process
 
-	// Owned by the reader goroutine.
+	// Used only by the reader goroutine.
 	inheritedInput   []byte    // read but not processed by a predecessor
 	readAheadInput   []byte    // read while the reader was waiting; counted in queuedBytes
 	midCommand       bool      // part of a command has arrived
@@ -59,8 +59,8 @@
 	commandDeadline  time.Time // time by which the current command has to be complete
 }
 
-// clients holds the connections of clients, within their part of the file descriptor budget. It belongs to
-// the event loop, except for the channel slots.
+// clients holds the connections of clients, within their part of the file descriptor budget. It is used only
+// by the event loop's goroutine, except for the channel slots.
 type clients struct {
 	slots  chan struct{} // one per open connection: acquired on accept, released by the event loop
 	limit  int           // maximum number of connections that are served; the rest are rejected
@@ -76,7 +76,7 @@
 
 // clientCounts counts connections and rejections since they were last logged.
 type clientCounts struct {
-	startedAt policy.Time
+	startedAt policy.Time // when counting started: the time of the last log message
 	accepted  int
 
 	closedBeforeInput int // evicted before any input arrived
--- a/internal/gateway/client_accept.go
+++ b/internal/gateway/client_accept.go
@@ -27,7 +27,8 @@
 		commandCount: e.commandCount, inheritedInput: e.inheritedInput,
 	}
 	cs.conns[c] = true
-	c.closeAfterNextCommand = g.shutdown.isClosing() // from the backlog: only one command is answered
+	// A connection that is accepted from the backlog during a shutdown gets a reply to one command only.
+	c.closeAfterNextCommand = g.shutdown.isClosing()
 	if g.handover.hasReleasedOwnership() {
 		c.readerStopped, c.handoverInput, c.inheritedInput = true, e.inheritedInput, nil
 		c.handOver(g)
--- a/internal/gateway/client_close.go
+++ b/internal/gateway/client_close.go
@@ -3,9 +3,12 @@
 import "sparspread/policy"
 
 const (
-	lingerTime       = 500 * millisecond // time for the peer to close after the last reply
-	lingerAfterError = 200 * millisecond // time for the peer to close after an error that ends the connection
-	maxLingers       = 10                // extensions by lingerTime while replies are unread
+	// After the last reply the peer has lingerTime to close the connection, or lingerAfterError if the reply
+	// is an error that ends the connection. The time is extended by lingerTime up to maxLingers times while
+	// replies are not written completely.
+	lingerTime       = 500 * millisecond
+	lingerAfterError = 200 * millisecond
+	maxLingers       = 10
 )
 
 // closeAfterReplies closes the connection when its open requests are answered.
--- a/internal/gateway/client_commands_test.go
+++ b/internal/gateway/client_commands_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Input that breaks the framing gets an error reply, and the connection is closed. A negative length made
-// another parser panic.
+// Input that breaks the framing gets an error reply, and the connection is closed. Guards, among others,
+// against a parser that panics on a negative length.
 func TestLostFramingClosesConnection(t *testing.T) {
 	r, _, _ := startWithBackend(t, nil)
 	for _, input := range []struct{ name, text string }{
@@ -79,7 +79,7 @@
 }
 
 // A request that is dropped for lack of memory is rejected. A command that needs no decision of the policy is
-// answered. Neither leaves bytes counted.
+// answered. Neither of them leaves bytes counted in memoryUse.inputBytes.
 func TestCommandOverMemoryLimitIsAnswered(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
@@ -94,7 +94,7 @@
 	if n := r.gateway.memory.inputBytes.Add(-full); n != 0 {
 		t.Errorf("got %d bytes counted after all replies, want 0", n)
 	}
-	call := c.openLookup(b, 1) // the ID is free again
+	call := c.openLookup(b, 1) // no request with this ID is open any more
 	call.replyValue(t, "ok")
 	c.wantValue("ok")
 }
--- a/internal/gateway/client_disconnect_rig_test.go
+++ b/internal/gateway/client_disconnect_rig_test.go
@@ -13,7 +13,7 @@
 )
 
 // disconnectMethods lists the ways in which a client can disconnect. After each of them a reply may not
-// reach the client.
+// reach the client, so no further attempt of its requests is sent.
 var disconnectMethods = map[string]disconnectMethod{
 	"closes":         func(c *testClient) error { return c.conn.Close() },
 	"closes writing": func(c *testClient) error { return c.conn.CloseWrite() },
@@ -47,7 +47,7 @@
 	client  *testClient
 	method  disconnectMethod
 	dialing <-chan string // receives the address of each dial
-	unblock chan struct{} // each value lets one dial continue; closing it, all
+	unblock chan struct{} // each value lets one dial continue; closing the channel lets all dials continue
 }
 
 // forEachDisconnectMethod runs a test for each way in which the client of a waiting request can disconnect.
--- a/internal/gateway/client_disconnect_test.go
+++ b/internal/gateway/client_disconnect_test.go
@@ -21,7 +21,7 @@
 	})
 }
 
-// A client disconnects while a retry of its request waits for a connection.
+// A client disconnects while a retry of its request waits for a connection. The retry is not sent.
 func TestDisconnectEndsWaitingRetry(t *testing.T) {
 	forEachDisconnectMethod(t, retryableByKey, func(w *waitingRequest) {
 		w.completeDial()
@@ -53,7 +53,8 @@
 	})
 }
 
-// The event loop handles the end of a dial while the client's disconnect is queued behind it.
+// The event loop handles the end of a dial while the client's disconnect is queued behind it. The request
+// that waits for the dial must not be sent.
 func TestQueuedDisconnectPreventsSending(t *testing.T) {
 	forEachDisconnectMethod(t, notRetryable, func(w *waitingRequest) {
 		close(w.unblock)
@@ -90,7 +91,8 @@
 	})
 }
 
-// A client disconnects while its request waits for a quiescing connection and a dial.
+// A client disconnects while its request waits for a quiescing connection and a dial. The request is sent on
+// neither connection.
 func TestDisconnectEndsAttemptWaitingForQuiescence(t *testing.T) {
 	forEachDisconnectMethod(t, notRetryable, func(w *waitingRequest) {
 		w.completeDial()
@@ -152,7 +154,8 @@
 	}
 }
 
-// A client disconnects after it has sent input that breaks the framing, behind which no command is read.
+// A client disconnects after it has sent input that breaks the framing. The disconnect is detected although
+// no further command is read.
 func TestDisconnectIsDetectedAfterLostFraming(t *testing.T) {
 	forEachDisconnectMethod(t, notRetryable, func(w *waitingRequest) {
 		w.client.write("invalid\r\n")
--- a/internal/gateway/client_eviction.go
+++ b/internal/gateway/client_eviction.go
@@ -12,9 +12,13 @@
 	maxNoCommandPercent = 75
 	hundredPercent      = 100
 
-	newConnGrace        = 100 * millisecond // age from which a connection without a command may be evicted
-	noInputTimeout      = 300 * millisecond // age from which a connection without input is stale
-	minIdleAfterSeveral = 2 * second        // idle time from which it may be evicted after several requests
+	// A connection without a complete command may be evicted when it is older than newConnGrace, and is stale
+	// when it is older than noInputTimeout and no input has arrived.
+	newConnGrace   = 100 * millisecond
+	noInputTimeout = 300 * millisecond
+
+	// After several requests, a connection may be evicted when it has been idle for minIdleAfterSeveral.
+	minIdleAfterSeveral = 2 * second
 
 	// minNewConnGrace replaces newConnGrace if the eviction makes room for a client with a request.
 	minNewConnGrace = newConnGrace / 5
@@ -34,9 +38,9 @@
 	rankExcessNoInput       evictionRank = iota // no input, and too many others have no complete command
 	rankExcessMidCommand                        // first command incomplete, and too many others have none
 	rankStale                                   // no input or first command incomplete for too long
-	rankIdleAfterOne                            // idle after its only request
+	rankIdleAfterOne                            // idle after a single request
 	rankIdleAfterSeveral                        // idle after several requests
-	rankBrieflyIdleAfterOne                     // idle for a short time after its only request
+	rankBrieflyIdleAfterOne                     // idle for a short time after a single request
 	rankMidCommand                              // first command incomplete; clients may take 2 s to write it
 	rankExempt                                  // not evicted
 )
--- a/internal/gateway/client_eviction_test.go
+++ b/internal/gateway/client_eviction_test.go
@@ -56,7 +56,7 @@
 
 // Idle connections of other clients do not prevent new clients from being served.
 func TestIdleConnectionsAreEvictedForNewClients(t *testing.T) {
-	r, b := startWithFourBackends(t, 40) // 6 clients are served, 4 further ones may be rejected
+	r, b := startWithFourBackends(t, 40) // serves 6 clients and can reject 4 further ones
 	for id := range 30 {
 		c := r.client(t)
 		c.sendLookup(id)
@@ -93,7 +93,7 @@
 	step("without input", idle)
 	old := add(0, 0.2e6, noInput)
 	for range 5 {
-		add(0, 0.05e6, noInput) // new
+		add(0, 0.05e6, noInput) // too new to be evicted
 	}
 	older := add(0, 0.25e6, noInput)
 	step("the oldest of too many without input", older)
@@ -113,7 +113,8 @@
 	g.clients.limit = 4
 	add := func(commands int, pipeline ...*request) *client {
 		t.Helper()
-		c := addClient(t, g, commands, g.events.Now()+60*second) // still new when it is checked
+		// The time in the future makes the connection count as new during the whole test.
+		c := addClient(t, g, commands, g.events.Now()+60*second)
 		c.pipeline = pipeline
 		return c
 	}
@@ -160,7 +161,7 @@
 
 // Clients over the limit replace idle connections. If no connection is idle, they are rejected at once.
 func TestClientsOverLimitAreRejected(t *testing.T) {
-	r, b := startWithFourBackends(t, 40) // 6 clients
+	r, b := startWithFourBackends(t, 40) // serves 6 clients
 	idle := r.client(t)
 	idle.send("PING")
 	idle.wantLine("+PONG")
--- a/internal/gateway/client_read.go
+++ b/internal/gateway/client_read.go
@@ -9,8 +9,10 @@
 )
 
 const (
-	firstCommandTimeout = 2500 * time.Millisecond // for the first command, from accept
-	commandTimeout      = 2500 * time.Millisecond // for later ones, from the first byte; up to 2 s are usual
+	// The first command must be complete within firstCommandTimeout after the connection was accepted, and a
+	// later one within commandTimeout after its first byte. Clients usually take up to 2 s.
+	firstCommandTimeout = 2500 * time.Millisecond
+	commandTimeout      = 2500 * time.Millisecond
 )
 
 // errHandingOver reports that the connection is to be handed over and no part of a command has arrived.
--- a/internal/gateway/client_read_ahead.go
+++ b/internal/gateway/client_read_ahead.go
@@ -11,10 +11,11 @@
 )
 
 const (
-	maxReadAhead  = 2 * resp.MaxValue // bytes that are read while the reader waits
+	maxReadAhead  = 2 * resp.MaxValue // maximum number of bytes that are read ahead
 	readAheadStep = 4096              // minimum number of bytes by which the buffer grows
 
-	// Reading ahead stops when queued input takes its memory divided by readAheadDivisor.
+	// Reading ahead stops when queued input takes 1/readAheadDivisor of its limit, so that the rest is left
+	// for input that is not read ahead.
 	readAheadDivisor = 2
 )
 
@@ -29,23 +30,24 @@
 	}()
 	wait()
 	close(waitOver)
-	c.setReadDeadline(time.Unix(1, 0))
+	c.setReadDeadline(time.Unix(1, 0)) // a deadline in the past interrupts the read
 	<-stopped
 	c.setReadDeadline(time.Time{})
 }
 
-// readAhead buffers input for the reader until the reader's wait is over. It stops at maxReadAhead bytes,
-// and when the input that waits for the event loop takes half of the memory for it: the other half is for
-// input that is not read ahead. After it has stopped, the end of the connection is not detected.
+// readAhead buffers input for the reader until the reader's wait is over. It stops earlier if it has buffered
+// maxReadAhead bytes, or if the queued input of all connections takes half of its limit: the other half is
+// for input that is not read ahead. Until the wait is over, the end of the connection is then not detected.
 func (c *client) readAhead(g *Gateway, waitOver <-chan struct{}) {
 	maxQueued := maxQueuedBytes(g.publishedConfig.Load()) / readAheadDivisor
 	for len(c.readAheadInput) < maxReadAhead && g.memory.inputBytes.Load() < maxQueued {
 		err := c.readAheadOnce(g)
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			// The wait may be over. Otherwise the deadline was set earlier, or for a handover, which the
-			// reader detects after its wait. waitOver must be closed before the deadline is set that
-			// interrupts this read.
+			// If the wait is not over, the deadline was set earlier or for a handover, and reading ahead
+			// continues. The reader detects the handover after its wait. The deadline is cleared before
+			// waitOver is checked: readAheadWhile closes waitOver before it sets the deadline, so the
+			// deadline that ends this goroutine cannot be lost.
 			c.setReadDeadline(time.Time{})
 			if isClosed(waitOver) {
 				return
@@ -59,7 +61,7 @@
 	}
 }
 
-// readAheadOnce appends the result of one read to the buffer.
+// readAheadOnce appends the result of one read to the buffer, and adds its size to memoryUse.inputBytes.
 func (c *client) readAheadOnce(g *Gateway) error {
 	length := len(c.readAheadInput)
 	if length == cap(c.readAheadInput) {
@@ -73,7 +75,8 @@
 	return err
 }
 
-// consumeReadAhead copies buffered input to b and returns the number of bytes.
+// consumeReadAhead moves buffered input to b and returns the number of bytes. It subtracts them from
+// queuedBytes, which is memoryUse.inputBytes.
 func (c *client) consumeReadAhead(b []byte) int {
 	n := copy(b, c.readAheadInput)
 	c.readAheadInput = c.readAheadInput[n:]
@@ -84,7 +87,8 @@
 	return n
 }
 
-// discardReadAhead drops the buffered input when the reader ends.
+// discardReadAhead drops the buffered input when the reader ends, and subtracts its size from
+// memoryUse.inputBytes.
 func (c *client) discardReadAhead(g *Gateway) {
 	g.memory.inputBytes.Add(-int64(len(c.readAheadInput)))
 	c.readAheadInput = nil
--- a/internal/gateway/client_read_ahead_test.go
+++ b/internal/gateway/client_read_ahead_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// Input that was read ahead is processed in its order, and is no longer counted afterwards.
+// Input that was read ahead is processed in the order of its arrival, and is then no longer counted in
+// memoryUse.inputBytes.
 func TestReadAheadKeepsOrder(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
@@ -18,7 +19,7 @@
 		fmt.Fprintf(&text, "*1\r\n$5\r\nX%04d\r\n*1\r\n$4\r\nPING\r\n", i)
 	}
 	c.write(text.String())
-	for r.gateway.memory.inputBytes.Load() < maxReadAhead/2 { // wait for the reading ahead
+	for r.gateway.memory.inputBytes.Load() < maxReadAhead/2 { // wait until input was read ahead
 		runtime.Gosched()
 	}
 	call.replyValue(t, "ok")
@@ -62,8 +63,8 @@
 	c := first.client(t)
 	c.sendOnce(1, "team")
 	open := b.nextCall(t)
-	// 16 bytes each, so that the buffer of the reader may be empty between two commands while further input
-	// is read ahead.
+	// Each command has 16 bytes, so that the buffer of the reader may be empty between two commands while
+	// further input is read ahead.
 	const ping = "*1\r\n$004\r\nPING\r\n"
 	c.write(strings.Repeat(ping, 2*maxPipelined))
 	c.sendOnce(2, "team")
--- a/internal/gateway/command_test.go
+++ b/internal/gateway/command_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// A malformed command gets one error reply, is not sent to a backend and leaves the framing intact.
+// A malformed command gets one error reply and is not sent to a backend. The connection remains usable.
 func TestMalformedCommandReturnsError(t *testing.T) {
 	r, b, _ := startWithBackend(t, withSettings(t, `"counter":false`, `"counter":false,"max-units":4`,
 		`"name":"lookup"`, `"name":"lookup","hard-limit-us":60000000`))
@@ -82,7 +82,7 @@
 			c := r.client(t)
 			c.send(args...)
 			c.wantError()
-			c.send("PING") // the framing is intact
+			c.send("PING") // the connection is still usable
 			c.wantLine("+PONG")
 		})
 	}
--- a/internal/gateway/descriptors_test.go
+++ b/internal/gateway/descriptors_test.go
@@ -12,7 +12,7 @@
 )
 
 // The descriptor budget is computed from the lower one of the configured number and the limit of the
-// process. If the limit of the process is lower, one log message says so.
+// process. If the limit of the process is lower, one log message reports it.
 func TestDescriptorBudgetUsesLowerLimit(t *testing.T) {
 	for _, test := range []struct{ configured, process, want, logged int }{
 		{configured: 1024, process: 0, want: 1024},
--- a/internal/gateway/discovery_watch_test.go
+++ b/internal/gateway/discovery_watch_test.go
@@ -36,7 +36,7 @@
 	hung := newHTTPServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Has("index") && !held.Swap(true) {
 			wait, err := strconv.Atoi(r.URL.Query().Get("wait"))
-			const slack = time.Second // that the discovery client adds for the answer
+			const slack = time.Second // time that the discovery client adds to the requested wait
 			limit := time.Duration(wait)*time.Millisecond + slack
 			if err != nil || limit >= 6*time.Second {
 				t.Errorf("watch timeout %v, error %v: want less than 6 s", limit, err)
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -12,20 +12,20 @@
 	"sparspread/policy"
 )
 
-// endpointPhase is the source of the endpoint list.
+// endpointPhase is the source of the current endpoint list. It is unrelated to the Phase of an endpoint.
 type endpointPhase uint8
 
 const (
-	endpointsConfigured endpointPhase = iota // the configuration
-	endpointsImported                        // the state of a predecessor
-	endpointsReceived                        // discovery
+	endpointsConfigured endpointPhase = iota // the list is from the configuration
+	endpointsImported                        // the list is from the state of a predecessor
+	endpointsReceived                        // the list is from discovery
 )
 
 // String returns the name of the phase for log messages.
 func (p endpointPhase) String() string { return [...]string{"configured", "imported", "received"}[p] }
 
-// endpointTransitions lists the legal transitions. A list from discovery is never replaced by that of a
-// predecessor, nor either of them by that of the configuration.
+// endpointTransitions lists the legal transitions. The order of precedence is discovery, predecessor,
+// configuration: a list is never replaced by one from a source of lower precedence.
 var endpointTransitions = phase.Transitions[endpointPhase]{
 	endpointsConfigured: {endpointsImported, endpointsReceived},
 	endpointsImported:   {endpointsReceived},
@@ -39,13 +39,14 @@
 	reportUnavailable()
 	// drainingEndpoint returns an endpoint as it was last listed, if it was listed as draining.
 	drainingEndpoint(id string) (endpoint discovery.Endpoint, draining bool)
-	// startAccepting starts accepting clients or, if a predecessor serves them, asks it to hand over.
+	// startAccepting starts accepting clients or, if a predecessor serves them, asks it to hand over. Calls
+	// after the first have no effect.
 	startAccepting()
 }
 
 // endpointList holds the state of the endpoint list apart from the backends themselves: its source, its
-// newest revision and the numbers of its zones. The number of a zone never changes. It belongs to the event
-// loop.
+// newest revision and the numbers of its zones. The number of a zone never changes. endpointList is used only
+// by the event loop's goroutine.
 type endpointList struct {
 	phase          phase.Machine[endpointPhase]
 	newestRevision uint64   // the highest revision of all updates so far
@@ -77,7 +78,8 @@
 	}
 }
 
-// handleEvent applies an event of the discovery client. The first list makes the gateway accept clients.
+// handleEvent applies an event of the discovery client. The gateway accepts clients when the first list has
+// arrived; later lists have no effect on that.
 func (e *endpointList) handleEvent(event discovery.Event) {
 	if event.Kind == policy.UpdateUnavailable {
 		e.gateway.reportUnavailable()
@@ -91,9 +93,9 @@
 	e.gateway.startAccepting()
 }
 
-// retainDraining corrects an update that is older than the newest one, which a new address of discovery may
-// send at first: a backend that a newer update has announced as draining stays draining, unless it has
-// restarted since then.
+// retainDraining corrects an outdated update. After the address of discovery has changed, the server at the
+// new address may first send an update that is older than the newest one received. A backend that is draining
+// then stays draining, unless it has restarted, which its start time shows.
 func (e *endpointList) retainDraining(update *discovery.Update) {
 	if update.Revision >= e.newestRevision {
 		e.newestRevision = update.Revision
@@ -135,13 +137,14 @@
 	return b.endpoint, true
 }
 
-// postEvent posts an event of the discovery client ahead of all other events: nothing that was queued before
-// a drain was announced may be sent after its grace period. It is safe for any goroutine.
+// postEvent posts an event of the discovery client ahead of queued requests: no request may be sent to a
+// draining backend after the backend's grace period, even if it was queued before the drain was announced.
+// postEvent is safe for any goroutine.
 func (a endpointAdapter) postEvent(ctx context.Context, e discovery.Event) {
 	a.events.PostUrgent(ctx, endpointsUpdated{e})
 }
 
-// bytesPerMB converts the configured memory to bytes.
+// bytesPerMB is the number of bytes in a megabyte of the configured memory.
 const bytesPerMB = 1 << 20
 
 // discoveryConfig returns the part of the configuration that the discovery client needs.
--- a/internal/gateway/fake_backend_test.go
+++ b/internal/gateway/fake_backend_test.go
@@ -14,7 +14,7 @@
 // concurrent use.
 type fakeBackend struct {
 	listener  net.Listener
-	calls     chan *backendCall // complete commands
+	calls     chan *backendCall // complete commands that were received
 	closed    chan error        // the read error with which each connection ended
 	bodySizes chan int          // size of each large body in bytes, sent before the body is read
 
--- a/internal/gateway/fake_discovery_test.go
+++ b/internal/gateway/fake_discovery_test.go
@@ -13,7 +13,7 @@
 // fakeDiscovery is a discovery service whose endpoint list is set by the test. It is safe for concurrent use.
 type fakeDiscovery struct {
 	*httptest.Server
-	calls chan string // query strings of the calls, at most maxQueuedQueries of them unread
+	calls chan string // query strings of the requests received; dropped if the channel is full
 
 	mu       sync.Mutex // guards the fields below
 	revision int
@@ -21,7 +21,7 @@
 	changed  chan struct{} // closed by the next setEntries
 }
 
-// maxQueuedQueries is how many query strings are kept for the test; further ones are dropped.
+// maxQueuedQueries is the maximum number of query strings that are kept for the test.
 const maxQueuedQueries = 1024
 
 // newFakeDiscovery starts a discovery service with an endpoint list. The service ends with the test.
@@ -33,7 +33,7 @@
 	return d
 }
 
-// newHTTPServer starts a server. It ends with the test, even if calls are still open.
+// newHTTPServer starts a server. It is closed when the test ends, even if requests are still open.
 func newHTTPServer(tb testing.TB, handler http.Handler) *httptest.Server {
 	tb.Helper()
 	server := httptest.NewServer(handler)
@@ -59,8 +59,8 @@
 	d.changed = make(chan struct{})
 }
 
-// awaitWatch waits until the gateway watches from the current revision: it has then read this revision, and
-// handles it before anything that it reads later.
+// awaitWatch waits until the gateway watches for revisions after the current one. The gateway has then read
+// the current revision, and handles it before all input that it reads later.
 func (d *fakeDiscovery) awaitWatch(tb testing.TB) {
 	tb.Helper()
 	d.mu.Lock()
@@ -70,8 +70,8 @@
 	}
 }
 
-// ServeHTTP answers with the list. A watch is answered when the revision differs from the one in its query; a
-// call without a revision is answered immediately, with a list that is marked as complete.
+// ServeHTTP answers with the list. A watch is answered when the revision differs from the one in its query. A
+// request without a revision is answered immediately, with a list that is marked as complete.
 func (d *fakeDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	select {
 	case d.calls <- r.URL.RawQuery:
--- a/internal/gateway/handover.go
+++ b/internal/gateway/handover.go
@@ -10,12 +10,12 @@
 	"sparspread/policy"
 )
 
-// This file is the predecessor's side of a handover, which may end at any step. This process decides until it
-// offers its state. The successor decides once it has accepted the state and this process has transferred the
-// ownership to it. In between neither of them decides, and commands are queued: at no time do both grant
-// quota.
+// This file is the predecessor's side of a handover, which may end at any step. The process that has the
+// ownership decides on requests and grants quota. This process decides until it offers its state. The
+// successor decides once it has accepted the state and this process has transferred the ownership to it. In
+// between neither of them decides, and commands are queued: at no time do both grant quota.
 
-// stateTimeout is the time in which a successor has to accept the state.
+// stateTimeout is the maximum time from sending the state until the successor has accepted it.
 const stateTimeout = 1 * second
 
 // handoverPhase is the progress of a handover to a successor.
@@ -32,8 +32,8 @@
 	return [...]string{"none", "offered", "accepted"}[p]
 }
 
-// handoverTransitions lists the legal transitions. A successor that exits, or takes too long, leads back to
-// none.
+// handoverTransitions lists the legal transitions. The phase returns to none if the successor exits or does
+// not accept the state in time.
 var handoverTransitions = phase.Transitions[handoverPhase]{
 	handoverNone:     {handoverOffered},
 	handoverOffered:  {handoverAccepted, handoverNone},
@@ -62,10 +62,11 @@
 	exportState() ([]byte, error)
 	// pauseServing stops accepting clients and sending gossip.
 	pauseServing()
-	// releaseOwnership ends the decisions of this process, closes the sockets that the successor now uses,
-	// and releases the successor's share of the resources.
+	// releaseOwnership makes this process stop deciding, closes the sockets that the successor now uses, and
+	// releases the successor's share of the resources.
 	releaseOwnership()
-	// stopReading stops reading from clients. Each connection is handed over once nothing is open on it.
+	// stopReading stops reading from clients. Each connection is handed over once its requests are answered
+	// and the replies are written.
 	stopReading()
 	// retainOwnership reverts pauseServing if the successor never decided.
 	retainOwnership()
@@ -82,7 +83,7 @@
 // outgoingHandover is the handover from this process to a successor. It owns the link to the successor, the
 // socket on which a successor requests the handover, and the commands that were read while neither process
 // decided. Commands are queued only in the phase offered, and link is set unless the phase is none.
-// It belongs to the event loop.
+// outgoingHandover is used only by the event loop's goroutine.
 type outgoingHandover struct {
 	phase          phase.Machine[handoverPhase]
 	listener       *handover.Listener // accepts successors; nil if there is no socket for them
@@ -225,8 +226,8 @@
 	}
 }
 
-// reportCostSettled reports to a successor what a request that stayed in this process cost beyond its
-// estimate.
+// reportCostSettled reports to a successor the difference between the actual and the estimated cost of a
+// request that stayed in this process.
 func (h *outgoingHandover) reportCostSettled(customer uint64, extra float64) {
 	if h.canSend() {
 		h.logSendError(h.link.SendCostSettled(handover.CostSettled{Customer: customer, Extra: extra}))
@@ -261,7 +262,7 @@
 // ownership was released, because the successor may have replaced it by its own.
 func (h *outgoingHandover) stopListening() { h.listener.Close(!h.hasReleasedOwnership()) }
 
-// close closes the link after everything that was sent is written, for which it waits for a limited time.
+// close closes the link to a successor, if any. It waits a limited time for queued messages to be written.
 func (h *outgoingHandover) close() {
 	if h.isActive() {
 		h.link.CloseAndWait()
--- a/internal/gateway/handover_clients.go
+++ b/internal/gateway/handover_clients.go
@@ -6,7 +6,8 @@
 	"sparspread/internal/handover"
 )
 
-// This file hands over connections of clients, each once nothing is open on it.
+// This file hands over connections of clients, each once its requests are answered and the replies are
+// written.
 
 // stopReading makes a connection's reader stop before the next command.
 func (c *client) stopReading() {
@@ -42,7 +43,8 @@
 	c.handOver(g)
 }
 
-// canBeHandedOver reports whether nothing is open on the connection and there is a successor to send it to.
+// canBeHandedOver reports whether the connection has no open request and no unwritten reply, and there is a
+// successor to send it to.
 func (c *client) canBeHandedOver(g *Gateway) bool {
 	return c.readerStopped && !c.closed && !c.closeWhenAnswered && len(c.pipeline) == 0 &&
 		g.handover.hasReleasedOwnership() && g.handover.canSend() && c.writer.Idle()
--- a/internal/gateway/handover_gateway.go
+++ b/internal/gateway/handover_gateway.go
@@ -9,6 +9,7 @@
 )
 
 // This file contains the effects of a handover on the gateway, and the events that a successor causes.
+// Ownership is the right to decide on requests and to grant quota; handover.go describes its transfer.
 
 // handoverAdapter implements handoverGateway.
 type handoverAdapter struct{ *Gateway }
@@ -66,15 +67,18 @@
 
 func (a handoverAdapter) retainOwnership() {
 	a.log.Warn("handover: cancelled, this process continues to serve")
-	if a.listening.isPaused() { // otherwise a shutdown is draining the backlog
+	// If accepting is not paused, a shutdown is accepting the last connections of the backlog, which must not
+	// be undone.
+	if a.listening.isPaused() {
 		a.listening.resume()
 	}
 	a.gossip.Resume()
 	a.controller.ReportAllUsage()
 }
 
-// resumeOwnership implements handoverGateway. It is unknown what the successor has granted, and the sockets
-// were closed when it exited.
+// resumeOwnership implements handoverGateway. The quota that the successor has granted is unknown, so the
+// policy limits each token bucket to its level after a restart. The sockets were closed when the successor
+// exited, so they are bound again unless this process is shutting down.
 func (a handoverAdapter) resumeOwnership() {
 	a.log.Warn("handover: successor exited, this process serves again")
 	limitMemory(a.config, oneProcess)
@@ -87,10 +91,11 @@
 	}
 }
 
-// rebindDelay is the time until a failed bind is tried again: another process may still use the address.
+// rebindDelay is the time until a failed bind is retried. A bind fails if another process uses the address.
 const rebindDelay = 100 * millisecond
 
-// rebind binds the sockets that a successor had taken over, and retries until this succeeds.
+// rebind binds new sockets to the addresses that a successor had taken over and accepts clients. If a bind
+// fails, it is retried after rebindDelay.
 func (a handoverAdapter) rebind() {
 	err := a.listening.bind(a.config.Listen)
 	if err == nil && a.config.Settings.Gossip {
@@ -117,7 +122,8 @@
 }
 
 func (a handoverAdapter) handleQueuedCommand(command receivedCommand) {
-	a.memory.inputBytes.Add(int64(command.head().size)) // Handle subtracts it a second time
+	// The size was subtracted before the command was queued, and Handle subtracts it again.
+	a.memory.inputBytes.Add(int64(command.head().size))
 	command.Handle(a.Gateway)
 }
 
@@ -142,7 +148,7 @@
 
 func (e stateAccepted) Handle(g *Gateway) { g.handover.handleStateAccepted(e.link) }
 
-// stateTimer ends a handover whose state was not accepted in time.
+// stateTimer cancels a handover whose state was not accepted in time, so that this process serves again.
 type stateTimer struct{ link successorLink }
 
 func (t stateTimer) Handle(g *Gateway) { g.handover.handleStateTimeout(t.link) }
--- a/internal/gateway/handover_older_conn_test.go
+++ b/internal/gateway/handover_older_conn_test.go
@@ -13,7 +13,7 @@
 // This file simulates the process of an older version of a gateway. It implements the handover protocol of
 // commit d086cf6 on its own, without using package handover.
 
-// The kinds of messages of the older version, which are the first byte of each message.
+// The kinds of messages of the older version. The kind is the first byte of a message.
 const (
 	olderHello        = 'h'
 	olderSockets      = 'l'
@@ -39,7 +39,7 @@
 type olderMessage struct {
 	Kind  byte
 	Body  []byte
-	Files []*os.File // the sockets that were sent with it
+	Files []*os.File // the sockets that were sent with the message
 }
 
 // olderConn is the older version's end of a handover link.
--- a/internal/gateway/handover_older_predecessor_test.go
+++ b/internal/gateway/handover_older_predecessor_test.go
@@ -17,7 +17,7 @@
 	clients   []*testClient // clients whose connections were handed over, in this order
 }
 
-// replayThrough sends the recorded messages up to and including the next one of a kind.
+// replayThrough sends the recorded messages up to and including the next message of the kind last.
 func (p *olderPredecessor) replayThrough(last byte) {
 	p.t.Helper()
 	for len(p.recording.Messages) > 0 {
--- a/internal/gateway/handover_older_state_test.go
+++ b/internal/gateway/handover_older_state_test.go
@@ -15,24 +15,24 @@
 	"sparspread/policy"
 )
 
-// sessionFile is the recording of a process of the older version that hands over.
+// sessionFile is the recording of a handover by a process of the older version.
 const sessionFile = "../handover/testdata/session.json"
 
-// Customers, backends and request IDs in the recorded session.
+// Numbers of backends, the ID of the open request, and the ID of a customer in the recorded session.
 const (
 	warmBackend    = 1
 	ejectedBackend = 2
 	coldBackend    = 3
 	retryBackend   = 4
 	openRequestID  = 3
-	spentCustomer  = 'i' // ID that sendOnce uses for the customer of plan tiny
+	spentCustomer  = 'i' // the customer of plan tiny, as sendOnce sends it; its token bucket is empty
 )
 
 // recordedCustomer is the customer of plan team, whose requests cost one unit each.
 const recordedCustomer = 7
 
-// recordedEndpoints returns the endpoint list of the recorded session: two warm backends, one with an address
-// at which nothing listens, and one that has just started.
+// recordedEndpoints returns the endpoint list of the recorded session: two warm backends, a backend with an
+// address at which nothing listens, and a backend that has just started.
 func recordedEndpoints(t *testing.T, b *fakeBackend, startedAt policy.Time) []string {
 	t.Helper()
 	cold := strings.Replace(b.listEntry("s-00000003", "Ready"), `"up_since_ms":0`,
@@ -84,19 +84,19 @@
 	return state
 }
 
-// findBackend returns the state of the backend with a number. It ends the test if there is none.
+// findBackend returns the state of the backend with the given number. It fails the test if there is none.
 func findBackend(t *testing.T, s olderform.Snapshot, number uint32) olderform.BackendState {
 	t.Helper()
 	return find(t, s.Backends, func(b olderform.BackendState) bool { return b.Backend == number })
 }
 
-// findCustomer returns the state of the customer with an ID. It ends the test if there is none.
+// findCustomer returns the state of the customer with the given ID. It fails the test if there is none.
 func findCustomer(t *testing.T, s olderform.Snapshot, id uint64) olderform.CustomerState {
 	t.Helper()
 	return find(t, s.Customers, func(c olderform.CustomerState) bool { return c.ID == id })
 }
 
-// find returns the first item that matches. It ends the test if none does.
+// find returns the first item that matches. It fails the test if there is none.
 func find[T any](t *testing.T, items []T, matches func(T) bool) T {
 	t.Helper()
 	i := slices.IndexFunc(items, matches)
@@ -106,9 +106,9 @@
 	return items[i]
 }
 
-// wantRecordedState compares the parts of the state that do not depend on the time or on random numbers. The
-// number of requests of recordedCustomer that were admitted before one met the ejected backend is random too,
-// so it is passed as admitted.
+// wantRecordedState compares the parts of the state that do not depend on the time or on random numbers. It
+// is random how many requests of recordedCustomer are admitted until one is sent to the backend that is then
+// ejected, so that number is passed as admitted.
 func wantRecordedState(t *testing.T, got, want olderform.Snapshot, admitted int) {
 	t.Helper()
 	for _, id := range []uint64{spentCustomer, recordedCustomer} {
--- a/internal/gateway/handover_older_test.go
+++ b/internal/gateway/handover_older_test.go
@@ -40,7 +40,7 @@
 		t.Errorf("got %d unavailable backends, want only the ejected one", n)
 	}
 
-	old.replayThrough(olderClient) // with a command that the older process has read
+	old.replayThrough(olderClient) // a client, with a command that the older process has read from it
 	old.clients[0].wantServed(b, "from its input")
 	old.replayThrough(olderClient)
 	spent := old.clients[1]
@@ -94,7 +94,8 @@
 		t.Errorf("got input %q, want %q", input, recordedInput)
 	}
 
-	// Otherwise the last client might be handed over after the end of its attempt was reported.
+	// Wait until all readers have stopped. Otherwise the last client might be handed over after the end of
+	// its attempt was reported.
 	s.rig.waitUntil(t, func(g *Gateway) bool {
 		return !slices.ContainsFunc(clientList(g), func(c *client) bool { return !c.readerStopped })
 	})
--- a/internal/gateway/handover_phase_test.go
+++ b/internal/gateway/handover_phase_test.go
@@ -106,7 +106,7 @@
 	wantIllegalTransitions(t, illegal)
 }
 
-// If a successor does not accept the state in time, or exits before, this process remains the owner.
+// If a successor does not accept the state in time, or exits before that, this process remains the owner.
 func TestHandoverWithoutAcceptanceRetainsOwnership(t *testing.T) {
 	for name, end := range map[string]func(*outgoingHandover, successorLink){
 		"not accepted in time": (*outgoingHandover).handleStateTimeout,
@@ -122,7 +122,7 @@
 			wantPhase(t, &h.phase, handoverNone)
 			f.wantCalls(t, "retainOwnership", "handleQueuedCommand", "stopIfIdle")
 			link.wantCalls(t, "SendState", "Close")
-			h.handleStateAccepted(link) // has no effect any more
+			h.handleStateAccepted(link) // has no effect after the handover has ended
 			h.handleStateTimeout(link)
 			h.handleSuccessorExited(link)
 			h.reportAttemptSent(1, 1)
--- a/internal/gateway/handover_test.go
+++ b/internal/gateway/handover_test.go
@@ -158,7 +158,8 @@
 		c.sendOnce(id, "team")
 		c.wantServed(b, "ok")
 	}
-	for _, packet := range []string{"", "x", "\x00", strings.Repeat("h", 63)} { // none requests a handover
+	// None of these packets requests a handover.
+	for _, packet := range []string{"", "x", "\x00", strings.Repeat("h", 63)} {
 		conn := dialHandover(t, cfg)
 		if packet != "" {
 			conn.Write([]byte(packet))
--- a/internal/gateway/idle_timeout_test.go
+++ b/internal/gateway/idle_timeout_test.go
@@ -17,7 +17,7 @@
 		}
 	}
 	estimate.recordBroken(now, 400_000)
-	want(15_000_000) // a single one has no effect
+	want(15_000_000) // a single broken reuse has no effect
 	now += 100_000
 	estimate.recordBroken(now, 400_000)
 	want(200_000)
--- a/internal/gateway/listening.go
+++ b/internal/gateway/listening.go
@@ -14,8 +14,10 @@
 )
 
 const (
-	acceptRetryDelay   = 20 * time.Millisecond // after a failed accept
-	backlogIdleTimeout = 20 * time.Millisecond // without a new connection, after which the backlog is empty
+	acceptRetryDelay = 20 * time.Millisecond // delay before accept is called again after it has failed
+
+	// While the backlog is drained, it is considered empty if no connection arrives for backlogIdleTimeout.
+	backlogIdleTimeout = 20 * time.Millisecond
 )
 
 // listeningPhase is which process accepts clients, if any.
@@ -46,8 +48,8 @@
 }
 
 // listening accepts connections of clients. It owns the listener and the accept goroutine, which runs while
-// this process accepts or drains; there is never more than one. All of it belongs to the event loop, except
-// for acceptConns, which runs on the accept goroutine.
+// this process accepts or drains; there is never more than one. listening is used only by the event loop's
+// goroutine, except for acceptConns, which runs on the accept goroutine.
 type listening struct {
 	phase         phase.Machine[listeningPhase]
 	listener      *net.TCPListener
@@ -114,7 +116,7 @@
 // startAcceptLoop starts the accept goroutine.
 func (s *listening) startAcceptLoop() {
 	s.stopAccepting = make(chan struct{})
-	_ = s.listener.SetDeadline(time.Time{}) // acceptConns detects a closed listener
+	_ = s.listener.SetDeadline(time.Time{}) // fails only on a closed listener, which acceptConns detects
 	go s.acceptConns(s.listener, s.stopAccepting)
 }
 
@@ -125,7 +127,9 @@
 	}
 	close(s.stopAccepting)
 	s.stopAccepting = nil
-	_ = s.listener.SetDeadline(time.Unix(1, 0)) // acceptConns detects a closed listener
+	// A deadline in the past interrupts accept. Setting it fails only on a closed listener, which acceptConns
+	// detects.
+	_ = s.listener.SetDeadline(time.Unix(1, 0))
 }
 
 // handOver closes the listener, of which the successor has a descriptor. If a shutdown is draining the
@@ -156,7 +160,9 @@
 		s.startAcceptLoop()
 		return
 	}
-	_ = s.listener.SetDeadline(time.Now().Add(backlogIdleTimeout)) // acceptConns detects a closed listener
+	// The deadline interrupts accept, so that acceptConns detects that drainBacklog is closed. Setting it
+	// fails only on a closed listener, which acceptConns detects too.
+	_ = s.listener.SetDeadline(time.Now().Add(backlogIdleTimeout))
 }
 
 // listenerClosed reports that no more connections will arrive.
@@ -181,7 +187,7 @@
 		}
 		draining := isClosed(s.drainBacklog)
 		if draining {
-			// AcceptTCP reports a closed listener.
+			// SetDeadline fails only on a closed listener, which AcceptTCP reports.
 			_ = listener.SetDeadline(time.Now().Add(backlogIdleTimeout))
 		}
 		conn, err := listener.AcceptTCP()
--- a/internal/gateway/ops_test.go
+++ b/internal/gateway/ops_test.go
@@ -36,7 +36,7 @@
 // wantMetrics checks that the metrics page contains each line.
 func wantMetrics(tb testing.TB, r *rig, want ...string) {
 	tb.Helper()
-	r.sync(tb) // events that a fake has already seen may not be counted before
+	r.sync(tb) // otherwise the gateway may not have counted yet what a fake has already observed
 	_, body := getOpsPage(tb, r, "/ops/stats")
 	for _, line := range want {
 		if !strings.Contains("\n"+body, "\nedge_relay."+line+"\n") {
@@ -88,7 +88,7 @@
 	defer func() { _ = g.listening.listener.Close() }()
 	defer g.ops.Close()
 	go g.ops.Serve()
-	r := &rig{gateway: g} // its event loop never runs
+	r := &rig{gateway: g} // the gateway's event loop never runs
 	if got, _ := getOpsPage(t, r, "/ops/readiness"); got != 503 {
 		t.Errorf("before clients are accepted: got %d, want 503", got)
 	}
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -39,7 +39,7 @@
 }
 
 // reload replaces the configuration in force: all of it or, if anything in the new one is invalid, nothing.
-// It belongs to the event loop, and is in the phase none between events.
+// It is used only by the event loop's goroutine, and is in the phase none between events.
 type reload struct {
 	phase   phase.Machine[reloadPhase]
 	gateway reloadGateway
--- a/internal/gateway/request_body.go
+++ b/internal/gateway/request_body.go
@@ -18,9 +18,9 @@
 type body struct {
 	size             int
 	destination      chan *backendConn // sent by the event loop to the reader; nil to skip the body
-	lastBytesWriting atomic.Bool       // set by the reader before the last write: the request may run
+	lastBytesWriting atomic.Bool       // set by the reader before the last write; the request may then run
 
-	// Owned by the event loop.
+	// Used only by the event loop's goroutine.
 	request  *request
 	assigned bool         // a value was sent to destination
 	conn     *backendConn // the connection that was sent to destination, if any
--- a/internal/gateway/request_body_test.go
+++ b/internal/gateway/request_body_test.go
@@ -99,7 +99,7 @@
 }
 
 // A backend may reply, fail or close its connection before the event loop handles bodyWritten. The request
-// may have run then, so its reply must not say that it has not.
+// may have run then, so it must not be rejected with BUSY, which states that it has not run.
 func TestReplyBeforeBodyWrittenEventIsForwarded(t *testing.T) {
 	for name, c := range map[string]struct {
 		end  func(testing.TB, *backendCall)
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -42,11 +42,11 @@
 	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
 	first := c.openLookup(b, 1)
-	second := c.openLookup(b, 2) // read although the first request is open
+	second := c.openLookup(b, 2) // the gateway reads the command although the first request is open
 	c.send("PING")
 	second.replyValue(t, "second")
 	c.sendLookup(3)
-	b.nextCall(t).replyValue(t, "third") // the gateway has received the second reply
+	b.nextCall(t).replyValue(t, "third") // by then the gateway has received the second reply
 	first.replyValue(t, "first")
 	c.wantValue("first")
 	c.wantValue("second")
@@ -54,10 +54,10 @@
 	c.wantValue("third")
 }
 
-// An idempotent request is retried after every outcome without a value.
+// An idempotent request is retried after every outcome of an attempt other than a value.
 func TestIdempotentRequestIsRetriedWithoutValue(t *testing.T) {
 	for _, c := range []struct {
-		name, reply string // the connection ends if reply is empty
+		name, reply string // if reply is empty, the backend closes the connection
 		retried     bool
 	}{
 		{"error", "-ERR failed\r\n", true},
@@ -84,8 +84,8 @@
 	}
 }
 
-// A request that is not idempotent and may have run is neither retried nor rejected. Its reply is an error
-// that does not say whether it has run.
+// A request that is not idempotent and may have run is neither retried nor rejected with BUSY. The reply is
+// an error that leaves open whether the request has run.
 func TestNonIdempotentRequestIsNotRetriedIfItMayHaveRun(t *testing.T) {
 	for name, end := range map[string]func(*backendCall){
 		"reset": func(c *backendCall) { _ = c.conn.Close() },
@@ -98,7 +98,7 @@
 			end(b.nextCall(t))
 			c.wantLine("-ERR failed")
 			if len(b.calls) > 0 {
-				t.Error("the request was sent again")
+				t.Error("the request was retried")
 			}
 		})
 	}
@@ -113,7 +113,7 @@
 	c.wantServed(b, "ok")
 }
 
-// A backend that refuses connections cannot have run the request, so the request is rejected.
+// A request whose connection is refused cannot have run, so it is rejected even if it is not idempotent.
 func TestRequestIsRejectedAfterConnectionRefused(t *testing.T) {
 	d := newFakeDiscovery(t, listEntry("s-00000001", porttest.Reserve(t), "Ready"))
 	c := startGateway(t, newConfig(t, d, nil)).client(t)
@@ -121,7 +121,8 @@
 	c.wantRejected()
 }
 
-// If a backend does not reply, the request is rejected at its deadline. The late reply is dropped.
+// A request whose backend does not reply is rejected at its deadline. A later reply of the backend is
+// discarded.
 func TestRequestIsRejectedAtDeadline(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
@@ -134,7 +135,7 @@
 	c.wantServed(b, "second")
 }
 
-// A request over the quota is rejected at once. The reply advises the client when to retry.
+// A request that exceeds the quota is rejected at once. The reply advises the client when to retry.
 func TestRejectionIncludesRetryAfter(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
@@ -142,27 +143,27 @@
 		const fields = "c=lookup,t=tiny,d=86400000,units=1,spread=1,first=0"
 		c.send("API.READ", "0000000000000009", fmt.Sprintf("%016x", id), fields)
 	}
-	send(1)
+	send(1) // takes the 1 unit that the token bucket holds
 	c.wantServed(b, "ok")
-	send(2) // the token bucket holds 1 unit; to wait until the deadline would take a day
+	send(2) // exceeds the quota; without the rejection, the test would time out long before the deadline
 	c.wantLine("-BUSY 2000")
 }
 
-// If costs are settled, the actual cost in the reply is charged instead of the estimate. Costs that no
-// request can have are ignored.
+// If the settings enable settlement, the actual cost in a backend's reply is charged instead of the estimate.
+// A cost that no request can have is ignored.
 func TestActualCostIsSettled(t *testing.T) {
 	for usage, admitted := range map[string]bool{
 		"used=3,cost=1": false, "cost=0.25": true, "cost=NaN": true, "cost=9": true,
 	} {
 		t.Run(usage, func(t *testing.T) {
 			r, b, _ := startWithBackend(t, withSettings(t, `"settles":false`, `"settles":true,"max-units":8`,
-				`"rate":0.1,`, `"rate":0.0001,`)) // too slow to refill the token bucket during the test
+				`"rate":0.1,`, `"rate":0.0001,`)) // the token bucket is not refilled during the test
 			c := r.client(t)
 			send := func(id int) {
 				const fields = "c=lookup,t=tiny,d=86400000,units=0.5,spread=1,first=0"
 				c.send("API.READ", "0000000000000009", fmt.Sprintf("%016x", id), fields)
 			}
-			send(1) // the token bucket holds 1 unit
+			send(1) // is charged 0.5 of the 1 unit in the token bucket, until its cost is settled
 			call := b.nextCall(t)
 			call.reply(t, fmt.Sprintf("*3\r\n$2\r\nok\r\n$%d\r\n%s\r\n$-1\r\n", len(usage), usage))
 			c.wantValue("ok")
@@ -176,7 +177,7 @@
 	}
 }
 
-// Only the first of several requests that fail within traceInterval is logged, with its ID.
+// If several requests fail within traceInterval, only the first of them is logged, with its ID.
 func TestTraceLogsOneOfSeveralFailedRequests(t *testing.T) {
 	b := newBackend(t)
 	d := newFakeDiscovery(t, b.listEntry("s-1", "Ready"))
@@ -194,7 +195,7 @@
 		r.attemptsInFlight = 2
 		attemptEnded{attempt: &attempt{request: r, backend: 5}, result: policy.ResultReset}.Handle(g)
 		policyActions{g}.Fail(r.id)
-		g.requests.nextTraceAt[traceFailed] += 3600e6 // longer than the test
+		g.requests.nextTraceAt[traceFailed] += 3600e6 // prolongs the interval beyond the end of the test
 	}
 	if text := log.String(); strings.Count(text, "msg=trace") != 1 || !strings.Contains(text, "id=id-0") ||
 		!strings.Contains(text, "to 5 at") {
@@ -226,11 +227,11 @@
 	other.wantError()
 	call.replyValue(t, "ok")
 	c.wantValue("ok")
-	c.sendLookup(1) // no longer open
+	c.sendLookup(1) // the request with this ID is no longer open
 	c.wantServed(b, "again")
 }
 
-// An ended request has no timer and occupies no memory until its deadline.
+// A request that ends before its deadline releases its timers and its memory at once.
 func TestEndedRequestsReleaseTimersAndMemory(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c := r.client(t)
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -15,8 +15,8 @@
 )
 
 // request is a command of a client with a place in the client's pipeline. Unless the gateway answers it at
-// once, it is in the request table until it is answered and none of its attempts is in flight. It belongs
-// to the event loop.
+// once, it is in the request table until it is answered and none of its attempts is in flight. It is used
+// only by the event loop's goroutine.
 type request struct {
 	id              uint64 // assigned by the gateway; zero if the request was not passed to the policy
 	clientRequestID uint64 // ID that the client has sent
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -18,7 +18,7 @@
 // testTimeout limits every wait of a test. No test checks a duration.
 const testTimeout = 30 * time.Second
 
-// wait returns the next value of a channel, and ends the test if none arrives within testTimeout.
+// wait returns the next value of a channel, and fails the test if none arrives within testTimeout.
 func wait[T any](tb testing.TB, from <-chan T, what string) T {
 	tb.Helper()
 	select {
@@ -52,7 +52,7 @@
 	return func(file map[string]any) { file["settings"] = editSettings(tb, changes...) }
 }
 
-// eventAs returns an event as the type T, and ends the test if it has another type.
+// eventAs returns an event as the type T, and fails the test if it has another type.
 func eventAs[T event](tb testing.TB, e event) T {
 	tb.Helper()
 	typed, ok := e.(T)
@@ -92,7 +92,7 @@
 
 // fakeClock is a clock of an event loop that stands still until the test advances or starts it.
 type fakeClock struct {
-	shown        atomic.Int64              // microseconds since 1970, without the time it has run
+	shown        atomic.Int64              // microseconds since 1970, without the time since runningSince
 	runningSince atomic.Pointer[time.Time] // nil while the clock stands still
 }
 
@@ -136,12 +136,12 @@
 
 // rig is a running gateway between a fake discovery service and fake backends.
 type rig struct {
-	addr    string // for clients
+	addr    string // address at which clients connect
 	gateway *Gateway
 	clock   *fakeClock
 	reload  chan struct{}                      // receives a value for each requested reload
 	configs chan func() (config.Config, error) // reads the configuration for the next reload
-	once    sync.Once                          // closes stopped
+	once    sync.Once                          // ensures that stopped is closed only once
 	stopped chan struct{}                      // closed to request a planned shutdown
 	ended   chan struct{}                      // closed when the event loop has stopped
 }
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -8,15 +8,22 @@
 	"sparspread/policy"
 )
 
-// The periods of a planned shutdown. They start with SIGTERM unless stated otherwise. The platform sends
-// SIGKILL 0.7 s after the longest client timeout.
+// The periods of a planned shutdown, which starts with SIGTERM. The platform sends SIGKILL 0.7 s after the
+// longest client timeout, counted from SIGTERM, and waits for client timeouts up to maxLongestTimeout.
 const (
-	acceptPeriod      = 500 * millisecond // connections are still accepted, because new ones keep arriving
-	backlogPeriod     = 50 * millisecond  // after acceptPeriod, for connections that arrived at its end
-	maxLongestTimeout = 3 * second        // the longest client timeout that the platform waits for
-	answerMargin      = 200 * millisecond // beyond the longest client timeout, to answer all open requests
-	closePeriod       = 300 * millisecond // after the last answer, for clients to close their connections
-	exitMargin        = 650 * millisecond // beyond the longest client timeout, to exit before SIGKILL
+	// Connections are accepted for acceptPeriod after SIGTERM, because new ones keep arriving. Connections
+	// that arrived at its end are accepted from the backlog for backlogPeriod.
+	acceptPeriod  = 500 * millisecond
+	backlogPeriod = 50 * millisecond
+
+	maxLongestTimeout = 3 * second
+
+	// All open requests are answered answerMargin after the longest client timeout. Clients then have
+	// closePeriod to close their connections. The process exits exitMargin after the longest client timeout
+	// at the latest, before SIGKILL.
+	answerMargin = 200 * millisecond
+	closePeriod  = 300 * millisecond
+	exitMargin   = 650 * millisecond
 )
 
 // longestTimeout returns the longest client timeout of the settings, at most maxLongestTimeout.
@@ -86,7 +93,7 @@
 }
 
 // shutdown is the planned shutdown of this process. Its phase only advances. From the phase closing on, only
-// connections from the backlog are accepted. It belongs to the event loop.
+// connections from the backlog are accepted. shutdown is used only by the event loop's goroutine.
 type shutdown struct {
 	phase   phase.Machine[shutdownPhase]
 	gateway shutdownGateway
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -42,15 +42,15 @@
 }
 
 // When the listener is about to be closed, a connection with a complete request is in its backlog. The
-// request must be served, and the process must not stop before.
+// request must be served, and the process must not stop before that.
 func TestShutdownServesBacklog(t *testing.T) {
 	g, b := newStoppingGateway(t)
 	c := (&rig{addr: g.listening.listener.Addr().String()}).client(t)
-	c.sendLookup(1) // stays in the kernel, because no connection is accepted yet
+	c.sendLookup(1) // the request stays in the kernel, because no connection is accepted yet
 	advanceClock(t, g, acceptPeriod)
 	handleUntil(t, g, "the request", func() bool { return g.requests.openCount == 1 })
 	handleUntil(t, g, "the listener to close", g.listening.isClosed)
-	advanceClock(t, g, 2*closePeriod) // the backend takes long
+	advanceClock(t, g, 2*closePeriod) // the backend takes longer than closePeriod to answer
 	if g.events.Stopped() {
 		t.Fatal("the event loop has stopped with an open request")
 	}
@@ -75,7 +75,7 @@
 		for conn.lastInputAt.Load() == 0 { // until the reader has received the input
 			runtime.Gosched()
 		}
-		conn.lastCommandAt = 0 // as if it had been opened earlier
+		conn.lastCommandAt = 0 // as if the connection had been opened earlier
 	}
 	advanceClock(t, g, acceptPeriod)
 	if g.events.Stopped() || len(g.clients.conns) != 1 {
@@ -90,7 +90,7 @@
 // For all client timeouts, even short ones, connections are accepted for acceptPeriod, their requests are
 // answered after that, and the process exits before SIGKILL.
 func TestShutdownStepOrder(t *testing.T) {
-	const killDelay = 700_000 // beyond the longest client timeout, in microseconds
+	const killDelay = 700_000 // time from the longest client timeout until SIGKILL, in microseconds
 	for _, limit := range []policy.Time{20_000, 50_000, 100_000, 290_000, 400_000, 2_500_000, 9_000_000, 0} {
 		t.Run(fmt.Sprintf("timeout %d us", limit), func(t *testing.T) {
 			cfg := config.Config{}
@@ -146,13 +146,14 @@
 	wait(t, r.ended, "the gateway to stop")
 }
 
-// A command that has partly arrived when the gateway closes its connections is read completely and answered.
+// A command of which a part has arrived when the gateway closes idle connections is read completely and
+// answered.
 func TestShutdownWaitsForPartialCommand(t *testing.T) {
 	r, b, _ := startWithBackend(t, nil)
 	c, idle := r.client(t), r.client(t)
 	idle.send("PING")
 	idle.wantLine("+PONG")
-	r.advanceClock(t, 1) // so that input from now on is later than its connection
+	r.advanceClock(t, 1) // so that further input has a later time than the opening of the connection
 	const command = "*4\r\n$8\r\nAPI.READ\r\n$16\r\n0000000000000007\r\n$16\r\n0000000000000001\r\n" +
 		"$48\r\nc=lookup,t=team,d=60000,units=1,spread=1,first=0\r\n"
 	c.write(command[:40])
@@ -166,7 +167,7 @@
 	c.write(command[40:])
 	c.wantServed(b, "ok")
 	c.wantClosed()
-	r.runClock() // for the timeout of the connection, which lingers
+	r.runClock() // lets the linger time of the closed connection pass
 	wait(t, r.ended, "the gateway to stop")
 }
 
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -42,7 +42,8 @@
 	return faultyDiscovery{address: listener.Addr().String()}
 }
 
-// discoveryFaults start one faulty discovery service each. The service sends a value to called for each call.
+// discoveryFaults start one faulty discovery service each. The service sends a value to called for each dial
+// or connection.
 var discoveryFaults = map[string]func(t *testing.T, called chan<- string) faultyDiscovery{
 	"refuses": func(t *testing.T, called chan<- string) faultyDiscovery {
 		t.Helper()
@@ -68,7 +69,7 @@
 		t.Helper()
 		return startFaultyDiscovery(t, func(conn *net.TCPConn) {
 			const half = "HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n{\"revision\":9,\"members\":["
-			_, _ = fmt.Fprint(conn, half) // a closed connection fails the test elsewhere
+			_, _ = fmt.Fprint(conn, half) // if the connection is closed, the test fails elsewhere
 			called <- "half a list"
 		})
 	},
@@ -98,7 +99,7 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			g.start(ctx)
-			wait(t, called, "discovery's first call")
+			wait(t, called, "the first dial or connection to discovery")
 			if g.events.RunTimers(); !g.listening.isWaiting() {
 				t.Fatal("the gateway is ready before readinessWait")
 			}
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -23,13 +23,13 @@
 // timer is an event that is scheduled for a given time.
 type timer = eventloop.Timer[*Gateway]
 
-// Gateway is the state that events act on. The goroutine of the event loop owns the policy's controller and
-// everything else that the fields refer to; other goroutines post events. Apart from what the type of a field
-// makes safe for them, other goroutines may use only log, clock, events.Post, events.PostUrgent,
-// memory.inputBytes and publishedConfig.
+// Gateway is the state of a running gateway, which the handlers of events read and change. Only the event
+// loop's goroutine may use it, with these exceptions: other goroutines post events with events.Post and
+// events.PostUrgent, may use log, clock, memory.inputBytes and publishedConfig, and may call methods that are
+// documented as safe for concurrent use.
 type Gateway struct {
 	log             *slog.Logger
-	clock           eventloop.Clock // of the event loop; safe for any goroutine
+	clock           eventloop.Clock // the time source of the event loop; safe for any goroutine
 	events          *eventLoop
 	controller      *policy.Controller
 	config          *config.Config                // in force
@@ -56,13 +56,19 @@
 	shutdown  *shutdown
 }
 
-// requestTable holds the open requests. It belongs to the event loop.
+// requestTable holds the open requests. It is used only by the event loop's goroutine.
 type requestTable struct {
-	byID                  map[uint64]*request // requests that are not answered yet or have an attempt in flight
-	openByClientRequestID map[uint64]*request // requests without a final reply, by the ID that the client sent
-	lastID                uint64              // the highest ID assigned so far
-	openCount             int                 // requests without a final reply, including those not in byID
-	nextTraceAt           traceSchedule
+	// byID holds the requests that were passed to the policy and are not answered yet or have an attempt in
+	// flight.
+	byID map[uint64]*request
+	// openByClientRequestID holds the requests in byID that are not answered yet, by the ID that the client
+	// has given the request.
+	openByClientRequestID map[uint64]*request
+	lastID                uint64 // the highest ID assigned so far
+	// openCount is the number of requests that are not answered yet, including those that were not passed to
+	// the policy.
+	openCount   int
+	nextTraceAt traceSchedule
 }
 
 func newRequestTable() requestTable {
@@ -71,6 +77,10 @@
 
 // memoryUse counts the bytes of memory that clients occupy.
 type memoryUse struct {
-	retainedBytes int          // requests in the table and replies not written yet; belongs to the event loop
-	inputBytes    atomic.Int64 // input that waits for the event loop; safe for any goroutine
+	// retainedBytes is the size of the requests in the table and of the replies that are not written yet. It
+	// is used only by the event loop's goroutine.
+	retainedBytes int
+	// inputBytes is the size of the input that waits for the event loop: input that was read ahead, and
+	// queued commands. It is safe for any goroutine.
+	inputBytes atomic.Int64
 }
--- a/internal/gateway/takeover.go
+++ b/internal/gateway/takeover.go
@@ -55,7 +55,8 @@
 }
 
 // takeover is the handover from a predecessor to this process. It owns the link to the predecessor. This
-// process decides only in the phases none, watching and complete. It belongs to the event loop.
+// process decides only in the phases none, watching and complete. takeover is used only by the event loop's
+// goroutine.
 type takeover struct {
 	phase   phase.Machine[takeoverPhase]
 	link    predecessorLink // nil if there is no predecessor
@@ -207,7 +208,8 @@
 	}.Handle(g)
 }
 
-// predecessorCostSettled reports what a request of the predecessor cost beyond its estimate.
+// predecessorCostSettled reports the difference between the actual and the estimated cost of a request of the
+// predecessor.
 type predecessorCostSettled struct{ settled handover.CostSettled }
 
 func (e predecessorCostSettled) Handle(g *Gateway) {
--- a/internal/gateway/takeover_test.go
+++ b/internal/gateway/takeover_test.go
@@ -49,7 +49,7 @@
 		t.Error("the takeover is not pending")
 	}
 	o.requestState(nil)
-	o.requestState(nil) // as for each further endpoint list
+	o.requestState(nil) // has no effect; each further endpoint list causes another call
 	wantPhase(t, &o.phase, takeoverStarted)
 	f.wantCalls(t, "Start")
 	o.receiveState(&handover.State{})
@@ -100,7 +100,7 @@
 func TestTakeoverRejectsIllegalTransitions(t *testing.T) {
 	log, illegal := newIllegalTransitionLog()
 	o, f := newPendingTakeover(log)
-	o.receiveState(&handover.State{}) // before it was requested
+	o.receiveState(&handover.State{}) // the state was not requested yet
 	wantPhase(t, &o.phase, takeoverPending)
 	wantIllegalTransitions(t, illegal, "takeover: no transition from pending to watching")
 	o.requestState(nil)
--- a/internal/gateway/test_client_test.go
+++ b/internal/gateway/test_client_test.go
@@ -14,7 +14,7 @@
 	"sparspread/internal/resp"
 )
 
-// testClient is a client's connection to a gateway. Its methods end the test if the connection fails.
+// testClient is a client's connection to a gateway. Its methods fail the test if the connection fails.
 type testClient struct {
 	t    testing.TB
 	conn *net.TCPConn
--- a/internal/gateway/value_stream.go
+++ b/internal/gateway/value_stream.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	minValuePrefix       = 1 << 10         // bytes of a large value that arrive before the loop is notified
-	transferBufferSize   = 16 << 10        // bytes of a large value or body that are buffered
+	minValuePrefix       = 1 << 10         // number of bytes of a value after which the loop is notified
+	transferBufferSize   = 16 << 10        // size of the buffer for a large value or body in bytes
 	transferStallTimeout = 5 * time.Second // maximum time without progress of the sender or the receiver
 )
 
@@ -173,8 +173,8 @@
 	g.backends.releaseConn(c)
 }
 
-// settleCost reports to the policy and, during a handover, to the successor by how much the cost of a
-// request was underestimated.
+// settleCost reports to the policy and, during a handover, to the successor the difference between the actual
+// and the estimated cost of a request.
 func (g *Gateway) settleCost(customer uint64, extra float64) {
 	g.handover.reportCostSettled(customer, extra)
 	g.controller.CostSettled(g.events.Now(), customer, extra)
--- a/internal/gateway/value_stream_test.go
+++ b/internal/gateway/value_stream_test.go
@@ -157,7 +157,7 @@
 	}
 	c.wantLine("")
 	c.wantClosed()
-	r.runClock() // closed connections linger
+	r.runClock() // lets the linger time of the closed connections pass
 	wait(t, r.ended, "the gateway to end")
 }
 
--- a/internal/handover/codec.go
+++ b/internal/handover/codec.go
@@ -37,12 +37,12 @@
 // ClientConnection describes a client's connection. It is sent together with the connection's socket.
 type ClientConnection struct {
 	Requests int           // number of well-formed commands received so far
-	OpenedAt time.Time     // by the sender's wall clock
-	Age      time.Duration // when it was sent; zero if the sender's version does not send it
+	OpenedAt time.Time     // when it was accepted, by the sender's wall clock
+	Age      time.Duration // at the time of the handover; zero if the sender's version does not send it
 }
 
-// maxAgeWithoutCommand is the highest age of a connection that has sent no complete command: a gateway closes
-// such a connection after this time.
+// maxAgeWithoutCommand is the highest age of a connection on which no complete command has arrived, because a
+// gateway closes the connection earlier.
 const maxAgeWithoutCommand = 5 * time.Second
 
 // OpeningTime returns the time at which the connection was opened, by the clock that now was read from. If
@@ -181,19 +181,19 @@
 	})
 }
 
-// EncodeAttemptSent encodes the report of another attempt.
+// EncodeAttemptSent encodes the report that another attempt of a request was sent.
 func EncodeAttemptSent(a AttemptSent) ([]byte, error) {
 	return encodeMessage(attemptSentForm{ID: a.RequestID, Backend: a.Backend})
 }
 
-// DecodeAttemptSent decodes the report of another attempt.
+// DecodeAttemptSent decodes the report that another attempt of a request was sent.
 func DecodeAttemptSent(b []byte) (AttemptSent, error) {
 	return decodeMessage(b, func(form attemptSentForm) AttemptSent {
 		return AttemptSent{RequestID: form.ID, Backend: form.Backend}
 	})
 }
 
-// EncodeAttemptEnded encodes the outcome of an attempt.
+// EncodeAttemptEnded encodes the report of an attempt's outcome.
 func EncodeAttemptEnded(o policy.Outcome) ([]byte, error) {
 	return encodeMessage(attemptEndedForm{
 		ID: o.RequestID, Attempt: o.Attempt, Backend: o.Backend, Result: uint8(o.Result), Took: o.Latency,
@@ -201,7 +201,7 @@
 	})
 }
 
-// DecodeAttemptEnded decodes the outcome of an attempt.
+// DecodeAttemptEnded decodes the report of an attempt's outcome.
 func DecodeAttemptEnded(b []byte) (policy.Outcome, error) {
 	return decodeMessage(b, func(form attemptEndedForm) policy.Outcome {
 		return policy.Outcome{
@@ -212,12 +212,12 @@
 	})
 }
 
-// EncodeCostSettled encodes the settlement of a request's cost.
+// EncodeCostSettled encodes the report of the difference between a request's actual and estimated cost.
 func EncodeCostSettled(s CostSettled) ([]byte, error) {
 	return encodeMessage(costSettledForm{Customer: s.Customer, More: s.Extra})
 }
 
-// DecodeCostSettled decodes the settlement of a request's cost.
+// DecodeCostSettled decodes the report of the difference between a request's actual and estimated cost.
 func DecodeCostSettled(b []byte) (CostSettled, error) {
 	return decodeMessage(b, func(form costSettledForm) CostSettled {
 		return CostSettled{Customer: form.Customer, Extra: form.More}
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -16,7 +16,7 @@
 	kindStateEnd     kind = 'S' // the last chunk of the state
 	kindAccepted     kind = 'a' // the successor has decoded the state
 	kindOwnership    kind = 'g' // the predecessor has released ownership, and the successor acquires it
-	kindInput        kind = 'b' // a chunk of the unprocessed input of the client in the next kindClient
+	kindInput        kind = 'b' // a chunk of unprocessed input of the client in the next kindClient
 	kindClient       kind = 'c' // carries a client's socket
 	kindAttemptSent  kind = 'n' // another attempt of a request that the predecessor still serves
 	kindAttemptEnded kind = 'o' // the outcome of an attempt of a request that the predecessor still serves
@@ -27,7 +27,7 @@
 // the same sizes.
 const (
 	maxBodyBytes       = 32 << 10 // maximum length of a message, without the byte of its kind
-	successorBodyBytes = 63       // buffer for the body of a successor's message, which is always empty
+	successorBodyBytes = 63       // size of the buffer for the body of a successor's message, which is empty
 	maxSockets         = 2        // maximum number of sockets that the predecessor sends: listener and gossip
 	maxSocketsRead     = 4        // maximum number of sockets read with a message; the kernel drops others
 	descriptorBytes    = 4        // size of a descriptor in a control message
@@ -35,8 +35,8 @@
 )
 
 const (
-	writeTimeout    = 2 * time.Second  // for writing one message, until the other process reads it
-	replyTimeout    = time.Second      // for the reply to a request
-	transferTimeout = 2 * replyTimeout // for the state to be sent, decoded and accepted
-	readyTimeout    = 10 * time.Second // from sending the sockets to the successor's request for the state
+	writeTimeout    = 2 * time.Second  // maximum time to write one message if the socket buffer is full
+	replyTimeout    = time.Second      // maximum time until the sockets are requested, and until the reply
+	transferTimeout = 2 * replyTimeout // maximum time until the state is sent, decoded and accepted
+	readyTimeout    = 10 * time.Second // maximum time from sending the sockets to the request for the state
 )
--- a/internal/handover/olderform/forms.go
+++ b/internal/handover/olderform/forms.go
@@ -1,5 +1,5 @@
-// Package olderform declares the encoded forms of the handover's messages as an older version of the program
-// did. Tests use it to act as a predecessor or successor of that version.
+// Package olderform is a frozen copy of an older version's formats of the handover's messages. Tests use it
+// to act as a predecessor or successor of that version.
 package olderform
 
 import (
@@ -9,10 +9,10 @@
 	"fmt"
 )
 
-// The forms below are copied from the program of commit d086cf6. The copy is intended: gob skips fields that
-// it can't match by name without reporting an error, so only a comparison of the forms finds a renamed field.
+// The forms below are copied from the program of commit d086cf6. The copy is intended: gob and JSON skip
+// unknown fields without an error, so only a comparison of the forms detects a renamed field.
 
-// State is the encoded form of the state.
+// State is the encoded form of the state that a predecessor transfers to its successor.
 type State struct {
 	Version int
 	NextID  uint64
@@ -70,7 +70,7 @@
 	Asks                           byte
 }
 
-// HeardState is the encoded form of what another gateway has reported about a customer.
+// HeardState is the encoded form of another gateway's report about a customer.
 type HeardState struct {
 	Known        bool
 	Boot         uint32
@@ -110,15 +110,15 @@
 	Opened int64
 }
 
-// AttemptSent is the encoded form of the report of another attempt.
+// AttemptSent is the encoded form of the report that another attempt of a request was sent.
 type AttemptSent struct {
-	ID      uint64
+	ID      uint64 // of the request
 	Backend uint32
 }
 
 // AttemptEnded is the encoded form of the outcome of an attempt.
 type AttemptEnded struct {
-	ID        uint64
+	ID        uint64 // of the request
 	Attempt   int
 	Backend   uint32
 	Result    uint8
--- a/internal/handover/predecessor.go
+++ b/internal/handover/predecessor.go
@@ -86,7 +86,8 @@
 	}
 }
 
-// handOver hands over to one successor. It returns when the handover has failed or the successor has exited.
+// handOver hands over to one successor. It returns when the handover has failed or, after a completed
+// handover, when the successor has exited.
 func handOver(
 	conn *net.UnixConn, clients *net.TCPListener, gossip *net.UDPConn, events PredecessorEvents,
 ) error {
--- a/internal/handover/socket.go
+++ b/internal/handover/socket.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// socketPrefix is the prefix of the handover socket's file name, a former name of the program. It is frozen
-// because a successor and a predecessor of another version must use the same path.
+// socketPrefix is the prefix of the handover socket's file name. It is a former name of the program and must
+// not change, because a successor and a predecessor of another version must use the same path.
 const socketPrefix = "mothcleat-"
 
 // socketNetwork preserves the boundaries of messages: a message arrives complete or not at all, together with
@@ -36,7 +36,7 @@
 	return &net.UnixAddr{Name: path, Net: socketNetwork}
 }
 
-// errWrongSocket reports that a received socket has another type than the message requires at its position.
+// errWrongSocket reports that a received socket is not of the type expected at its position in the message.
 var errWrongSocket = errors.New("handover: received socket has an unexpected type")
 
 // tcpListener returns a received socket as a TCP listener.
@@ -54,8 +54,8 @@
 	return openSocket[*net.TCPConn](file, func(f *os.File) (any, error) { return net.FileConn(f) })
 }
 
-// openSocket duplicates the socket of a received file and returns the duplicate as type T. The file stays
-// open.
+// openSocket calls open, which duplicates the socket of a received file, and returns the duplicate as type T.
+// It returns errWrongSocket if the socket is of another type. The file stays open.
 func openSocket[T any](file *os.File, open func(*os.File) (any, error)) (T, error) {
 	var zero T
 	opened, err := open(file)
--- a/internal/handover/successor.go
+++ b/internal/handover/successor.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	maxDialAttempts     = 2  // if a process listens but does not reply
+	maxDialAttempts     = 2  // number of attempts to get a reply from a process that listens
 	maxTakeoverAttempts = 3  // number of failed attempts after which this process starts without the state
 	socketsReplyBytes   = 64 // size of the buffer for the reply with the sockets
 )
@@ -52,17 +52,19 @@
 type Takeover struct {
 	// ClientListener is the listening socket for clients. The caller of Dial owns and closes it.
 	ClientListener *net.TCPListener
-	// GossipConn is the socket for messages between gateways, or nil if the predecessor has none. The caller of
-	// Dial owns and closes it.
+	// GossipConn is the socket for messages between gateways, or nil if the predecessor has none. The caller
+	// of Dial owns and closes it.
 	GossipConn *net.UDPConn
 
 	path      string
 	log       *slog.Logger
 	startOnce sync.Once
 
-	mu        sync.Mutex
-	conn      *net.UnixConn // replaced under mu by the goroutine of Start, which reads it without mu
-	abandoned bool          // guarded by mu; set by Abandon
+	mu sync.Mutex
+	// conn is written only by the goroutine that Start starts, with mu held. That goroutine reads it without
+	// mu; other goroutines must hold mu.
+	conn      *net.UnixConn
+	abandoned bool // guarded by mu; set by Abandon
 }
 
 // Dial requests the sockets of the process that serves clients at listenAddress. It returns nil if no such
@@ -100,7 +102,7 @@
 	return t, nil
 }
 
-// requestSockets requests and receives the sockets for clients and gossip.
+// requestSockets requests and receives the listening socket for clients and the gossip socket.
 func (t *Takeover) requestSockets() error {
 	_ = t.conn.SetDeadline(time.Now().Add(replyTimeout)) // fails only on a closed connection
 	if err := writeMessage(t.conn, kindHello, nil); err != nil {
@@ -257,8 +259,8 @@
 }
 
 // next reads one message. The body is valid until the next call of next. deliver is nil for the messages on
-// which requestState acts, and for messages that can't be decoded. The latter are skipped, because messages
-// are independent of each replacement.
+// which requestState acts, for a chunk of a client's input, and for messages that can't be decoded. The last
+// are skipped, because messages are independent of each other.
 func (r *messageReader) next() (messageKind kind, body []byte, deliver delivery, err error) {
 	message, err := readMessage(r.conn, r.buffer)
 	if err != nil {
@@ -282,8 +284,8 @@
 	return message.kind, message.body, deliver, nil
 }
 
-// clientDelivery returns the delivery of a client's socket with the input that was received before it. It
-// returns nil if the socket is missing or unusable, or if the message can't be decoded.
+// clientDelivery returns the delivery of a client's socket with the input that was received before the
+// socket. It returns nil if the socket is missing or unusable, or if the message can't be decoded.
 func (r *messageReader) clientDelivery(message incomingMessage) delivery {
 	input := r.pendingInput
 	r.pendingInput = nil
