--- a/cmd/gateway/descriptors_test.go
+++ b/cmd/gateway/descriptors_test.go
@@ -87,12 +87,12 @@
 	}
 }
 
-// requireNoDescriptorErrors checks that the process has logged no call that failed because the limit on
-// descriptors was reached.
+// requireNoDescriptorErrors checks that the process has logged no system call that failed because the limit
+// on descriptors was reached.
 func (p *gatewayProcess) requireNoDescriptorErrors(t *testing.T) {
 	t.Helper()
 	if n := strings.Count(p.logText(), tooManyOpenFiles); n > 0 {
-		t.Errorf("%d calls failed because the limit on descriptors was reached, want 0", n)
+		t.Errorf("%d system calls failed because the limit on descriptors was reached, want 0", n)
 	}
 }
 
@@ -111,7 +111,7 @@
 // While discovery is unavailable, idle clients use all descriptors for clients, and as many more keep
 // connecting. Guards against idle clients that keep the gateway from serving others or from reaching
 // discovery: other clients and operators must be answered, the gateway must apply discovery's list when it is
-// available again, and no call may fail because the limit on descriptors is reached.
+// available again, and no system call may fail because the limit on descriptors is reached.
 func TestSaturatedGatewayServesOthersWithoutDiscovery(t *testing.T) {
 	cases := []saturationCase{{32, true}, {64, false}, {256, true}, {1024, false}}
 	runInParallel(t, cases, testSaturationWithoutDiscovery)
--- a/cmd/gateway/slowstart_fleet_test.go
+++ b/cmd/gateway/slowstart_fleet_test.go
@@ -47,7 +47,7 @@
 // overloadWindow describes the commands that a starting backend received in one window.
 type overloadWindow struct {
 	backend  int
-	age      time.Duration // of the backend, at the beginning of the window
+	age      time.Duration // age of the backend at the beginning of the window
 	received int           // number of commands
 	budget   float64       // maximum number of commands
 }
--- a/internal/eventloop/timers.go
+++ b/internal/eventloop/timers.go
@@ -10,7 +10,7 @@
 type Timer[S any] struct {
 	at    int64 // in microseconds since 1970
 	event Event[S]
-	index int // in the heap; -1 if the timer was handled or cancelled
+	index int // position in the heap; -1 if the timer was handled or cancelled
 }
 
 // timerQueue holds the timers of a loop.
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -16,7 +16,7 @@
 	number         int          // index of the attempt among those of the request, from 0
 	backend        uint32       // number of the backend
 	sentAt         policy.Time  // when the policy decided to send it
-	expiresAt      policy.Time  // when it times out
+	expiresAt      policy.Time  // when the attempt times out
 	conn           *backendConn // nil while it waits for a connection and after it has ended
 	timeout        *timer
 	redialed       bool // its dial was reset and has been repeated
--- a/internal/gateway/backend.go
+++ b/internal/gateway/backend.go
@@ -39,7 +39,7 @@
 	writer           *sockwriter.Writer
 	bytesRead        atomic.Int64            // counted by the reader goroutine
 	done             chan struct{}           // closed by the event loop when it closes the connection
-	valueDestination chan *sockwriter.Writer // of a large value; sent by the event loop to the reader
+	valueDestination chan *sockwriter.Writer // the client's writer, sent to the reader for a large value
 
 	// Used only by the event loop's goroutine.
 	backend       *backend
@@ -49,7 +49,7 @@
 	bytesConsumed int64 // the part of bytesRead that belongs to handled replies
 
 	// Used only by the reader goroutine.
-	readTimeout time.Duration // for further input of an incomplete reply; zero for no limit
+	readTimeout time.Duration // maximum wait for further input of an incomplete reply; if zero, no limit
 }
 
 // attemptSource has the operations of the gateway that backends need to send attempts.
--- a/internal/gateway/backend_reply.go
+++ b/internal/gateway/backend_reply.go
@@ -28,7 +28,7 @@
 	value      []byte // nil if there is none
 	usage      string // such as "used=37,cost=4"; empty if there is none
 	load       string // the load report, in the same form; empty if there is none
-	wellFormed bool   // in the expected form: an array whose first item is the value, or an error
+	wellFormed bool   // the reply has the expected form: an array whose first item is the value, or an error
 }
 
 // classifyReply interprets a reply to a request or to a health check. Items behind the value, such as a load
--- a/internal/gateway/backend_report.go
+++ b/internal/gateway/backend_report.go
@@ -6,7 +6,7 @@
 type closeReason int
 
 const (
-	closeEnded            closeReason = iota // the peer ended it, or input arrived that no attempt waited for
+	closeEnded            closeReason = iota // the connection ended, or input arrived while it was idle
 	closeTimedOut                            // the attempt timed out
 	closeCancelled                           // the result of the attempt is no longer needed
 	closeIncomplete                          // the request or the reply was incomplete
--- a/internal/gateway/backend_write.go
+++ b/internal/gateway/backend_write.go
@@ -16,7 +16,7 @@
 
 // writeAttempt writes an attempt to an idle connection. It returns true if the attempt was written or has
 // ended. Otherwise the connection was broken and is closed, nothing was sent, and the attempt can use
-// another one.
+// another connection.
 func (bs *backends) writeAttempt(c *backendConn, a *attempt) bool {
 	if c.backend.state != policy.EndpointReady {
 		// The backend started to drain while the attempt waited for the connection.
--- a/internal/gateway/client.go
+++ b/internal/gateway/client.go
@@ -26,8 +26,8 @@
 type client struct {
 	conn          *net.TCPConn
 	writer        *sockwriter.Writer
-	openedAt      time.Time       // when it was accepted by this process or a predecessor
-	clock         eventloop.Clock // of the event loop
+	openedAt      time.Time       // when the connection was accepted by this process or a predecessor
+	clock         eventloop.Clock // the time source of the event loop
 	pipelineSlots chan struct{}   // one per request: acquired by the reader, released by the event loop
 	done          chan struct{}   // closed by the event loop when it closes the connection
 	queuedBytes   *atomic.Int64   // points to memoryUse.inputBytes
--- a/internal/gateway/client_commands.go
+++ b/internal/gateway/client_commands.go
@@ -36,7 +36,7 @@
 type commandHead struct {
 	client     *client
 	receivedAt policy.Time
-	size       int      // bytes counted in memoryUse.inputBytes
+	size       int      // size of the arguments in bytes, as counted in memoryUse.inputBytes
 	args       [][]byte // nil if they were not read, or dropped for lack of memory
 	body       *body    // a large body that has not been read yet; nil if there is none
 }
--- a/internal/gateway/client_eviction_test.go
+++ b/internal/gateway/client_eviction_test.go
@@ -68,7 +68,7 @@
 // oldest one first. Otherwise, a connection with an incomplete first command is evicted after idle ones.
 func TestEvictLimitsConnectionsWithoutCommand(t *testing.T) {
 	g := newTestGateway(t, newFakeDiscovery(t))
-	g.clients.limit = 8 // at most six of them without a complete command
+	g.clients.limit = 8 // at most six connections may be without a complete command
 	now := g.events.Now()
 	add := func(commands int, age, sinceInput policy.Time) *client {
 		t.Helper()
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -13,8 +13,8 @@
 	ReadConfig func() (config.Config, error) // reads the current configuration
 }
 
-// run forwards requests to the event loop until ctx ends. If a configuration cannot be read, the current one
-// stays in force.
+// run forwards requests to shut down and to reload to the event loop until ctx ends. If a configuration
+// cannot be read, the current one stays in force.
 func (c Control) run(ctx context.Context, g *Gateway) {
 	stop := c.Stop
 	for {
--- a/internal/gateway/dial_fault_test.go
+++ b/internal/gateway/dial_fault_test.go
@@ -81,7 +81,7 @@
 	g, b := newGatewayWithBackend(t)
 	_ = failDials(g, syscall.EMFILE)
 	client := connectWithRequest(t, g, "c=once")
-	for range 200 { // an upper limit on the attempts and their pauses
+	for range 200 { // an upper limit on the dials and the pauses between them
 		if len(g.requests.byID) == 0 {
 			break
 		}
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -45,8 +45,8 @@
 }
 
 // endpointList holds the state of the endpoint list apart from the backends themselves: its source, its
-// newest revision and the numbers of its zones. The number of a zone never changes. endpointList is used only
-// by the event loop's goroutine.
+// newest revision and the numbers of its zones. The number of a zone never changes, because the policy
+// identifies zones by number. endpointList is used only by the event loop's goroutine.
 type endpointList struct {
 	phase          phase.Machine[endpointPhase]
 	newestRevision uint64   // the highest revision of all updates so far
--- a/internal/gateway/listening.go
+++ b/internal/gateway/listening.go
@@ -20,7 +20,7 @@
 	backlogIdleTimeout = 20 * time.Millisecond
 )
 
-// listeningPhase is which process accepts clients, if any.
+// listeningPhase states which process accepts clients, if any.
 type listeningPhase uint8
 
 const (
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -50,7 +50,7 @@
 }
 
 // newCounterServer starts a counter service that always answers with the same total. It sends the path of
-// each call to calls.
+// each request to calls.
 func newCounterServer(t *testing.T, total string) (server *httptest.Server, calls <-chan string) {
 	t.Helper()
 	got := make(chan string, 8)
@@ -64,7 +64,7 @@
 	return server, got
 }
 
-// Calls go to the counter of the newest configuration, and each call gets one answer.
+// Increments are sent to the counter of the newest configuration, and each increment gets one answer.
 func TestReloadChangesCounterAddress(t *testing.T) {
 	first, firstCalls := newCounterServer(t, "1")
 	second, secondCalls := newCounterServer(t, "2")
@@ -88,10 +88,10 @@
 	defer cancel()
 	go g.counter.Run(ctx)
 	policyActions{g}.IncrementCounter(1, 1, 1e6)
-	wait(t, firstCalls, "a call at the first counter")
+	wait(t, firstCalls, "a request at the first counter")
 	configLoaded{configWith(second)}.Handle(g)
 	policyActions{g}.IncrementCounter(1, 1, 1e6)
-	wait(t, secondCalls, "a call at the second counter")
+	wait(t, secondCalls, "a request at the second counter")
 	for _, total := range []float64{1, 2} {
 		e := eventAs[counterAnswered](t, wait(t, g.events.Queue(), "an answer"))
 		if e.Result != policy.ResultOK || e.Total != total {
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -46,7 +46,7 @@
 	c.send("PING")
 	second.replyValue(t, "second")
 	c.sendLookup(3)
-	b.nextCall(t).replyValue(t, "third") // by then the gateway has received the second reply
+	b.nextCall(t).replyValue(t, "third") // the gateway has received the second reply
 	first.replyValue(t, "first")
 	c.wantValue("first")
 	c.wantValue("second")
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -21,11 +21,11 @@
 	id              uint64 // assigned by the gateway; zero if the request was not passed to the policy
 	clientRequestID uint64 // ID that the client has sent
 	client          *client
-	args            [][]byte     // of the command; nil if it is not forwarded to a backend
+	args            [][]byte     // arguments of the command; nil if it is not forwarded to a backend
 	timeoutSpan     command.Span // position of the timeout in args[command.FieldsArg]
 	customer        uint64
 	estimatedCost   float64
-	metrics         *metrics.Class // of its class; nil if args is nil
+	metrics         *metrics.Class // metrics of its class; nil if args is nil
 	receivedAt      policy.Time    // when the last byte of the command was read
 	deadline        policy.Time
 	deadlineTimer   *timer // schedules deadlineTimeout
@@ -33,7 +33,7 @@
 	attempts         int            // number of attempts so far
 	attemptsInFlight int            // number of attempts without an outcome
 	waitingAttempt   *attempt       // waits for a connection; nil if none does
-	outcomes         []attemptEnded // of its ended attempts
+	outcomes         []attemptEnded // outcomes of its ended attempts
 
 	answered     bool
 	reply        []byte       // nil after it is written
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -32,7 +32,7 @@
 	clock           eventloop.Clock // the time source of the event loop; safe for any goroutine
 	events          *eventLoop
 	controller      *policy.Controller
-	config          *config.Config                // in force
+	config          *config.Config                // the configuration in force
 	publishedConfig atomic.Pointer[config.Config] // same value as config, for other goroutines
 
 	requests requestTable
--- a/internal/handover/codec.go
+++ b/internal/handover/codec.go
@@ -37,8 +37,8 @@
 // ClientConnection describes a client's connection. It is sent together with the connection's socket.
 type ClientConnection struct {
 	Requests int           // number of well-formed commands received so far
-	OpenedAt time.Time     // when it was accepted, by the sender's wall clock
-	Age      time.Duration // at the time of the handover; zero if the sender's version does not send it
+	OpenedAt time.Time     // when the connection was accepted, by the sender's wall clock
+	Age      time.Duration // age at the time of the handover; zero if the sender's version does not send it
 }
 
 // maxAgeWithoutCommand is the highest age of a connection on which no complete command has arrived, because a
--- a/internal/handover/olderform/forms.go
+++ b/internal/handover/olderform/forms.go
@@ -112,13 +112,13 @@
 
 // AttemptSent is the encoded form of the report that another attempt of a request was sent.
 type AttemptSent struct {
-	ID      uint64 // of the request
+	ID      uint64 // ID of the request
 	Backend uint32
 }
 
 // AttemptEnded is the encoded form of the outcome of an attempt.
 type AttemptEnded struct {
-	ID        uint64 // of the request
+	ID        uint64 // ID of the request
 	Attempt   int
 	Backend   uint32
 	Result    uint8
