--- a/docs/logkeys_test.go
+++ b/docs/logkeys_test.go
@@ -12,16 +12,16 @@
 	"testing"
 )
 
-// The event of counters has a section of its own, whose tables list its keys under keyColumn as they are
-// logged: those of a group as GROUP.KEY.
+// The page documents the event countersMessage in a separate section. The tables of the section whose header
+// begins with keyColumnHeader list the keys of the event; a key in a group is listed as GROUP.KEY.
 const (
 	countersMessage = "decision counters"
 	countersHeading = "## Decision counters"
-	keyColumn       = "| key |"
-	decisionFolder  = "../policy"
+	keyColumnHeader = "| key |"
+	policyFolder    = "../policy"
 )
 
-// The functions of slog that make an attribute of one value, and of a group of attributes.
+// The functions of package slog that return an attribute with a single value or with a group of attributes.
 var (
 	valueConstructors = []string{
 		"Any", "Bool", "Duration", "Float64", "Int", "Int64", "String", "Time", "Uint64",
@@ -30,66 +30,66 @@
 )
 
 var (
-	errNoAttribute    = errors.New("no attribute that can be read")
-	errKeyNotConstant = errors.New("the key is no constant")
+	errNotAttribute   = errors.New("expected an slog attribute or a list of them")
+	errKeyNotConstant = errors.New("expected a constant key")
 )
 
-// Each key of the event of counters is in the tables of its section, and the tables have no other keys.
-func TestOperationsPageListsTheKeysOfTheCounters(t *testing.T) {
-	logged := decisionEvents(t)[countersMessage]
+// The tables of the counters section list every key of the event once, and no other key.
+func TestOperationsPageListsCounterKeys(t *testing.T) {
+	logged := policyEventKeys(t)[countersMessage]
 	if len(logged) == 0 {
-		t.Fatalf("%q: no keys in the program", countersMessage)
+		t.Fatalf("%q: package policy logs no keys, want at least one", countersMessage)
 	}
-	listed := firstColumn(t, sectionOf(t, logPage, countersHeading), keyColumn)
+	listed := firstColumnCodeSpans(t, pageSection(t, operationsPage, countersHeading), keyColumnHeader)
 	for _, key := range logged {
 		if !slices.Contains(listed, key) {
-			t.Errorf("%s: the section %q does not list %s", logPage, countersHeading, key)
+			t.Errorf("%s: section %q does not list key %s", operationsPage, countersHeading, key)
 		}
 	}
 	for _, key := range listed {
 		if !slices.Contains(logged, key) {
-			t.Errorf("%s: the section %q lists %s, which is not logged", logPage, countersHeading, key)
+			t.Errorf("%s: section %q lists key %s, which is not logged", operationsPage, countersHeading, key)
 		}
 	}
 	if len(slices.Compact(slices.Sorted(slices.Values(listed)))) != len(listed) {
-		t.Errorf("%s: the section %q lists a key twice: %q", logPage, countersHeading, listed)
+		t.Errorf("%s: section %q lists a key more than once: %q", operationsPage, countersHeading, listed)
 	}
 }
 
-// Each key of the other events of the decisions is named in the row of its event.
-func TestOperationsPageNamesTheKeysOfDecisionEvents(t *testing.T) {
-	events := decisionEvents(t)
+// For each other event that package policy logs, the row of the event names all its keys.
+func TestOperationsPageNamesPolicyEventKeys(t *testing.T) {
+	events := policyEventKeys(t)
 	if len(events) < 2 {
-		t.Fatalf("events %q, want several", slices.Collect(maps.Keys(events)))
+		t.Fatalf("events %q, want at least two", slices.Collect(maps.Keys(events)))
 	}
-	page := readPage(t, logPage)
+	page := readPage(t, operationsPage)
 	for message, keys := range events {
 		if message == countersMessage {
 			continue
 		}
 		_, row, found := strings.Cut(page, "\n| `"+message+"`")
 		if !found {
-			t.Errorf("%s: no row for %q", logPage, message)
+			t.Errorf("%s: no row for event %q", operationsPage, message)
 		}
 		row, _, _ = strings.Cut(row, "\n")
 		for _, key := range keys {
 			if !strings.Contains(row, "`"+key+"`") {
-				t.Errorf("%s: the row of %q does not name %s", logPage, message, key)
+				t.Errorf("%s: the row of event %q does not name key %s", operationsPage, message, key)
 			}
 		}
 	}
 }
 
-func TestAttributeKeysAreFound(t *testing.T) {
+func TestAttributeKeysResolvesGroupsAndFunctions(t *testing.T) {
 	const program = `package p
 const plainKey = "plain"
 func (c *Controller) log(i int) {
-	c.actions.Log("grouped", c.counters.take(i)...)
+	c.actions.Log("grouped", c.counters.flush(i)...)
 	c.actions.Log("single", plainAttr(i), slog.String("text", "value"))
 	c.actions.Log("unknown", attributes...)
 	c.actions.Log("unknown", slog.Other("key", 1))
 }
-func (n *counters) take(i int) []slog.Attr {
+func (n *counters) flush(i int) []slog.Attr {
 	attributes := []slog.Attr{slog.Int("total", i), groupAttr("first", i), groupAttr("second", i)}
 	return attributes
 }
@@ -100,13 +100,13 @@
 	return slog.GroupAttrs(key, slog.Int("inner", i), plainAttr(i), slog.Group("of", slog.Bool("bool", true)))
 }
 func plainAttr(i int) slog.Attr { return slog.Int(plainKey, i) }
-func (g *grants) take(i int) []*request { return nil }
+func (g *grants) flush(i int) []*request { return nil }
 `
 	file, err := parser.ParseFile(token.NewFileSet(), "p.go", program, parser.SkipObjectResolution)
 	if err != nil {
 		t.Fatal(err)
 	}
-	source := newSource()
+	source := newSourceIndex()
 	source.addFile(".", file)
 	want := map[string][]string{
 		"grouped": {
@@ -116,26 +116,27 @@
 		"single": {"plain", "text"},
 	}
 	for _, call := range source.logCalls {
-		message, _ := textOf(call.message)
+		message, _ := stringValue(call.message)
 		keys, err := source.attributeKeys(call)
 		if !slices.Equal(keys, want[message]) {
 			t.Errorf("%s: keys %q, want %q", message, keys, want[message])
 		}
-		if isUnknown := message == "unknown"; (err != nil) != isUnknown {
-			t.Errorf("%s: error %v", message, err)
+		if wantError := message == "unknown"; (err != nil) != wantError {
+			t.Errorf("%s: error %v, want one only if an attribute is unknown", message, err)
 		}
 	}
 }
 
-// decisionEvents returns the keys of each event that the decisions log, by its message.
-func decisionEvents(t *testing.T) map[string][]string {
+// policyEventKeys returns the attribute keys of each event that package policy logs, by the message of the
+// event.
+func policyEventKeys(t *testing.T) map[string][]string {
 	t.Helper()
-	source := sourceIn(t, []string{decisionFolder})
+	source := indexSource(t, []string{policyFolder})
 	events := map[string][]string{}
 	for _, call := range source.logCalls {
-		message, ok := source.messageOf(call)
+		message, ok := source.constantMessage(call)
 		if !ok {
-			continue // not a call that logs
+			continue // a wrapper that passes a message on, or a method that does not log
 		}
 		keys, err := source.attributeKeys(call)
 		if err != nil {
@@ -146,55 +147,60 @@
 	return events
 }
 
-// attributeKeys returns the keys of a log call's attributes, in order.
-func (s *source) attributeKeys(call logCall) ([]string, error) {
+// attributeKeys returns the keys of the attributes of a log call, in order.
+func (s *sourceIndex) attributeKeys(call logCall) ([]string, error) {
 	var keys []string
 	for _, attribute := range call.attributes {
-		more, err := s.keysOf(call.folder, attribute, nil)
+		attributeKeys, err := s.expressionKeys(call.folder, attribute, nil)
 		if err != nil {
 			return nil, err
 		}
-		keys = append(keys, more...)
+		keys = append(keys, attributeKeys...)
 	}
 	return keys, nil
 }
 
-// keysOf returns the keys of an attribute, or of a list of them: a call of slog, or of a function that
-// returns what is made by such calls. Parameters have the texts of the parameters of the function that it
-// stands in.
-func (s *source) keysOf(folder string, expression ast.Expr, parameters map[string]string) ([]string, error) {
+// expressionKeys returns the keys of an expression that is an attribute or a list of attributes: a call of
+// package slog, a call of a function that returns attributes, or a composite literal. The map parameters
+// holds the constant arguments of the enclosing function by parameter name.
+func (s *sourceIndex) expressionKeys(
+	folder string, expression ast.Expr, parameters map[string]string,
+) ([]string, error) {
 	switch expression := expression.(type) {
 	case *ast.CompositeLit:
-		return s.keysOfAll(folder, expression.Elts, parameters)
+		return s.expressionListKeys(folder, expression.Elts, parameters)
 	case *ast.CallExpr:
-		name, inSlog := calledName(expression)
+		name, inSlog := calleeName(expression)
 		if inSlog {
-			return s.keysOfSlog(folder, name, expression.Args, parameters)
+			return s.slogCallKeys(folder, name, expression.Args, parameters)
 		}
-		if function := s.functions[folder+"."+name]; function != nil {
-			return s.keysOfFunction(folder, function, expression.Args, parameters)
+		if function := s.attributeFunctions[folder+"."+name]; function != nil {
+			return s.functionKeys(folder, function, expression.Args, parameters)
 		}
 	}
-	return nil, fmt.Errorf("%w: %T", errNoAttribute, expression)
+	return nil, fmt.Errorf("%w, got %T", errNotAttribute, expression)
 }
 
-func (s *source) keysOfAll(folder string, list []ast.Expr, parameters map[string]string) ([]string, error) {
+func (s *sourceIndex) expressionListKeys(
+	folder string, expressions []ast.Expr, parameters map[string]string,
+) ([]string, error) {
 	var keys []string
-	for _, expression := range list {
-		more, err := s.keysOf(folder, expression, parameters)
+	for _, expression := range expressions {
+		expressionKeys, err := s.expressionKeys(folder, expression, parameters)
 		if err != nil {
 			return nil, err
 		}
-		keys = append(keys, more...)
+		keys = append(keys, expressionKeys...)
 	}
 	return keys, nil
 }
 
-// keysOfSlog returns the key of an attribute that slog makes, or the keys of the attributes of a group.
-func (s *source) keysOfSlog(
+// slogCallKeys returns the key of the attribute that a function of package slog returns. For a group it
+// returns the keys of the attributes in the group, as GROUP.KEY.
+func (s *sourceIndex) slogCallKeys(
 	folder, constructor string, arguments []ast.Expr, parameters map[string]string,
 ) ([]string, error) {
-	key, ok := s.constantText(folder, arguments[0], parameters)
+	key, ok := s.constantString(folder, arguments[0], parameters)
 	if !ok {
 		return nil, fmt.Errorf("slog.%s: %w", constructor, errKeyNotConstant)
 	}
@@ -202,26 +208,26 @@
 		return []string{key}, nil
 	}
 	if !slices.Contains(groupConstructors, constructor) {
-		return nil, fmt.Errorf("%w: slog.%s", errNoAttribute, constructor)
+		return nil, fmt.Errorf("%w, got slog.%s", errNotAttribute, constructor)
 	}
-	keys, err := s.keysOfAll(folder, arguments[1:], parameters)
+	keys, err := s.expressionListKeys(folder, arguments[1:], parameters)
 	for i := range keys {
 		keys[i] = key + "." + keys[i]
 	}
 	return keys, err
 }
 
-// keysOfFunction returns the keys of the attributes that a function makes: those of the first attribute or
-// list of attributes in its body.
-func (s *source) keysOfFunction(
+// functionKeys returns the keys of the attributes that a function returns. They are taken from the first
+// assignment or return statement of its body whose value is an attribute or a list of attributes.
+func (s *sourceIndex) functionKeys(
 	folder string, function *ast.FuncDecl, arguments []ast.Expr, parameters map[string]string,
 ) ([]string, error) {
-	texts := map[string]string{}
+	parameterValues := map[string]string{}
 	position := 0
 	for _, field := range function.Type.Params.List {
 		for _, name := range field.Names {
-			if text, ok := s.constantText(folder, arguments[position], parameters); ok {
-				texts[name.Name] = text
+			if text, ok := s.constantString(folder, arguments[position], parameters); ok {
+				parameterValues[name.Name] = text
 			}
 			position++
 		}
@@ -237,20 +243,21 @@
 		if len(values) != 1 {
 			continue
 		}
-		if keys, err := s.keysOf(folder, values[0], texts); err == nil {
+		if keys, err := s.expressionKeys(folder, values[0], parameterValues); err == nil {
 			return keys, nil
 		}
 	}
-	return nil, fmt.Errorf("%s: %w", function.Name.Name, errNoAttribute)
+	return nil, fmt.Errorf("%s: %w", function.Name.Name, errNotAttribute)
 }
 
-// constantText is the text of a literal, a constant or a parameter.
-func (s *source) constantText(
+// constantString returns the value of a string literal, of a constant, or of a parameter in the map. It
+// returns false if the expression is none of these.
+func (s *sourceIndex) constantString(
 	folder string, expression ast.Expr, parameters map[string]string,
 ) (string, bool) {
 	name, isName := expression.(*ast.Ident)
 	if !isName {
-		return textOf(expression)
+		return stringValue(expression)
 	}
 	if text, ok := parameters[name.Name]; ok {
 		return text, true
@@ -259,34 +266,34 @@
 	return text, ok
 }
 
-// returnsAttributes reports whether a function returns one attribute or a list of them.
+// returnsAttributes reports whether the only result of a function is an attribute or a list of attributes.
 func returnsAttributes(function *ast.FuncDecl) bool {
 	results := function.Type.Results
 	if results == nil || len(results.List) != 1 {
 		return false
 	}
 	result := results.List[0].Type
-	if list, isList := result.(*ast.ArrayType); isList {
-		result = list.Elt
+	if slice, isSlice := result.(*ast.ArrayType); isSlice {
+		result = slice.Elt
 	}
 	attribute, ok := result.(*ast.SelectorExpr)
 	return ok && attribute.Sel.Name == "Attr"
 }
 
-// calledName is the name of the function or method that is called, and whether it is one of package slog.
-func calledName(call *ast.CallExpr) (name string, inSlog bool) {
+// calleeName returns the name of the called function or method, and whether it belongs to package slog.
+func calleeName(call *ast.CallExpr) (name string, inSlog bool) {
 	switch function := call.Fun.(type) {
 	case *ast.Ident:
 		return function.Name, false
 	case *ast.SelectorExpr:
-		of, isName := function.X.(*ast.Ident)
-		return function.Sel.Name, isName && of.Name == "slog"
+		qualifier, isName := function.X.(*ast.Ident)
+		return function.Sel.Name, isName && qualifier.Name == "slog"
 	}
 	return "", false
 }
 
-// sectionOf returns the part of a page below a heading.
-func sectionOf(t *testing.T, page, heading string) string {
+// pageSection returns the part of a page from a heading to the next heading of level 2.
+func pageSection(t *testing.T, page, heading string) string {
 	t.Helper()
 	_, section, found := strings.Cut(readPage(t, page), "\n"+heading+"\n")
 	if !found {
