--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -108,7 +108,7 @@
 		case <-ctx.Done():
 			return
 		case call := <-queue:
-			total, result := c.post(ctx, call)
+			total, result := c.sendIncrement(ctx, call)
 			c.handleAnswer(Answer{Name: call.Name, Result: result, Total: total})
 		}
 	}
@@ -140,8 +140,8 @@
 	return c.baseURL + name + fmt.Sprintf("?add=%s&ttl_ms=%d", amount, milliseconds)
 }
 
-// post makes one call.
-func (c *Client) post(ctx context.Context, call call) (total float64, result policy.Result) {
+// sendIncrement makes one call.
+func (c *Client) sendIncrement(ctx context.Context, call call) (total float64, result policy.Result) {
 	ctx, cancel := context.WithDeadline(ctx, call.deadline)
 	defer cancel()
 	var written atomic.Bool // the whole request was written; set by a goroutine of the transport
--- a/internal/counter/counter_test.go
+++ b/internal/counter/counter_test.go
@@ -53,7 +53,7 @@
 }
 
 // The result distinguishes calls that added nothing from calls whose amount may have been added.
-func TestPostReturnsWhetherAmountMayHaveBeenAdded(t *testing.T) {
+func TestSendIncrementReturnsWhetherAmountMayHaveBeenAdded(t *testing.T) {
 	expired, release := make(expiringContext), make(chan struct{})
 	respond := func(body string) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprint(w, body) }
@@ -95,7 +95,7 @@
 				test.serve(w, r)
 			}))
 			client, _ := newTestClient(server)
-			total, result := client.post(expired, call{
+			total, result := client.sendIncrement(expired, call{
 				Increment: Increment{Name: 0xab, Amount: -2.5, TTL: 4e6},
 				baseURL:   client.baseURL, deadline: time.Now().Add(waittest.Timeout),
 			})
@@ -114,19 +114,19 @@
 	}
 }
 
-func TestPostReturnsConnectFailedIfRequestWasNotSent(t *testing.T) {
+func TestSendIncrementReturnsConnectFailedIfRequestWasNotSent(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		t.Error("called after the deadline")
 	}))
 	defer server.Close()
 	client, _ := newTestClient(server)
-	_, result := client.post(context.Background(), call{baseURL: client.baseURL, deadline: time.Now()})
+	_, result := client.sendIncrement(context.Background(), call{baseURL: client.baseURL, deadline: time.Now()})
 	if result != policy.ResultConnectFailed {
 		t.Errorf("after the deadline: got result %d, want %d", result, policy.ResultConnectFailed)
 	}
 	refusedClient := New(Config{Address: porttest.Reserve(t), Timeout: waittest.Timeout}, func(Answer) {})
 	deadline := time.Now().Add(waittest.Timeout)
-	_, result = refusedClient.post(context.Background(),
+	_, result = refusedClient.sendIncrement(context.Background(),
 		call{baseURL: refusedClient.baseURL, deadline: deadline})
 	if result != policy.ResultConnectFailed {
 		t.Errorf("no listener: got result %d, want %d", result, policy.ResultConnectFailed)
