--- a/deploy/example/standins/send.go
+++ b/deploy/example/standins/send.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	sendTimeout     = 30 * time.Second // for the start of the gateway, and for all replies
+	sendTimeout     = 30 * time.Second // limits the wait for the gateway, and then for all replies
 	pollInterval    = 10 * time.Millisecond
 	requestTimeout  = 5 * time.Second
 	requestArgCount = 4
--- a/deploy/example/standins/serve.go
+++ b/deploy/example/standins/serve.go
@@ -17,9 +17,9 @@
 const (
 	backendCount     = 2
 	listRevision     = 1           // the list never changes
-	maxWatchDuration = time.Minute // how long a call that waits for changes is held open
+	maxWatchDuration = time.Minute // a request that waits for changes is held open for at most this long
 	requestIDArg     = 2           // index of the request's ID in a command for a backend
-	answerValueCount = 3           // values in an answer of a backend
+	answerValueCount = 3           // every answer of a backend has this many values
 )
 
 // serveCommand is the command that runs the discovery service and the backends that it lists.
@@ -80,8 +80,8 @@
 	return listener, nil
 }
 
-// discoveryHandler responds with the list. If the call waits for changes, it responds after that wait that
-// there are none.
+// discoveryHandler responds with the list. If the request waits for changes, it responds after the wait with
+// an empty list of changes.
 func discoveryHandler(list []byte) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		query := r.URL.Query()
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -38,8 +38,9 @@
 func IsPing(name []byte) bool { return bytes.EqualFold(name, ping) }
 
 const (
-	customerLimit = 1 << 33 // customer IDs are below it
-	// idDigits is the number of hexadecimal digits of a customer ID and of a client ID.
+	customerLimit = 1 << 33 // every customer ID is below this limit
+	// idDigits is the number of hexadecimal digits of a customer ID, and of the ID that a client chose for a
+	// request.
 	idDigits = 16
 	// timeoutSlack is the time by which a timeout may exceed the limit of its class.
 	timeoutSlack = 1000 * microsecondsPerMS
--- a/internal/command/fields.go
+++ b/internal/command/fields.go
@@ -37,7 +37,7 @@
 }
 
 const (
-	defaultMaxCost    = 1e6 // units; used if the settings have no limit
+	defaultMaxCost    = 1e6 // units; limits the cost of a request if the settings do not
 	microsecondsPerMS = 1000
 	maxTimeoutMS      = 24 * 3600 * 1000
 )
--- a/internal/command/forward.go
+++ b/internal/command/forward.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// maxEncodingOverhead is the maximum number of bytes that the RESP encoding adds to the arguments.
+	// The RESP encoding adds at most maxEncodingOverhead bytes to the arguments.
 	maxEncodingOverhead = 72
-	// maxTimeoutGrowth is the maximum number of bytes by which the new timeout is longer than the old one.
+	// Replacing the timeout lengthens the fields by at most maxTimeoutGrowth bytes.
 	maxTimeoutGrowth = 8
 	decimal          = 10
 )
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -40,7 +40,7 @@
 	Discovery       string // the address of the discovery service
 	Seed            uint64 // the seed of the random numbers
 	MemoryMB        int
-	Sockets         int    // the configured limit on descriptors, for all parts together
+	Sockets         int    // the configured limit on descriptors for clients, backends and everything else
 	DescriptorLimit int    // the limit of the process on open descriptors; zero if unknown
 	Ops             string // the address for operators; empty if there is none
 
@@ -73,8 +73,9 @@
 	Settings   json.RawMessage  `json:"settings"`
 }
 
-// Present replaces a value of which only the key is needed. The endpoint list in the file may be long, and
-// a copy of its text would be a quarter of the memory that parsing the file allocates.
+// Present stands in for a JSON value that is ignored; it records only that the key is present. The endpoint
+// list in the file may be long, and a copy of its text would be a quarter of the memory that parsing the file
+// allocates.
 type Present struct{}
 
 // UnmarshalJSON accepts any value and discards it.
--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -21,12 +21,12 @@
 
 const (
 	// Connections is the maximum number of connections of a client, and the number of its queues. Each
-	// queue holds the calls for a part of the names.
+	// queue holds the increments of a part of the counters.
 	Connections = 4
 
-	queueLength      = 64              // maximum number of calls in one queue
-	idleTimeout      = 4 * time.Second // after which an idle connection is closed
-	maxResponseBytes = 256             // maximum size of a response body that is read
+	queueLength      = 64              // a queue holds at most this many increments
+	idleTimeout      = 4 * time.Second // a connection that has been idle for this long is closed
+	maxResponseBytes = 256             // at most this much of a response body is read
 )
 
 // errNotFinite means that the counter service answered with NaN or an infinity.
@@ -35,45 +35,45 @@
 // Config is the configuration of a Client.
 type Config struct {
 	Address string        // host and port of the counter service
-	Timeout time.Duration // of a call, from the call of Increment on
+	Timeout time.Duration // limits each request, including its time in the queue
 }
 
-// Increment describes a call that adds an amount to a counter.
+// Increment describes a request that adds an amount to a counter.
 type Increment struct {
-	Name   uint64
+	Name   uint64 // the ID of the customer whose usage is counted
 	Amount float64
 	TTL    policy.Time // microseconds after which the service may delete the counter
 }
 
-// Answer is the result of one call. If Result is policy.ResultOverloaded or policy.ResultConnectFailed, the
-// amount was not added. If it is policy.ResultTimedOut or policy.ResultReset, the amount may have been added,
-// or may be added later.
+// Answer is the result of one request. If Result is policy.ResultOverloaded or policy.ResultConnectFailed,
+// the amount was not added. If Result is policy.ResultTimedOut or policy.ResultReset, the amount may have
+// been added, or may be added later.
 type Answer struct {
 	Name   uint64
 	Result policy.Result
 	Total  float64 // after the increment; valid if Result is policy.ResultOK
 }
 
-// Client calls the counter service. Calls for the same name are made sequentially, in the order of the calls
-// of Increment, because the policy expects their totals in that order. Increment and SetAddress must not be
-// called concurrently.
+// Client sends increments to the counter service. It sends the increments of one counter sequentially, in the
+// order in which they were queued, because the policy expects their totals in that order. Increment and
+// SetAddress must not be called concurrently.
 type Client struct {
-	baseURL      string // for the current address
+	baseURL      string // derived from the current address
 	timeout      time.Duration
 	http         *http.Client
 	handleAnswer func(Answer)
 	queues       [Connections]chan call
 }
 
-// call is an increment that is queued or being made.
+// call is an increment that is queued or being sent.
 type call struct {
 	Increment
-	baseURL  string // for the address that was set when Increment was called
+	baseURL  string // derived from the address that was set when the increment was queued
 	deadline time.Time
 }
 
-// New returns a client. It calls handleAnswer with the result of each call, concurrently for calls in
-// different queues.
+// New returns a client. The client calls handleAnswer with the result of each request, concurrently for
+// increments in different queues.
 func New(config Config, handleAnswer func(Answer)) *Client {
 	c := &Client{
 		baseURL:      baseURL(config.Address),
@@ -92,7 +92,7 @@
 // baseURL returns the URL prefix of all counters of the service at an address.
 func baseURL(address string) string { return "http://" + address + "/v1/count/" }
 
-// Run makes the queued calls until the context ends.
+// Run sends the queued increments until the context ends.
 func (c *Client) Run(ctx context.Context) {
 	var running sync.WaitGroup
 	for _, queue := range c.queues {
@@ -101,7 +101,7 @@
 	running.Wait()
 }
 
-// runQueue makes the calls of one queue sequentially until the context ends.
+// runQueue sends the increments of one queue sequentially until the context ends.
 func (c *Client) runQueue(ctx context.Context, queue <-chan call) {
 	for {
 		select {
@@ -114,13 +114,14 @@
 	}
 }
 
-// SetAddress directs later calls to another address. Calls that are queued already go to the old address.
+// SetAddress sets the address for increments that are queued from now on. Increments that are already queued
+// still go to the old address.
 func (c *Client) SetAddress(address string) {
 	c.baseURL = baseURL(address)
 	c.http.CloseIdleConnections()
 }
 
-// Increment queues a call. If the queue for its name is full, it returns false and the call is not made.
+// Increment queues an increment. If the queue is full, it returns false and the increment is not sent.
 func (c *Client) Increment(increment Increment) bool {
 	call := call{Increment: increment, baseURL: c.baseURL, deadline: time.Now().Add(c.timeout)}
 	select {
@@ -131,7 +132,7 @@
 	}
 }
 
-// url returns the URL of the call.
+// url returns the URL of the increment's request.
 func (c *call) url() string {
 	name := strconv.FormatUint(c.Name, 16)
 	amount := strconv.FormatFloat(c.Amount, 'f', -1, 64)
@@ -140,11 +141,14 @@
 	return c.baseURL + name + fmt.Sprintf("?add=%s&ttl_ms=%d", amount, milliseconds)
 }
 
-// sendIncrement makes one call.
+// sendIncrement sends the request of one increment and returns the counter's total. If an error occurs before
+// the whole request was written, the amount cannot have been added, and the result is
+// policy.ResultConnectFailed. If an error occurs while waiting for the response, the amount may have been
+// added, and the result is policy.ResultTimedOut or policy.ResultReset.
 func (c *Client) sendIncrement(ctx context.Context, call call) (total float64, result policy.Result) {
 	ctx, cancel := context.WithDeadline(ctx, call.deadline)
 	defer cancel()
-	var written atomic.Bool // the whole request was written; set by a goroutine of the transport
+	var written atomic.Bool // whether the whole request was written; set by a goroutine of the transport
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		WroteRequest: func(info httptrace.WroteRequestInfo) { written.Store(info.Err == nil) },
 	})
@@ -167,7 +171,8 @@
 	}
 	total, err = parseTotal(body)
 	if err != nil {
-		// The amount was added, but the state of the connection is unknown, so it must not be reused.
+		// The amount was added, but the state of the connection is unknown, so the connection must not be
+		// reused.
 		c.http.CloseIdleConnections()
 		return 0, policy.ResultFailed
 	}
--- a/internal/counter/counter_test.go
+++ b/internal/counter/counter_test.go
@@ -120,7 +120,8 @@
 	}))
 	defer server.Close()
 	client, _ := newTestClient(server)
-	_, result := client.sendIncrement(context.Background(), call{baseURL: client.baseURL, deadline: time.Now()})
+	_, result := client.sendIncrement(context.Background(),
+		call{baseURL: client.baseURL, deadline: time.Now()})
 	if result != policy.ResultConnectFailed {
 		t.Errorf("after the deadline: got result %d, want %d", result, policy.ResultConnectFailed)
 	}
--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -7,15 +7,19 @@
 
 // The exponential backoff after a call that a shared service did not answer, and the jitter after a refusal.
 const (
-	baseBackoff          = 100 * time.Millisecond // maximum after the first failure; doubles with each one
-	maxUnansweredBackoff = 2 * time.Second        // maximum after any number of failures
-	maxBackoffDoublings  = 16                     // prevents an overflow of the shift
-	refusedJitterDivisor = 10                     // from the second refusal on, 1/10 of the delay is random
+	// baseBackoff limits the delay after the first failure. The limit doubles with each further failure.
+	baseBackoff = 100 * time.Millisecond
+	// maxUnansweredBackoff limits the delay after any number of failures.
+	maxUnansweredBackoff = 2 * time.Second
+	// maxBackoffDoublings limits the shift of baseBackoff, which would overflow after more failures.
+	maxBackoffDoublings = 16
+	// refusedJitterDivisor makes 1/10 of the delay random from the second refusal on.
+	refusedJitterDivisor = 10
 )
 
-// backoff returns the delay between a failed call and the next one. previousFailures is the number of
-// consecutive failures before the failed call or, if the call was refused, of refusals. The delay is random
-// because an outage makes the calls of all gateways fail at the same moment.
+// backoff returns the delay between a failed call and the next call. previousFailures is the number of
+// consecutive failures before the failed call; if the call was refused, only refusals are counted. The delay
+// is random because an outage makes the calls of all gateways fail at the same moment.
 //
 // The delay after an unanswered call is short, because a missed update is due within seconds. If a service
 // refuses all gateways, they call again within the same period. Their first delays spread the calls over
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -33,18 +33,18 @@
 // With an agent, the response timeout and the backoff are at most these fractions of the drain grace, so
 // that a call and the backoff after it end well within the grace.
 const (
-	responseTimeoutDivisor = 2 // half of the grace
-	backoffDivisor         = 5 // a fifth of the grace
+	responseTimeoutDivisor = 2 // the response timeout is at most half of the grace
+	backoffDivisor         = 5 // the backoff is at most a fifth of the grace
 )
 
 // listPath is the path of the service's endpoint list.
 const listPath = "/catalog/members"
 
-// upperSeedShift is the shift of Config.Seed that gives the second seed of the random source.
+// The second seed of the random source is Config.Seed, shifted right by upperSeedShift bits.
 const upperSeedShift = 32
 
-// updateMemoryDivisor limits the JSON text of an update to this fraction of the memory. A decoded update
-// takes three times as much memory as its text.
+// updateMemoryDivisor limits the JSON text of an update to an eighth of the memory limit, because the decoded
+// update takes three times as much memory as its text.
 const updateMemoryDivisor = 8
 
 // Config is the configuration of a Client.
@@ -63,7 +63,8 @@
 	DialContext func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Event reports an update. With the kind policy.UpdateUnavailable it has no update and reports a failed poll.
+// Event reports an update. If Kind is policy.UpdateUnavailable, Update is empty and the event reports a
+// failed poll.
 type Event struct {
 	Kind   policy.UpdateKind
 	Update Update
@@ -197,7 +198,7 @@
 	revision *uint64       // revision of the last update; if nil, the next call fetches the whole list
 	wait     time.Duration // how long the next call waits for changes
 	failures int           // consecutive failed calls
-	refusals int           // the number of those calls that the service refused
+	refusals int           // how many of these failed calls were refused by the service
 }
 
 // handleSuccess records the revision of an update. The next call waits for changes since that revision.
@@ -212,8 +213,8 @@
 	if errors.Is(err, errUnknownRevision) {
 		w.revision = nil
 	}
-	// Consecutive failures are logged ever more rarely: only if the number of previous ones is 0 or a power
-	// of two.
+	// A failure is logged only if the number of consecutive failures before it is 0 or a power of two, so
+	// that a long outage does not fill the log.
 	if w.failures&(w.failures-1) == 0 {
 		w.client.log.Warn("discovery call failed",
 			"error", err, "previous_failures", w.failures, "duration", duration)
--- a/internal/discovery/fake_test.go
+++ b/internal/discovery/fake_test.go
@@ -23,12 +23,13 @@
 	oneEndpoint = `{"revision":7,"complete":false,"members":[{"id":"s-00000001","phase":"Terminating"}]}`
 )
 
-// agentConfig returns the configuration of a client with an agent and without a drain grace.
+// agentConfig returns the configuration of a client to which an agent beside the gateway pushes the list,
+// without a drain grace.
 func agentConfig() Config {
 	return Config{Address: testAddress, Seed: 0x8c1f30d27a5be964, MemoryBytes: 192 << 20}
 }
 
-// agentConfigWithGrace adds the drain grace of a deployment with a pushed list.
+// agentConfigWithGrace is like agentConfig, but sets the drain grace of a deployment with a pushed list.
 func agentConfigWithGrace() Config {
 	config := agentConfig()
 	config.DrainGrace = 500 * time.Millisecond
@@ -104,18 +105,19 @@
 	return text
 }
 
-// roundTripFunc is a function that serves as an http.RoundTripper.
+// roundTripFunc adapts a function to http.RoundTripper.
 type roundTripFunc func(*http.Request) (*http.Response, error)
 
 // RoundTrip implements http.RoundTripper.
 func (f roundTripFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// respondWith returns a service that answers each call with the body that the function returns.
+// respondWith returns a service that answers each call with status 200 and the body that the function
+// returns.
 func respondWith(body func(*http.Request) io.Reader) roundTripFunc {
 	return func(r *http.Request) (*http.Response, error) { return respond(r, http.StatusOK, body(r)) }
 }
 
-// respond returns a response to a call.
+// respond returns a response to the request r with the given status and body.
 func respond(r *http.Request, status int, body io.Reader) (*http.Response, error) {
 	return &http.Response{
 		StatusCode: status, Status: strconv.Itoa(status), Request: r, Body: io.NopCloser(body),
@@ -142,7 +144,7 @@
 	return 0, errCallCancelled
 }
 
-// slowBody is a body that returns one part per interval until its call is cancelled.
+// slowBody is a body that returns one part after each interval until the call is cancelled.
 type slowBody struct {
 	cancelled <-chan struct{}
 	interval  time.Duration
@@ -186,13 +188,13 @@
 // wait for changes need no work.
 type queueingService struct {
 	workPerCall time.Duration
-	availableAt time.Time // all calls before are refused
+	availableAt time.Time // all calls before this time are refused
 
 	mu             sync.Mutex // guards the fields below
 	busyUntil      time.Time
 	callsPerSecond map[time.Duration]int // by the time since availableAt, in whole seconds
 	served         int
-	refused        int // after availableAt
+	refused        int // calls refused after availableAt
 }
 
 // RoundTrip implements http.RoundTripper.
--- a/internal/discovery/fetch.go
+++ b/internal/discovery/fetch.go
@@ -19,7 +19,7 @@
 	errUpdateTooLarge = errors.New("longer than limits.memory_mb allows")
 )
 
-// maxTrailingBytes is how much of a response is read after its update, so that the connection can be reused.
+// At most maxTrailingBytes of a response are read after the update, so that the connection can be reused.
 const maxTrailingBytes = 64
 
 // request holds the parameters of one call.
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics holds the counters and gauges that are shown to operators. They are atomic and updated
-// directly, so that reading them never waits for the gateway's event loop.
+// Package metrics holds the counters and gauges that are shown to operators. They are atomic and are updated
+// without posting to the gateway's event loop, so that reading them never waits for the loop.
 package metrics
 
 import (
@@ -22,7 +22,7 @@
 	ConfigsRejected      atomic.Int64 // reloads that were rejected
 
 	mu      sync.Mutex // guards classes
-	classes []*Class   // includes former classes, so that no total decreases
+	classes []*Class   // includes classes that a reload removed, so that their totals never restart at 0
 }
 
 // Class holds the counters of one request class. Each request is counted as one of Served, Throttled and
@@ -59,7 +59,8 @@
 	return class
 }
 
-// Page returns all metrics, one per line. Operators' tools depend on the names and their order.
+// Page returns the text that is served to operators: a line NAME=VALUE for each metric. Operators' tools
+// depend on the names and on their order.
 func (m *Metrics) Page() []byte {
 	m.mu.Lock()
 	classes := m.classes[:len(m.classes):len(m.classes)]
--- a/internal/ops/server.go
+++ b/internal/ops/server.go
@@ -113,7 +113,7 @@
 	case http.StateNew:
 		s.connections = append(s.connections, conn)
 		if len(s.connections) > s.maxConnections {
-			_ = s.connections[0].Close() // the operator gets no response, with or without an error
+			_ = s.connections[0].Close() // discarded, so an error does not matter
 			s.connections = s.connections[1:]
 		}
 	case http.StateClosed, http.StateHijacked:
--- a/internal/resp/reader.go
+++ b/internal/resp/reader.go
@@ -10,7 +10,8 @@
 
 const (
 	readBufferSize = 2048
-	// minGrowth is the minimum number of bytes by which the buffer of a value grows. A longer buffer doubles.
+	// minGrowth is the minimum number of bytes by which the buffer of a value grows. If the buffer already
+	// holds more, it doubles.
 	minGrowth = 4096
 )
 
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -13,15 +13,15 @@
 
 // Limits of the input.
 const (
-	MaxValue         = 64 << 10        // bytes of a value that is kept in memory
-	MaxStreamedValue = 4 << 20         // bytes of a value that the caller reads in parts
-	MaxCommand       = MaxValue + 4096 // bytes of all values of a command
-	MaxArgs          = 16              // values of a command or an array
+	MaxValue         = 64 << 10        // maximum size of a value that is kept in memory, in bytes
+	MaxStreamedValue = 4 << 20         // maximum size of a value that the caller reads in parts, in bytes
+	MaxCommand       = MaxValue + 4096 // maximum total size of the values of a command, in bytes
+	MaxArgs          = 16              // maximum number of values of a command or an array
 
 	// A command over the limits above is read and discarded if it is within these limits. A larger one is a
 	// protocol error.
-	maxDiscardedArgs  = 1024    // values of a command
-	maxDiscardedValue = 1 << 20 // bytes of a value
+	maxDiscardedArgs  = 1024    // maximum number of values of a command
+	maxDiscardedValue = 1 << 20 // maximum size of a value, in bytes
 )
 
 // ErrTooLarge reports that a well-formed command was discarded because it exceeds a limit. The Reader can
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -24,22 +24,23 @@
 	"fragile":   policy.NotIdempotent,
 }
 
-// dedupScopes maps the values of the key group, which states the backends that together drop repeats of a
-// request with an idempotency key.
+// dedupScopes maps the values of the key group, which states among which backends repeats of a request
+// with an idempotency key are recognized.
 var dedupScopes = map[string]policy.DedupScope{
 	"all":  policy.DedupAll,
 	"zone": policy.DedupZone,
 	"cell": policy.DedupCell,
 }
 
-// loadMetrics are the known values of a load report, by their names. Other values are UnusedMetric.
+// loadMetrics maps the names of values in a load report to the metrics of the policy. Any other name stands
+// for policy.UnusedMetric.
 var loadMetrics = map[string]policy.LoadMetric{
 	"busy_reqs": policy.BusyMetric,
 	"pending":   policy.WaitingMetric,
 }
 
-// membershipModes maps the values of the key membership-mode to whether the endpoint list is polled.
-// Otherwise service discovery pushes it.
+// membershipModes maps the values of the key membership-mode to whether the endpoint list is polled. A list
+// that is not polled is pushed by service discovery.
 var membershipModes = map[string]bool{"pushed": false, "on_request": true}
 
 // weightModes maps the values of the key weights to whether the capacity hints of the endpoint list can be
@@ -117,7 +118,8 @@
 	return nil
 }
 
-// setReportNames sets the names of the values in a load report, and the metric of each.
+// setReportNames sets the names of the values in a load report, and looks up the metric that each name stands
+// for.
 func setReportNames(p *parser, value string) error {
 	p.LoadReport, p.host.ReportNames = nil, strings.Split(value, ",")
 	for _, metric := range p.host.ReportNames {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -14,14 +14,14 @@
 // in the order of the settings.
 type Host struct {
 	Classes, Plans  []string        // the names of the classes and plans
-	ClientTimeouts  []policy.Time   // how long clients wait at most, by class; zero if unknown
+	ClientTimeouts  []policy.Time   // the longest time that clients wait, by class; zero if unknown
 	Zones           []string        // the names of the zones, by number
 	ReportNames     []string        // the names of the values in a load report
 	ReportVia       string          // how load reports are transmitted: "piggyback", "pull" or "silent"
 	MaxOpenRequests int             // the maximum number of open requests; if zero, there is no limit
 	DialTimeout     policy.Time     // the timeout for connecting to a backend
 	IdleTimeout     policy.Time     // the time after which backends close an idle connection
-	CounterTimeout  policy.Time     // the timeout of a call of the shared counter
+	CounterTimeout  policy.Time     // the timeout of a request to the shared counter
 	DrainGrace      policy.Time     // how long attempts may go to a backend after it was reported as draining
 	Keys            map[string]bool // the keys that are present; LIST.*.KEY if all items of a list have KEY
 }
--- a/internal/simproto/batch.go
+++ b/internal/simproto/batch.go
@@ -11,8 +11,8 @@
 
 const (
 	batchHeaderSize = 20
-	// bodyChunkSize is the number of bytes of a body that are read at a time, so that memory is only
-	// allocated for bytes that are received, and not for a large announced length.
+	// A body is read in chunks of bodyChunkSize bytes, so that memory is allocated only for bytes that are
+	// received, and not for a large announced length.
 	bodyChunkSize = 1 << 20
 )
 
--- a/internal/simproto/codes.go
+++ b/internal/simproto/codes.go
@@ -1,6 +1,7 @@
-// Package simproto is the codec of the simulator's protocol. The simulator sends frames of events, and for
-// each it gets a frame of actions in return. Integers are little-endian, and times are in microseconds. The
-// package defines all codes of the protocol; package settings defines the keys of its settings.
+// Package simproto is the codec of the simulator's protocol. The simulator sends batches, which are frames of
+// events, and receives a reply to each, which is a frame of actions. Integers are little-endian, and times
+// are in microseconds. The package defines all codes of the protocol; package settings defines the keys of its
+// settings.
 //
 // The types of the package are not safe for concurrent use.
 package simproto
@@ -51,11 +52,11 @@
 )
 
 const (
-	maxGossipSize = 256 // the maximum number of bytes of a gossip message
-	endpointSize  = 22  // the number of bytes of an entry of an endpoint list
+	maxGossipSize = 256 // bytes; longer gossip messages are truncated
+	endpointSize  = 22  // bytes; every entry of an endpoint list has this size
 )
 
-// resultByCode maps the codes of results.
+// resultByCode maps the protocol's codes of results to the results of the policy.
 var resultByCode = map[uint8]policy.Result{
 	1: policy.ResultOK,
 	2: policy.ResultFailed,
--- a/internal/simproto/event.go
+++ b/internal/simproto/event.go
@@ -6,17 +6,17 @@
 	"sparspread/policy"
 )
 
-// Event is an event of an instance. Its type is one of the types below. Its byte slices refer to the memory
-// of the batch, and are valid as long as the batch.
+// Event is an event of an instance, which is one controller of the simulation. Its type is one of the types
+// below. Byte slices in an event refer to the memory of its batch and are valid as long as the batch.
 type Event interface{ event() }
 
-// InstanceStarted starts an instance and replaces an existing instance of the same number.
+// InstanceStarted reports that an instance has started. It replaces a running instance of the same number.
 type InstanceStarted struct {
 	Seed     uint64 // the seed of the instance's random numbers
 	Settings []byte // lines of key=value, to be parsed by settings.ParseText
 }
 
-// InstanceStopped stops an instance.
+// InstanceStopped reports that an instance has stopped.
 type InstanceStopped struct{}
 
 // EndpointsUpdated reports an update of the endpoint list.
@@ -58,7 +58,7 @@
 	Message []byte
 }
 
-// CounterAnswered reports the result of a call of the shared counter.
+// CounterAnswered reports the result of an increment of the shared counter.
 type CounterAnswered struct {
 	Name   uint64
 	Result policy.Result
@@ -143,9 +143,9 @@
 	request.Cost = r.float32()
 	request.Timeout = policy.Time(r.uint32())
 	request.Plan = int(r.uint16())
-	request.Replicas = int(r.float32())
+	request.Replicas = int(r.float32()) // the protocol encodes this integer as a float
 	request.Class = int(r.uint16())
-	request.FirstReplica = int(r.float32())
+	request.FirstReplica = int(r.float32()) // likewise encoded as a float
 	request.Customer = r.uint64()
 	return RequestReceived{Request: request}
 }
@@ -193,7 +193,7 @@
 	return e
 }
 
-// readCounterAnswered reads the result of a call of the shared counter.
+// readCounterAnswered reads the result of an increment of the shared counter.
 func (r *recordReader) readCounterAnswered() Event {
 	var e CounterAnswered
 	e.Total = r.float32()
--- a/internal/simproto/record.go
+++ b/internal/simproto/record.go
@@ -93,7 +93,7 @@
 	return report
 }
 
-// readResult reads the result of an attempt, a health check or a call of the shared counter.
+// readResult reads the result of an attempt, a health check or an increment of the shared counter.
 func (r *recordReader) readResult() policy.Result { return readCode(r, resultByCode, "result") }
 
 // readCode reads a code and returns its value in byCode. The error for an unknown code contains name.
--- a/internal/simproto/reply.go
+++ b/internal/simproto/reply.go
@@ -9,8 +9,8 @@
 	"sparspread/policy"
 )
 
-// replyHeaderSize is the number of bytes of a frame's header, which consists of the index of the batch and
-// the size of the actions in bytes.
+// replyHeaderSize is the size in bytes of a frame's header, which consists of the index of the batch and the
+// total size of the actions.
 const replyHeaderSize = 8
 
 // Reply encodes the actions in reply to one batch. It implements policy.Actions for the instance that was
@@ -101,7 +101,7 @@
 	r.appendString(string(message[:min(len(message), maxGossipSize)]))
 }
 
-// IncrementCounter appends a call of the shared counter.
+// IncrementCounter appends an increment of the shared counter.
 func (r *Reply) IncrementCounter(name uint64, amount float64, lifetime policy.Time) {
 	r.appendRecordHeader(codeIncrementCounter)
 	r.appendUint64(name)
--- a/internal/sockwriter/writer.go
+++ b/internal/sockwriter/writer.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// stallChunkSize is the number of bytes that WriteBlocking writes under one deadline. The kernel has to
-// accept each chunk within the stall timeout.
+// WriteBlocking writes chunks of stallChunkSize bytes. The kernel has to accept each chunk within the stall
+// timeout.
 const stallChunkSize = 4096
 
 // Writer writes to one connection. Its methods are safe for concurrent use, except that WriteBlocking must
@@ -23,7 +23,7 @@
 
 	mu              sync.Mutex // guards the fields below
 	flushEnded      sync.Cond  // signalled when flushing becomes false
-	pending         []byte     // bytes accepted by Send that flush has not taken yet
+	pending         []byte     // bytes passed to Send that flush has not started to write yet
 	flushing        bool       // whether the flush goroutine is running
 	closeAfterFlush bool       // whether flush closes the sending side after the last byte
 }
