--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -21,7 +21,7 @@
 const (
 	NameArg = iota
 	CustomerArg
-	ClientIDArg
+	RequestIDArg
 	FieldsArg
 	BodyArg
 	maxArgs
@@ -51,10 +51,10 @@
 
 // Request is a parsed API.READ or API.WRITE.
 type Request struct {
-	Args        [][]byte
-	ClientID    uint64         // the ID that the client chose for the request
-	TimeoutSpan Span           // the range of the timeout's value in Args[FieldsArg]
-	Details     policy.Request // the parsed request; its ID is not set
+	Args          [][]byte
+	RequestID     uint64         // the ID that the client chose for the request
+	TimeoutSpan   Span           // the range of the timeout's value in Args[FieldsArg]
+	PolicyRequest policy.Request // the parsed request; its ID is not set
 }
 
 // Parse parses API.READ or API.WRITE. It returns an error if a field is unknown or invalid, so that no such
@@ -69,10 +69,10 @@
 	if !ok || customer >= customerLimit {
 		return r, errInvalidCustomer
 	}
-	if r.ClientID, ok = parseHex64(args[ClientIDArg]); !ok {
-		return r, errInvalidClientID
+	if r.RequestID, ok = parseHex64(args[RequestIDArg]); !ok {
+		return r, errInvalidRequestID
 	}
-	r.Details.Customer = customer
+	r.PolicyRequest.Customer = customer
 	present, err := r.parseFields(cfg)
 	if err != nil {
 		return r, err
@@ -87,8 +87,8 @@
 			return newFieldError(field, errMissing)
 		}
 	}
-	class := r.Details.Class
-	if limit := cfg.Host.ClientTimeouts[class]; limit > 0 && r.Details.Timeout > limit+timeoutSlack {
+	class := r.PolicyRequest.Class
+	if limit := cfg.Host.ClientTimeouts[class]; limit > 0 && r.PolicyRequest.Timeout > limit+timeoutSlack {
 		// No client waits this long, but the request would hold its timers and memory until the timeout.
 		return newFieldError(timeoutField, errTimeoutTooLong)
 	}
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -33,26 +33,26 @@
 }
 
 const (
-	testCustomer = "0000000000000007"
-	testClientID = "9b1f03aa5c7e2d41"
+	testCustomer  = "0000000000000007"
+	testRequestID = "9b1f03aa5c7e2d41"
 )
 
 // A request is forwarded with the fields that were parsed; only the timeout is replaced.
 func TestParseAndForward(t *testing.T) {
 	const sent = "c=lookup,t=team,d=480,units=2,spread=3,first=1"
-	args := commandArgs("api.read", testCustomer, testClientID, sent, "BODY")
+	args := commandArgs("api.read", testCustomer, testRequestID, sent, "BODY")
 	got, err := Parse(testConfig(), args)
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := policy.Request{Customer: 7, Timeout: 480_000, Cost: 2, Replicas: 3, FirstReplica: 1}
-	if got.Details != want || got.ClientID != 0x9b1f03aa5c7e2d41 {
-		t.Errorf("request %+v with client ID %x, want %+v", got.Details, got.ClientID, want)
+	if got.PolicyRequest != want || got.RequestID != 0x9b1f03aa5c7e2d41 {
+		t.Errorf("request %+v with ID %x, want %+v", got.PolicyRequest, got.RequestID, want)
 	}
 	const fields = "c=lookup,t=team,d=99,units=2,spread=3,first=1"
 	forwarded := string(Forwarded(got.Args, got.TimeoutSpan, 99_900, 0))
 	wantForwarded := "*5\r\n$8\r\napi.read\r\n$16\r\n" + testCustomer +
-		"\r\n$16\r\n" + testClientID + "\r\n$45\r\n" + fields + "\r\n$4\r\nBODY\r\n"
+		"\r\n$16\r\n" + testRequestID + "\r\n$45\r\n" + fields + "\r\n$4\r\nBODY\r\n"
 	if forwarded != wantForwarded {
 		t.Errorf("forwarded %q, want %q", forwarded, wantForwarded)
 	}
@@ -60,7 +60,7 @@
 
 // Only the head of a large body is encoded, and the timeout is at least 1 ms.
 func TestForwardedRequestEndsWithHeadOfLargeBody(t *testing.T) {
-	args := commandArgs("API.WRITE", testCustomer, testClientID, "d=480")
+	args := commandArgs("API.WRITE", testCustomer, testRequestID, "d=480")
 	got := string(Forwarded(args, Span{Start: 2, End: 5}, 0, 70_000))
 	if want := "*5\r\n"; !strings.HasPrefix(got, want) {
 		t.Errorf("forwarded %q, want the prefix %q", got, want)
@@ -78,54 +78,54 @@
 		name, customer, id, fields, want string
 	}{
 		{
-			"customer", "7", testClientID, good,
+			"customer", "7", testRequestID, good,
 			"customer: expected 16 hexadecimal digits, and a value below 2^33",
 		},
 		{"id", testCustomer, "7", good, "id: expected 16 hexadecimal digits"},
-		{"unknown field", testCustomer, testClientID, good + ",x=1", `field "x": unknown`},
+		{"unknown field", testCustomer, testRequestID, good + ",x=1", `field "x": unknown`},
 		{
-			"repeated field", testCustomer, testClientID, good + ",d=1",
+			"repeated field", testCustomer, testRequestID, good + ",d=1",
 			"fields: expected a list of name=value, with each name once",
 		},
-		{"missing field", testCustomer, testClientID, replace("t=team,", ""), "field t: missing"},
+		{"missing field", testCustomer, testRequestID, replace("t=team,", ""), "field t: missing"},
 		{
-			"cost is not a number", testCustomer, testClientID, replace("units=2", "units=NaN"),
+			"cost is not a number", testCustomer, testRequestID, replace("units=2", "units=NaN"),
 			`field units: invalid value "NaN"`,
 		},
 		{
-			"timeout over the limit of the class", testCustomer, testClientID, replace("480", "2001"),
+			"timeout over the limit of the class", testCustomer, testRequestID, replace("480", "2001"),
 			"field d: longer than the limit of the class",
 		},
 		{
-			"wrong command for the class", testCustomer, testClientID, replace("lookup", "once"),
+			"wrong command for the class", testCustomer, testRequestID, replace("lookup", "once"),
 			"class once: expected API.READ if it is idempotent, API.WRITE otherwise",
 		},
-		{"missing key", testCustomer, testClientID, replace("lookup", "order"), "field k: missing"},
-		{"empty key", testCustomer, testClientID, good + ",k=", `field k: invalid value ""`},
+		{"missing key", testCustomer, testRequestID, replace("lookup", "order"), "field k: missing"},
+		{"empty key", testCustomer, testRequestID, good + ",k=", `field k: invalid value ""`},
 		{
-			"unknown class", testCustomer, testClientID, replace("lookup", "gone"),
+			"unknown class", testCustomer, testRequestID, replace("lookup", "gone"),
 			`field c: unknown class "gone"`,
 		},
 		{
-			"unknown plan", testCustomer, testClientID, replace("team", "gone"),
+			"unknown plan", testCustomer, testRequestID, replace("team", "gone"),
 			`field t: invalid value "gone"`,
 		},
 		{
-			"too many replicas", testCustomer, testClientID, replace("spread=3", "spread=5"),
+			"too many replicas", testCustomer, testRequestID, replace("spread=3", "spread=5"),
 			`field spread: invalid value "5"`,
 		},
 		{
-			"first replica out of range", testCustomer, testClientID, replace("first=1", "first=4"),
+			"first replica out of range", testCustomer, testRequestID, replace("first=1", "first=4"),
 			`field first: invalid value "4"`,
 		},
-		{"timeout of zero", testCustomer, testClientID, replace("480", "0"), `field d: invalid value "0"`},
-		{"invalid retry flag", testCustomer, testClientID, good + ",r=2", `field r: invalid value "2"`},
+		{"timeout of zero", testCustomer, testRequestID, replace("480", "0"), `field d: invalid value "0"`},
+		{"invalid retry flag", testCustomer, testRequestID, good + ",r=2", `field r: invalid value "2"`},
 		{
-			"long unknown field", testCustomer, testClientID, good + "," + strings.Repeat("x", 40) + "=1",
+			"long unknown field", testCustomer, testRequestID, good + "," + strings.Repeat("x", 40) + "=1",
 			`field "` + strings.Repeat("x", 32) + `": unknown`,
 		},
 		{
-			"long value", testCustomer, testClientID, replace("team", strings.Repeat("y", 70)),
+			"long value", testCustomer, testRequestID, replace("team", strings.Repeat("y", 70)),
 			`field t: invalid value "` + strings.Repeat("y", 64) + `"`,
 		},
 	} {
@@ -139,7 +139,7 @@
 }
 
 func TestParseReturnsFieldErrorWithFieldAndValue(t *testing.T) {
-	_, err := Parse(testConfig(), commandArgs("API.READ", testCustomer, testClientID, "units=-1"))
+	_, err := Parse(testConfig(), commandArgs("API.READ", testCustomer, testRequestID, "units=-1"))
 	var fieldErr *FieldError
 	if !errors.As(err, &fieldErr) || fieldErr.Field != "units" || fieldErr.Value != "-1" {
 		t.Errorf("error %v, want a FieldError of field units with value -1", err)
@@ -152,7 +152,7 @@
 // A caller can distinguish an unknown class from other errors, since a reload may have removed the class.
 func TestParseReportsUnknownClass(t *testing.T) {
 	fields := "c=gone,t=team,d=480,units=2,spread=3,first=1"
-	_, err := Parse(testConfig(), commandArgs("API.READ", testCustomer, testClientID, fields))
+	_, err := Parse(testConfig(), commandArgs("API.READ", testCustomer, testRequestID, fields))
 	if !errors.Is(err, ErrUnknownClass) {
 		t.Errorf("error %v, want %v", err, ErrUnknownClass)
 	}
--- a/internal/command/errors.go
+++ b/internal/command/errors.go
@@ -8,11 +8,11 @@
 	// it.
 	ErrUnknownClass = errors.New("unknown class")
 
-	errArgumentCount   = errors.New("wrong number of arguments")
-	errInvalidCustomer = errors.New("customer: expected 16 hexadecimal digits, and a value below 2^33")
-	errInvalidClientID = errors.New("id: expected 16 hexadecimal digits")
-	errFieldSyntax     = errors.New("fields: expected a list of name=value, with each name once")
-	errWrongCommand    = errors.New("expected API.READ if it is idempotent, API.WRITE otherwise")
+	errArgumentCount    = errors.New("wrong number of arguments")
+	errInvalidCustomer  = errors.New("customer: expected 16 hexadecimal digits, and a value below 2^33")
+	errInvalidRequestID = errors.New("id: expected 16 hexadecimal digits")
+	errFieldSyntax      = errors.New("fields: expected a list of name=value, with each name once")
+	errWrongCommand     = errors.New("expected API.READ if it is idempotent, API.WRITE otherwise")
 )
 
 // The causes of a FieldError.
--- a/internal/command/fields.go
+++ b/internal/command/fields.go
@@ -81,18 +81,18 @@
 	ok, cause := false, errInvalidValue
 	switch field {
 	case classField:
-		r.Details.Class, ok = indexOfName(cfg.Host.Classes, value)
+		r.PolicyRequest.Class, ok = indexOfName(cfg.Host.Classes, value)
 		cause = ErrUnknownClass
 	case planField:
-		r.Details.Plan, ok = indexOfName(cfg.Host.Plans, value)
+		r.PolicyRequest.Plan, ok = indexOfName(cfg.Host.Plans, value)
 	case timeoutField:
-		r.Details.Timeout, ok = parseTimeout(value)
+		r.PolicyRequest.Timeout, ok = parseTimeout(value)
 	case costField:
-		r.Details.Cost, ok = parseCost(value, MaxCost(cfg))
+		r.PolicyRequest.Cost, ok = parseCost(value, MaxCost(cfg))
 	case replicasField:
-		r.Details.Replicas, ok = parseInt(value, 1, cfg.Settings.Gateways)
+		r.PolicyRequest.Replicas, ok = parseInt(value, 1, cfg.Settings.Gateways)
 	case firstReplicaField:
-		r.Details.FirstReplica, ok = parseInt(value, 0, cfg.Settings.Gateways-1)
+		r.PolicyRequest.FirstReplica, ok = parseInt(value, 0, cfg.Settings.Gateways-1)
 	case keyField:
 		ok = value != ""
 	case retryFlagField:
--- a/internal/gateway/client_commands.go
+++ b/internal/gateway/client_commands.go
@@ -92,7 +92,7 @@
 		malformed := !errors.Is(err, command.ErrUnknownClass)
 		return commandAnswered{commandHead: h, reply: errorReply(err), malformed: malformed}
 	case h.args == nil:
-		return requestDropped{commandHead: h, clientRequestID: request.ClientID}
+		return requestDropped{commandHead: h, clientRequestID: request.RequestID}
 	}
 	return requestReceived{commandHead: h, request: request, config: cfg}
 }
@@ -129,13 +129,13 @@
 	}
 	r := &request{
 		client: c, body: h.body,
-		args: parsed.Args, timeoutSpan: parsed.TimeoutSpan, clientRequestID: parsed.ClientID,
+		args: parsed.Args, timeoutSpan: parsed.TimeoutSpan, clientRequestID: parsed.RequestID,
 	}
 	if h.body != nil {
 		h.body.request = r
 	}
 	if r.args != nil {
-		r.metrics = g.classMetrics[parsed.Details.Class]
+		r.metrics = g.classMetrics[parsed.PolicyRequest.Class]
 		g.metrics.OpenRequests.Add(1)
 	}
 	c.pipeline = append(c.pipeline, r)
@@ -178,7 +178,7 @@
 
 func (e requestDropped) Handle(g *Gateway) {
 	if e.dequeue(g) {
-		r := e.appendRequest(g, command.Request{ClientID: e.clientRequestID})
+		r := e.appendRequest(g, command.Request{RequestID: e.clientRequestID})
 		g.tryReject(r, true)
 	}
 }
@@ -218,7 +218,7 @@
 func (e requestReceived) admit(g *Gateway) {
 	r := e.appendRequest(g, e.request)
 	if !g.tryReject(r, g.handover.isActive()) {
-		g.admitRequest(r, e.request.Details, e.receivedAt)
+		g.admitRequest(r, e.request.PolicyRequest, e.receivedAt)
 	}
 }
 
--- a/internal/gateway/request_trace.go
+++ b/internal/gateway/request_trace.go
@@ -48,7 +48,7 @@
 		g.log.Info("rejected", "answer", answer, "conns", len(g.clients.conns))
 		return
 	}
-	g.log.Info("trace", "id", string(r.args[command.ClientIDArg]),
+	g.log.Info("trace", "id", string(r.args[command.RequestIDArg]),
 		"customer", string(r.args[command.CustomerArg]),
 		"fields", string(r.args[command.FieldsArg]), "attempts", r.attempts, "ends", r.describeOutcomes(),
 		"answer", answer, "after_us", now-r.receivedAt, "left_us", r.deadline-now,
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -96,7 +96,7 @@
 	if r.answered {
 		return
 	}
-	g.log.Warn("request was open at its deadline", "id", string(r.args[command.ClientIDArg]))
+	g.log.Warn("request was open at its deadline", "id", string(r.args[command.RequestIDArg]))
 	g.answer(r, failedReply)
 	g.controller.RequestCancelled(g.events.Now(), r.id)
 }
--- a/internal/gateway/value_stream.go
+++ b/internal/gateway/value_stream.go
@@ -184,7 +184,7 @@
 // connection to the client is closed, so that the client detects the error.
 func (g *Gateway) finishValueRequest(r *request, err error) {
 	if err != nil {
-		g.log.Info("value incomplete", "id", string(r.args[command.ClientIDArg]), "error", err)
+		g.log.Info("value incomplete", "id", string(r.args[command.RequestIDArg]), "error", err)
 		r.metrics.Failed.Add(1)
 		r.client.closeNow(g)
 		return
