--- a/policy/controller_slowstart_test.go
+++ b/policy/controller_slowstart_test.go
@@ -219,7 +219,7 @@
 		average += got[starting.ID] / (backends - warm) / window
 	}
 	if average < settings.SlowStartFloor*warmRate {
-		t.Errorf("starting backends got %.1f attempts/s on average, want at least the floor's share of %.1f",
+		t.Errorf("starting backends got %.1f attempts/s on average, want at least SlowStartFloor * %.1f",
 			average, warmRate)
 	}
 }
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -177,7 +177,7 @@
 }
 
 // consume charges units to the customer, and counts them for the coordinator with the given index. The index
-// is 0 unless a coordinator was asked for the units.
+// is 0 if no coordinator was picked for the units.
 func (c *customer) consume(sharing *quotaSharing, coordinator int, units float64) {
 	c.usage.consume(coordinator, units)
 	if !sharing.needsRemoteGrant(&c.account, coordinator) {
--- a/policy/customertable.go
+++ b/policy/customertable.go
@@ -42,7 +42,7 @@
 }
 
 // consume charges units to a customer, and counts them for the coordinator with the given index. The index is
-// 0 unless a coordinator was asked for the units.
+// 0 if no coordinator was picked for the units.
 func (t *customerTable) consume(sharing *quotaSharing, customer *customer, coordinator int, units float64) {
 	customer.consume(sharing, coordinator, units)
 	t.scheduleReport(sharing, customer)
--- a/policy/leastloaded.go
+++ b/policy/leastloaded.go
@@ -2,7 +2,7 @@
 
 import "math/rand/v2"
 
-const priceWeight = 5.0 // a price raises the score of a backend by the price times this factor
+const priceWeight = 5.0 // a price raises the score of a backend by the fraction price * priceWeight
 
 // candidate is the state of a backend that is compared when a backend is chosen for an attempt. Load reports
 // are not part of it: they are older than the duration of a request, and all gateways would react to the same
--- a/policy/ownership_test.go
+++ b/policy/ownership_test.go
@@ -18,7 +18,7 @@
 		t.Error("the successor granted the burst again")
 	}
 	if h.serve(1, 9, 1) {
-		t.Error("the predecessor admitted a request after it gave up ownership")
+		t.Error("the predecessor admitted a request after it released ownership")
 	}
 	before, after := h.customers.byID[8], next.customers.byID[8]
 	assertNear(t, "bucket", after.bucket.level, before.bucket.level)
--- a/policy/quotarequests.go
+++ b/policy/quotarequests.go
@@ -7,7 +7,7 @@
 
 const (
 	quotaRequestTimeoutShare = 0.1    // a quota request may take this part of the shortest latency objective
-	maxWaitDivisor           = 2      // it may take at most the client's timeout divided by this
+	maxWaitDivisor           = 2      // and at most 1/maxWaitDivisor of the client's timeout
 	unresponsiveTime         = second // a coordinator that did not answer is avoided for this time
 )
 
--- a/policy/quotasharing.go
+++ b/policy/quotasharing.go
@@ -12,7 +12,7 @@
 	maxFullMeshSize      = 4           // in replica sets up to this size, all gateways report to one another
 	quotaRequestShare    = 1.0         // quota requests may use this part of the gossip a gateway can receive
 	coordinatorLoadShare = 0.4         // more quota requests than this part are split over more coordinators
-	settlePeriods        = 4           // a new gateway has received all bucket levels after this many periods
+	settlePeriods        = 4           // a new gateway has all bucket levels after this many gossip periods
 	maxSettleTime        = second / 2  // a new gateway waits no longer than this for the bucket levels
 	minRequestsPerBurst  = 2           // a coordinator's part of a burst holds this many largest requests
 )
--- a/policy/usageledger.go
+++ b/policy/usageledger.go
@@ -47,8 +47,8 @@
 	return &l.peers[position]
 }
 
-// consume counts units for the coordinator with the given index. The index is 0 unless a coordinator was
-// asked for the units.
+// consume counts units for the coordinator with the given index. The index is 0 if no coordinator was picked
+// for the units.
 func (l *usageLedger) consume(coordinator int, units float64) {
 	l.forCoordinator(coordinator).consumed += units
 	l.consumed += units
