--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -54,7 +54,7 @@
 	Args          [][]byte
 	RequestID     uint64         // the ID that the client chose for the request
 	TimeoutSpan   Span           // the range of the timeout's value in Args[FieldsArg]
-	PolicyRequest policy.Request // the parsed request; its ID is not set
+	PolicyRequest policy.Request // the request in the policy's form; the ID is not set
 }
 
 // Parse parses API.READ or API.WRITE. It returns an error if a field is unknown or invalid, so that no such
--- a/internal/counter/counter_test.go
+++ b/internal/counter/counter_test.go
@@ -14,7 +14,7 @@
 	"sparspread/policy"
 )
 
-// newTestClient returns a client of a test server, and a channel with the answers to its calls.
+// newTestClient returns a client of a test server, and a channel with the answers to the client's requests.
 func newTestClient(server *httptest.Server) (*Client, <-chan Answer) {
 	answers := make(chan Answer, queueLength)
 	config := Config{Address: serverAddress(server), Timeout: waittest.Timeout}
@@ -52,7 +52,7 @@
 	}
 }
 
-// The result distinguishes calls that added nothing from calls whose amount may have been added.
+// The result distinguishes requests that added nothing from requests whose amount may have been added.
 func TestSendIncrementReturnsWhetherAmountMayHaveBeenAdded(t *testing.T) {
 	expired, release := make(expiringContext), make(chan struct{})
 	respond := func(body string) http.HandlerFunc {
@@ -116,7 +116,7 @@
 
 func TestSendIncrementReturnsConnectFailedIfRequestWasNotSent(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
-		t.Error("called after the deadline")
+		t.Error("got a request after the deadline")
 	}))
 	defer server.Close()
 	client, _ := newTestClient(server)
@@ -134,7 +134,7 @@
 	}
 }
 
-func TestClientMakesCallsForSameNameInOrder(t *testing.T) {
+func TestClientSendsIncrementsOfOneCounterInOrder(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = fmt.Fprint(w, r.URL.Query().Get("add"))
 	}))
@@ -153,7 +153,7 @@
 	const calls = 16
 	for i := range calls {
 		if !client.Increment(Increment{Name: 1, Amount: float64(i)}) {
-			t.Fatalf("call %d was not queued", i)
+			t.Fatalf("increment %d was not queued", i)
 		}
 	}
 	for i := range calls {
@@ -170,13 +170,13 @@
 	client, _ := newTestClient(server) // its Run method is not called
 	for i := range queueLength {
 		if !client.Increment(Increment{Name: 1}) {
-			t.Fatalf("call %d was not queued", i)
+			t.Fatalf("increment %d was not queued", i)
 		}
 	}
 	if client.Increment(Increment{Name: 1}) {
-		t.Error("a call was queued beyond the length of the queue")
+		t.Error("an increment was queued beyond the length of the queue")
 	}
 	if !client.Increment(Increment{Name: 2}) {
-		t.Error("a call for another name was not queued")
+		t.Error("an increment of a counter in another queue was not queued")
 	}
 }
--- a/internal/simproto/codes.go
+++ b/internal/simproto/codes.go
@@ -1,7 +1,7 @@
 // Package simproto is the codec of the simulator's protocol. The simulator sends batches, which are frames of
 // events, and receives a reply to each, which is a frame of actions. Integers are little-endian, and times
-// are in microseconds. The package defines all codes of the protocol; package settings defines the keys of its
-// settings.
+// are in microseconds. The package defines all codes of the protocol; package settings defines the keys of
+// its settings.
 //
 // The types of the package are not safe for concurrent use.
 package simproto
--- a/scale/internal/load/clients.go
+++ b/scale/internal/load/clients.go
@@ -69,7 +69,7 @@
 // Run sends requests for the given time and waits until all have ended. Requests arrive as a Poisson process
 // with the given rate per second, independently of the answers (an open loop).
 func (c *Clients) Run(ctx context.Context, rate float64, length time.Duration) {
-	requestContext := context.WithoutCancel(ctx) // started requests end by their own timeout
+	requestContext := context.WithoutCancel(ctx) // requests that were sent end by their own timeout
 	var running sync.WaitGroup
 	end := time.Now().Add(length)
 	for at := time.Now(); ; {
@@ -189,14 +189,16 @@
 	}
 }
 
-// closeIdle closes the idle connections. Bytes received on one since its last answer count as extra bytes.
+// closeIdle closes the idle connections. A connection that received bytes after its last answer is counted as
+// one with extra bytes.
 func (c *Clients) closeIdle() {
 	for range c.pool.closeIdle() {
 		c.updateCounts(func(a *results.Answers) { a.ExtraBytes++ })
 	}
 }
 
-// Sleep waits for the given time and returns true. It returns false early if the context ends before.
+// Sleep waits for the given time and returns true. It returns false as soon as the context
+// ends.
 func Sleep(ctx context.Context, length time.Duration) bool {
 	timer := time.NewTimer(length)
 	defer timer.Stop()
--- a/scale/internal/load/pool.go
+++ b/scale/internal/load/pool.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	maxConnections    = 256 // per address
+	maxConnections    = 256 // at most this many connections are open to an address
 	dialTimeout       = time.Second
-	answerSlack       = 60 * time.Millisecond // that settings and rules allow beyond the client's timeout
-	extraBytesTimeout = time.Millisecond      // for a last read before an idle connection is closed
+	answerSlack       = 60 * time.Millisecond // settings and rules let an answer be this much late
+	extraBytesTimeout = time.Millisecond      // limits the last read before an idle connection is closed
 )
 
 // errPoolExhausted reports that maxConnections connections are in use.
--- a/scale/internal/model/customers.go
+++ b/scale/internal/model/customers.go
@@ -62,8 +62,8 @@
 	Rand          *rand.Rand
 }
 
-// Draw returns the sender of the next request. Among the customers with the same first gateway, the first
-// ones, one for each replica count, are on the capped plan.
+// Draw returns the sender of the next request. Of the customers with the same first gateway, those with the
+// lowest IDs are on the capped plan: one customer for each replica count.
 func (d *Demand) Draw() Customer {
 	kinds := len(d.ReplicaCounts)
 	index := kinds + d.Rand.IntN(customersPerGateway-kinds)
--- a/scale/internal/model/errors.go
+++ b/scale/internal/model/errors.go
@@ -15,7 +15,7 @@
 // KeyError reports the invalid value of a key in an experiment file, or of a flag of the command line.
 type KeyError struct {
 	Key      string
-	Value    string // as written in the file, or computed from it
+	Value    string // the value as written in the file, or a value computed from it
 	Expected string // the values that are allowed
 }
 
--- a/scale/internal/model/experiment.go
+++ b/scale/internal/model/experiment.go
@@ -67,7 +67,7 @@
 	TimedChanges int `toml:"steps"`
 }
 
-// The limits of an experiment, because it shares its machine with other work.
+// An experiment is limited to these values because it shares its machine with other work.
 const (
 	maxSizes             = 10
 	maxRepeats           = 10
@@ -81,7 +81,7 @@
 	maxTimedChanges      = 20
 	maxReplicaCounts     = 10
 
-	minBackendsPerChange = 2 // backends for a rate of one change per second
+	minBackendsPerChange = 2 // a rate of one change per second needs this many backends
 )
 
 // The defaults for keys that an experiment file omits.
--- a/scale/internal/model/settings.go
+++ b/scale/internal/model/settings.go
@@ -28,9 +28,9 @@
 	idleClose       = 15 * time.Second
 
 	gossipPerSecond = 40 // messages per second
-	maxCost         = 8  // units
+	maxCost         = 8  // units per request
 
-	slowStartFloor = 0.27 // the share of its capacity that a backend starts with
+	slowStartFloor = 0.27 // a backend enters slow start with this fraction of its capacity
 	slowStartTime  = 16 * time.Second
 	overloadFactor = 2.5
 	overloadWindow = 3 * time.Second
--- a/scale/internal/results/result.go
+++ b/scale/internal/results/result.go
@@ -31,7 +31,7 @@
 	ServiceTimeMS     float64     `json:"service_ms"`
 	ListBytes         int         `json:"list_bytes"`
 
-	ReadyMS         float64       `json:"ready_ms,omitempty"`      // until all real gateways were ready
+	ReadyMS         float64       `json:"ready_ms,omitempty"`      // time until all real gateways were ready
 	StartPeakMB     []float64     `json:"start_peak_mb,omitempty"` // one for each real gateway
 	IdlePhase       *PhaseUsage   `json:"idle,omitempty"`
 	ControlPhase    *PhaseUsage   `json:"control,omitempty"`
@@ -39,7 +39,7 @@
 	BackendsChanged int           `json:"members_changed"`
 	Baseline        *AddedLatency `json:"bare,omitempty"` // latency of the stand-ins without a gateway
 	Added           *AddedLatency `json:"added,omitempty"`
-	ChangeLatencyMS []float64     `json:"change_ms,omitempty"` // per change, until the last gateway had it
+	ChangeLatencyMS []float64     `json:"change_ms,omitempty"` // per change, time until all gateways had it
 	Reload          *ReloadResult `json:"sighup,omitempty"`
 
 	Answers                Answers       `json:"answers"`
@@ -58,7 +58,7 @@
 	CPUPercent              Summary `json:"cpu_percent"`
 	ResidentMB              Summary `json:"held_mb"` // at the end of the phase
 	PeakMB                  Summary `json:"peak_mb"`
-	InKBPerSecond           Summary `json:"in_kb_per_s"` // this and the three below: control traffic
+	InKBPerSecond           Summary `json:"in_kb_per_s"` // this and the next three fields: control traffic
 	InMessagesPerSecond     Summary `json:"in_messages_per_s"`
 	OutKBPerSecond          Summary `json:"out_kb_per_s"`
 	OutMessagesPerSecond    Summary `json:"out_messages_per_s"`
@@ -77,7 +77,7 @@
 
 // AddedLatency is the latency of requests beyond the backends' service time.
 type AddedLatency struct {
-	P50MS        float64 `json:"p50_ms"` // of the requests of all gateways together
+	P50MS        float64 `json:"p50_ms"` // over the requests of all gateways
 	P99MS        float64 `json:"p99_ms"`
 	P50ByGateway Summary `json:"p50_by_gateway_ms"`
 	P99ByGateway Summary `json:"p99_by_gateway_ms"`
--- a/scale/internal/runner/changes.go
+++ b/scale/internal/runner/changes.go
@@ -20,7 +20,7 @@
 // rules allow 5 s.
 const maxPropagation = 8 * time.Second
 
-// firstChangeDivisor delays the first change by half an interval.
+// The first change happens after 1/firstChangeDivisor, which is half, of an interval.
 const firstChangeDivisor = 2
 
 // backendsMetric is the metric of a gateway that counts the entries of its list of backends.
@@ -108,7 +108,7 @@
 ) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, maxPropagation)
 	defer cancel()
-	latencies := make([]time.Duration, len(s.gateways)) // 0 if the condition did not hold
+	latencies := make([]time.Duration, len(s.gateways)) // 0 if the condition did not hold in time
 	var waiting sync.WaitGroup
 	for i, g := range s.gateways {
 		waiting.Go(func() {
--- a/scale/internal/runner/reload.go
+++ b/scale/internal/runner/reload.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	minReloadTrafficTime = 2 * time.Second         // minimum time from SIGHUP during which traffic is counted
-	oldAgentDrainTime    = 1500 * time.Millisecond // from SIGHUP until the old agent closes its connections
+	minReloadTrafficTime = 2 * time.Second         // traffic is counted for at least this long from SIGHUP
+	oldAgentDrainTime    = 1500 * time.Millisecond // from SIGHUP until the old agent closes connections
 
 	oldAgent = 0 // indices into Gateway.Agents
 	newAgent = 1
@@ -52,7 +52,7 @@
 // timeReload measures the times until all gateways have called the new address and until all have applied a
 // list from there, and returns when the traffic has been counted for minReloadTrafficTime. The wait for a
 // gateway's list also ends when the gateway has rejected two lists. ListAppliedMS stays 0 if a gateway has
-// done neither in time.
+// neither applied a list nor rejected two in time.
 func (s *testbed) timeReload(ctx context.Context, started time.Time, reload *results.ReloadResult) error {
 	called, err := s.waitForAll(ctx, started, func(_ context.Context, g *gatewayproc.Gateway) bool {
 		return !g.Agents[newAgent].Activity().FirstCall.IsZero()
--- a/scale/internal/runner/runner.go
+++ b/scale/internal/runner/runner.go
@@ -20,10 +20,11 @@
 )
 
 const (
-	maxRunTime          = 4 * time.Minute // for one size
+	maxRunTime          = 4 * time.Minute // a run of one size is stopped after this time
 	memoryCheckInterval = 250 * time.Millisecond
 	memoryDivisor       = 2 // this process and the gateways may use half of the machine's memory
-	// simulatedStart is the time for the simulated gateways to start and to receive gossip from each other.
+	// simulatedStart is how long a run waits for the simulated gateways to start and to receive gossip from
+	// each other.
 	simulatedStart = 2 * simulated.StartTime
 )
 
--- a/scale/internal/runner/testbed.go
+++ b/scale/internal/runner/testbed.go
@@ -20,7 +20,7 @@
 
 const (
 	baselineRate = 200.0       // requests per second sent directly to a backend
-	settleTime   = time.Second // between the gateways' start and the first measurement
+	settleTime   = time.Second // wait between the gateways' start and the first measurement
 )
 
 // emptyList is the last known list of a gateway that knows no backends.
--- a/scale/internal/simulated/gateway.go
+++ b/scale/internal/simulated/gateway.go
@@ -119,7 +119,8 @@
 	g.worker.schedule(at, func() { g.controller.TimerFired(g.worker.tier.now(), token) })
 }
 
-// SendGossip sends a gossip message to a peer: through its relay if the peer is a real gateway.
+// SendGossip sends a gossip message to a peer. If the peer is a real gateway, the message goes through the
+// peer's relay, which counts it.
 func (g *gateway) SendGossip(peer int, message []byte) {
 	network := g.worker.tier.gossip
 	if relay := network.Relay(peer); relay != nil {
@@ -138,5 +139,5 @@
 // WatchEndpoints does nothing because Tier.UpdateEndpoints pushes all changes.
 func (g *gateway) WatchEndpoints() {}
 
-// Log discards the event: the logs of simulated gateways have no reader.
+// Log does nothing because nobody reads the logs of simulated gateways.
 func (g *gateway) Log(string, ...slog.Attr) {}
--- a/scale/internal/simulated/tier.go
+++ b/scale/internal/simulated/tier.go
@@ -38,7 +38,7 @@
 
 	requests      atomic.Int64 // received by all gateways together
 	gossipDropped atomic.Int64 // messages dropped because a worker's queue was full
-	maxDelay      atomic.Int64 // microseconds by which a timer or message was handled late, at most
+	maxDelay      atomic.Int64 // longest delay in handling a timer or message, in microseconds
 }
 
 // Config is the configuration of a Tier.
--- a/scale/internal/simulated/worker.go
+++ b/scale/internal/simulated/worker.go
@@ -12,7 +12,7 @@
 
 const (
 	queueLength           = 1 << 14
-	maxCallsPerTimer      = 64     // queued calls made after each timer
+	maxCallsPerTimer      = 64     // at most this many queued calls are made after each timer
 	demandPollInterval    = 10_000 // microseconds between checks for demand while the request rate is 0
 	microsecondsPerSecond = 1e6
 	milliPerUnit          = 1000
@@ -28,7 +28,9 @@
 	serviceTime policy.Time
 	rand        *rand.Rand
 
-	milliRequestsPerSecond atomic.Int64 // mean rate at all of its gateways together
+	// milliRequestsPerSecond is the mean rate of requests at all gateways of the worker together, in
+	// thousandths of a request per second.
+	milliRequestsPerSecond atomic.Int64
 }
 
 // newWorker returns a worker without gateways. The index seeds its random source.
--- a/scale/internal/standin/audit.go
+++ b/scale/internal/standin/audit.go
@@ -8,8 +8,8 @@
 	"sparspread/scale/internal/results"
 )
 
-// ceilingSlackTime is the additional slack that the rules allow on sockets: what a ceiling's rate grants in
-// this time.
+// ceilingSlackTime is the additional slack that the rules allow when a ceiling is measured on sockets: a
+// customer may exceed the plan's slack by what the ceiling's rate grants in this time.
 const ceilingSlackTime = 150 * time.Millisecond
 
 // CeilingAudit holds reference token buckets of the customers on the capped plan, charged with the first
--- a/scale/internal/standin/backends.go
+++ b/scale/internal/standin/backends.go
@@ -19,7 +19,8 @@
 const (
 	// minCommandArgs is the minimum number of arguments of a command for a backend.
 	minCommandArgs = 4
-	// answerValues is the number of values in a backend's answer. Here all but the first are null.
+	// answerValues is the number of values in a backend's answer. The stand-in sends only the first; the
+	// others are null.
 	answerValues = 3
 )
 
@@ -41,8 +42,10 @@
 	connections        atomic.Int64 // accepted
 	malformed          atomic.Int64 // commands other than those of a gateway
 	drainingInGrace    atomic.Int64 // commands to a backend that was not ready, within the drain grace
-	drainingAfterGrace atomic.Int64 // the same after the drain grace
-	maxAfterDrain      atomic.Int64 // longest time from a drain's start to such a command, in microseconds
+	drainingAfterGrace atomic.Int64 // commands to a backend that was not ready, after the drain grace
+	// maxAfterDrain is the longest time from the start of a drain to a command that reached the draining
+	// backend, in microseconds.
+	maxAfterDrain atomic.Int64
 }
 
 // NewBackends returns backends that answer after the service time. They accept no connections before Serve.
--- a/scale/internal/standin/gossip.go
+++ b/scale/internal/standin/gossip.go
@@ -20,7 +20,7 @@
 type GossipNetwork struct {
 	peers                []netip.AddrPort       // by the gateway's number
 	relays               map[int]*GossipRelay   // by the real gateway's number
-	realGatewayByAddress map[netip.AddrPort]int // its number, by the address that it sends from
+	realGatewayByAddress map[netip.AddrPort]int // the numbers of real gateways, by their source address
 	sink                 *net.UDPConn
 }
 
