--- a/internal/discovery/delivery_test.go
+++ b/internal/discovery/delivery_test.go
@@ -18,8 +18,8 @@
 		time.Sleep(queueTimeout)
 		return respondUnavailable(r)
 	},
-	"reset":       func(*http.Request) (*http.Response, error) { return nil, io.ErrUnexpectedEOF },
-	"no response": waitForCancellation,
+	"reset":  func(*http.Request) (*http.Response, error) { return nil, io.ErrUnexpectedEOF },
+	"silent": waitForCancellation,
 	"dial timeout": func(*http.Request) (*http.Response, error) {
 		time.Sleep(maxResponseTimeout)
 		return nil, context.DeadlineExceeded
