--- a/internal/discovery/backoff_test.go
+++ b/internal/discovery/backoff_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// An agent with a pushed list does not respond while its own source is down. However long that lasts, it is
-// called again well within the drain grace.
+// An agent with a pushed list does not respond while its own source is down. However long that lasts, the
+// client calls it again well within the drain grace.
 func TestBackoffWithAgentEndsWithinDrainGrace(t *testing.T) {
 	config := agentConfigWithGrace()
 	client, _ := newTestClient(config, nil)
@@ -28,7 +28,8 @@
 
 // The backoff after a refused call, plus the wait and the response timeout of the next call, does not exceed
 // the delivery limit. Gateways whose calls are refused at the same moment spread over the backoff and stay
-// spread. The clients draw no other delays in between, because they draw none while a service refuses calls.
+// spread. The test draws no other random numbers from the clients, because a client draws none while a
+// service refuses its calls.
 func TestBackoffAfterRefusalSpreadsGateways(t *testing.T) {
 	const (
 		gateways = 80
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -77,8 +77,8 @@
 	notify          func(context.Context, Event)
 	http            *http.Client
 	random          *rand.Rand    // used by Run only
-	responseTimeout time.Duration // until a response begins, beyond the wait of the call
-	maxBackoff      time.Duration // after a refused call or, with an agent, after any failed call
+	responseTimeout time.Duration // limits the time until a response begins, beyond the wait of the call
+	maxBackoff      time.Duration // limits the delay after a refused call or, with an agent, any failed call
 	maxBytes        int64         // maximum size of the text of an update
 
 	newAddress chan string   // the latest address that Run has not read yet, if any
@@ -87,7 +87,7 @@
 }
 
 // New returns a client. Run calls notify for each event, with its own context and never concurrently. With
-// an agent, Run starts to watch immediately; otherwise it waits for a call of Watch.
+// an agent, Run starts to watch immediately; otherwise it waits until Watch is called.
 func New(config Config, log *slog.Logger, notify func(context.Context, Event)) *Client {
 	c := &Client{
 		config: config, log: log, notify: notify,
--- a/internal/discovery/fake_test.go
+++ b/internal/discovery/fake_test.go
@@ -184,15 +184,15 @@
 var errCallCancelled = errors.New("call cancelled")
 
 // queueingService is a service for a whole fleet. It serves calls in order, at a limited rate. It refuses
-// calls that wait for too long, but spends the same work on them. It is unavailable at first. Watches that
-// wait for changes need no work.
+// calls that wait for too long, but spends the same work on them as on served calls. It is unavailable at
+// first. Watches that wait for changes need no work.
 type queueingService struct {
 	workPerCall time.Duration
 	availableAt time.Time // all calls before this time are refused
 
 	mu             sync.Mutex // guards the fields below
 	busyUntil      time.Time
-	callsPerSecond map[time.Duration]int // by the time since availableAt, in whole seconds
+	callsPerSecond map[time.Duration]int // calls in each second, by the whole seconds since availableAt
 	served         int
 	refused        int // calls refused after availableAt
 }
--- a/internal/discovery/fetch_test.go
+++ b/internal/discovery/fetch_test.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// An update that is too long for the memory limit is reported as errUpdateTooLarge, and it is not fetched in
-// quick succession.
+// An update that is too long for the memory limit is reported as errUpdateTooLarge, and is not fetched again
+// in quick succession.
 func TestClientLimitsUpdateSizeByMemory(t *testing.T) {
 	text := string(listJSON(t, 12_000)) // somewhat over a megabyte
 	for _, test := range []struct {
--- a/internal/ops/server.go
+++ b/internal/ops/server.go
@@ -18,7 +18,7 @@
 	MaxConnections = 12
 
 	readTimeout    = time.Second
-	writeTimeout   = 2 * time.Second // from the end of the request's header
+	writeTimeout   = 2 * time.Second // measured from the end of the request's header
 	maxHeaderBytes = 4 << 10
 	contentType    = "text/plain; charset=utf-8"
 )
--- a/internal/simproto/event.go
+++ b/internal/simproto/event.go
@@ -33,7 +33,7 @@
 	RequestID uint64
 	Backend   uint32
 	Attempt   int
-	Latency   policy.Time // since the attempt was sent
+	Latency   policy.Time // time since the attempt was sent
 }
 
 // AttemptEnded reports the outcome of an attempt.
--- a/scale/internal/gatewayproc/gateway.go
+++ b/scale/internal/gatewayproc/gateway.go
@@ -61,7 +61,7 @@
 	MemoryMB      int
 	Peers         []netip.AddrPort
 	Settings      json.RawMessage
-	LastKnownList json.RawMessage // in discovery's encoding
+	LastKnownList json.RawMessage // the list in discovery's encoding
 	AgentIndex    int             // index into Gateway.Agents of the discovery agent to use
 }
 
--- a/scale/internal/load/clients.go
+++ b/scale/internal/load/clients.go
@@ -22,7 +22,7 @@
 
 // The range and precision of the latency histograms.
 const (
-	maxLatency        = int64(10e6) // microseconds
+	maxLatency        = int64(10e6) // microseconds; longer latencies are not recorded
 	significantDigits = 3
 )
 
--- a/scale/internal/model/catalog.go
+++ b/scale/internal/model/catalog.go
@@ -33,9 +33,9 @@
 	port int
 
 	mu                   sync.Mutex    // guards the fields below
-	phases               []Phase       // by backend
-	lastChange           []uint64      // by backend, the revision of its last change
-	changedAt            []time.Time   // by revision
+	phases               []Phase       // the phase of each backend
+	lastChange           []uint64      // the revision of each backend's last change
+	changedAt            []time.Time   // the time of each revision, indexed by revision
 	changeLog            []phaseChange // all changes, in order of revision
 	nextChange           chan struct{} // closed on the next change
 	completeList         []byte        // the encoded list at completeListRevision
--- a/scale/internal/model/customers.go
+++ b/scale/internal/model/customers.go
@@ -42,7 +42,7 @@
 type Customer struct {
 	ID                     uint64
 	FirstReplica, Replicas int
-	Capped                 bool // on the capped plan
+	Capped                 bool // whether the customer is on the capped plan
 }
 
 // Plan returns the customer's plan.
--- a/scale/internal/model/experiment.go
+++ b/scale/internal/model/experiment.go
@@ -57,7 +57,7 @@
 	SimulatedRequestsPerSecond float64 `toml:"hollow_requests"`
 	// MaxSimulatedDelay is the longest delay of a simulated gateway with which a result is valid.
 	MaxSimulatedDelay time.Duration `toml:"hollow_late"`
-	ServiceTime       time.Duration `toml:"service"`   // of a backend
+	ServiceTime       time.Duration `toml:"service"`   // the time that a backend takes to answer
 	MemoryMB          int           `toml:"memory_mb"` // the memory limit in the gateways' configuration
 	IdlePhase         time.Duration `toml:"idle"`      // length of the phase without changes and requests
 	ControlPhase      time.Duration `toml:"control"`   // length of the phase with changes only
--- a/scale/internal/results/result.go
+++ b/scale/internal/results/result.go
@@ -56,7 +56,7 @@
 type PhaseUsage struct {
 	Seconds                 float64 `json:"seconds"`
 	CPUPercent              Summary `json:"cpu_percent"`
-	ResidentMB              Summary `json:"held_mb"` // at the end of the phase
+	ResidentMB              Summary `json:"held_mb"` // resident memory at the end of the phase
 	PeakMB                  Summary `json:"peak_mb"`
 	InKBPerSecond           Summary `json:"in_kb_per_s"` // this and the next three fields: control traffic
 	InMessagesPerSecond     Summary `json:"in_messages_per_s"`
@@ -135,7 +135,9 @@
 	Malformed          int64   `json:"strange"` // commands other than those of a gateway
 	DrainingInGrace    int64   `json:"draining_in_grace"`
 	DrainingAfterGrace int64   `json:"draining_after_grace"`
-	MaxAfterDrainMS    float64 `json:"drain_last_ms"` // longest time from a drain's start to a command
+	// MaxAfterDrainMS is the longest time from the start of a drain to a command that reached the draining
+	// backend.
+	MaxAfterDrainMS float64 `json:"drain_last_ms"`
 }
 
 // CeilingCounts counts the requests that reached backends from customers of the capped plan, who send more
--- a/scale/internal/simulated/tier.go
+++ b/scale/internal/simulated/tier.go
@@ -36,7 +36,7 @@
 	started     time.Time
 	startedUnix policy.Time // started as Unix time in microseconds
 
-	requests      atomic.Int64 // received by all gateways together
+	requests      atomic.Int64 // requests received by all gateways together
 	gossipDropped atomic.Int64 // messages dropped because a worker's queue was full
 	maxDelay      atomic.Int64 // longest delay in handling a timer or message, in microseconds
 }
--- a/scale/internal/standin/backends.go
+++ b/scale/internal/standin/backends.go
@@ -38,8 +38,8 @@
 	audit         *CeilingAudit
 	replicaCounts []int // identify the customers on the capped plan
 
-	commands           atomic.Int64 // answered
-	connections        atomic.Int64 // accepted
+	commands           atomic.Int64 // commands answered
+	connections        atomic.Int64 // connections accepted
 	malformed          atomic.Int64 // commands other than those of a gateway
 	drainingInGrace    atomic.Int64 // commands to a backend that was not ready, within the drain grace
 	drainingAfterGrace atomic.Int64 // commands to a backend that was not ready, after the drain grace
--- a/scale/internal/standin/backends_test.go
+++ b/scale/internal/standin/backends_test.go
@@ -14,7 +14,7 @@
 // shiftedCatalog is a catalog whose clock can be shifted, so that tests do not have to wait.
 type shiftedCatalog struct {
 	*model.Catalog
-	shift atomic.Int64 // a time.Duration
+	shift atomic.Int64 // offset of the clock, a time.Duration
 }
 
 // NotReadyDuration returns the duration at the shifted time.
--- a/scale/internal/standin/discovery.go
+++ b/scale/internal/standin/discovery.go
@@ -26,7 +26,7 @@
 
 	mu                 sync.Mutex // guards the fields below
 	activity           AgentActivity
-	lastAnswerComplete bool // the last call was answered with a complete list
+	lastAnswerComplete bool // whether the last call was answered with a complete list
 }
 
 // AgentActivity records the calls that an agent received from its gateway.
