--- a/internal/gateway/backend_pool.go
+++ b/internal/gateway/backend_pool.go
@@ -104,7 +104,7 @@
 // connection that has carried a reply can be used after its quiescence period.
 func (bs *backends) releaseConn(c *backendConn) {
 	b := c.backend
-	if !c.writer.Idle() {
+	if !c.writer.Flushed() {
 		// The reply came before the whole request was written. The next request on this connection would be
 		// read as the rest of that request.
 		bs.close(c, closeIncomplete)
@@ -176,7 +176,8 @@
 	return true
 }
 
-// sweep closes connections that have been idle for too long. Backends close them after idleClose.
+// sweep closes connections that have been idle for idleClose/idleCloseDivisor. idleClose is the time after
+// which backends close idle connections.
 func (bs *backends) sweep(idleClose policy.Time) {
 	oldest := bs.events.Now() - idleClose/idleCloseDivisor
 	for _, b := range bs.byNumber {
--- a/internal/gateway/backend_read.go
+++ b/internal/gateway/backend_read.go
@@ -10,7 +10,7 @@
 )
 
 // replyTimeout is the maximum time between two parts of a reply. A reply with a corrupt length may announce
-// more bytes than ever arrive.
+// more bytes than ever arrive, and is treated as malformed after this time.
 const replyTimeout = time.Second
 
 // Read implements io.Reader for the reader goroutine. It sets a read deadline while a reply is incomplete,
@@ -35,7 +35,7 @@
 	in := resp.NewReader(c)
 	for {
 		e := replyReceived{conn: c}
-		if e.err = in.Await(); e.err == nil {
+		if e.err = in.AwaitMessage(); e.err == nil {
 			c.readTimeout = replyTimeout
 			e.reply, e.err = in.ReadReply()
 			if e.err == nil && e.reply.StreamedSize > 0 && !c.streamValue(events, in, &e) {
