--- a/scale/internal/results/result.go
+++ b/scale/internal/results/result.go
@@ -130,11 +130,11 @@
 
 // BackendCounts holds the counts of the stand-in backends.
 type BackendCounts struct {
-	Commands           int64   `json:"commands"`
-	Connections        int64   `json:"connections"`
-	Malformed          int64   `json:"strange"` // commands other than those of a gateway
-	DrainingInGrace    int64   `json:"draining_in_grace"`
-	DrainingAfterGrace int64   `json:"draining_after_grace"`
+	Commands           int64 `json:"commands"`
+	Connections        int64 `json:"connections"`
+	Malformed          int64 `json:"strange"` // commands other than those of a gateway
+	DrainingInGrace    int64 `json:"draining_in_grace"`
+	DrainingAfterGrace int64 `json:"draining_after_grace"`
 	// MaxAfterDrainMS is the longest time from the start of a drain to a command that reached the draining
 	// backend.
 	MaxAfterDrainMS float64 `json:"drain_last_ms"`
