--- a/internal/gateway/capacity.go
+++ b/internal/gateway/capacity.go
@@ -23,8 +23,10 @@
 	return int64(cfg.MemoryMB) * bytesPerMB / queuedMemoryDivisor
 }
 
-// capacityRejection returns the reply that rejects a request for which the gateway itself has no capacity. It
-// returns nil if there is capacity for the request, unless overMemory is set.
+// capacityRejection returns the reply that rejects a request for which the gateway itself has no capacity, and
+// counts the rejection. It returns nil if there is capacity for the request, unless overMemory is set. If the
+// request is the first of its connection and there are too many connections, capacityRejection evicts another
+// connection. If none can be evicted, it may reject the request and let the connection close after the reply.
 func (g *Gateway) capacityRejection(c *client, overMemory bool) []byte {
 	cs := g.clients
 	for c.commandCount == 1 && len(cs.conns) > cs.limit {
--- a/internal/gateway/client_commands.go
+++ b/internal/gateway/client_commands.go
@@ -170,7 +170,8 @@
 	g.answer(r, e.reply)
 }
 
-// requestDropped is a request whose arguments were dropped for lack of memory.
+// requestDropped is a request whose arguments were dropped for lack of memory. It is answered with a
+// rejection.
 type requestDropped struct {
 	commandHead
 	clientRequestID uint64
@@ -202,8 +203,8 @@
 	}
 }
 
-// handleAfterReload handles a request that was parsed before a reload. The reload may have changed the
-// number of its class or removed the class.
+// handleAfterReload parses a request again whose configuration has been replaced, because the index of its
+// class may have changed. If the class was removed, the request is answered with an error.
 func (e requestReceived) handleAfterReload(g *Gateway) {
 	switch parsed := e.parse(g.config, e.args).(type) {
 	case requestReceived:
@@ -222,8 +223,9 @@
 	}
 }
 
-// tryReject rejects a request that the gateway cannot serve, and reports whether it did. It counts the
-// request as a command of its connection.
+// tryReject answers a request that the gateway cannot serve with an error or a rejection, and reports whether
+// it did. If overMemory is set, the request is rejected in any case. tryReject counts the request as a command
+// of its connection.
 func (g *Gateway) tryReject(r *request, overMemory bool) (rejected bool) {
 	if g.requests.openByClientRequestID[r.clientRequestID] != nil {
 		// Backends cannot distinguish two open requests with the same ID.
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -12,7 +12,8 @@
 	"sparspread/policy"
 )
 
-// endpointPhase is the source of the current endpoint list. It is unrelated to the Phase of an endpoint.
+// endpointPhase is the source of the current endpoint list. The Phase of a discovery.Endpoint is another
+// thing: the state of a single backend.
 type endpointPhase uint8
 
 const (
@@ -44,8 +45,8 @@
 	startAccepting()
 }
 
-// endpointList holds the state of the endpoint list apart from the backends themselves: its source, its
-// newest revision and the numbers of its zones. The number of a zone never changes, because the policy
+// endpointList tracks where the current endpoint list is from, its newest revision and the numbers of its
+// zones. The endpoints themselves are stored in backends. The number of a zone never changes, because the policy
 // identifies zones by number. endpointList is used only by the event loop's goroutine.
 type endpointList struct {
 	phase          phase.Machine[endpointPhase]
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -85,8 +85,9 @@
 	return g, g.listening.bind(cfg.Listen)
 }
 
-// start applies the configured endpoint list and starts reading from discovery, peers and operators. Clients
-// are accepted when the first list of discovery has arrived, or after readinessWait.
+// start applies the configured endpoint list, starts discovery, gossip, the operators' server and the client
+// of the shared counter, if any, and schedules the first sweep. Clients are accepted when the first list of
+// discovery has arrived, or after readinessWait.
 func (g *Gateway) start(ctx context.Context) {
 	endpointAdapter{g}.updateEndpoints(policy.UpdateStale, g.config.Known.Endpoints)
 	g.events.HandleDeferred()
--- a/internal/gateway/handover.go
+++ b/internal/gateway/handover.go
@@ -11,9 +11,9 @@
 )
 
 // This file is the predecessor's side of a handover, which may end at any step. The process that has the
-// ownership decides on requests and grants quota. This process decides until it offers its state. The
-// successor decides once it has accepted the state and this process has transferred the ownership to it. In
-// between neither of them decides, and commands are queued: at no time do both grant quota.
+// ownership admits requests and grants quota. This process has the ownership until it offers its state. The
+// successor has it once it has accepted the state and this process has transferred the ownership to it. In
+// between neither process has it, and commands are queued: at no time do both processes grant quota.
 
 // stateTimeout is the maximum time from sending the state until the successor has accepted it.
 const stateTimeout = 1 * second
@@ -22,9 +22,9 @@
 type handoverPhase uint8
 
 const (
-	handoverNone     handoverPhase = iota // this process decides
-	handoverOffered                       // neither process decides: the state is sent but not accepted yet
-	handoverAccepted                      // the successor decides; this process completes its open requests
+	handoverNone     handoverPhase = iota // this process has the ownership
+	handoverOffered                       // neither process has the ownership: the state is sent but not accepted yet
+	handoverAccepted                      // the successor has the ownership; this process completes its open requests
 )
 
 // String returns the name of the phase for log messages.
@@ -42,14 +42,24 @@
 
 // successorLink is the connection to a successor. It is implemented by *handover.Link.
 type successorLink interface {
+	// SendState sends the encoded state.
 	SendState(encoded []byte)
+	// TransferOwnership makes the successor the owner of the state, so that it starts to serve.
 	TransferOwnership()
+	// SendClient sends a client's connection and its unprocessed input. The caller keeps its own descriptor
+	// open until onSent is called. An error means that the socket was sent without its description.
 	SendClient(client handover.ClientConnection, input []byte, socket syscall.RawConn, onSent func()) error
+	// SendAttemptSent reports a further attempt of a request that this process still serves.
 	SendAttemptSent(handover.AttemptSent) error
+	// SendAttemptEnded reports the outcome of an attempt of a request that this process still serves.
 	SendAttemptEnded(policy.Outcome) error
+	// SendCostSettled reports the difference between the actual and the estimated cost of a request.
 	SendCostSettled(handover.CostSettled) error
+	// IsClosed reports whether Close was called. Nothing may be sent on a closed link.
 	IsClosed() bool
+	// Close closes the link after the queued messages are written, without waiting for that.
 	Close()
+	// CloseAndWait closes the link and waits a limited time for the queued messages to be written.
 	CloseAndWait()
 }
 
@@ -62,17 +72,17 @@
 	exportState() ([]byte, error)
 	// pauseServing stops accepting clients and sending gossip.
 	pauseServing()
-	// releaseOwnership makes this process stop deciding, closes the sockets that the successor now uses, and
-	// releases the successor's share of the resources.
+	// releaseOwnership makes this process stop admitting requests and granting quota, closes the sockets that
+	// the successor now uses, and releases the successor's share of the resources.
 	releaseOwnership()
 	// stopReading stops reading from clients. Each connection is handed over once its requests are answered
 	// and the replies are written.
 	stopReading()
-	// retainOwnership reverts pauseServing if the successor never decided.
+	// retainOwnership reverts pauseServing after a handover that ended before the successor got the ownership.
 	retainOwnership()
-	// resumeOwnership serves again after a successor that decided has exited.
+	// resumeOwnership serves again after a successor that had the ownership has exited.
 	resumeOwnership()
-	// handleQueuedCommand handles a command that was read while neither process decided.
+	// handleQueuedCommand handles a command that was read while neither process had the ownership.
 	handleQueuedCommand(receivedCommand)
 	// stopIfIdle stops the gateway if it is shutting down and nothing is open.
 	stopIfIdle()
@@ -82,13 +92,13 @@
 
 // outgoingHandover is the handover from this process to a successor. It owns the link to the successor, the
 // socket on which a successor requests the handover, and the commands that were read while neither process
-// decided. Commands are queued only in the phase offered, and link is set unless the phase is none.
+// had the ownership. Commands are queued only in the phase offered, and link is set unless the phase is none.
 // outgoingHandover is used only by the event loop's goroutine.
 type outgoingHandover struct {
 	phase          phase.Machine[handoverPhase]
 	listener       *handover.Listener // accepts successors; nil if there is no socket for them
 	link           successorLink      // nil if there is no successor
-	queuedCommands []receivedCommand  // read since the state was exported, to be decided on by the successor
+	queuedCommands []receivedCommand  // read since the state was exported, to be processed by the successor
 	gateway        handoverGateway
 	log            *slog.Logger
 }
@@ -103,11 +113,12 @@
 // isActive reports whether a successor is taking over or has taken over.
 func (h *outgoingHandover) isActive() bool { return !h.phase.Is(handoverNone) }
 
-// hasReleasedOwnership reports whether a successor decides now.
+// hasReleasedOwnership reports whether a successor has the ownership.
 func (h *outgoingHandover) hasReleasedOwnership() bool { return h.phase.Is(handoverAccepted) }
 
 // offerState sends the state to a successor that has requested it. From then on no command is processed and
-// nothing is granted until the successor has accepted the state.
+// no quota is granted until the successor has accepted the state or the handover has ended. The link is
+// closed if this process cannot hand over now.
 func (h *outgoingHandover) offerState(link successorLink) {
 	if h.isActive() || !h.gateway.canHandOver() {
 		link.Close()
@@ -129,7 +140,8 @@
 	h.gateway.setStateTimeout(link)
 }
 
-// handleStateAccepted transfers ownership to the successor, which has decoded the state and now decides.
+// handleStateAccepted transfers the ownership to the successor, which has decoded the state. Queued commands
+// and the connections of clients follow.
 func (h *outgoingHandover) handleStateAccepted(link successorLink) {
 	if h.link != link || link.IsClosed() || !h.phase.TransitionTo(handoverAccepted) {
 		return
@@ -160,7 +172,8 @@
 	}
 }
 
-// end ends a handover that was not completed, or whose successor has exited: this process serves again.
+// end ends a handover that was not completed, or whose successor has exited. This process serves again and
+// processes the queued commands.
 func (h *outgoingHandover) end() {
 	released, commands := h.hasReleasedOwnership(), h.queuedCommands
 	if !h.phase.TransitionTo(handoverNone) {
@@ -178,9 +191,9 @@
 	h.gateway.stopIfIdle()
 }
 
-// queueCommand keeps a command that the successor is to decide on. Once the successor has the state, the
-// command is appended to the unread input that is handed over with its connection, and releases its slot in
-// the connection's pipeline.
+// queueCommand keeps a command for the successor. Before the ownership is transferred, it queues the command.
+// Afterwards it appends the command to the input that is handed over with the client's connection, and
+// releases the command's slot in the client's pipeline.
 func (h *outgoingHandover) queueCommand(e receivedCommand) {
 	if !h.hasReleasedOwnership() {
 		h.queuedCommands = append(h.queuedCommands, e)
--- a/internal/gateway/handover_gateway.go
+++ b/internal/gateway/handover_gateway.go
@@ -9,7 +9,7 @@
 )
 
 // This file contains the effects of a handover on the gateway, and the events that a successor causes.
-// Ownership is the right to decide on requests and to grant quota; handover.go describes its transfer.
+// Ownership is the right to admit requests and to grant quota; handover.go describes its transfer.
 
 // handoverAdapter implements handoverGateway.
 type handoverAdapter struct{ *Gateway }
--- a/internal/gateway/reload_settings_test.go
+++ b/internal/gateway/reload_settings_test.go
@@ -21,8 +21,8 @@
 	open := c.openLookup(b, 1)
 	r.reloadWith(newConfig(t, d, func(f map[string]any) {
 		withOps(f)
-		// Class lookup is removed while one of its requests is open, order becomes the first class, and
-		// strict is added.
+		// Class lookup is removed while one of its requests is open, the class "order" becomes the first
+		// one, and the class "strict" is added.
 		f["settings"] = editSettings(t, lookupClass, "", onceClass, strictClass+onceClass)
 	}), nil)
 	awaitMetric(t, r, "cfg_accepted=1")
--- a/internal/gateway/request_body.go
+++ b/internal/gateway/request_body.go
@@ -18,7 +18,7 @@
 type body struct {
 	size             int
 	destination      chan *backendConn // sent by the event loop to the reader; nil to skip the body
-	lastBytesWriting atomic.Bool       // set by the reader before the last write; the request may then run
+	lastBytesWriting atomic.Bool       // set by the reader before it writes the last bytes to the backend
 
 	// Used only by the event loop's goroutine.
 	request  *request
@@ -43,19 +43,22 @@
 // its reply.
 func (b *body) discard() { b.assignConn(nil) }
 
-// isBodyIncomplete reports whether the backend cannot have received the complete large body of an attempt.
+// isBodyIncomplete reports whether the backend cannot have received the complete large body of an attempt:
+// the write of its last bytes has not started. Until then the backend cannot execute the request.
 func (a *attempt) isBodyIncomplete() bool {
 	return a.isBodyPending() && !a.request.body.lastBytesWriting.Load()
 }
 
-// isBodyPending reports whether the large body of an attempt is not known to be fully written.
+// isBodyPending reports whether the large body of an attempt is not known to be fully written. Unlike with
+// isBodyIncomplete, the write of the last bytes may have started, so the backend may have received them.
 func (a *attempt) isBodyPending() bool {
 	return a.request != nil && a.request.body != nil && a.conn != nil && !a.fullyWritten
 }
 
-// forwardBody reads a large body and writes it to its backend, a buffer at a time. A slow backend therefore
-// delays only this reader. forwardBody runs in the client's reader goroutine and reports whether the next
-// command can be read.
+// forwardBody waits until the event loop has assigned a large body to a connection or has discarded it. It
+// then writes the body to the connection, a buffer at a time, or skips it. It runs in the client's reader
+// goroutine, so a slow backend delays only this client. It reports the result to the event loop, and returns
+// whether the next command can be read.
 func (c *client) forwardBody(g *Gateway, in *resp.Reader, b *body) bool {
 	conn, ok := c.awaitDestination(g, b)
 	if !ok {
@@ -83,8 +86,8 @@
 	return false
 }
 
-// awaitDestination waits for the destination of a body, which is nil if the body is to be skipped. ok is
-// false if the connection ends first.
+// awaitDestination waits for the backend connection to which a body is to be written, which is nil if the
+// body is to be skipped. ok is false if the client's connection ends first.
 func (c *client) awaitDestination(g *Gateway, b *body) (conn *backendConn, ok bool) {
 	closed := false
 	c.readAheadWhile(g, func() {
@@ -97,7 +100,10 @@
 	return conn, !closed && !c.disconnected.Load()
 }
 
-// forwardBodyBytes forwards a body without the line end behind it.
+// forwardBodyBytes reads the bytes of a body, without the line end after them, and passes them to w, which
+// writes them to the backend or drops them if the body is skipped. Each chunk must arrive within
+// commandTimeout. Only read errors are returned; w reports write errors to the event loop. If the client has
+// disconnected, forwardBodyBytes stops early and returns nil.
 func (c *client) forwardBodyBytes(in *resp.Reader, w *bodyWriter) error {
 	size := w.body.size
 	buf := make([]byte, min(size, transferBufferSize))
@@ -122,7 +128,8 @@
 	conn    *backendConn // nil if the body is skipped
 }
 
-// write writes a part of the body. After a failure the rest of the body is skipped.
+// write writes a part of the body to the backend, or drops it if the body is skipped. If the write fails,
+// bodyFailed is posted and the rest of the body is skipped.
 func (w *bodyWriter) write(part []byte) {
 	if w.conn == nil {
 		return
@@ -137,7 +144,8 @@
 	}
 }
 
-// finish writes the line end behind the body and reports that the body is written.
+// finish writes the line end after the body and posts bodyWritten, or bodyFailed if the write fails. It has no
+// effect if the body is skipped.
 func (w *bodyWriter) finish() {
 	w.body.lastBytesWriting.Store(w.conn != nil)
 	w.write(crlf)
--- a/internal/gateway/takeover.go
+++ b/internal/gateway/takeover.go
@@ -19,7 +19,7 @@
 	takeoverNone      takeoverPhase = iota // there is no predecessor
 	takeoverPending                        // a predecessor serves; this process has its listening socket
 	takeoverStarted                        // the state was requested from the predecessor
-	takeoverWatching                       // this process serves; the predecessor completes its open requests
+	takeoverWatching                       // this process serves and waits for the predecessor to exit
 	takeoverComplete                       // the predecessor has exited, or did not send its state
 	takeoverAbandoned                      // this process exits; the predecessor continues to serve
 )
@@ -54,9 +54,9 @@
 	useAllResources()
 }
 
-// takeover is the handover from a predecessor to this process. It owns the link to the predecessor. This
-// process decides only in the phases none, watching and complete. takeover is used only by the event loop's
-// goroutine.
+// takeover is the handover from a predecessor to this process. It owns the link to the predecessor. Only in
+// the phases none, watching and complete does this process admit requests and grant quota. takeover is used
+// only by the event loop's goroutine.
 type takeover struct {
 	phase   phase.Machine[takeoverPhase]
 	link    predecessorLink // nil if there is no predecessor
@@ -78,7 +78,7 @@
 // hasPredecessor reports whether there is or was a predecessor.
 func (t *takeover) hasPredecessor() bool { return !t.phase.Is(takeoverNone) }
 
-// isPending reports whether a predecessor decides and this process waits to take over.
+// isPending reports whether a predecessor has the ownership and this process waits to take over.
 func (t *takeover) isPending() bool { return t.phase.Is(takeoverPending, takeoverStarted) }
 
 // predecessorRuns reports whether this process serves while the predecessor completes its open requests.
@@ -114,7 +114,8 @@
 	}
 }
 
-// abandon ends a takeover in which the predecessor still decides; the predecessor continues to serve.
+// abandon ends a takeover in which the predecessor still has the ownership; the predecessor continues to
+// serve.
 func (t *takeover) abandon() {
 	if t.phase.TransitionTo(takeoverAbandoned) {
 		t.link.Abandon()
@@ -190,7 +191,8 @@
 	}
 }
 
-// clientReceived is a client's connection that the predecessor has handed over.
+// clientReceived reports a client's connection that the predecessor has handed over. The connection is closed
+// if all slots for clients are in use.
 type clientReceived struct{ client handover.Client }
 
 func (e clientReceived) Handle(g *Gateway) {
--- a/internal/gateway/value_stream.go
+++ b/internal/gateway/value_stream.go
@@ -15,10 +15,11 @@
 	transferStallTimeout = 5 * time.Second // maximum time without progress of the sender or the receiver
 )
 
-// streamValue notifies the event loop of a large value and, when the loop has sent the destination,
-// forwards the value to the client, a buffer at a time. A slow client therefore delays only this reader.
-// streamValue runs in the connection's reader goroutine. It fills in e, and reports whether the reader has
-// to post it.
+// streamValue notifies the event loop of a large value, waits until the loop has assigned the writer of a
+// client to it, and forwards the value to that client, a buffer at a time. It runs in the reader goroutine of
+// the backend connection, so a slow client delays only this connection. It records the result in e, and
+// returns whether the caller has to post e to the event loop: not if the connection was closed during the
+// wait.
 func (c *backendConn) streamValue(
 	events *eventLoop, in *resp.Reader, e *replyReceived,
 ) bool {
@@ -29,7 +30,7 @@
 		n, err := in.ReadValueBytes(buf[buffered:min(size, transferBufferSize)])
 		buffered += n
 		if err != nil {
-			e.reply, e.err = resp.Reply{}, err // the length was corrupt, so the attempt got no reply
+			e.reply, e.err = resp.Reply{}, err // the value cannot be read, so the attempt got no reply
 			return true
 		}
 	}
@@ -44,7 +45,7 @@
 	e.streamed = true
 	e.err = c.forwardValue(in, destination, size, buf, buffered)
 	if e.err == nil {
-		// The client has the complete value: malformed input behind it only makes this connection unusable.
+		// The client has the complete value: malformed input after it only makes this connection unusable.
 		c.readTimeout = replyTimeout
 		var err error
 		e.reply, err = in.ReadRemainingItems(e.reply)
@@ -53,7 +54,8 @@
 	return true
 }
 
-// forwardValue writes a value of size bytes to a client. The first buffered bytes of the value are in buf.
+// forwardValue writes a value of size bytes to a client as a bulk string. The first buffered bytes of the
+// value are in buf; the others are read from the backend. Errors of either connection are returned.
 func (c *backendConn) forwardValue(
 	in *resp.Reader, destination *sockwriter.Writer, size int, buf []byte, buffered int,
 ) error {
--- a/internal/handover/predecessor.go
+++ b/internal/handover/predecessor.go
@@ -40,8 +40,8 @@
 	closed   bool
 }
 
-// Listen opens the handover socket at a path. It replaces a socket file that an earlier process has left
-// there.
+// Listen opens the handover socket at a path. It replaces the socket file of an earlier process, which may
+// still run.
 func Listen(path string, log *slog.Logger) (*Listener, error) {
 	if err := os.Remove(path); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		log.Warn("handover: cannot remove stale socket", "error", err)
