--- a/internal/gateway/capacity.go
+++ b/internal/gateway/capacity.go
@@ -24,10 +24,10 @@
 }
 
 // capacityRejection returns the reply that rejects a request for which the gateway itself has no capacity, and
-// counts the rejection. It returns nil if there is capacity for the request, unless overMemory is set. If the
+// counts the rejection. It returns nil if there is capacity for the request, unless noCapacity is set. If the
 // request is the first of its connection and there are too many connections, capacityRejection evicts another
 // connection. If none can be evicted, it may reject the request and let the connection close after the reply.
-func (g *Gateway) capacityRejection(c *client, overMemory bool) []byte {
+func (g *Gateway) capacityRejection(c *client, noCapacity bool) []byte {
 	cs := g.clients
 	for c.commandCount == 1 && len(cs.conns) > cs.limit {
 		if !cs.evict(g, c) {
@@ -37,8 +37,8 @@
 			break
 		}
 	}
-	overMemory = overMemory || g.isOverCapacity()
-	if !overMemory && !c.overLimit && !g.shutdown.hasAnsweredAll() {
+	noCapacity = noCapacity || g.isOverCapacity()
+	if !noCapacity && !c.overLimit && !g.shutdown.hasAnsweredAll() {
 		return nil
 	}
 	c.closeWhenAnswered = c.closeWhenAnswered || c.overLimit
--- a/internal/gateway/client_commands.go
+++ b/internal/gateway/client_commands.go
@@ -197,15 +197,15 @@
 	case e.isForSuccessor(g):
 		g.handover.queueCommand(e)
 	case e.config != g.config:
-		e.handleAfterReload(g)
+		e.reparseAfterReload(g)
 	default:
 		e.admit(g)
 	}
 }
 
-// handleAfterReload parses a request again whose configuration has been replaced, because the index of its
+// reparseAfterReload parses a request again whose configuration has been replaced, because the index of its
 // class may have changed. If the class was removed, the request is answered with an error.
-func (e requestReceived) handleAfterReload(g *Gateway) {
+func (e requestReceived) reparseAfterReload(g *Gateway) {
 	switch parsed := e.parse(g.config, e.args).(type) {
 	case requestReceived:
 		parsed.admit(g)
@@ -224,9 +224,9 @@
 }
 
 // tryReject answers a request that the gateway cannot serve with an error or a rejection, and reports whether
-// it did. If overMemory is set, the request is rejected in any case. tryReject counts the request as a command
+// it did. If noCapacity is set, the request is rejected in any case. tryReject counts the request as a command
 // of its connection.
-func (g *Gateway) tryReject(r *request, overMemory bool) (rejected bool) {
+func (g *Gateway) tryReject(r *request, noCapacity bool) (rejected bool) {
 	if g.requests.openByClientRequestID[r.clientRequestID] != nil {
 		// Backends cannot distinguish two open requests with the same ID.
 		r.client.countCommand(true, false)
@@ -234,7 +234,7 @@
 		return true
 	}
 	r.client.countCommand(false, false)
-	reply := g.capacityRejection(r.client, overMemory)
+	reply := g.capacityRejection(r.client, noCapacity)
 	if reply == nil {
 		return false
 	}
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -7,7 +7,7 @@
 // context.
 //
 // Startup, reload, handover and shutdown are state machines, each with a type of its own: listening,
-// endpointList, reload, takeover, outgoingHandover and shutdown. Each declares an interface with the
+// endpointListState, reload, takeover, outgoingHandover and shutdown. Each declares an interface with the
 // operations that it needs of the gateway, such as shutdownGateway, which an adapter implements on Gateway,
 // such as shutdownAdapter.
 //
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -12,22 +12,24 @@
 	"sparspread/policy"
 )
 
-// endpointPhase is the source of the current endpoint list. The Phase of a discovery.Endpoint is another
+// endpointListSource is the source of the current endpoint list. The Phase of a discovery.Endpoint is another
 // thing: the state of a single backend.
-type endpointPhase uint8
+type endpointListSource uint8
 
 const (
-	endpointsConfigured endpointPhase = iota // the list is from the configuration
-	endpointsImported                        // the list is from the state of a predecessor
-	endpointsReceived                        // the list is from discovery
+	endpointsConfigured endpointListSource = iota // the list is from the configuration
+	endpointsImported                             // the list is from the state of a predecessor
+	endpointsReceived                             // the list is from discovery
 )
 
 // String returns the name of the phase for log messages.
-func (p endpointPhase) String() string { return [...]string{"configured", "imported", "received"}[p] }
+func (p endpointListSource) String() string {
+	return [...]string{"configured", "imported", "received"}[p]
+}
 
 // endpointTransitions lists the legal transitions. The order of precedence is discovery, predecessor,
 // configuration: a list is never replaced by one from a source of lower precedence.
-var endpointTransitions = phase.Transitions[endpointPhase]{
+var endpointTransitions = phase.Transitions[endpointListSource]{
 	endpointsConfigured: {endpointsImported, endpointsReceived},
 	endpointsImported:   {endpointsReceived},
 }
@@ -45,26 +47,26 @@
 	startAccepting()
 }
 
-// endpointList tracks where the current endpoint list is from, its newest revision and the numbers of its
+// endpointListState tracks where the current endpoint list is from, its newest revision and the numbers of its
 // zones. The endpoints themselves are stored in backends. The number of a zone never changes, because the policy
-// identifies zones by number. endpointList is used only by the event loop's goroutine.
-type endpointList struct {
-	phase          phase.Machine[endpointPhase]
+// identifies zones by number. endpointListState is used only by the event loop's goroutine.
+type endpointListState struct {
+	phase          phase.Machine[endpointListSource]
 	newestRevision uint64   // the highest revision of all updates so far
 	zones          []string // names, indexed by number; the first is the gateway's own zone
 	gateway        endpointGateway
 }
 
-// newEndpointList returns an endpoint list that knows the zones of the configuration.
-func newEndpointList(zones []string, gateway endpointGateway, log *slog.Logger) *endpointList {
-	return &endpointList{
+// newEndpointListState returns the state of an endpoint list with the zones of the configuration.
+func newEndpointListState(zones []string, gateway endpointGateway, log *slog.Logger) *endpointListState {
+	return &endpointListState{
 		phase: phase.New("endpoints", endpointsConfigured, endpointTransitions, reportIllegalTransition(log)),
 		zones: zones, gateway: gateway,
 	}
 }
 
 // zoneNumber returns the number of a zone. A new zone is assigned the next number.
-func (e *endpointList) zoneNumber(name string) int {
+func (e *endpointListState) zoneNumber(name string) int {
 	if i := slices.Index(e.zones, name); i >= 0 {
 		return i
 	}
@@ -73,7 +75,7 @@
 }
 
 // importList applies the list of a predecessor, unless discovery has already sent a list.
-func (e *endpointList) importList(endpoints []discovery.Endpoint) {
+func (e *endpointListState) importList(endpoints []discovery.Endpoint) {
 	if !e.phase.Is(endpointsReceived) && e.phase.TransitionTo(endpointsImported) {
 		e.gateway.updateEndpoints(policy.UpdateStale, endpoints)
 	}
@@ -81,7 +83,7 @@
 
 // handleEvent applies an event of the discovery client. The gateway accepts clients when the first list has
 // arrived; later lists have no effect on that.
-func (e *endpointList) handleEvent(event discovery.Event) {
+func (e *endpointListState) handleEvent(event discovery.Event) {
 	if event.Kind == policy.UpdateUnavailable {
 		e.gateway.reportUnavailable()
 		return
@@ -97,7 +99,7 @@
 // retainDraining corrects an outdated update. After the address of discovery has changed, the server at the
 // new address may first send an update that is older than the newest one received. A backend that is draining
 // then stays draining, unless it has restarted, which its start time shows.
-func (e *endpointList) retainDraining(update *discovery.Update) {
+func (e *endpointListState) retainDraining(update *discovery.Update) {
 	if update.Revision >= e.newestRevision {
 		e.newestRevision = update.Revision
 		return
--- a/internal/gateway/endpoints_phase_test.go
+++ b/internal/gateway/endpoints_phase_test.go
@@ -27,10 +27,10 @@
 	return endpoint, draining
 }
 
-func newFakeEndpoints() (*endpointList, *fakeEndpointGateway, *[]string) {
+func newFakeEndpoints() (*endpointListState, *fakeEndpointGateway, *[]string) {
 	log, illegal := newIllegalTransitionLog()
 	f := &fakeEndpointGateway{draining: map[string]discovery.Endpoint{}}
-	return newEndpointList([]string{"own"}, f, log), f, illegal
+	return newEndpointListState([]string{"own"}, f, log), f, illegal
 }
 
 // completeListEvent returns the event of a complete list with a revision.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -51,7 +51,7 @@
 		log: log, clock: clock, requests: newRequestTable(), metrics: &metrics.Metrics{},
 	}
 	g.events = eventloop.New(g, clock)
-	g.endpoints = newEndpointList(cfg.Host.Zones, endpointAdapter{g}, log)
+	g.endpoints = newEndpointListState(cfg.Host.Zones, endpointAdapter{g}, log)
 	g.reload = newReload(reloadAdapter{g}, log)
 	g.handover = newOutgoingHandover(handoverAdapter{g}, log)
 	g.shutdown = newShutdown(shutdownAdapter{g}, log)
--- a/internal/gateway/request_body.go
+++ b/internal/gateway/request_body.go
@@ -65,7 +65,7 @@
 		return false // the attempt, if any, ends with the request
 	}
 	w := bodyWriter{client: c, gateway: g, body: b, conn: conn}
-	err := c.forwardBodyBytes(in, &w)
+	err := c.copyBodyChunks(in, &w)
 	if c.disconnected.Load() {
 		return false
 	}
@@ -100,11 +100,11 @@
 	return conn, !closed && !c.disconnected.Load()
 }
 
-// forwardBodyBytes reads the bytes of a body, without the line end after them, and passes them to w, which
+// copyBodyChunks reads the bytes of a body, without the line end after them, and passes them to w, which
 // writes them to the backend or drops them if the body is skipped. Each chunk must arrive within
 // commandTimeout. Only read errors are returned; w reports write errors to the event loop. If the client has
-// disconnected, forwardBodyBytes stops early and returns nil.
-func (c *client) forwardBodyBytes(in *resp.Reader, w *bodyWriter) error {
+// disconnected, copyBodyChunks stops early and returns nil.
+func (c *client) copyBodyChunks(in *resp.Reader, w *bodyWriter) error {
 	size := w.body.size
 	buf := make([]byte, min(size, transferBufferSize))
 	for remaining := size; remaining > 0 && !c.disconnected.Load(); {
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -49,7 +49,7 @@
 
 	// State machines that control the gateway.
 	listening *listening
-	endpoints *endpointList
+	endpoints *endpointListState
 	reload    *reload
 	takeover  *takeover
 	handover  *outgoingHandover
