--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -32,15 +32,16 @@
 	return p.backends.startAttempt(a, backend)
 }
 
-// Reject gives a request the final reply that it was not run. If after is not zero, the reply advises the
-// client to retry after that time.
+// Reject answers a request with the reply that it was not run. If after is not zero, the reply advises the
+// client to retry after that time. Reject has no effect if the request is already answered.
 func (p policyActions) Reject(id uint64, after policy.Time) {
 	if r := p.requests.byID[id]; r != nil {
 		p.answer(r, busyReply(after))
 	}
 }
 
-// Fail gives a request the final reply that it failed, and may or may not have run.
+// Fail answers a request with the reply that it failed, and may or may not have run. Fail has no effect if
+// the request is already answered.
 func (p policyActions) Fail(id uint64) {
 	if r := p.requests.byID[id]; r != nil {
 		p.answer(r, failedReply)
@@ -57,7 +58,7 @@
 
 func (t policyTimer) Handle(g *Gateway) { g.controller.TimerFired(g.events.Now(), uint32(t)) }
 
-// HealthCheck starts a health check of a backend.
+// HealthCheck starts a health check of a backend, which times out after the dial timeout.
 func (p policyActions) HealthCheck(backend uint32) {
 	now := p.events.Now()
 	a := &attempt{sentAt: now, expiresAt: now + p.config.Host.DialTimeout}
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -38,8 +38,9 @@
 	a.request.metrics.Attempts.Add(1)
 }
 
-// startAttempt starts an attempt or health check on the backend with the given number. It reports whether the
-// attempt waits for a connection.
+// startAttempt starts an attempt or health check on the backend with the given number. If it cannot be sent,
+// for example because the backend is not ready, it ends as not sent. startAttempt reports whether the attempt
+// waits for a connection.
 func (bs *backends) startAttempt(a *attempt, number uint32) (waiting bool) {
 	a.backend = number
 	b := bs.byNumber[number]
@@ -82,8 +83,9 @@
 	bs.endAttemptWithAnswer(a, result, backendAnswer{})
 }
 
-// endAttemptWithAnswer ends an attempt and defers the event with its outcome. Only the first call for an
-// attempt has an effect.
+// endAttemptWithAnswer ends an attempt and defers the event with its outcome. If the backend cannot have
+// received the complete large body, the result is replaced by ResultNotSent, unless it is ResultOverloaded.
+// Only the first call for an attempt has an effect.
 func (bs *backends) endAttemptWithAnswer(a *attempt, result policy.Result, answer backendAnswer) {
 	if a.ended {
 		return
--- a/internal/gateway/backend.go
+++ b/internal/gateway/backend.go
@@ -147,7 +147,8 @@
 	return listed
 }
 
-// updateEndpoint applies one entry of a list from discovery.
+// updateEndpoint applies one entry of a list from discovery and returns its backend, which it creates if
+// necessary.
 func (bs *backends) updateEndpoint(e discovery.Endpoint) *backend {
 	b := bs.findOrCreate(e.ID)
 	b.state, b.endpoint = e.State(), e
--- a/internal/gateway/backend_dial.go
+++ b/internal/gateway/backend_dial.go
@@ -17,7 +17,9 @@
 	maxShortagePauses  = 4
 )
 
-// dialForWaiting starts dials until as many are in progress as attempts wait for a connection.
+// dialForWaiting starts dials until as many are in progress as attempts wait for a connection, unless dials
+// to the backend are paused. If the limit of connections is reached, it closes an idle connection for each
+// dial or, if there is none, ends the attempt that was added last as not sent.
 func (bs *backends) dialForWaiting(b *backend) {
 	for b.activeDials < len(b.waiting) && !b.dialPaused {
 		if bs.openConns >= bs.limit && !bs.evictIdleConn() {
--- a/internal/gateway/backend_pool.go
+++ b/internal/gateway/backend_pool.go
@@ -100,8 +100,9 @@
 	bs.scheduleQuiescenceTimer(b)
 }
 
-// releaseConn makes a connection available. A new connection goes to the attempt that has waited longest. A
-// connection that has carried a reply can be used after its quiescence period.
+// releaseConn makes a connection available, or closes it if it cannot be used again. A new connection goes to
+// the attempt that has waited longest. A connection that has carried a reply can be used after its quiescence
+// period.
 func (bs *backends) releaseConn(c *backendConn) {
 	b := c.backend
 	if !c.writer.Flushed() {
@@ -123,8 +124,9 @@
 	bs.scheduleQuiescenceTimer(b)
 }
 
-// assignToWaiting writes the attempt that has waited longest to a connection. If no attempt waits, the
-// connection becomes idle.
+// assignToWaiting writes the attempt that has waited longest to a connection. Attempts that are no longer
+// wanted end as not sent. If no attempt is left, the connection becomes idle. If the connection is broken,
+// the attempt waits for another one.
 func (bs *backends) assignToWaiting(c *backendConn) {
 	b := c.backend
 	for len(b.waiting) > 0 {
--- a/internal/gateway/backend_read.go
+++ b/internal/gateway/backend_read.go
@@ -61,7 +61,7 @@
 	err           error
 	malformed     bool  // the reply cannot be parsed
 	bytesConsumed int64 // bytes read from the connection, up to the end of the reply
-	trailingInput bool  // input has arrived behind the reply
+	trailingInput bool  // input has arrived after the reply
 	streamed      bool  // the value was forwarded to the client while it was read
 }
 
@@ -78,7 +78,8 @@
 	}
 }
 
-// handleConnEnd handles the end of a connection, or input that no attempt waits for.
+// handleConnEnd closes a connection that has ended, or on which input has arrived that no attempt waits for.
+// The attempt on the connection, if any, ends as reset.
 func (e replyReceived) handleConnEnd(g *Gateway) {
 	c, a := e.conn, e.conn.attempt
 	reused := c.hasCarriedReply()
@@ -109,7 +110,8 @@
 	}
 }
 
-// handleReply ends the attempt on a connection with the reply, which may be malformed.
+// handleReply ends the attempt on a connection with the reply, which may be malformed. It closes the
+// connection if further input could be mistaken for the reply to another request, and releases it otherwise.
 func (e replyReceived) handleReply(g *Gateway) {
 	c, a := e.conn, e.conn.attempt
 	reused := c.hasCarriedReply()
--- a/internal/gateway/backend_reply.go
+++ b/internal/gateway/backend_reply.go
@@ -31,7 +31,7 @@
 	wellFormed bool   // the reply has the expected form: an array whose first item is the value, or an error
 }
 
-// classifyReply interprets a reply to a request or to a health check. Items behind the value, such as a load
+// classifyReply interprets a reply to a request or to a health check. Items after the value, such as a load
 // report that cannot be parsed, do not make the reply malformed.
 func classifyReply(reply resp.Reply, healthCheck bool) classifiedReply {
 	switch {
--- a/internal/gateway/capacity.go
+++ b/internal/gateway/capacity.go
@@ -23,10 +23,10 @@
 	return int64(cfg.MemoryMB) * bytesPerMB / queuedMemoryDivisor
 }
 
-// capacityRejection returns the reply that rejects a request for which the gateway itself has no capacity, and
-// counts the rejection. It returns nil if there is capacity for the request, unless noCapacity is set. If the
-// request is the first of its connection and there are too many connections, capacityRejection evicts another
-// connection. If none can be evicted, it may reject the request and let the connection close after the reply.
+// capacityRejection returns the reply that rejects a request for which the gateway itself has no capacity,
+// and counts the rejection. It returns nil if there is capacity for the request, unless noCapacity is set. If
+// the request is the first of its connection and there are too many connections, others are evicted. If none
+// can be evicted, the request may be rejected, and its connection is then closed after the reply.
 func (g *Gateway) capacityRejection(c *client, noCapacity bool) []byte {
 	cs := g.clients
 	for c.commandCount == 1 && len(cs.conns) > cs.limit {
--- a/internal/gateway/client.go
+++ b/internal/gateway/client.go
@@ -106,7 +106,8 @@
 	*counts = clientCounts{startedAt: now}
 }
 
-// sweep closes connections that have been idle for too long or exceed the limit, and logs the counts.
+// sweep closes connections that have been idle for too long or exceed the limit. During a handover it hands
+// over connections that are ready for it. It also logs the counts if they are due.
 func (cs *clients) sweep(g *Gateway) {
 	for len(cs.conns) > cs.limit && cs.evict(g, nil) {
 	}
--- a/internal/gateway/client_close.go
+++ b/internal/gateway/client_close.go
@@ -37,7 +37,8 @@
 	g.events.After(linger, lingerTimer{client: c})
 }
 
-// lingerTimer closes a connection that the peer has not closed.
+// lingerTimer closes a connection that the peer has not closed. If replies are not written yet, the time is
+// extended up to maxLingers times.
 type lingerTimer struct {
 	client     *client
 	extensions int // number of extensions so far
--- a/internal/gateway/client_commands.go
+++ b/internal/gateway/client_commands.go
@@ -224,8 +224,7 @@
 }
 
 // tryReject answers a request that the gateway cannot serve with an error or a rejection, and reports whether
-// it did. If noCapacity is set, the request is rejected in any case. tryReject counts the request as a command
-// of its connection.
+// it did. It always does if noCapacity is set. It counts the request as a command of its connection.
 func (g *Gateway) tryReject(r *request, noCapacity bool) (rejected bool) {
 	if g.requests.openByClientRequestID[r.clientRequestID] != nil {
 		// Backends cannot distinguish two open requests with the same ID.
--- a/internal/gateway/client_reply.go
+++ b/internal/gateway/client_reply.go
@@ -3,7 +3,9 @@
 import "slices"
 
 // flushReplies writes the replies at the head of the pipeline in one write, up to the first unanswered
-// request.
+// request, and starts the transfer of that request's large value, if it has one. If the pipeline is empty
+// afterwards, the connection is closed or handed over, if that is due. A client that leaves too many replies
+// unread is disconnected.
 func (c *client) flushReplies(g *Gateway) {
 	answered, replies := c.collectReplies(g)
 	if answered == 0 {
--- a/internal/gateway/counter.go
+++ b/internal/gateway/counter.go
@@ -20,7 +20,8 @@
 }
 
 // IncrementCounter implements policy.Actions. It adds an amount to a counter that all gateways share. The
-// answer arrives as a counterAnswered event.
+// answer arrives as a counterAnswered event. Its result is overloaded if the gateway has no shared counter or
+// the queue of increments is full.
 func (p policyActions) IncrementCounter(name uint64, amount float64, ttl policy.Time) {
 	if p.counter != nil && p.counter.Increment(counter.Increment{Name: name, Amount: amount, TTL: ttl}) {
 		return
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -12,8 +12,8 @@
 	"sparspread/policy"
 )
 
-// endpointListSource is the source of the current endpoint list. The Phase of a discovery.Endpoint is another
-// thing: the state of a single backend.
+// endpointListSource is the source of the current endpoint list. It is unrelated to the
+// Phase of a discovery.Endpoint, which is the state of a single backend.
 type endpointListSource uint8
 
 const (
@@ -47,9 +47,10 @@
 	startAccepting()
 }
 
-// endpointListState tracks where the current endpoint list is from, its newest revision and the numbers of its
-// zones. The endpoints themselves are stored in backends. The number of a zone never changes, because the policy
-// identifies zones by number. endpointListState is used only by the event loop's goroutine.
+// endpointListState tracks the source of the current endpoint list, its newest revision and the numbers of
+// its zones. The endpoints themselves are stored in type backends. The number of a zone never changes,
+// because the policy identifies zones by number. endpointListState is used only by the event loop's
+// goroutine.
 type endpointListState struct {
 	phase          phase.Machine[endpointListSource]
 	newestRevision uint64   // the highest revision of all updates so far
--- a/internal/gateway/gossip.go
+++ b/internal/gateway/gossip.go
@@ -18,7 +18,8 @@
 }
 
 // adoptGossipSocket makes the gossip transport use the predecessor's socket. If conn is nil or bound to
-// another address, the transport opens a socket of its own.
+// another address, the transport opens a socket of its own. If this process does not use gossip, conn is
+// closed.
 func (g *Gateway) adoptGossipSocket(conn *net.UDPConn) {
 	if !g.config.Settings.Gossip {
 		if conn != nil {
--- a/internal/gateway/handover.go
+++ b/internal/gateway/handover.go
@@ -22,9 +22,12 @@
 type handoverPhase uint8
 
 const (
-	handoverNone     handoverPhase = iota // this process has the ownership
-	handoverOffered                       // neither process has the ownership: the state is sent but not accepted yet
-	handoverAccepted                      // the successor has the ownership; this process completes its open requests
+	// This process has the ownership.
+	handoverNone handoverPhase = iota
+	// The state is sent but not accepted yet. Neither process has the ownership.
+	handoverOffered
+	// The successor has the ownership. This process completes its open requests.
+	handoverAccepted
 )
 
 // String returns the name of the phase for log messages.
@@ -78,7 +81,7 @@
 	// stopReading stops reading from clients. Each connection is handed over once its requests are answered
 	// and the replies are written.
 	stopReading()
-	// retainOwnership reverts pauseServing after a handover that ended before the successor got the ownership.
+	// retainOwnership reverts pauseServing if a handover ends before the ownership was transferred.
 	retainOwnership()
 	// resumeOwnership serves again after a successor that had the ownership has exited.
 	resumeOwnership()
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// load checks a configuration and puts it in force. Requests and connections continue.
+// load checks a configuration and puts it in force, or rejects it. Requests and connections continue.
 func (r *reload) load(cfg config.Config) {
 	if !r.phase.TransitionTo(reloadChecking) {
 		return
--- a/internal/gateway/request_body.go
+++ b/internal/gateway/request_body.go
@@ -144,8 +144,8 @@
 	}
 }
 
-// finish writes the line end after the body and posts bodyWritten, or bodyFailed if the write fails. It has no
-// effect if the body is skipped.
+// finish writes the line end after the body and posts bodyWritten, or bodyFailed if the write fails. It has
+// no effect if the body is skipped.
 func (w *bodyWriter) finish() {
 	w.body.lastBytesWriting.Store(w.conn != nil)
 	w.write(crlf)
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -63,7 +63,8 @@
 }
 
 // markAnswered records that a request has its final reply, or needs none because its client has
-// disconnected. It ends the timer, body and attempt that wait for the request.
+// disconnected. It cancels the deadline timer and an attempt that waits for a connection, discards a large
+// body that is not assigned, and allows clients to send another request with the same ID.
 func (g *Gateway) markAnswered(r *request) {
 	r.answered = true
 	g.requests.openCount--
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -76,8 +76,8 @@
 type shutdownGateway interface {
 	// announce logs the shutdown and reports to operators that this process is not ready.
 	announce()
-	// abandonTakeover abandons the takeover from a predecessor that still decides, and reports whether there
-	// was one.
+	// abandonTakeover abandons a takeover in which the predecessor still has the ownership. It reports whether
+	// there was one.
 	abandonTakeover() bool
 	// scheduleSteps schedules a call of takeStep for each step.
 	scheduleSteps()
@@ -110,7 +110,8 @@
 func (s *shutdown) isClosing() bool      { return s.phase.Is(shutdownClosing, shutdownAnswered) }
 func (s *shutdown) hasAnsweredAll() bool { return s.phase.Is(shutdownAnswered) }
 
-// start starts the shutdown. Only the first call has an effect.
+// start starts the shutdown. If this process waits to take over from a predecessor, the takeover is abandoned
+// and the gateway stops at once. Only the first call has an effect.
 func (s *shutdown) start() {
 	if s.hasStarted() || !s.phase.TransitionTo(shutdownAccepting) {
 		return
