--- a/internal/gateway/client.go
+++ b/internal/gateway/client.go
@@ -36,7 +36,7 @@
 	ignoreInput  atomic.Bool  // set by the event loop: further input is not parsed
 	disconnected atomic.Bool  // set by the reader: the peer has closed; clientDisconnected may be queued
 	lastInputAt  atomic.Int64 // set by the reader: when input last arrived; zero if none has
-	handingOver  atomic.Bool  // set by the event loop: the reader is to stop before the next command
+	handingOver  atomic.Bool  // set by the event loop: the reader stops before the next command
 
 	// Used only by the event loop's goroutine.
 	pipeline              []*request // requests without a written reply, in the order of their commands
