--- a/internal/command/forward.go
+++ b/internal/command/forward.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// maxEncodingOverhead is the maximum number of bytes that the RESP encoding adds to the arguments.
+	// The RESP encoding adds at most maxEncodingOverhead bytes to the arguments.
 	maxEncodingOverhead = 72
-	// maxTimeoutGrowth is the maximum number of bytes by which the new timeout is longer than the old one.
+	// Replacing the timeout lengthens the fields by at most maxTimeoutGrowth bytes.
 	maxTimeoutGrowth = 8
 	decimal          = 10
 )
 
-// Forwarded encodes a request for a backend. It replaces the timeout by the given one, of at least 1 ms, and
-// keeps the other arguments as received. If bodySize is not 0, the request has a large body of that size, of
-// which only the head is encoded; the caller sends the body itself.
-func Forwarded(args [][]byte, timeoutSpan Span, timeout policy.Time, bodySize int) []byte {
+// EncodeForBackend encodes a request for a backend. It replaces the timeout by the given one, but at least
+// 1 ms, and keeps the other arguments as received. If bodySize is not 0, the request has a large body of that
+// size, of which only the head is encoded; the caller sends the body itself.
+func EncodeForBackend(args [][]byte, timeoutSpan Span, timeout policy.Time, bodySize int) []byte {
 	fields := args[FieldsArg]
 	newFields := make([]byte, 0, len(fields)+maxTimeoutGrowth)
 	newFields = append(newFields, fields[:timeoutSpan.Start]...)
--- a/internal/ops/server.go
+++ b/internal/ops/server.go
@@ -18,7 +18,7 @@
 	MaxConnections = 12
 
 	readTimeout    = time.Second
-	writeTimeout   = 2 * time.Second // from the end of the request's header
+	writeTimeout   = 2 * time.Second // measured from the end of the request's header
 	maxHeaderBytes = 4 << 10
 	contentType    = "text/plain; charset=utf-8"
 )
@@ -113,7 +113,7 @@
 	case http.StateNew:
 		s.connections = append(s.connections, conn)
 		if len(s.connections) > s.maxConnections {
-			_ = s.connections[0].Close() // the operator gets no response, with or without an error
+			_ = s.connections[0].Close() // discarded, so an error does not matter
 			s.connections = s.connections[1:]
 		}
 	case http.StateClosed, http.StateHijacked:
--- a/internal/resp/reader.go
+++ b/internal/resp/reader.go
@@ -10,7 +10,8 @@
 
 const (
 	readBufferSize = 2048
-	// minGrowth is the minimum number of bytes by which the buffer of a value grows. A longer buffer doubles.
+	// minGrowth is the minimum number of bytes by which the buffer of a value grows. If the buffer already
+	// holds more, it doubles.
 	minGrowth = 4096
 )
 
@@ -22,8 +23,8 @@
 // NewReader returns a Reader that reads from in.
 func NewReader(in io.Reader) *Reader { return &Reader{bufio.NewReaderSize(in, readBufferSize)} }
 
-// Await waits until the first byte of the next message has been received.
-func (r *Reader) Await() error {
+// AwaitMessage waits until the first byte of the next message has been received.
+func (r *Reader) AwaitMessage() error {
 	_, err := r.in.Peek(1)
 	return err
 }
--- a/policy/simulation_test.go
+++ b/policy/simulation_test.go
@@ -12,10 +12,10 @@
 const (
 	simulatedCores       = 2
 	simulatedServiceTime = second / 10
-	simulatedQueue       = 16 // the length of the queue; further requests are rejected as overloaded
+	simulatedQueue       = 16 // a backend queues this many requests and rejects further ones as overloaded
 	simulatedCapacity    = simulatedCores * float64(second) / float64(simulatedServiceTime)
-	simulatedDelay       = second / 500 // the delay of the network
-	simulatedStart       = 8 * second   // the time at which backends start, after a period without starts
+	simulatedDelay       = second / 500 // the network delays a message by this much
+	simulatedStart       = 8 * second   // backends start at this time, after a period without starts
 	simulatedEnd         = 18 * second
 )
 
@@ -25,7 +25,7 @@
 	backends       int     // the number of backends; zero derives it from the number of gateways
 	starting       float64 // the fraction of the backends that start at simulatedStart
 	uneven         bool    // a fifth of the gateways gets half of the traffic
-	shift          bool    // that traffic moves to other gateways two seconds after the start
+	shift          bool    // the traffic of these gateways moves to others two seconds after the start
 	lateFraction   float64 // the fraction of the gateways that receive updates late
 	lateBy         Time    // the additional delay of late updates
 	clockStep      Time    // how far the gateways' clocks are ahead of the clock of service discovery
@@ -142,7 +142,7 @@
 	}
 }
 
-// updateAll sends all gateways the endpoint list, to some of them late.
+// updateAll sends all gateways the endpoint list, which some of them receive late.
 func (s *simulation) updateAll() {
 	for i := range s.gateways {
 		at := s.now + Time(s.random.IntN(20))*second/1000
@@ -186,7 +186,8 @@
 	s.updateAll()
 }
 
-// cutOff schedules a period in which requests to the starting backends are lost, in seconds from now.
+// cutOff schedules a period in which requests to the starting backends are lost. The period is given in
+// seconds from now.
 func (s *simulation) cutOff(from, to Time) {
 	set := func(cutOff bool) func() {
 		return func() {
@@ -200,7 +201,7 @@
 }
 
 // distributeTraffic sets the weights of the gateways. If the traffic is uneven, the offset selects the
-// gateways that get most of it.
+// gateways that get most of the traffic.
 func (s *simulation) distributeTraffic(offset int) {
 	n := len(s.gateways)
 	for i := range s.weights {
@@ -235,7 +236,7 @@
 	return gateway
 }
 
-// receive has a gateway receive a request, and checks that the gateway decides on it immediately.
+// receive passes a request to a gateway, and checks that the gateway decides on the request immediately.
 func (s *simulation) receive(n *simulatedGateway, id uint64) {
 	s.requests++
 	n.decided, n.deadlines[id] = false, s.now+2*second
@@ -301,19 +302,19 @@
 	}
 }
 
-// windowLoad is what a starting backend received in one overload window.
+// windowLoad is the load that a starting backend received in one overload window.
 type windowLoad struct {
 	total    float64 // requests
-	informed float64 // the part of total that informed gateways sent
-	budget   float64 // its capacity in requests, including the allowance for random variation
+	informed float64 // the part of total that was sent by gateways that knew of the start
+	budget   float64 // the capacity of the backend in requests, with an allowance for random variation
 }
 
 func (w windowLoad) ratio() float64 { return w.total / w.budget }
 
 // worstWindow returns the window with the highest load of a starting backend in relation to its budget. A
-// window of which at least a third came from uninformed gateways is ignored. If strict is set, the budget is
-// that of the minimum capacity; otherwise the capacity rises linearly, which is the slowest that the protocol
-// allows.
+// window is ignored if at least a third of its requests came from uninformed gateways. If strict is set, the
+// budget follows from the minimum capacity; otherwise from a capacity that rises linearly, which is the
+// slowest that the protocol allows.
 func (s *simulation) worstWindow(strict bool) windowLoad {
 	worst := windowLoad{budget: 1}
 	for _, b := range s.backends {
--- a/scale/internal/model/experiment.go
+++ b/scale/internal/model/experiment.go
@@ -57,7 +57,7 @@
 	SimulatedRequestsPerSecond float64 `toml:"hollow_requests"`
 	// MaxSimulatedDelay is the longest delay of a simulated gateway with which a result is valid.
 	MaxSimulatedDelay time.Duration `toml:"hollow_late"`
-	ServiceTime       time.Duration `toml:"service"`   // of a backend
+	ServiceTime       time.Duration `toml:"service"`   // the time that a backend takes to answer
 	MemoryMB          int           `toml:"memory_mb"` // the memory limit in the gateways' configuration
 	IdlePhase         time.Duration `toml:"idle"`      // length of the phase without changes and requests
 	ControlPhase      time.Duration `toml:"control"`   // length of the phase with changes only
@@ -67,7 +67,7 @@
 	TimedChanges int `toml:"steps"`
 }
 
-// The limits of an experiment, because it shares its machine with other work.
+// An experiment is limited to these values because it shares its machine with other work.
 const (
 	maxSizes             = 10
 	maxRepeats           = 10
@@ -81,7 +81,7 @@
 	maxTimedChanges      = 20
 	maxReplicaCounts     = 10
 
-	minBackendsPerChange = 2 // backends for a rate of one change per second
+	minBackendsPerChange = 2 // a rate of one change per second needs this many backends
 )
 
 // The defaults for keys that an experiment file omits.
