--- a/internal/gateway/client_eviction.go
+++ b/internal/gateway/client_eviction.go
@@ -35,8 +35,8 @@
 type evictionRank int
 
 const (
-	rankExcessNoInput       evictionRank = iota // no input; too many clients have sent no complete command
-	rankExcessMidCommand                        // first command incomplete; too many clients have no complete one
+	rankExcessNoInput       evictionRank = iota // no input; connections without a command exceed their limit
+	rankExcessMidCommand                        // first command incomplete, and the same limit is exceeded
 	rankStale                                   // no input or first command incomplete for too long
 	rankIdleAfterOne                            // idle after a single request
 	rankIdleAfterSeveral                        // idle after several requests
