--- a/internal/gateway/handover_test.go
+++ b/internal/gateway/handover_test.go
@@ -200,7 +200,7 @@
 }
 
 // A command that the first process has read in part is read completely there, and handed over to the second
-// process, which decides on it.
+// process, which admits it.
 func TestHandoverTransfersClientAfterPartialCommand(t *testing.T) {
 	cfg, b := replaceableConfigWithBackend(t)
 	first := startGateway(t, cfg)
--- a/internal/gateway/request_body_test.go
+++ b/internal/gateway/request_body_test.go
@@ -145,7 +145,7 @@
 	}
 }
 
-// A large body without the line end behind it is an incomplete command: the connection is closed.
+// A large body without the line end after it is an incomplete command: the connection is closed.
 func TestBodyWithoutLineEndClosesConnection(t *testing.T) {
 	r, _, _ := startWithBackend(t, nil)
 	c := r.client(t)
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -76,8 +76,8 @@
 type shutdownGateway interface {
 	// announce logs the shutdown and reports to operators that this process is not ready.
 	announce()
-	// abandonTakeover abandons a takeover in which the predecessor still has the ownership. It reports whether
-	// there was one.
+	// abandonTakeover abandons a takeover in which the predecessor still has the ownership. It reports
+	// whether there was one.
 	abandonTakeover() bool
 	// scheduleSteps schedules a call of takeStep for each step.
 	scheduleSteps()
--- a/internal/gateway/takeover.go
+++ b/internal/gateway/takeover.go
@@ -10,7 +10,7 @@
 	"sparspread/policy"
 )
 
-// This file is the successor's side of a handover.
+// This file is the successor's side of a handover. handover.go explains the ownership and its transfer.
 
 // takeoverPhase is the progress of a takeover from a predecessor.
 type takeoverPhase uint8
@@ -181,8 +181,8 @@
 
 func (s successorEvents) PredecessorExited() { s.gateway.events.Post(predecessorExited{}) }
 
-// stateReceived carries the state of the predecessor, which this process owns from now on. The state is nil
-// if the predecessor did not send it.
+// stateReceived carries the state of the predecessor, which has transferred the ownership to this process.
+// The state is nil if it could not be received. The event has no effect after a shutdown has started.
 type stateReceived struct{ state *handover.State }
 
 func (e stateReceived) Handle(g *Gateway) {
--- a/internal/handover/codec.go
+++ b/internal/handover/codec.go
@@ -29,7 +29,7 @@
 
 // State is the state that the predecessor transfers to the successor.
 type State struct {
-	NextRequestID uint64
+	NextRequestID uint64               // the highest request ID that the predecessor has assigned
 	Endpoints     []discovery.Endpoint // from the most recent list that discovery sent
 	Policy        *policy.Snapshot
 }
--- a/internal/handover/conn.go
+++ b/internal/handover/conn.go
@@ -11,7 +11,8 @@
 )
 
 // Link is the predecessor's connection to its successor. It queues messages, and its goroutine writes them in
-// order until Close is called. All methods must be called from one goroutine, that of the event loop.
+// order until Close is called. Methods that send block while maxQueuedMessages messages are queued. All
+// methods must be called from one goroutine, that of the event loop.
 type Link struct {
 	conn    *net.UnixConn
 	queue   chan outgoingMessage
