--- a/policy/controller_attempts.go
+++ b/policy/controller_attempts.go
@@ -101,7 +101,7 @@
 	request.mayHaveReachedBackend = request.mayHaveReachedBackend || outcome.Result != ResultNotSent
 	c.settleAttempt(request, attempt, &outcome)
 	request.answered = request.answered || outcome.ClientAnswered
-	if request.hasPending() {
+	if request.hasPendingAttempt() {
 		return
 	}
 	rule := c.settings.retryRuleAfter(request.Class, request.attempts, now)
@@ -166,7 +166,7 @@
 // RequestCancelled records that the client has disconnected or its deadline has passed.
 func (c *Controller) RequestCancelled(now Time, id uint64) {
 	c.ResponseStarted(now, id)
-	if request := c.requests.byID[id]; request != nil && !request.hasPending() {
+	if request := c.requests.byID[id]; request != nil && !request.hasPendingAttempt() {
 		c.requests.remove(id)
 	}
 }
--- a/policy/ownership.go
+++ b/policy/ownership.go
@@ -49,7 +49,7 @@
 	}
 	attempt.pending = false
 	c.settleAttempt(request, attempt, &outcome)
-	if outcome.ClientAnswered && !request.hasPending() {
+	if outcome.ClientAnswered && !request.hasPendingAttempt() {
 		delete(c.requests.predecessorRequests, outcome.RequestID)
 	}
 }
--- a/policy/quotashare_fleet_test.go
+++ b/policy/quotashare_fleet_test.go
@@ -62,8 +62,8 @@
 	return true
 }
 
-// runRounds runs a gossip round at all replicas.
-func (f *lossyFleet) runRounds(at Time) {
+// runGossipRound fires the gossip timer of each replica, then delivers the messages except those that are lost.
+func (f *lossyFleet) runGossipRound(at Time) {
 	for _, h := range f.gateways[:f.replicas] {
 		h.TimerFired(at, gossipTimer)
 	}
@@ -109,7 +109,7 @@
 				f.restart(i%f.replicas, at)
 			}
 			if i%2 == 0 {
-				f.runRounds(at)
+				f.runGossipRound(at)
 			}
 			f.serve((i/200*7+i%3)%f.replicas, uint64(i+1), at)
 		}
--- a/policy/request.go
+++ b/policy/request.go
@@ -51,8 +51,8 @@
 	return r.attempts[number]
 }
 
-// hasPending reports whether any attempt is pending.
-func (r *request) hasPending() bool {
+// hasPendingAttempt reports whether any attempt is pending.
+func (r *request) hasPendingAttempt() bool {
 	return slices.ContainsFunc(r.attempts, func(attempt *attempt) bool { return attempt.pending })
 }
 
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -41,7 +41,7 @@
 	if unknown.pendingAttempt(0) != nil {
 		t.Error("nil request has a pending attempt")
 	}
-	if !open.hasPending() || !open.hasTried(open.attempts[0].backend) || open.hasTried(&backend{}) {
+	if !open.hasPendingAttempt() || !open.hasTried(open.attempts[0].backend) || open.hasTried(&backend{}) {
 		t.Error("want one attempt pending, and only its backends tried")
 	}
 }
--- a/policy/requesttable.go
+++ b/policy/requesttable.go
@@ -78,7 +78,7 @@
 func (t *requestTable) withPendingAttempts() []*request {
 	var requests []*request
 	for _, request := range t.byID {
-		if request.hasPending() {
+		if request.hasPendingAttempt() {
 			requests = append(requests, request)
 		}
 	}
--- a/policy/requesttable_test.go
+++ b/policy/requesttable_test.go
@@ -118,7 +118,7 @@
 	}
 	sent.releasePendingAttempts()
 	markOverdue(sent.attempts[1:])
-	if target.load != (backendLoad{}) || owner.inFlight != 0 || sent.hasPending() {
+	if target.load != (backendLoad{}) || owner.inFlight != 0 || sent.hasPendingAttempt() {
 		t.Errorf("after the release: load %+v, %d of the customer in flight", target.load, owner.inFlight)
 	}
 }
