--- a/policy/activitycounters.go
+++ b/policy/activitycounters.go
@@ -11,7 +11,7 @@
 type rejectReason int
 
 const (
-	rejectExpired     rejectReason = iota // it arrived so early in a stall that it would miss its objective
+	rejectExpired     rejectReason = iota // a stall of this gateway delayed it too much to meet its objective
 	rejectAtCapacity                      // the backends are at capacity
 	rejectOverQuota                       // neither the quota nor the shared bucket covers the cost
 	rejectOverCeiling                     // this gateway's share of the ceiling does not cover the cost
@@ -28,7 +28,7 @@
 	consecutive             int // attempts at the backend of the previous attempt: many indicate herding
 	lastBackend             *backend
 	rejected                [rejectReasonCount]int
-	overQuotaByShare        int // rejected requests whose units the customer's whole bucket held
+	overQuotaByShare        int // rejected although the bucket held the units; see countOverQuota
 	bucketHalfFull          int // the part of overQuotaByShare rejected with the bucket at least half full
 	quotaRequests           int
 	quotaRequestsUnanswered int // quota requests that timed out
--- a/policy/api.go
+++ b/policy/api.go
@@ -153,7 +153,7 @@
 	Latency        Time
 	ClientAnswered bool    // the client has its final answer
 	DialUnanswered bool    // with ResultConnectFailed: nothing came back to the dial, not even a refusal
-	MeterReading   int     // 1 + the customer's use via all gateways, in percent of the rate; 0 if missing
+	MeterReading   int     // percent of the plan's rate used at all gateways, plus 1; 0 means no reading
 	ActualCost     float64 // in units; zero if not reported
 	LoadReport     []float32
 }
--- a/policy/backendtable.go
+++ b/policy/backendtable.go
@@ -28,9 +28,9 @@
 	return b.health.acceptsAttempts(now, b.load.inFlight, healthChecks)
 }
 
-// isWarm reports whether the backend is ready, healthy, in the subset and not in slow start. Only the
-// answers of such backends count towards the rate from which the attempts at backends in slow start are
-// derived.
+// isWarm reports whether the backend's answers count towards the answer rate of warm backends, from which the
+// attempt rate of a slow start is derived. The backend must not only have a capacity share of 1, but also be
+// ready, healthy and in the subset.
 func (b *backend) isWarm(now Time, healthChecks bool, parameters *slowStartParameters) bool {
 	return b.isReady() && b.inSubset && b.acceptsAttempts(now, healthChecks) &&
 		b.slowStart.capacityShare(now, parameters) == 1
@@ -83,9 +83,10 @@
 	}
 }
 
-// knowsMostStarts reports whether the table has any backends and knows the starts of at least half of the
-// entries of a list. If so, the unknown starts happened after the list that the table was built from.
-// Otherwise the table may be so old that the unknown starts are not recent.
+// knowsMostStarts reports whether the starts in a list that the table does not know can be taken as recent.
+// They can if the table has any backends and knows the starts of at least half of the entries: the unknown
+// starts then happened after the list that the table was built from. Otherwise the table may be so old that
+// the unknown starts are not recent.
 func (t *backendTable) knowsMostStarts(list []Endpoint) bool {
 	unknown := 0
 	for _, endpoint := range list {
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -61,8 +61,10 @@
 		c.bucket.level >= c.bucket.capacity && c.ceiling.level >= c.ceiling.capacity
 }
 
-// quotaShare returns the share of the quota that this gateway may use: its share of the recent demand if that
-// is known, otherwise an even share. Gateways that report nothing count as idle.
+// quotaShare returns the share of the quota that this gateway may use. With one replica, that is the whole
+// quota. If the gateways share their usage, it is this gateway's share of the recent demand, and peers that
+// report no demand count as idle. If they do not, it is the share derived from the meter. The share is even
+// at a participant, which does not know the demand of its peers, and while there is no demand or no reading.
 func (c *customer) quotaShare(now Time, sharing *quotaSharing) float64 {
 	own := c.demand.ownDemand(now)
 	switch {
@@ -191,9 +193,12 @@
 	c.bucket.level = math.Max(0, c.bucket.level-units)
 }
 
-// updateGrant recomputes a coordinator's grant: the units that refill within a demand window and those that
-// the bucket holds beyond the reserve, divided by the demand. It returns whether the grant has changed and is
-// to be advertised to the replica set. A set whose gateways ask before each request needs no advertisement.
+// updateGrant recomputes the fraction of the requested units that the participants may admit: the units that
+// refill within a demand window, plus the level of the bucket less the reserve, divided by the demand in that
+// window. It reports whether the fraction has to be advertised to the replica set now, and if so records it
+// as advertised. If a coordinator approves each request, nothing is advertised, because its answers carry the
+// fraction. At a gateway that is not a coordinator of a wide set, or if the plan has no rate, updateGrant
+// changes nothing and returns false.
 func (c *customer) updateGrant(now Time, sharing *quotaSharing) (advertise bool) {
 	isCoordinator := sharing.isWide(&c.account) && !sharing.isParticipant(&c.account)
 	if !isCoordinator || sharing.plan(&c.account).Rate == 0 {
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -20,11 +20,11 @@
 	peers       []peer               // by gateway index; the entry of this gateway is unused
 }
 
-// peer is the gossip state of another gateway.
+// peer holds what is known of another gateway's last messages, and the next message to that gateway.
 type peer struct {
 	incarnation    uint32 // of its last message; zero if none was received
 	sequence       byte   // of its newest message; zero if none was received
-	lastReceivedAt Time   // active time; this gateway's start if no message was received
+	lastReceivedAt Time   // by clock.activeTime; this gateway's start if no message was received
 	message        []byte // in preparation for the next round; empty if there is none
 }
 
@@ -129,7 +129,8 @@
 	weight float64
 }
 
-// receive records a peer's message that was received at the given active time.
+// receive records the receipt of a peer's message, and returns how it relates to the earlier ones. The active
+// time excludes this gateway's stalls, so a stall does not increase the weight of the message.
 func (g *gossipState) receive(from int, activeTime Time, message *gossipMessage) receiveResult {
 	sender := &g.peers[from]
 	received := receiveResult{
@@ -141,9 +142,10 @@
 }
 
 // acceptSequence reports whether a message is the newest of the peer so far, and if so records its sequence
-// number.
+// number. A message without a sequence number is never the newest.
 func (p *peer) acceptSequence(message *gossipMessage) bool {
-	const maxAhead = math.MaxInt8 // a message whose wrapping number increased by more is an older one
+	// Sequence numbers wrap around: an increase of more than maxAhead means an older message.
+	const maxAhead = math.MaxInt8
 	if message.sequence == 0 || p.sequence != 0 && p.incarnation == message.incarnation &&
 		message.sequence-p.sequence-1 >= maxAhead {
 		return false
--- a/policy/gossip_codec.go
+++ b/policy/gossip_codec.go
@@ -61,14 +61,17 @@
 	customer               uint64
 	plan                   int
 	firstReplica, replicas int
-	consumed, requested    uint16  // wrapping counts of 1/8 unit since the sender's start
-	newlyRequested         uint16  // the increase of requested since the last report; sent as at most 255
-	wantedHalves           byte    // half units that a quota request asks for
-	quotaRequest           byte    // the sequence number of the quota request; zero if there is none
-	remaining              float64 // bucket level as a fraction of the burst; granted fraction in wide sets
+	consumed, requested    uint16 // wrapping counts of 1/8 unit since the sender's start
+	newlyRequested         uint16 // the increase of requested since the last report; sent as at most 255
+	wantedHalves           byte   // half units that a quota request asks for
+	quotaRequest           byte   // the sequence number of the quota request; zero if there is none
+	// remaining is the level of the sender's bucket as a fraction of its capacity. In a wide replica set (see
+	// quotaSharing) it is the granted fraction known to the sender.
+	remaining float64
 }
 
-// grant is a coordinator's grant for one customer.
+// grant carries a coordinator's grant for one customer to another gateway of the replica set: it either
+// advertises the granted fraction alone, or also answers a quota request.
 type grant struct {
 	customer     uint64
 	fraction     float64 // the part of the requested units that the receiver may admit
--- a/policy/priority.go
+++ b/policy/priority.go
@@ -18,10 +18,10 @@
 	return s.Classes[req.Class].PriorityWeight * s.Plans[req.Plan].ValueFactor * req.Cost
 }
 
-// recordPriority adds the priority of a request with the given value and usual latency to the average. It
-// returns the share of the capacity that is open to the request, which grows with the priority in relation
-// to the average. The share may be above 1, up to 1.25: requests of high priority are admitted beyond the
-// measured capacity. If the latency is unknown (0), recordPriority records nothing and returns 1.
+// recordPriority returns the share of the capacity that is open to a request with the given value and usual
+// latency, and adds the request's priority to the average. The share grows with the priority in relation to
+// the average. It may be above 1, up to 1.25: requests of high priority are admitted beyond the measured
+// capacity. If the latency is unknown (0), recordPriority records nothing and returns 1.
 func (p *priorityAverage) recordPriority(value, latency float64) float64 {
 	if latency == 0 {
 		return 1
--- a/policy/quotashare_fleet_test.go
+++ b/policy/quotashare_fleet_test.go
@@ -62,7 +62,7 @@
 	return true
 }
 
-// runGossipRound fires the gossip timer of each replica, then delivers the messages except those that are lost.
+// runGossipRound fires the gossip timer of each replica, then delivers the messages that are not lost.
 func (f *lossyFleet) runGossipRound(at Time) {
 	for _, h := range f.gateways[:f.replicas] {
 		h.TimerFired(at, gossipTimer)
--- a/policy/quotasharing.go
+++ b/policy/quotasharing.go
@@ -29,10 +29,12 @@
 // alone, so that all gateways of a deployment come to the same result for an account. Only a reload
 // replaces it.
 //
-// A wide replica set is too large for every gateway to report to every other one. Its gateways report to
-// coordinators, which hold equal parts of the quota. The other gateways of the set are participants. If the
-// quota is so small that a gateway's share cannot hold one request, the gateways ask a coordinator before
-// they admit a request.
+// A replica set with more than maxFullMeshSize gateways is wide: too large for every gateway to report to
+// every other one. One or more gateways of a wide set are its coordinators. The others are participants: they
+// report their usage to a coordinator, and admit the fraction of the requested units that it grants. If the
+// quota is so small that a gateway's share may not hold one request, each request requires a grant: the
+// coordinators hold equal parts of the quota, and a gateway sends one of them a quota request before it
+// admits a request.
 type quotaSharing struct {
 	self, gateways  int
 	gossip          bool    // gateways exchange gossip messages
@@ -111,7 +113,7 @@
 	return s.position(account, gateway) < account.replicas
 }
 
-// isWide reports whether the replica set is too large for every gateway to report to every other one.
+// isWide reports whether the replica set is wide. Without gossip, no set is wide.
 func (s *quotaSharing) isWide(account *account) bool {
 	return s.gossip && account.replicas > maxFullMeshSize
 }
@@ -157,21 +159,22 @@
 	return true
 }
 
-// requiresGrant reports whether a coordinator is asked before each request is admitted. This is the case in a
-// wide replica set with a small quota: a gateway's share of it may not hold one request, and the coordinators
-// can receive a quota request for each request.
+// requiresGrant reports whether a coordinator has to grant each request before it is admitted. This is the
+// case in a wide replica set with a small quota: a gateway's share of it may not hold one request, and the
+// coordinators can receive a quota request for each request.
 func (s *quotaSharing) requiresGrant(account *account) bool {
 	rate := s.plan(account).Rate / float64(s.coordinatorCount(account))
 	return s.isWide(account) && rate*float64(s.receiveTime(1)) < quotaRequestShare*float64(second)
 }
 
-// grantsQuota reports whether this gateway is a coordinator that decides on the account's quota requests.
+// grantsQuota reports whether each request requires a grant and this gateway is one of the coordinators that
+// decide on the quota requests.
 func (s *quotaSharing) grantsQuota(account *account) bool {
 	return s.requiresGrant(account) && !s.isParticipant(account)
 }
 
-// needsRemoteGrant reports whether a request's units have to be granted by the account's coordinator with the
-// given index, and that coordinator is another gateway.
+// needsRemoteGrant reports whether each request requires a grant and the account's coordinator with the given
+// index is another gateway, so that this gateway has to send it a quota request.
 func (s *quotaSharing) needsRemoteGrant(account *account, coordinator int) bool {
 	return s.requiresGrant(account) && s.coordinator(account, coordinator) != s.self
 }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-const overloadMargin = 0.6 // a starting backend is loaded up to this part of OverloadFactor
+const overloadMargin = 0.6 // this part of OverloadFactor is the factor on a starting backend's attempt rate
 
 // slowStartParameters are the parameters of slow start for all backends, derived from the settings alone.
 type slowStartParameters struct {
@@ -21,7 +21,9 @@
 		window: float64(s.OverloadWindow) / float64(second), margin: 1,
 		gateways: s.Gateways, preferringGateways: s.Gateways,
 	}
-	if s.OverloadFactor > 0 { // the margin may be below 1, as the bucket can hold half a window in addition
+	// Within a window, a full bucket allows half a window's attempts in addition to those that refill. The
+	// margin is below OverloadFactor to leave room for them, and may therefore be below 1.
+	if s.OverloadFactor > 0 {
 		parameters.margin = overloadMargin * s.OverloadFactor
 	}
 	if s.HandshakePrice > 0 {
@@ -37,8 +39,9 @@
 	return share / math.Max(p.window, 1) / float64(p.gateways)
 }
 
-// slowStart limits the attempts that this gateway may send to one backend until it is warm. The capacity of
-// its bucket is the number of attempts that its rate yields in half of the overload window, plus one if that
+// slowStart limits the attempts that this gateway may send to one backend until the backend is warm, which it
+// is when its slow start has lasted for the configured duration and its capacity share is 1. The capacity of
+// the bucket is the number of attempts that its rate yields in half of the overload window, plus one if that
 // is less than one. An attempt is charged once, when it is written; while it waits for a connection, it is
 // reserved.
 type slowStart struct {
@@ -50,8 +53,8 @@
 	inProgress      bool        // the slow start was logged, and endIfWarm has not ended it yet
 }
 
-// capacityShare returns the minimum share of its capacity that the backend has now. The share is 1 if the
-// backend is warm.
+// capacityShare returns the minimum share of its capacity that the backend has now. It rises linearly from
+// the floor to 1 during the slow start. The backend is warm once the share is 1.
 func (s *slowStart) capacityShare(now Time, parameters *slowStartParameters) float64 {
 	if s.startedAt == 0 || parameters.duration == 0 {
 		return 1
--- a/policy/tokenbucket.go
+++ b/policy/tokenbucket.go
@@ -18,7 +18,8 @@
 	return overflow
 }
 
-// resize sets the rate and the capacity. The level is adjusted by the next refill.
+// resize sets the rate and the capacity. The next refill caps the level at the capacity; the new rate applies
+// to the whole time since the last refill.
 func (b *tokenBucket) resize(rate, capacity float64) { b.rate, b.capacity = rate, capacity }
 
 // deposit adds units up to the capacity.
