--- a/internal/gateway/client_commands.go
+++ b/internal/gateway/client_commands.go
@@ -170,7 +170,8 @@
 	g.answer(r, e.reply)
 }
 
-// requestDropped is a request whose arguments were dropped for lack of memory.
+// requestDropped is a request whose arguments were dropped for lack of memory. It is answered with a
+// rejection.
 type requestDropped struct {
 	commandHead
 	clientRequestID uint64
@@ -196,15 +197,15 @@
 	case e.isForSuccessor(g):
 		g.handover.queueCommand(e)
 	case e.config != g.config:
-		e.handleAfterReload(g)
+		e.reparseAfterReload(g)
 	default:
 		e.admit(g)
 	}
 }
 
-// handleAfterReload handles a request that was parsed before a reload. The reload may have changed the
-// number of its class or removed the class.
-func (e requestReceived) handleAfterReload(g *Gateway) {
+// reparseAfterReload parses a request again whose configuration has been replaced, because the index of its
+// class may have changed. If the class was removed, the request is answered with an error.
+func (e requestReceived) reparseAfterReload(g *Gateway) {
 	switch parsed := e.parse(g.config, e.args).(type) {
 	case requestReceived:
 		parsed.admit(g)
@@ -222,9 +223,9 @@
 	}
 }
 
-// tryReject rejects a request that the gateway cannot serve, and reports whether it did. It counts the
-// request as a command of its connection.
-func (g *Gateway) tryReject(r *request, overMemory bool) (rejected bool) {
+// tryReject answers a request that the gateway cannot serve with an error or a rejection, and reports whether
+// it did. It always does if noCapacity is set. It counts the request as a command of its connection.
+func (g *Gateway) tryReject(r *request, noCapacity bool) (rejected bool) {
 	if g.requests.openByClientRequestID[r.clientRequestID] != nil {
 		// Backends cannot distinguish two open requests with the same ID.
 		r.client.countCommand(true, false)
@@ -232,7 +233,7 @@
 		return true
 	}
 	r.client.countCommand(false, false)
-	reply := g.capacityRejection(r.client, overMemory)
+	reply := g.capacityRejection(r.client, noCapacity)
 	if reply == nil {
 		return false
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -51,7 +51,7 @@
 		log: log, clock: clock, requests: newRequestTable(), metrics: &metrics.Metrics{},
 	}
 	g.events = eventloop.New(g, clock)
-	g.endpoints = newEndpointList(cfg.Host.Zones, endpointAdapter{g}, log)
+	g.endpoints = newEndpointListState(cfg.Host.Zones, endpointAdapter{g}, log)
 	g.reload = newReload(reloadAdapter{g}, log)
 	g.handover = newOutgoingHandover(handoverAdapter{g}, log)
 	g.shutdown = newShutdown(shutdownAdapter{g}, log)
@@ -85,8 +85,9 @@
 	return g, g.listening.bind(cfg.Listen)
 }
 
-// start applies the configured endpoint list and starts reading from discovery, peers and operators. Clients
-// are accepted when the first list of discovery has arrived, or after readinessWait.
+// start applies the configured endpoint list, starts discovery, gossip, the operators' server and the client
+// of the shared counter, if any, and schedules the first sweep. Clients are accepted when the first list of
+// discovery has arrived, or after readinessWait.
 func (g *Gateway) start(ctx context.Context) {
 	endpointAdapter{g}.updateEndpoints(policy.UpdateStale, g.config.Known.Endpoints)
 	g.events.HandleDeferred()
