--- a/scale/internal/runner/phases.go
+++ b/scale/internal/runner/phases.go
@@ -61,7 +61,7 @@
 		}
 	}
 	if s.simulated != nil {
-		s.simulated.ResetMaxDelay() // discards delays before this phase
+		s.simulated.ReadAndResetMaxDelay() // discards delays before this phase
 	}
 	machineBefore, err := measure.MachineCPUTime()
 	if err != nil {
@@ -84,7 +84,7 @@
 	machine := (machineAfter - machineBefore).Seconds()
 	usage.MachinePercent = 100 * machine / seconds / float64(runtime.NumCPU())
 	if s.simulated != nil {
-		usage.LongestSimulatedDelayMS = results.Milliseconds(s.simulated.ResetMaxDelay())
+		usage.LongestSimulatedDelayMS = results.Milliseconds(s.simulated.ReadAndResetMaxDelay())
 	}
 	return usage, nil
 }
--- a/scale/internal/runner/runner.go
+++ b/scale/internal/runner/runner.go
@@ -25,7 +25,7 @@
 	memoryDivisor       = 2 // this process and the gateways may use half of the machine's memory
 	// simulatedStart is how long a run waits for the simulated gateways to start and to receive gossip from
 	// each other.
-	simulatedStart = 2 * simulated.StartTime
+	simulatedStart = 2 * simulated.StartPeriod
 )
 
 // Limits that stop a run when they are exceeded.
--- a/scale/internal/simulated/tier.go
+++ b/scale/internal/simulated/tier.go
@@ -16,9 +16,9 @@
 	"sparspread/scale/internal/standin"
 )
 
-// StartTime is the period over which the starts of the gateways are spread. Gateways that all started at once
+// StartPeriod is the period over which the starts of the gateways are spread. Gateways that all started at once
 // would send gossip in lockstep from then on, which does not happen in a real tier.
-const StartTime = time.Second
+const StartPeriod = time.Second
 
 // maxWorkers is the maximum number of goroutines that call the controllers.
 const maxWorkers = 6
@@ -151,8 +151,8 @@
 // GossipDropped returns the number of gossip messages dropped because a worker's queue was full.
 func (t *Tier) GossipDropped() int64 { return t.gossipDropped.Load() }
 
-// ResetMaxDelay returns the longest delay of a timer or message since the last call, and resets it to 0.
-func (t *Tier) ResetMaxDelay() time.Duration {
+// ReadAndResetMaxDelay returns the longest delay of a timer or message since its last call, and resets it to 0.
+func (t *Tier) ReadAndResetMaxDelay() time.Duration {
 	return time.Duration(t.maxDelay.Swap(0)) * time.Microsecond
 }
 
--- a/scale/internal/simulated/worker.go
+++ b/scale/internal/simulated/worker.go
@@ -41,17 +41,17 @@
 	}
 }
 
-// scheduleStart schedules the first endpoint update of each gateway, spread evenly over StartTime, and the
+// scheduleStart schedules the first endpoint update of each gateway, spread evenly over StartPeriod, and the
 // start of requests after it.
 func (w *worker) scheduleStart(endpoints []policy.Endpoint) {
 	now := w.tier.now()
 	count := policy.Time(len(w.gateways))
 	for i, g := range w.gateways {
-		w.schedule(now+StartTime.Microseconds()*policy.Time(i)/count, func() {
+		w.schedule(now+StartPeriod.Microseconds()*policy.Time(i)/count, func() {
 			g.controller.UpdateEndpoints(w.tier.now(), policy.UpdateComplete, endpoints)
 		})
 	}
-	w.schedule(now+StartTime.Microseconds(), w.generateRequest)
+	w.schedule(now+StartPeriod.Microseconds(), w.generateRequest)
 }
 
 // schedule schedules a call at the given time.
