--- a/internal/descriptors/budget.go
+++ b/internal/descriptors/budget.go
@@ -1,4 +1,5 @@
-// Package descriptors divides the file descriptors that the process may open among its parts.
+// Package descriptors divides the file descriptors that the process may open among its parts. The two largest
+// parts are the sides of the gateway: the connections of clients and the connections to backends.
 package descriptors
 
 import (
@@ -19,8 +20,8 @@
 	discoveryDescriptors = 2
 	// All connections to each of two addresses, for the same reason.
 	counterDescriptors = 2 * counter.Connections
-	// The listener, and one connection beyond the limit, which is accepted before the oldest one is closed.
-	// Connections within the limit are counted separately.
+	// The listener for operators, and one connection beyond Budget.Operators, which is accepted before the
+	// oldest one is closed. NewBudget reserves Budget.Operators descriptors in addition.
 	opsDescriptors = 2
 )
 
@@ -30,10 +31,10 @@
 	// minRejectSlots is the minimum number of client connections beyond Budget.PerSide that are accepted
 	// and then rejected.
 	minRejectSlots = 4
-	// Clients get at most two fifths of the descriptors that are not spare, and backends the same number.
+	// Each side gets at most two fifths of the descriptors that are not spare.
 	sideShareNumerator   = 2
 	sideShareDenominator = 5
-	// sideCount is the number of sides, clients and backends, that share the remaining descriptors equally.
+	// sideCount is the number of sides, which share the descriptors that no other part needs equally.
 	sideCount = 2
 	// One further connection is accepted, to be rejected, for each servedPerRejectSlot served connections.
 	servedPerRejectSlot = 4
@@ -45,7 +46,7 @@
 
 // Budget contains the number of descriptors that each part may use.
 type Budget struct {
-	PerSide     int // for client connections that are served, and the same number for backend connections
+	PerSide     int // for client connections that are served, and as many for connections to backends
 	ClientSlots int // for all client connections, including those that are accepted only to be rejected
 	Operators   int // for connections of operators
 }
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -20,8 +20,9 @@
 	// watchWait is how long the service may hold a watch open. It is short because a watch that hangs
 	// hides all updates until it times out.
 	watchWait = 2 * time.Second
-	// maxResponseTimeout limits the time until a response begins, beyond the wait, and the time between two
-	// parts of an update. Under load, the service itself fails a call earlier.
+	// maxResponseTimeout is the maximum time until a response begins, in addition to the wait of the call,
+	// and the maximum pause within an update. A service under load fails a call itself before this limit, so
+	// a longer timeout would not get more responses.
 	maxResponseTimeout = time.Second
 	// deliveryLimit is the protocol's time limit for the delivery of an update: after it, the update counts
 	// as delivered, even if calls failed.
--- a/internal/simproto/batch.go
+++ b/internal/simproto/batch.go
@@ -64,8 +64,8 @@
 }
 
 // Decode calls handle for each event of the batch, in order, with the instance that the event is for. If a
-// record is malformed, Decode returns an error after it has called handle for the events before that
-// record.
+// record is malformed, Decode returns an error after it has called handle for the events before that record.
+// If bytes follow the last record, it returns an error after it has called handle for all events.
 func (b *Batch) Decode(handle func(instance uint16, event Event)) error {
 	r := recordReader{data: b.Body}
 	for i := uint32(0); i < b.Count; i++ {
--- a/internal/simproto/event.go
+++ b/internal/simproto/event.go
@@ -112,7 +112,7 @@
 // readEndpointsUpdated reads an update of the endpoint list.
 func (r *recordReader) readEndpointsUpdated() Event {
 	var e EndpointsUpdated
-	e.Kind = readCode(r, updateKindByCode, "list mode")
+	e.Kind = readCode(r, updateKindByCode, "update kind")
 	r.uint64() // the version of the list, which is not used
 	count := int(r.uint32())
 	if count > r.remaining()/endpointSize {
@@ -129,7 +129,7 @@
 	endpoint := policy.Endpoint{ID: r.uint32(), Zone: int(r.uint16())}
 	r.uint8() // the kind of machine, which the policy does not use
 	endpoint.Cell = int(r.uint16())
-	endpoint.State = readCode(r, endpointStateByCode, "readiness")
+	endpoint.State = readCode(r, endpointStateByCode, "endpoint state")
 	endpoint.CapacityHint = r.float32()
 	endpoint.StartedAt = policy.Time(r.uint64())
 	return endpoint
--- a/scale/internal/gatewayproc/gateway.go
+++ b/scale/internal/gatewayproc/gateway.go
@@ -36,8 +36,8 @@
 	agentHost   = "127.7.0.1"
 )
 
-// Gateway is a gateway's process with its stand-ins. Only PID, Metric and the exported fields are safe for
-// concurrent use.
+// Gateway is a gateway's process with its discovery agents and the counters of its control traffic. Only the
+// methods PID and Metric and the exported fields are safe for concurrent use.
 type Gateway struct {
 	Number        int
 	ClientAddress string
--- a/scale/internal/load/clients.go
+++ b/scale/internal/load/clients.go
@@ -174,8 +174,9 @@
 	}
 }
 
-// countValue counts a returned value. It must be the one that a backend returns for the request: the request
-// ID and the service time in nanoseconds. The caller holds mu.
+// countValue counts an answer with a value. A valid value consists of the request ID and the service time in
+// nanoseconds; for it, countValue also records the latency beyond the service time. Any other value is
+// counted as WrongValue. The caller must hold c.mu.
 func (c *Clients) countValue(id uint64, value []byte, latency time.Duration) {
 	requestID, serviceTime, _ := bytes.Cut(value, []byte(" "))
 	ns, err := strconv.ParseInt(string(serviceTime), 10, 64)
--- a/scale/internal/report/report.go
+++ b/scale/internal/report/report.go
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// table is the report of one experiment.
+// table holds the results of one experiment, from which a Markdown table is printed.
 type table struct {
 	results []*results.Result
 	sizes   []float64 // in ascending order
@@ -60,7 +60,8 @@
 	return t
 }
 
-// write writes the whole report.
+// write writes the introduction, the Markdown table, the list of invalid results and the rules that were not
+// checked.
 func (t *table) write(b *strings.Builder) {
 	t.writeIntroduction(b)
 	t.writeHeader(b)
@@ -82,7 +83,7 @@
 		first.Experiment, first.Axis, first.RealGateways, t.tierSizes(), first.LastKnownList,
 		first.ServiceTimeMS)
 	fmt.Fprintf(b, "Program %s. Minimum / median / maximum of the repeats, or one value if all are equal. "+
-		"Worked-out values are extrapolated from the two largest sizes with valid runs.\n\n",
+		"A column \"worked out\" is extrapolated from the two largest sizes with valid runs.\n\n",
 		strings.Join(t.revisions(), ", "))
 }
 
--- a/scale/internal/results/result.go
+++ b/scale/internal/results/result.go
@@ -5,11 +5,12 @@
 
 import "sparspread/scale/internal/model"
 
-// StatusRun is the status of a run that completed with a valid result. The status of any other run begins
+// StatusRun is the status of a run that was completed and is valid. The status of any other run begins
 // with "stopped: ", or with "behind: " if the simulated gateways could not keep up, followed by the reason.
 const StatusRun = "run"
 
-// Result holds the measurements of one run at one size.
+// Result holds the measurements of one run. Size is the value of the quantity that the experiment varies.
+// Axis names this quantity: model.AxisBackends, AxisGateways, AxisChanges or AxisRequests.
 type Result struct {
 	Experiment string  `json:"experiment"`
 	Axis       string  `json:"axis"`
--- a/scale/internal/simulated/tier.go
+++ b/scale/internal/simulated/tier.go
@@ -16,8 +16,8 @@
 	"sparspread/scale/internal/standin"
 )
 
-// StartPeriod is the period over which the starts of the gateways are spread. Gateways that all started at once
-// would send gossip in lockstep from then on, which does not happen in a real tier.
+// StartPeriod is the period over which the starts of the gateways are spread. Gateways that all started at
+// once would send gossip in lockstep from then on, which does not happen in a real tier.
 const StartPeriod = time.Second
 
 // maxWorkers is the maximum number of goroutines that call the controllers.
@@ -151,7 +151,8 @@
 // GossipDropped returns the number of gossip messages dropped because a worker's queue was full.
 func (t *Tier) GossipDropped() int64 { return t.gossipDropped.Load() }
 
-// ReadAndResetMaxDelay returns the longest delay of a timer or message since its last call, and resets it to 0.
+// ReadAndResetMaxDelay returns the longest delay of a timer or message since its last call, and resets it
+// to 0.
 func (t *Tier) ReadAndResetMaxDelay() time.Duration {
 	return time.Duration(t.maxDelay.Swap(0)) * time.Microsecond
 }
