--- a/internal/command/fields.go
+++ b/internal/command/fields.go
@@ -48,7 +48,7 @@
 // has reports whether a field is in the set.
 func (s fieldSet) has(field int) bool { return s&(1<<field) != 0 }
 
-// parseFields parses the list of name=value and returns the set of fields that are present.
+// parseFields parses the list of name=value into the request and returns the set of fields that are present.
 func (r *Request) parseFields(cfg *config.Config) (present fieldSet, err error) {
 	list := r.Args[FieldsArg]
 	for start := 0; start <= len(list); {
@@ -76,7 +76,8 @@
 	return present, nil
 }
 
-// parseField parses the value of one field.
+// parseField parses the value of one field into r.PolicyRequest. It only checks the idempotency key and the
+// retry flag, which the policy does not use.
 func (r *Request) parseField(cfg *config.Config, field int, value string) error {
 	ok, cause := false, errInvalidValue
 	switch field {
--- a/internal/command/forward.go
+++ b/internal/command/forward.go
@@ -15,9 +15,9 @@
 	decimal          = 10
 )
 
-// EncodeForBackend encodes a request for a backend. It replaces the timeout by the given one, but at least
-// 1 ms, and keeps the other arguments as received. If bodySize is not 0, the request has a large body of that
-// size, of which only the head is encoded; the caller sends the body itself.
+// EncodeForBackend encodes a request for a backend. It replaces the timeout by the given one, rounded down to
+// whole milliseconds but at least 1 ms, and keeps the other arguments as received. If bodySize is not 0, the
+// request has a large body of that size, of which only the head is encoded; the caller sends the body itself.
 func EncodeForBackend(args [][]byte, timeoutSpan Span, timeout policy.Time, bodySize int) []byte {
 	fields := args[FieldsArg]
 	newFields := make([]byte, 0, len(fields)+maxTimeoutGrowth)
--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -92,7 +92,8 @@
 // baseURL returns the URL prefix of all counters of the service at an address.
 func baseURL(address string) string { return "http://" + address + "/v1/count/" }
 
-// Run sends the queued increments until the context ends.
+// Run sends the queued increments until the context ends. Increments that are still queued then are not sent
+// and get no Answer.
 func (c *Client) Run(ctx context.Context) {
 	var running sync.WaitGroup
 	for _, queue := range c.queues {
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -87,7 +87,8 @@
 	}
 }
 
-// Pause stops receiving. Messages that arrive are kept in the socket's buffer.
+// Pause stops receiving, but does not wait until a message that was already read has been passed to receive.
+// Messages that arrive later are kept in the socket's buffer.
 func (t *Transport) Pause() {
 	if t.conn != nil {
 		expired := time.Unix(1, 0)
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -35,8 +35,8 @@
 	Attempts  atomic.Int64 // requests written to backends, including retries
 }
 
-// Classes returns the counters of the named classes, in the order of the names. The counters of a new class
-// start at 0.
+// Classes returns the counters of the named classes, in the order of the names. A class that had counters
+// before keeps them. The counters of a new class start at 0 and appear on the page from then on.
 func (m *Metrics) Classes(names []string) []*Class {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -47,7 +47,7 @@
 	return classes
 }
 
-// class returns the counters of a class. The caller must hold m.mu.
+// class returns the counters of a class, which it adds if there are none. The caller must hold m.mu.
 func (m *Metrics) class(name string) *Class {
 	for _, class := range m.classes {
 		if class.name == name {
--- a/internal/ops/server.go
+++ b/internal/ops/server.go
@@ -104,8 +104,9 @@
 	_, _ = w.Write(s.stats()) // fails only if the connection is closed
 }
 
-// trackConnection limits the number of connections. Beyond the limit it closes the oldest connection, so that
-// connections that send no request do not lock out others.
+// trackConnection limits the number of connections. The HTTP server calls it at each change of a connection's
+// state. Beyond the limit it closes the oldest connection, so that connections that send no request do not
+// lock out others.
 func (s *Server) trackConnection(conn net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/resp/command.go
+++ b/internal/resp/command.go
@@ -4,7 +4,7 @@
 const initialCommandSize = 192
 
 // ReadCommand reads an array of bulk strings and returns their values, which the caller owns. It skips empty
-// arrays.
+// arrays. If the command exceeds a limit, it is discarded and the error is ErrTooLarge.
 func (r *Reader) ReadCommand() ([][]byte, error) {
 	args, _, err := r.readCommand(false)
 	return args, err
@@ -92,7 +92,8 @@
 	return r.readLineEnd()
 }
 
-// readBulkHead reads the first line of a bulk string and returns the string's size.
+// readBulkHead reads the first line of a bulk string and returns the string's size. A size above maxSize is a
+// protocol error.
 func (r *Reader) readBulkHead(maxSize int) (int, error) {
 	head, err := r.readLine()
 	if err != nil {
--- a/internal/resp/reply.go
+++ b/internal/resp/reply.go
@@ -21,7 +21,8 @@
 // ReadReply leaves it to the caller.
 func (r *Reader) ReadReply() (Reply, error) { return r.readReply(true) }
 
-// ReadRemainingItems reads the values of an array that follow its streamed value.
+// ReadRemainingItems reads the values of an array that follow its streamed value, and returns the reply with
+// these values appended to Items.
 func (r *Reader) ReadRemainingItems(reply Reply) (Reply, error) {
 	for range reply.unreadItems {
 		item, err := r.readReply(false)
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -14,7 +14,7 @@
 	planList  = "tariffs"
 )
 
-// positiveKeys are the settings that must be above 0 if they are present.
+// positiveKeys holds the last part of each key whose value must be above 0 if the key is present.
 var positiveKeys = map[string]bool{"hard-limit-us": true, "promise-us": true, "max-attempts": true}
 
 // repeatModes maps the values of the key repeat, which states whether a request may run more than once.
--- a/internal/settings/parser.go
+++ b/internal/settings/parser.go
@@ -39,7 +39,7 @@
 	p.host.Plans = append(p.host.Plans, "")
 }
 
-// parseTable sets the fields of a table whose keys, after the prefix, are present.
+// parseTable sets each field of a table if its key, preceded by the prefix, is present.
 func (p *parser) parseTable(prefix string, table map[string]fieldSetter) error {
 	for key, set := range table {
 		value, ok := p.values[prefix+key]
--- a/internal/simproto/batch.go
+++ b/internal/simproto/batch.go
@@ -24,8 +24,9 @@
 	Body  []byte
 }
 
-// ReadBatch reads the next frame. It uses the memory of buffer for the body. It returns io.EOF if the input
-// ends after a complete frame, and ErrTruncated if it ends within one.
+// ReadBatch reads the next frame. It overwrites buffer with the body, and allocates memory only if buffer is
+// too small. It returns io.EOF if the input ends after a complete frame, and ErrTruncated if it ends within
+// one.
 func ReadBatch(r io.Reader, buffer []byte) (Batch, error) {
 	var header [batchHeaderSize]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
--- a/internal/simproto/record.go
+++ b/internal/simproto/record.go
@@ -34,7 +34,8 @@
 	}
 }
 
-// bytes returns the next n bytes without copying them. It returns nil if fewer than n bytes are left.
+// bytes returns the next n bytes without copying them. If fewer than n bytes are left, it sets err and
+// returns nil.
 func (r *recordReader) bytes(n int) []byte {
 	if r.err != nil {
 		return nil
@@ -96,7 +97,8 @@
 // readResult reads the result of an attempt, a health check or an increment of the shared counter.
 func (r *recordReader) readResult() policy.Result { return readCode(r, resultByCode, "result") }
 
-// readCode reads a code and returns its value in byCode. The error for an unknown code contains name.
+// readCode reads a code and returns its value in byCode. If the code is unknown, it sets an error whose text
+// contains name, and returns the zero value.
 func readCode[V any](r *recordReader, byCode map[uint8]V, name string) V {
 	code := r.uint8()
 	value, ok := byCode[code]
--- a/internal/sockwriter/writer.go
+++ b/internal/sockwriter/writer.go
@@ -76,9 +76,10 @@
 	return err == nil && noInput
 }
 
-// Send writes b without blocking. The caller must not use b afterwards. Send returns false if more than limit
-// bytes are pending because the peer does not read. It does not report a broken connection, because the
-// goroutine that reads from the connection gets the error.
+// Send writes b without blocking. The caller must not use b afterwards. If bytes of an earlier call are still
+// being written, b is appended to the pending bytes. Send then returns false if more than limit bytes are
+// pending, because the peer does not read. It does not report a broken connection, because the goroutine that
+// reads from the connection gets the error.
 func (w *Writer) Send(b []byte, limit int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/scale/commands.go
+++ b/scale/commands.go
@@ -31,7 +31,7 @@
 }
 
 // Run runs all sizes of an experiment, then repeats them all, so that changes on the machine over time affect
-// all sizes alike.
+// all sizes alike. If Repeat is not 0, it runs all sizes for that repeat only.
 func (c *runCommand) Run(log *slog.Logger) error {
 	experiment, err := model.ReadExperiment(c.Experiment)
 	if err != nil {
--- a/scale/internal/gatewayproc/gateway.go
+++ b/scale/internal/gatewayproc/gateway.go
@@ -66,7 +66,7 @@
 }
 
 // New returns a gateway with free addresses and running discovery agents, which keeps its files below dir.
-// Start starts the process. The caller must call Stop in any case.
+// Start starts the process. The caller must call Stop unless New returns an error.
 func New(ctx context.Context, number int, dir string, catalog *model.Catalog) (*Gateway, error) {
 	g := &Gateway{
 		Number: number, Traffic: &standin.ControlTraffic{}, Exited: make(chan struct{}),
--- a/scale/internal/load/clients.go
+++ b/scale/internal/load/clients.go
@@ -99,7 +99,8 @@
 	return b
 }
 
-// sendRequest sends one request, waits for the answer and counts the outcome.
+// sendRequest sends one request, waits for the answer and counts the outcome. If the gateway has closed the
+// idle connection that was used, sendRequest sends the request once more, on a new connection.
 func (c *Clients) sendRequest(ctx context.Context, id uint64, command []byte) {
 	conn, reused, err := c.pool.acquire(ctx)
 	if errors.Is(err, errPoolExhausted) {
--- a/scale/internal/load/latency.go
+++ b/scale/internal/load/latency.go
@@ -15,7 +15,7 @@
 )
 
 // AddedLatency returns the latency that gateways added, over all clients and by gateway. It returns nil if no
-// request was served.
+// request was served. It must not be called while Run of any of the clients executes.
 func AddedLatency(clients []*Clients) *results.AddedLatency {
 	all := hdrhistogram.New(1, maxLatency, significantDigits)
 	var p50s, p99s []float64
--- a/scale/internal/model/catalog.go
+++ b/scale/internal/model/catalog.go
@@ -91,10 +91,11 @@
 // cellOf returns the number of a backend's cell. All backends of a cell are in one zone.
 func cellOf(backend int) int { return zoneOf(backend) + zones*(backend/(cellSize*zones)) }
 
-// revision returns the newest revision. The caller holds mu.
+// revision returns the newest revision. The caller must hold c.mu.
 func (c *Catalog) revision() uint64 { return uint64(len(c.changedAt) - 1) }
 
-// SetPhase sets the phase of the given backends in a new revision.
+// SetPhase sets the phase of the given backends in a new revision, and closes the channels that ChangesAfter
+// returned.
 func (c *Catalog) SetPhase(backends []int, phase Phase) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -180,7 +181,7 @@
 	return policy.EndpointReady
 }
 
-// appendEntry appends a backend's entry to the list. The caller holds mu.
+// appendEntry appends a backend's entry to the list. The caller must hold c.mu.
 func (c *Catalog) appendEntry(list *listWriter, backend int) {
 	list.beginEntry()
 	const format = `{"id":"s-%08x","host_port":"%s:%d","locality":"%s","flavor":"m2",` +
--- a/scale/internal/runner/changes.go
+++ b/scale/internal/runner/changes.go
@@ -71,7 +71,8 @@
 	s.simulated.UpdateEndpoints(changed)
 }
 
-// timeChanges measures the time until single changes have reached the last real gateway.
+// timeChanges removes and restores single backends, and appends to the result the time until each change has
+// reached the last real gateway.
 func (s *testbed) timeChanges(ctx context.Context, result *results.Result) error {
 	for i := range s.Experiment.TimedChanges {
 		backend := s.rand.IntN(s.point.Backends)
--- a/scale/internal/runner/runner.go
+++ b/scale/internal/runner/runner.go
@@ -44,8 +44,8 @@
 	Log        *slog.Logger
 }
 
-// Run runs the size with the given index once; repeat counts from 1. If the run stops early, the status of
-// the result gives the reason.
+// Run runs the size with the given index once; repeat counts from 1. If the run stops early or its result is
+// invalid, the status of the result gives the reason.
 func (r *Runner) Run(ctx context.Context, sizeIndex, repeat int) *results.Result {
 	e := r.Experiment
 	point, err := e.PointAt(sizeIndex)
--- a/scale/internal/runner/testbed.go
+++ b/scale/internal/runner/testbed.go
@@ -167,8 +167,8 @@
 	return nil
 }
 
-// startGateways starts the real gateways, waits until all are ready, lets them settle and records their peak
-// memory.
+// startGateways starts the real gateways, waits until all are ready, measures the baseline while they settle,
+// and records their peak memory.
 func (s *testbed) startGateways(ctx context.Context, result *results.Result) error {
 	if err := s.writeConfigurations(0); err != nil {
 		return err
@@ -199,7 +199,7 @@
 }
 
 // measureBaseline measures the latency that clients and backends add without a gateway, while the gateways
-// settle.
+// settle. Afterwards it resets the counts of the backends and of the audit.
 func (s *testbed) measureBaseline(ctx context.Context, result *results.Result) error {
 	address := fmt.Sprintf("%s:%d", model.BackendAddress(0), s.backends.Port())
 	demand := s.newDemand(s.gateways[0].Number, newRand(s.rand.Uint64(), 0))
--- a/scale/internal/simulated/gateway.go
+++ b/scale/internal/simulated/gateway.go
@@ -77,7 +77,8 @@
 	}
 }
 
-// Send schedules a successful answer to the attempt after the service time.
+// Send schedules a successful answer to the attempt after the service time. It records the first attempt of a
+// request in the audit if the customer is on the capped plan.
 func (g *gateway) Send(id uint64, backend uint32, _ policy.Time) (waiting bool) {
 	r, tier := g.openRequests[id], g.worker.tier
 	attempt := r.attemptsSent
--- a/scale/internal/standin/backends.go
+++ b/scale/internal/standin/backends.go
@@ -136,8 +136,9 @@
 	}
 }
 
-// checkDrain counts a command that reaches a backend that is not ready. It applies the rule on drains
-// strictly: a change counts as known to the gateways as soon as the discovery agents have it.
+// checkDrain counts a command that reaches a backend that is not ready, and updates maxAfterDrain. It applies
+// the rule on drains strictly: a change counts as known to the gateways as soon as the discovery agents have
+// it.
 func (b *Backends) checkDrain(backend int, now time.Time) {
 	age := b.readiness.NotReadyDuration(backend, now)
 	if age == 0 {
--- a/scale/internal/standin/gossip.go
+++ b/scale/internal/standin/gossip.go
@@ -21,7 +21,7 @@
 	peers                []netip.AddrPort       // by the gateway's number
 	relays               map[int]*GossipRelay   // by the real gateway's number
 	realGatewayByAddress map[netip.AddrPort]int // the numbers of real gateways, by their source address
-	sink                 *net.UDPConn
+	sink                 *net.UDPConn           // receives the messages to unresponsive gateways
 }
 
 // GossipRelay receives the messages to one real gateway and forwards them from the sender's address in the
--- a/scale/main.go
+++ b/scale/main.go
@@ -1,7 +1,8 @@
 // Command scale is a load bench that runs the tier at its intended size, as far as one machine can. It runs
 // real gateways, each as a process, together with simulated gateways and stand-ins for backends, clients,
 // discovery and configuration, all on loopback addresses. It measures the resources that a gateway uses and
-// checks some of the rules while the size on one axis grows.
+// checks some of the rules that a tier has to follow, such as the ceilings of customers and the drain grace
+// of backends, while the size on one axis grows.
 package main
 
 import (
