--- a/internal/simproto/batch.go
+++ b/internal/simproto/batch.go
@@ -24,8 +24,9 @@
 	Body  []byte
 }
 
-// ReadBatch reads the next frame. It uses the memory of buffer for the body. It returns io.EOF if the input
-// ends after a complete frame, and ErrTruncated if it ends within one.
+// ReadBatch reads the next frame. It overwrites buffer with the body, and allocates memory only if buffer is
+// too small. It returns io.EOF if the input ends after a complete frame, and ErrTruncated if it ends within
+// one.
 func ReadBatch(r io.Reader, buffer []byte) (Batch, error) {
 	var header [batchHeaderSize]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
@@ -64,8 +65,8 @@
 }
 
 // Decode calls handle for each event of the batch, in order, with the instance that the event is for. If a
-// record is malformed, Decode returns an error after it has called handle for the events before that
-// record.
+// record is malformed, Decode returns an error after it has called handle for the events before that record.
+// If bytes follow the last record, it returns an error after it has called handle for all events.
 func (b *Batch) Decode(handle func(instance uint16, event Event)) error {
 	r := recordReader{data: b.Body}
 	for i := uint32(0); i < b.Count; i++ {
