--- a/internal/simproto/event.go
+++ b/internal/simproto/event.go
@@ -129,7 +129,7 @@
 	endpoint := policy.Endpoint{ID: r.uint32(), Zone: int(r.uint16())}
 	r.uint8() // the kind of machine, which the policy does not use
 	endpoint.Cell = int(r.uint16())
-	endpoint.State = readCode(r, endpointStateByCode, "endpoint state")
+	endpoint.State = readCode(r, endpointStateByCode, "readiness")
 	endpoint.CapacityHint = r.float32()
 	endpoint.StartedAt = policy.Time(r.uint64())
 	return endpoint
