--- a/policy/admission.go
+++ b/policy/admission.go
@@ -5,7 +5,8 @@
 	retryAfterDivisor   = 2   // the advised wait is the shortest latency objective divided by this
 )
 
-// RequestReceived admits a request, rejects it, or holds it until a coordinator has answered.
+// RequestReceived admits a request, rejects it, or holds it until a coordinator has answered. A request of an
+// unknown class or plan fails.
 func (c *Controller) RequestReceived(now Time, req Request) {
 	c.advanceClock(now)
 	if !hasIndex(c.settings.Classes, req.Class) || !hasIndex(c.settings.Plans, req.Plan) {
--- a/policy/backendhealth.go
+++ b/policy/backendhealth.go
@@ -52,8 +52,9 @@
 	h.unansweredSince, h.lastAnswerAt = activeTime, now
 }
 
-// recordResult updates the health from the outcome of an attempt sent at the given time. A success is ignored
-// if the attempt overlapped a stall of this gateway.
+// recordResult updates the health from the outcome of an attempt sent at the given time. An attempt that
+// timed out does not count as an error but as a success. A success is ignored if the attempt overlapped a
+// stall of this gateway.
 func (h *backendHealth) recordResult(
 	now, sentAt Time, outcome *Outcome, overlappedStall bool,
 ) ejectionReason {
@@ -82,7 +83,7 @@
 func (h *backendHealth) recordSuccess() { h.errorRate += sampleWeight * (0 - h.errorRate) }
 
 // recordError records that an attempt ended with an error, and ejects the backend if its error rate is too
-// high.
+// high and no ejection is in progress.
 func (h *backendHealth) recordError(now Time) ejectionReason {
 	h.errorRate += sampleWeight * (1 - h.errorRate)
 	if h.errorRate < ejectionErrorRate || now < h.nextProbeAt {
@@ -126,7 +127,8 @@
 	return ejectedUnresponsive
 }
 
-// eject removes the backend from rotation, for twice as long as before if the ejections are consecutive.
+// eject begins an ejection. It lasts for minEjectionTime or, if the previous ejection began no more than
+// twice maxEjectionTime ago, for twice as long as that one, up to maxEjectionTime.
 func (h *backendHealth) eject(now Time) {
 	if now-h.ejectedAt > 2*maxEjectionTime {
 		h.ejectionTime = 0
@@ -156,14 +158,16 @@
 	return reinstatedRestarted
 }
 
-// isProbeDue reports whether a health check is due.
+// isProbeDue reports whether a health check is due. Only a backend that is down is checked.
 func (h *backendHealth) isProbeDue(now Time) bool { return h.isDown && now >= h.nextProbeAt }
 
 // recordProbeStart records that a health check starts now. No other check is due while this one is pending,
 // unless it takes longer than maxEjectionTime.
 func (h *backendHealth) recordProbeStart(now Time) { h.nextProbeAt = now + maxEjectionTime }
 
-// recordFailedProbe extends the ejection after a failed health check.
+// recordFailedProbe doubles the ejection time, up to maxEjectionTime, after a failed health check, and
+// restarts the ejection. If the connection failed, the backend no longer counts as still running.
+// recordFailedProbe does nothing if the backend is not down.
 func (h *backendHealth) recordFailedProbe(now Time, connectFailed bool) {
 	if !h.isDown {
 		return
--- a/policy/backendtable.go
+++ b/policy/backendtable.go
@@ -124,8 +124,8 @@
 	return t.findOrAdd(Endpoint{ID: id, State: EndpointRemoved}, now, random)
 }
 
-// prune removes the backends that are not listed and have nothing in flight. A backend in slow start stays
-// until it is warm, because a stale list may report it again without its start.
+// prune removes the backends that are not listed and have nothing in flight, and retains their starts. A
+// backend in slow start stays until it is warm, because a stale list may report it again without its start.
 func (t *backendTable) prune(now Time, parameters *slowStartParameters) {
 	t.inOrder = slices.DeleteFunc(t.inOrder, func(backend *backend) bool {
 		isUnused := !backend.listed && backend.load.inFlight == 0 &&
--- a/policy/controller_attempts.go
+++ b/policy/controller_attempts.go
@@ -87,7 +87,8 @@
 }
 
 // AttemptEnded handles the outcome of an attempt. If no other attempt is pending and the client has no
-// answer yet, it retries the request or gives the final answer.
+// answer yet, it retries the request, or rejects or fails it. It refunds the units of an ended request that
+// never reached a backend.
 func (c *Controller) AttemptEnded(now Time, outcome Outcome) {
 	c.advanceClock(now)
 	request := c.requests.byID[outcome.RequestID]
@@ -163,7 +164,8 @@
 	}
 }
 
-// RequestCancelled records that the client has disconnected or its deadline has passed.
+// RequestCancelled records that the client has disconnected or its deadline has passed. No other attempt is
+// sent, and the request is removed unless an attempt is pending.
 func (c *Controller) RequestCancelled(now Time, id uint64) {
 	c.ResponseStarted(now, id)
 	if request := c.requests.byID[id]; request != nil && !request.hasPendingAttempt() {
--- a/policy/controller_backends.go
+++ b/policy/controller_backends.go
@@ -2,8 +2,9 @@
 
 // Methods of Controller for endpoint updates, health checks, slow start and the load of the backends.
 
-// UpdateEndpoints applies an update from service discovery. Endpoints that are draining or removed get no
-// further attempts.
+// UpdateEndpoints applies an update from service discovery. Backends whose start is new begin a slow start.
+// Endpoints that are draining or removed get no further attempts. UpdateUnavailable leaves the list as it is,
+// so that the watch is requested again.
 func (c *Controller) UpdateEndpoints(now Time, kind UpdateKind, list []Endpoint) {
 	c.advanceClock(now)
 	if kind == UpdateUnavailable {
--- a/policy/controller_outcomes.go
+++ b/policy/controller_outcomes.go
@@ -2,7 +2,8 @@
 
 // Methods of Controller that update its state from the outcomes of attempts.
 
-// settleAttempt updates the load, the health of the backend and the customer's usage from an outcome.
+// settleAttempt updates the load, the health of the backend and the customer's usage from an outcome. It
+// queues a fault report for the other gateways if the outcome shows a fault of the backend.
 func (c *Controller) settleAttempt(request *request, attempt *attempt, outcome *Outcome) {
 	attempt.release(request.customer)
 	slowStart := &attempt.backend.slowStart
--- a/policy/controller_quota.go
+++ b/policy/controller_quota.go
@@ -1,7 +1,7 @@
 package policy
 
-// customerRecord returns the record of an account's customer with its buckets refilled. It creates the record
-// if there is none.
+// customerRecord returns the record of an account's customer with its buckets refilled. If there is none, it
+// creates the record, and the customer's quota no longer counts as idle in the shared bucket.
 func (c *Controller) customerRecord(account account) *customer {
 	customer := c.customers.byID[account.id]
 	if customer == nil {
@@ -64,7 +64,8 @@
 }
 
 // CostSettled charges a customer the difference between a request's actual cost and its estimate, if the
-// actual cost becomes known only after the outcome.
+// actual cost becomes known only after the outcome. It is ignored if the settings have no SettlesCost or the
+// customer has no record.
 func (c *Controller) CostSettled(now Time, customerID uint64, difference float64) {
 	c.advanceClock(now)
 	if customer := c.customers.byID[customerID]; customer != nil && c.settings.SettlesCost {
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -78,7 +78,8 @@
 	return 1 / float64(c.replicas)
 }
 
-// refill refills the buckets, and returns the units that overflowed from this gateway's share of the quota.
+// refill sets the rates and capacities of the buckets to the parts of the quota and the ceiling that they
+// hold now, and refills them. It returns the units that overflowed from this gateway's share of the quota.
 // allReplicasActive means that the peers' demand is known, so that a part of the ceiling follows demand.
 func (c *customer) refill(now Time, sharing *quotaSharing, allReplicasActive bool) (overflow float64) {
 	plan, share := sharing.plan(&c.account), c.quotaShare(now, sharing)
@@ -102,10 +103,14 @@
 	return share * c.bucket.refill(now)
 }
 
-// availableUnits returns the units that this gateway may admit now: its share of the bucket as of the last
-// gossip round less its own usage since then or, if more, the units that peers are not expected to use before
-// their next report. The second term is needed because a share of a small burst may be less than one request.
-// Soon after a start the result is limited to an even share, because earlier usage may not be known yet.
+// availableUnits returns the units that this gateway may admit now. At a participant with a limiting grant,
+// they are the units saved up under the grant; at any other gateway of a wide set, or without shared usage,
+// they are the level of the bucket.
+//
+// Otherwise they are this gateway's share of the bucket as of the last gossip round less its own usage since
+// then or, if more, the units that peers are not expected to use before their next report. The second term is
+// needed because a share of a small burst may be less than one request. Soon after a start the result is
+// limited to an even share, because earlier usage may not be known yet.
 func (c *customer) availableUnits(now, startedAt Time, sharing *quotaSharing) float64 {
 	switch {
 	case sharing.isParticipant(&c.account) && c.grant.isLimited(): // a coordinator's grant is the limit
@@ -148,7 +153,8 @@
 	return timeUntil(c.availableUnits(now, startedAt, sharing), c.quotaShare(now, sharing)*rate, units)
 }
 
-// withinQuota reports whether the quota and the plan's limit of concurrent attempts admit the units.
+// withinQuota reports whether the quota admits the units, and this gateway's share of the plan's limit of
+// concurrent attempts, which is at least one, admits another attempt.
 func (c *customer) withinQuota(now, startedAt Time, sharing *quotaSharing, units float64) bool {
 	plan := sharing.plan(&c.account)
 	if plan.ConcurrencyLimit > 0 {
@@ -179,7 +185,8 @@
 }
 
 // consume charges units to the customer, and counts them for the coordinator with the given index. The index
-// is 0 if no coordinator was picked for the units.
+// is 0 if no coordinator was picked for the units. Units that another gateway granted are charged to the
+// bucket there, not here. Negative units are returned.
 func (c *customer) consume(sharing *quotaSharing, coordinator int, units float64) {
 	c.usage.consume(coordinator, units)
 	if !sharing.needsRemoteGrant(&c.account, coordinator) {
@@ -188,7 +195,8 @@
 	c.grant.consume(units)
 }
 
-// chargePeerUsage charges units that other gateways have consumed.
+// chargePeerUsage charges units that other gateways have consumed, down to a level of zero. Negative units
+// are returned.
 func (c *customer) chargePeerUsage(units float64) {
 	c.bucket.level = math.Max(0, c.bucket.level-units)
 }
@@ -238,7 +246,8 @@
 	c.limitToCoordinatorShare(sharing)
 }
 
-// limitToCoordinatorShare limits a coordinator's bucket to its share of the burst.
+// limitToCoordinatorShare limits the bucket of a coordinator that decides on quota requests to its part of
+// the burst. It does nothing at other gateways.
 func (c *customer) limitToCoordinatorShare(sharing *quotaSharing) {
 	if sharing.grantsQuota(&c.account) {
 		share := sharing.plan(&c.account).Burst / float64(sharing.coordinatorCount(&c.account))
@@ -254,8 +263,8 @@
 	c.ceiling.level = min(c.ceiling.level, plan.CeilingSlack/replicas/initialSlackDivisor)
 }
 
-// scheduleReport makes the next gossip rounds report the usage, if it is reported at all. It returns whether
-// no report was scheduled before.
+// scheduleReport makes the next gossip rounds report the usage, and returns whether no report was scheduled
+// before. Usage that needs no report is marked as reported, and scheduleReport returns false.
 func (c *customer) scheduleReport(sharing *quotaSharing) (newlyScheduled bool) {
 	if !sharing.reportsUsage(&c.account) {
 		c.usage.markCounted()
--- a/policy/customerreport.go
+++ b/policy/customerreport.go
@@ -18,9 +18,8 @@
 	}
 }
 
-// reportIsDue reports whether a gossip round at the given time includes the customer's usage. A participant,
-// which is a gateway of a wide replica set that is not a coordinator, reports no more often than its
-// coordinator can receive reports while a grant limits it.
+// reportIsDue reports whether a gossip round at the given time includes the customer's usage. While a grant
+// limits a participant, it reports no more often than its coordinator can receive the reports of the set.
 func (c *customer) reportIsDue(now Time, sharing *quotaSharing) bool {
 	return now >= c.grant.nextReportAt || !c.grant.isLimited() || !sharing.isParticipant(&c.account)
 }
@@ -72,7 +71,8 @@
 }
 
 // applyFirstUsage applies the first entry of a peer's incarnation. There is no earlier count to subtract, so
-// the remaining quota that the peer reports limits the level of the bucket.
+// the remaining quota that the peer reports limits the level of the bucket. Only the newly requested units
+// count as demand.
 func (c *customer) applyFirstUsage(now Time, isWide bool, entry *usageEntry) {
 	remaining := entry.remaining*c.bucket.capacity - c.usage.unreported()
 	// In a wide set the peer reports its granted fraction. A fraction of 1, which means no limit, says
@@ -85,7 +85,8 @@
 }
 
 // applyIncrease applies the units that a peer has consumed and requested since its last entry. It returns
-// false for an entry that arrived out of order. The consumed count also decreases when units are returned.
+// false for an entry that arrived out of order. The consumed count also decreases when units are returned. In
+// a wide set, returned units are not credited, and applyIncrease resets entry.consumed to the last count.
 func (c *customer) applyIncrease(
 	now Time, isWide bool, last *peerUsage, entry *usageEntry, newest bool,
 ) bool {
@@ -118,7 +119,9 @@
 	return entry
 }
 
-// answerQuotaRequest grants, as a coordinator, the units that an entry asks for if the buckets hold them.
+// answerQuotaRequest returns a coordinator's answer to the quota request of an entry. It grants the units if
+// the buckets hold them. Granted units are charged at once, and counted as consumed by the sender, so that
+// the sender's next report does not charge them again.
 func (c *customer) answerQuotaRequest(sharing *quotaSharing, from int, entry *usageEntry) grant {
 	units := float64(entry.wantedHalves) / halvesPerUnit
 	hasCeiling := sharing.plan(&c.account).CeilingRate > 0 && sharing.requiresGrant(&c.account)
--- a/policy/customertable.go
+++ b/policy/customertable.go
@@ -83,7 +83,8 @@
 // sweepIsDue reports whether it is time to search for idle customers.
 func (t *customerTable) sweepIsDue(now Time) bool { return now-t.sweptAt >= sweepInterval }
 
-// removeIdle removes the records of idle customers, and calls onRemove with the account of each.
+// removeIdle removes the records of idle customers, and calls onRemove with the account of each. The next
+// search is due sweepInterval later.
 func (t *customerTable) removeIdle(now Time, onRemove func(*account)) {
 	t.sweptAt = now
 	t.inOrder = slices.DeleteFunc(t.inOrder, func(customer *customer) bool {
--- a/policy/quotagrant.go
+++ b/policy/quotagrant.go
@@ -40,7 +40,8 @@
 // isDefault reports whether the grant equals that of a new customer.
 func (g *quotaGrant) isDefault() bool { return g.fraction == 1 && g.advertisedFraction == 1 }
 
-// creditRequest adds the granted fraction of a request's units to the units that may be admitted.
+// creditRequest adds the granted fraction of a request's units to the units that may be admitted, which are
+// limited to those of maxGrantedRequests such requests.
 func (g *quotaGrant) creditRequest(units float64) {
 	g.units = math.Min(g.units+g.fraction*units, maxGrantedRequests*units)
 }
@@ -64,7 +65,7 @@
 }
 
 // setFraction sets a coordinator's fraction to the units that may be spent divided by the demand, both over
-// a demand window.
+// a demand window. The fraction is at least minGrantFraction and at most 1.
 func (g *quotaGrant) setFraction(spendable, demand float64) {
 	g.fraction = math.Min(1, math.Max(minGrantFraction, spendable/math.Max(demand, minDemand)))
 }
--- a/policy/quotarequests.go
+++ b/policy/quotarequests.go
@@ -42,7 +42,8 @@
 
 // pickCoordinator picks at random which of an account's coordinators a request asks, and returns its index.
 // This gateway may be one of them. Unless there is no other, pickCoordinator avoids the coordinator that the
-// request asked before and those that were recently unresponsive.
+// request asked before and those that were recently unresponsive. The index is 0 if requests of the account
+// require no grant.
 func (q *quotaRequests) pickCoordinator(
 	now Time, sharing *quotaSharing, account *account, request *request, random *rand.Rand,
 ) int {
--- a/policy/reload.go
+++ b/policy/reload.go
@@ -3,7 +3,8 @@
 // Reload replaces the settings. Classes and plans are matched by name, because their indices may
 // change. If requests of a removed or changed class are open, the old class is kept after the new
 // classes. A removed plan is kept after the new plans if customers have it. The settings of the
-// gateways and of how they communicate, which only a restart can change, keep their values.
+// gateways and of how they communicate, which only a restart can change, keep their values. If the
+// settings are invalid, Reload returns a SettingsError and keeps the current ones.
 func (c *Controller) Reload(now Time, settings Settings) error {
 	if err := settings.validate(); err != nil {
 		return err
--- a/policy/sharedbucket.go
+++ b/policy/sharedbucket.go
@@ -17,7 +17,7 @@
 // overageIsProfitable reports whether usage beyond the quota earns more than it costs.
 func (p *Plan) overageIsProfitable() bool { return p.OverageRevenue > p.OverageCost }
 
-// canLend reports whether the bucket lends to a plan and holds the cost of a request.
+// canLend refills the bucket, and reports whether it lends to a plan and holds the cost of a request.
 func (b *sharedBucket) canLend(now Time, plan *Plan, cost float64) bool {
 	b.refill(now)
 	return plan.overageIsProfitable() && b.level >= cost
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -40,8 +40,9 @@
 	return snapshot
 }
 
-// Import imports the state that another process exported. Classes and plans are matched by name. It
-// must be called before the controller has made any decision.
+// Import imports the state that another process exported. Classes and plans are matched by name, and
+// state of those that this process does not have is dropped. Import must be called before the controller
+// has made any decision. It returns ErrSnapshotIndex, and imports nothing, if an index is out of range.
 func (c *Controller) Import(now Time, snapshot *Snapshot) error {
 	if err := snapshot.validate(); err != nil {
 		return err
--- a/policy/stats.go
+++ b/policy/stats.go
@@ -14,6 +14,7 @@
 	updatedAt Time
 }
 
+// value returns the sum, and stores it as decayed until now. A time before the last update changes nothing.
 func (d *decayingSum) value(now, timeConstant Time) float64 {
 	if now > d.updatedAt {
 		d.sum *= math.Exp(-float64(now-d.updatedAt) / float64(timeConstant))
