--- a/internal/simproto/event.go
+++ b/internal/simproto/event.go
@@ -112,7 +112,7 @@
 // readEndpointsUpdated reads an update of the endpoint list.
 func (r *recordReader) readEndpointsUpdated() Event {
 	var e EndpointsUpdated
-	e.Kind = readCode(r, updateKindByCode, "list mode")
+	e.Kind = readCode(r, updateKindByCode, "update kind")
 	r.uint64() // the version of the list, which is not used
 	count := int(r.uint32())
 	if count > r.remaining()/endpointSize {
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -61,8 +61,10 @@
 		c.bucket.level >= c.bucket.capacity && c.ceiling.level >= c.ceiling.capacity
 }
 
-// quotaShare returns the share of the quota that this gateway may use: its share of the recent demand if that
-// is known, otherwise an even share. Gateways that report nothing count as idle.
+// quotaShare returns the share of the quota that this gateway may use. With one replica, that is the whole
+// quota. If the gateways share their usage, it is this gateway's share of the recent demand, and peers that
+// report no demand count as idle. If they do not, it is the share derived from the meter. The share is even
+// at a participant, which does not know the demand of its peers, and while there is no demand or no reading.
 func (c *customer) quotaShare(now Time, sharing *quotaSharing) float64 {
 	own := c.demand.ownDemand(now)
 	switch {
@@ -76,7 +78,8 @@
 	return 1 / float64(c.replicas)
 }
 
-// refill refills the buckets, and returns the units that overflowed from this gateway's share of the quota.
+// refill sets the rates and capacities of the buckets to the parts of the quota and the ceiling that they
+// hold now, and refills them. It returns the units that overflowed from this gateway's share of the quota.
 // allReplicasActive means that the peers' demand is known, so that a part of the ceiling follows demand.
 func (c *customer) refill(now Time, sharing *quotaSharing, allReplicasActive bool) (overflow float64) {
 	plan, share := sharing.plan(&c.account), c.quotaShare(now, sharing)
@@ -100,10 +103,14 @@
 	return share * c.bucket.refill(now)
 }
 
-// availableUnits returns the units that this gateway may admit now: its share of the bucket as of the last
-// gossip round less its own usage since then or, if more, the units that peers are not expected to use before
-// their next report. The second term is needed because a share of a small burst may be less than one request.
-// Soon after a start the result is limited to an even share, because earlier usage may not be known yet.
+// availableUnits returns the units that this gateway may admit now. At a participant with a limiting grant,
+// they are the units saved up under the grant; at any other gateway of a wide set, or without shared usage,
+// they are the level of the bucket.
+//
+// Otherwise they are this gateway's share of the bucket as of the last gossip round less its own usage since
+// then or, if more, the units that peers are not expected to use before their next report. The second term is
+// needed because a share of a small burst may be less than one request. Soon after a start the result is
+// limited to an even share, because earlier usage may not be known yet.
 func (c *customer) availableUnits(now, startedAt Time, sharing *quotaSharing) float64 {
 	switch {
 	case sharing.isParticipant(&c.account) && c.grant.isLimited(): // a coordinator's grant is the limit
@@ -146,7 +153,8 @@
 	return timeUntil(c.availableUnits(now, startedAt, sharing), c.quotaShare(now, sharing)*rate, units)
 }
 
-// withinQuota reports whether the quota and the plan's limit of concurrent attempts admit the units.
+// withinQuota reports whether the quota admits the units, and this gateway's share of the plan's limit of
+// concurrent attempts, which is at least one, admits another attempt.
 func (c *customer) withinQuota(now, startedAt Time, sharing *quotaSharing, units float64) bool {
 	plan := sharing.plan(&c.account)
 	if plan.ConcurrencyLimit > 0 {
@@ -177,7 +185,8 @@
 }
 
 // consume charges units to the customer, and counts them for the coordinator with the given index. The index
-// is 0 if no coordinator was picked for the units.
+// is 0 if no coordinator was picked for the units. Units that another gateway granted are charged to the
+// bucket there, not here. Negative units are returned.
 func (c *customer) consume(sharing *quotaSharing, coordinator int, units float64) {
 	c.usage.consume(coordinator, units)
 	if !sharing.needsRemoteGrant(&c.account, coordinator) {
@@ -186,14 +195,18 @@
 	c.grant.consume(units)
 }
 
-// chargePeerUsage charges units that other gateways have consumed.
+// chargePeerUsage charges units that other gateways have consumed, down to a level of zero. Negative units
+// are returned.
 func (c *customer) chargePeerUsage(units float64) {
 	c.bucket.level = math.Max(0, c.bucket.level-units)
 }
 
-// updateGrant recomputes a coordinator's grant: the units that refill within a demand window and those that
-// the bucket holds beyond the reserve, divided by the demand. It returns whether the grant has changed and is
-// to be advertised to the replica set. A set whose gateways ask before each request needs no advertisement.
+// updateGrant recomputes the fraction of the requested units that the participants may admit: the units that
+// refill within a demand window, plus the level of the bucket less the reserve, divided by the demand in that
+// window. It reports whether the fraction has to be advertised to the replica set now, and if so records it
+// as advertised. If a coordinator approves each request, nothing is advertised, because its answers carry the
+// fraction. At a gateway that is not a coordinator of a wide set, or if the plan has no rate, updateGrant
+// changes nothing and returns false.
 func (c *customer) updateGrant(now Time, sharing *quotaSharing) (advertise bool) {
 	isCoordinator := sharing.isWide(&c.account) && !sharing.isParticipant(&c.account)
 	if !isCoordinator || sharing.plan(&c.account).Rate == 0 {
@@ -233,7 +246,8 @@
 	c.limitToCoordinatorShare(sharing)
 }
 
-// limitToCoordinatorShare limits a coordinator's bucket to its share of the burst.
+// limitToCoordinatorShare limits the bucket of a coordinator that decides on quota requests to its part of
+// the burst. It does nothing at other gateways.
 func (c *customer) limitToCoordinatorShare(sharing *quotaSharing) {
 	if sharing.grantsQuota(&c.account) {
 		share := sharing.plan(&c.account).Burst / float64(sharing.coordinatorCount(&c.account))
@@ -249,8 +263,8 @@
 	c.ceiling.level = min(c.ceiling.level, plan.CeilingSlack/replicas/initialSlackDivisor)
 }
 
-// scheduleReport makes the next gossip rounds report the usage, if it is reported at all. It returns whether
-// no report was scheduled before.
+// scheduleReport makes the next gossip rounds report the usage, and returns whether no report was scheduled
+// before. Usage that needs no report is marked as reported, and scheduleReport returns false.
 func (c *customer) scheduleReport(sharing *quotaSharing) (newlyScheduled bool) {
 	if !sharing.reportsUsage(&c.account) {
 		c.usage.markCounted()
--- a/scale/internal/gatewayproc/gateway.go
+++ b/scale/internal/gatewayproc/gateway.go
@@ -36,8 +36,8 @@
 	agentHost   = "127.7.0.1"
 )
 
-// Gateway is a gateway's process with its stand-ins. Only PID, Metric and the exported fields are safe for
-// concurrent use.
+// Gateway is a gateway's process with its discovery agents and the counters of its control traffic. Only the
+// methods PID and Metric and the exported fields are safe for concurrent use.
 type Gateway struct {
 	Number        int
 	ClientAddress string
@@ -66,7 +66,7 @@
 }
 
 // New returns a gateway with free addresses and running discovery agents, which keeps its files below dir.
-// Start starts the process. The caller must call Stop in any case.
+// Start starts the process. The caller must call Stop unless New returns an error.
 func New(ctx context.Context, number int, dir string, catalog *model.Catalog) (*Gateway, error) {
 	g := &Gateway{
 		Number: number, Traffic: &standin.ControlTraffic{}, Exited: make(chan struct{}),
